--- a/admission/config.go
+++ b/admission/config.go
@@ -132,9 +132,11 @@
 
 // settings gives what the module is told.
 func (c Config) settings() (decision.Settings, []string) {
-	s := decision.Settings{Cores: c.Cores, Servers: 1, Callers: 1, MemoryKB: float64(c.Memory) / 1024,
+	s := decision.Settings{
+		Cores: c.Cores, Servers: 1, Callers: 1, MemoryKB: float64(c.Memory) / 1024,
 		KeyKB: 1, RunFactor: 1, Stop: decision.StopDrop, MaxAdvice: maxAdvice, AnswerSlack: answerSlack,
-		DrainGrace: c.DrainGrace, FallMultiple: fallMultiple, FallSpan: fallSpan, ColdFrom: 1, BatchGap: batchGap}
+		DrainGrace: c.DrainGrace, FallMultiple: fallMultiple, FallSpan: fallSpan, ColdFrom: 1, BatchGap: batchGap,
+	}
 	names := make([]string, 0, len(c.Classes))
 	for _, class := range c.Classes {
 		s.Classes = append(s.Classes, class.Class)
--- a/admission/frameworks_test.go
+++ b/admission/frameworks_test.go
@@ -26,8 +26,10 @@
 	return admission.Config{
 		Classes: []describe.Class{
 			{Name: "sida", Class: decision.Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}},
-			{Name: "gava", Class: decision.Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 3,
-				Effect: decision.Keyed, Window: 20 * time.Second}},
+			{Name: "gava", Class: decision.Class{
+				Aim: time.Second, Deadline: 3 * time.Second, Worth: 3,
+				Effect: decision.Keyed, Window: 20 * time.Second,
+			}},
 		},
 		Routes: describe.Routes{{Path: "/sida", Class: "sida"}, {Path: "/gava", Class: "gava"}},
 		Cores:  2, Seed: 1,
@@ -37,7 +39,8 @@
 // serve gives a loopback server whose handler is h behind the middleware, and
 // its address.
 func serve(t *testing.T, configure func(*http.Server), wrap func(http.Handler) http.Handler,
-	h http.Handler) (*admission.Server, string) {
+	h http.Handler,
+) (*admission.Server, string) {
 	t.Helper()
 	a, err := admission.New(quick())
 	if err != nil {
--- a/admission/server.go
+++ b/admission/server.go
@@ -59,8 +59,10 @@
 		return nil, fmt.Errorf("admission: %w", err)
 	}
 	settings, names := cfg.settings()
-	opt := routing.Options{Settings: settings, Classes: names, Seed: cfg.Seed, Machine: newProcess(cfg.Cores),
-		KeyBytes: int(cfg.Memory / keysShare)}
+	opt := routing.Options{
+		Settings: settings, Classes: names, Seed: cfg.Seed, Machine: newProcess(cfg.Cores),
+		KeyBytes: int(cfg.Memory / keysShare),
+	}
 	if cfg.Pools != nil {
 		opt.Pools = &routing.PoolOptions{Cheapest: cfg.Pools.Cheapest, Reserve: cfg.Pools.Reserve}
 	}
@@ -71,8 +73,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	go core.Run(ctx)
 	core.Started(false, 0)
-	return &Server{cfg: cfg, table: cfg.Routes.Compile(), core: core, stop: stop,
-		workers: workers{jobs: make(chan job), done: ctx.Done()}}, nil
+	return &Server{
+		cfg: cfg, table: cfg.Routes.Compile(), core: core, stop: stop,
+		workers: workers{jobs: make(chan job), done: ctx.Done()},
+	}, nil
 }
 
 // Config gives the configuration in force, with its defaults filled in.
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -45,7 +45,9 @@
 }
 
 func (c *counters) read() Stats {
-	return Stats{Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(),
+	return Stats{
+		Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(),
 		TimedOut: c.timedOut.Load(), Rejected: c.rejected.Load(), Gone: c.gone.Load(), Passed: c.passed.Load(),
-		Runs: c.runs.Load(), Running: c.running.Load(), Stuck: c.stuck.Load(), Panics: c.panics.Load()}
+		Runs: c.runs.Load(), Running: c.running.Load(), Stuck: c.stuck.Load(), Panics: c.panics.Load(),
+	}
 }
--- a/admission/wrap.go
+++ b/admission/wrap.go
@@ -78,9 +78,11 @@
 		return
 	}
 	answer, id := make(sink, 1), routing.NewID()
-	err := s.core.Submit(routing.Request{ID: id, Class: class, Key: key, Door: door, Due: writeDue(r, door),
+	err := s.core.Submit(routing.Request{
+		ID: id, Class: class, Key: key, Door: door, Due: writeDue(r, door),
 		HeldKB: baseKB + float64(len(body))/1024, Payload: routing.Payload{Body: body},
-		Backend: s.newRun(next, r), Sink: answer})
+		Backend: s.newRun(next, r), Sink: answer,
+	})
 	if errors.Is(err, routing.ErrStopped) {
 		s.stats.refused.Add(1)
 		refuse(w, maxAdvice)
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -14,11 +14,15 @@
 	for name, c := range map[string]struct{ in, want string }{
 		"empty batch":     {"CLOCK momentUs=1\nGO\n", "YIELD\n"},
 		"unknown message": {"CLOCK momentUs=1\nNEWS of=2\nGO\n", "YIELD\n"},
-		"request runs": {"CLOCK momentUs=1\n" + hello + "REQ instanceId=1 xid=a heldKb=1 later=1\nGO\n",
-			"START instanceId=1 xid=a\nYIELD\n"},
+		"request runs": {
+			"CLOCK momentUs=1\n" + hello + "REQ instanceId=1 xid=a heldKb=1 later=1\nGO\n",
+			"START instanceId=1 xid=a\nYIELD\n",
+		},
 		"over is harmless": {"CLOCK momentUs=1\n" + hello + "WORK_DONE instanceId=1 xid=z outcome=200\nGO\n", "YIELD\n"},
-		"settings that make no sense": {"CLOCK momentUs=1\nHELLO instanceId=1 profileData={}\nGO\n",
-			"BAIL_OUT instanceId=1 line="},
+		"settings that make no sense": {
+			"CLOCK momentUs=1\nHELLO instanceId=1 profileData={}\nGO\n",
+			"BAIL_OUT instanceId=1 line=",
+		},
 		"a life that ended": {"CLOCK momentUs=1\n" + hello + "EXIT instanceId=1\nGO\n", "YIELD\n"},
 	} {
 		var out bytes.Buffer
--- a/decision/validate.go
+++ b/decision/validate.go
@@ -27,13 +27,28 @@
 	if err := least(1, setting{"Cores", float64(s.Cores)}); err != nil {
 		return err
 	}
-	checks := []setting{{"CallsOver", float64(s.CallsOver)}, {"Linger", float64(s.Linger)},
-		{"Fresh", float64(s.Fresh)}, {"Heeded", float64(s.Heeded)}, {"MaxAdvice", float64(s.MaxAdvice)}, {"MaxIdle", float64(s.MaxIdle)},
-		{"AnswerSlack", float64(s.AnswerSlack)}, {"DrainGrace", float64(s.DrainGrace)},
-		{"FallSpan", float64(s.FallSpan)}, {"ColdSpan", float64(s.ColdSpan)}, {"BatchGap", float64(s.BatchGap)},
-		{"MemoryKB", s.MemoryKB}, {"KeyKB", s.KeyKB}, {"RunFactor", s.RunFactor}, {"CallsOut", s.CallsOut},
-		{"FallMultiple", s.FallMultiple}, {"ColdFrom", s.ColdFrom}, {"OverShareWorth", s.OverShareWorth},
-		{"Servers", float64(s.Servers)}, {"Callers", float64(s.Callers)}}
+	checks := []setting{
+		{"CallsOver", float64(s.CallsOver)},
+		{"Linger", float64(s.Linger)},
+		{"Fresh", float64(s.Fresh)},
+		{"Heeded", float64(s.Heeded)},
+		{"MaxAdvice", float64(s.MaxAdvice)},
+		{"MaxIdle", float64(s.MaxIdle)},
+		{"AnswerSlack", float64(s.AnswerSlack)},
+		{"DrainGrace", float64(s.DrainGrace)},
+		{"FallSpan", float64(s.FallSpan)},
+		{"ColdSpan", float64(s.ColdSpan)},
+		{"BatchGap", float64(s.BatchGap)},
+		{"MemoryKB", s.MemoryKB},
+		{"KeyKB", s.KeyKB},
+		{"RunFactor", s.RunFactor},
+		{"CallsOut", s.CallsOut},
+		{"FallMultiple", s.FallMultiple},
+		{"ColdFrom", s.ColdFrom},
+		{"OverShareWorth", s.OverShareWorth},
+		{"Servers", float64(s.Servers)},
+		{"Callers", float64(s.Callers)},
+	}
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("Classes[%d].", i)
 		times := []setting{{at + "Aim", float64(c.Aim)}, {at + "Deadline", float64(c.Deadline)}}
--- a/decision/validate_test.go
+++ b/decision/validate_test.go
@@ -8,8 +8,10 @@
 )
 
 func sound() Settings {
-	return Settings{Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}, Cores: 1,
-		MemoryKB: 1024, RunFactor: 1}
+	return Settings{
+		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}, Cores: 1,
+		MemoryKB: 1024, RunFactor: 1,
+	}
 }
 
 // TestValidate has every kind of setting that makes no sense named by its path.
--- a/describe/describe.go
+++ b/describe/describe.go
@@ -114,8 +114,10 @@
 		ms := func(key string) time.Duration {
 			return time.Duration(c.Get(key).Float() * float64(time.Millisecond))
 		}
-		class := Class{name.String(), decision.Class{Aim: ms("aim_ms"), Deadline: ms("deadline_ms"),
-			Worth: c.Get("worth").Float(), LateWorth: c.Get("late_worth").Float(), Window: ms("window_ms")}}
+		class := Class{name.String(), decision.Class{
+			Aim: ms("aim_ms"), Deadline: ms("deadline_ms"),
+			Worth: c.Get("worth").Float(), LateWorth: c.Get("late_worth").Float(), Window: ms("window_ms"),
+		}}
 		switch effect := c.Get("effect").String(); effect {
 		case "", "safe":
 		case "keyed":
--- a/describe/describe_test.go
+++ b/describe/describe_test.go
@@ -40,8 +40,10 @@
 		if !reflect.DeepEqual(d.Routes, want) {
 			t.Errorf("%s: routes %v, want %v", name, d.Routes, want)
 		}
-		gift := Class{"ny-gava", decision.Class{Aim: 1800 * time.Millisecond, Deadline: 6900 * time.Millisecond,
-			Worth: 3, LateWorth: 0.2, Effect: decision.Keyed, Window: 20706 * time.Millisecond}}
+		gift := Class{"ny-gava", decision.Class{
+			Aim: 1800 * time.Millisecond, Deadline: 6900 * time.Millisecond,
+			Worth: 3, LateWorth: 0.2, Effect: decision.Keyed, Window: 20706 * time.Millisecond,
+		}}
 		if got := d.Classes[len(d.Classes)-1]; got != gift {
 			t.Errorf("%s: class %v, want %v", name, got, gift)
 		}
--- a/describe/table_test.go
+++ b/describe/table_test.go
@@ -18,8 +18,10 @@
 		for range 1 + rng.Intn(3) {
 			segs = append(segs, words[rng.Intn(len(words))])
 		}
-		rs = append(rs, Route{Method: methods[rng.Intn(len(methods))], Path: strings.Join(segs, "/"),
-			Class: fmt.Sprint("c", i)})
+		rs = append(rs, Route{
+			Method: methods[rng.Intn(len(methods))], Path: strings.Join(segs, "/"),
+			Class: fmt.Sprint("c", i),
+		})
 	}
 	return rs
 }
--- a/internal/standin/app.go
+++ b/internal/standin/app.go
@@ -41,8 +41,10 @@
 	}
 	body := string(req.Body)
 	answer := func(status int, text string) {
-		nc.Write(uwsgi.AppendResponse(nil, uwsgi.Response{Status: status, Body: []byte(text),
-			Headers: []uwsgi.Var{{Name: "Content-Type", Value: "text/plain"}}}))
+		nc.Write(uwsgi.AppendResponse(nil, uwsgi.Response{
+			Status: status, Body: []byte(text),
+			Headers: []uwsgi.Var{{Name: "Content-Type", Value: "text/plain"}},
+		}))
 	}
 	switch a.work.begin(body) {
 	case "fail":
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -268,17 +268,23 @@
 		return n
 	}
 	s.Below = decision.Below(pick("dependsOn", f.DependsOn, map[string]int{
-		"": 0, "silent": 0, "common": int(decision.BelowShared), "next_hop": int(decision.BelowTier)}))
+		"": 0, "silent": 0, "common": int(decision.BelowShared), "next_hop": int(decision.BelowTier),
+	}))
 	s.Stop = decision.StopMode(pick("stopMode", f.StopMode, map[string]int{
-		"": 0, "silent": 0, "drop": int(decision.StopDrop), "pause": int(decision.StopPause)}))
-	s.Say = decision.SayMode(pick("say", f.Say, map[string]int{"": 0, "silent": 0,
-		"min_rank": int(decision.SayRank), "tokens": int(decision.SayCredit), "bias": int(decision.SayWeight)}))
+		"": 0, "silent": 0, "drop": int(decision.StopDrop), "pause": int(decision.StopPause),
+	}))
+	s.Say = decision.SayMode(pick("say", f.Say, map[string]int{
+		"": 0, "silent": 0,
+		"min_rank": int(decision.SayRank), "tokens": int(decision.SayCredit), "bias": int(decision.SayWeight),
+	}))
 	for i, l := range p.Lanes {
 		c := decision.Class{
 			Aim: us(l.GoalTimeUs), AimStretch: l.AimStretch, Deadline: us(l.HardLimitUs),
 			Worth: l.Gain, LateWorth: l.LateWorth, Window: us(l.WindowUs),
-			Effect: decision.Effect(pick("semantics", l.Semantics, map[string]int{"": 0, "free": 0,
-				"guarded": int(decision.Keyed), "single_shot": int(decision.Unsafe)})),
+			Effect: decision.Effect(pick("semantics", l.Semantics, map[string]int{
+				"": 0, "free": 0,
+				"guarded": int(decision.Keyed), "single_shot": int(decision.Unsafe),
+			})),
 			Calls: i < len(f.CallsByClass) && f.CallsByClass[i],
 		}
 		if i < len(f.DegradedWorth) {
--- a/limits/model_test.go
+++ b/limits/model_test.go
@@ -58,7 +58,8 @@
 // at once, as without them), a step of a millisecond at a time. change may
 // alter the machine at a moment.
 func play(seed int64, m machine, loads []load, pools *Pools, patience time.Duration, span time.Duration,
-	change func(now time.Duration, m *machine)) result {
+	change func(now time.Duration, m *machine),
+) result {
 	rng := rand.New(rand.NewSource(seed))
 	const step = time.Millisecond
 	var running []*job
@@ -237,8 +238,10 @@
 // TestReserve overloads the dear class four times: the cheapest, with a small
 // load of its own, is served in time throughout.
 func TestReserve(t *testing.T) {
-	loads := []load{{rate: 4 * eight.cores / 0.02, work: 20 * time.Millisecond, cv: 0.5},
-		{rate: 20, work: 2 * time.Millisecond, cv: 0.3}}
+	loads := []load{
+		{rate: 4 * eight.cores / 0.02, work: 20 * time.Millisecond, cv: 0.5},
+		{rate: 20, work: 2 * time.Millisecond, cv: 0.3},
+	}
 	r := play(5, eight, loads, newPools(t, 2, 2), time.Second, 30*time.Second, nil)
 	if want := 20 * 30; float64(r.within[1]) < 0.95*float64(want) {
 		t.Errorf("the cheapest class: %d of about %d served in time", r.within[1], want)
--- a/match/bench_test.go
+++ b/match/bench_test.go
@@ -21,10 +21,14 @@
 		if class == "ny-gava" {
 			b.WriteString("key = 'headers[\"idempotency-key\"]'\n")
 		}
-		routes = append(routes, describe.Route{Method: "POST", Path: fmt.Sprintf("/api/v1/s%d", i), Class: class,
-			KeyHeader: "Idempotency-Key"})
-		requests = append(requests, Request{Front: "http", Method: "POST", Path: fmt.Sprintf("/api/v1/s%d", i),
-			Headers: map[string]string{"idempotency-key": "k", "content-type": "application/json"}})
+		routes = append(routes, describe.Route{
+			Method: "POST", Path: fmt.Sprintf("/api/v1/s%d", i), Class: class,
+			KeyHeader: "Idempotency-Key",
+		})
+		requests = append(requests, Request{
+			Front: "http", Method: "POST", Path: fmt.Sprintf("/api/v1/s%d", i),
+			Headers: map[string]string{"idempotency-key": "k", "content-type": "application/json"},
+		})
 	}
 	b.WriteString("[[rule]]\nname = 'body'\nmatch = 'body.has_json(\"gava\")'\nclass = '\"ny-gava\"'\nkey = 'body.json(\"gava\")'\n")
 	return b.String(), routes, requests
--- a/match/describe.go
+++ b/match/describe.go
@@ -22,8 +22,10 @@
 	}
 	var found []string
 	for _, route := range d.Routes {
-		r := Request{Front: "http", Method: route.Method, Path: fill(route.Path),
-			Headers: map[string]string{strings.ToLower(route.KeyHeader): "k"}}
+		r := Request{
+			Front: "http", Method: route.Method, Path: fill(route.Path),
+			Headers: map[string]string{strings.ToLower(route.KeyHeader): "k"},
+		}
 		if r.Method == "" {
 			r.Method = "GET"
 		}
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -58,19 +58,25 @@
 		r    Request
 		want string // rule, class, key; empty for no match
 	}{
-		{Request{Front: "http", Method: "POST", Path: "/gavor", Headers: map[string]string{"idempotency-key": "k1"}},
-			"gava ny-gava k1"},
+		{
+			Request{Front: "http", Method: "POST", Path: "/gavor", Headers: map[string]string{"idempotency-key": "k1"}},
+			"gava ny-gava k1",
+		},
 		// The key's header is missing: the rule fails, and no later one takes it.
 		{Request{Front: "http", Method: "POST", Path: "/gavor"}, ""},
 		{Request{Front: "thrift", Headers: map[string]string{"verb": "ny-gava", "unique": "u1"}}, "gava-thrift ny-gava u1"},
 		{Request{Front: "uwsgi", Method: "GET", Path: "/givare/7/historik"}, "historik givarhistorik "},
-		{Request{Front: "http", Method: "PUT", Path: "/x", Body: []byte(`{"belopp": "2500", "id": "g9"}`)},
-			"stor-gava ny-gava g9"},
+		{
+			Request{Front: "http", Method: "PUT", Path: "/x", Body: []byte(`{"belopp": "2500", "id": "g9"}`)},
+			"stor-gava ny-gava g9",
+		},
 		{Request{Front: "http", Method: "PUT", Path: "/x", Body: []byte(`{"belopp": "25"}`)}, ""},
 		{Request{Front: "http", Method: "PUT", Path: "/x", Body: []byte(`not json`)}, ""},
 		{Request{Front: "http", Method: "GET", Path: "/kampanjer/jul"}, "sida kampanjsida "},
-		{Request{Front: "http", Method: "GET", Path: "/kampanjer/jul", Headers: map[string]string{"x-vip": "1"}},
-			"sida givarhistorik "},
+		{
+			Request{Front: "http", Method: "GET", Path: "/kampanjer/jul", Headers: map[string]string{"x-vip": "1"}},
+			"sida givarhistorik ",
+		},
 		{Request{Front: "thrift", Headers: map[string]string{"verb": "kampanjsida"}}, "sida kampanjsida "},
 		{Request{}, ""},
 	} {
@@ -106,14 +112,20 @@
 		{Rule{Name: "noclass", Match: "true"}, "noclass.class: an expression is needed"},
 		{Rule{Match: "true", Class: `"ny-gava"`}, "rule[0]: a name is needed"},
 		// Work that grows with the square of the headers: nested comprehensions.
-		{Rule{Name: "nested", Match: "headers.all(k, headers.all(j, k == j))", Class: `"ny-gava"`},
-			"nested.match:1:"},
+		{
+			Rule{Name: "nested", Match: "headers.all(k, headers.all(j, k == j))", Class: `"ny-gava"`},
+			"nested.match:1:",
+		},
 		// Work that grows with the headers times the body.
-		{Rule{Name: "costly", Match: `headers.exists(k, body.json(k) == "x")`, Class: `"ny-gava"`},
-			"costly.match: its cost may reach"},
+		{
+			Rule{Name: "costly", Match: `headers.exists(k, body.json(k) == "x")`, Class: `"ny-gava"`},
+			"costly.match: its cost may reach",
+		},
 		// A string that grows: each concatenation copies all of it.
-		{Rule{Name: "grows", Match: `(path + path + path + path + path + path).contains(headers["a"] + path + path)`,
-			Class: `"ny-gava"`}, "grows.match: its cost may reach"},
+		{Rule{
+			Name: "grows", Match: `(path + path + path + path + path + path).contains(headers["a"] + path + path)`,
+			Class: `"ny-gava"`,
+		}, "grows.match: its cost may reach"},
 		{Rule{Name: "deep", Match: deep, Class: `"ny-gava"`}, "deep.match:"},
 	} {
 		_, err := Compile([]Rule{c.rule}, Options{Classes: classes})
@@ -264,8 +276,10 @@
 func TestIndex(t *testing.T) {
 	rng := rand.New(rand.NewSource(3))
 	paths := []string{"/a", "/b", "/c", "/"}
-	forms := []string{`path == "%s"`, `path == "%s" && method == "POST"`, `method == "POST" && path == "%s"`,
-		`path.startsWith("%s")`, `path == "%s" || "x" in headers`, `"x" in headers && path == "%s"`}
+	forms := []string{
+		`path == "%s"`, `path == "%s" && method == "POST"`, `method == "POST" && path == "%s"`,
+		`path.startsWith("%s")`, `path == "%s" || "x" in headers`, `"x" in headers && path == "%s"`,
+	}
 	for range 200 {
 		var rules []Rule
 		for i := range 1 + rng.Intn(8) {
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"math"
-	"quincerail.example/quincerail/decision"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"quincerail.example/quincerail/decision"
 )
 
 // fill gives an optimizer whose buffer holds the latencies in turn.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"quincerail.example/quincerail/decision"
 	"strings"
 	"testing"
 	"time"
+
+	"quincerail.example/quincerail/decision"
 )
 
 const ms = time.Millisecond
--- a/policy/told_test.go
+++ b/policy/told_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"math"
-	"quincerail.example/quincerail/decision"
 	"testing"
 	"time"
+
+	"quincerail.example/quincerail/decision"
 )
 
 // A credit of an even part for each of a thousand callers let nobody send, and so
--- a/policy/walk_test.go
+++ b/policy/walk_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"math/rand"
-	"quincerail.example/quincerail/decision"
 	"reflect"
 	"testing"
 	"time"
+
+	"quincerail.example/quincerail/decision"
 )
 
 // contract is a Host that knows the four rules and reports what breaks one.
--- a/program/backend/processor.go
+++ b/program/backend/processor.go
@@ -162,8 +162,10 @@
 		tell = func() { p.core.Started(n.Word == "new", n.Took) }
 	case processor.Complete:
 		p.proven(func(c command) bool { return c.id == n.ID })
-		end, known := map[string]routing.End{"good": routing.Good, "bad": routing.Bad,
-			"cut": routing.Cut, "gone": routing.Unborn}[n.Word]
+		end, known := map[string]routing.End{
+			"good": routing.Good, "bad": routing.Bad,
+			"cut": routing.Cut, "gone": routing.Unborn,
+		}[n.Word]
 		if !known {
 			end = routing.Bad
 		}
--- a/program/backend/processor_test.go
+++ b/program/backend/processor_test.go
@@ -23,8 +23,10 @@
 
 func submit(t *testing.T, core *routing.Core, id, class string, sink routing.Sink) {
 	t.Helper()
-	err := core.Submit(routing.Request{ID: id, Class: class, Key: "key of " + id, Door: time.Now(), HeldKB: 1, Sink: sink,
-		Payload: routing.Payload{Body: []byte("body of " + id)}})
+	err := core.Submit(routing.Request{
+		ID: id, Class: class, Key: "key of " + id, Door: time.Now(), HeldKB: 1, Sink: sink,
+		Payload: routing.Payload{Body: []byte("body of " + id)},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/program/downstream/pool.go
+++ b/program/downstream/pool.go
@@ -49,8 +49,10 @@
 
 // NewPool makes one that calls a ledger at an address; Attach has to follow.
 func NewPool(address string) *Pool {
-	return &Pool{address: address, where: make(map[string]*ledgerConn),
-		connect: func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, ledgerDialIn) }}
+	return &Pool{
+		address: address, where: make(map[string]*ledgerConn),
+		connect: func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, ledgerDialIn) },
+	}
 }
 
 // Attach sets who hears how calls end; it goes before the first.
@@ -202,8 +204,10 @@
 	if call == nil { // to a call that was given up, a second copy, or to nobody's
 		return
 	}
-	end := map[ledger.Status]routing.CallEnd{ledger.Posted: decision.OK, ledger.QueueFull: decision.Full,
-		ledger.Errored: decision.Errored, ledger.Expired: decision.TimedOut, ledger.Moot: decision.Moot}[reply.Status]
+	end := map[ledger.Status]routing.CallEnd{
+		ledger.Posted: decision.OK, ledger.QueueFull: decision.Full,
+		ledger.Errored: decision.Errored, ledger.Expired: decision.TimedOut, ledger.Moot: decision.Moot,
+	}[reply.Status]
 	l.core.Called(reply.ID, call.number, end, reply.Body)
 }
 
--- a/program/operator/operator.go
+++ b/program/operator/operator.go
@@ -78,10 +78,12 @@
 		return nil, nil
 	}
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	f := &fleet.Config{Fleet: x.Name, Self: name, Role: fleet.Role(x.Role), Raft: x.Raft, Gossip: x.Gossip, Dir: x.Dir,
+	f := &fleet.Config{
+		Fleet: x.Name, Self: name, Role: fleet.Role(x.Role), Raft: x.Raft, Gossip: x.Gossip, Dir: x.Dir,
 		Voters: x.Voters, Join: x.Join, Seeds: x.Seeds, Election: ms(x.Election), Term: ms(x.Lease), Drift: x.Drift, ClockRate: x.ClockRate,
 		Probe: ledger, ProbeEvery: ms(x.Probe), Slow: ms(x.Slow), Publish: x.Publish, Logger: logger,
-		Budget: x.Budget, Repeats: x.Repeats, Horizon: ms(x.Horizon), Hold: ms(x.Hold), Window: ms(x.Window), Version: x.Version, Zone: x.Zone}
+		Budget: x.Budget, Repeats: x.Repeats, Horizon: ms(x.Horizon), Hold: ms(x.Hold), Window: ms(x.Window), Version: x.Version, Zone: x.Zone,
+	}
 	return f, f.Validate()
 }
 
--- a/protocol/control/control_test.go
+++ b/protocol/control/control_test.go
@@ -15,7 +15,9 @@
 		text, want string
 		err        error
 	}{
-		{"check\r\n", "check", nil}, {"drain-on\nmore", "drain-on", nil}, {"drain-on", "", io.EOF},
+		{"check\r\n", "check", nil},
+		{"drain-on\nmore", "drain-on", nil},
+		{"drain-on", "", io.EOF},
 		{strings.Repeat("x", maxLine+2), "", ErrBroken},
 	} {
 		r := bufio.NewReader(iotest.OneByteReader(strings.NewReader(x.text)))
--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -99,8 +99,10 @@
 	if ran == "" {
 		ran = none
 	}
-	return []string{string(kind), hex.EncodeToString([]byte(k.Key)), hex.EncodeToString([]byte(k.Class)), strconv.FormatUint(k.Body, 16), ran,
-		strconv.FormatInt(k.Till.UnixNano(), 10), last}
+	return []string{
+		string(kind), hex.EncodeToString([]byte(k.Key)), hex.EncodeToString([]byte(k.Class)), strconv.FormatUint(k.Body, 16), ran,
+		strconv.FormatInt(k.Till.UnixNano(), 10), last,
+	}
 }
 
 // AppendKey appends what has become of a key. A result that the form has no room
--- a/protocol/handover/handover_test.go
+++ b/protocol/handover/handover_test.go
@@ -17,8 +17,10 @@
 // fields, or is too large, is left out.
 func TestRoundTrip(t *testing.T) {
 	till := time.Unix(1764576000, 123456789)
-	ran := routing.KeyState{Key: "\x00k \r\n", Class: "ny-gåva", Body: 1 << 63, Ran: "9b1f03aa5c7e2d41", Till: till, Over: true,
-		Result: &routing.Payload{Body: []byte("a\r\nb")}}
+	ran := routing.KeyState{
+		Key: "\x00k \r\n", Class: "ny-gåva", Body: 1 << 63, Ran: "9b1f03aa5c7e2d41", Till: till, Over: true,
+		Result: &routing.Payload{Body: []byte("a\r\nb")},
+	}
 	empty, free, claim := ran, routing.KeyState{Key: "k", Class: "c", Till: till, Over: true}, ran
 	empty.Result = &routing.Payload{Body: []byte{}}
 	claim.Result, claim.Over, claim.Door = nil, false, till.Add(-time.Second)
@@ -52,8 +54,10 @@
 }
 
 func TestBroken(t *testing.T) {
-	for _, text := range []string{"sing\r\n", "key\r\n", "key zz 00 1 r 1 true\r\n", "key 00 zz 1 r 1 true\r\n", "key 00 00 zz r 1 true\r\n",
-		"key 00 00 1 r x true\r\n", "key 00 00 1 r 1 maybe\r\n", "claim 00 00 1 r 1 x\r\n", "part last\r\n", "grant\r\n", "key 00 00 1 r 1 true 99999999\r\n"} {
+	for _, text := range []string{
+		"sing\r\n", "key\r\n", "key zz 00 1 r 1 true\r\n", "key 00 zz 1 r 1 true\r\n", "key 00 00 zz r 1 true\r\n",
+		"key 00 00 1 r x true\r\n", "key 00 00 1 r 1 maybe\r\n", "claim 00 00 1 r 1 x\r\n", "part last\r\n", "grant\r\n", "key 00 00 1 r 1 true 99999999\r\n",
+	} {
 		if m, err := Read(bufio.NewReader(strings.NewReader(text))); err == nil {
 			t.Errorf("%q: %+v", text, m)
 		}
--- a/protocol/processor/processor_test.go
+++ b/protocol/processor/processor_test.go
@@ -31,8 +31,10 @@
 			t.Errorf("%q: %+v, %v, want %+v", text, got, err, want)
 		}
 	}
-	for _, text := range []string{"sing 1\r\n", "hi new x\r\n", "complete -1 ab good 1 0\r\n\r\n", "ask 6\r\n",
-		"used 9 much\r\n", "hi new NaN\r\n"} {
+	for _, text := range []string{
+		"sing 1\r\n", "hi new x\r\n", "complete -1 ab good 1 0\r\n\r\n", "ask 6\r\n",
+		"used 9 much\r\n", "hi new NaN\r\n",
+	} {
 		if _, err := read(text); !errors.Is(err, lines.ErrBroken) {
 			t.Errorf("%q: error %v", text, err)
 		}
--- a/protocol/thrift/thrift_test.go
+++ b/protocol/thrift/thrift_test.go
@@ -43,14 +43,22 @@
 		bytes []byte
 		want  standin.Reply
 	}{
-		{thrift.AppendAnswer(nil, "execute", 7, thrift.Answer{Body: []byte("b"), Good: true}),
-			standin.Reply{Type: thrift.Reply, Name: "execute", Seq: 7, Body: "b", Fields: map[string]string{}, Good: true}},
-		{thrift.AppendShed(nil, 8, fields),
-			standin.Reply{Type: thrift.Reply, Name: "execute", Seq: 8, Which: 1, Fields: fields}},
-		{thrift.AppendFault(nil, 9, nil),
-			standin.Reply{Type: thrift.Reply, Name: "execute", Seq: 9, Which: 2, Fields: map[string]string{}}},
-		{thrift.AppendException(nil, "sing", 10, thrift.UnknownMethod, "unknown"),
-			standin.Reply{Type: thrift.Exception, Name: "sing", Seq: 10}},
+		{
+			thrift.AppendAnswer(nil, "execute", 7, thrift.Answer{Body: []byte("b"), Good: true}),
+			standin.Reply{Type: thrift.Reply, Name: "execute", Seq: 7, Body: "b", Fields: map[string]string{}, Good: true},
+		},
+		{
+			thrift.AppendShed(nil, 8, fields),
+			standin.Reply{Type: thrift.Reply, Name: "execute", Seq: 8, Which: 1, Fields: fields},
+		},
+		{
+			thrift.AppendFault(nil, 9, nil),
+			standin.Reply{Type: thrift.Reply, Name: "execute", Seq: 9, Which: 2, Fields: map[string]string{}},
+		},
+		{
+			thrift.AppendException(nil, "sing", 10, thrift.UnknownMethod, "unknown"),
+			standin.Reply{Type: thrift.Exception, Name: "sing", Seq: 10},
+		},
 		{thrift.AppendLeaving(nil), standin.Reply{Type: thrift.Oneway, Name: "leaving"}},
 	} {
 		got, err := standin.ReadReply(bufio.NewReader(bytes.NewReader(x.bytes)))
--- a/routing/core.go
+++ b/routing/core.go
@@ -121,9 +121,11 @@
 
 // New makes a core. The error names the setting that makes no sense.
 func New(opt Options) (*Core, error) {
-	c := &Core{opt: opt, first: make(map[string]bool), events: make(chan func(), mailbox),
+	c := &Core{
+		opt: opt, first: make(map[string]bool), events: make(chan func(), mailbox),
 		done: make(chan struct{}), attempts: make(map[string]*attempt), keys: newKeyTable(opt.KeyBytes), fit: true,
-		gauges: decision.Gauges{CoreUse: -1, OnCores: -1, Memory: -1, Conns: -1}, log: opt.Logger}
+		gauges: decision.Gauges{CoreUse: -1, OnCores: -1, Memory: -1, Conns: -1}, log: opt.Logger,
+	}
 	if c.log == nil {
 		c.log = slog.Default()
 	}
--- a/routing/core_test.go
+++ b/routing/core_test.go
@@ -122,10 +122,12 @@
 	class := decision.Class{Aim: 2 * time.Second, Deadline: testDeadline, Worth: 1, Window: testWindow, Calls: true, LateWorth: 0.2}
 	keyed, skips := class, class
 	keyed.Effect, skips.SkipWorth = decision.Keyed, 0.6
-	return decision.Settings{Classes: []decision.Class{skips, keyed, keyed}, Servers: 1, Callers: 1, Cores: 2, MemoryKB: 10000,
+	return decision.Settings{
+		Classes: []decision.Class{skips, keyed, keyed}, Servers: 1, Callers: 1, Cores: 2, MemoryKB: 10000,
 		KeyKB: 1, RunFactor: 4, Below: decision.BelowShared, CallsOut: 10, CallsOver: 5 * time.Second, Linger: 200 * time.Millisecond,
 		Stop: decision.StopDrop, MaxAdvice: time.Second, AnswerSlack: testSlack, DrainGrace: testGrace,
-		FallMultiple: 8, FallSpan: 1500 * time.Millisecond, ColdFrom: 0.3, ColdSpan: 10 * time.Second, BatchGap: 4 * time.Millisecond, Readiness: true}
+		FallMultiple: 8, FallSpan: 1500 * time.Millisecond, ColdFrom: 0.3, ColdSpan: 10 * time.Second, BatchGap: 4 * time.Millisecond, Readiness: true,
+	}
 }
 
 func newParty(t *testing.T) *party { return newPartyWith(t, nil) }
@@ -133,9 +135,11 @@
 // newPartyWith makes a party whose core has other options.
 func newPartyWith(t *testing.T, change func(*Options)) *party {
 	t.Helper()
-	p := &party{change: change, begun: make(map[string]time.Time), runs: make(map[string]int), bodies: make(map[string]string), answers: make(map[string][]Outcome),
+	p := &party{
+		change: change, begun: make(map[string]time.Time), runs: make(map[string]int), bodies: make(map[string]string), answers: make(map[string][]Outcome),
 		answered: make(map[string]time.Time), asked: make(map[string]int), resumed: make(map[string]string),
-		gaveUp: make(map[string]time.Time)}
+		gaveUp: make(map[string]time.Time),
+	}
 	var ctx context.Context
 	ctx, p.cancel = context.WithCancel(t.Context())
 	p.Core = p.start(t, ctx)
@@ -341,8 +345,10 @@
 func TestKeyWithAnotherBody(t *testing.T) {
 	bubble(t, func(t *testing.T, p *party) {
 		try := func(id, body string) {
-			p.Submit(Request{ID: id, Class: "gift", Key: "k", Door: time.Now(), HeldKB: 20, Sink: sink{p},
-				Payload: Payload{Body: []byte(body)}})
+			p.Submit(Request{
+				ID: id, Class: "gift", Key: "k", Door: time.Now(), HeldKB: 20, Sink: sink{p},
+				Payload: Payload{Body: []byte(body)},
+			})
 			p.wait()
 		}
 		try("a", "10 kr")
--- a/routing/journal_test.go
+++ b/routing/journal_test.go
@@ -106,8 +106,10 @@
 		sum := sha256.Sum256(nil) // of what the tries bring
 		body := binary.BigEndian.Uint64(sum[:])
 		p := newPartyWith(t, func(o *Options) {
-			o.Recovered = []KeyState{{Key: "doubt", Class: "gift", Body: body, Ran: "old1", Till: till},
-				{Key: "done", Class: "gift", Body: body, Ran: "old2", Till: till, Over: true, Result: done}}
+			o.Recovered = []KeyState{
+				{Key: "doubt", Class: "gift", Body: body, Ran: "old1", Till: till},
+				{Key: "done", Class: "gift", Body: body, Ran: "old2", Till: till, Over: true, Result: done},
+			}
 			o.InDoubtUntil = time.Now().Add(time.Second)
 		})
 		defer p.end()
--- a/routing/pause_test.go
+++ b/routing/pause_test.go
@@ -22,8 +22,10 @@
 				})
 				defer p.end()
 				ask := func(id string) {
-					err := p.Submit(Request{ID: id, Class: less, Key: "k", Door: time.Now(), HeldKB: 20,
-						Payload: Payload{Body: []byte("as it came")}, Sink: sink{p}})
+					err := p.Submit(Request{
+						ID: id, Class: less, Key: "k", Door: time.Now(), HeldKB: 20,
+						Payload: Payload{Body: []byte("as it came")}, Sink: sink{p},
+					})
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/transport/conn_test.go
+++ b/transport/conn_test.go
@@ -188,8 +188,13 @@
 		says string
 		owed time.Duration // until then, an answer is
 		want time.Duration // 0: it goes on
-	}{{"", 0, time.Second}, {"ha", 0, time.Second}, {"ha", 3 * time.Second, 3 * time.Second}, {"hal", 0, 0},
-		{"halha", 0, 4 * time.Second}} {
+	}{
+		{"", 0, time.Second},
+		{"ha", 0, time.Second},
+		{"ha", 3 * time.Second, 3 * time.Second},
+		{"hal", 0, 0},
+		{"halha", 0, 4 * time.Second},
+	} {
 		t.Run(fmt.Sprint(x.says, x.owed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newIdlePeer()
--- a/transport/server.go
+++ b/transport/server.go
@@ -59,8 +59,10 @@
 // crowded is called for each that comes when not much room is left, and again
 // while one waits, so as to make some.
 func NewServer(l net.Listener, limit int, serve func(*Conn), crowded func()) *Server {
-	return &Server{listener: l, limit: limit, serve: serve, crowded: crowded, empty: make(chan struct{}),
-		freed: make(chan struct{}, 1), leaving: make(chan struct{})}
+	return &Server{
+		listener: l, limit: limit, serve: serve, crowded: crowded, empty: make(chan struct{}),
+		freed: make(chan struct{}, 1), leaving: make(chan struct{}),
+	}
 }
 
 // SetLimit changes the limit for the connections to come.
