--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -34,10 +34,11 @@
 )
 
 // Token is a fencing token: the raft term and index of the grant's entry. Of
-// two grants of a lease the later has the higher one.
+// two grants of a lease the later has the higher one. It is stored and sent in
+// JSON, and sent in CBOR within a rollout.Direction.
 type Token struct {
-	Term  uint64 `json:"term"`
-	Index uint64 `json:"index"`
+	Term  uint64 `cbor:"term" json:"term"`
+	Index uint64 `cbor:"index" json:"index"`
 }
 
 // Compare is negative where t is older than u, 0 where they are the same.
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -14,6 +14,8 @@
 )
 
 // command is an entry of the log: one about a lease, or an order for the bank.
+// The tag makes the embedded *lease.Command a member of its own, "lease", whatever
+// the type is called.
 type command struct {
 	*lease.Command `json:"lease,omitempty"`
 	Bank           *bankOrder    `json:"bank,omitempty"`
--- a/fleet/rollout/collect.go
+++ b/fleet/rollout/collect.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// Totals are what a server has counted since its process began.
+// Totals are what a server has counted since its process began. In CBOR they are an
+// array: the order of the fields is part of the format.
 type Totals struct {
 	_        struct{} `cbor:",toarray"`
 	Requests uint64   // that it answered
@@ -17,7 +18,8 @@
 }
 
 // Report is what a server says of itself, again and again. Its totals only
-// grow, so that a report which is lost costs nothing but time.
+// grow, so that a report which is lost costs nothing but time. In CBOR it is an
+// array: the order of the fields is part of the format.
 type Report struct {
 	_          struct{} `cbor:",toarray"`
 	Server     string
--- a/fleet/rollout/follow.go
+++ b/fleet/rollout/follow.go
@@ -7,7 +7,8 @@
 	"quincerail.example/quincerail/fleet/lease"
 )
 
-// Direction is the owner's word to a server on the settings that it is to run.
+// Direction is the owner's word to a server on the settings that it is to run. In
+// CBOR it is an array: the order of the fields is part of the format.
 type Direction struct {
 	_      struct{}    `cbor:",toarray"`
 	Token  lease.Token // of the owner's lease
--- a/fleet/share/bank.go
+++ b/fleet/share/bank.go
@@ -39,10 +39,12 @@
 // without another that it gave to would free rights that the other may have
 // passed on. From Settle on, the transfers stand in the others' accounts (Folds)
 // and the rows of the settled count no more.
+//
+// Its JSON is part of the snapshots of the fleet's log: the tags are that format.
 type Bank struct {
-	Total    uint64
-	Free     uint64
-	Accounts map[ID]*Account
+	Total    uint64          `json:"Total"`
+	Free     uint64          `json:"Free"`
+	Accounts map[ID]*Account `json:"Accounts"`
 }
 
 // NewBank makes a bank whose rights are all free.
--- a/fleet/share/member.go
+++ b/fleet/share/member.go
@@ -159,7 +159,8 @@
 
 // Ask is what a member that lacks rights says to Asks others, drawn anew each
 // time, so that what it costs does not grow with the fleet: one that can spare
-// some gives its part. It is not passed on.
+// some gives its part. It is not passed on. In CBOR it is an array: the order of the
+// fields is part of the format.
 type Ask struct {
 	_       struct{} `cbor:",toarray"`
 	Of      ID
--- a/fleet/share/share.go
+++ b/fleet/share/share.go
@@ -27,7 +27,9 @@
 )
 
 // ID is a member in one life of its process. A member that restarts is another
-// ID: what its former life held does not come back with it.
+// ID: what its former life held does not come back with it. In CBOR it is an
+// array: the order of the fields is part of the format. In JSON it is the text
+// that MarshalText gives.
 type ID struct {
 	_      struct{} `cbor:",toarray"`
 	Member string
@@ -61,10 +63,11 @@
 }
 
 // Closing is what a member has to do with one that was fenced, for good: In is
-// what it got from it, Out what it gave it.
+// what it got from it, Out what it gave it. It is sent in CBOR, and stored in the
+// fleet's log in JSON: both kinds of tags are part of the format.
 type Closing struct {
-	In  uint64 `cbor:"1,keyasint,omitempty"`
-	Out uint64 `cbor:"2,keyasint,omitempty"`
+	In  uint64 `cbor:"1,keyasint,omitempty" json:"In"`
+	Out uint64 `cbor:"2,keyasint,omitempty" json:"Out"`
 }
 
 // Row is what one life of a member says of itself; nobody else writes it. A row
@@ -79,14 +82,16 @@
 	Counts map[string]PN  `cbor:"6,keyasint,omitempty"`
 }
 
-// Account is what the bank says of one life of a member.
+// Account is what the bank says of one life of a member. It is sent in CBOR, and
+// stored in the snapshots of the fleet's log in JSON: both kinds of tags are part
+// of the format.
 type Account struct {
-	Index   uint64       `cbor:"1,keyasint,omitempty"` // of the log entry that changed it last
-	Granted uint64       `cbor:"2,keyasint,omitempty"` // rights from the bank
-	Fenced  bool         `cbor:"3,keyasint,omitempty"` // it is gone: it spends and gives nothing any more
-	Settled bool         `cbor:"4,keyasint,omitempty"` // what it held has gone back to the bank
-	Folds   map[ID]int64 `cbor:"5,keyasint,omitempty"` // what it got from settled members less what it gave them
-	Acked   uint64       `cbor:"6,keyasint,omitempty"` // beat that the bank's keeper has heard
+	Index   uint64       `cbor:"1,keyasint,omitempty" json:"Index"`   // of the log entry that changed it last
+	Granted uint64       `cbor:"2,keyasint,omitempty" json:"Granted"` // rights from the bank
+	Fenced  bool         `cbor:"3,keyasint,omitempty" json:"Fenced"`  // it is gone: it spends and gives nothing any more
+	Settled bool         `cbor:"4,keyasint,omitempty" json:"Settled"` // what it held has gone back to the bank
+	Folds   map[ID]int64 `cbor:"5,keyasint,omitempty" json:"Folds"`   // what it got from settled members less what it gave them
+	Acked   uint64       `cbor:"6,keyasint,omitempty" json:"Acked"`   // beat that the bank's keeper has heard
 }
 
 // Item is a delta: a row, an account, or both, of one ID.
--- a/fleet/voters.go
+++ b/fleet/voters.go
@@ -10,7 +10,8 @@
 	"quincerail.example/quincerail/fleet/consensus"
 )
 
-// VoterStatus is a voter as another one knows it.
+// VoterStatus is a voter as another one knows it. In JSON, the members of the
+// embedded struct stand beside Alive: it must stay embedded, and without a tag.
 type VoterStatus struct {
 	consensus.Voter
 	Alive bool `json:"alive"` // by gossip: a hint
--- a/routing/peer.go
+++ b/routing/peer.go
@@ -7,16 +7,17 @@
 // snapshotPart is how many keys are told at a time to a peer that has just come.
 const snapshotPart = 32
 
-// KeyState is what one process of an app server tells another of a key.
+// KeyState is what one process of an app server tells another of a key. Its JSON
+// is stored in the key journal: the tags are part of that format.
 type KeyState struct {
-	Key    string
-	Class  string // of the first try
-	Body   uint64 // hash of what all tries of the request bring
-	Ran    string // id of the try that was run; "" where none was
-	Door   time.Time
-	Till   time.Time // end of its window
-	Over   bool      // the run has ended
-	Result *Payload  // if it went well
+	Key    string    `json:"Key"`
+	Class  string    `json:"Class"` // of the first try
+	Body   uint64    `json:"Body"`  // hash of what all tries of the request bring
+	Ran    string    `json:"Ran"`   // id of the try that was run; "" where none was
+	Door   time.Time `json:"Door"`
+	Till   time.Time `json:"Till"`   // end of its window
+	Over   bool      `json:"Over"`   // the run has ended
+	Result *Payload  `json:"Result"` // if it went well
 }
 
 // Peer is another process of the same app server, at work beside this one while
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -12,13 +12,17 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// Field is a named part of a payload.
-type Field struct{ Name, Value string }
+// Field is a named part of a payload. It is stored as a part of Payload.
+type Field struct {
+	Name  string `json:"Name"`
+	Value string `json:"Value"`
+}
 
 // Payload is what a request brings, or its result. The core only passes it on.
+// Results are stored with KeyState: the tags are part of that format.
 type Payload struct {
-	Fields []Field
-	Body   []byte
+	Fields []Field `json:"Fields"`
+	Body   []byte  `json:"Body"`
 }
 
 func (p *Payload) size() int {
