--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -12,7 +12,7 @@
 	"quincerail.example/quincerail/fleet/consensus"
 	"quincerail.example/quincerail/fleet/gossip"
 	"quincerail.example/quincerail/fleet/lease"
-	"quincerail.example/quincerail/fleet/link"
+	"quincerail.example/quincerail/fleet/rafttransport"
 	"quincerail.example/quincerail/fleet/share"
 )
 
@@ -37,7 +37,7 @@
 	// Of a voter; nil in other members.
 	machine *machine
 	node    *consensus.Node
-	mesh    *link.Mesh
+	mesh    *rafttransport.Mesh
 }
 
 // Stats are a member's counts.
@@ -138,7 +138,7 @@
 	peers := maps.Clone(f.conf.Voters)
 	delete(peers, f.conf.Self)
 	ready := make(chan struct{})
-	f.mesh, err = link.Listen(link.Options{Fleet: f.conf.Fleet, Self: f.conf.Self, Listen: f.conf.Raft, Peers: peers, Logger: f.log,
+	f.mesh, err = rafttransport.Listen(rafttransport.Options{Fleet: f.conf.Fleet, Self: f.conf.Self, Listen: f.conf.Raft, Peers: peers, Logger: f.log,
 		Receive: func(b []byte) {
 			if <-ready; f.node != nil { // nil where it did not start
 				f.node.Receive(b)
--- a/fleet/link/link.go
+++ b/fleet/rafttransport/transport.go
@@ -1,11 +1,11 @@
-// Package link carries the voters' messages over TCP, one connection for each
+// Package rafttransport carries the voters' messages over TCP, one connection for each
 // direction of each pair. It decides nothing: a message is sent once or lost,
 // and consensus sends again what matters. Queues are bounded; one that is full
 // drops what comes.
 //
 // A connection is a row of frames, each a length of four bytes, big endian, and
 // as many bytes. The first is a hello, in JSON: who speaks, and to whom.
-package link
+package rafttransport
 
 import (
 	"bufio"
--- a/fleet/link/link_test.go
+++ b/fleet/rafttransport/transport_test.go
@@ -1,4 +1,4 @@
-package link
+package rafttransport
 
 import (
 	"fmt"
