--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -37,7 +37,7 @@
 	// Of a voter; nil in other members.
 	machine *machine
 	node    *consensus.Node
-	mesh    *rafttransport.Mesh
+	transport    *rafttransport.Transport
 }
 
 // Stats are a member's counts.
@@ -93,7 +93,7 @@
 		if err := f.startVoter(fence, clock); err != nil {
 			return nil, err
 		}
-		raft = f.mesh.Addr().String()
+		raft = f.transport.Addr().String()
 		f.changes.machine, f.changes.node = f.machine, f.node
 	}
 	var err error
@@ -138,7 +138,7 @@
 	peers := maps.Clone(f.conf.Voters)
 	delete(peers, f.conf.Self)
 	ready := make(chan struct{})
-	f.mesh, err = rafttransport.Listen(rafttransport.Options{Fleet: f.conf.Fleet, Self: f.conf.Self, Listen: f.conf.Raft, Peers: peers, Logger: f.log,
+	f.transport, err = rafttransport.Listen(rafttransport.Options{Fleet: f.conf.Fleet, Self: f.conf.Self, Listen: f.conf.Raft, Peers: peers, Logger: f.log,
 		Receive: func(b []byte) {
 			if <-ready; f.node != nil { // nil where it did not start
 				f.node.Receive(b)
@@ -149,9 +149,9 @@
 	}
 	defer close(ready)
 	f.node, err = consensus.Start(consensus.Options{Self: f.conf.Self, Voters: f.conf.Voters, Join: f.conf.Join, Changed: f.reach,
-		Election: f.conf.Election, Dir: f.conf.Dir, Machine: f.machine, Send: f.mesh.Send, Logger: f.log})
+		Election: f.conf.Election, Dir: f.conf.Dir, Machine: f.machine, Send: f.transport.Send, Logger: f.log})
 	if err != nil {
-		go f.mesh.Close()
+		go f.transport.Close()
 		return err
 	}
 	return nil
@@ -164,7 +164,7 @@
 	for _, v := range voters {
 		peers[v.Name] = cmp.Or(f.conf.Voters[v.Name], v.Address)
 	}
-	f.mesh.Reach(peers)
+	f.transport.SetPeers(peers)
 }
 
 // The kinds of news, as a piece's first byte.
@@ -315,8 +315,8 @@
 	s := Stats{Alive: len(f.members.Alive()), State: f.Judgement().State}
 	_, s.Owner = f.Owner(Registry)
 	s.Messages, s.Bytes = f.members.Sent()
-	if f.mesh != nil {
-		messages, bytes := f.mesh.Sent()
+	if f.transport != nil {
+		messages, bytes := f.transport.Sent()
 		s.Messages, s.Bytes = s.Messages+messages, s.Bytes+bytes
 	}
 	s.Budgets = map[string]BudgetStats{}
@@ -415,5 +415,5 @@
 	if err := f.node.Stop(); err != nil {
 		f.log.Warn("fleet_voter_stopped", "error", err.Error())
 	}
-	f.mesh.Close()
+	f.transport.Close()
 }
--- a/fleet/rafttransport/transport.go
+++ b/fleet/rafttransport/transport.go
@@ -70,8 +70,8 @@
 	Logger  *slog.Logger // nil for slog.Default()
 }
 
-// Mesh is one voter's connections with all others.
-type Mesh struct {
+// Transport is one voter's connections with all others.
+type Transport struct {
 	opt      Options
 	log      *slog.Logger
 	listener net.Listener
@@ -93,24 +93,24 @@
 
 // Listen opens a mesh's own address, and begins to receive. Receive may be
 // called from several goroutines at once.
-func Listen(opt Options) (*Mesh, error) {
+func Listen(opt Options) (*Transport, error) {
 	l, err := net.Listen("tcp", opt.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	m := &Mesh{opt: opt, log: opt.Logger, listener: l, peers: map[string]peer{},
+	m := &Transport{opt: opt, log: opt.Logger, listener: l, peers: map[string]peer{},
 		stop: make(chan struct{}), conns: map[net.Conn]bool{}}
 	if m.log == nil {
 		m.log = slog.Default()
 	}
-	m.Reach(opt.Peers)
+	m.SetPeers(opt.Peers)
 	m.wg.Go(m.accept)
 	return m, nil
 }
 
-// Reach has the peers be those, by name and address: others are neither spoken to
+// SetPeers has the peers be those, by name and address: others are neither spoken to
 // nor heard any more, once their connections end.
-func (m *Mesh) Reach(peers map[string]string) {
+func (m *Transport) SetPeers(peers map[string]string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	select {
@@ -135,13 +135,13 @@
 }
 
 // Addr is where the mesh listens.
-func (m *Mesh) Addr() net.Addr { return m.listener.Addr() }
+func (m *Transport) Addr() net.Addr { return m.listener.Addr() }
 
 // Sent gives how many messages and bytes were written to peers.
-func (m *Mesh) Sent() (messages, bytes int64) { return m.sent.Load(), m.bytes.Load() }
+func (m *Transport) Sent() (messages, bytes int64) { return m.sent.Load(), m.bytes.Load() }
 
 // Send queues a message to a peer, and never blocks.
-func (m *Mesh) Send(to string, message []byte) {
+func (m *Transport) Send(to string, message []byte) {
 	m.mu.Lock()
 	queue := m.peers[to].queue // nil, and never ready, for a name that is no peer's
 	m.mu.Unlock()
@@ -152,7 +152,7 @@
 }
 
 // Close ends all connections and waits for their goroutines.
-func (m *Mesh) Close() {
+func (m *Transport) Close() {
 	close(m.stop)
 	m.listener.Close()
 	m.mu.Lock()
@@ -164,7 +164,7 @@
 }
 
 // hold notes a connection for Close; it is false where that came already.
-func (m *Mesh) hold(c net.Conn) bool {
+func (m *Transport) hold(c net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	select {
@@ -179,14 +179,14 @@
 	return true
 }
 
-func (m *Mesh) drop(c net.Conn) {
+func (m *Transport) drop(c net.Conn) {
 	c.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.conns, c)
 }
 
-func (m *Mesh) accept() {
+func (m *Transport) accept() {
 	for {
 		c, err := m.listener.Accept()
 		if err != nil {
@@ -208,14 +208,14 @@
 	}
 }
 
-func (m *Mesh) knows(name string) bool {
+func (m *Transport) knows(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, ok := m.peers[name]
 	return ok
 }
 
-func (m *Mesh) hear(c net.Conn) {
+func (m *Transport) hear(c net.Conn) {
 	c.SetReadDeadline(time.Now().Add(helloWithin))
 	r := bufio.NewReader(c)
 	first, err := ReadFrame(r)
@@ -240,7 +240,7 @@
 // speak sends a peer what is queued for it. A connection that the peer ended
 // is noticed at once: voters that don't lead say nothing to each other between
 // elections, and a vote asked for on a connection that is long dead is lost.
-func (m *Mesh) speak(name string, p peer) {
+func (m *Transport) speak(name string, p peer) {
 	hello, err := json.Marshal(Hello{m.opt.Fleet, m.opt.Self, name})
 	if err != nil {
 		panic(err) // three strings
--- a/fleet/rafttransport/transport_test.go
+++ b/fleet/rafttransport/transport_test.go
@@ -7,7 +7,7 @@
 )
 
 // listen opens a mesh whose messages come to a channel.
-func listen(t *testing.T, fleet, self, address string, peers map[string]string) (*Mesh, chan string) {
+func listen(t *testing.T, fleet, self, address string, peers map[string]string) (*Transport, chan string) {
 	t.Helper()
 	got := make(chan string, 16)
 	m, err := Listen(Options{Fleet: fleet, Self: self, Listen: address, Peers: peers, Receive: func(b []byte) { got <- string(b) }})
