--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -400,7 +400,7 @@
 			}
 		}
 		f.node.Yield()
-		f.node.Do(func() [][]byte { return nil }) // the hand-over has gone out to the mesh
+		f.node.Do(func() [][]byte { return nil }) // the transfer of leadership has been sent
 	}
 	if err := f.members.Stop(leaveWithin); err != nil {
 		f.log.Debug("fleet_leave", "error", err.Error())
--- /dev/null
+++ b/fleet/rafttransport/receiver.go
@@ -0,0 +1,74 @@
+package rafttransport
+
+import (
+	"bufio"
+	"encoding/json"
+	"net"
+	"time"
+)
+
+// accept receives on every connection that comes in, until Close.
+func (t *Transport) accept() {
+	for {
+		conn, err := t.listener.Accept()
+		if err != nil {
+			select {
+			case <-t.ctx.Done():
+				return
+			case <-time.After(minBackoff): // descriptors may run short for a while
+				continue
+			}
+		}
+		if !t.track(conn) {
+			t.closeQuietly(conn)
+			continue
+		}
+		t.tasks.Go(func() {
+			defer t.release(conn)
+			t.receive(conn)
+		})
+	}
+}
+
+// receive hands over the messages of an inbound connection until it ends.
+func (t *Transport) receive(conn net.Conn) {
+	reader := bufio.NewReader(conn)
+	if !t.acceptHello(conn, reader) {
+		return
+	}
+	for {
+		message, err := ReadFrame(reader)
+		if err != nil {
+			return
+		}
+		t.options.Receive(message)
+	}
+}
+
+// acceptHello reads a connection's first frame, and returns whether it is that of
+// a peer which wants to reach this voter.
+func (t *Transport) acceptHello(conn net.Conn, reader *bufio.Reader) bool {
+	if err := conn.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
+		return false
+	}
+	frame, err := ReadFrame(reader)
+	if err != nil {
+		return false
+	}
+	var hello Hello
+	if err := json.Unmarshal(frame, &hello); err != nil || !t.isForThisVoter(hello) {
+		t.log.Warn("fleet_hello_refused", "fleet", hello.Fleet, "from", hello.From, "to", hello.To)
+		return false
+	}
+	return conn.SetReadDeadline(time.Time{}) == nil
+}
+
+func (t *Transport) isForThisVoter(hello Hello) bool {
+	if hello.Fleet != t.options.Fleet || hello.To != t.options.Self {
+		return false
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	_, known := t.peers[hello.From]
+	return known
+}
