--- /dev/null
+++ b/fleet/consensus/testdata/golden/change-of-voters.pb
@@ -0,0 +1,1 @@
+§³Â«û€Äç"6{"name":"v4","address":"10.0.0.4:7000","learner":true}
--- /dev/null
+++ b/fleet/consensus/testdata/golden/message-refused.pb
@@ -0,0 +1,1 @@
+┴м┬л√└├чив┬л√р┬ч 0	PX
--- /dev/null
+++ b/fleet/consensus/testdata/golden/message-vote.pb
@@ -0,0 +1,1 @@
+┴м┬л√└├чив┬л√р┬ч (0	
