--- /dev/null
+++ b/protocol/handover/golden_test.go
@@ -0,0 +1,49 @@
+package handover
+
+import (
+	"bufio"
+	"bytes"
+	"reflect"
+	"testing"
+	"time"
+
+	"quincerail.example/quincerail/internal/golden"
+	"quincerail.example/quincerail/routing"
+)
+
+// TestGoldenMessages writes and reads a message of each kind.
+func TestGoldenMessages(t *testing.T) {
+	till := time.Unix(1764576000, 123456789)
+	runs := routing.KeyState{Key: "\x00k \r\n", Class: "ny-gåva", Body: 1 << 63, Ran: "9b1f03aa5c7e2d41", Till: till}
+	done, empty, failed, claim := runs, runs, runs, runs
+	done.Over, done.Result = true, &routing.Payload{Body: []byte("a\r\nb")}
+	empty.Over, empty.Result = true, &routing.Payload{Body: []byte{}}
+	failed.Over = true
+	claim.Door = till.Add(-time.Second)
+	notRun := routing.KeyState{Key: "k", Class: "c", Till: till, Over: true}
+	for _, x := range []struct {
+		name  string
+		bytes []byte
+		want  Message
+	}{
+		{"key-runs", AppendKey(nil, runs), Message{Kind: Key, State: runs}},
+		{"key-done", AppendKey(nil, done), Message{Kind: Key, State: done}},
+		{"key-done-empty", AppendKey(nil, empty), Message{Kind: Key, State: empty}},
+		{"key-failed", AppendKey(nil, failed), Message{Kind: Key, State: failed}},
+		{"key-not-run", AppendKey(nil, notRun), Message{Kind: Key, State: notRun}},
+		{"claim", AppendClaim(nil, claim), Message{Kind: Claim, State: claim}},
+		{"grant", AppendSettle(nil, "9b1f03aa5c7e2d41", true), Message{Kind: Grant, Ran: "9b1f03aa5c7e2d41"}},
+		{"deny", AppendSettle(nil, "9b1f03aa5c7e2d41", false), Message{Kind: Deny, Ran: "9b1f03aa5c7e2d41"}},
+		{"next", AppendNext(nil), Message{Kind: Next}},
+		{"part", AppendPart(nil, false), Message{Kind: Part}},
+		{"part-last", AppendPart(nil, true), Message{Kind: Part, On: true}},
+		{"away-on", AppendAway(nil, true), Message{Kind: Away, On: true}},
+		{"away-off", AppendAway(nil, false), Message{Kind: Away}},
+	} {
+		golden.Equal(t, x.name, x.bytes)
+		got, err := Read(bufio.NewReader(bytes.NewReader(golden.Bytes(t, x.name))))
+		if err != nil || !reflect.DeepEqual(got, x.want) {
+			t.Errorf("%s is read as %+v, %v, want %+v", x.name, got, err, x.want)
+		}
+	}
+}
