--- /dev/null
+++ b/routing/golden_test.go
@@ -0,0 +1,53 @@
+package routing
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"quincerail.example/quincerail/internal/golden"
+)
+
+// TestGoldenKeyStates writes and reads what the key journal holds of a key.
+func TestGoldenKeyStates(t *testing.T) {
+	till := time.Date(2200, 1, 2, 3, 4, 5, 678_900_000, time.UTC)
+	for name, k := range map[string]KeyState{
+		"key-runs.json":   {Key: "gåva/1", Class: "ny-gava", Body: 1<<64 - 1, Ran: "9b1f03aa5c7e2d41", Till: till},
+		"key-failed.json": {Key: "k", Class: "ny-gava", Body: 1, Ran: "r", Till: till, Over: true},
+		"key-done.json": {
+			Key: "k", Class: "ny-gava", Body: 1, Ran: "r", Door: till.Add(-time.Hour), Till: till, Over: true,
+			Result: &Payload{Fields: []Field{{Name: ":status", Value: "201"}, {Name: "Content-Type", Value: "text/plain"}}, Body: []byte("tack\x00\xff")},
+		},
+		"key-done-empty.json": {Key: "k", Class: "ny-gava", Body: 1, Ran: "r", Till: till, Over: true, Result: &Payload{Body: []byte{}}},
+		"key-not-run.json":    {Key: "k", Class: "ny-gava", Till: till, Over: true},
+	} {
+		golden.RoundTrip(t, name, k, json.Marshal, json.Unmarshal)
+	}
+}
+
+// TestGoldenJournal runs a keyed request, whose body is hashed: what the journal
+// is given is the same, so that a repeat that comes to another version of the
+// program is known by its key and body.
+func TestGoldenJournal(t *testing.T) {
+	j := &journal{}
+	playJournal(t, func(o *Options) { o.Journal = j }, func(t *testing.T, p *party) {
+		err := p.Submit(Request{ID: "a", Class: "gift", Key: "k", Door: time.Now(), HeldKB: 20, Payload: Payload{Body: []byte("10 kr")}, Sink: sink{p}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		p.wait()
+		j.settle(nil)
+		p.wait()
+		p.complete("a", Good, "tack")
+		j.mu.Lock()
+		defer j.mu.Unlock()
+		if len(j.states) != 2 {
+			t.Fatalf("recorded %+v", j.states)
+		}
+		for i, name := range []string{"journal-claim.json", "journal-end.json"} {
+			k := j.states[i]
+			k.Till = k.Till.UTC() // it is in the machine's own time zone
+			golden.RoundTrip(t, name, k, json.Marshal, json.Unmarshal)
+		}
+	})
+}
