--- /dev/null
+++ b/program/golden_test.go
@@ -0,0 +1,153 @@
+package program
+
+import (
+	"bytes"
+	"encoding/json"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"quincerail.example/quincerail/fleet"
+	"quincerail.example/quincerail/fleet/consensus"
+	"quincerail.example/quincerail/fleet/lease"
+	"quincerail.example/quincerail/fleet/rollout"
+	"quincerail.example/quincerail/internal/golden"
+	"quincerail.example/quincerail/logging"
+	"quincerail.example/quincerail/routing"
+)
+
+// goldenTill is when all that the golden folder of keys holds expires.
+var goldenTill = time.Date(2200, 1, 2, 3, 4, 5, 678_900_000, time.UTC)
+
+// goldenKeys are what the golden folder of keys holds, the later of a key last.
+func goldenKeys() []routing.KeyState {
+	runs := routing.KeyState{Key: "gåva/1", Class: "ny-gava", Body: 1<<64 - 1, Ran: "9b1f03aa5c7e2d41", Till: goldenTill}
+	done, failed, notRun, doubt := runs, runs, runs, runs
+	done.Over, done.Result = true, &routing.Payload{Fields: []routing.Field{{Name: ":status", Value: "201"}}, Body: []byte("tack\x00\xff")}
+	failed.Key, failed.Over = "gava-2", true
+	notRun.Key, notRun.Ran, notRun.Over = "gava-3", "", true
+	doubt.Key = "gava-4"
+	return []routing.KeyState{runs, done, failed, notRun, doubt}
+}
+
+// TestGoldenKeysAreWritten records the golden folder's keys, and when the keys
+// that it does not know are no longer in doubt: its segment is the same, byte for
+// byte.
+func TestGoldenKeysAreWritten(t *testing.T) {
+	dir := t.TempDir()
+	s, _, _, err := openKeys(dir, "never", time.Minute, logging.Discard())
+	if err != nil {
+		t.Fatal(err)
+	}
+	errs := make(chan error, 1)
+	done := func(err error) { errs <- err }
+	for _, k := range goldenKeys() {
+		keyJournal{s}.Record(k, done)
+		if err := <-errs; err != nil {
+			t.Fatal(err)
+		}
+	}
+	s.Put(doubtKey, nil, goldenTill.Add(-time.Hour), done)
+	if err := <-errs; err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	golden.EqualFolder(t, "keys", dir)
+}
+
+// TestGoldenKeysAreRead opens the golden folder of keys.
+func TestGoldenKeysAreRead(t *testing.T) {
+	s, states, doubt, err := openKeys(golden.CopyFolder(t, "keys"), "always", time.Minute, logging.Discard())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+	if want := goldenTill.Add(-time.Hour); !doubt.Equal(want) {
+		t.Errorf("in doubt until %v, want %v", doubt, want)
+	}
+	slices.SortFunc(states, func(a, b routing.KeyState) int { return strings.Compare(a.Key, b.Key) })
+	all := goldenKeys()
+	if want := []routing.KeyState{all[2], all[3], all[4], all[1]}; !reflect.DeepEqual(states, want) {
+		t.Errorf("recovered %+v\nwant %+v", states, want)
+	}
+}
+
+// TestHandoverSocketName keeps the name by which a process finds the one before it.
+func TestHandoverSocketName(t *testing.T) {
+	if d := newHandoverDoor(nil, "app-1", logging.Discard()); d.name != "quincerail-app-1.sock" {
+		t.Errorf("the socket is named %s", d.name)
+	}
+}
+
+// goldenChange is what operators are told of a rollout.
+func goldenChange() fleet.ChangeStatus {
+	plan := &rollout.Plan{
+		ID: "r1", Kind: rollout.Program, From: "1", To: "2", Servers: []rollout.Server{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z2"}},
+		Stages: rollout.DefaultStages(), Watch: 300, WatchMost: 3000, Warm: 2, Limits: rollout.DefaultLimits(),
+	}
+	return fleet.ChangeStatus{
+		Record: rollout.Record{
+			Index: 40, Plan: plan, State: rollout.State{Phase: rollout.Baking, Stage: 1, Window: 9},
+			Decision: rollout.Decision{Verdict: rollout.Wait, Reason: "baking", Missing: []string{"b"}}, Last: 3, Current: 2,
+			Patches: map[uint64]json.RawMessage{2: json.RawMessage(`{"queue":null}`)},
+		},
+		Owner: "v1", Token: lease.Token{Term: 2, Index: 17}, Desired: map[string]string{"a": "2", "b": "1"},
+		Servers: []fleet.ServerStatus{
+			{Name: "a", Zone: "z1", Version: "2", Settings: 2, TurnedDown: 3, Reason: "settings.lanes: no", Leaving: true},
+			{Name: "b", Zone: "z2", Version: "1"},
+		},
+	}
+}
+
+// TestGoldenAnswers writes and reads what operators are answered about rollouts
+// and voters.
+func TestGoldenAnswers(t *testing.T) {
+	voters := []fleet.VoterStatus{
+		{Voter: consensus.Voter{Name: "v1", Address: "10.0.0.1:7000"}, Alive: true},
+		{Voter: consensus.Voter{Name: "v4", Address: "10.0.0.4:7000", Learner: true}},
+	}
+	for name, v := range map[string]any{"changes.json": goldenChange(), "changes-none.json": fleet.ChangeStatus{}, "voters.json": voters} {
+		door := &fleetDoor{tell: func() (any, error) { return v, nil }}
+		w := httptest.NewRecorder()
+		door.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", nil))
+		if kind := w.Header().Get("Content-Type"); w.Code != http.StatusOK || kind != "application/json" {
+			t.Errorf("%s: %d, %s", name, w.Code, kind)
+		}
+		golden.Equal(t, name, w.Body.Bytes())
+	}
+	golden.Decodes(t, "changes.json", goldenChange(), json.Unmarshal)
+	golden.Decodes(t, "changes-none.json", fleet.ChangeStatus{}, json.Unmarshal)
+	golden.Decodes(t, "voters.json", voters, json.Unmarshal)
+}
+
+// TestGoldenRequests writes and reads what operators send. The endpoints of a
+// process that is no voter take the bodies in, and then say so (421); a body
+// that makes no sense would be refused first (400).
+func TestGoldenRequests(t *testing.T) {
+	plan := *goldenChange().Record.Plan
+	settings := plan
+	settings.Kind, settings.From, settings.To, settings.Servers = rollout.Settings, "", "", nil
+	golden.RoundTrip(t, "start-program.json", ChangeRequest{Plan: plan}, json.Marshal, json.Unmarshal)
+	golden.RoundTrip(t, "start-settings.json", ChangeRequest{Plan: settings, Settings: json.RawMessage(`{"lanes":{"a":{"aim_ms":5}}}`)},
+		json.Marshal, json.Unmarshal)
+	golden.RoundTrip(t, "add-voter.json", VoterRequest{Name: "v4", Address: "10.0.0.4:7000"}, json.Marshal, json.Unmarshal)
+	noVoter := &fleet.Fleet{}
+	for name, door := range map[string]http.Handler{
+		"start-program.json": newChangesDoor(noVoter), "start-settings.json": newChangesDoor(noVoter),
+		"add-voter.json": newVotersDoor(noVoter),
+	} {
+		w := httptest.NewRecorder()
+		door.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", bytes.NewReader(golden.Bytes(t, name))))
+		if w.Code != http.StatusMisdirectedRequest {
+			t.Errorf("%s: %d: %s", name, w.Code, w.Body)
+		}
+	}
+}
