--- /dev/null
+++ b/fleet/golden_test.go
@@ -0,0 +1,367 @@
+package fleet
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"quincerail.example/quincerail/fleet/consensus"
+	"quincerail.example/quincerail/fleet/lease"
+	"quincerail.example/quincerail/fleet/rollout"
+	"quincerail.example/quincerail/fleet/share"
+	"quincerail.example/quincerail/internal/golden"
+	"quincerail.example/quincerail/logging"
+)
+
+// goldenMachine makes a voter's machine; it wants the leases named.
+func goldenMachine(t *testing.T, self string, wanted ...string) *machine {
+	t.Helper()
+	member, err := lease.NewMember(lease.Owner{Member: self, Life: newLife()},
+		lease.Timing{Term: time.Second, Drift: 0.05, Renew: time.Second / 4}, wanted)
+	if err != nil {
+		t.Fatal(err)
+	}
+	began := time.Now()
+	return &machine{
+		log: logging.Discard(), fence: &lease.Fence{}, member: member, moved: make(chan struct{}, 1),
+		clock: func() time.Duration { return time.Since(began) }, asked: map[uint64]chan error{},
+		banks:   map[string]*share.Bank{Calls: share.NewBank(8), Repeats: share.NewBank(100)},
+		changed: func(string, []share.Item) {},
+	}
+}
+
+// goldenEntry is an entry of the voters' log, and the name of its golden file.
+type goldenEntry struct {
+	name string
+	c    command
+}
+
+// goldenEntries are one for each kind of command, and the last of them an old
+// owner's, which is refused; the first has index 1.
+func goldenEntries() []goldenEntry {
+	owner := lease.Owner{Member: "v1", Life: 1 << 62}
+	registry, bank, driver := lease.Token{Term: 1, Index: 1}, lease.Token{Term: 1, Index: 4}, lease.Token{Term: 1, Index: 5}
+	a, b := share.ID{Member: "a", Life: 1 << 61}, share.ID{Member: "b", Life: 1}
+	plan := &rollout.Plan{
+		ID: "r1", Kind: rollout.Program, From: "1", To: "2", Watch: 1, WatchMost: 2, Limits: rollout.DefaultLimits(),
+		Servers: []rollout.Server{{Name: "a", Zone: "z"}, {Name: "b", Zone: "z"}}, Stages: []rollout.Stage{{Share: 1, Bake: 1, Sample: 1, Patience: 9}},
+	}
+	leases := func(c lease.Command) command { return command{Command: &c} }
+	banks := func(of string, token lease.Token, o share.Order) command {
+		return command{Bank: &bankOrder{Of: of, Token: token, Order: o}}
+	}
+	rollouts := func(o rolloutOrder) command { return command{Rollout: &o} }
+	return []goldenEntry{
+		{"entry-lease-take.json", leases(lease.Command{Kind: lease.Take, Lease: Registry, By: owner, Nonce: 1})},
+		{"entry-lease-renew.json", leases(lease.Command{Kind: lease.Renew, Lease: Registry, By: owner, Token: registry, Nonce: 2})},
+		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: Registry, By: owner, Token: registry, Nonce: 3})},
+		{"entry-lease-take-bank.json", leases(lease.Command{Kind: lease.Take, Lease: Bank, By: owner, Nonce: 4})},
+		{"entry-lease-take-rollout.json", leases(lease.Command{Kind: lease.Take, Lease: Rollout, By: lease.Owner{Member: "v2", Life: 7}, Nonce: 1})},
+		{"entry-bank-grant.json", banks(Calls, bank, share.Order{Kind: share.Grant, Of: a, Amount: 5})},
+		{"entry-bank-grant-another.json", banks(Calls, bank, share.Order{Kind: share.Grant, Of: b, Amount: 2})},
+		{"entry-bank-repeats.json", banks(Repeats, bank, share.Order{Kind: share.Grant, Of: a, Amount: 10})},
+		{"entry-bank-fence.json", banks(Calls, bank, share.Order{Kind: share.Fence, Of: b})},
+		{"entry-bank-settle.json", banks(Calls, bank, share.Order{Kind: share.Settle, Edges: map[share.ID]map[share.ID]share.Closing{b: {a: {In: 1}}}})},
+		{"entry-rollout-start.json", rollouts(rolloutOrder{Nonce: 1 << 63, Order: rollout.Order{Kind: rollout.Start, Plan: plan}})},
+		{"entry-rollout-step.json", rollouts(rolloutOrder{Token: driver, Order: rollout.Order{
+			Kind: rollout.Step, Prev: 11,
+			State:    rollout.State{Phase: rollout.Watching, Window: 1, Waited: 1, Used: map[string]rollout.Used{"a": {Requests: 10, Late: 1}}},
+			Decision: rollout.Decision{Verdict: rollout.Wait, Reason: "watching"},
+		}})},
+		{"entry-rollout-stop.json", rollouts(rolloutOrder{Nonce: 8, Order: rollout.Order{Kind: rollout.Stop, ID: "r1", Reason: "halted"}})},
+		{"entry-bank-stale.json", banks(Calls, registry, share.Order{Kind: share.Grant, Of: a, Amount: 1})},
+	}
+}
+
+// TestGoldenEntries writes each entry, and has a machine apply the golden ones:
+// what they come to is the golden snapshot, which another machine takes over.
+func TestGoldenEntries(t *testing.T) {
+	m := goldenMachine(t, "v3")
+	for i, e := range goldenEntries() {
+		written := encode(m.log, e.c)
+		if len(written) != 1 {
+			t.Fatalf("%s was not encoded", e.name)
+		}
+		golden.Equal(t, e.name, written[0])
+		golden.Decodes(t, e.name, e.c, json.Unmarshal)
+		m.Apply(golden.Bytes(t, e.name), 1, uint64(i+1))
+	}
+	snap, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "snapshot.json", snap)
+
+	m = goldenMachine(t, "v3")
+	if err := m.Restore(golden.Bytes(t, "snapshot.json")); err != nil {
+		t.Fatal(err)
+	}
+	if snap, err = m.Snapshot(); err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "snapshot.json", snap)
+	if owner, token := m.grant(Rollout); owner != "v2" || token != (lease.Token{Term: 1, Index: 5}) {
+		t.Errorf("%s owns the lease on rollouts under %v", owner, token)
+	}
+	if owner, _ := m.grant(Registry); owner != "" {
+		t.Errorf("%s owns the lease that was given up", owner)
+	}
+	// 5 and 2 of 8 were granted, and of the 2 one is with the other member for good.
+	if m.free(Calls) != 2 || m.free(Repeats) != 90 {
+		t.Errorf("%d calls and %d repeats are free", m.free(Calls), m.free(Repeats))
+	}
+	if r := m.changes(); r.Plan.ID != "r1" || r.State.Phase != rollout.Back || r.Index != 13 {
+		t.Errorf("the record: %+v", r)
+	}
+}
+
+// TestGoldenSnapshotOfNothing takes over the snapshot of a log that came to
+// nothing yet.
+func TestGoldenSnapshotOfNothing(t *testing.T) {
+	snap, err := goldenMachine(t, "v3").Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "snapshot-new.json", snap)
+	m := goldenMachine(t, "v3")
+	if err := m.Restore(golden.Bytes(t, "snapshot-new.json")); err != nil {
+		t.Fatal(err)
+	}
+	if owner, token := m.grant(Registry); owner != "" || token != (lease.Token{}) || m.free(Calls) != 8 || m.changes().Plan != nil {
+		t.Errorf("%s owns under %v, %d free, %+v", owner, token, m.free(Calls), m.changes())
+	}
+}
+
+// startGolden starts a voter on a copy of its golden log.
+func startGolden(t *testing.T, self string, m *machine, send func(to string, message []byte)) *consensus.Node {
+	t.Helper()
+	o := consensus.Options{
+		Self: self, Voters: map[string]string{"v1": "10.0.0.1:7000", "v2": "10.0.0.2:7000", "v3": "10.0.0.3:7000"},
+		Election: time.Second, Dir: golden.CopyFolder(t, "log-"+self), Machine: m, Send: send, Logger: logging.Discard(),
+	}
+	o.Join = self == "v4"
+	n, err := consensus.Start(o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+// TestGoldenLogs recovers the logs of two voters, a founder and one that joined
+// the group: each comes to the state and the group that they had.
+func TestGoldenLogs(t *testing.T) {
+	for _, self := range []string{"v1", "v4"} {
+		synctest.Test(t, func(t *testing.T) {
+			m := goldenMachine(t, self)
+			n := startGolden(t, self, m, func(string, []byte) {})
+			synctest.Wait()
+			snap, err := m.Snapshot()
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Equal(t, "logs-state.json", snap)
+			voters, err := json.Marshal(n.Voters())
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Equal(t, "logs-voters.json", voters)
+			if err := n.Stop(); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// TestGoldenLogsGoOn has the two voters, a majority of their group, go on from
+// their golden logs: they elect a leader, which takes the leases under tokens that
+// have grown, and the budgets and the record of rollouts stay.
+func TestGoldenLogsGoOn(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		before, after := goldenMachine(t, "v2"), goldenMachine(t, "v2")
+		if err := before.Restore(golden.Bytes(t, "logs-state.json")); err != nil {
+			t.Fatal(err)
+		}
+		nodes, machines := map[string]*consensus.Node{}, map[string]*machine{}
+		ready := make(chan struct{})
+		for _, self := range []string{"v1", "v4"} {
+			machines[self] = goldenMachine(t, self, Registry, Bank, Rollout)
+			nodes[self] = startGolden(t, self, machines[self], func(to string, message []byte) {
+				select {
+				case <-ready: // all nodes are known
+					if n := nodes[to]; n != nil {
+						n.Receive(message)
+					}
+				default:
+				}
+			})
+		}
+		close(ready)
+		time.Sleep(20 * time.Second) // of the bubble's clock
+		for _, n := range nodes {
+			if err := n.Stop(); err != nil {
+				t.Error(err)
+			}
+		}
+		snap, err := machines["v4"].Snapshot()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := after.Restore(snap); err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range []string{Registry, Bank, Rollout} {
+			_, was := before.grant(name)
+			if owner, token := after.grant(name); token.Compare(was) <= 0 || machines[owner] == nil {
+				t.Errorf("%s: %s owns it under %v, after %v", name, owner, token, was)
+			}
+		}
+		if !reflect.DeepEqual(after.banks, before.banks) || !reflect.DeepEqual(after.changes(), before.changes()) {
+			t.Errorf("the budgets or the record changed: %s", snap)
+		}
+	})
+}
+
+// goldenTotals are what the golden report counts.
+func goldenTotals() (totals rollout.Totals) {
+	totals.Requests, totals.Refused, totals.Late, totals.Failed = 1<<33, 5, 6, 7
+	for i := range totals.Slower {
+		totals.Slower[i] = uint64(100 - i)
+	}
+	return totals
+}
+
+// goldenSubject counts what the golden report says.
+type goldenSubject struct{}
+
+// Totals implements Subject.
+func (goldenSubject) Totals() rollout.Totals { return goldenTotals() }
+
+// Apply implements Subject.
+func (goldenSubject) Apply(json.RawMessage) error { return nil }
+
+// goldenFleet makes a member without a network.
+func goldenFleet(t *testing.T, self string) *Fleet {
+	t.Helper()
+	f := &Fleet{
+		conf: Config{Self: self, Zone: "z1", Version: "2"}, log: logging.Discard(), self: lease.Owner{Member: self, Life: 1 << 62},
+		budgets: map[string]*Budget{}, joined: make(chan struct{}),
+	}
+	f.board = &board{log: f.log, fence: &lease.Fence{}, latest: map[string]Judgement{}, fresh: time.Hour}
+	for kind, first := range map[string][2]byte{Calls: {newsCalls, newsAskCalls}, Repeats: {newsRepeats, newsAskRepeats}} {
+		b, err := newBudget(kind, first[0], first[1], 8, share.Timing{Horizon: time.Second, Beat: time.Second / 10}, f, func() time.Duration { return 0 })
+		if err != nil {
+			t.Fatal(err)
+		}
+		f.budgets[kind] = b
+	}
+	f.changes = newChanges(f)
+	f.Follow(goldenSubject{})
+	return f
+}
+
+// goldenItem and goldenAsk are of the golden pieces about budgets. The maps have
+// one entry each, as the order of more is not fixed.
+var (
+	goldenItem = share.Item{Of: share.ID{Member: "a", Life: 1 << 61}, Row: &share.Row{
+		Beat: 300, Spare: 5,
+		Counts: map[string]share.PN{"answered": {Up: 9}},
+	}, Account: &share.Account{Index: 12, Granted: 40, Fenced: true}}
+	goldenAsk = share.Ask{Of: share.ID{Member: "b", Life: 1}, Need: 3, Account: share.Account{Index: 13, Granted: 2}}
+)
+
+// TestGoldenBudgetPieces writes and reads what members tell each other about the
+// budgets, with the byte that says what a piece is.
+func TestGoldenBudgetPieces(t *testing.T) {
+	for _, kind := range []string{Calls, Repeats} {
+		writer, reader := goldenFleet(t, "m1"), goldenFleet(t, "m2")
+		b := writer.budgets[kind]
+		golden.Equal(t, kind+"-item", b.pack(goldenItem))
+		b.alive = func() []string { return []string{"m1", "m2"} }
+		b.send = func(to string, piece []byte) {
+			if to != "m2" {
+				t.Errorf("%s was asked", to)
+			}
+			golden.Equal(t, kind+"-ask", piece)
+		}
+		b.askFor(goldenAsk, nil)
+
+		b = reader.budgets[kind]
+		if about, isNews := (news{reader}).Heard(golden.Bytes(t, kind+"-item")); !isNews || about != kind+" row a/2305843009213693952" {
+			t.Errorf("the item is about %q, news: %t", about, isNews)
+		}
+		news{reader}.Heard(golden.Bytes(t, kind+"-ask"))
+		if !reflect.DeepEqual(b.member.State().Accounts[goldenAsk.Of], &goldenAsk.Account) {
+			t.Errorf("%s: after the ask: %+v", kind, b.member.State().Accounts[goldenAsk.Of])
+		}
+		state := b.member.State()
+		if !reflect.DeepEqual(state.Rows[goldenItem.Of], goldenItem.Row) || !reflect.DeepEqual(state.Accounts[goldenItem.Of], goldenItem.Account) {
+			t.Errorf("%s: after the item: %+v, %+v", kind, state.Rows[goldenItem.Of], state.Accounts[goldenItem.Of])
+		}
+	}
+}
+
+// TestGoldenRolloutPieces writes and reads a member's report to a voter, and the
+// owner's direction to a member.
+func TestGoldenRolloutPieces(t *testing.T) {
+	member, voter := goldenFleet(t, "m1"), goldenFleet(t, "v1")
+	member.changes.voters = func() []string { return []string{"v1"} }
+	member.changes.send = func(_ string, piece []byte) { golden.Equal(t, "report", piece) }
+	member.changes.tell(true)
+	news{voter}.Heard(golden.Bytes(t, "report"))
+	want := rollout.Report{Server: "m1", Zone: "z1", Life: 1 << 62, Seq: 1, Version: "2", Leaving: true, Totals: goldenTotals()}
+	if got := voter.changes.collector.Reports(); !reflect.DeepEqual(got, []rollout.Report{want}) {
+		t.Errorf("reports %+v, want %+v", got, want)
+	}
+
+	voter = goldenFleet(t, "v1")
+	voter.changes.collector.Heard(rollout.Report{Server: "m1", Life: 1, Seq: 1})
+	sent := make(chan []byte, 1)
+	voter.changes.stream = func(_ string, piece []byte) error {
+		sent <- piece
+		return nil
+	}
+	token := lease.Token{Term: 2, Index: 300}
+	patch := json.RawMessage(`{"queue":null}`)
+	voter.changes.direct(&rollout.Record{Index: 90, Last: 3, Current: 3, Patches: map[uint64]json.RawMessage{3: patch}}, token)
+	golden.Equal(t, "direction", <-sent)
+	news{member}.Heard(golden.Bytes(t, "direction"))
+	if got, want := <-member.changes.told, (rollout.Direction{Token: token, Index: 90, Number: 3, Patch: patch}); !reflect.DeepEqual(got, want) {
+		t.Errorf("direction %+v, want %+v", got, want)
+	}
+}
+
+// TestGoldenJudgement writes and reads the word on the shared dependency, as
+// members hear it and as the operator's registry is told it.
+func TestGoldenJudgement(t *testing.T) {
+	j := Judgement{Lease: Registry, Token: lease.Token{Term: 2, Index: 300}, Seq: 9, By: "v1", State: Slow, Took: 31 * time.Millisecond}
+	writer, reader := goldenFleet(t, "v1"), goldenFleet(t, "m1")
+	writer.budgets, writer.board.latest[Registry] = nil, j
+	pieces := (news{writer}).Latest()
+	if len(pieces) != 1 {
+		t.Fatalf("%d pieces", len(pieces))
+	}
+	golden.Equal(t, "judgement", pieces[0])
+	if about, isNews := (news{reader}).Heard(golden.Bytes(t, "judgement")); about != Registry || !isNews || reader.Judgement() != j {
+		t.Errorf("about %q, news: %t, %+v", about, isNews, reader.Judgement())
+	}
+
+	asked := make(chan []byte, 1)
+	registry := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil || r.Method != http.MethodPut {
+			body = nil
+		}
+		asked <- body
+	}))
+	defer registry.Close()
+	if err := put(t.Context(), registry.Client(), registry.URL, j); err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "publish.json", <-asked)
+	golden.RoundTrip(t, "states.json", []State{Unknown, Good, Slow, Down}, json.Marshal, json.Unmarshal)
+}
