--- a/fleet/link/golden_test.go
+++ b/fleet/rafttransport/golden_test.go
@@ -1,4 +1,4 @@
-package link
+package rafttransport
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 
 var goldenMessages = []string{"a message", "", "\x00\xff another"}
 
-// TestGoldenConnectionIsWritten has a mesh send the golden connection's messages:
+// TestGoldenConnectionIsWritten sends the golden connection's messages:
 // the hello and the frames are the same, byte for byte.
 func TestGoldenConnectionIsWritten(t *testing.T) {
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestGoldenConnectionIsRead has a mesh hear the golden connection.
+// TestGoldenConnectionIsRead receives the golden connection.
 func TestGoldenConnectionIsRead(t *testing.T) {
 	m, got := listen(t, "fleet-1", "v2", "127.0.0.1:0", map[string]string{"v1": "127.0.0.1:1"})
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", m.Addr().String())
@@ -58,7 +58,7 @@
 	}
 	for _, want := range goldenMessages {
 		if text := <-got; text != want {
-			t.Errorf("heard %q, want %q", text, want)
+			t.Errorf("received %q, want %q", text, want)
 		}
 	}
 	if err := c.Close(); err != nil {
--- a/fleet/rafttransport/transport_test.go
+++ b/fleet/rafttransport/transport_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// testFleet is the fleet of the tests' transports.
+// testFleet is the fleet of the transports under test.
 const testFleet = "f"
 
 // listen opens a transport whose messages come to a channel.
-func listen(t *testing.T, self, address string, peers map[string]string) (*Transport, chan string) {
+func listen(t *testing.T, fleet, self, address string, peers map[string]string) (*Transport, chan string) {
 	t.Helper()
 	got := make(chan string, 16)
-	m, err := Listen(Options{Fleet: testFleet, Self: self, Listen: address, Peers: peers, Receive: func(b []byte) { got <- string(b) }})
+	m, err := Listen(Options{Fleet: fleet, Self: self, Listen: address, Peers: peers, Receive: func(b []byte) { got <- string(b) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,9 +24,9 @@
 // its address: the first message after that must arrive. It was lost when an ended
 // connection was noticed only by writing to it, which cost votes.
 func TestPeerRestarts(t *testing.T) {
-	b, gotB := listen(t, "b", "127.0.0.1:0", map[string]string{"a": "127.0.0.1:1"})
+	b, gotB := listen(t, testFleet, "b", "127.0.0.1:0", map[string]string{"a": "127.0.0.1:1"})
 	address := b.Addr().String()
-	a, _ := listen(t, "a", "127.0.0.1:0", map[string]string{"b": address})
+	a, _ := listen(t, testFleet, "a", "127.0.0.1:0", map[string]string{"b": address})
 	defer a.Close()
 	for i := range 5 {
 		a.Send("b", fmt.Append(nil, "message ", i))
@@ -39,7 +39,7 @@
 			connected = len(a.conns)
 			a.mu.Unlock()
 		}
-		b, gotB = listen(t, "b", address, map[string]string{"a": "127.0.0.1:1"})
+		b, gotB = listen(t, testFleet, "b", address, map[string]string{"a": "127.0.0.1:1"})
 	}
 	b.Close()
 	if n, bytes := a.Sent(); n != 5 || bytes < 50 {
@@ -50,7 +50,7 @@
 // TestStrangers connects as a voter of another fleet, as no peer, to another
 // voter, and without frames: each connection must be closed, and no message received.
 func TestStrangers(t *testing.T) {
-	b, got := listen(t, "b", "127.0.0.1:0", map[string]string{"a": "127.0.0.1:1"})
+	b, got := listen(t, testFleet, "b", "127.0.0.1:0", map[string]string{"a": "127.0.0.1:1"})
 	defer b.Close()
 	for _, hello := range []string{
 		`{"fleet":"g","from":"a","to":"b"}`, `{"fleet":"f","from":"x","to":"b"}`,
