--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -27,7 +27,7 @@
 	board   *board
 	budgets map[string]*Budget // those that the fleet has
 	changes *changes
-	members *gossip.Members
+	members *gossip.Membership
 	stop    context.CancelFunc
 	joined  chan struct{} // closed when there are members to tell
 	worked  chan struct{} // closed when the worker has ended
@@ -98,11 +98,11 @@
 	}
 	var err error
 	if f.members, err = gossip.Start(gossip.Options{Fleet: c.Fleet, Self: c.Self, Listen: c.Gossip, Seeds: c.Seeds,
-		Role: string(c.Role), News: news{f}, Logger: f.log}); err != nil {
+		Role: string(c.Role), Delegate: news{f}, Logger: f.log}); err != nil {
 		f.stopVoter()
 		return nil, err
 	}
-	f.changes.send, f.changes.stream = f.members.Send, f.members.Stream
+	f.changes.send, f.changes.stream = f.members.Send, f.members.SendReliable
 	close(f.joined)
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
@@ -180,11 +180,11 @@
 	newsDirection  = 'd' // of the owner of Rollout to a member
 )
 
-// news is what the members tell each other: gossip.News.
+// news is what the members tell each other: gossip.Delegate.
 type news struct{ f *Fleet }
 
-// Heard implements gossip.News.
-func (n news) Heard(piece []byte) (about string, isNews bool) {
+// MergeUpdate implements gossip.Delegate.
+func (n news) MergeUpdate(piece []byte) (about string, isNews bool) {
 	if len(piece) == 0 {
 		return "", false
 	}
@@ -207,8 +207,8 @@
 	return "", false
 }
 
-// Latest implements gossip.News.
-func (n news) Latest() (out [][]byte) {
+// KnownUpdates implements gossip.Delegate.
+func (n news) KnownUpdates() (out [][]byte) {
 	for _, p := range n.f.board.pieces() {
 		out = append(out, append([]byte{newsJudgement}, p...))
 	}
@@ -222,8 +222,8 @@
 func (f *Fleet) tell(about string, piece []byte) {
 	select {
 	case <-f.joined:
-		f.members.Tell(about, piece)
-	default: // it comes by Latest
+		f.members.Broadcast(about, piece)
+	default: // it comes by KnownUpdates
 	}
 }
 
@@ -250,7 +250,7 @@
 func (f *Fleet) voters() []string {
 	select {
 	case <-f.joined:
-		return f.members.Of(string(Voter))
+		return f.members.AliveWithRole(string(Voter))
 	default:
 		return nil
 	}
@@ -372,7 +372,7 @@
 		return
 	}
 	f.board.heard(piece)
-	f.members.Tell(j.Lease, append([]byte{newsJudgement}, piece...))
+	f.members.Broadcast(j.Lease, append([]byte{newsJudgement}, piece...))
 	if f.conf.Publish == "" {
 		return
 	}
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -291,10 +291,10 @@
 		b.askFor(goldenAsk, nil)
 
 		b = reader.budgets[kind]
-		if about, isNews := (news{reader}).Heard(golden.Bytes(t, kind+"-item")); !isNews || about != kind+" row a/2305843009213693952" {
+		if about, isNews := (news{reader}).MergeUpdate(golden.Bytes(t, kind+"-item")); !isNews || about != kind+" row a/2305843009213693952" {
 			t.Errorf("the item is about %q, news: %t", about, isNews)
 		}
-		news{reader}.Heard(golden.Bytes(t, kind+"-ask"))
+		news{reader}.MergeUpdate(golden.Bytes(t, kind+"-ask"))
 		if !reflect.DeepEqual(b.member.State().Accounts[goldenAsk.Of], &goldenAsk.Account) {
 			t.Errorf("%s: after the ask: %+v", kind, b.member.State().Accounts[goldenAsk.Of])
 		}
@@ -312,7 +312,7 @@
 	member.changes.voters = func() []string { return []string{"v1"} }
 	member.changes.send = func(_ string, piece []byte) { golden.Equal(t, "report", piece) }
 	member.changes.tell(true)
-	news{voter}.Heard(golden.Bytes(t, "report"))
+	news{voter}.MergeUpdate(golden.Bytes(t, "report"))
 	want := rollout.Report{Server: "m1", Zone: "z1", Life: 1 << 62, Seq: 1, Version: "2", Leaving: true, Totals: goldenTotals()}
 	if got := voter.changes.collector.Reports(); !reflect.DeepEqual(got, []rollout.Report{want}) {
 		t.Errorf("reports %+v, want %+v", got, want)
@@ -329,7 +329,7 @@
 	patch := json.RawMessage(`{"queue":null}`)
 	voter.changes.direct(&rollout.Record{Index: 90, Last: 3, Current: 3, Patches: map[uint64]json.RawMessage{3: patch}}, token)
 	golden.Equal(t, "direction", <-sent)
-	news{member}.Heard(golden.Bytes(t, "direction"))
+	news{member}.MergeUpdate(golden.Bytes(t, "direction"))
 	if got, want := <-member.changes.told, (rollout.Direction{Token: token, Index: 90, Number: 3, Patch: patch}); !reflect.DeepEqual(got, want) {
 		t.Errorf("direction %+v, want %+v", got, want)
 	}
@@ -341,12 +341,12 @@
 	j := Judgement{Lease: Registry, Token: lease.Token{Term: 2, Index: 300}, Seq: 9, By: "v1", State: Slow, Took: 31 * time.Millisecond}
 	writer, reader := goldenFleet(t, "v1"), goldenFleet(t, "m1")
 	writer.budgets, writer.board.latest[Registry] = nil, j
-	pieces := (news{writer}).Latest()
+	pieces := (news{writer}).KnownUpdates()
 	if len(pieces) != 1 {
 		t.Fatalf("%d pieces", len(pieces))
 	}
 	golden.Equal(t, "judgement", pieces[0])
-	if about, isNews := (news{reader}).Heard(golden.Bytes(t, "judgement")); about != Registry || !isNews || reader.Judgement() != j {
+	if about, isNews := (news{reader}).MergeUpdate(golden.Bytes(t, "judgement")); about != Registry || !isNews || reader.Judgement() != j {
 		t.Errorf("about %q, news: %t, %+v", about, isNews, reader.Judgement())
 	}
 
--- a/fleet/gossip/delegate.go
+++ b/fleet/gossip/delegate.go
@@ -2,33 +2,33 @@
 
 import "encoding/json"
 
-type delegate struct {
-	news    News
-	members *Members
+type memberlistDelegate struct {
+	updates    Delegate
+	members *Membership
 	role    string
 }
 
 // NodeMeta implements memberlist.Delegate.
-func (d delegate) NodeMeta(int) []byte { return []byte(d.role) }
+func (d memberlistDelegate) NodeMeta(int) []byte { return []byte(d.role) }
 
 // NotifyMsg implements memberlist.Delegate. The bytes are the library's.
-func (d delegate) NotifyMsg(b []byte) { d.heard(append([]byte(nil), b...)) }
+func (d memberlistDelegate) NotifyMsg(b []byte) { d.heard(append([]byte(nil), b...)) }
 
 // heard passes on what is news: the library tells a piece to a few members only.
-func (d delegate) heard(piece []byte) {
-	if about, news := d.news.Heard(piece); news {
-		d.members.Tell(about, piece)
+func (d memberlistDelegate) heard(piece []byte) {
+	if about, news := d.updates.MergeUpdate(piece); news {
+		d.members.Broadcast(about, piece)
 	}
 }
 
 // GetBroadcasts implements memberlist.Delegate.
-func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
+func (d memberlistDelegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.members.queue.GetBroadcasts(overhead, limit)
 }
 
 // LocalState implements memberlist.Delegate: what push and pull carry.
-func (d delegate) LocalState(bool) []byte {
-	b, err := json.Marshal(d.news.Latest())
+func (d memberlistDelegate) LocalState(bool) []byte {
+	b, err := json.Marshal(d.updates.KnownUpdates())
 	if err != nil {
 		return nil
 	}
@@ -36,7 +36,7 @@
 }
 
 // MergeRemoteState implements memberlist.Delegate.
-func (d delegate) MergeRemoteState(b []byte, _ bool) {
+func (d memberlistDelegate) MergeRemoteState(b []byte, _ bool) {
 	var pieces [][]byte
 	if json.Unmarshal(b, &pieces) != nil {
 		return
--- a/fleet/gossip/golden_test.go
+++ b/fleet/gossip/golden_test.go
@@ -11,27 +11,27 @@
 // pieces is news that keeps what it heard.
 type pieces [][]byte
 
-// Heard implements News.
-func (p *pieces) Heard(piece []byte) (string, bool) {
+// MergeUpdate implements Delegate.
+func (p *pieces) MergeUpdate(piece []byte) (string, bool) {
 	*p = append(*p, slices.Clone(piece))
 	return "", false
 }
 
-// Latest implements News.
-func (p *pieces) Latest() [][]byte { return *p }
+// KnownUpdates implements Delegate.
+func (p *pieces) KnownUpdates() [][]byte { return *p }
 
 // TestGoldenState writes and reads what two members exchange of all they know,
 // and writes what a member says of itself.
 func TestGoldenState(t *testing.T) {
 	known := pieces{[]byte(`j{"lease":"registry"}`), {'c', 0xa1, 0x01, 0xff}, {}}
-	writer := delegate{news: &known, role: "voter"}
+	writer := memberlistDelegate{updates: &known, role: "voter"}
 	golden.Equal(t, "state.json", writer.LocalState(false))
 	golden.Equal(t, "state-joining.json", writer.LocalState(true))
 	golden.Equal(t, "role", writer.NodeMeta(512))
-	golden.Equal(t, "state-empty.json", delegate{news: new(pieces)}.LocalState(false))
+	golden.Equal(t, "state-empty.json", memberlistDelegate{updates: new(pieces)}.LocalState(false))
 
 	var heard pieces
-	reader := delegate{news: &heard}
+	reader := memberlistDelegate{updates: &heard}
 	for _, name := range []string{"state.json", "state-joining.json", "state-empty.json"} {
 		heard = nil
 		reader.MergeRemoteState(golden.Bytes(t, name), false)
--- a/fleet/gossip/gossip.go
+++ b/fleet/gossip/gossip.go
@@ -28,22 +28,22 @@
 	// these addresses, whatever they tell of themselves.
 	Seeds  map[string]string
 	Role   string // that this member tells all others of itself
-	News   News
+	Delegate   Delegate
 	Logger *slog.Logger // nil for slog.Default()
 }
 
-// News is what is spread beside the membership. Its methods are called from
+// Delegate is what is spread beside the membership. Its methods are called from
 // several goroutines and must not block.
-type News interface {
-	// Heard takes in a piece of news, once or more often, in any order, and
+type Delegate interface {
+	// MergeUpdate takes in a piece of news, once or more often, in any order, and
 	// tells what it is about and whether it was news: it is passed on then.
-	Heard(piece []byte) (about string, news bool)
-	// Latest gives the pieces that one who joins, or was cut off, should hear.
-	Latest() [][]byte
+	MergeUpdate(piece []byte) (about string, news bool)
+	// KnownUpdates gives the pieces that one who joins, or was cut off, should hear.
+	KnownUpdates() [][]byte
 }
 
-// Members is a member at work.
-type Members struct {
+// Membership is a member at work.
+type Membership struct {
 	list    *memberlist.Memberlist
 	created atomic.Pointer[memberlist.Memberlist] // the same, once there is one
 	queue   memberlist.TransmitLimitedQueue
@@ -66,7 +66,7 @@
 
 // Start opens a member's address and joins the seeds, again and again until they
 // answer: none needs to be up yet.
-func Start(opt Options) (*Members, error) {
+func Start(opt Options) (*Membership, error) {
 	host, port, err := net.SplitHostPort(opt.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
@@ -84,13 +84,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	m := &Members{log: logger, sent: &counts{}, stop: make(chan struct{}), done: make(chan struct{})}
+	m := &Membership{log: logger, sent: &counts{}, stop: make(chan struct{}), done: make(chan struct{})}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label, c.Logger = opt.Self, opt.Fleet, remarks
 	c.BindAddr, c.BindPort = host, udp.GetAutoBindPort()
 	c.AdvertiseAddr, c.AdvertisePort = host, udp.GetAutoBindPort()
 	c.Transport = routed{udp, opt.Seeds, m.sent}
-	c.Delegate = delegate{opt.News, m, opt.Role}
+	c.Delegate = memberlistDelegate{opt.Delegate, m, opt.Role}
 	// A member that restarts comes back at another address, which the others take
 	// only once they have found the old one dead; nobody tells it so but in an
 	// exchange of whole states (the library makes them rarer in large fleets).
@@ -126,10 +126,10 @@
 }
 
 // Addr is the member's own address.
-func (m *Members) Addr() string { return m.list.LocalNode().Address() }
+func (m *Membership) Addr() string { return m.list.LocalNode().Address() }
 
 // Alive names the members that are thought to be alive, in order.
-func (m *Members) Alive() []string {
+func (m *Membership) Alive() []string {
 	var names []string
 	for _, n := range m.list.Members() {
 		names = append(names, n.Name)
@@ -138,8 +138,8 @@
 	return names
 }
 
-// Of names the members of a role that are thought to be alive, in order.
-func (m *Members) Of(role string) []string {
+// AliveWithRole names the members of a role that are thought to be alive, in order.
+func (m *Membership) AliveWithRole(role string) []string {
 	var names []string
 	for _, n := range m.list.Members() {
 		if string(n.Meta) == role {
@@ -151,7 +151,7 @@
 }
 
 // count is asked by the library's goroutines, also before Create has returned.
-func (m *Members) count() int {
+func (m *Membership) count() int {
 	if l := m.created.Load(); l != nil {
 		return l.NumMembers()
 	}
@@ -160,17 +160,17 @@
 
 // Sent gives how many datagrams and streams, and bytes of both, went over the
 // network from here.
-func (m *Members) Sent() (messages, bytes int64) { return m.sent.messages.Load(), m.sent.bytes.Load() }
+func (m *Membership) Sent() (messages, bytes int64) { return m.sent.messages.Load(), m.sent.bytes.Load() }
 
-// Tell spreads a piece of news; a later piece about the same matter takes the
+// Broadcast spreads a piece of news; a later piece about the same matter takes the
 // place of one that is still being spread.
-func (m *Members) Tell(about string, piece []byte) {
+func (m *Membership) Broadcast(about string, piece []byte) {
 	m.queue.QueueBroadcast(broadcast{about, piece})
 }
 
 // Send gives a piece of news to one member by name, as a datagram that may be
 // lost. It does nothing where the member is not known.
-func (m *Members) Send(to string, piece []byte) {
+func (m *Membership) Send(to string, piece []byte) {
 	if n := m.find(to); n != nil {
 		if err := m.list.SendBestEffort(n, piece); err != nil {
 			m.log.Debug("fleet_send", "to", to, "error", err.Error())
@@ -178,11 +178,11 @@
 	}
 }
 
-// Stream gives a piece of news, which may be too long for a datagram, to one
+// SendReliable gives a piece of news, which may be too long for a datagram, to one
 // member by name, on a stream; it blocks until the piece was sent. The error says
 // that it was not, or that the member is not known; without one it may be lost
 // still.
-func (m *Members) Stream(to string, piece []byte) error {
+func (m *Membership) SendReliable(to string, piece []byte) error {
 	n := m.find(to)
 	if n == nil {
 		return fmt.Errorf("gossip: no member %s", to)
@@ -194,7 +194,7 @@
 }
 
 // find gives a member by name, nil where it is not known as alive.
-func (m *Members) find(name string) *memberlist.Node {
+func (m *Membership) find(name string) *memberlist.Node {
 	for _, n := range m.list.Members() {
 		if n.Name == name {
 			return n
@@ -205,7 +205,7 @@
 
 // Stop takes leave of the others, waits for that to spread for a time at most,
 // and ends.
-func (m *Members) Stop(within time.Duration) error {
+func (m *Membership) Stop(within time.Duration) error {
 	close(m.stop)
 	<-m.done
 	leave := m.list.Leave(within)
@@ -220,7 +220,7 @@
 
 // join joins the seeds, and joins again those that are not known as alive: a
 // member that everybody else took for dead hears of nobody.
-func (m *Members) join() {
+func (m *Membership) join() {
 	defer close(m.done)
 	for ticker := time.NewTicker(rejoinEvery); ; {
 		alive := map[string]bool{}
