--- a/fleet/gossip/delegate.go
+++ b/fleet/gossip/delegate.go
@@ -1,9 +1,13 @@
 package gossip
 
-import "encoding/json"
+import (
+	"encoding/json"
+	"slices"
+)
 
+// memberlistDelegate connects memberlist with a Delegate.
 type memberlistDelegate struct {
-	updates    Delegate
+	updates Delegate
 	members *Membership
 	role    string
 }
@@ -11,37 +15,40 @@
 // NodeMeta implements memberlist.Delegate.
 func (d memberlistDelegate) NodeMeta(int) []byte { return []byte(d.role) }
 
-// NotifyMsg implements memberlist.Delegate. The bytes are the library's.
-func (d memberlistDelegate) NotifyMsg(b []byte) { d.heard(append([]byte(nil), b...)) }
+// NotifyMsg implements memberlist.Delegate. The message's bytes belong to the
+// library, which uses them again.
+func (d memberlistDelegate) NotifyMsg(message []byte) { d.merge(slices.Clone(message)) }
 
-// heard passes on what is news: the library tells a piece to a few members only.
-func (d memberlistDelegate) heard(piece []byte) {
-	if about, news := d.updates.MergeUpdate(piece); news {
-		d.members.Broadcast(about, piece)
+// merge takes in an update, and broadcasts it further where it was new: the library
+// brings a message to a few members only.
+func (d memberlistDelegate) merge(update []byte) {
+	if topic, isNew := d.updates.MergeUpdate(update); isNew {
+		d.members.Broadcast(topic, update)
 	}
 }
 
 // GetBroadcasts implements memberlist.Delegate.
 func (d memberlistDelegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.members.queue.GetBroadcasts(overhead, limit)
+	return d.members.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate: what push and pull carry.
+// LocalState implements memberlist.Delegate: it is sent in an exchange of whole
+// states (push/pull), as a JSON array of the updates.
 func (d memberlistDelegate) LocalState(bool) []byte {
-	b, err := json.Marshal(d.updates.KnownUpdates())
+	state, err := json.Marshal(d.updates.KnownUpdates())
 	if err != nil {
 		return nil
 	}
-	return b
+	return state
 }
 
 // MergeRemoteState implements memberlist.Delegate.
-func (d memberlistDelegate) MergeRemoteState(b []byte, _ bool) {
-	var pieces [][]byte
-	if json.Unmarshal(b, &pieces) != nil {
+func (d memberlistDelegate) MergeRemoteState(state []byte, _ bool) {
+	var updates [][]byte
+	if json.Unmarshal(state, &updates) != nil {
 		return
 	}
-	for _, p := range pieces {
-		d.heard(p)
+	for _, update := range updates {
+		d.merge(update)
 	}
 }
--- /dev/null
+++ b/fleet/gossip/transport.go
@@ -0,0 +1,83 @@
+package gossip
+
+import (
+	"log"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// maxBindAttempts is how often any port is tried: one that is free for TCP may be
+// taken for UDP.
+const maxBindAttempts = 10
+
+// listen opens a port for UDP and TCP, any where port is 0.
+func listen(host string, port int, logger *log.Logger) (t *memberlist.NetTransport, err error) {
+	config := &memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger}
+	for range maxBindAttempts {
+		t, err = memberlist.NewNetTransport(config)
+		if err == nil || port != 0 {
+			break
+		}
+	}
+	return t, err
+}
+
+// trafficCounts are what went over the network: datagrams sent, and both directions
+// of the streams that were opened here.
+type trafficCounts struct{ messages, bytes atomic.Int64 }
+
+// seedTransport reaches seeds by the addresses that the operator gave, and counts
+// what it sends.
+type seedTransport struct {
+	*memberlist.NetTransport
+	seeds map[string]string // name to address
+	sent  *trafficCounts
+}
+
+// withSeedAddress replaces a seed's address by the operator's.
+func (t seedTransport) withSeedAddress(a memberlist.Address) memberlist.Address {
+	if address, ok := t.seeds[a.Name]; ok {
+		a.Addr = address
+	}
+	return a
+}
+
+// WriteToAddress implements memberlist.NodeAwareTransport.
+func (t seedTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	t.sent.messages.Add(1)
+	t.sent.bytes.Add(int64(len(b)))
+	return t.NetTransport.WriteToAddress(b, t.withSeedAddress(a))
+}
+
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t seedTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	conn, err := t.NetTransport.DialAddressTimeout(t.withSeedAddress(a), timeout)
+	if err != nil {
+		return nil, err
+	}
+	t.sent.messages.Add(1)
+	return countingConn{conn, t.sent}, nil
+}
+
+// countingConn is a stream whose bytes are counted, in both directions.
+type countingConn struct {
+	net.Conn
+	sent *trafficCounts
+}
+
+// Read implements net.Conn.
+func (c countingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.sent.bytes.Add(int64(n))
+	return n, err
+}
+
+// Write implements net.Conn.
+func (c countingConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.sent.bytes.Add(int64(n))
+	return n, err
+}
