--- a/cmd/quincerail/tools.go
+++ b/cmd/quincerail/tools.go
@@ -175,7 +175,7 @@
 		key, ok := strings.CutPrefix(name, "key/")
 		if !ok {
 			if name == "doubt" {
-				fmt.Printf("unknown keys in doubt until %s\n", v.Expires.Format(time.RFC3339))
+				fmt.Printf("unknown keys in doubt until %s\n", v.ExpiresAt.Format(time.RFC3339))
 			}
 			continue
 		}
@@ -204,8 +204,8 @@
 	}
 	fmt.Printf("%d keys: %d done, %d in doubt, %d failed, %d not run, %d unreadable\n", len(lines)+counts["unreadable"],
 		counts["done"], counts["in doubt"], counts["failed"], counts["not run"], counts["unreadable"])
-	if rec.Truncated > 0 {
-		fmt.Printf("%d bytes of a write that never finished\n", rec.Truncated)
+	if rec.TruncatedBytes > 0 {
+		fmt.Printf("%d bytes of a write that never finished\n", rec.TruncatedBytes)
 	}
 	for _, l := range rec.Losses {
 		fmt.Printf("loss: %s\n", l)
--- a/program/config.go
+++ b/program/config.go
@@ -38,7 +38,7 @@
 	Gauges                      []string      // names, in the order in which the processor gives them
 	Rules                       *match.Set    // of the operator's rule file, where there is one; nil for none
 	KeysDir                     string        // where the keys that ran outlive the process; "" keeps them in memory
-	KeysSync                    string        // always or never, as store.Sync; "" for always
+	KeysSync                    string        // always or never, as store.SyncPolicy; "" for always
 	Logger                      *slog.Logger  // nil for slog.Default()
 	MetricsListen               string        // the operator's listener for /metrics; "" for none
 	OperatorsListen             string        // where operators call about the fleet; "" for none
--- a/program/keys.go
+++ b/program/keys.go
@@ -49,7 +49,7 @@
 	var doubt time.Time
 	for name, v := range rec.Values {
 		if name == doubtKey {
-			doubt = v.Expires
+			doubt = v.ExpiresAt
 			continue
 		}
 		var k routing.KeyState
@@ -73,6 +73,6 @@
 			return nil, nil, time.Time{}, fmt.Errorf("keys: %w", err)
 		}
 	}
-	log.Info("keys_recovered", "keys", len(states), "truncated", rec.Truncated)
+	log.Info("keys_recovered", "keys", len(states), "truncated", rec.TruncatedBytes)
 	return s, states, doubt, nil
 }
--- a/store/bench_test.go
+++ b/store/bench_test.go
@@ -10,7 +10,7 @@
 // value is a kept result of a gift's size.
 var value = make([]byte, 200)
 
-func benchPut(b *testing.B, sync Sync, parallel bool) {
+func benchPut(b *testing.B, sync SyncPolicy, parallel bool) {
 	s, _, err := Open(Options{Dir: b.TempDir(), Sync: sync, MaxBytes: 1 << 30, SegmentBytes: 64 << 20})
 	if err != nil {
 		b.Fatal(err)
--- a/store/store.go
+++ b/store/store.go
@@ -36,14 +36,14 @@
 	"time"
 )
 
-// Sync says when a write is durable.
-type Sync int
+// SyncPolicy says when a write is durable.
+type SyncPolicy int
 
 // The policies.
 const (
 	// SyncAlways syncs the file after each group of writes, before they are
 	// acknowledged: durable through a power loss.
-	SyncAlways Sync = iota
+	SyncAlways SyncPolicy = iota
 	// SyncNever leaves it to the system: durable through a crash of the
 	// process, not of the machine.
 	SyncNever
@@ -52,7 +52,7 @@
 // Options are what a store is opened with. Dir is required.
 type Options struct {
 	Dir          string
-	Sync         Sync
+	Sync         SyncPolicy
 	MaxBytes     int64            // of live records on disk; a write beyond is refused with ErrFull. 0 for 64 MiB
 	SegmentBytes int64            // a segment is sealed at this size; 0 for 4 MiB
 	Now          func() time.Time // the clock that expiry is judged by; nil for time.Now
@@ -77,15 +77,15 @@
 
 // Recovered is what Open found.
 type Recovered struct {
-	Values    map[string]Value // the latest of each key that has not expired
-	Losses    []Loss           // none if all was read
-	Truncated int64            // bytes of writes that never finished, cut off
+	Values         map[string]Value // the latest of each key that has not expired
+	Losses         []Loss           // none if all was read
+	TruncatedBytes int64            // bytes of writes that never finished, cut off
 }
 
 // Value is a key's value and when it expires.
 type Value struct {
-	Bytes   []byte
-	Expires time.Time
+	Bytes     []byte
+	ExpiresAt time.Time
 }
 
 // place is where a key's latest record lies.
@@ -196,7 +196,7 @@
 				what = cut
 			}
 			if what == cut && i == len(s.segments)-1 {
-				rec.Truncated = int64(len(b)) - offset
+				rec.TruncatedBytes = int64(len(b)) - offset
 				if err := s.repair(repair, func() error { return os.Truncate(path, offset) }); err != nil {
 					return nil, err
 				}
@@ -213,7 +213,7 @@
 			if r.deleted || !r.expires.After(now) {
 				delete(rec.Values, r.key)
 			} else {
-				rec.Values[r.key] = Value{Bytes: r.value, Expires: r.expires}
+				rec.Values[r.key] = Value{Bytes: r.value, ExpiresAt: r.expires}
 			}
 			offset += int64(size)
 		}
@@ -364,7 +364,7 @@
 	if what != whole || r.key != key {
 		return Value{}, false, fmt.Errorf("store: %s at %d: the record is not whole", segmentName(p.segment), p.offset)
 	}
-	return Value{Bytes: r.value, Expires: r.expires}, true, nil
+	return Value{Bytes: r.value, ExpiresAt: r.expires}, true, nil
 }
 
 // Len is the number of keys that the index holds: with a value, or deleted
@@ -375,8 +375,8 @@
 	return len(s.index)
 }
 
-// Live is the number of bytes of the records that the index points at.
-func (s *Store) Live() int64 { return s.liveBytes.Load() }
+// LiveBytes is the number of bytes of the records that the index points at.
+func (s *Store) LiveBytes() int64 { return s.liveBytes.Load() }
 
 // Close writes what waits, and closes the store.
 func (s *Store) Close() error {
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -145,9 +145,9 @@
 		if complete > 0 {
 			last = ends[complete-1]
 		}
-		if got := values(rec); !maps.Equal(got, want) || len(rec.Losses) > 0 || rec.Truncated != int64(cut-last) {
+		if got := values(rec); !maps.Equal(got, want) || len(rec.Losses) > 0 || rec.TruncatedBytes != int64(cut-last) {
 			t.Fatalf("cut at %d: got %v, losses %v, truncated %d\nwant %v, truncated %d",
-				cut, got, rec.Losses, rec.Truncated, want, cut-last)
+				cut, got, rec.Losses, rec.TruncatedBytes, want, cut-last)
 		}
 	}
 }
@@ -298,8 +298,8 @@
 	n := 0
 	for ; put(fmt.Sprint("k", n), time.Second) == nil; n++ {
 	}
-	if err := put("more", time.Hour); !errors.Is(err, ErrFull) || n == 0 || s.Live() > 1000 {
-		t.Fatalf("after %d puts: %v, %d bytes live", n, err, s.Live())
+	if err := put("more", time.Hour); !errors.Is(err, ErrFull) || n == 0 || s.LiveBytes() > 1000 {
+		t.Fatalf("after %d puts: %v, %d bytes live", n, err, s.LiveBytes())
 	}
 	c.now = epoch.Add(2 * time.Second)
 	for i := 0; put(fmt.Sprint("later", i), time.Hour) == nil; i++ {
@@ -307,8 +307,8 @@
 			return // expired values were compacted away to make room
 		}
 	}
-	if s.Live() > 1000 {
-		t.Errorf("%d bytes live", s.Live())
+	if s.LiveBytes() > 1000 {
+		t.Errorf("%d bytes live", s.LiveBytes())
 	}
 }
 
