--- a/store/bench_test.go
+++ b/store/bench_test.go
@@ -86,9 +86,9 @@
 	}
 	for b.Loop() {
 		before := heap()
-		s := &Store{index: map[string]place{}}
+		s := &Store{index: map[string]recordLocation{}}
 		for i := range keys {
-			s.apply(record{key: fmt.Sprint("key/", i), expires: time.Now()}, place{size: 240})
+			s.addToIndex(record{key: fmt.Sprint("key/", i), expiresAt: time.Now()}, recordLocation{size: 240})
 		}
 		indexed := heap() - before
 		before = heap()
--- a/store/record.go
+++ b/store/record.go
@@ -22,35 +22,35 @@
 // or a payload whose CRC fails, though all its bytes are there): the first is
 // a write that never finished, the second is a loss. Integers are big-endian.
 const (
-	headerSize = 12
-	maxKey     = 1 << 12
-	maxRecord  = 1 << 20 // of a payload
+	headerSize      = 12
+	maxKeyBytes     = 1 << 12
+	maxPayloadBytes = 1 << 20 // of a payload
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // record is one key's value as the log keeps it, or its deletion.
 type record struct {
-	key     string
-	value   []byte
-	expires time.Time
-	deleted bool
+	key       string
+	value     []byte
+	expiresAt time.Time
+	deleted   bool
 }
 
-// fixed is the size of a payload without its key and value.
-const fixed = 11
+// payloadFixedSize is the size of a payload without its key and value.
+const payloadFixedSize = 11
 
 // errTooLarge is given for a record over maxRecord, or a key over maxKey.
 var errTooLarge = errors.New("record too large")
 
 // appendRecord appends the bytes of a record.
 func appendRecord(to []byte, r record) ([]byte, error) {
-	if len(r.key) > maxKey || fixed+len(r.key)+len(r.value) > maxRecord {
+	if len(r.key) > maxKeyBytes || payloadFixedSize+len(r.key)+len(r.value) > maxPayloadBytes {
 		return to, errTooLarge
 	}
 	start := len(to)
 	to = append(to, make([]byte, headerSize)...)
-	to = binary.BigEndian.AppendUint64(to, uint64(r.expires.UnixNano()))
+	to = binary.BigEndian.AppendUint64(to, uint64(r.expiresAt.UnixNano()))
 	var flags byte
 	if r.deleted {
 		flags = 1
@@ -66,37 +66,37 @@
 	return to, nil
 }
 
-// What reading a record at some place found.
-type found int
+// What reading a record at some place readResult.
+type readResult int
 
 const (
-	whole   found = iota // a record
-	cut                  // the file ends within a record: a write that never finished
-	corrupt              // bytes that are no record
+	complete  readResult = iota // a record
+	truncated                   // the file ends within a record: a write that never finished
+	corrupt                     // bytes that are no record
 )
 
 // readRecord reads the record at the start of b, and gives its size on disk.
-func readRecord(b []byte) (record, int, found) {
+func readRecord(b []byte) (record, int, readResult) {
 	if len(b) < headerSize {
-		return record{}, 0, cut
+		return record{}, 0, truncated
 	}
 	length := binary.BigEndian.Uint32(b)
-	if crc32.Checksum(b[:4], castagnoli) != binary.BigEndian.Uint32(b[4:]) || length < fixed || length > maxRecord {
+	if crc32.Checksum(b[:4], castagnoli) != binary.BigEndian.Uint32(b[4:]) || length < payloadFixedSize || length > maxPayloadBytes {
 		return record{}, 0, corrupt
 	}
 	size := headerSize + int(length)
 	if len(b) < size {
-		return record{}, 0, cut
+		return record{}, 0, truncated
 	}
 	payload := b[headerSize:size]
 	if crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(b[8:]) {
 		return record{}, 0, corrupt
 	}
 	keyLen := int(binary.BigEndian.Uint16(payload[9:]))
-	if fixed+keyLen > len(payload) || payload[8] > 1 {
+	if payloadFixedSize+keyLen > len(payload) || payload[8] > 1 {
 		return record{}, 0, corrupt
 	}
-	r := record{key: string(payload[fixed : fixed+keyLen]), value: append([]byte(nil), payload[fixed+keyLen:]...),
-		expires: time.Unix(0, int64(binary.BigEndian.Uint64(payload))), deleted: payload[8] == 1}
-	return r, size, whole
+	r := record{key: string(payload[payloadFixedSize : payloadFixedSize+keyLen]), value: append([]byte(nil), payload[payloadFixedSize+keyLen:]...),
+		expiresAt: time.Unix(0, int64(binary.BigEndian.Uint64(payload))), deleted: payload[8] == 1}
+	return r, size, complete
 }
--- a/store/store.go
+++ b/store/store.go
@@ -88,42 +88,42 @@
 	ExpiresAt time.Time
 }
 
-// place is where a key's latest record lies.
-type place struct {
-	segment int
-	offset  int64
-	size    int
-	expires time.Time // of its value; the zero time where it is a deletion
-	keep    time.Time // until when the record must stay: it hides older ones until they expire
+// recordLocation is where a key's latest record lies.
+type recordLocation struct {
+	segment     int
+	offset      int64
+	size        int
+	expiresAt   time.Time // of its value; the zero time where it is a deletion
+	retainUntil time.Time // until when the record must stay: it hides older ones until they expire
 }
 
 // Store is an open store. Its methods are safe for concurrent use. Put and
 // Delete never wait for I/O: the writer's goroutine does it.
 type Store struct {
-	opt Options
+	options Options
 
-	mu     sync.Mutex // for what writers hand in
-	queue  []write
-	wake   chan struct{}
-	closed bool
-	err    error // of a write or a compaction, which stops all after it
+	queueMu sync.Mutex // for what writers hand in
+	queue   []pendingWrite
+	wake    chan struct{}
+	closed  bool
+	failure error // of a write or a compaction, which stops all after it
 
-	ix        sync.Mutex // for the index, held while a compaction moves it
-	index     map[string]place
+	indexMu   sync.Mutex // for the index, held while a compaction moves it
+	index     map[string]recordLocation
 	live      int64        // bytes of the records that the index points at
 	liveBytes atomic.Int64 // the same, for Put, which must not wait for a compaction
 
 	// The writer's goroutine alone has these.
-	segments []int // numbers, oldest first; the last is written to
-	file     *os.File
-	size     int64 // of the last segment
-	done     chan struct{}
+	segments    []int // numbers, oldest first; the last is written to
+	active      *os.File
+	activeBytes int64 // of the last segment
+	writerDone  chan struct{}
 }
 
-// write is a record that waits for the writer.
-type write struct {
-	r    record
-	done func(error)
+// pendingWrite is a record that waits for the writer.
+type pendingWrite struct {
+	record record
+	done   func(error)
 }
 
 // Open opens the store in a folder, making it if need be, and recovers what it
@@ -141,15 +141,15 @@
 	if err := os.MkdirAll(opt.Dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("store: %w", err)
 	}
-	s := &Store{opt: opt, index: map[string]place{}, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	rec, err := s.recover(true)
+	s := &Store{options: opt, index: map[string]recordLocation{}, wake: make(chan struct{}, 1), writerDone: make(chan struct{})}
+	rec, err := s.recoverSegments(true)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := s.openLast(); err != nil {
+	if err := s.openActiveSegment(); err != nil {
 		return nil, nil, err
 	}
-	go s.writer()
+	go s.runWriter()
 	return s, rec, nil
 }
 
@@ -158,14 +158,14 @@
 // Inspect reads a store's folder as Open would, and changes nothing in it: what
 // Open would cut off is counted, not cut. The folder may be in use.
 func Inspect(dir string, now time.Time) (*Recovered, error) {
-	s := &Store{opt: Options{Dir: dir, Now: func() time.Time { return now }}, index: map[string]place{}}
-	return s.recover(false)
+	s := &Store{options: Options{Dir: dir, Now: func() time.Time { return now }}, index: map[string]recordLocation{}}
+	return s.recoverSegments(false)
 }
 
-// recover reads the segments, builds the index and gives the values. With
+// recoverSegments reads the segments, builds the index and gives the values. With
 // repair, it removes what a compaction left, and cuts off what can't be read.
-func (s *Store) recover(repair bool) (*Recovered, error) {
-	names, err := filepath.Glob(filepath.Join(s.opt.Dir, "*"))
+func (s *Store) recoverSegments(repair bool) (*Recovered, error) {
+	names, err := filepath.Glob(filepath.Join(s.options.Dir, "*"))
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -182,9 +182,9 @@
 	}
 	sort.Ints(s.segments)
 	rec := &Recovered{Values: map[string]Value{}}
-	now := s.opt.Now()
+	now := s.options.Now()
 	for i, n := range s.segments {
-		path := filepath.Join(s.opt.Dir, segmentName(n))
+		path := filepath.Join(s.options.Dir, segmentName(n))
 		b, err := os.ReadFile(path)
 		if err != nil {
 			return nil, fmt.Errorf("store: %w", err)
@@ -192,35 +192,35 @@
 		var offset int64
 		for offset < int64(len(b)) {
 			r, size, what := readRecord(b[offset:])
-			if what == corrupt && allZero(b[offset:]) { // space that a crash left unwritten
-				what = cut
+			if what == corrupt && isZero(b[offset:]) { // space that a crash left unwritten
+				what = truncated
 			}
-			if what == cut && i == len(s.segments)-1 {
+			if what == truncated && i == len(s.segments)-1 {
 				rec.TruncatedBytes = int64(len(b)) - offset
 				if err := s.repair(repair, func() error { return os.Truncate(path, offset) }); err != nil {
 					return nil, err
 				}
 				break
 			}
-			if what != whole { // reported once: the rest is cut off, so that what comes after is read
+			if what != complete { // reported once: the rest is cut off, so that what comes after is read
 				rec.Losses = append(rec.Losses, Loss{Segment: segmentName(n), Offset: offset, Bytes: int64(len(b)) - offset})
 				if err := s.repair(repair, func() error { return os.Truncate(path, offset) }); err != nil {
 					return nil, err
 				}
 				break
 			}
-			s.apply(r, place{segment: n, offset: offset, size: size})
-			if r.deleted || !r.expires.After(now) {
+			s.addToIndex(r, recordLocation{segment: n, offset: offset, size: size})
+			if r.deleted || !r.expiresAt.After(now) {
 				delete(rec.Values, r.key)
 			} else {
-				rec.Values[r.key] = Value{Bytes: r.value, ExpiresAt: r.expires}
+				rec.Values[r.key] = Value{Bytes: r.value, ExpiresAt: r.expiresAt}
 			}
 			offset += int64(size)
 		}
 	}
 	for key, p := range s.index { // what need not stay is not live
-		if !p.keep.After(now) {
-			s.forget(key)
+		if !p.retainUntil.After(now) {
+			s.removeFromIndex(key)
 		}
 	}
 	return rec, nil
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func allZero(b []byte) bool {
+func isZero(b []byte) bool {
 	for _, c := range b {
 		if c != 0 {
 			return false
@@ -246,23 +246,23 @@
 	return true
 }
 
-// apply puts a record at its place in the index, keeping it as long as what
+// addToIndex puts a record at its place in the index, keeping it as long as what
 // it hides.
-func (s *Store) apply(r record, p place) {
-	p.keep = r.expires
-	if old, ok := s.index[r.key]; ok && old.keep.After(p.keep) {
-		p.keep = old.keep
+func (s *Store) addToIndex(r record, p recordLocation) {
+	p.retainUntil = r.expiresAt
+	if old, ok := s.index[r.key]; ok && old.retainUntil.After(p.retainUntil) {
+		p.retainUntil = old.retainUntil
 	}
 	if !r.deleted {
-		p.expires = r.expires
+		p.expiresAt = r.expiresAt
 	}
-	s.forget(r.key)
+	s.removeFromIndex(r.key)
 	s.index[r.key] = p
 	s.live += int64(p.size)
 	s.liveBytes.Store(s.live)
 }
 
-func (s *Store) forget(key string) {
+func (s *Store) removeFromIndex(key string) {
 	if old, ok := s.index[key]; ok {
 		s.live -= int64(old.size)
 		s.liveBytes.Store(s.live)
@@ -270,12 +270,12 @@
 	}
 }
 
-// openLast opens the newest segment for writing, a new one where there is none.
-func (s *Store) openLast() error {
+// openActiveSegment opens the newest segment for writing, a new one where there is none.
+func (s *Store) openActiveSegment() error {
 	if len(s.segments) == 0 {
 		s.segments = []int{1}
 	}
-	path := filepath.Join(s.opt.Dir, segmentName(s.segments[len(s.segments)-1]))
+	path := filepath.Join(s.options.Dir, segmentName(s.segments[len(s.segments)-1]))
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
@@ -285,12 +285,12 @@
 		f.Close()
 		return fmt.Errorf("store: %w", err)
 	}
-	s.file, s.size = f, info.Size()
-	return syncDir(s.opt.Dir)
+	s.active, s.activeBytes = f, info.Size()
+	return syncDirectory(s.options.Dir)
 }
 
-// syncDir makes the names in a folder durable.
-func syncDir(dir string) error {
+// syncDirectory makes the names in a folder durable.
+func syncDirectory(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
@@ -306,36 +306,36 @@
 // write is durable, or why it is not (ErrFull, ErrClosed, an I/O error). done
 // must not block.
 func (s *Store) Put(key string, value []byte, expires time.Time, done func(error)) {
-	s.put(record{key: key, value: value, expires: expires}, done)
+	s.enqueue(record{key: key, value: value, expiresAt: expires}, done)
 }
 
 // Delete takes a key out; done as for Put.
 func (s *Store) Delete(key string, done func(error)) {
-	s.ix.Lock()
+	s.indexMu.Lock()
 	p, ok := s.index[key]
-	s.ix.Unlock()
+	s.indexMu.Unlock()
 	if !ok { // nothing of it is on disk that could come back
 		done(nil)
 		return
 	}
-	s.put(record{key: key, expires: p.keep, deleted: true}, done)
+	s.enqueue(record{key: key, expiresAt: p.retainUntil, deleted: true}, done)
 }
 
-func (s *Store) put(r record, done func(error)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (s *Store) enqueue(r record, done func(error)) {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
 	switch {
 	case s.closed:
 		done(ErrClosed)
 		return
-	case s.err != nil:
-		done(s.err)
+	case s.failure != nil:
+		done(s.failure)
 		return
-	case s.liveBytes.Load()+int64(headerSize+fixed+len(r.key)+len(r.value)) > s.opt.MaxBytes:
+	case s.liveBytes.Load()+int64(headerSize+payloadFixedSize+len(r.key)+len(r.value)) > s.options.MaxBytes:
 		done(ErrFull)
 		return
 	}
-	s.queue = append(s.queue, write{r, done})
+	s.queue = append(s.queue, pendingWrite{r, done})
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -345,14 +345,14 @@
 // Get gives a key's value, if it has one that has not expired. It reads it from
 // disk: the index holds places, not values.
 func (s *Store) Get(key string) (Value, bool, error) {
-	s.ix.Lock()
-	defer s.ix.Unlock()
+	s.indexMu.Lock()
+	defer s.indexMu.Unlock()
 	p, ok := s.index[key]
-	if !ok || p.expires.IsZero() || !p.expires.After(s.opt.Now()) {
+	if !ok || p.expiresAt.IsZero() || !p.expiresAt.After(s.options.Now()) {
 		return Value{}, false, nil
 	}
 	b := make([]byte, p.size)
-	f, err := os.Open(filepath.Join(s.opt.Dir, segmentName(p.segment)))
+	f, err := os.Open(filepath.Join(s.options.Dir, segmentName(p.segment)))
 	if err != nil {
 		return Value{}, false, fmt.Errorf("store: %w", err)
 	}
@@ -361,17 +361,17 @@
 		return Value{}, false, fmt.Errorf("store: %w", err)
 	}
 	r, _, what := readRecord(b)
-	if what != whole || r.key != key {
+	if what != complete || r.key != key {
 		return Value{}, false, fmt.Errorf("store: %s at %d: the record is not whole", segmentName(p.segment), p.offset)
 	}
-	return Value{Bytes: r.value, ExpiresAt: r.expires}, true, nil
+	return Value{Bytes: r.value, ExpiresAt: r.expiresAt}, true, nil
 }
 
 // Len is the number of keys that the index holds: with a value, or deleted
 // while an older value could come back.
 func (s *Store) Len() int {
-	s.ix.Lock()
-	defer s.ix.Unlock()
+	s.indexMu.Lock()
+	defer s.indexMu.Unlock()
 	return len(s.index)
 }
 
@@ -380,21 +380,21 @@
 
 // Close writes what waits, and closes the store.
 func (s *Store) Close() error {
-	s.mu.Lock()
+	s.queueMu.Lock()
 	if s.closed {
-		s.mu.Unlock()
+		s.queueMu.Unlock()
 		return nil
 	}
 	s.closed = true
-	s.mu.Unlock()
+	s.queueMu.Unlock()
 	close(s.wake)
-	<-s.done
-	return s.file.Close()
+	<-s.writerDone
+	return s.active.Close()
 }
 
-// writer writes what comes, a group at a time, until Close.
-func (s *Store) writer() {
-	defer close(s.done)
+// runWriter writes what comes, a group at a time, until Close.
+func (s *Store) runWriter() {
+	defer close(s.writerDone)
 	var buf []byte
 	for range s.wake {
 		s.flush(&buf)
@@ -404,41 +404,41 @@
 
 // flush writes the queue as one group, syncs, and tells the writers.
 func (s *Store) flush(buf *[]byte) {
-	s.mu.Lock()
+	s.queueMu.Lock()
 	group := s.queue
 	s.queue = nil
-	s.mu.Unlock()
+	s.queueMu.Unlock()
 	if len(group) == 0 {
 		return
 	}
 	*buf = (*buf)[:0]
-	places := make([]place, len(group))
+	places := make([]recordLocation, len(group))
 	var err error
 	for i, w := range group {
 		start := len(*buf)
-		if *buf, err = appendRecord(*buf, w.r); err != nil {
+		if *buf, err = appendRecord(*buf, w.record); err != nil {
 			w.done(err)
 			group[i].done = nil
 			continue
 		}
-		places[i] = place{segment: s.segments[len(s.segments)-1], offset: s.size + int64(start), size: len(*buf) - start}
+		places[i] = recordLocation{segment: s.segments[len(s.segments)-1], offset: s.activeBytes + int64(start), size: len(*buf) - start}
 	}
-	if _, err = s.file.Write(*buf); err == nil && s.opt.Sync == SyncAlways {
-		err = s.file.Sync()
+	if _, err = s.active.Write(*buf); err == nil && s.options.Sync == SyncAlways {
+		err = s.active.Sync()
 	}
 	if err == nil {
-		s.size += int64(len(*buf))
-		s.ix.Lock()
+		s.activeBytes += int64(len(*buf))
+		s.indexMu.Lock()
 		for i, w := range group {
 			if w.done != nil {
-				s.apply(w.r, places[i])
+				s.addToIndex(w.record, places[i])
 			}
 		}
-		s.ix.Unlock()
+		s.indexMu.Unlock()
 	} else {
-		s.stop(err) // a write that may be half done stops all after it
+		s.fail(err) // a write that may be half done stops all after it
 	}
-	seal := err == nil && s.size >= s.opt.SegmentBytes
+	seal := err == nil && s.activeBytes >= s.options.SegmentBytes
 	for _, w := range group {
 		if w.done != nil {
 			w.done(s.wrap(err))
@@ -449,12 +449,12 @@
 	}
 }
 
-// stop has all writes refused from now on, with the error.
-func (s *Store) stop(err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.err == nil {
-		s.err = fmt.Errorf("store: %w", err)
+// fail has all writes refused from now on, with the error.
+func (s *Store) fail(err error) {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
+	if s.failure == nil {
+		s.failure = fmt.Errorf("store: %w", err)
 	}
 }
 
@@ -468,32 +468,32 @@
 // seal starts a new segment, and compacts the sealed ones where most of what
 // they hold is dead.
 func (s *Store) seal() {
-	if err := s.newSegment(); err != nil {
-		s.stop(err)
+	if err := s.startSegment(); err != nil {
+		s.fail(err)
 		return
 	}
-	s.ix.Lock()
-	defer s.ix.Unlock()
+	s.indexMu.Lock()
+	defer s.indexMu.Unlock()
 	sealed := s.segments[:len(s.segments)-1]
-	if on := int64(len(sealed)) * s.opt.SegmentBytes; on > 2*s.live {
+	if on := int64(len(sealed)) * s.options.SegmentBytes; on > 2*s.live {
 		if err := s.compact(sealed); err != nil {
-			s.stop(err)
+			s.fail(err)
 		}
 	}
 }
 
-// newSegment starts the next segment.
-func (s *Store) newSegment() error {
+// startSegment starts the next segment.
+func (s *Store) startSegment() error {
 	next := s.segments[len(s.segments)-1] + 1
-	f, err := os.OpenFile(filepath.Join(s.opt.Dir, segmentName(next)), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	f, err := os.OpenFile(filepath.Join(s.options.Dir, segmentName(next)), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err == nil {
-		err = syncDir(s.opt.Dir)
+		err = syncDirectory(s.options.Dir)
 	}
 	if err != nil {
 		return err
 	}
-	s.file.Close()
-	s.file, s.size = f, 0
+	s.active.Close()
+	s.active, s.activeBytes = f, 0
 	s.segments = append(s.segments, next)
 	return nil
 }
@@ -504,7 +504,7 @@
 // writer's next group does.
 func (s *Store) compact(sealed []int) error {
 	last := sealed[len(sealed)-1]
-	tmp := filepath.Join(s.opt.Dir, segmentName(last)+".tmp")
+	tmp := filepath.Join(s.options.Dir, segmentName(last)+".tmp")
 	keys := make([]string, 0, len(s.index))
 	for key, p := range s.index {
 		if slices.Contains(sealed, p.segment) {
@@ -515,9 +515,9 @@
 		a, b := s.index[keys[i]], s.index[keys[j]]
 		return a.segment < b.segment || a.segment == b.segment && a.offset < b.offset
 	})
-	now := s.opt.Now()
+	now := s.options.Now()
 	var out []byte
-	moved := map[string]place{}
+	moved := map[string]recordLocation{}
 	files := map[int]*os.File{}
 	defer func() {
 		for _, f := range files {
@@ -526,13 +526,13 @@
 	}()
 	for _, key := range keys {
 		p := s.index[key]
-		if !p.keep.After(now) {
+		if !p.retainUntil.After(now) {
 			continue
 		}
 		f := files[p.segment]
 		if f == nil {
 			var err error
-			if f, err = os.Open(filepath.Join(s.opt.Dir, segmentName(p.segment))); err != nil {
+			if f, err = os.Open(filepath.Join(s.options.Dir, segmentName(p.segment))); err != nil {
 				return fmt.Errorf("store: compaction: %w", err)
 			}
 			files[p.segment] = f
@@ -541,20 +541,20 @@
 		if _, err := f.ReadAt(b, p.offset); err != nil {
 			return fmt.Errorf("store: compaction: %w", err)
 		}
-		moved[key] = place{segment: last, offset: int64(len(out)), size: p.size, expires: p.expires, keep: p.keep}
+		moved[key] = recordLocation{segment: last, offset: int64(len(out)), size: p.size, expiresAt: p.expiresAt, retainUntil: p.retainUntil}
 		out = append(out, b...)
 	}
-	if err := writeDurably(tmp, out); err != nil {
+	if err := writeFileDurably(tmp, out); err != nil {
 		return err
 	}
-	if err := os.Rename(tmp, filepath.Join(s.opt.Dir, segmentName(last))); err != nil {
+	if err := os.Rename(tmp, filepath.Join(s.options.Dir, segmentName(last))); err != nil {
 		return fmt.Errorf("store: compaction: %w", err)
 	}
-	if err := syncDir(s.opt.Dir); err != nil {
+	if err := syncDirectory(s.options.Dir); err != nil {
 		return err
 	}
 	for _, n := range sealed[:len(sealed)-1] {
-		if err := os.Remove(filepath.Join(s.opt.Dir, segmentName(n))); err != nil {
+		if err := os.Remove(filepath.Join(s.options.Dir, segmentName(n))); err != nil {
 			return fmt.Errorf("store: compaction: %w", err)
 		}
 	}
@@ -563,16 +563,16 @@
 			if q, ok := moved[key]; ok {
 				s.index[key] = q
 			} else {
-				s.forget(key)
+				s.removeFromIndex(key)
 			}
 		}
 	}
 	s.segments = append([]int{last}, s.segments[len(sealed):]...)
-	return syncDir(s.opt.Dir)
+	return syncDirectory(s.options.Dir)
 }
 
-// writeDurably writes a file whole and syncs it.
-func writeDurably(path string, b []byte) error {
+// writeFileDurably writes a file whole and syncs it.
+func writeFileDurably(path string, b []byte) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -219,18 +219,18 @@
 	for _, part := range crashSteps {
 		apply(t, s, part)
 		all = append(all, part...)
-		if err := s.newSegment(); err != nil { // the writer waits: all that was put is done
+		if err := s.startSegment(); err != nil { // the writer waits: all that was put is done
 			t.Fatal(err)
 		}
 	}
 	c.now = epoch.Add(2500 * time.Millisecond) // "e" and "short" have expired, "long" would not have
 	want := model(all, c.now)
 	before := snapshot(t, dir)
-	s.ix.Lock()
+	s.indexMu.Lock()
 	if err := s.compact(s.segments[:3]); err != nil {
 		t.Fatal(err)
 	}
-	s.ix.Unlock()
+	s.indexMu.Unlock()
 	s.Close()
 	after := snapshot(t, dir)
 	compacted := after[segmentName(3)]
