--- a/store/bench_test.go
+++ b/store/bench_test.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// value is a kept result of a gift's size.
-var value = make([]byte, 200)
+// benchmarkValue has the size of a gift's kept result.
+var benchmarkValue = make([]byte, 200)
 
-func benchPut(b *testing.B, sync SyncPolicy, parallel bool) {
-	s, _, err := Open(Options{Dir: b.TempDir(), Sync: sync, MaxBytes: 1 << 30, SegmentBytes: 64 << 20})
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer s.Close()
-	expires := time.Now().Add(time.Hour)
+// openForBenchmark opens a store whose bounds a benchmark does not meet.
+func openForBenchmark(b *testing.B, dir string, policy SyncPolicy, segmentBytes int64) (*Store, *Recovered) {
+	b.Helper()
+	return openStore(b, Options{Dir: dir, Sync: policy, MaxBytes: 1 << 30, SegmentBytes: segmentBytes})
+}
+
+func benchmarkPut(b *testing.B, policy SyncPolicy, parallel bool) {
+	s, _ := openForBenchmark(b, b.TempDir(), policy, 64<<20)
+	defer closeStore(b, s)
+	expiresAt := time.Now().Add(time.Hour)
 	put := func(i int) {
-		done := make(chan error, 1)
-		s.Put(fmt.Sprint("key/", i), value, expires, func(err error) { done <- err })
-		if err := <-done; err != nil {
-			b.Fatal(err)
+		if err := putAndWait(s, fmt.Sprint("key/", i), benchmarkValue, expiresAt); err != nil {
+			b.Error(err)
 		}
 	}
 	b.ReportAllocs()
@@ -42,35 +43,33 @@
 // BenchmarkPut measures durable writes: one writer at a time, many at a time
 // (grouped into one sync), and without syncing.
 func BenchmarkPut(b *testing.B) {
-	b.Run("fsync-one-writer", func(b *testing.B) { benchPut(b, SyncAlways, false) })
-	b.Run("fsync-grouped", func(b *testing.B) { benchPut(b, SyncAlways, true) })
-	b.Run("no-fsync", func(b *testing.B) { benchPut(b, SyncNever, true) })
+	b.Run("fsync-one-writer", func(b *testing.B) { benchmarkPut(b, SyncAlways, false) })
+	b.Run("fsync-grouped", func(b *testing.B) { benchmarkPut(b, SyncAlways, true) })
+	b.Run("no-fsync", func(b *testing.B) { benchmarkPut(b, SyncNever, true) })
 }
 
 // BenchmarkRecover measures an Open that reads 100,000 records.
 func BenchmarkRecover(b *testing.B) {
+	const records = 100_000
 	dir := b.TempDir()
-	s, _, err := Open(Options{Dir: dir, Sync: SyncNever, MaxBytes: 1 << 30, SegmentBytes: 1 << 30})
-	if err != nil {
-		b.Fatal(err)
-	}
-	expires := time.Now().Add(time.Hour)
-	done := make(chan error, 100_000)
-	for i := range 100_000 {
-		s.Put(fmt.Sprint("key/", i), value, expires, func(err error) { done <- err })
+	s, _ := openForBenchmark(b, dir, SyncNever, 1<<30)
+	expiresAt := time.Now().Add(time.Hour)
+	done := make(chan error, records)
+	for i := range records {
+		s.Put(fmt.Sprint("key/", i), benchmarkValue, expiresAt, func(err error) { done <- err })
 	}
-	for range 100_000 {
+	for range records {
 		if err := <-done; err != nil {
 			b.Fatal(err)
 		}
 	}
-	s.Close()
+	closeStore(b, s)
 	for b.Loop() {
-		s, rec, err := Open(Options{Dir: dir, Sync: SyncNever, MaxBytes: 1 << 30, SegmentBytes: 1 << 30})
-		if err != nil || len(rec.Values) != 100_000 {
-			b.Fatalf("%v, %d values", err, len(rec.Values))
+		s, recovered := openForBenchmark(b, dir, SyncNever, 1<<30)
+		if len(recovered.Values) != records {
+			b.Fatalf("%d values", len(recovered.Values))
 		}
-		s.Close()
+		closeStore(b, s)
 	}
 }
 
@@ -86,19 +85,19 @@
 	}
 	for b.Loop() {
 		before := heap()
-		s := &Store{index: map[string]recordLocation{}}
+		index := newRecordIndex()
 		for i := range keys {
-			s.addToIndex(record{key: fmt.Sprint("key/", i), expiresAt: time.Now()}, recordLocation{size: 240})
+			index.add(record{key: fmt.Sprint("key/", i), expiresAt: time.Now()}, recordLocation{size: 240})
 		}
 		indexed := heap() - before
 		before = heap()
 		plain := map[string][]byte{}
 		for i := range keys {
-			plain[fmt.Sprint("key/", i)] = append([]byte(nil), value...)
+			plain[fmt.Sprint("key/", i)] = append([]byte(nil), benchmarkValue...)
 		}
 		b.ReportMetric(float64(indexed)/keys, "index-B/key")
 		b.ReportMetric(float64(heap()-before)/keys, "map-with-values-B/key")
-		runtime.KeepAlive(s)
+		runtime.KeepAlive(&index)
 		runtime.KeepAlive(plain)
 	}
 }
--- /dev/null
+++ b/store/compaction.go
@@ -0,0 +1,130 @@
+package store
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+)
+
+// compactionRatio is how many times the live bytes the sealed segments must
+// exceed for a compaction.
+const compactionRatio = 2
+
+// compactIfDue compacts the sealed segments where most of what they hold is no
+// longer live.
+func (s *Store) compactIfDue() error {
+	s.indexMu.Lock()
+	defer s.indexMu.Unlock()
+	sealed := s.sealedSegments()
+	sealedBytes := int64(len(sealed)) * s.options.SegmentBytes
+	if sealedBytes <= compactionRatio*s.LiveBytes() {
+		return nil
+	}
+	return s.compact(sealed)
+}
+
+// compact replaces the sealed segments, which must be the oldest ones, by one
+// segment with the number of the last of them, which holds the records that must
+// be retained. The caller holds indexMu.
+func (s *Store) compact(sealed []int) error {
+	target := newCompactedSegment(sealed[len(sealed)-1])
+	retained := s.retainedRecords(target.number)
+	for _, segment := range sealed {
+		if err := target.copyFrom(s.segmentPath(segment), retained[segment]); err != nil {
+			return fmt.Errorf("store: compaction: %w", err)
+		}
+	}
+	if err := s.installCompacted(target); err != nil {
+		return err
+	}
+	if err := s.removeSegments(sealed[:len(sealed)-1]); err != nil {
+		return err
+	}
+	s.index.relocate(target.number, target.locations)
+	s.segments = append([]int{target.number}, s.segments[len(sealed):]...)
+	return syncDirectory(s.options.Dir)
+}
+
+// indexedRecord is a record in the index.
+type indexedRecord struct {
+	key      string
+	location recordLocation
+}
+
+// retainedRecords returns the records that a compaction of the segments up to
+// last must keep, by segment and in the order in which they were written.
+func (s *Store) retainedRecords(last int) map[int][]indexedRecord {
+	now := s.options.Now()
+	bySegment := map[int][]indexedRecord{}
+	for key, location := range s.index.locations {
+		if location.segment <= last && location.retainUntil.After(now) {
+			bySegment[location.segment] = append(bySegment[location.segment], indexedRecord{key, location})
+		}
+	}
+	for _, records := range bySegment {
+		slices.SortFunc(records, func(a, b indexedRecord) int {
+			return cmp.Compare(a.location.offset, b.location.offset)
+		})
+	}
+	return bySegment
+}
+
+// compactedSegment is the segment that a compaction writes.
+type compactedSegment struct {
+	number    int
+	data      []byte
+	locations map[string]recordLocation // of its records, by key
+}
+
+func newCompactedSegment(number int) *compactedSegment {
+	return &compactedSegment{number: number, locations: map[string]recordLocation{}}
+}
+
+// copyFrom appends records of the sealed segment at a path.
+func (c *compactedSegment) copyFrom(path string, records []indexedRecord) (err error) {
+	if len(records) == 0 {
+		return nil
+	}
+	f, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, f.Close()) }()
+	for _, r := range records {
+		start := len(c.data)
+		c.data = append(c.data, make([]byte, r.location.size)...)
+		if _, err := f.ReadAt(c.data[start:], r.location.offset); err != nil {
+			return err
+		}
+		moved := r.location
+		moved.segment, moved.offset = c.number, int64(start)
+		c.locations[r.key] = moved
+	}
+	return nil
+}
+
+// installCompacted puts a compacted segment in the place of the sealed segment
+// of the same number, durably and in one step.
+func (s *Store) installCompacted(c *compactedSegment) error {
+	path := s.segmentPath(c.number)
+	temporary := path + temporarySuffix
+	if err := writeFileDurably(temporary, c.data); err != nil {
+		return fmt.Errorf("store: compaction: %w", err)
+	}
+	if err := os.Rename(temporary, path); err != nil {
+		return fmt.Errorf("store: compaction: %w", err)
+	}
+	return syncDirectory(s.options.Dir)
+}
+
+// removeSegments removes the files of segments, in the order given.
+func (s *Store) removeSegments(segments []int) error {
+	for _, segment := range segments {
+		if err := os.Remove(s.segmentPath(segment)); err != nil {
+			return fmt.Errorf("store: compaction: %w", err)
+		}
+	}
+	return nil
+}
--- a/store/record.go
+++ b/store/record.go
@@ -2,34 +2,47 @@
 
 import (
 	"encoding/binary"
-	"errors"
 	"hash/crc32"
 	"time"
 )
 
-// A record on disk:
+// A record on disk, with integers in big-endian order:
 //
-//	length  u32   of what follows the header
-//	hcrc    u32   CRC-32C of length
-//	pcrc    u32   CRC-32C of the payload
-//	payload       expires u64 (Unix ns), flags u8 (1: a deletion), key length u16, key, value
+//	payload length  u32
+//	header CRC      u32  CRC-32C of the payload length
+//	payload CRC     u32  CRC-32C of the payload
+//	payload:
+//	  expiry        u64  Unix time in nanoseconds
+//	  flags         u8   1 for a deletion
+//	  key length    u16
+//	  key
+//	  value
 //
-// A deletion's expires is how long it must be kept: until the values that it
-// hides, in segments that a compaction cut short may leave behind, expire.
+// The expiry of a deletion is until when it must be retained: until the values
+// that it hides, in segments that a crash in a compaction may leave, expire.
 //
-// The header's own CRC tells a cut record (its header or payload not all
-// there, at the end of the file) from a corrupt one (a header whose CRC fails,
-// or a payload whose CRC fails, though all its bytes are there): the first is
-// a write that never finished, the second is a loss. Integers are big-endian.
+// The header has a CRC of its own so that a truncated record, whose header or
+// payload ends with the file, can be told from a corrupt one, which has all its
+// bytes and fails a CRC: the first is a write that never finished, the second is
+// a loss.
 const (
-	headerSize      = 12
+	headerSize       = 12
+	headerCRCOffset  = 4
+	payloadCRCOffset = 8
+
+	payloadFixedSize = 11 // of a payload without its key and value
+	flagsOffset      = 8
+	keyLengthOffset  = 9
+
+	flagDeleted = 1
+
 	maxKeyBytes     = 1 << 12
-	maxPayloadBytes = 1 << 20 // of a payload
+	maxPayloadBytes = 1 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one key's value as the log keeps it, or its deletion.
+// record is a key's value, or its deletion.
 type record struct {
 	key       string
 	value     []byte
@@ -37,66 +50,89 @@
 	deleted   bool
 }
 
-// payloadFixedSize is the size of a payload without its key and value.
-const payloadFixedSize = 11
+func (r record) payloadSize() int { return payloadFixedSize + len(r.key) + len(r.value) }
 
-// errTooLarge is given for a record over maxRecord, or a key over maxKey.
-var errTooLarge = errors.New("record too large")
+// encodedSize is the size on disk.
+func (r record) encodedSize() int64 { return int64(headerSize + r.payloadSize()) }
 
-// appendRecord appends the bytes of a record.
-func appendRecord(to []byte, r record) ([]byte, error) {
-	if len(r.key) > maxKeyBytes || payloadFixedSize+len(r.key)+len(r.value) > maxPayloadBytes {
-		return to, errTooLarge
+// checkSize returns errTooLarge for a record that cannot be encoded.
+func (r record) checkSize() error {
+	if len(r.key) > maxKeyBytes || r.payloadSize() > maxPayloadBytes {
+		return errTooLarge
 	}
+	return nil
+}
+
+// appendRecord appends the encoding of a record, whose size was checked.
+func appendRecord(to []byte, r record) []byte {
 	start := len(to)
 	to = append(to, make([]byte, headerSize)...)
 	to = binary.BigEndian.AppendUint64(to, uint64(r.expiresAt.UnixNano()))
 	var flags byte
 	if r.deleted {
-		flags = 1
+		flags = flagDeleted
 	}
 	to = append(to, flags)
 	to = binary.BigEndian.AppendUint16(to, uint16(len(r.key)))
 	to = append(to, r.key...)
 	to = append(to, r.value...)
-	payload := to[start+headerSize:]
-	binary.BigEndian.PutUint32(to[start:], uint32(len(payload)))
-	binary.BigEndian.PutUint32(to[start+4:], crc32.Checksum(to[start:start+4], castagnoli))
-	binary.BigEndian.PutUint32(to[start+8:], crc32.Checksum(payload, castagnoli))
-	return to, nil
+
+	header, payload := to[start:start+headerSize], to[start+headerSize:]
+	binary.BigEndian.PutUint32(header, uint32(len(payload)))
+	binary.BigEndian.PutUint32(header[headerCRCOffset:], checksum(header[:headerCRCOffset]))
+	binary.BigEndian.PutUint32(header[payloadCRCOffset:], checksum(payload))
+	return to
 }
 
-// What reading a record at some place readResult.
+func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
+
+// readResult says what readRecord found.
 type readResult int
 
 const (
-	complete  readResult = iota // a record
-	truncated                   // the file ends within a record: a write that never finished
-	corrupt                     // bytes that are no record
+	complete  readResult = iota
+	truncated            // the data ends within the record
+	corrupt              // the data is no record
 )
 
-// readRecord reads the record at the start of b, and gives its size on disk.
-func readRecord(b []byte) (record, int, readResult) {
-	if len(b) < headerSize {
+// readRecord decodes the record at the start of data, and returns its size on
+// disk. The record does not share memory with data.
+func readRecord(data []byte) (record, int, readResult) {
+	if len(data) < headerSize {
 		return record{}, 0, truncated
 	}
-	length := binary.BigEndian.Uint32(b)
-	if crc32.Checksum(b[:4], castagnoli) != binary.BigEndian.Uint32(b[4:]) || length < payloadFixedSize || length > maxPayloadBytes {
+	length := binary.BigEndian.Uint32(data)
+	if checksum(data[:headerCRCOffset]) != binary.BigEndian.Uint32(data[headerCRCOffset:]) {
+		return record{}, 0, corrupt
+	}
+	if length < payloadFixedSize || length > maxPayloadBytes {
 		return record{}, 0, corrupt
 	}
 	size := headerSize + int(length)
-	if len(b) < size {
+	if len(data) < size {
 		return record{}, 0, truncated
 	}
-	payload := b[headerSize:size]
-	if crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(b[8:]) {
+	payload := data[headerSize:size]
+	if checksum(payload) != binary.BigEndian.Uint32(data[payloadCRCOffset:]) {
 		return record{}, 0, corrupt
 	}
-	keyLen := int(binary.BigEndian.Uint16(payload[9:]))
-	if payloadFixedSize+keyLen > len(payload) || payload[8] > 1 {
+	r, ok := decodePayload(payload)
+	if !ok {
 		return record{}, 0, corrupt
 	}
-	r := record{key: string(payload[payloadFixedSize : payloadFixedSize+keyLen]), value: append([]byte(nil), payload[payloadFixedSize+keyLen:]...),
-		expiresAt: time.Unix(0, int64(binary.BigEndian.Uint64(payload))), deleted: payload[8] == 1}
 	return r, size, complete
 }
+
+func decodePayload(payload []byte) (record, bool) {
+	flags := payload[flagsOffset]
+	keyEnd := payloadFixedSize + int(binary.BigEndian.Uint16(payload[keyLengthOffset:]))
+	if flags > flagDeleted || keyEnd > len(payload) {
+		return record{}, false
+	}
+	return record{
+		key:       string(payload[payloadFixedSize:keyEnd]),
+		value:     append([]byte(nil), payload[keyEnd:]...),
+		expiresAt: time.Unix(0, int64(binary.BigEndian.Uint64(payload))),
+		deleted:   flags == flagDeleted,
+	}, true
+}
--- /dev/null
+++ b/store/writer.go
@@ -0,0 +1,141 @@
+package store
+
+import "fmt"
+
+// pendingWrite is a record that waits for the writer's goroutine.
+type pendingWrite struct {
+	record record
+	done   func(error)
+}
+
+// enqueue hands a write to the writer's goroutine, or refuses it at once.
+func (s *Store) enqueue(w pendingWrite) {
+	if err := s.tryEnqueue(w); err != nil {
+		w.done(err)
+	}
+}
+
+func (s *Store) tryEnqueue(w pendingWrite) error {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
+	if s.closed {
+		return ErrClosed
+	}
+	if s.failure != nil {
+		return s.failure
+	}
+	if s.LiveBytes()+w.record.encodedSize() > s.options.MaxBytes {
+		return ErrFull
+	}
+	if err := w.record.checkSize(); err != nil {
+		return err
+	}
+	s.queue = append(s.queue, w)
+	select {
+	case s.wake <- struct{}{}:
+	default: // the writer has yet to take the last wake-up
+	}
+	return nil
+}
+
+func (s *Store) takeQueue() []pendingWrite {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
+	group := s.queue
+	s.queue = nil
+	return group
+}
+
+// fail has every later write refused with an error.
+func (s *Store) fail(err error) {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
+	if s.failure == nil {
+		s.failure = err
+	}
+}
+
+// runWriter is the writer's goroutine: it writes the queue as one group each
+// time that it is woken, until Close.
+func (s *Store) runWriter() {
+	defer close(s.writerDone)
+	var buffer []byte
+	for range s.wake {
+		buffer = s.flush(buffer)
+	}
+	s.flush(buffer)
+}
+
+// flush makes the queued records durable as one group and acknowledges them. It
+// encodes them into buffer, and returns that for the next group.
+func (s *Store) flush(buffer []byte) []byte {
+	group := s.takeQueue()
+	if len(group) == 0 {
+		return buffer
+	}
+	buffer, locations := s.encodeGroup(buffer[:0], group)
+	err := s.appendToActive(buffer)
+	if err != nil {
+		s.fail(err)
+	} else {
+		s.indexGroup(group, locations)
+	}
+	sealDue := err == nil && s.activeBytes >= s.options.SegmentBytes
+	for _, w := range group {
+		w.done(err)
+	}
+	if sealDue {
+		s.seal()
+	}
+	return buffer
+}
+
+// encodeGroup appends the group's records to buffer, and returns the locations
+// that they get in the active segment.
+func (s *Store) encodeGroup(buffer []byte, group []pendingWrite) ([]byte, []recordLocation) {
+	locations := make([]recordLocation, len(group))
+	for i, w := range group {
+		start := len(buffer)
+		buffer = appendRecord(buffer, w.record)
+		locations[i] = recordLocation{
+			segment: s.activeSegment(),
+			offset:  s.activeBytes + int64(start),
+			size:    len(buffer) - start,
+		}
+	}
+	return buffer, locations
+}
+
+// appendToActive appends data to the active segment, durably where the
+// SyncPolicy asks for it. After an error the segment may hold a part of it.
+func (s *Store) appendToActive(data []byte) error {
+	if _, err := s.active.Write(data); err != nil {
+		return fmt.Errorf("store: write segment: %w", err)
+	}
+	if s.options.Sync == SyncAlways {
+		if err := s.active.Sync(); err != nil {
+			return fmt.Errorf("store: sync segment: %w", err)
+		}
+	}
+	s.activeBytes += int64(len(data))
+	return nil
+}
+
+func (s *Store) indexGroup(group []pendingWrite, locations []recordLocation) {
+	s.indexMu.Lock()
+	defer s.indexMu.Unlock()
+	for i, w := range group {
+		s.index.add(w.record, locations[i])
+	}
+}
+
+// seal starts a new segment, and compacts the sealed ones where that is due.
+func (s *Store) seal() {
+	if err := s.startSegment(); err != nil {
+		s.fail(err)
+		return
+	}
+	if err := s.compactIfDue(); err != nil {
+		s.fail(err)
+	}
+}
