--- a/store/errors.go
+++ b/store/errors.go
@@ -1,13 +1,29 @@
 package store
 
-import "errors"
+import (
+	"errors"
+	"fmt"
+)
 
-// ErrFull is given for a write that would take the live records over MaxBytes.
-var ErrFull = errors.New("store: full")
+var (
+	// ErrFull reports a write that would take the live records over
+	// Options.MaxBytes.
+	ErrFull = errors.New("store: full")
 
-// ErrClosed is given for a write after Close.
-var ErrClosed = errors.New("store: closed")
+	// ErrClosed reports a write after Close.
+	ErrClosed = errors.New("store: closed")
 
-// errTooLarge is given for a record over maxPayloadBytes, or a key over
-// maxKeyBytes.
-var errTooLarge = errors.New("record too large")
+	// ErrRecordTooLarge reports a key or a value over the bounds of a record.
+	ErrRecordTooLarge = errors.New("store: record too large")
+)
+
+// CorruptRecordError reports a record that Get found damaged on disk.
+type CorruptRecordError struct {
+	Segment string // file name
+	Offset  int64
+}
+
+// Error implements error.
+func (e *CorruptRecordError) Error() string {
+	return fmt.Sprintf("store: %s at %d: corrupt record", e.Segment, e.Offset)
+}
--- a/store/record.go
+++ b/store/record.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"hash/crc32"
 	"time"
 )
@@ -55,10 +56,14 @@
 // encodedSize is the size on disk.
 func (r record) encodedSize() int64 { return int64(headerSize + r.payloadSize()) }
 
-// checkSize returns errTooLarge for a record that cannot be encoded.
+// checkSize returns ErrRecordTooLarge for a record that cannot be encoded.
 func (r record) checkSize() error {
-	if len(r.key) > maxKeyBytes || r.payloadSize() > maxPayloadBytes {
-		return errTooLarge
+	if len(r.key) > maxKeyBytes {
+		return fmt.Errorf("%w: key %.64q... has %d bytes, at most %d", ErrRecordTooLarge, r.key, len(r.key), maxKeyBytes)
+	}
+	if r.payloadSize() > maxPayloadBytes {
+		return fmt.Errorf("%w: key %.64q needs %d bytes, at most %d",
+			ErrRecordTooLarge, r.key, r.payloadSize(), maxPayloadBytes)
 	}
 	return nil
 }
--- a/store/store.go
+++ b/store/store.go
@@ -104,7 +104,7 @@
 
 // Put writes a key's value, which expires at the time given. It calls done once:
 // with nil when the write is durable, or with the reason why it is not, which is
-// ErrFull, ErrClosed, a record that is too large or an I/O error. done may be called
+// ErrFull, ErrClosed, ErrRecordTooLarge or an I/O error. done may be called
 // before Put returns, and must not block.
 func (s *Store) Put(key string, value []byte, expiresAt time.Time, done func(error)) {
 	s.enqueue(pendingWrite{record{key: key, value: value, expiresAt: expiresAt}, done})
@@ -124,7 +124,8 @@
 }
 
 // Get returns a key's value, and whether it has one that has not expired. It
-// reads the value from disk.
+// reads the value from disk. A damaged record is reported as a
+// *CorruptRecordError.
 func (s *Store) Get(key string) (Value, bool, error) {
 	s.indexMu.Lock()
 	defer s.indexMu.Unlock()
@@ -138,8 +139,7 @@
 	}
 	r, _, result := readRecord(data)
 	if result != complete || r.key != key {
-		return Value{}, false, fmt.Errorf("store: %s at %d: the record is not whole",
-			segmentName(location.segment), location.offset)
+		return Value{}, false, &CorruptRecordError{Segment: segmentName(location.segment), Offset: location.offset}
 	}
 	return Value{Bytes: r.value, ExpiresAt: r.expiresAt}, true, nil
 }
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -36,6 +36,52 @@
 	}
 }
 
+// TestRecordTooLarge puts records at the bounds and just over them.
+func TestRecordTooLarge(t *testing.T) {
+	s, _ := openUnsynced(t, t.TempDir(), &fakeClock{epoch}, 0)
+	defer closeStore(t, s)
+	longestKey := string(make([]byte, maxKeyBytes))
+	largestValue := make([]byte, maxPayloadBytes-payloadFixedSize-len("k"))
+	for _, c := range []struct {
+		name  string
+		key   string
+		value []byte
+		want  error
+	}{
+		{"longest key", longestKey, nil, nil},
+		{"key too long", longestKey + "x", nil, ErrRecordTooLarge},
+		{"largest value", "k", largestValue, nil},
+		{"value too large", "k", append(largestValue, 0), ErrRecordTooLarge},
+	} {
+		if err := putAndWait(s, c.key, c.value, epoch.Add(time.Hour)); !errors.Is(err, c.want) {
+			t.Errorf("%s: got %v, want %v", c.name, err, c.want)
+		}
+	}
+}
+
+// TestGetCorruptRecord damages a record under an open store: Get names its
+// segment and offset.
+func TestGetCorruptRecord(t *testing.T) {
+	dir := t.TempDir()
+	s, _ := openUnsynced(t, dir, &fakeClock{epoch}, 0)
+	defer closeStore(t, s)
+	perform(t, s, []operation{{"first", "value", time.Hour}, {"second", "value", time.Hour}})
+	data := readFile(t, firstSegment(dir))
+	data[len(data)-1] ^= 1
+	writeFile(t, firstSegment(dir), data)
+
+	_, _, err := s.Get("second")
+	var corruptRecord *CorruptRecordError
+	if !errors.As(err, &corruptRecord) {
+		t.Fatalf("got %v, want a *CorruptRecordError", err)
+	}
+	firstSize := record{key: "first", value: []byte("value")}.encodedSize()
+	want := CorruptRecordError{Segment: segmentName(1), Offset: firstSize}
+	if *corruptRecord != want {
+		t.Errorf("got %v, want %v", corruptRecord, &want)
+	}
+}
+
 // TestWriteAfterClose has writes refused once the store is closed.
 func TestWriteAfterClose(t *testing.T) {
 	s, _ := openUnsynced(t, t.TempDir(), &fakeClock{epoch}, 0)
--- a/store/writer.go
+++ b/store/writer.go
@@ -24,8 +24,9 @@
 	if s.failure != nil {
 		return s.failure
 	}
-	if s.LiveBytes()+w.record.encodedSize() > s.options.MaxBytes {
-		return ErrFull
+	if live := s.LiveBytes(); live+w.record.encodedSize() > s.options.MaxBytes {
+		return fmt.Errorf("%w: a record of %d bytes for key %.64q, beside %d live bytes of at most %d",
+			ErrFull, w.record.encodedSize(), w.record.key, live, s.options.MaxBytes)
 	}
 	if err := w.record.checkSize(); err != nil {
 		return err
