--- a/cmd/quincerail/tools.go
+++ b/cmd/quincerail/tools.go
@@ -1,22 +1,20 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
 	"runtime/debug"
 	"slices"
-	"strings"
 	"time"
 
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/describe"
+	"quincerail.example/quincerail/idempotency/journal"
 	"quincerail.example/quincerail/match"
 	"quincerail.example/quincerail/program"
 	"quincerail.example/quincerail/program/operator"
 	"quincerail.example/quincerail/routing"
-	"quincerail.example/quincerail/store"
 )
 
 // checkCmd checks what serve would load, and names every problem, one a line.
@@ -165,57 +163,74 @@
 
 // Run implements the sub-command.
 func (c *keysCmd) Run() error {
-	rec, err := store.Inspect(c.Dir, time.Now())
+	contents, err := journal.Inspect(c.Dir, time.Now())
 	if err != nil {
 		return err
 	}
-	counts := map[string]int{}
-	var lines []string
-	for name, v := range rec.Values {
-		key, ok := strings.CutPrefix(name, "key/")
-		if !ok {
-			if name == "doubt" {
-				fmt.Printf("unknown keys in doubt until %s\n", v.ExpiresAt.Format(time.RFC3339))
-			}
-			continue
-		}
-		var k routing.KeyState
-		if err := json.Unmarshal(v.Bytes, &k); err != nil {
-			counts["unreadable"]++
-			continue
-		}
-		state := "in doubt"
-		switch {
-		case k.Ran == "":
-			state = "not run"
-		case k.Over && k.Result != nil:
-			state = "done"
-		case k.Over:
-			state = "failed"
-		}
-		counts[state]++
-		lines = append(lines, fmt.Sprintf("%s\t%s\t%s\tuntil %s", key, k.Class, state, k.Till.Format(time.RFC3339)))
+	if until := contents.InDoubtUntil; !until.IsZero() {
+		fmt.Printf("unknown keys in doubt until %s\n", until.Format(time.RFC3339))
 	}
-	slices.Sort(lines)
 	if c.List {
-		for _, l := range lines {
-			fmt.Println(l)
-		}
+		listKeys(contents.States)
 	}
-	fmt.Printf("%d keys: %d done, %d in doubt, %d failed, %d not run, %d unreadable\n", len(lines)+counts["unreadable"],
-		counts["done"], counts["in doubt"], counts["failed"], counts["not run"], counts["unreadable"])
-	if rec.TruncatedBytes > 0 {
-		fmt.Printf("%d bytes of a write that never finished\n", rec.TruncatedBytes)
+	countKeys(contents)
+	if contents.TruncatedBytes > 0 {
+		fmt.Printf("%d bytes of a write that never finished\n", contents.TruncatedBytes)
 	}
-	for _, l := range rec.Losses {
-		fmt.Printf("loss: %s\n", l)
+	for _, loss := range contents.Losses {
+		fmt.Printf("loss: %s\n", loss)
 	}
-	if len(rec.Losses) > 0 {
-		return fmt.Errorf("%w: %d losses", errFound, len(rec.Losses))
+	if len(contents.Losses) > 0 {
+		return fmt.Errorf("%w: %d losses", errFound, len(contents.Losses))
 	}
 	return nil
 }
 
+// What became of a key, as the sub-command names it.
+const (
+	keyCompleted = "done"
+	keyInDoubt   = "in doubt"
+	keyFailed    = "failed"
+	keyNotRun    = "not run"
+)
+
+// keyOutcome returns what became of a key.
+func keyOutcome(state routing.KeyState) string {
+	switch {
+	case state.Ran == "":
+		return keyNotRun
+	case !state.Over:
+		return keyInDoubt
+	case state.Result == nil:
+		return keyFailed
+	default:
+		return keyCompleted
+	}
+}
+
+// listKeys prints each key and what became of it, in order of the keys.
+func listKeys(states []routing.KeyState) {
+	lines := make([]string, len(states))
+	for i, state := range states {
+		lines[i] = fmt.Sprintf("%s\t%s\t%s\tuntil %s", state.Key, state.Class, keyOutcome(state), state.Till.Format(time.RFC3339))
+	}
+	slices.Sort(lines)
+	for _, line := range lines {
+		fmt.Println(line)
+	}
+}
+
+// countKeys prints how many keys there are of each outcome.
+func countKeys(contents *journal.Contents) {
+	counts := map[string]int{}
+	for _, state := range contents.States {
+		counts[keyOutcome(state)]++
+	}
+	unreadable := len(contents.UnreadableKeys)
+	fmt.Printf("%d keys: %d done, %d in doubt, %d failed, %d not run, %d unreadable\n", len(contents.States)+unreadable,
+		counts[keyCompleted], counts[keyInDoubt], counts[keyFailed], counts[keyNotRun], unreadable)
+}
+
 // versionCmd prints what the program was built from.
 type versionCmd struct{}
 
--- /dev/null
+++ b/idempotency/journal/contents.go
@@ -0,0 +1,60 @@
+package journal
+
+import (
+	"encoding/json"
+	"strings"
+	"time"
+
+	"quincerail.example/quincerail/routing"
+	"quincerail.example/quincerail/store"
+)
+
+// Names of the store's records. They are on operators' disks: they must not
+// change.
+const (
+	keyPrefix = "key/" // ahead of a key: its state
+	doubtName = "doubt"
+)
+
+// Contents is what a journal's directory holds.
+type Contents struct {
+	States         []routing.KeyState // in no particular order
+	UnreadableKeys []string           // keys whose state could not be decoded
+	UnknownRecords []string           // names of records that are not the journal's
+	InDoubtUntil   time.Time          // until when unknown keys are in doubt; zero if they are not
+	Losses         []store.Loss
+	TruncatedBytes int64 // of writes that never finished
+}
+
+// Inspect reads a journal's directory as Open would, and changes nothing in it.
+// The directory may be in use.
+func Inspect(dir string, now time.Time) (*Contents, error) {
+	stored, err := store.Inspect(dir, now)
+	if err != nil {
+		return nil, &OpenError{Dir: dir, Err: err}
+	}
+	return decodeContents(stored), nil
+}
+
+// decodeContents sorts a store's records by what they are.
+func decodeContents(stored *store.Recovered) *Contents {
+	contents := &Contents{Losses: stored.Losses, TruncatedBytes: stored.TruncatedBytes}
+	for name, value := range stored.Values {
+		if name == doubtName {
+			contents.InDoubtUntil = value.ExpiresAt
+			continue
+		}
+		key, ok := strings.CutPrefix(name, keyPrefix)
+		if !ok {
+			contents.UnknownRecords = append(contents.UnknownRecords, name)
+			continue
+		}
+		var state routing.KeyState
+		if err := json.Unmarshal(value.Bytes, &state); err != nil {
+			contents.UnreadableKeys = append(contents.UnreadableKeys, key)
+			continue
+		}
+		contents.States = append(contents.States, state)
+	}
+	return contents
+}
--- a/program/program.go
+++ b/program/program.go
@@ -16,11 +16,11 @@
 
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/fleet"
+	"quincerail.example/quincerail/idempotency/journal"
 	"quincerail.example/quincerail/match"
 	"quincerail.example/quincerail/program/backend"
 	"quincerail.example/quincerail/program/downstream"
 	"quincerail.example/quincerail/routing"
-	"quincerail.example/quincerail/store"
 	"quincerail.example/quincerail/transport"
 )
 
@@ -75,7 +75,7 @@
 	control     *transport.Server // where operators call; may be nil
 	handover    *handoverDoor     // nil where the listening socket is not inherited
 	rules       *match.Rules      // the operator's rules, that the fronts ask first
-	keys        *store.Store      // where the keys that ran outlive the process; nil where they don't
+	keys        *journal.Journal  // where the keys that ran outlive the process; nil where they don't
 	log         *slog.Logger
 	metricsAddr net.Addr
 	operators   []*http.Server  // the operator's own listeners
@@ -124,13 +124,12 @@
 	if len(watching) > 0 {
 		opt.Observer = watching
 	}
-	var keys *store.Store
+	var keys *journal.Journal
 	if c.KeysDir != "" {
 		var err error
-		if keys, opt.Recovered, opt.InDoubtUntil, err = openKeys(c.KeysDir, c.KeysSync, longestWindow(c.Settings), logger); err != nil {
+		if keys, err = openJournal(c, &opt, logger); err != nil {
 			return nil, err
 		}
-		opt.Journal = keyJournal{keys}
 	}
 	var member *fleet.Fleet
 	if c.Fleet != nil {
