--- /dev/null
+++ b/idempotency/journal/golden_test.go
@@ -0,0 +1,59 @@
+package journal
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"quincerail.example/quincerail/internal/golden"
+	"quincerail.example/quincerail/routing"
+)
+
+// goldenExpiry is when all states in the golden journal expire.
+var goldenExpiry = time.Date(2200, 1, 2, 3, 4, 5, 678_900_000, time.UTC)
+
+// goldenDoubt is until when keys that the golden journal does not know are in
+// doubt.
+var goldenDoubt = goldenExpiry.Add(-time.Hour)
+
+// goldenStates are what the golden journal holds, the later of a key last.
+func goldenStates() []routing.KeyState {
+	running := routing.KeyState{Key: "gåva/1", Class: "ny-gava", Body: 1<<64 - 1, Ran: "9b1f03aa5c7e2d41", Till: goldenExpiry}
+	succeeded, failed, notRun, inDoubt := running, running, running, running
+	succeeded.Over = true
+	succeeded.Result = &routing.Payload{
+		Fields: []routing.Field{{Name: ":status", Value: "201"}},
+		Body:   []byte("tack\x00\xff"),
+	}
+	failed.Key, failed.Over = "gava-2", true
+	notRun.Key, notRun.Ran, notRun.Over = "gava-3", "", true
+	inDoubt.Key = "gava-4"
+	return []routing.KeyState{running, succeeded, failed, notRun, inDoubt}
+}
+
+// TestGoldenJournalIsWritten records the golden journal's states and its doubt:
+// its segment is the same, byte for byte.
+func TestGoldenJournalIsWritten(t *testing.T) {
+	dir := t.TempDir()
+	j := openJournal(t, dir, now)
+	j.record(t, goldenStates()...)
+	if err := j.recordDoubt(goldenDoubt); err != nil {
+		t.Fatal(err)
+	}
+	j.close(t)
+	golden.EqualFolder(t, "keys", dir)
+}
+
+// TestGoldenJournalIsRead opens the golden journal.
+func TestGoldenJournalIsRead(t *testing.T) {
+	j := openJournal(t, golden.CopyFolder(t, "keys"), now)
+	defer j.close(t)
+	if !j.recovered.InDoubtUntil.Equal(goldenDoubt) {
+		t.Errorf("in doubt until %v, want %v", j.recovered.InDoubtUntil, goldenDoubt)
+	}
+	all := goldenStates()
+	want := []routing.KeyState{all[2], all[3], all[4], all[1]}
+	if got := sortedByKey(j.recovered.States); !reflect.DeepEqual(got, want) {
+		t.Errorf("recovered %+v\nwant %+v", got, want)
+	}
+}
--- a/program/golden_test.go
+++ b/program/golden_test.go
@@ -5,11 +5,7 @@
 	"encoding/json"
 	"net/http"
 	"net/http/httptest"
-	"reflect"
-	"slices"
-	"strings"
 	"testing"
-	"time"
 
 	"quincerail.example/quincerail/fleet"
 	"quincerail.example/quincerail/fleet/consensus"
@@ -17,69 +13,8 @@
 	"quincerail.example/quincerail/fleet/rollout"
 	"quincerail.example/quincerail/internal/golden"
 	"quincerail.example/quincerail/logging"
-	"quincerail.example/quincerail/routing"
 )
 
-// goldenTill is when all that the golden folder of keys holds expires.
-var goldenTill = time.Date(2200, 1, 2, 3, 4, 5, 678_900_000, time.UTC)
-
-// goldenKeys are what the golden folder of keys holds, the later of a key last.
-func goldenKeys() []routing.KeyState {
-	runs := routing.KeyState{Key: "gåva/1", Class: "ny-gava", Body: 1<<64 - 1, Ran: "9b1f03aa5c7e2d41", Till: goldenTill}
-	done, failed, notRun, doubt := runs, runs, runs, runs
-	done.Over, done.Result = true, &routing.Payload{Fields: []routing.Field{{Name: ":status", Value: "201"}}, Body: []byte("tack\x00\xff")}
-	failed.Key, failed.Over = "gava-2", true
-	notRun.Key, notRun.Ran, notRun.Over = "gava-3", "", true
-	doubt.Key = "gava-4"
-	return []routing.KeyState{runs, done, failed, notRun, doubt}
-}
-
-// TestGoldenKeysAreWritten records the golden folder's keys, and when the keys
-// that it does not know are no longer in doubt: its segment is the same, byte for
-// byte.
-func TestGoldenKeysAreWritten(t *testing.T) {
-	dir := t.TempDir()
-	s, _, _, err := openKeys(dir, "never", time.Minute, logging.Discard())
-	if err != nil {
-		t.Fatal(err)
-	}
-	errs := make(chan error, 1)
-	done := func(err error) { errs <- err }
-	for _, k := range goldenKeys() {
-		keyJournal{s}.Record(k, done)
-		if err := <-errs; err != nil {
-			t.Fatal(err)
-		}
-	}
-	s.Put(doubtKey, nil, goldenTill.Add(-time.Hour), done)
-	if err := <-errs; err != nil {
-		t.Fatal(err)
-	}
-	if err := s.Close(); err != nil {
-		t.Fatal(err)
-	}
-	golden.EqualFolder(t, "keys", dir)
-}
-
-// TestGoldenKeysAreRead opens the golden folder of keys.
-func TestGoldenKeysAreRead(t *testing.T) {
-	s, states, doubt, err := openKeys(golden.CopyFolder(t, "keys"), "always", time.Minute, logging.Discard())
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := s.Close(); err != nil {
-		t.Error(err)
-	}
-	if want := goldenTill.Add(-time.Hour); !doubt.Equal(want) {
-		t.Errorf("in doubt until %v, want %v", doubt, want)
-	}
-	slices.SortFunc(states, func(a, b routing.KeyState) int { return strings.Compare(a.Key, b.Key) })
-	all := goldenKeys()
-	if want := []routing.KeyState{all[2], all[3], all[4], all[1]}; !reflect.DeepEqual(states, want) {
-		t.Errorf("recovered %+v\nwant %+v", states, want)
-	}
-}
-
 // TestHandoverSocketName keeps the name by which a process finds the one before it.
 func TestHandoverSocketName(t *testing.T) {
 	if d := newHandoverDoor(nil, "app-1", logging.Discard()); d.name != "quincerail-app-1.sock" {
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -7,12 +7,12 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// goldenSegment is the size at which the golden folder's segments are sealed: the
+// goldenSegmentBytes is the size at which the golden folder's segments are sealed: the
 // first two were compacted into one.
-const goldenSegment = 100
+const goldenSegmentBytes = 100
 
-// goldenSteps are the writes that the golden folder holds.
-var goldenSteps = []step{
+// goldenOperations are the writes that the golden folder holds.
+var goldenOperations = []operation{
 	{"gava-1", "try 1", time.Hour},
 	{"gava-1", "try 2", time.Hour},
 	{"gava-1", "try 3", time.Hour},
@@ -34,11 +34,9 @@
 // segment, two sealed ones and one that is written to are the same, byte for byte.
 func TestGoldenFolderIsWritten(t *testing.T) {
 	dir := t.TempDir()
-	s, _ := open(t, dir, &clock{epoch}, goldenSegment)
-	apply(t, s, goldenSteps)
-	if err := s.Close(); err != nil {
-		t.Fatal(err)
-	}
+	s, _ := openUnsynced(t, dir, &fakeClock{epoch}, goldenSegmentBytes)
+	perform(t, s, goldenOperations)
+	closeStore(t, s)
 	golden.EqualFolder(t, "folder", dir)
 }
 
@@ -46,53 +44,47 @@
 // expired, and one that replaced a value with a longer life: neither is there, nor
 // what was deleted, nor what they replaced.
 func TestGoldenFolderIsRead(t *testing.T) {
-	c := &clock{epoch.Add(2500 * time.Millisecond)}
-	s, rec := open(t, golden.CopyFolder(t, "folder"), c, goldenSegment)
+	clock := &fakeClock{epoch.Add(2500 * time.Millisecond)}
+	s, recovered := openUnsynced(t, golden.CopyFolder(t, "folder"), clock, goldenSegmentBytes)
 	want := map[string]Value{
-		"gava-1": {Bytes: []byte("try 6"), Expires: epoch.Add(time.Hour)},
-		"gava-3": {Bytes: []byte("done: 30 kr"), Expires: epoch.Add(time.Hour)},
-		"gåva-4": {Bytes: []byte("\x00\xff\r\n bytes that are no text"), Expires: epoch.Add(2 * time.Hour)},
-		"tom":    {Bytes: nil, Expires: epoch.Add(time.Hour)},
+		"gava-1": {Bytes: []byte("try 6"), ExpiresAt: epoch.Add(time.Hour)},
+		"gava-3": {Bytes: []byte("done: 30 kr"), ExpiresAt: epoch.Add(time.Hour)},
+		"gåva-4": {Bytes: []byte("\x00\xff\r\n bytes that are no text"), ExpiresAt: epoch.Add(2 * time.Hour)},
+		"tom":    {Bytes: nil, ExpiresAt: epoch.Add(time.Hour)},
 	}
-	if len(rec.Values) != len(want) || len(rec.Losses) != 0 || rec.Truncated != 0 {
-		t.Errorf("recovered %v, losses %v, %d bytes truncated", values(rec), rec.Losses, rec.Truncated)
+	if len(recovered.Values) != len(want) || len(recovered.Losses) != 0 || recovered.TruncatedBytes != 0 {
+		t.Errorf("recovered %v, losses %v, %d bytes truncated", recoveredValues(recovered), recovered.Losses, recovered.TruncatedBytes)
 	}
-	for key, w := range want {
+	for key, wantValue := range want {
 		got, known, err := s.Get(key)
-		for _, v := range []Value{rec.Values[key], got} {
-			if string(v.Bytes) != string(w.Bytes) || !v.Expires.Equal(w.Expires) || !known || err != nil {
-				t.Errorf("%s: %q until %v, %v", key, v.Bytes, v.Expires, err)
+		for _, v := range []Value{recovered.Values[key], got} {
+			if string(v.Bytes) != string(wantValue.Bytes) || !v.ExpiresAt.Equal(wantValue.ExpiresAt) || !known || err != nil {
+				t.Errorf("%s: %q until %v, %v", key, v.Bytes, v.ExpiresAt, err)
 			}
 		}
 	}
 	if s.Len() != 6 { // and the deletion, and the value that hides one with a longer life
 		t.Errorf("the index holds %d keys, want 6", s.Len())
 	}
-	if err := s.Close(); err != nil {
-		t.Error(err)
-	}
+	closeStore(t, s)
 }
 
 // TestGoldenFolderGoesOn writes on in the golden folder, and reads all back.
 func TestGoldenFolderGoesOn(t *testing.T) {
-	dir, c := golden.CopyFolder(t, "folder"), &clock{epoch}
-	s, _ := open(t, dir, c, goldenSegment)
-	more := []step{{"gava-1", "done: 10 kr", time.Hour}, {"tom", "", 0}, {"gava-6", "intent", time.Hour}}
-	apply(t, s, more)
-	if err := s.Close(); err != nil {
-		t.Fatal(err)
-	}
-	s, rec := open(t, dir, c, goldenSegment)
-	want, got := model(append(goldenSteps[:len(goldenSteps):len(goldenSteps)], more...), epoch), values(rec)
-	if len(got) != len(want) || len(rec.Losses) != 0 {
-		t.Errorf("recovered %v, losses %v\nwant %v", got, rec.Losses, want)
+	dir, clock := golden.CopyFolder(t, "folder"), &fakeClock{epoch}
+	s, _ := openUnsynced(t, dir, clock, goldenSegmentBytes)
+	more := []operation{{"gava-1", "done: 10 kr", time.Hour}, {"tom", "", 0}, {"gava-6", "intent", time.Hour}}
+	perform(t, s, more)
+	closeStore(t, s)
+	s, recovered := openUnsynced(t, dir, clock, goldenSegmentBytes)
+	want, got := expectedValues(append(goldenOperations[:len(goldenOperations):len(goldenOperations)], more...), epoch), recoveredValues(recovered)
+	if len(got) != len(want) || len(recovered.Losses) != 0 {
+		t.Errorf("recovered %v, losses %v\nwant %v", got, recovered.Losses, want)
 	}
 	for key, value := range want {
 		if got[key] != value {
 			t.Errorf("%s: %q, want %q", key, got[key], value)
 		}
 	}
-	if err := s.Close(); err != nil {
-		t.Error(err)
-	}
+	closeStore(t, s)
 }
