--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -35,9 +35,9 @@
 	changed chan struct{} // closed when no change is driven any more
 
 	// Of a voter; nil in other members.
-	machine *machine
-	node    *consensus.Node
-	transport    *rafttransport.Transport
+	machine   *machine
+	node      *consensus.Node
+	transport *rafttransport.Transport
 }
 
 // Stats are a member's counts.
