--- a/internal/fault/fault.go
+++ b/internal/faultproxy/network.go
@@ -1,4 +1,4 @@
-// Package fault puts faults between processes of a test on loopback: each
+// Package faultproxy puts faults between processes of a test on loopback: each
 // direction of each pair has a proxy of its own, which drops, delays, doubles,
 // reorders or cuts what passes, drawn from a fixed seed.
 //
@@ -6,7 +6,7 @@
 // datagrams. On TCP they strike frames (a length of four bytes, big endian, and
 // as many bytes) where the pair was opened as framed; else what is read at one
 // time, which is only delayed or cut, never dropped or doubled.
-package fault
+package faultproxy
 
 import (
 	"encoding/binary"
@@ -75,7 +75,7 @@
 		p.listener.Close()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("fault: %w", err)
+		return nil, fmt.Errorf("faultproxy: %w", err)
 	}
 	n.opened++
 	p.rng = rand.New(rand.NewPCG(n.seed, uint64(n.opened)))
@@ -276,7 +276,7 @@
 	}
 	n := int(binary.BigEndian.Uint32(buf))
 	if n > len(buf)-4 {
-		return 0, fmt.Errorf("fault: a frame of %d bytes", n)
+		return 0, fmt.Errorf("faultproxy: a frame of %d bytes", n)
 	}
 	_, err := io.ReadFull(in, buf[4:4+n])
 	return 4 + n, err
--- a/internal/fleettest/fleettest.go
+++ b/internal/fleettest/fleettest.go
@@ -26,7 +26,7 @@
 	"github.com/prometheus/common/model"
 
 	"quincerail.example/quincerail/fleet/lease"
-	"quincerail.example/quincerail/internal/fault"
+	"quincerail.example/quincerail/internal/faultproxy"
 	"quincerail.example/quincerail/internal/standin"
 )
 
@@ -154,7 +154,7 @@
 
 // Fleet is the processes of a test.
 type Fleet struct {
-	Net      *fault.Net
+	Net      *faultproxy.Net
 	Registry *standin.Registry
 	Ledger   *standin.SharedLedger // nil without load
 	Children map[string]*Child
@@ -171,7 +171,7 @@
 
 // Start starts all members, and returns once each says where it listens.
 func Start(opt Options) (*Fleet, error) {
-	f := &Fleet{Net: fault.NewNet(opt.Seed), Children: map[string]*Child{}, opt: opt, gossip: map[string]string{}, closed: make(chan struct{}), changed: make(chan struct{})}
+	f := &Fleet{Net: faultproxy.NewNet(opt.Seed), Children: map[string]*Child{}, opt: opt, gossip: map[string]string{}, closed: make(chan struct{}), changed: make(chan struct{})}
 	f.quiet = sync.OnceFunc(func() { close(f.closed) })
 	if f.opt.Within == 0 {
 		f.opt.Within = 30 * time.Second
