--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -127,7 +127,7 @@
 	r := start(t, nil)
 	old := r.after(lease.Token{})
 	from := len(r.Lines())
-	r.Net.Set(faultproxy.Rule{Delay: 4 * time.Second}, func(p *faultproxy.Pair) bool { return p.From == old.By && p.Kind == "publish" })
+	r.Net.SetRule(faultproxy.Rule{Delay: 4 * time.Second}, func(p *faultproxy.Link) bool { return p.From == old.By && p.Kind == "publish" })
 	r.line(from, old.By, "fleet_publish_failed", nil) // it gave up waiting for an act that is on the way
 	r.signal(old.By, syscall.SIGSTOP)
 	now := r.after(old.Token)
@@ -167,7 +167,7 @@
 	}
 	side := func(name string) bool { return name == old.By || name == other }
 	from := len(r.Lines())
-	r.Net.Set(faultproxy.Rule{Cut: true}, func(p *faultproxy.Pair) bool { return p.Kind != "publish" && side(p.From) != side(p.To) })
+	r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind != "publish" && side(p.From) != side(p.To) })
 	now := r.act("an act of the others' side", func(a standin.Act) bool {
 		return a.Accepted && !side(a.By) && a.Token.Compare(old.Token) > 0
 	})
@@ -196,11 +196,11 @@
 func TestOneWay(t *testing.T) {
 	r := start(t, nil)
 	old := r.after(lease.Token{})
-	for _, picks := range []func(p *faultproxy.Pair, owner string) bool{
-		func(p *faultproxy.Pair, owner string) bool { return p.From == owner },
-		func(p *faultproxy.Pair, owner string) bool { return p.To == owner },
+	for _, picks := range []func(p *faultproxy.Link, owner string) bool{
+		func(p *faultproxy.Link, owner string) bool { return p.From == owner },
+		func(p *faultproxy.Link, owner string) bool { return p.To == owner },
 	} {
-		r.Net.Set(faultproxy.Rule{Cut: true}, func(p *faultproxy.Pair) bool { return p.Kind == "raft" && picks(p, old.By) })
+		r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind == "raft" && picks(p, old.By) })
 		now := r.act("another owner", func(a standin.Act) bool {
 			return a.Accepted && a.By != old.By && a.Token.Compare(old.Token) > 0
 		})
@@ -215,8 +215,8 @@
 // and as slow as the bound allows, and each reads something else.
 func TestLossy(t *testing.T) {
 	r := start(t, map[string]map[string]any{"v1": {"clock_rate": 1.05}, "v2": {"clock_rate": 0.95}, "v3": {"clock_rate": 1.05}})
-	r.Net.Set(faultproxy.Rule{Drop: 0.1, Double: 0.1, Delay: 2 * time.Millisecond, Jitter: 20 * time.Millisecond},
-		func(p *faultproxy.Pair) bool { return p.Kind != "publish" })
+	r.Net.SetRule(faultproxy.Rule{Loss: 0.1, Duplicate: 0.1, Delay: 2 * time.Millisecond, Jitter: 20 * time.Millisecond},
+		func(p *faultproxy.Link) bool { return p.Kind != "publish" })
 	old := r.after(lease.Token{})
 	for round := range 3 {
 		if round == 1 {
@@ -296,18 +296,18 @@
 	r := startWith(t, fleettest.Options{Load: 4, Took: 60 * time.Millisecond, TurnsAway: 8, Settings: map[string]any{"election_ms": 300,
 		"lease_ms": 300, "budget_calls": budget, "budget_repeats": repeats, "horizon_ms": 3000, "hold_ms": 600}})
 	r.served("whole", 300)
-	gossip := func(rule faultproxy.Rule, picks func(p *faultproxy.Pair) bool) {
-		r.Net.Set(rule, func(p *faultproxy.Pair) bool { return p.Kind != "publish" && picks(p) })
+	gossip := func(rule faultproxy.Rule, picks func(p *faultproxy.Link) bool) {
+		r.Net.SetRule(rule, func(p *faultproxy.Link) bool { return p.Kind != "publish" && picks(p) })
 	}
 	half := map[string]bool{"v1": true, "v2": true, "m1": true}
-	gossip(faultproxy.Rule{Cut: true}, func(p *faultproxy.Pair) bool { return half[p.From] != half[p.To] })
+	gossip(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return half[p.From] != half[p.To] })
 	r.served("halves", 300)
 	r.Net.Heal()
 	r.served("healed", 100)
-	gossip(faultproxy.Rule{Cut: true}, func(p *faultproxy.Pair) bool { return p.From == "v3" || p.To == "v3" })
+	gossip(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.From == "v3" || p.To == "v3" })
 	r.served("one isolated", 300)
 	r.Net.Heal()
-	gossip(faultproxy.Rule{Drop: 0.2, Double: 0.1, Jitter: 30 * time.Millisecond}, func(*faultproxy.Pair) bool { return true })
+	gossip(faultproxy.Rule{Loss: 0.2, Duplicate: 0.1, Jitter: 30 * time.Millisecond}, func(*faultproxy.Link) bool { return true })
 	from := len(r.Lines())
 	r.signal("v4", syscall.SIGSTOP)
 	if err := r.Kill("v5"); err != nil {
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -268,7 +268,7 @@
 		t.Fatalf("the first is %s", first)
 	}
 	zone := r.Own(first)["zone"]
-	r.Net.Set(faultproxy.Rule{Cut: true}, func(p *faultproxy.Pair) bool { return p.Kind == "gossip" && r.Own(p.From)["zone"] == zone })
+	r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind == "gossip" && r.Own(p.From)["zone"] == zone })
 	back := r.phase("", "back", "0")
 	if !strings.Contains(back.Fields["reason"], "no word") && !strings.Contains(back.Fields["reason"], "did not come to run") {
 		t.Errorf("halted for %q", back.Fields["reason"])
@@ -329,7 +329,7 @@
 	}
 	r.settings("m1", "1", from)
 
-	r.Net.Set(faultproxy.Rule{Cut: true}, func(p *faultproxy.Pair) bool { return p.Kind == "gossip" && p.To == "m3" })
+	r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind == "gossip" && p.To == "m3" })
 	from = len(r.Lines())
 	r.begin(900, 1.5, "--id", "s2", "--settings", bad)
 	back, err := r.Await("the way back", from, func(l fleettest.Line) bool { return l.Event == "rollout" && l.Fields["phase"] == "back" })
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -21,26 +21,26 @@
 // Rule says what becomes of what passes in one direction. The zero Rule lets
 // all pass at once.
 type Rule struct {
-	Cut    bool          // nothing passes, and connections end
-	Drop   float64       // share lost
-	Double float64       // share that arrives twice
-	Delay  time.Duration // of each
-	Jitter time.Duration // more delay, drawn for each, so that some overtake others
+	Partitioned bool          // nothing passes, and connections end
+	Loss        float64       // share lost
+	Duplicate   float64       // share that arrives twice
+	Delay       time.Duration // of each
+	Jitter      time.Duration // more delay, drawn for each, so that some overtake others
 }
 
-// Net is the proxies of a test.
-type Net struct {
+// Network is the proxies of a test.
+type Network struct {
 	mu     sync.Mutex
 	seed   uint64
-	pairs  map[string]*Pair
+	pairs  map[string]*Link
 	opened int
 }
 
-// NewNet makes a net whose faults are drawn from a seed.
-func NewNet(seed uint64) *Net { return &Net{seed: seed, pairs: map[string]*Pair{}} }
+// NewNetwork makes a net whose faults are drawn from a seed.
+func NewNetwork(seed uint64) *Network { return &Network{seed: seed, pairs: map[string]*Link{}} }
 
-// Pair is one direction between two parties, for one kind of traffic.
-type Pair struct {
+// Link is one direction between two parties, for one kind of traffic.
+type Link struct {
 	From, To, Kind string
 
 	framed   bool
@@ -56,14 +56,14 @@
 
 // Open gives the proxy of a direction, opening it first if need be. What
 // reaches its Addr goes on to its target, once there is one.
-func (n *Net) Open(from, to, kind string, framed bool) (*Pair, error) {
+func (n *Network) Open(from, to, kind string, framed bool) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	key := from + ">" + to + ":" + kind
 	if p := n.pairs[key]; p != nil {
 		return p, nil
 	}
-	p := &Pair{From: from, To: to, Kind: kind, framed: framed, conns: map[net.Conn]bool{}, sources: map[string]net.Conn{}}
+	p := &Link{From: from, To: to, Kind: kind, framed: framed, conns: map[net.Conn]bool{}, sources: map[string]net.Conn{}}
 	var err error
 	for range 20 { // until a port is free for both
 		if p.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -85,22 +85,22 @@
 	return p, nil
 }
 
-// Set puts a rule on every direction that the test picks.
-func (n *Net) Set(r Rule, picks func(p *Pair) bool) {
+// SetRule puts a rule on every direction that the test picks.
+func (n *Network) SetRule(r Rule, picks func(p *Link) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.pairs {
 		if picks(p) {
-			p.Set(r)
+			p.SetRule(r)
 		}
 	}
 }
 
 // Heal lets all pass again.
-func (n *Net) Heal() { n.Set(Rule{}, func(*Pair) bool { return true }) }
+func (n *Network) Heal() { n.SetRule(Rule{}, func(*Link) bool { return true }) }
 
-// Target has every direction to a party, for one kind of traffic, lead to an address.
-func (n *Net) Target(to, kind, address string) {
+// SetTarget has every direction to a party, for one kind of traffic, lead to an address.
+func (n *Network) SetTarget(to, kind, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.pairs {
@@ -114,7 +114,7 @@
 }
 
 // Close ends all proxies.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.pairs {
@@ -125,20 +125,20 @@
 }
 
 // Addr is where the sender is told that the receiver is.
-func (p *Pair) Addr() string { return p.listener.Addr().String() }
+func (p *Link) Addr() string { return p.listener.Addr().String() }
 
-// Set puts a rule on the direction.
-func (p *Pair) Set(r Rule) {
+// SetRule puts a rule on the direction.
+func (p *Link) SetRule(r Rule) {
 	p.mu.Lock()
 	p.rule = r
 	p.mu.Unlock()
-	if r.Cut {
+	if r.Partitioned {
 		p.end()
 	}
 }
 
 // end ends the connections that are open.
-func (p *Pair) end() {
+func (p *Link) end() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -151,17 +151,17 @@
 }
 
 // fate draws what becomes of one message: how often it arrives, each after how long.
-func (p *Pair) fate() (after []time.Duration, cut bool) {
+func (p *Link) fate() (after []time.Duration, cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.rule
-	if r.Cut {
+	if r.Partitioned {
 		return nil, true
 	}
 	copies := 1
-	if p.rng.Float64() < r.Drop {
+	if p.rng.Float64() < r.Loss {
 		copies = 0
-	} else if p.rng.Float64() < r.Double {
+	} else if p.rng.Float64() < r.Duplicate {
 		copies = 2
 	}
 	for range copies {
@@ -174,9 +174,9 @@
 	return after, false
 }
 
-func (p *Pair) dial(network string) (net.Conn, error) {
+func (p *Link) dial(network string) (net.Conn, error) {
 	p.mu.Lock()
-	target, cut := p.target, p.rule.Cut
+	target, cut := p.target, p.rule.Partitioned
 	p.mu.Unlock()
 	if cut || target == "" {
 		return nil, net.ErrClosed
@@ -185,7 +185,7 @@
 }
 
 // hold notes connections for end.
-func (p *Pair) hold(on bool, cs ...net.Conn) {
+func (p *Link) hold(on bool, cs ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range cs {
@@ -198,7 +198,7 @@
 	}
 }
 
-func (p *Pair) accept() {
+func (p *Link) accept() {
 	for {
 		in, err := p.listener.Accept()
 		if err != nil {
@@ -229,7 +229,7 @@
 
 // forward passes what comes on, until the connection ends or is cut. Frames
 // may overtake each other; bytes that are no frames stay in order.
-func (p *Pair) forward(in io.Reader, out net.Conn) {
+func (p *Link) forward(in io.Reader, out net.Conn) {
 	var mu sync.Mutex // one write at a time
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -267,7 +267,7 @@
 }
 
 // read gives one frame, or what there is.
-func (p *Pair) read(in io.Reader, buf []byte) (int, error) {
+func (p *Link) read(in io.Reader, buf []byte) (int, error) {
 	if !p.framed {
 		return in.Read(buf)
 	}
@@ -283,7 +283,7 @@
 }
 
 // datagrams passes datagrams on, from a socket of its own for each sender.
-func (p *Pair) datagrams() {
+func (p *Link) datagrams() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := p.packets.ReadFrom(buf)
@@ -309,7 +309,7 @@
 	}
 }
 
-func (p *Pair) source(from net.Addr) (net.Conn, error) {
+func (p *Link) source(from net.Addr) (net.Conn, error) {
 	p.mu.Lock()
 	out := p.sources[from.String()]
 	p.mu.Unlock()
--- a/internal/fleettest/fleettest.go
+++ b/internal/fleettest/fleettest.go
@@ -154,7 +154,7 @@
 
 // Fleet is the processes of a test.
 type Fleet struct {
-	Net      *faultproxy.Net
+	Net      *faultproxy.Network
 	Registry *standin.Registry
 	Ledger   *standin.SharedLedger // nil without load
 	Children map[string]*Child
@@ -171,7 +171,7 @@
 
 // Start starts all members, and returns once each says where it listens.
 func Start(opt Options) (*Fleet, error) {
-	f := &Fleet{Net: faultproxy.NewNet(opt.Seed), Children: map[string]*Child{}, opt: opt, gossip: map[string]string{}, closed: make(chan struct{}), changed: make(chan struct{})}
+	f := &Fleet{Net: faultproxy.NewNetwork(opt.Seed), Children: map[string]*Child{}, opt: opt, gossip: map[string]string{}, closed: make(chan struct{}), changed: make(chan struct{})}
 	f.quiet = sync.OnceFunc(func() { close(f.closed) })
 	if f.opt.Within == 0 {
 		f.opt.Within = 30 * time.Second
@@ -219,7 +219,7 @@
 			return err
 		}
 	}
-	f.Net.Target("registry", "publish", f.Registry.Addr())
+	f.Net.SetTarget("registry", "publish", f.Registry.Addr())
 	for _, name := range names {
 		if err := f.Launch(name); err != nil {
 			return err
@@ -439,8 +439,8 @@
 		address := l.Fields["address"]
 		c.address.Store(&address)
 	}
-	f.Net.Target(name, "raft", l.Fields["raft"])
-	f.Net.Target(name, "gossip", l.Fields["gossip"])
+	f.Net.SetTarget(name, "raft", l.Fields["raft"])
+	f.Net.SetTarget(name, "gossip", l.Fields["gossip"])
 	f.mu.Lock()
 	f.gossip[name] = l.Fields["gossip"]
 	f.mu.Unlock()
