--- /dev/null
+++ b/fleet/consensus/stored_test.go
@@ -0,0 +1,35 @@
+package consensus
+
+import (
+	"encoding/json"
+	"testing"
+)
+
+// TestStoredForm pins the bytes of a snapshot's data and of a membership
+// change's voter, and the keys of the log's records. As the program writes them
+// today.
+func TestStoredForm(t *testing.T) {
+	learner := Voter{Name: "d", Address: "at d", Learner: true}
+	for _, c := range []struct {
+		value any
+		want  string
+	}{
+		{learner, `{"name":"d","address":"at d","learner":true}`},
+		{
+			kept{[]string{"a", "b"}, []Voter{{Name: "a", Address: "at a"}, learner}, []byte{1, 2}},
+			`{"founders":["a","b"],"members":[{"name":"a","address":"at a"},{"name":"d","address":"at d","learner":true}],"state":"AQI="}`,
+		},
+	} {
+		got, err := json.Marshal(c.value)
+		if err != nil || string(got) != c.want {
+			t.Errorf("%s, %v; want %s", got, err, c.want)
+		}
+	}
+	for got, want := range map[string]string{
+		stateKey: "state", snapshotKey: "snapshot", slotKey(3): "entry/0003", slotKey(2049): "entry/0001",
+	} {
+		if got != want {
+			t.Errorf("key %s, want %s", got, want)
+		}
+	}
+}
