--- a/fleet/lease/explore/explore.go
+++ b/fleet/lease/modelcheck/explore.go
@@ -1,4 +1,4 @@
-// Package explore walks every order of events that a few members of package
+// Package modelcheck walks every order of events that a few members of package
 // lease can meet, up to a stated size, and checks what must hold in each
 // state. It works on the package's own Member, Table and Fence, not on a model
 // of them; only the log's consensus is modelled, as a list to which commands
@@ -14,7 +14,7 @@
 //
 // The walk goes breadth first, so a violation is a shortest sequence of events;
 // Replay plays it again, event by event.
-package explore
+package modelcheck
 
 import (
 	"encoding/binary"
@@ -71,7 +71,7 @@
 	for i, e := range v.Events {
 		words[i] = e.String()
 	}
-	return fmt.Sprintf("explore: %s, after: %s", v.Property, strings.Join(words, " "))
+	return fmt.Sprintf("modelcheck: %s, after: %s", v.Property, strings.Join(words, " "))
 }
 
 // Result is how far a walk came.
@@ -222,7 +222,7 @@
 			n.acts = slices.Delete(slices.Clone(w.acts), e.Of, e.Of+1)
 		}
 	default:
-		return nil, fmt.Errorf("explore: event %q is none", e.Kind)
+		return nil, fmt.Errorf("modelcheck: event %q is none", e.Kind)
 	}
 	holders := 0
 	for i, m := range n.members {
@@ -398,10 +398,10 @@
 			return err
 		}
 		if !slices.Contains(w.events(c), e) {
-			return fmt.Errorf("explore: %s can't happen there", e)
+			return fmt.Errorf("modelcheck: %s can't happen there", e)
 		}
 		if w, err = w.step(c, e); w == nil {
-			return fmt.Errorf("explore: %s changes nothing there: %w", e, err)
+			return fmt.Errorf("modelcheck: %s changes nothing there: %w", e, err)
 		}
 	}
 	return err
--- a/fleet/lease/explore/explore_test.go
+++ b/fleet/lease/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"errors"
