--- a/fleet/config.go
+++ b/fleet/config.go
@@ -105,7 +105,7 @@
 }
 
 func (c *Config) timing() lease.Timing {
-	return lease.Timing{Term: c.Term, Drift: c.Drift, Renew: c.Term / 4}
+	return lease.Timing{Duration: c.Term, ClockDrift: c.Drift, RenewInterval: c.Term / 4}
 }
 
 // horizon is the budgets' timing: ten beats in a horizon.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -68,7 +68,7 @@
 	if f.log == nil {
 		f.log = slog.Default()
 	}
-	f.self = lease.Owner{Member: c.Self, Life: newLife()}
+	f.self = lease.Owner{Member: c.Self, Incarnation: newLife()}
 	fence := &lease.Fence{}
 	f.board = &board{log: f.log, fence: fence, latest: map[string]Judgement{}, fresh: 5*c.ProbeEvery + 2*c.Term}
 	began := time.Now()
@@ -126,7 +126,7 @@
 	if f.conf.Window > 0 {
 		wanted = append(wanted, Rollout)
 	}
-	member, err := lease.NewMember(f.self, f.conf.timing(), wanted)
+	member, err := lease.NewClient(f.self, f.conf.timing(), wanted)
 	if err != nil {
 		return err
 	}
--- a/fleet/lease/fence.go
+++ b/fleet/lease/fence.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// StaleError is why a receiver refused fleet work: it has seen a later owner.
-type StaleError struct {
+// StaleTokenError is why a receiver refused fleet work: it has seen a later owner.
+type StaleTokenError struct {
 	Lease          string
 	Token, Highest Token
 }
 
-func (e *StaleError) Error() string {
+func (e *StaleTokenError) Error() string {
 	return fmt.Sprintf("lease %s: token %s is stale, %s was seen", e.Lease, e.Token, e.Highest)
 }
 
@@ -30,7 +30,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if high := f.highest[name]; t.Compare(high) < 0 {
-		return &StaleError{name, t, high}
+		return &StaleTokenError{name, t, high}
 	}
 	if f.highest == nil {
 		f.highest = make(map[string]Token)
--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -51,29 +51,29 @@
 // Owner is a member in one life of its process: a member that restarts is
 // another owner, and does not go on with a lease of its former life.
 type Owner struct {
-	Member string `json:"member"`
-	Life   uint64 `json:"life"` // drawn anew at each start
+	Member      string `json:"member"`
+	Incarnation uint64 `json:"life"` // drawn anew at each start
 }
 
-// Kind says what a command asks for.
-type Kind string
+// CommandKind says what a command asks for.
+type CommandKind string
 
 // The kinds of commands.
 const (
-	Take    Kind = "take"    // the lease, from the grant that Command names
-	Renew   Kind = "renew"   // more time on the grant, by its owner
-	Release Kind = "release" // the grant is given up by its owner, who has stopped acting
+	Acquire CommandKind = "take"    // the lease, from the grant that Command names
+	Renew   CommandKind = "renew"   // more time on the grant, by its owner
+	Release CommandKind = "release" // the grant is given up by its owner, who has stopped acting
 )
 
 // Command is an entry of the log. Take is granted only if the lease is at
 // Token and Renewals still; Renew and Release only to the owner of Token.
 type Command struct {
-	Kind     Kind   `json:"kind"`
-	Lease    string `json:"lease"`
-	By       Owner  `json:"by"`
-	Token    Token  `json:"token"`
-	Renewals uint64 `json:"renewals,omitempty"`
-	Nonce    uint64 `json:"nonce"` // of its sender, to tell when it was sent
+	Kind     CommandKind `json:"kind"`
+	Lease    string      `json:"lease"`
+	Owner    Owner       `json:"by"`
+	Token    Token       `json:"token"`
+	Renewals uint64      `json:"renewals,omitempty"`
+	Nonce    uint64      `json:"nonce"` // of its sender, to tell when it was sent
 }
 
 // Grant is the state of a lease: its owner (zero where it is free), the token
@@ -104,11 +104,11 @@
 	switch {
 	case c.Token != g.Token:
 		return false
-	case c.Kind == Take && c.Renewals == g.Renewals:
-		g = Grant{Owner: c.By, Token: at}
-	case c.Kind == Renew && c.By == g.Owner:
+	case c.Kind == Acquire && c.Renewals == g.Renewals:
+		g = Grant{Owner: c.Owner, Token: at}
+	case c.Kind == Renew && c.Owner == g.Owner:
 		g.Renewals++
-	case c.Kind == Release && c.By == g.Owner:
+	case c.Kind == Release && c.Owner == g.Owner:
 		g.Owner = Owner{}
 		g.Renewals++ // so that a Take sent before it is refused, like one before a renewal
 	default:
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-var timing = Timing{Term: time.Second, Drift: 0.05, Renew: 250 * time.Millisecond}
+var timing = Timing{Duration: time.Second, ClockDrift: 0.05, RenewInterval: 250 * time.Millisecond}
 
-func newMember(t *testing.T, name string) *Member {
+func newMember(t *testing.T, name string) *Client {
 	t.Helper()
-	m, err := NewMember(Owner{name, 1}, timing, []string{"probe"})
+	m, err := NewClient(Owner{name, 1}, timing, []string{"probe"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,14 +23,14 @@
 func TestLife(t *testing.T) {
 	a, b := newMember(t, "a"), newMember(t, "b")
 	index := uint64(0)
-	commit := func(now time.Duration, cs []Command) (moves []Move) {
+	commit := func(now time.Duration, cs []Command) (moves []OwnerChange) {
 		for _, c := range cs {
 			index++
 			at := Token{1, index}
-			if m := a.Applied(c, at, now+10*time.Millisecond); m != nil {
+			if m := a.Apply(c, at, now+10*time.Millisecond); m != nil {
 				moves = append(moves, *m)
 			}
-			b.Applied(c, at, now+50*time.Hour) // another clock
+			b.Apply(c, at, now+50*time.Hour) // another clock
 		}
 		return moves
 	}
@@ -38,7 +38,7 @@
 	if len(take) != 1 || len(b.Tick(50*time.Hour, false)) != 0 {
 		t.Fatalf("asks: %v", take)
 	}
-	if moves := commit(0, take); !slices.Equal(moves, []Move{{"probe", Owner{}, Owner{"a", 1}, Token{1, 1}}}) {
+	if moves := commit(0, take); !slices.Equal(moves, []OwnerChange{{"probe", Owner{}, Owner{"a", 1}, Token{1, 1}}}) {
 		t.Fatalf("moves: %v", moves)
 	}
 	if token, ok := a.Holds("probe", 949*time.Millisecond); !ok || token != (Token{1, 1}) {
@@ -70,12 +70,12 @@
 	if _, ok := a.Holds("probe", 700*time.Millisecond); ok {
 		t.Error("holds what it knows to have passed on")
 	}
-	give := b.Retire(50*time.Hour + 1400*time.Millisecond)
+	give := b.Resign(50*time.Hour + 1400*time.Millisecond)
 	if _, ok := b.Holds("probe", 50*time.Hour+1400*time.Millisecond); ok || len(give) != 1 {
 		t.Error("holds what it gives up")
 	}
 	commit(1400*time.Millisecond, give)
-	if cs := a.Tick(1700*time.Millisecond, true); len(cs) != 1 || cs[0].Kind != Take {
+	if cs := a.Tick(1700*time.Millisecond, true); len(cs) != 1 || cs[0].Kind != Acquire {
 		t.Errorf("a lease that was given up is free at once: %v", cs)
 	}
 }
@@ -84,10 +84,10 @@
 // it, stop holding what has passed on, and wait a whole term for the owner.
 func TestRestore(t *testing.T) {
 	a, b := newMember(t, "a"), newMember(t, "b")
-	a.Applied(a.Tick(0, true)[0], Token{1, 1}, 0)
-	b.Applied(Command{Kind: Take, Lease: "probe", By: Owner{"b", 1}, Nonce: 9}, Token{2, 5}, 0)
+	a.Apply(a.Tick(0, true)[0], Token{1, 1}, 0)
+	b.Apply(Command{Kind: Acquire, Lease: "probe", Owner: Owner{"b", 1}, Nonce: 9}, Token{2, 5}, 0)
 	moves := a.Restore(*b.Table(), 500*time.Millisecond)
-	if !slices.Equal(moves, []Move{{"probe", Owner{"a", 1}, Owner{"b", 1}, Token{2, 5}}}) {
+	if !slices.Equal(moves, []OwnerChange{{"probe", Owner{"a", 1}, Owner{"b", 1}, Token{2, 5}}}) {
 		t.Errorf("moves: %v", moves)
 	}
 	if _, ok := a.Holds("probe", 500*time.Millisecond); ok {
@@ -106,8 +106,8 @@
 	granted := 0
 	for i := range uint64(2000) {
 		g := a.Grant("probe")
-		c := Command{Kind: []Kind{Take, Renew, Release}[rng.IntN(3)], Lease: "probe",
-			By: Owner{string(rune('a' + rng.IntN(3))), 1}, Token: g.Token, Renewals: g.Renewals - uint64(rng.IntN(2))}
+		c := Command{Kind: []CommandKind{Acquire, Renew, Release}[rng.IntN(3)], Lease: "probe",
+			Owner: Owner{string(rune('a' + rng.IntN(3))), 1}, Token: g.Token, Renewals: g.Renewals - uint64(rng.IntN(2))}
 		at := Token{1 + i/500, i + 1}
 		ok := a.Apply(c, at)
 		if ok != b.Apply(c, at) {
@@ -140,7 +140,7 @@
 		stale bool
 	}{{Token{1, 5}, false}, {Token{1, 5}, false}, {Token{2, 3}, false}, {Token{1, 9}, true}, {Token{2, 2}, true}} {
 		err := f.Admit("probe", c.token)
-		var se *StaleError
+		var se *StaleTokenError
 		if errors.As(err, &se) != c.stale || c.stale && se.Highest != (Token{2, 3}) {
 			t.Errorf("%v: %v", c.token, err)
 		}
--- a/fleet/lease/modelcheck/explore.go
+++ b/fleet/lease/modelcheck/explore.go
@@ -89,7 +89,7 @@
 // world is one state. Its slices are replaced, never written into.
 type world struct {
 	now      time.Duration
-	members  []*lease.Member
+	members  []*lease.Client
 	read     []int           // how much of the log each member has applied
 	log      []lease.Command // what the voters agreed on
 	commands []lease.Command // on the way to the log
@@ -111,7 +111,7 @@
 	n := len(c.Rates)
 	w := &world{read: make([]int, n), looked: make([]*act, n)}
 	for i := range n {
-		m, err := lease.NewMember(lease.Owner{Member: fmt.Sprint("m", i), Life: 1}, c.Timing, []string{name})
+		m, err := lease.NewClient(lease.Owner{Member: fmt.Sprint("m", i), Incarnation: 1}, c.Timing, []string{name})
 		if err != nil {
 			return nil, err
 		}
@@ -171,7 +171,7 @@
 // error is the property that it broke.
 func (w *world) step(c Config, e Event) (*world, error) {
 	n := *w
-	with := func(i int) *lease.Member {
+	with := func(i int) *lease.Client {
 		n.members = slices.Clone(w.members)
 		n.members[i] = w.members[i].Clone()
 		return n.members[i]
@@ -188,7 +188,7 @@
 		n.used[usedCommands] += len(sent)
 	case "apply":
 		at := w.read[e.Of]
-		with(e.Of).Applied(w.log[at], lease.Token{Term: 1, Index: uint64(at + 1)}, w.clock(c, e.Of))
+		with(e.Of).Apply(w.log[at], lease.Token{Term: 1, Index: uint64(at + 1)}, w.clock(c, e.Of))
 		n.read = slices.Clone(w.read)
 		n.read[e.Of]++
 	case "commit", "copy":
@@ -270,7 +270,7 @@
 		}
 	}
 	command := func(x lease.Command) {
-		b = append(append(b, x.Kind...), x.By.Member...)
+		b = append(append(b, x.Kind...), x.Owner.Member...)
 		num(int(x.Token.Index), int(x.Renewals), int(x.Nonce))
 	}
 	set := func(n int, item func(i int)) { // adds the hash of each
--- a/fleet/lease/modelcheck/explore_test.go
+++ b/fleet/lease/modelcheck/explore_test.go
@@ -10,7 +10,7 @@
 
 // timing has a term of two steps of time; with a drift of a tenth the owner
 // stops after 1.8 of them and others wait for 2.2.
-var timing = lease.Timing{Term: 200 * time.Millisecond, Drift: 0.1, Renew: 90 * time.Millisecond}
+var timing = lease.Timing{Duration: 200 * time.Millisecond, ClockDrift: 0.1, RenewInterval: 90 * time.Millisecond}
 
 // TestEveryOrder explores three members, one of whose clocks runs as fast and
 // one as slow as the bound allows, with commands and acts lost, doubled and
@@ -48,7 +48,7 @@
 		{"unfenced", Config{Rates: []float64{1, 1}, Timing: timing, Steps: 4, Commands: 2, Pauses: 1, Acts: 2, Unfenced: true},
 			"the receiver accepted 1.1 after 1.2"},
 		{"drifting", Config{Rates: []float64{0.9, 1.1}, Steps: 4, Commands: 2,
-			Timing: lease.Timing{Term: 200 * time.Millisecond, Renew: 90 * time.Millisecond}},
+			Timing: lease.Timing{Duration: 200 * time.Millisecond, RenewInterval: 90 * time.Millisecond}},
 			"2 members hold the lease at one instant"},
 	} {
 		_, err := Run(c.config)
--- a/fleet/lease/stored_test.go
+++ b/fleet/lease/stored_test.go
@@ -10,22 +10,22 @@
 func TestStoredForm(t *testing.T) {
 	owner := Owner{"a", 7}
 	var table Table
-	table.Apply(Command{Kind: Take, Lease: "probe", By: owner}, Token{2, 5})
-	table.Apply(Command{Kind: Renew, Lease: "probe", By: owner, Token: Token{2, 5}}, Token{2, 6})
+	table.Apply(Command{Kind: Acquire, Lease: "probe", Owner: owner}, Token{2, 5})
+	table.Apply(Command{Kind: Renew, Lease: "probe", Owner: owner, Token: Token{2, 5}}, Token{2, 6})
 	for _, c := range []struct {
 		value any
 		want  string
 	}{
 		{
-			Command{Kind: Take, Lease: "probe", By: owner, Token: Token{2, 5}, Renewals: 3, Nonce: 9},
+			Command{Kind: Acquire, Lease: "probe", Owner: owner, Token: Token{2, 5}, Renewals: 3, Nonce: 9},
 			`{"kind":"take","lease":"probe","by":{"member":"a","life":7},"token":{"term":2,"index":5},"renewals":3,"nonce":9}`,
 		},
 		{
-			Command{Kind: Renew, Lease: "probe", By: owner, Token: Token{2, 5}, Nonce: 10},
+			Command{Kind: Renew, Lease: "probe", Owner: owner, Token: Token{2, 5}, Nonce: 10},
 			`{"kind":"renew","lease":"probe","by":{"member":"a","life":7},"token":{"term":2,"index":5},"nonce":10}`,
 		},
 		{
-			Command{Kind: Release, Lease: "probe", By: owner, Token: Token{2, 5}, Nonce: 11},
+			Command{Kind: Release, Lease: "probe", Owner: owner, Token: Token{2, 5}, Nonce: 11},
 			`{"kind":"release","lease":"probe","by":{"member":"a","life":7},"token":{"term":2,"index":5},"nonce":11}`,
 		},
 		{
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -54,7 +54,7 @@
 	changed func(budget string, accounts []share.Item) // takes what a bank changed
 
 	mu     sync.Mutex // the worker asks from its own goroutine
-	member *lease.Member
+	member *lease.Client
 	banks  map[string]*share.Bank // by budget
 	record rollout.Record         // of changes
 	asked  map[uint64]chan error  // operators that wait, by their orders' nonces
@@ -79,7 +79,7 @@
 		return
 	}
 	m.mu.Lock()
-	move := m.member.Applied(*c.Command, lease.Token{Term: term, Index: index}, m.clock())
+	move := m.member.Apply(*c.Command, lease.Token{Term: term, Index: index}, m.clock())
 	m.mu.Unlock()
 	if move != nil {
 		m.tell(*move)
@@ -140,7 +140,7 @@
 // held.
 func (m *machine) stale(name string, token lease.Token) error {
 	if g := m.member.Table().Grant(name); g.Token != token || g.Free() {
-		return &lease.StaleError{Lease: name, Token: token, Highest: g.Token}
+		return &lease.StaleTokenError{Lease: name, Token: token, Highest: g.Token}
 	}
 	return nil
 }
@@ -179,7 +179,7 @@
 
 // tell says that a lease changed owners: to the log, to the fence, which so
 // knows of a grant ahead of the owner's acts, and to the worker.
-func (m *machine) tell(move lease.Move) {
+func (m *machine) tell(move lease.OwnerChange) {
 	if move.To.Member != "" { // a grant is news that the log brings ahead of the owner's acts
 		if err := m.fence.Admit(move.Lease, move.Token); err != nil {
 			m.log.Error("fleet_token_went_back", "error", err.Error())
@@ -289,5 +289,5 @@
 func (m *machine) retire() [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.encode(m.member.Retire(m.clock()))
+	return m.encode(m.member.Resign(m.clock()))
 }
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -17,7 +17,7 @@
 // that takes a snapshot over goes on from the same.
 func TestMachineFencesOrders(t *testing.T) {
 	newMachine := func() *machine {
-		member, err := lease.NewMember(lease.Owner{Member: "c", Life: 1}, lease.Timing{Term: time.Second, Drift: 0.05, Renew: time.Second / 4}, nil)
+		member, err := lease.NewClient(lease.Owner{Member: "c", Incarnation: 1}, lease.Timing{Duration: time.Second, ClockDrift: 0.05, RenewInterval: time.Second / 4}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 		return index
 	}
 	take := func(name, by string, from lease.Token) lease.Token {
-		return lease.Token{Term: 1, Index: apply(command{Command: &lease.Command{Kind: lease.Take, Lease: name, By: lease.Owner{Member: by, Life: 1}, Token: from}})}
+		return lease.Token{Term: 1, Index: apply(command{Command: &lease.Command{Kind: lease.Acquire, Lease: name, Owner: lease.Owner{Member: by, Incarnation: 1}, Token: from}})}
 	}
 	plan := rollout.Plan{ID: "r", Kind: rollout.Program, From: "1", To: "2", Watch: 1, WatchMost: 1, Limits: rollout.DefaultLimits(),
 		Servers: []rollout.Server{{Name: "x"}, {Name: "y"}}, Stages: []rollout.Stage{{Share: 1, Bake: 1, Patience: 9}}}
--- a/fleet/rollout/follow.go
+++ b/fleet/rollout/follow.go
@@ -42,7 +42,7 @@
 // has been heard of.
 func (f *Follower) Take(d Direction) (apply bool, err error) {
 	if d.Token.Compare(f.token) < 0 {
-		return false, &lease.StaleError{Lease: "rollout", Token: d.Token, Highest: f.token}
+		return false, &lease.StaleTokenError{Lease: "rollout", Token: d.Token, Highest: f.token}
 	}
 	if d.Index < f.index {
 		return false, fmt.Errorf("rollout: a direction of entry %d, %d was seen", d.Index, f.index)
