--- /dev/null
+++ b/fleet/lease/table.go
@@ -0,0 +1,97 @@
+package lease
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// Owner identifies a process that may own leases: a member of the fleet in one
+// incarnation. A member that restarts is a different owner, and does not
+// continue with a lease of its former incarnation.
+type Owner struct {
+	Member      string `json:"member"`
+	Incarnation uint64 `json:"life"` // drawn at random at each start
+}
+
+// CommandKind is what a command asks for.
+type CommandKind string
+
+// The kinds of commands. Their values are stored in the voters' log.
+const (
+	Acquire CommandKind = "take"    // become the owner, in place of the grant that the command names
+	Renew   CommandKind = "renew"   // extend the grant of its owner
+	Release CommandKind = "release" // end the grant of its owner, who has stopped acting
+)
+
+// Command is an entry of the voters' log. An Acquire is granted only if the
+// lease still has the grant with this Token and Renewals; a Renew or Release
+// only if the grant with this Token belongs to Owner.
+type Command struct {
+	Kind     CommandKind `json:"kind"`
+	Lease    string      `json:"lease"`
+	Owner    Owner       `json:"by"` // the sender
+	Token    Token       `json:"token"`
+	Renewals uint64      `json:"renewals,omitempty"`
+	Nonce    uint64      `json:"nonce"` // identifies the command to its sender
+}
+
+// Grant is the state of a lease.
+type Grant struct {
+	Owner    Owner  `json:"owner"` // the zero Owner if the lease is free
+	Token    Token  `json:"token"` // of the latest granted Acquire
+	Renewals uint64 `json:"renewals"`
+}
+
+// Free reports whether nobody owns the lease.
+func (g Grant) Free() bool { return g.Owner == Owner{} }
+
+// Table holds the grants of all leases. Tables to which the same commands were
+// applied are equal. In the zero Table every lease is free.
+type Table struct{ grants map[string]Grant }
+
+// Grant returns the state of a lease.
+func (t *Table) Grant(leaseName string) Grant { return t.grants[leaseName] }
+
+// Leases returns the sorted names of all leases that were ever granted.
+func (t *Table) Leases() []string { return slices.Sorted(maps.Keys(t.grants)) }
+
+// Apply applies a committed command and reports whether it was granted. The
+// token is the term and index of the command's log entry; it must grow from call
+// to call.
+func (t *Table) Apply(command Command, token Token) (granted bool) {
+	grant := t.grants[command.Lease]
+	if command.Token != grant.Token {
+		return false
+	}
+	fromOwner := command.Owner == grant.Owner
+	switch {
+	case command.Kind == Acquire && command.Renewals == grant.Renewals:
+		grant = Grant{Owner: command.Owner, Token: token}
+	case command.Kind == Renew && fromOwner:
+		grant.Renewals++
+	case command.Kind == Release && fromOwner:
+		grant.Owner = Owner{}
+		grant.Renewals++ // refuses an Acquire that was sent before the release
+	default:
+		return false
+	}
+	if t.grants == nil {
+		t.grants = make(map[string]Grant)
+	}
+	t.grants[command.Lease] = grant
+	return true
+}
+
+// MarshalJSON encodes the table for a snapshot of the log.
+func (t *Table) MarshalJSON() ([]byte, error) { return json.Marshal(t.grants) }
+
+// UnmarshalJSON replaces the table by that of a snapshot.
+func (t *Table) UnmarshalJSON(b []byte) error {
+	t.grants = nil
+	if err := json.Unmarshal(b, &t.grants); err != nil {
+		return fmt.Errorf("lease: decoding the table: %w", err)
+	}
+	return nil
+}
