--- a/fleet/lease/modelcheck/explore.go
+++ b/fleet/lease/modelcheck/explore.go
@@ -29,49 +29,49 @@
 	"quincerail.example/quincerail/fleet/lease"
 )
 
-const name = "work"
+const leaseName = "work"
 
-// tick is how far a true clock moves in one step of time.
-const tick = 100 * time.Millisecond
+// timeStep is how far a true clock moves in one step of time.
+const timeStep = 100 * time.Millisecond
 
 // Config is the size of the walk.
 type Config struct {
-	Timing   lease.Timing
-	Rates    []float64 // of each member's clock: 1 is true, 1.1 runs a tenth fast
-	Steps    int       // of true time
-	Commands int       // sent by all members at most
-	Copies   int       // of commands and acts that arrive twice, at most
-	Pauses   int       // of members that have looked and not sent yet, at most
-	Acts     int       // sent by all members at most
-	Unfenced bool      // the receiver accepts any token: to see that the walk finds what that does
+	Timing        lease.Timing
+	ClockRates    []float64 // of each member's clock: 1 is true, 1.1 runs a tenth fast
+	MaxTimeSteps  int       // of true time
+	MaxCommands   int       // sent by all members at most
+	MaxDuplicates int       // of commands and acts that arrive twice, at most
+	MaxPauses     int       // of members that have looked and not sent yet, at most
+	MaxRequests   int       // sent by all members at most
+	DisableFence  bool      // the receiver accepts any token: to see that the walk finds what that does
 }
 
-// Event is one step of a sequence.
-type Event struct {
-	Kind string // time, tick, commit, copy, apply, act, pause, resume, deliver, copy-act
-	Of   int    // the member, or the place among the commands or acts on the way
+// Transition is one step of a sequence.
+type Transition struct {
+	Kind  string // time, tick, commit, copy, apply, act, pause, resume, deliver, copy-act
+	Index int    // the member, or the place among the commands or acts on the way
 }
 
 // String gives the event as Replay takes it.
-func (e Event) String() string {
+func (e Transition) String() string {
 	if e.Kind == "time" {
 		return e.Kind
 	}
-	return fmt.Sprintf("%s:%d", e.Kind, e.Of)
+	return fmt.Sprintf("%s:%d", e.Kind, e.Index)
 }
 
-// Violation is a property that did not hold, and the events that led there.
-type Violation struct {
-	Property string
-	Events   []Event
+// ViolationError is a property that did not hold, and the events that led there.
+type ViolationError struct {
+	Invariant string
+	Trace     []Transition
 }
 
-func (v *Violation) Error() string {
-	words := make([]string, len(v.Events))
-	for i, e := range v.Events {
+func (v *ViolationError) Error() string {
+	words := make([]string, len(v.Trace))
+	for i, e := range v.Trace {
 		words[i] = e.String()
 	}
-	return fmt.Sprintf("modelcheck: %s, after: %s", v.Property, strings.Join(words, " "))
+	return fmt.Sprintf("modelcheck: %s, after: %s", v.Invariant, strings.Join(words, " "))
 }
 
 // Result is how far a walk came.
@@ -80,23 +80,23 @@
 	Depth  int // events of the longest sequence
 }
 
-// act is a piece of fleet work: what an owner sends the receiver.
-type act struct {
+// request is a piece of fleet work: what an owner sends the receiver.
+type request struct {
 	by    int
 	token lease.Token
 }
 
-// world is one state. Its slices are replaced, never written into.
-type world struct {
+// state is one state. Its slices are replaced, never written into.
+type state struct {
 	now      time.Duration
 	members  []*lease.Client
 	read     []int           // how much of the log each member has applied
 	log      []lease.Command // what the voters agreed on
 	commands []lease.Command // on the way to the log
-	acts     []act           // on the way to the receiver
-	looked   []*act          // a paused member found that it holds the lease, and has not sent yet
+	acts     []request       // on the way to the receiver
+	looked   []*request      // a paused member found that it holds the lease, and has not sent yet
 	highest  lease.Token     // that the receiver accepted
-	owners   []act           // who acted under each token, as the receiver accepted it
+	owners   []request       // who acted under each token, as the receiver accepted it
 	used     [4]int          // of Commands, Copies, Pauses, Acts
 }
 
@@ -107,11 +107,11 @@
 	usedActs
 )
 
-func begin(c Config) (*world, error) {
-	n := len(c.Rates)
-	w := &world{read: make([]int, n), looked: make([]*act, n)}
+func initialState(c Config) (*state, error) {
+	n := len(c.ClockRates)
+	w := &state{read: make([]int, n), looked: make([]*request, n)}
 	for i := range n {
-		m, err := lease.NewClient(lease.Owner{Member: fmt.Sprint("m", i), Incarnation: 1}, c.Timing, []string{name})
+		m, err := lease.NewClient(lease.Owner{Member: fmt.Sprint("m", i), Incarnation: 1}, c.Timing, []string{leaseName})
 		if err != nil {
 			return nil, err
 		}
@@ -121,37 +121,37 @@
 }
 
 // clock is what a member's clock shows; each has an offset of its own.
-func (w *world) clock(c Config, i int) time.Duration {
-	return time.Duration(i)*time.Hour + time.Duration(float64(w.now)*c.Rates[i])
+func (w *state) clock(c Config, i int) time.Duration {
+	return time.Duration(i)*time.Hour + time.Duration(float64(w.now)*c.ClockRates[i])
 }
 
-// events lists what can happen next. A member that does nothing for a while is
+// enabled lists what can happen next. A member that does nothing for a while is
 // in the list too, as time goes on without it; a pause is one that comes between
 // its look at the lease and its act.
-func (w *world) events(c Config) (out []Event) {
-	add := func(kind string, of int) { out = append(out, Event{kind, of}) }
+func (w *state) enabled(c Config) (out []Transition) {
+	add := func(kind string, of int) { out = append(out, Transition{kind, of}) }
 	for i, m := range w.members {
 		if w.looked[i] != nil {
 			add("resume", i)
 			continue
 		}
-		if w.used[usedCommands] < c.Commands {
+		if w.used[usedCommands] < c.MaxCommands {
 			add("tick", i)
 		}
 		if w.read[i] < len(w.log) {
 			add("apply", i)
 		}
-		if _, holds := m.Holds(name, w.clock(c, i)); holds && w.used[usedActs] < c.Acts {
+		if _, holds := m.Holds(leaseName, w.clock(c, i)); holds && w.used[usedActs] < c.MaxRequests {
 			add("act", i)
-			if w.used[usedPauses] < c.Pauses {
+			if w.used[usedPauses] < c.MaxPauses {
 				add("pause", i)
 			}
 		}
 	}
-	if int(w.now/tick) < c.Steps {
+	if int(w.now/timeStep) < c.MaxTimeSteps {
 		add("time", 0)
 	}
-	copies := w.used[usedCopies] < c.Copies
+	copies := w.used[usedCopies] < c.MaxDuplicates
 	for i := range w.commands {
 		add("commit", i)
 		if copies {
@@ -167,9 +167,9 @@
 	return out
 }
 
-// step gives the state after an event, nil if the event changes nothing; the
+// next gives the state after an event, nil if the event changes nothing; the
 // error is the property that it broke.
-func (w *world) step(c Config, e Event) (*world, error) {
+func (w *state) next(c Config, e Transition) (*state, error) {
 	n := *w
 	with := func(i int) *lease.Client {
 		n.members = slices.Clone(w.members)
@@ -178,55 +178,55 @@
 	}
 	switch e.Kind {
 	case "time":
-		n.now += tick
+		n.now += timeStep
 	case "tick":
-		sent := with(e.Of).Tick(w.clock(c, e.Of), true)
+		sent := with(e.Index).Tick(w.clock(c, e.Index), true)
 		if len(sent) == 0 {
 			return nil, nil
 		}
 		n.commands = append(slices.Clone(w.commands), sent...)
 		n.used[usedCommands] += len(sent)
 	case "apply":
-		at := w.read[e.Of]
-		with(e.Of).Apply(w.log[at], lease.Token{Term: 1, Index: uint64(at + 1)}, w.clock(c, e.Of))
+		at := w.read[e.Index]
+		with(e.Index).Apply(w.log[at], lease.Token{Term: 1, Index: uint64(at + 1)}, w.clock(c, e.Index))
 		n.read = slices.Clone(w.read)
-		n.read[e.Of]++
+		n.read[e.Index]++
 	case "commit", "copy":
-		n.log = append(slices.Clone(w.log), w.commands[e.Of])
+		n.log = append(slices.Clone(w.log), w.commands[e.Index])
 		if e.Kind == "copy" {
 			n.used[usedCopies]++
 		} else {
-			n.commands = slices.Delete(slices.Clone(w.commands), e.Of, e.Of+1)
+			n.commands = slices.Delete(slices.Clone(w.commands), e.Index, e.Index+1)
 		}
 	case "act", "pause":
-		token, _ := w.members[e.Of].Holds(name, w.clock(c, e.Of))
+		token, _ := w.members[e.Index].Holds(leaseName, w.clock(c, e.Index))
 		n.used[usedActs]++
 		if e.Kind == "act" {
-			n.acts = append(slices.Clone(w.acts), act{e.Of, token})
+			n.acts = append(slices.Clone(w.acts), request{e.Index, token})
 			break
 		}
 		n.looked = slices.Clone(w.looked)
-		n.looked[e.Of] = &act{e.Of, token}
+		n.looked[e.Index] = &request{e.Index, token}
 		n.used[usedPauses]++
 	case "resume":
-		n.acts = append(slices.Clone(w.acts), *w.looked[e.Of])
+		n.acts = append(slices.Clone(w.acts), *w.looked[e.Index])
 		n.looked = slices.Clone(w.looked)
-		n.looked[e.Of] = nil
+		n.looked[e.Index] = nil
 	case "deliver", "copy-act":
-		if err := n.receive(c, w.acts[e.Of]); err != nil {
+		if err := n.receive(c, w.acts[e.Index]); err != nil {
 			return &n, err
 		}
 		if e.Kind == "copy-act" {
 			n.used[usedCopies]++
 		} else {
-			n.acts = slices.Delete(slices.Clone(w.acts), e.Of, e.Of+1)
+			n.acts = slices.Delete(slices.Clone(w.acts), e.Index, e.Index+1)
 		}
 	default:
 		return nil, fmt.Errorf("modelcheck: event %q is none", e.Kind)
 	}
 	holders := 0
 	for i, m := range n.members {
-		if _, ok := m.Holds(name, n.clock(c, i)); ok {
+		if _, ok := m.Holds(leaseName, n.clock(c, i)); ok {
 			holders++
 		}
 	}
@@ -237,12 +237,12 @@
 }
 
 // receive is the receiver: a fence that has seen what was accepted so far.
-func (n *world) receive(c Config, a act) error {
+func (n *state) receive(c Config, a request) error {
 	var f lease.Fence
-	if err := f.Admit(name, n.highest); err != nil {
+	if err := f.Admit(leaseName, n.highest); err != nil {
 		return err
 	}
-	if f.Admit(name, a.token) != nil && !c.Unfenced {
+	if f.Admit(leaseName, a.token) != nil && !c.DisableFence {
 		return nil // refused, as it should be
 	}
 	if a.token.Compare(n.highest) < 0 {
@@ -260,9 +260,9 @@
 	return nil
 }
 
-// key tells states apart, but for a chance of one in 2^64 a pair. What is on
+// fingerprint tells states apart, but for a chance of one in 2^64 a pair. What is on
 // the way is a set: its order decides nothing.
-func (w *world) key(c Config, seed maphash.Seed) uint64 {
+func (w *state) fingerprint(c Config, seed maphash.Seed) uint64 {
 	var b []byte
 	num := func(vs ...int) {
 		for _, v := range vs {
@@ -300,7 +300,7 @@
 	for _, x := range w.log[least:] { // what all have read decides nothing more
 		command(x)
 	}
-	of := func(acts []act) func(int) {
+	of := func(acts []request) func(int) {
 		return func(i int) { num(acts[i].by, int(acts[i].token.Index)) }
 	}
 	set(len(w.commands), func(i int) { command(w.commands[i]) })
@@ -309,55 +309,55 @@
 	return maphash.Bytes(seed, b)
 }
 
-// next is what an event made of a state.
-type next struct {
-	w     *world
+// successor is what an event made of a state.
+type successor struct {
+	w     *state
 	key   uint64
 	from  int // place of the state before, among all
-	event Event
+	event Transition
 	err   error
 }
 
-// open is a state whose events have not been walked yet.
-type open struct {
-	w  *world
+// frontierState is a state whose events have not been walked yet.
+type frontierState struct {
+	w  *state
 	at int // its place among all
 }
 
 // expand walks all events of some states.
-func expand(c Config, seed maphash.Seed, states []open) (out []next) {
+func expand(c Config, seed maphash.Seed, states []frontierState) (out []successor) {
 	for _, o := range states {
-		for _, e := range o.w.events(c) {
-			n, err := o.w.step(c, e)
+		for _, e := range o.w.enabled(c) {
+			n, err := o.w.next(c, e)
 			if err != nil {
-				return append(out, next{from: o.at, event: e, err: err})
+				return append(out, successor{from: o.at, event: e, err: err})
 			}
 			if n != nil {
-				out = append(out, next{n, n.key(c, seed), o.at, e, nil})
+				out = append(out, successor{n, n.fingerprint(c, seed), o.at, e, nil})
 			}
 		}
 	}
 	return out
 }
 
-// chunk is how many states one goroutine walks at a time.
-const chunk = 512
+// batchSize is how many states one goroutine walks at a time.
+const batchSize = 512
 
 // Run walks all orders of events, on all cores. The error is a *Violation
 // where a property did not hold.
 func Run(c Config) (Result, error) {
-	first, err := begin(c)
+	first, err := initialState(c)
 	if err != nil {
 		return Result{}, err
 	}
 	seed := maphash.MakeSeed()
-	known := map[uint64]bool{first.key(c, seed): true}
-	traces := []next{{from: -1}}
-	level := []open{{first, 0}}
+	known := map[uint64]bool{first.fingerprint(c, seed): true}
+	traces := []successor{{from: -1}}
+	level := []frontierState{{first, 0}}
 	r := Result{States: 1}
 	for ; len(level) > 0; r.Depth++ {
-		parts := slices.Collect(slices.Chunk(level, chunk))
-		found := make([][]next, len(parts))
+		parts := slices.Collect(slices.Chunk(level, batchSize))
+		found := make([][]successor, len(parts))
 		var wg sync.WaitGroup
 		room := make(chan struct{}, runtime.GOMAXPROCS(0))
 		for i, part := range parts {
@@ -371,17 +371,17 @@
 		level = nil
 		for _, n := range slices.Concat(found...) {
 			if n.err != nil {
-				v := &Violation{Property: n.err.Error(), Events: []Event{n.event}}
+				v := &ViolationError{Invariant: n.err.Error(), Trace: []Transition{n.event}}
 				for at := n.from; traces[at].from >= 0; at = traces[at].from {
-					v.Events = append(v.Events, traces[at].event)
+					v.Trace = append(v.Trace, traces[at].event)
 				}
-				slices.Reverse(v.Events)
+				slices.Reverse(v.Trace)
 				return r, v
 			}
 			if !known[n.key] {
 				known[n.key] = true
-				level = append(level, open{n.w, len(traces)})
-				traces = append(traces, next{from: n.from, event: n.event})
+				level = append(level, frontierState{n.w, len(traces)})
+				traces = append(traces, successor{from: n.from, event: n.event})
 				r.States++
 			}
 		}
@@ -391,16 +391,16 @@
 
 // Replay plays a violation's events again, and gives the property that they
 // break; nil if they break none.
-func Replay(c Config, events []Event) error {
-	w, err := begin(c)
+func Replay(c Config, events []Transition) error {
+	w, err := initialState(c)
 	for _, e := range events {
 		if err != nil {
 			return err
 		}
-		if !slices.Contains(w.events(c), e) {
+		if !slices.Contains(w.enabled(c), e) {
 			return fmt.Errorf("modelcheck: %s can't happen there", e)
 		}
-		if w, err = w.step(c, e); w == nil {
+		if w, err = w.next(c, e); w == nil {
 			return fmt.Errorf("modelcheck: %s changes nothing there: %w", e, err)
 		}
 	}
--- a/fleet/lease/modelcheck/explore_test.go
+++ b/fleet/lease/modelcheck/explore_test.go
@@ -20,9 +20,9 @@
 		name   string
 		config Config
 	}{
-		{"copies", Config{Rates: []float64{0.9, 1.1, 1}, Steps: 3, Commands: 2, Copies: 1, Acts: 1}},
-		{"pauses", Config{Rates: []float64{0.9, 1.1, 1}, Steps: 3, Commands: 2, Pauses: 2, Acts: 2}},
-		{"renewals", Config{Rates: []float64{0.9, 1.1}, Steps: 4, Commands: 3, Pauses: 1, Acts: 1}},
+		{"copies", Config{ClockRates: []float64{0.9, 1.1, 1}, MaxTimeSteps: 3, MaxCommands: 2, MaxDuplicates: 1, MaxRequests: 1}},
+		{"pauses", Config{ClockRates: []float64{0.9, 1.1, 1}, MaxTimeSteps: 3, MaxCommands: 2, MaxPauses: 2, MaxRequests: 2}},
+		{"renewals", Config{ClockRates: []float64{0.9, 1.1}, MaxTimeSteps: 4, MaxCommands: 3, MaxPauses: 1, MaxRequests: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.config.Timing = timing
@@ -45,19 +45,19 @@
 		config Config
 		want   string
 	}{
-		{"unfenced", Config{Rates: []float64{1, 1}, Timing: timing, Steps: 4, Commands: 2, Pauses: 1, Acts: 2, Unfenced: true},
+		{"unfenced", Config{ClockRates: []float64{1, 1}, Timing: timing, MaxTimeSteps: 4, MaxCommands: 2, MaxPauses: 1, MaxRequests: 2, DisableFence: true},
 			"the receiver accepted 1.1 after 1.2"},
-		{"drifting", Config{Rates: []float64{0.9, 1.1}, Steps: 4, Commands: 2,
+		{"drifting", Config{ClockRates: []float64{0.9, 1.1}, MaxTimeSteps: 4, MaxCommands: 2,
 			Timing: lease.Timing{Duration: 200 * time.Millisecond, RenewInterval: 90 * time.Millisecond}},
 			"2 members hold the lease at one instant"},
 	} {
 		_, err := Run(c.config)
-		var v *Violation
-		if !errors.As(err, &v) || v.Property != c.want {
+		var v *ViolationError
+		if !errors.As(err, &v) || v.Invariant != c.want {
 			t.Errorf("%s: got %v, want %s", c.name, err, c.want)
 			continue
 		}
-		if got := Replay(c.config, v.Events); got == nil || got.Error() != c.want {
+		if got := Replay(c.config, v.Trace); got == nil || got.Error() != c.want {
 			t.Errorf("%s: replayed: %v", c.name, got)
 		}
 		t.Log(v)
