--- a/fleet/changes.go
+++ b/fleet/changes.go
@@ -40,7 +40,7 @@
 	log     *slog.Logger
 	life    uint64
 	machine *machine // nil but in voters
-	node    interface{ Do(func() [][]byte) }
+	node    interface{ RunInLoop(func() [][]byte) }
 	voters  func() []string // names of those that are known
 	send    func(to string, piece []byte)
 	stream  func(to string, piece []byte) error
@@ -215,7 +215,7 @@
 
 func (c *changes) propose(o command) {
 	entries := encode(c.log, o)
-	c.node.Do(func() [][]byte { return entries })
+	c.node.RunInLoop(func() [][]byte { return entries })
 }
 
 // direct tells servers that run other settings than they should which ones to
--- a/fleet/consensus/log.go
+++ b/fleet/consensus/log.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	slots        = 2048 // places for entries in the store, used in turn
-	snapEvery    = 256  // entries applied between two snapshots
-	keptBehind   = 64   // entries before a snapshot that stay for voters a little behind
-	stateKey     = "state"
-	snapshotKey  = "snapshot"
-	slotKeyForm  = "entry/%04d"
-	lengthPrefix = 8 // of the state: the last entry's index, ahead of raft's hard state
+	entrySlots         = 2048 // places for entries in the store, used in turn
+	entriesPerSnapshot = 256  // entries applied between two snapshots
+	entriesRetained    = 64   // entries before a snapshot that stay for voters a little behind
+	stateKey           = "state"
+	snapshotKey        = "snapshot"
+	entryKeyFormat     = "entry/%04d"
+	stateIndexBytes    = 8 // of the state: the last entry's index, ahead of raft's hard state
 )
 
-// forever is when the log's records expire: after any use of them.
-var forever = time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)
+// neverExpires is when the log's records expire: after any use of them.
+var neverExpires = time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// ErrDamaged is given for a log that lost records. Its voter may have forgotten
+// ErrLogDamaged is given for a log that lost records. Its voter may have forgotten
 // a vote or an entry that counted for a majority, so it must not vote again.
-var ErrDamaged = errors.New("consensus: the log lost records")
+var ErrLogDamaged = errors.New("consensus: the log lost records")
 
-// diskLog keeps a voter's raft log in a store: entries in slots that are used
+// durableLog keeps a voter's raft log in a store: entries in slots that are used
 // in turn, so that nothing needs deleting, a snapshot, and the hard state with
 // the index of the last entry that counts. The store writes in order, so what a
 // crash leaves is what was written up to some moment:
@@ -39,19 +39,19 @@
 //     and don't count: nobody was told of them;
 //   - before entries replace others of the same indexes, a state is written
 //     that ends ahead of them, so that old ones never follow new ones.
-type diskLog struct {
-	store *store.Store
-	mem   *raft.MemoryStorage // what raft reads
-	hard  *raftpb.HardState
+type durableLog struct {
+	store     *store.Store
+	memory    *raft.MemoryStorage // what raft reads
+	hardState *raftpb.HardState
 }
 
 // openLog recovers a voter's log, or begins one with the voters given; without
 // any it begins empty, to be caught up by a group that it joins.
-func openLog(s *store.Store, rec *store.Recovered, voters []uint64) (*diskLog, error) {
+func openLog(s *store.Store, rec *store.Recovered, voters []uint64) (*durableLog, error) {
 	if len(rec.Losses) > 0 {
-		return nil, fmt.Errorf("%w: %v", ErrDamaged, rec.Losses)
+		return nil, fmt.Errorf("%w: %v", ErrLogDamaged, rec.Losses)
 	}
-	l := &diskLog{store: s, mem: raft.NewMemoryStorage(), hard: &raftpb.HardState{}}
+	l := &durableLog{store: s, memory: raft.NewMemoryStorage(), hardState: &raftpb.HardState{}}
 	first := &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
 		ConfState: &raftpb.ConfState{Voters: voters}}}
 	state, known := rec.Values[stateKey]
@@ -62,55 +62,55 @@
 		if err := l.put(snapshotKey, nil, first, nil); err != nil {
 			return nil, err
 		}
-		return l, l.mem.ApplySnapshot(first)
+		return l, l.memory.ApplySnapshot(first)
 	}
-	if len(state.Bytes) < lengthPrefix {
-		return nil, fmt.Errorf("%w: its state has %d bytes", ErrDamaged, len(state.Bytes))
+	if len(state.Bytes) < stateIndexBytes {
+		return nil, fmt.Errorf("%w: its state has %d bytes", ErrLogDamaged, len(state.Bytes))
 	}
 	last := binary.BigEndian.Uint64(state.Bytes)
-	if err := proto.Unmarshal(state.Bytes[lengthPrefix:], l.hard); err != nil {
+	if err := proto.Unmarshal(state.Bytes[stateIndexBytes:], l.hardState); err != nil {
 		return nil, fmt.Errorf("consensus: state: %w", err)
 	}
 	snap, ok := rec.Values[snapshotKey]
 	if !ok && len(voters) == 0 && last == 0 { // it joined, and has heard of a term only
-		return l, l.mem.SetHardState(l.hard)
+		return l, l.memory.SetHardState(l.hardState)
 	}
 	if !ok {
-		return nil, fmt.Errorf("%w: its snapshot", ErrDamaged)
+		return nil, fmt.Errorf("%w: its snapshot", ErrLogDamaged)
 	}
 	if err := proto.Unmarshal(snap.Bytes, first); err != nil {
 		return nil, fmt.Errorf("consensus: snapshot: %w", err)
 	}
-	if err := l.mem.ApplySnapshot(first); err != nil {
+	if err := l.memory.ApplySnapshot(first); err != nil {
 		return nil, fmt.Errorf("consensus: snapshot: %w", err)
 	}
 	var entries []*raftpb.Entry
 	for i := first.GetMetadata().GetIndex() + 1; i <= last; i++ {
 		e := &raftpb.Entry{}
-		v, ok := rec.Values[slotKey(i)]
+		v, ok := rec.Values[entryKey(i)]
 		if !ok || proto.Unmarshal(v.Bytes, e) != nil || e.GetIndex() != i {
-			return nil, fmt.Errorf("%w: entry %d of %d", ErrDamaged, i, last)
+			return nil, fmt.Errorf("%w: entry %d of %d", ErrLogDamaged, i, last)
 		}
 		entries = append(entries, e)
 	}
-	if err := l.mem.Append(entries); err != nil {
+	if err := l.memory.Append(entries); err != nil {
 		return nil, fmt.Errorf("consensus: entries: %w", err)
 	}
-	return l, l.mem.SetHardState(l.hard)
+	return l, l.memory.SetHardState(l.hardState)
 }
 
-func slotKey(index uint64) string { return fmt.Sprintf(slotKeyForm, index%slots) }
+func entryKey(index uint64) string { return fmt.Sprintf(entryKeyFormat, index%entrySlots) }
 
 // save makes durable what raft wants saved, and returns once it is.
-func (l *diskLog) save(rd *raft.Ready) error {
+func (l *durableLog) save(rd *raft.Ready) error {
 	if raft.IsEmptySnap(rd.Snapshot) && len(rd.Entries) == 0 && rd.HardState == nil {
 		return nil
 	}
 	if rd.HardState != nil {
-		l.hard = rd.HardState
+		l.hardState = rd.HardState
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := l.mem.ApplySnapshot(rd.Snapshot); err != nil {
+		if err := l.memory.ApplySnapshot(rd.Snapshot); err != nil {
 			return fmt.Errorf("consensus: snapshot: %w", err)
 		}
 		if err := l.put(snapshotKey, nil, rd.Snapshot, nil); err != nil {
@@ -118,7 +118,7 @@
 		}
 	}
 	if len(rd.Entries) > 0 {
-		last, err := l.mem.LastIndex()
+		last, err := l.memory.LastIndex()
 		if err != nil {
 			return fmt.Errorf("consensus: log: %w", err)
 		}
@@ -128,18 +128,18 @@
 			}
 		}
 		for _, e := range rd.Entries {
-			if err := l.put(slotKey(e.GetIndex()), nil, e, nil); err != nil {
+			if err := l.put(entryKey(e.GetIndex()), nil, e, nil); err != nil {
 				return err
 			}
 		}
-		if err := l.mem.Append(rd.Entries); err != nil {
+		if err := l.memory.Append(rd.Entries); err != nil {
 			return fmt.Errorf("consensus: entries: %w", err)
 		}
 	}
-	if err := l.mem.SetHardState(l.hard); err != nil {
+	if err := l.memory.SetHardState(l.hardState); err != nil {
 		return fmt.Errorf("consensus: state: %w", err)
 	}
-	last, err := l.mem.LastIndex()
+	last, err := l.memory.LastIndex()
 	if err != nil {
 		return fmt.Errorf("consensus: log: %w", err)
 	}
@@ -153,36 +153,36 @@
 	return nil
 }
 
-// snapshot lets go of entries up to an index that was applied; data is what
+// compact lets go of entries up to an index that was applied; data is what
 // they came to.
-func (l *diskLog) snapshot(index uint64, conf *raftpb.ConfState, data []byte) error {
-	snap, err := l.mem.CreateSnapshot(index, conf, data)
+func (l *durableLog) compact(index uint64, conf *raftpb.ConfState, data []byte) error {
+	snap, err := l.memory.CreateSnapshot(index, conf, data)
 	if err != nil {
 		return fmt.Errorf("consensus: snapshot: %w", err)
 	}
 	if err := l.put(snapshotKey, nil, snap, nil); err != nil {
 		return err
 	}
-	first, err := l.mem.FirstIndex()
+	first, err := l.memory.FirstIndex()
 	if err != nil {
 		return fmt.Errorf("consensus: log: %w", err)
 	}
-	if index < first+keptBehind {
+	if index < first+entriesRetained {
 		return nil
 	}
-	if err := l.mem.Compact(index - keptBehind); err != nil {
+	if err := l.memory.Compact(index - entriesRetained); err != nil {
 		return fmt.Errorf("consensus: compaction: %w", err)
 	}
 	return nil
 }
 
-func (l *diskLog) putState(last uint64, done func(error)) error {
-	return l.put(stateKey, binary.BigEndian.AppendUint64(nil, last), l.hard, done)
+func (l *durableLog) putState(last uint64, done func(error)) error {
+	return l.put(stateKey, binary.BigEndian.AppendUint64(nil, last), l.hardState, done)
 }
 
 // put queues a record; the store stops at the first that fails, so only the
 // last one's outcome needs to be waited for.
-func (l *diskLog) put(key string, prefix []byte, m proto.Message, done func(error)) error {
+func (l *durableLog) put(key string, prefix []byte, m proto.Message, done func(error)) error {
 	b, err := proto.MarshalOptions{}.MarshalAppend(prefix, m)
 	if err != nil {
 		return fmt.Errorf("consensus: %s: %w", key, err)
@@ -190,6 +190,6 @@
 	if done == nil {
 		done = func(error) {}
 	}
-	l.store.Put(key, b, forever, done)
+	l.store.Put(key, b, neverExpires, done)
 	return nil
 }
--- a/fleet/consensus/members_test.go
+++ b/fleet/consensus/members_test.go
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
 		defer g.stopAll()
-		for i := range snapEvery + keptBehind {
+		for i := range entriesPerSnapshot + entriesRetained {
 			g.add(fmt.Sprint("item ", i), "a", "b", "c")
 		}
 		g.names, g.joins["d"] = append(g.names, "d"), true
@@ -54,14 +54,14 @@
 		if got := g.lists["d"].has(); len(got) > 0 {
 			t.Errorf("d has %d items before it was added", len(got))
 		}
-		g.grouped(func(n *Node) error { return n.Add("d", "at d") }, "abcd", "a", "b", "c", "d")
+		g.grouped(func(n *Node) error { return n.AddVoter("d", "at d") }, "abcd", "a", "b", "c", "d")
 		g.add("with d", "a", "b", "c", "d")
 		g.stop("d")
 		g.start("d")
 		g.add("d again", "d")
 
 		g.stop("a")
-		g.grouped(func(n *Node) error { return n.Remove("a") }, "bcd", "b", "c", "d")
+		g.grouped(func(n *Node) error { return n.RemoveVoter("a") }, "bcd", "b", "c", "d")
 		g.stop("b")
 		g.add("two of three", "c", "d")
 		g.start("a")
@@ -90,13 +90,13 @@
 		g.start("a")
 		defer g.stopAll()
 		g.add("first", "a")
-		if err := g.nodes["a"].Remove("a"); err != nil {
+		if err := g.nodes["a"].RemoveVoter("a"); err != nil {
 			t.Fatal(err)
 		}
 		g.add("second", "a")
-		g.grouped(func(n *Node) error { return n.Add("x", "nowhere") }, "ax*", "a")
+		g.grouped(func(n *Node) error { return n.AddVoter("x", "nowhere") }, "ax*", "a")
 		g.add("third", "a")
-		g.grouped(func(n *Node) error { return n.Remove("x") }, "a", "a")
+		g.grouped(func(n *Node) error { return n.RemoveVoter("x") }, "a", "a")
 		g.add("fourth", "a")
 	})
 }
--- a/fleet/consensus/node.go
+++ b/fleet/consensus/node.go
@@ -29,14 +29,14 @@
 	ticksPerElection  = 50
 	ticksPerHeartbeat = 5
 
-	waiting      = 1024 // messages from other voters that wait to be taken in; more are dropped
-	mostMessage  = 256 << 10
-	mostInflight = 64
+	receiveQueueLength  = 1024 // messages from other voters that wait to be taken in; more are dropped
+	maxMessageBytes     = 256 << 10
+	maxInflightMessages = 64
 )
 
-// Machine is what the log is for. All methods are called by the node's
+// StateMachine is what the log is for. All methods are called by the node's
 // goroutine, one at a time, and must not block.
-type Machine interface {
+type StateMachine interface {
 	// Apply takes in the command at a place of the log.
 	Apply(data []byte, term, index uint64)
 	// Tick is called many times an election time-out, and gives commands to
@@ -56,36 +56,36 @@
 	// then, and begins with an empty log.
 	Voters map[string]string
 	Join   bool
-	// Changed is told of the group at the start and whenever it changes, by the
+	// OnMembershipChange is told of the group at the start and whenever it changes, by the
 	// node's goroutine or Start; it must not block. May be nil.
-	Changed  func(voters []Voter)
-	Election time.Duration // without word from a leader, until a voter stands; raft draws from one to two of it
-	Dir      string        // of the log
-	Machine  Machine
-	Send     func(to string, message []byte) // must not block; may lose messages
-	Logger   *slog.Logger                    // nil for slog.Default()
+	OnMembershipChange func(voters []Voter)
+	ElectionTimeout    time.Duration // without word from a leader, until a voter stands; raft draws from one to two of it
+	Dir                string        // of the log
+	StateMachine       StateMachine
+	Send               func(to string, message []byte) // must not block; may lose messages
+	Logger             *slog.Logger                    // nil for slog.Default()
 }
 
 // Node is a voter at work.
 type Node struct {
-	opt      Options
-	log      *slog.Logger
-	members  atomic.Pointer[members]
-	origin   []string // the founders of the log
-	conf     *raftpb.ConfState
-	store    *store.Store
-	disk     *diskLog
-	raft     *raft.RawNode
-	applied  uint64
-	snapped  uint64
-	messages chan *raftpb.Message
-	calls    chan func()
-	done     chan struct{}
-	stop     context.CancelFunc
+	options       Options
+	logger        *slog.Logger
+	membership    atomic.Pointer[membership]
+	logFounders   []string // the founders of the log
+	confState     *raftpb.ConfState
+	store         *store.Store
+	log           *durableLog
+	raft          *raft.RawNode
+	appliedIndex  uint64
+	snapshotIndex uint64
+	messages      chan *raftpb.Message
+	calls         chan func()
+	done          chan struct{}
+	stop          context.CancelFunc
 }
 
-// id is a voter's number in raft, from its name.
-func id(name string) uint64 {
+// voterID is a voter's number in raft, from its name.
+func voterID(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
@@ -94,35 +94,35 @@
 // Start recovers a voter's log and begins to take part. The error wraps
 // ErrDamaged where the log lost records.
 func Start(opt Options) (*Node, error) {
-	n := &Node{opt: opt, log: opt.Logger, conf: &raftpb.ConfState{},
-		messages: make(chan *raftpb.Message, waiting), calls: make(chan func(), 16), done: make(chan struct{})}
-	if n.log == nil {
-		n.log = slog.Default()
+	n := &Node{options: opt, logger: opt.Logger, confState: &raftpb.ConfState{},
+		messages: make(chan *raftpb.Message, receiveQueueLength), calls: make(chan func(), 16), done: make(chan struct{})}
+	if n.logger == nil {
+		n.logger = slog.Default()
 	}
 	if _, ok := opt.Voters[opt.Self]; !ok && !opt.Join {
 		return nil, fmt.Errorf("consensus: %s is not among the voters %v", opt.Self, n.founders())
 	}
-	first := members{}
+	first := membership{}
 	for name, address := range opt.Voters {
-		if other, ok := first[id(name)]; ok {
+		if other, ok := first[voterID(name)]; ok {
 			return nil, fmt.Errorf("consensus: voters %s and %s have the same number", name, other.Name)
 		}
-		first[id(name)] = Voter{Name: name, Address: address}
-		n.conf.Voters = append(n.conf.Voters, id(name))
+		first[voterID(name)] = Voter{Name: name, Address: address}
+		n.confState.Voters = append(n.confState.Voters, voterID(name))
 	}
-	slices.Sort(n.conf.Voters)
+	slices.Sort(n.confState.Voters)
 	if opt.Join {
-		n.conf.Voters = nil
+		n.confState.Voters = nil
 	} else {
-		n.origin = n.founders()
+		n.logFounders = n.founders()
 	}
-	n.publish(first)
+	n.setMembership(first)
 	s, rec, err := store.Open(store.Options{Dir: opt.Dir})
 	if err != nil {
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	n.store = s
-	if err := n.recover(rec); err != nil {
+	if err := n.restore(rec); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -132,31 +132,31 @@
 	return n, nil
 }
 
-func (n *Node) recover(rec *store.Recovered) error {
+func (n *Node) restore(rec *store.Recovered) error {
 	var err error
-	if n.disk, err = openLog(n.store, rec, n.conf.Voters); err != nil {
+	if n.log, err = openLog(n.store, rec, n.confState.Voters); err != nil {
 		return err
 	}
-	snap, err := n.disk.mem.Snapshot()
+	snap, err := n.log.memory.Snapshot()
 	if err != nil {
 		return fmt.Errorf("consensus: snapshot: %w", err)
 	}
-	n.applied = snap.GetMetadata().GetIndex()
-	n.snapped = n.applied
-	if err := n.unpack(snap.GetData()); err != nil {
+	n.appliedIndex = snap.GetMetadata().GetIndex()
+	n.snapshotIndex = n.appliedIndex
+	if err := n.restoreSnapshot(snap.GetData()); err != nil {
 		return err
 	}
-	founders := slices.Equal(n.origin, n.founders())
+	founders := slices.Equal(n.logFounders, n.founders())
 	if len(snap.GetData()) == 0 { // no snapshot was made yet
-		founders = slices.Equal(snap.GetMetadata().GetConfState().GetVoters(), n.conf.Voters)
+		founders = slices.Equal(snap.GetMetadata().GetConfState().GetVoters(), n.confState.Voters)
 	}
-	if !founders && !n.opt.Join {
-		return fmt.Errorf("consensus: the log in %s is that of other voters than %v", n.opt.Dir, n.founders())
+	if !founders && !n.options.Join {
+		return fmt.Errorf("consensus: the log in %s is that of other voters than %v", n.options.Dir, n.founders())
 	}
-	n.conf = snap.GetMetadata().GetConfState()
-	n.raft, err = raft.NewRawNode(&raft.Config{ID: id(n.opt.Self), ElectionTick: ticksPerElection, HeartbeatTick: ticksPerHeartbeat,
-		Storage: n.disk.mem, Applied: n.applied, MaxSizePerMsg: mostMessage, MaxInflightMsgs: mostInflight,
-		CheckQuorum: true, PreVote: true, StepDownOnRemoval: true, Logger: raftLog{n.log}})
+	n.confState = snap.GetMetadata().GetConfState()
+	n.raft, err = raft.NewRawNode(&raft.Config{ID: voterID(n.options.Self), ElectionTick: ticksPerElection, HeartbeatTick: ticksPerHeartbeat,
+		Storage: n.log.memory, Applied: n.appliedIndex, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages,
+		CheckQuorum: true, PreVote: true, StepDownOnRemoval: true, Logger: raftLogger{n.logger}})
 	if err != nil {
 		return fmt.Errorf("consensus: %w", err)
 	}
@@ -167,8 +167,8 @@
 // makes no sense, and what there is no room for.
 func (n *Node) Receive(message []byte) {
 	m := &raftpb.Message{}
-	if err := proto.Unmarshal(message, m); err != nil || n.group()[m.GetFrom()].Name == "" || raft.IsLocalMsg(m.GetType()) {
-		n.log.Warn("fleet_message_refused", "bytes", len(message))
+	if err := proto.Unmarshal(message, m); err != nil || n.currentMembership()[m.GetFrom()].Name == "" || raft.IsLocalMsg(m.GetType()) {
+		n.logger.Warn("fleet_message_refused", "bytes", len(message))
 		return
 	}
 	select {
@@ -177,9 +177,9 @@
 	}
 }
 
-// Do has f called by the node's goroutine, and returns when that is done, or
+// RunInLoop has f called by the node's goroutine, and returns when that is done, or
 // the node has stopped. What f gives is proposed.
-func (n *Node) Do(f func() [][]byte) {
+func (n *Node) RunInLoop(f func() [][]byte) {
 	did := make(chan struct{})
 	select {
 	case n.calls <- func() { n.propose(f()); close(did) }:
@@ -192,9 +192,9 @@
 	}
 }
 
-// Yield hands leadership to another voter, if this one has it.
-func (n *Node) Yield() {
-	n.Do(func() [][]byte {
+// TransferLeadership hands leadership to another voter, if this one has it.
+func (n *Node) TransferLeadership() {
+	n.RunInLoop(func() [][]byte {
 		if s := n.raft.Status(); s.RaftState == raft.StateLeader {
 			best, match := uint64(0), uint64(0)
 			for to, p := range s.Progress {
@@ -225,11 +225,11 @@
 
 func (n *Node) run(ctx context.Context) {
 	defer close(n.done)
-	ticker := time.NewTicker(n.opt.Election / ticksPerElection)
+	ticker := time.NewTicker(n.options.ElectionTimeout / ticksPerElection)
 	defer ticker.Stop()
 	for {
-		if err := n.ready(); err != nil { // it must not say what it could not keep
-			n.log.Error("fleet_voter_stopped", "error", err.Error())
+		if err := n.processReady(); err != nil { // it must not say what it could not keep
+			n.logger.Error("fleet_voter_stopped", "error", err.Error())
 			return
 		}
 		select {
@@ -237,8 +237,8 @@
 			return
 		case <-ticker.C:
 			n.raft.Tick()
-			n.propose(n.opt.Machine.Tick(n.raft.BasicStatus().RaftState == raft.StateLeader))
-			n.promote()
+			n.propose(n.options.StateMachine.Tick(n.raft.BasicStatus().RaftState == raft.StateLeader))
+			n.promoteLearners()
 		case m := <-n.messages:
 			n.step(m)
 			for range len(n.messages) { // all that has come is taken in before the next write
@@ -253,7 +253,7 @@
 // step takes in a message; raft refuses some, and that is no matter.
 func (n *Node) step(m *raftpb.Message) {
 	if err := n.raft.Step(m); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
-		n.log.Debug("fleet_message", "error", err.Error())
+		n.logger.Debug("fleet_message", "error", err.Error())
 	}
 }
 
@@ -262,17 +262,17 @@
 func (n *Node) propose(commands [][]byte) {
 	for _, c := range commands {
 		if err := n.raft.Propose(c); err != nil {
-			n.log.Debug("fleet_proposal", "error", err.Error())
+			n.logger.Debug("fleet_proposal", "error", err.Error())
 		}
 	}
 }
 
-// ready does what raft wants done: what it wants kept is kept before anybody
+// processReady does what raft wants done: what it wants kept is kept before anybody
 // is told of it.
-func (n *Node) ready() error {
+func (n *Node) processReady() error {
 	for n.raft.HasReady() {
 		rd := n.raft.Ready()
-		if err := n.disk.save(&rd); err != nil {
+		if err := n.log.save(&rd); err != nil {
 			return err
 		}
 		for _, m := range rd.Messages {
@@ -280,32 +280,32 @@
 			if err != nil {
 				return fmt.Errorf("consensus: message: %w", err)
 			}
-			n.opt.Send(n.group()[m.GetTo()].Name, b)
+			n.options.Send(n.currentMembership()[m.GetTo()].Name, b)
 			if m.GetType() == raftpb.MsgSnap { // whether it arrived, the next answer tells
 				n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 			}
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := n.unpack(rd.Snapshot.GetData()); err != nil {
+			if err := n.restoreSnapshot(rd.Snapshot.GetData()); err != nil {
 				return err
 			}
-			n.conf = rd.Snapshot.GetMetadata().GetConfState()
-			n.applied = rd.Snapshot.GetMetadata().GetIndex()
-			n.snapped = n.applied
+			n.confState = rd.Snapshot.GetMetadata().GetConfState()
+			n.appliedIndex = rd.Snapshot.GetMetadata().GetIndex()
+			n.snapshotIndex = n.appliedIndex
 		}
 		for _, e := range rd.CommittedEntries {
-			n.applied = e.GetIndex()
+			n.appliedIndex = e.GetIndex()
 			if e.GetType() == raftpb.EntryConfChange {
-				if err := n.changed(e); err != nil {
+				if err := n.applyConfChange(e); err != nil {
 					return err
 				}
 			} else if e.GetType() == raftpb.EntryNormal && len(e.GetData()) > 0 {
-				n.opt.Machine.Apply(e.GetData(), e.GetTerm(), e.GetIndex())
+				n.options.StateMachine.Apply(e.GetData(), e.GetTerm(), e.GetIndex())
 			}
 		}
 		n.raft.Advance(rd)
-		if n.applied >= n.snapped+snapEvery {
-			if err := n.snapshot(); err != nil {
+		if n.appliedIndex >= n.snapshotIndex+entriesPerSnapshot {
+			if err := n.takeSnapshot(); err != nil {
 				return err
 			}
 		}
@@ -313,15 +313,15 @@
 	return nil
 }
 
-// snapshot keeps what all that was applied came to.
-func (n *Node) snapshot() error {
-	data, err := n.pack()
+// takeSnapshot keeps what all that was applied came to.
+func (n *Node) takeSnapshot() error {
+	data, err := n.encodeSnapshot()
 	if err != nil {
 		return err
 	}
-	if err := n.disk.snapshot(n.applied, n.conf, data); err != nil {
+	if err := n.log.compact(n.appliedIndex, n.confState, data); err != nil {
 		return err
 	}
-	n.snapped = n.applied
+	n.snapshotIndex = n.appliedIndex
 	return nil
 }
--- a/fleet/consensus/node_test.go
+++ b/fleet/consensus/node_test.go
@@ -96,7 +96,7 @@
 func (g *group) start(name string) {
 	g.t.Helper()
 	l := &list{}
-	n, err := Start(Options{Self: name, Voters: g.founders(), Join: g.joins[name], Election: time.Second, Dir: filepath.Join(g.dir, name), Machine: l,
+	n, err := Start(Options{Self: name, Voters: g.founders(), Join: g.joins[name], ElectionTimeout: time.Second, Dir: filepath.Join(g.dir, name), StateMachine: l,
 		Send: func(to string, b []byte) {
 			g.mu.Lock()
 			peer := g.nodes[to]
@@ -205,7 +205,7 @@
 		defer g.stopAll()
 		g.add("first", g.names...)
 		g.stop("c")
-		const more = 2*snapEvery + keptBehind
+		const more = 2*entriesPerSnapshot + entriesRetained
 		for i := range more {
 			g.add(fmt.Sprint("item ", i), "a", "b")
 		}
@@ -227,7 +227,7 @@
 		defer g.stopAll()
 		g.add("first", g.names...)
 		was := g.leader()
-		g.nodes[was].Yield()
+		g.nodes[was].TransferLeadership()
 		time.Sleep(200 * time.Millisecond) // less than a time-out
 		if now := g.leader(); now == was {
 			t.Errorf("%s leads still", now)
@@ -245,7 +245,7 @@
 			g.add(fmt.Sprint("item ", i), g.names...)
 		}
 		g.stop("c")
-		options := Options{Self: "c", Voters: map[string]string{"b": "", "c": "", "d": ""}, Election: time.Second, Dir: filepath.Join(g.dir, "c"), Machine: &list{}}
+		options := Options{Self: "c", Voters: map[string]string{"b": "", "c": "", "d": ""}, ElectionTimeout: time.Second, Dir: filepath.Join(g.dir, "c"), StateMachine: &list{}}
 		if n, err := Start(options); err == nil {
 			t.Error("started on the log of other voters", n.Stop())
 		}
@@ -262,7 +262,7 @@
 		if err := os.WriteFile(segments[0], b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if n, err := Start(options); !errors.Is(err, ErrDamaged) {
+		if n, err := Start(options); !errors.Is(err, ErrLogDamaged) {
 			t.Errorf("on a damaged log: %v", err)
 			if err == nil {
 				n.Stop()
--- a/fleet/consensus/stored_test.go
+++ b/fleet/consensus/stored_test.go
@@ -16,7 +16,7 @@
 	}{
 		{learner, `{"name":"d","address":"at d","learner":true}`},
 		{
-			kept{[]string{"a", "b"}, []Voter{{Name: "a", Address: "at a"}, learner}, []byte{1, 2}},
+			snapshotEnvelope{[]string{"a", "b"}, []Voter{{Name: "a", Address: "at a"}, learner}, []byte{1, 2}},
 			`{"founders":["a","b"],"members":[{"name":"a","address":"at a"},{"name":"d","address":"at d","learner":true}],"state":"AQI="}`,
 		},
 	} {
@@ -26,7 +26,7 @@
 		}
 	}
 	for got, want := range map[string]string{
-		stateKey: "state", snapshotKey: "snapshot", slotKey(3): "entry/0003", slotKey(2049): "entry/0001",
+		stateKey: "state", snapshotKey: "snapshot", entryKey(3): "entry/0003", entryKey(2049): "entry/0001",
 	} {
 		if got != want {
 			t.Errorf("key %s, want %s", got, want)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -148,8 +148,8 @@
 		return err
 	}
 	defer close(ready)
-	f.node, err = consensus.Start(consensus.Options{Self: f.conf.Self, Voters: f.conf.Voters, Join: f.conf.Join, Changed: f.reach,
-		Election: f.conf.Election, Dir: f.conf.Dir, Machine: f.machine, Send: f.mesh.Send, Logger: f.log})
+	f.node, err = consensus.Start(consensus.Options{Self: f.conf.Self, Voters: f.conf.Voters, Join: f.conf.Join, OnMembershipChange: f.reach,
+		ElectionTimeout: f.conf.Election, Dir: f.conf.Dir, StateMachine: f.machine, Send: f.mesh.Send, Logger: f.log})
 	if err != nil {
 		go f.mesh.Close()
 		return err
@@ -290,7 +290,7 @@
 		}
 		for _, b := range f.budgets {
 			if orders := b.tick(f.machine); len(orders) > 0 {
-				f.node.Do(func() [][]byte { return orders })
+				f.node.RunInLoop(func() [][]byte { return orders })
 			}
 		}
 	}
@@ -390,7 +390,7 @@
 	<-f.changed
 	if f.machine != nil {
 		until := time.Now().Add(within)
-		f.node.Do(f.machine.retire)
+		f.node.RunInLoop(f.machine.retire)
 		for f.machine.owns(f.self) && time.Now().Before(until) {
 			select {
 			case <-f.machine.moved:
@@ -399,8 +399,8 @@
 				until = time.Time{}
 			}
 		}
-		f.node.Yield()
-		f.node.Do(func() [][]byte { return nil }) // the hand-over has gone out to the mesh
+		f.node.TransferLeadership()
+		f.node.RunInLoop(func() [][]byte { return nil }) // the hand-over has gone out to the mesh
 	}
 	if err := f.members.Stop(leaveWithin); err != nil {
 		f.log.Debug("fleet_leave", "error", err.Error())
--- a/fleet/voters.go
+++ b/fleet/voters.go
@@ -37,7 +37,7 @@
 	if f.node == nil {
 		return ErrNoVoter
 	}
-	return f.regroup(ctx, func() error { return f.node.Add(name, address) }, func(vs []consensus.Voter) bool {
+	return f.regroup(ctx, func() error { return f.node.AddVoter(name, address) }, func(vs []consensus.Voter) bool {
 		return slices.ContainsFunc(vs, func(v consensus.Voter) bool { return v.Name == name })
 	})
 }
@@ -67,7 +67,7 @@
 	if 2*alive <= stay {
 		return fmt.Errorf("fleet: of the %d voters that would stay %v are not alive: no majority", stay, dead)
 	}
-	return f.regroup(ctx, func() error { return f.node.Remove(name) }, func(vs []consensus.Voter) bool {
+	return f.regroup(ctx, func() error { return f.node.RemoveVoter(name) }, func(vs []consensus.Voter) bool {
 		return !slices.ContainsFunc(vs, func(v consensus.Voter) bool { return v.Name == name })
 	})
 }
