--- a/fleet/consensus/membership.go
+++ b/fleet/consensus/membership.go
@@ -152,7 +152,7 @@
 	if !valid {
 		return nil
 	}
-	n.logger.Info(eventVotersChanged, "change", change.GetType().String(), "of", voter.Name, "entry", entry.GetIndex())
+	n.logger.Info(eventVotersChanged, "change", change.GetType().String(), "voter", voter.Name, "log_index", entry.GetIndex())
 	n.setMembership(next)
 	return n.takeSnapshot() // so that a voter that joins receives a snapshot which contains it
 }
--- a/fleet/consensus/node.go
+++ b/fleet/consensus/node.go
@@ -34,11 +34,11 @@
 // The log events of this package.
 const (
 	eventMessageRefused  = "fleet_message_refused"
-	eventStepRejected    = "fleet_message"
-	eventProposalDropped = "fleet_proposal"
+	eventStepRejected    = "raft_step_rejected"
+	eventProposalDropped = "fleet_proposal_dropped"
 	eventVoterStopped    = "fleet_voter_stopped"
-	eventVotersChanged   = "voters"
-	eventRaftLibrary     = "raft"
+	eventVotersChanged   = "voters_changed"
+	eventRaftLibrary     = "raft_library"
 )
 
 // StateMachine is what the log's commands are applied to. All methods are called
--- a/fleet/consensus/raftlogger.go
+++ b/fleet/consensus/raftlogger.go
@@ -9,8 +9,8 @@
 // the debug level.
 type raftLogger struct{ logger *slog.Logger }
 
-func (l raftLogger) debug(text string) { l.logger.Debug(eventRaftLibrary, "remark", text) }
-func (l raftLogger) error(text string) { l.logger.Error(eventRaftLibrary, "remark", text) }
+func (l raftLogger) debug(text string) { l.logger.Debug(eventRaftLibrary, "text", text) }
+func (l raftLogger) error(text string) { l.logger.Error(eventRaftLibrary, "text", text) }
 
 func (l raftLogger) Debug(v ...any)                   { l.debug(fmt.Sprint(v...)) }
 func (l raftLogger) Debugf(format string, v ...any)   { l.debug(fmt.Sprintf(format, v...)) }
