--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -12,7 +12,7 @@
 	"quincerail.example/quincerail/fleet/consensus"
 	"quincerail.example/quincerail/fleet/gossip"
 	"quincerail.example/quincerail/fleet/lease"
-	"quincerail.example/quincerail/fleet/link"
+	"quincerail.example/quincerail/fleet/rafttransport"
 	"quincerail.example/quincerail/fleet/share"
 )
 
@@ -27,7 +27,7 @@
 	board   *board
 	budgets map[string]*Budget // those that the fleet has
 	changes *changes
-	members *gossip.Members
+	members *gossip.Membership
 	stop    context.CancelFunc
 	joined  chan struct{} // closed when there are members to tell
 	worked  chan struct{} // closed when the worker has ended
@@ -35,9 +35,9 @@
 	changed chan struct{} // closed when no change is driven any more
 
 	// Of a voter; nil in other members.
-	machine *machine
-	node    *consensus.Node
-	mesh    *link.Mesh
+	machine   *machine
+	node      *consensus.Node
+	transport *rafttransport.Transport
 }
 
 // Stats are a member's counts.
@@ -93,16 +93,16 @@
 		if err := f.startVoter(fence, clock); err != nil {
 			return nil, err
 		}
-		raft = f.mesh.Addr().String()
+		raft = f.transport.Addr().String()
 		f.changes.machine, f.changes.node = f.machine, f.node
 	}
 	var err error
 	if f.members, err = gossip.Start(gossip.Options{Fleet: c.Fleet, Self: c.Self, Listen: c.Gossip, Seeds: c.Seeds,
-		Role: string(c.Role), News: news{f}, Logger: f.log}); err != nil {
+		Role: string(c.Role), Delegate: news{f}, Logger: f.log}); err != nil {
 		f.stopVoter()
 		return nil, err
 	}
-	f.changes.send, f.changes.stream = f.members.Send, f.members.Stream
+	f.changes.send, f.changes.stream = f.members.Send, f.members.SendReliable
 	close(f.joined)
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
@@ -138,7 +138,7 @@
 	peers := maps.Clone(f.conf.Voters)
 	delete(peers, f.conf.Self)
 	ready := make(chan struct{})
-	f.mesh, err = link.Listen(link.Options{Fleet: f.conf.Fleet, Self: f.conf.Self, Listen: f.conf.Raft, Peers: peers, Logger: f.log,
+	f.transport, err = rafttransport.Listen(rafttransport.Options{Fleet: f.conf.Fleet, Self: f.conf.Self, Listen: f.conf.Raft, Peers: peers, Logger: f.log,
 		Receive: func(b []byte) {
 			if <-ready; f.node != nil { // nil where it did not start
 				f.node.Receive(b)
@@ -149,9 +149,9 @@
 	}
 	defer close(ready)
 	f.node, err = consensus.Start(consensus.Options{Self: f.conf.Self, Voters: f.conf.Voters, Join: f.conf.Join, OnMembershipChange: f.reach,
-		ElectionTimeout: f.conf.Election, Dir: f.conf.Dir, StateMachine: f.machine, Send: f.mesh.Send, Logger: f.log})
+		ElectionTimeout: f.conf.Election, Dir: f.conf.Dir, StateMachine: f.machine, Send: f.transport.Send, Logger: f.log})
 	if err != nil {
-		go f.mesh.Close()
+		go f.transport.Close()
 		return err
 	}
 	return nil
@@ -164,7 +164,7 @@
 	for _, v := range voters {
 		peers[v.Name] = cmp.Or(f.conf.Voters[v.Name], v.Address)
 	}
-	f.mesh.Reach(peers)
+	f.transport.SetPeers(peers)
 }
 
 // The kinds of news, as a piece's first byte.
@@ -180,11 +180,11 @@
 	newsDirection  = 'd' // of the owner of Rollout to a member
 )
 
-// news is what the members tell each other: gossip.News.
+// news is what the members tell each other: gossip.Delegate.
 type news struct{ f *Fleet }
 
-// Heard implements gossip.News.
-func (n news) Heard(piece []byte) (about string, isNews bool) {
+// MergeUpdate implements gossip.Delegate.
+func (n news) MergeUpdate(piece []byte) (about string, isNews bool) {
 	if len(piece) == 0 {
 		return "", false
 	}
@@ -207,8 +207,8 @@
 	return "", false
 }
 
-// Latest implements gossip.News.
-func (n news) Latest() (out [][]byte) {
+// KnownUpdates implements gossip.Delegate.
+func (n news) KnownUpdates() (out [][]byte) {
 	for _, p := range n.f.board.pieces() {
 		out = append(out, append([]byte{newsJudgement}, p...))
 	}
@@ -222,8 +222,8 @@
 func (f *Fleet) tell(about string, piece []byte) {
 	select {
 	case <-f.joined:
-		f.members.Tell(about, piece)
-	default: // it comes by Latest
+		f.members.Broadcast(about, piece)
+	default: // it comes by KnownUpdates
 	}
 }
 
@@ -250,7 +250,7 @@
 func (f *Fleet) voters() []string {
 	select {
 	case <-f.joined:
-		return f.members.Of(string(Voter))
+		return f.members.AliveWithRole(string(Voter))
 	default:
 		return nil
 	}
@@ -315,8 +315,8 @@
 	s := Stats{Alive: len(f.members.Alive()), State: f.Judgement().State}
 	_, s.Owner = f.Owner(Registry)
 	s.Messages, s.Bytes = f.members.Sent()
-	if f.mesh != nil {
-		messages, bytes := f.mesh.Sent()
+	if f.transport != nil {
+		messages, bytes := f.transport.Sent()
 		s.Messages, s.Bytes = s.Messages+messages, s.Bytes+bytes
 	}
 	s.Budgets = map[string]BudgetStats{}
@@ -372,7 +372,7 @@
 		return
 	}
 	f.board.heard(piece)
-	f.members.Tell(j.Lease, append([]byte{newsJudgement}, piece...))
+	f.members.Broadcast(j.Lease, append([]byte{newsJudgement}, piece...))
 	if f.conf.Publish == "" {
 		return
 	}
@@ -400,7 +400,7 @@
 			}
 		}
 		f.node.TransferLeadership()
-		f.node.RunInLoop(func() [][]byte { return nil }) // the hand-over has gone out to the mesh
+		f.node.RunInLoop(func() [][]byte { return nil }) // the transfer of leadership has been sent
 	}
 	if err := f.members.Stop(leaveWithin); err != nil {
 		f.log.Debug("fleet_leave", "error", err.Error())
@@ -415,5 +415,5 @@
 	if err := f.node.Stop(); err != nil {
 		f.log.Warn("fleet_voter_stopped", "error", err.Error())
 	}
-	f.mesh.Close()
+	f.transport.Close()
 }
--- a/fleet/lease/token.go
+++ b/fleet/lease/token.go
@@ -6,10 +6,11 @@
 )
 
 // Token is a fencing token: the Raft term and log index of the entry that
-// granted a lease. Of two grants of a lease the later has the higher token.
+// granted a lease. Of two grants of a lease the later has the higher token. It is
+// stored and sent in JSON, and sent in CBOR within a rollout.Direction.
 type Token struct {
-	Term  uint64 `json:"term"`
-	Index uint64 `json:"index"`
+	Term  uint64 `cbor:"term" json:"term"`
+	Index uint64 `cbor:"index" json:"index"`
 }
 
 // Compare returns a negative number if t is older than u, 0 if they are equal
