--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -21,8 +21,8 @@
 // goldenMachine makes a voter's machine; it wants the leases named.
 func goldenMachine(t *testing.T, self string, wanted ...string) *machine {
 	t.Helper()
-	member, err := lease.NewMember(lease.Owner{Member: self, Life: newLife()},
-		lease.Timing{Term: time.Second, Drift: 0.05, Renew: time.Second / 4}, wanted)
+	member, err := lease.NewClient(lease.Owner{Member: self, Incarnation: newLife()},
+		lease.Timing{Duration: time.Second, ClockDrift: 0.05, RenewInterval: time.Second / 4}, wanted)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 // goldenEntries are one for each kind of command, and the last of them an old
 // owner's, which is refused; the first has index 1.
 func goldenEntries() []goldenEntry {
-	owner := lease.Owner{Member: "v1", Life: 1 << 62}
+	owner := lease.Owner{Member: "v1", Incarnation: 1 << 62}
 	registry, bank, driver := lease.Token{Term: 1, Index: 1}, lease.Token{Term: 1, Index: 4}, lease.Token{Term: 1, Index: 5}
 	a, b := share.ID{Member: "a", Life: 1 << 61}, share.ID{Member: "b", Life: 1}
 	plan := &rollout.Plan{
@@ -57,11 +57,11 @@
 	}
 	rollouts := func(o rolloutOrder) command { return command{Rollout: &o} }
 	return []goldenEntry{
-		{"entry-lease-take.json", leases(lease.Command{Kind: lease.Take, Lease: Registry, By: owner, Nonce: 1})},
-		{"entry-lease-renew.json", leases(lease.Command{Kind: lease.Renew, Lease: Registry, By: owner, Token: registry, Nonce: 2})},
-		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: Registry, By: owner, Token: registry, Nonce: 3})},
-		{"entry-lease-take-bank.json", leases(lease.Command{Kind: lease.Take, Lease: Bank, By: owner, Nonce: 4})},
-		{"entry-lease-take-rollout.json", leases(lease.Command{Kind: lease.Take, Lease: Rollout, By: lease.Owner{Member: "v2", Life: 7}, Nonce: 1})},
+		{"entry-lease-take.json", leases(lease.Command{Kind: lease.Acquire, Lease: Registry, Owner: owner, Nonce: 1})},
+		{"entry-lease-renew.json", leases(lease.Command{Kind: lease.Renew, Lease: Registry, Owner: owner, Token: registry, Nonce: 2})},
+		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: Registry, Owner: owner, Token: registry, Nonce: 3})},
+		{"entry-lease-take-bank.json", leases(lease.Command{Kind: lease.Acquire, Lease: Bank, Owner: owner, Nonce: 4})},
+		{"entry-lease-take-rollout.json", leases(lease.Command{Kind: lease.Acquire, Lease: Rollout, Owner: lease.Owner{Member: "v2", Incarnation: 7}, Nonce: 1})},
 		{"entry-bank-grant.json", banks(Calls, bank, share.Order{Kind: share.Grant, Of: a, Amount: 5})},
 		{"entry-bank-grant-another.json", banks(Calls, bank, share.Order{Kind: share.Grant, Of: b, Amount: 2})},
 		{"entry-bank-repeats.json", banks(Repeats, bank, share.Order{Kind: share.Grant, Of: a, Amount: 10})},
@@ -142,7 +142,7 @@
 	t.Helper()
 	o := consensus.Options{
 		Self: self, Voters: map[string]string{"v1": "10.0.0.1:7000", "v2": "10.0.0.2:7000", "v3": "10.0.0.3:7000"},
-		Election: time.Second, Dir: golden.CopyFolder(t, "log-"+self), Machine: m, Send: send, Logger: logging.Discard(),
+		ElectionTimeout: time.Second, Dir: golden.CopyFolder(t, "log-"+self), StateMachine: m, Send: send, Logger: logging.Discard(),
 	}
 	o.Join = self == "v4"
 	n, err := consensus.Start(o)
@@ -248,7 +248,7 @@
 func goldenFleet(t *testing.T, self string) *Fleet {
 	t.Helper()
 	f := &Fleet{
-		conf: Config{Self: self, Zone: "z1", Version: "2"}, log: logging.Discard(), self: lease.Owner{Member: self, Life: 1 << 62},
+		conf: Config{Self: self, Zone: "z1", Version: "2"}, log: logging.Discard(), self: lease.Owner{Member: self, Incarnation: 1 << 62},
 		budgets: map[string]*Budget{}, joined: make(chan struct{}),
 	}
 	f.board = &board{log: f.log, fence: &lease.Fence{}, latest: map[string]Judgement{}, fresh: time.Hour}
