--- a/internal/fleetlab/main.go
+++ b/cmd/fleet-experiment/main.go
@@ -1,11 +1,11 @@
-// Command fleetlab measures fleets, of real processes on loopback and on the
+// Command fleet-experiment measures fleets, of real processes on loopback and on the
 // emulator of package share. It is no part
 // of CI; docs/fleet.md has its tables.
 //
-//	go run ./internal/fleetlab failover --trials 100
-//	go run ./internal/fleetlab traffic --members 295
-//	go run ./internal/fleetlab share
-//	go run ./internal/fleetlab rollout
+//	go run ./cmd/fleet-experiment failover --trials 100
+//	go run ./cmd/fleet-experiment traffic --members 295
+//	go run ./cmd/fleet-experiment share
+//	go run ./cmd/fleet-experiment rollout
 package main
 
 import (
@@ -44,7 +44,7 @@
 
 // fleet builds the program and starts a fleet of it.
 func fleet(o fleettest.Options) (*fleettest.Fleet, func(), error) {
-	dir, err := os.MkdirTemp("", "fleetlab")
+	dir, err := os.MkdirTemp("", "fleet-experiment")
 	if err != nil {
 		return nil, nil, err
 	}
