--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -62,7 +62,7 @@
 	asked  map[uint64]chan error  // operators that wait, by their orders' nonces
 }
 
-// Apply implements consensus.Machine.
+// Apply implements consensus.StateMachine.
 func (m *machine) Apply(data []byte, term, index uint64) {
 	var c command
 	if err := json.Unmarshal(data, &c); err != nil {
@@ -194,7 +194,7 @@
 	}
 }
 
-// Tick implements consensus.Machine: the leader asks for what is free.
+// Tick implements consensus.StateMachine: the leader asks for what is free.
 func (m *machine) Tick(leader bool) [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,14 +224,14 @@
 	return out
 }
 
-// Snapshot implements consensus.Machine.
+// Snapshot implements consensus.StateMachine.
 func (m *machine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return json.Marshal(snapshot{m.member.Table(), m.banks, m.record})
 }
 
-// Restore implements consensus.Machine.
+// Restore implements consensus.StateMachine.
 func (m *machine) Restore(data []byte) error {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
