--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"quincerail.example/quincerail/fleet/lease"
-	"quincerail.example/quincerail/fleet/share"
+	"quincerail.example/quincerail/fleet/quota"
 )
 
 const (
@@ -35,13 +35,13 @@
 )
 
 // Budget is this member's part of what the whole fleet may have in hand of some
-// kind (package share). Its methods are safe for concurrent use.
+// kind (package quota). Its methods are safe for concurrent use.
 type Budget struct {
 	kind   string
 	news   byte // first byte of its pieces of news
 	ask    byte // and of what is asked of it
 	name   string
-	timing share.Timing
+	timing quota.Timing
 	total  uint64
 	log    *slog.Logger
 	clock  func() time.Duration
@@ -51,8 +51,8 @@
 	voters func() []string // those of them that may keep the bank
 
 	mu     sync.Mutex
-	member *share.Member
-	keeper *share.Keeper // while this process owns the lease Bank
+	member *quota.Member
+	keeper *quota.Keeper // while this process owns the lease Bank
 	token  lease.Token   // under which
 	asked  time.Duration // when orders were sent that have not come back yet; 0 for none
 	freed  func()
@@ -60,7 +60,7 @@
 	counts map[string]uint64 // counted since the last tick
 }
 
-func newBudget(kind string, news, ask byte, total uint64, timing share.Timing, f *Fleet, clock func() time.Duration) (*Budget, error) {
+func newBudget(kind string, news, ask byte, total uint64, timing quota.Timing, f *Fleet, clock func() time.Duration) (*Budget, error) {
 	b := &Budget{kind: kind, news: news, ask: ask, alive: f.alive, voters: f.voters, name: f.conf.Self, total: total, log: f.log, clock: clock, tell: f.tell, send: f.send,
 		freed: func() {}, ticked: func(uint64) {}, timing: timing, counts: map[string]uint64{}}
 	return b, b.begin()
@@ -69,7 +69,7 @@
 // begin begins a new life, which holds nothing yet. The lock is held, or not needed.
 func (b *Budget) begin() error {
 	life := newLife()
-	m, err := share.NewMember(share.ID{Member: b.name, Life: life}, b.timing, mathrand.New(mathrand.NewPCG(life, 1)))
+	m, err := quota.NewMember(quota.ID{Member: b.name, Life: life}, b.timing, mathrand.New(mathrand.NewPCG(life, 1)))
 	if err != nil {
 		return fmt.Errorf("fleet: budget: %w", err)
 	}
@@ -82,12 +82,12 @@
 	return nil
 }
 
-func items(s share.State) (out []share.Item) {
+func items(s quota.State) (out []quota.Item) {
 	for id, r := range s.Rows {
-		out = append(out, share.Item{Of: id, Row: r})
+		out = append(out, quota.Item{Of: id, Row: r})
 	}
 	for id, a := range s.Accounts {
-		out = append(out, share.Item{Of: id, Account: a})
+		out = append(out, quota.Item{Of: id, Account: a})
 	}
 	return out
 }
@@ -163,7 +163,7 @@
 
 // heard takes in a piece of news.
 func (b *Budget) heard(piece []byte) (about string, news bool) {
-	i, ok := unpack[share.Item](b.log, piece)
+	i, ok := unpack[quota.Item](b.log, piece)
 	if !ok {
 		return "", false
 	}
@@ -175,7 +175,7 @@
 
 // heardAsk takes in that another member asks for rights.
 func (b *Budget) heardAsk(piece []byte) {
-	a, ok := unpack[share.Ask](b.log, piece)
+	a, ok := unpack[quota.Ask](b.log, piece)
 	if !ok {
 		return
 	}
@@ -185,14 +185,14 @@
 }
 
 // askFor asks some others for rights: those named, and the rest drawn.
-func (b *Budget) askFor(a share.Ask, of []share.ID) {
+func (b *Budget) askFor(a quota.Ask, of []quota.ID) {
 	piece, err := cbor.Marshal(a)
 	if err != nil {
 		b.log.Error("fleet_share", "error", err.Error())
 		return
 	}
 	others := slices.DeleteFunc(b.alive(), func(name string) bool { return name == b.name })
-	for n := range min(share.Asks, len(others)) {
+	for n := range min(quota.Asks, len(others)) {
 		i := mathrand.IntN(len(others))
 		if n < len(of) {
 			if i = slices.Index(others, of[n].Member); i < 0 {
@@ -205,7 +205,7 @@
 }
 
 // sendTo tells each member what is its own alone.
-func (b *Budget) sendTo(is []share.Item) {
+func (b *Budget) sendTo(is []quota.Item) {
 	for _, i := range is {
 		if piece := b.pack(i); piece != nil && i.Of.Member != b.name {
 			b.send(i.Of.Member, piece)
@@ -214,7 +214,7 @@
 }
 
 // about names what an item is about: the next of the same name is later.
-func (b *Budget) about(i share.Item) string {
+func (b *Budget) about(i quota.Item) string {
 	if i.Row != nil {
 		return b.kind + " row " + i.Of.String()
 	}
@@ -235,7 +235,7 @@
 
 // pack gives an item as a piece of news; nil where that fails, which the log
 // tells.
-func (b *Budget) pack(i share.Item) []byte {
+func (b *Budget) pack(i quota.Item) []byte {
 	piece, err := cbor.Marshal(i)
 	if err != nil {
 		b.log.Error("fleet_share", "error", err.Error())
@@ -245,7 +245,7 @@
 }
 
 // spread tells the others, outside the lock.
-func (b *Budget) spread(is []share.Item) {
+func (b *Budget) spread(is []quota.Item) {
 	for _, i := range is {
 		if piece := b.pack(i); piece != nil {
 			b.tell(b.about(i), piece)
@@ -255,22 +255,22 @@
 
 // changed takes in accounts that the log changed: all are told who was fenced,
 // and each other member of its own.
-func (b *Budget) changed(is []share.Item) {
+func (b *Budget) changed(is []quota.Item) {
 	b.mu.Lock()
 	b.asked = 0
 	for _, i := range is {
 		b.member.Merge(i, b.clock())
 	}
 	b.mu.Unlock()
-	b.spread(slices.DeleteFunc(slices.Clone(is), func(i share.Item) bool { return !i.Account.Fenced }))
-	b.sendTo(slices.DeleteFunc(is, func(i share.Item) bool { return i.Account.Fenced }))
+	b.spread(slices.DeleteFunc(slices.Clone(is), func(i quota.Item) bool { return !i.Account.Fenced }))
+	b.sendTo(slices.DeleteFunc(is, func(i quota.Item) bool { return i.Account.Fenced }))
 }
 
 // tick has the member speak, and the keeper decide where this process owns the
 // bank; it gives the keeper's orders for the log.
 func (b *Budget) tick(m *machine) [][]byte {
-	var acks []share.Item
-	var orders []share.Order
+	var acks []quota.Item
+	var orders []quota.Order
 	b.mu.Lock()
 	now := b.clock()
 	for name, n := range b.counts {
@@ -292,11 +292,11 @@
 	case !keeps:
 		b.keeper = nil
 	case b.keeper == nil || b.token != token:
-		b.keeper, b.token, b.asked = share.NewKeeper(b.total, b.timing, now), token, 0
+		b.keeper, b.token, b.asked = quota.NewKeeper(b.total, b.timing, now), token, 0
 	}
 	if b.keeper != nil {
 		m.mu.Lock()
-		var asked []share.Order
+		var asked []quota.Order
 		asked, acks = b.keeper.Tick(now, b.member.State(), m.banks[b.kind])
 		m.mu.Unlock()
 		for _, a := range acks {
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"quincerail.example/quincerail/fleet/lease"
-	"quincerail.example/quincerail/fleet/share"
+	"quincerail.example/quincerail/fleet/quota"
 )
 
 // Registry names the lease on probing the shared dependency and publishing how
@@ -109,8 +109,8 @@
 }
 
 // horizon is the budgets' timing: ten beats in a horizon.
-func (c *Config) horizon() share.Timing {
-	return share.Timing{Horizon: c.Horizon, Drift: c.Drift, Hold: max(c.Hold, c.repeatHold()), Beat: c.Horizon / 10}
+func (c *Config) horizon() quota.Timing {
+	return quota.Timing{Horizon: c.Horizon, Drift: c.Drift, Hold: max(c.Hold, c.repeatHold()), Beat: c.Horizon / 10}
 }
 
 // repeatHold is how long a repeat keeps its right: a second on any clock, so that
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -13,7 +13,7 @@
 	"quincerail.example/quincerail/fleet/gossip"
 	"quincerail.example/quincerail/fleet/lease"
 	"quincerail.example/quincerail/fleet/link"
-	"quincerail.example/quincerail/fleet/share"
+	"quincerail.example/quincerail/fleet/quota"
 )
 
 // leaveWithin is how long a member that ends waits for its leave to spread.
@@ -131,9 +131,9 @@
 		return err
 	}
 	f.machine = &machine{log: f.log, fence: fence, member: member, moved: make(chan struct{}, 1), clock: clock,
-		asked: map[uint64]chan error{}, banks: map[string]*share.Bank{}, changed: func(of string, accounts []share.Item) { f.budgets[of].changed(accounts) }}
+		asked: map[uint64]chan error{}, banks: map[string]*quota.Bank{}, changed: func(of string, accounts []quota.Item) { f.budgets[of].changed(accounts) }}
 	for kind, b := range f.budgets {
-		f.machine.banks[kind] = share.NewBank(b.total)
+		f.machine.banks[kind] = quota.NewBank(b.total)
 	}
 	peers := maps.Clone(f.conf.Voters)
 	delete(peers, f.conf.Self)
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"quincerail.example/quincerail/fleet/lease"
+	"quincerail.example/quincerail/fleet/quota"
 	"quincerail.example/quincerail/fleet/rollout"
-	"quincerail.example/quincerail/fleet/share"
 )
 
 // command is an entry of the log: one about a lease, or an order for the bank.
@@ -35,29 +35,29 @@
 type bankOrder struct {
 	Of    string      `json:"of"`
 	Token lease.Token `json:"token"`
-	Order share.Order `json:"order"`
+	Order quota.Order `json:"order"`
 }
 
 // snapshot is what the log came to.
 type snapshot struct {
 	Leases *lease.Table           `json:"leases"`
-	Banks  map[string]*share.Bank `json:"banks,omitempty"`
+	Banks  map[string]*quota.Bank `json:"banks,omitempty"`
 	Record rollout.Record         `json:"rollout"`
 }
 
 // machine is what a voter has under its log: consensus.Machine over
-// lease.Member and share.Bank.
+// lease.Member and quota.Bank.
 type machine struct {
 	log   *slog.Logger
 	clock func() time.Duration
 	fence *lease.Fence
 	moved chan struct{} // has an item when a lease changed owners
 
-	changed func(budget string, accounts []share.Item) // takes what a bank changed
+	changed func(budget string, accounts []quota.Item) // takes what a bank changed
 
 	mu     sync.Mutex // the worker asks from its own goroutine
 	member *lease.Member
-	banks  map[string]*share.Bank // by budget
+	banks  map[string]*quota.Bank // by budget
 	record rollout.Record         // of changes
 	asked  map[uint64]chan error  // operators that wait, by their orders' nonces
 }
@@ -96,7 +96,7 @@
 		m.mu.Unlock()
 		return
 	}
-	var items []share.Item
+	var items []quota.Item
 	err := m.stale(Bank, o.Token)
 	if err == nil {
 		items, err = bank.Apply(o.Order, index)
@@ -243,14 +243,14 @@
 	m.mu.Lock()
 	moves := m.member.Restore(*s.Leases, m.clock())
 	m.record = s.Record
-	items := map[string][]share.Item{}
+	items := map[string][]quota.Item{}
 	for of, bank := range s.Banks {
 		if m.banks[of] == nil {
 			continue // a budget that the fleet has no more
 		}
 		m.banks[of] = bank
 		for id, a := range bank.Accounts {
-			items[of] = append(items[of], share.Item{Of: id, Account: a})
+			items[of] = append(items[of], quota.Item{Of: id, Account: a})
 		}
 	}
 	m.mu.Unlock()
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"quincerail.example/quincerail/fleet/lease"
+	"quincerail.example/quincerail/fleet/quota"
 	"quincerail.example/quincerail/fleet/rollout"
-	"quincerail.example/quincerail/fleet/share"
 )
 
 // TestMachineFencesOrders has the log refuse what an old owner still sends, of a
@@ -23,7 +23,7 @@
 		}
 		return &machine{log: slog.New(slog.NewTextHandler(io.Discard, nil)), fence: &lease.Fence{}, member: member,
 			moved: make(chan struct{}, 1), clock: func() time.Duration { return 0 }, asked: map[uint64]chan error{},
-			banks: map[string]*share.Bank{Calls: share.NewBank(8)}, changed: func(string, []share.Item) {}}
+			banks: map[string]*quota.Bank{Calls: quota.NewBank(8)}, changed: func(string, []quota.Item) {}}
 	}
 	m := newMachine()
 	index := uint64(0)
@@ -71,7 +71,7 @@
 
 	bank := take(Bank, "a", lease.Token{})
 	grant := func(token lease.Token, n uint64) {
-		apply(command{Bank: &bankOrder{Of: Calls, Token: token, Order: share.Order{Kind: share.Grant, Of: share.ID{Member: "x", Life: 1}, Amount: n}}})
+		apply(command{Bank: &bankOrder{Of: Calls, Token: token, Order: quota.Order{Kind: quota.Grant, Of: quota.ID{Member: "x", Life: 1}, Amount: n}}})
 	}
 	grant(bank, 3)
 	take(Bank, "b", bank)
--- a/fleet/share/member.go
+++ b/fleet/quota/member.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"cmp"
--- a/fleet/share/share.go
+++ b/fleet/quota/share.go
@@ -1,4 +1,4 @@
-// Package share keeps state that the members of a fleet share within bounds
+// Package quota keeps state that the members of a fleet share within bounds
 // whatever part of it hears nothing. It does no I/O and reads no clock.
 //
 // State is a join semilattice (Shapiro, Preguiça, Baquero and Zawirski,
@@ -17,7 +17,7 @@
 // Rights are made, and taken back from members that died, by a Bank, whose
 // orders are entries of the fleet's log (package consensus): the escrow alone
 // has no way to tell that a member is gone for good. See bank.go.
-package share
+package quota
 
 import (
 	"fmt"
--- a/fleet/share/emulate/emulate.go
+++ b/fleet/quota/simulation/emulate.go
@@ -1,7 +1,7 @@
-// Package emulate plays fleets of thousands of members on one machine: the
-// code of package share itself, over a network and clocks that are simulated,
+// Package simulation plays fleets of thousands of members on one machine: the
+// code of package quota itself, over a network and clocks that are simulated,
 // from a fixed seed. Time goes in rounds of gossip.
-package emulate
+package simulation
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"quincerail.example/quincerail/fleet/share"
+	"quincerail.example/quincerail/fleet/quota"
 )
 
 // Config is a fleet and its network.
@@ -26,7 +26,7 @@
 	Loss      float64       // share of messages lost
 	Double    float64       // share that arrives twice
 	Late      float64       // share that arrives some rounds later
-	Timing    share.Timing
+	Timing    quota.Timing
 	Drift     float64 // clocks run fast or slow by up to this much, drawn for each
 	Load      float64 // what all want together, as a share of Total
 	Skew      float64 // a member's want goes with its rank to the power of -Skew
@@ -41,8 +41,8 @@
 
 // node is one member's place.
 type node struct {
-	m       *share.Member
-	id      share.ID
+	m       *quota.Member
+	id      quota.ID
 	group   int // of a partition
 	paused  bool
 	stopped bool // paused for longer than anything is in hand
@@ -52,8 +52,8 @@
 	wants   uint64
 	used    uint64 // in hand at the dependency, whatever the member itself knows
 	queue   []*queued
-	waits   map[share.ID]*queued // what is in the queue
-	rest    []share.ID           // whose items it sends when it has nothing new, in turn
+	waits   map[quota.ID]*queued // what is in the queue
+	rest    []quota.ID           // whose items it sends when it has nothing new, in turn
 	restAt  int
 	bytes   int
 	refused uint64
@@ -61,7 +61,7 @@
 
 // queued is a piece of news on its way out.
 type queued struct {
-	item share.Item
+	item quota.Item
 	size int
 	left int // times that it is still sent
 }
@@ -70,8 +70,8 @@
 type letter struct {
 	to    int
 	group int
-	items []share.Item
-	ask   *share.Ask
+	items []quota.Item
+	ask   *quota.Ask
 }
 
 // Fleet is a fleet at work.
@@ -81,21 +81,21 @@
 	now    time.Duration
 	round  int
 	nodes  []*node
-	bank   *share.Bank
+	bank   *quota.Bank
 	index  uint64
-	keeper *share.Keeper
+	keeper *quota.Keeper
 	owner  int // place of the keeper's node
 	late   map[int][]letter
-	rows   map[*share.Row]int // sizes on the wire
-	others map[*share.Account]int
+	rows   map[*quota.Row]int // sizes on the wire
+	others map[*quota.Account]int
 	again  int
 	over   int64 // most that was in hand beyond Total
 }
 
 // New makes a fleet whose members know nobody but by the names of all.
 func New(c Config) (*Fleet, error) {
-	f := &Fleet{conf: c, rng: rand.New(rand.NewPCG(c.Seed, 17)), bank: share.NewBank(c.Total), late: map[int][]letter{},
-		rows: map[*share.Row]int{}, others: map[*share.Account]int{}, over: math.MinInt64}
+	f := &Fleet{conf: c, rng: rand.New(rand.NewPCG(c.Seed, 17)), bank: quota.NewBank(c.Total), late: map[int][]letter{},
+		rows: map[*quota.Row]int{}, others: map[*quota.Account]int{}, over: math.MinInt64}
 	for i := range c.Members {
 		n := &node{rate: 1 + c.Drift*(2*f.rng.Float64()-1), offset: time.Duration(f.rng.Int64N(int64(time.Hour)))}
 		f.nodes = append(f.nodes, n)
@@ -112,13 +112,13 @@
 func (f *Fleet) start(i int) error {
 	f.again++
 	n := f.nodes[i]
-	n.id = share.ID{Member: fmt.Sprint("n", i), Life: uint64(f.again)}
-	m, err := share.NewMember(n.id, f.conf.Timing, rand.New(rand.NewPCG(f.conf.Seed, uint64(f.again))))
+	n.id = quota.ID{Member: fmt.Sprint("n", i), Life: uint64(f.again)}
+	m, err := quota.NewMember(n.id, f.conf.Timing, rand.New(rand.NewPCG(f.conf.Seed, uint64(f.again))))
 	if err != nil {
 		return err
 	}
 	n.m, n.dead, n.paused, n.queue, n.rest, n.restAt = m, false, false, nil, nil, 0
-	n.waits = map[share.ID]*queued{}
+	n.waits = map[quota.ID]*queued{}
 	return nil
 }
 
@@ -149,9 +149,9 @@
 		return false
 	}
 	f.owner = i
-	f.keeper = share.NewKeeper(f.conf.Total, f.conf.Timing, f.clock(f.nodes[i]))
+	f.keeper = quota.NewKeeper(f.conf.Total, f.conf.Timing, f.clock(f.nodes[i]))
 	for id, a := range f.bank.Accounts { // the log has told it
-		f.merge(f.nodes[i], share.Item{Of: id, Account: a})
+		f.merge(f.nodes[i], quota.Item{Of: id, Account: a})
 	}
 	return true
 }
@@ -177,14 +177,14 @@
 }
 
 // merge has a member take an item in, and pass on what was news.
-func (f *Fleet) merge(n *node, i share.Item) {
+func (f *Fleet) merge(n *node, i quota.Item) {
 	if news, ok := n.m.Merge(i, f.clock(n)); ok {
 		f.send(n, news)
 	}
 }
 
 // send queues news, in place of older news of the same ID.
-func (f *Fleet) send(n *node, i share.Item) {
+func (f *Fleet) send(n *node, i quota.Item) {
 	times := int(math.Ceil(3*math.Log10(float64(len(f.nodes)+1)))) / f.conf.Fanout * f.conf.Fanout
 	times = max(times, f.conf.Fanout)
 	q := n.waits[i.Of]
@@ -206,7 +206,7 @@
 const mostSizes = 1 << 15
 
 // size is an item's length on the wire.
-func (f *Fleet) size(i share.Item) int {
+func (f *Fleet) size(i quota.Item) int {
 	return 8 + len(i.Of.Member) + sizeOf(f.rows, i.Row) + sizeOf(f.others, i.Account)
 }
 
@@ -261,7 +261,7 @@
 			f.tell(n, f.place(g.To), g.Item)
 		}
 		if said.Ask != nil {
-			for k := range share.Asks {
+			for k := range quota.Asks {
 				to := f.rng.IntN(len(f.nodes))
 				if k < len(said.AskOf) {
 					to = f.place(said.AskOf[k])
@@ -289,12 +289,12 @@
 const askSize = 64
 
 // tell has a member say something to one other alone.
-func (f *Fleet) tell(n *node, to int, i share.Item) {
+func (f *Fleet) tell(n *node, to int, i quota.Item) {
 	if to < 0 || f.nodes[to] == n {
 		return
 	}
 	n.bytes += f.size(i)
-	f.post(letter{to: to, group: n.group, items: []share.Item{i}})
+	f.post(letter{to: to, group: n.group, items: []quota.Item{i}})
 }
 
 // keep has the keeper decide; its orders come to the bank at once.
@@ -376,7 +376,7 @@
 }
 
 // place finds where a life is, -1 if it is over.
-func (f *Fleet) place(id share.ID) int {
+func (f *Fleet) place(id quota.ID) int {
 	var i int
 	if _, err := fmt.Sscanf(id.Member, "n%d", &i); err != nil || f.nodes[i].id != id {
 		return -1
@@ -413,14 +413,14 @@
 					n.rest = append(n.rest, id)
 				}
 			}
-			slices.SortFunc(n.rest, func(a, b share.ID) int { return int(a.Life) - int(b.Life) })
+			slices.SortFunc(n.rest, func(a, b quota.ID) int { return int(a.Life) - int(b.Life) })
 			if len(n.rest) == 0 {
 				return
 			}
 			f.rng.Shuffle(len(n.rest), func(i, j int) { n.rest[i], n.rest[j] = n.rest[j], n.rest[i] })
 		}
 		id := n.rest[n.restAt]
-		i := share.Item{Of: id, Row: s.Rows[id], Account: s.Accounts[id]}
+		i := quota.Item{Of: id, Row: s.Rows[id], Account: s.Accounts[id]}
 		size := f.size(i)
 		if size > room && len(l.items) > 0 {
 			return
@@ -475,8 +475,8 @@
 
 // Marks is what is known of each life by anybody who is alive: to ask later
 // whether all know as much.
-func (f *Fleet) Marks() map[share.ID]uint64 {
-	marks := map[share.ID]uint64{}
+func (f *Fleet) Marks() map[quota.ID]uint64 {
+	marks := map[quota.ID]uint64{}
 	for _, n := range f.nodes {
 		if n.dead || n.paused {
 			continue
@@ -489,7 +489,7 @@
 }
 
 // Know tells whether all who are alive know as much as the marks say.
-func (f *Fleet) Know(marks map[share.ID]uint64) bool {
+func (f *Fleet) Know(marks map[quota.ID]uint64) bool {
 	for _, n := range f.nodes {
 		if n.dead || n.paused {
 			continue
--- a/fleet/share/emulate/emulate_test.go
+++ b/fleet/quota/simulation/emulate_test.go
@@ -1,17 +1,17 @@
-package emulate
+package simulation
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"quincerail.example/quincerail/fleet/share"
+	"quincerail.example/quincerail/fleet/quota"
 )
 
 func config(members int, seed uint64) Config {
 	return Config{Members: members, Total: uint64(members) * 8, Seed: seed, Round: 200 * time.Millisecond, Fanout: 3, Bytes: 1400,
 		Loss: 0.05, Double: 0.02, Late: 0.02, Drift: 0.05, Load: 1.2, Skew: 0.8, Reshuffle: 100,
-		Timing: share.Timing{Horizon: 20 * time.Second, Drift: 0.05, Hold: 400 * time.Millisecond, Beat: 2 * time.Second}}
+		Timing: quota.Timing{Horizon: 20 * time.Second, Drift: 0.05, Hold: 400 * time.Millisecond, Beat: 2 * time.Second}}
 }
 
 func run(f *Fleet, rounds int) {
--- a/internal/fleetlab/main.go
+++ b/internal/fleetlab/main.go
@@ -1,5 +1,5 @@
 // Command fleetlab measures fleets, of real processes on loopback and on the
-// emulator of package share. It is no part
+// simulation of package quota. It is no part
 // of CI; docs/fleet.md has its tables.
 //
 //	go run ./internal/fleetlab failover --trials 100
--- a/internal/fleetlab/share.go
+++ b/internal/fleetlab/share.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"quincerail.example/quincerail/fleet/share"
-	"quincerail.example/quincerail/fleet/share/emulate"
+	"quincerail.example/quincerail/fleet/quota"
+	"quincerail.example/quincerail/fleet/quota/simulation"
 )
 
 // shareCmd plays partitions on the emulator, and writes a table and charts.
@@ -114,9 +114,9 @@
 func (c *shareCmd) play(members int, p partition) (out play, err error) {
 	// News takes longer in a large fleet, and all say something each beat.
 	horizon := max(90*time.Second, time.Duration(members)*100*time.Millisecond)
-	f, err := emulate.New(emulate.Config{Members: members, Total: uint64(members) * budget, Seed: c.Seed, Round: roundTime,
+	f, err := simulation.New(simulation.Config{Members: members, Total: uint64(members) * budget, Seed: c.Seed, Round: roundTime,
 		Fanout: 3, Bytes: 1400 * max(1, members/1000), Loss: 0.05, Double: 0.02, Late: 0.02, Drift: 0.05, Load: 1, Skew: 0.9, Reshuffle: 250,
-		Timing: share.Timing{Horizon: horizon, Drift: 0.05, Hold: 2 * roundTime, Beat: horizon / 9}})
+		Timing: quota.Timing{Horizon: horizon, Drift: 0.05, Hold: 2 * roundTime, Beat: horizon / 9}})
 	if err != nil {
 		return out, err
 	}
