--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -52,9 +52,9 @@
 
 	mu     sync.Mutex
 	member *quota.Member
-	keeper *quota.Keeper // while this process owns the lease Bank
-	token  lease.Token   // under which
-	asked  time.Duration // when orders were sent that have not come back yet; 0 for none
+	keeper *quota.AllocatorLeader // while this process owns the lease Bank
+	token  lease.Token            // under which
+	asked  time.Duration          // when orders were sent that have not come back yet; 0 for none
 	freed  func()
 	ticked func(may uint64)
 	counts map[string]uint64 // counted since the last tick
@@ -69,7 +69,7 @@
 // begin begins a new life, which holds nothing yet. The lock is held, or not needed.
 func (b *Budget) begin() error {
 	life := newLife()
-	m, err := quota.NewMember(quota.ID{Member: b.name, Life: life}, b.timing, mathrand.New(mathrand.NewPCG(life, 1)))
+	m, err := quota.NewMember(quota.ID{Member: b.name, Incarnation: life}, b.timing, mathrand.New(mathrand.NewPCG(life, 1)))
 	if err != nil {
 		return fmt.Errorf("fleet: budget: %w", err)
 	}
@@ -82,12 +82,12 @@
 	return nil
 }
 
-func items(s quota.State) (out []quota.Item) {
-	for id, r := range s.Rows {
-		out = append(out, quota.Item{Of: id, Row: r})
+func items(s quota.State) (out []quota.Delta) {
+	for id, r := range s.Members {
+		out = append(out, quota.Delta{ID: id, MemberState: r})
 	}
 	for id, a := range s.Accounts {
-		out = append(out, quota.Item{Of: id, Account: a})
+		out = append(out, quota.Delta{ID: id, Account: a})
 	}
 	return out
 }
@@ -99,13 +99,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.member // a call goes back to the life that took it
-	if !m.Take(b.clock()) {
+	if !m.TryAcquire(b.clock()) {
 		return nil, false
 	}
 	return func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		m.Put()
+		m.Release()
 	}, true
 }
 
@@ -128,7 +128,7 @@
 func (b *Budget) Want(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.member.Want(uint64(max(0, n)))
+	b.member.ReportDemand(uint64(max(0, n)))
 }
 
 // Count adds one to a count of the whole fleet's.
@@ -142,14 +142,14 @@
 func (b *Budget) Counted(name string) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.member.State().Total(name)
+	return b.member.State().CounterValue(name)
 }
 
 // Rights is how many calls this member may have in hand now, and how many it has.
 func (b *Budget) Rights() (rights, used uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.member.Rights(), b.member.Used()
+	return b.member.Rights(), b.member.InUse()
 }
 
 // unpack reads a piece of news; what makes no sense is passed over.
@@ -163,7 +163,7 @@
 
 // heard takes in a piece of news.
 func (b *Budget) heard(piece []byte) (about string, news bool) {
-	i, ok := unpack[quota.Item](b.log, piece)
+	i, ok := unpack[quota.Delta](b.log, piece)
 	if !ok {
 		return "", false
 	}
@@ -175,24 +175,24 @@
 
 // heardAsk takes in that another member asks for rights.
 func (b *Budget) heardAsk(piece []byte) {
-	a, ok := unpack[quota.Ask](b.log, piece)
+	a, ok := unpack[quota.TransferRequest](b.log, piece)
 	if !ok {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.member.Asked(a, b.clock())
+	b.member.HandleRequest(a, b.clock())
 }
 
 // askFor asks some others for rights: those named, and the rest drawn.
-func (b *Budget) askFor(a quota.Ask, of []quota.ID) {
+func (b *Budget) askFor(a quota.TransferRequest, of []quota.ID) {
 	piece, err := cbor.Marshal(a)
 	if err != nil {
 		b.log.Error("fleet_share", "error", err.Error())
 		return
 	}
 	others := slices.DeleteFunc(b.alive(), func(name string) bool { return name == b.name })
-	for n := range min(quota.Asks, len(others)) {
+	for n := range min(quota.RequestFanout, len(others)) {
 		i := mathrand.IntN(len(others))
 		if n < len(of) {
 			if i = slices.Index(others, of[n].Member); i < 0 {
@@ -205,20 +205,20 @@
 }
 
 // sendTo tells each member what is its own alone.
-func (b *Budget) sendTo(is []quota.Item) {
+func (b *Budget) sendTo(is []quota.Delta) {
 	for _, i := range is {
-		if piece := b.pack(i); piece != nil && i.Of.Member != b.name {
-			b.send(i.Of.Member, piece)
+		if piece := b.pack(i); piece != nil && i.ID.Member != b.name {
+			b.send(i.ID.Member, piece)
 		}
 	}
 }
 
 // about names what an item is about: the next of the same name is later.
-func (b *Budget) about(i quota.Item) string {
-	if i.Row != nil {
-		return b.kind + " row " + i.Of.String()
+func (b *Budget) about(i quota.Delta) string {
+	if i.MemberState != nil {
+		return b.kind + " row " + i.ID.String()
 	}
-	return b.kind + " account " + i.Of.String()
+	return b.kind + " account " + i.ID.String()
 }
 
 // latest gives all that is known, for those who join.
@@ -235,7 +235,7 @@
 
 // pack gives an item as a piece of news; nil where that fails, which the log
 // tells.
-func (b *Budget) pack(i quota.Item) []byte {
+func (b *Budget) pack(i quota.Delta) []byte {
 	piece, err := cbor.Marshal(i)
 	if err != nil {
 		b.log.Error("fleet_share", "error", err.Error())
@@ -245,7 +245,7 @@
 }
 
 // spread tells the others, outside the lock.
-func (b *Budget) spread(is []quota.Item) {
+func (b *Budget) spread(is []quota.Delta) {
 	for _, i := range is {
 		if piece := b.pack(i); piece != nil {
 			b.tell(b.about(i), piece)
@@ -255,26 +255,26 @@
 
 // changed takes in accounts that the log changed: all are told who was fenced,
 // and each other member of its own.
-func (b *Budget) changed(is []quota.Item) {
+func (b *Budget) changed(is []quota.Delta) {
 	b.mu.Lock()
 	b.asked = 0
 	for _, i := range is {
 		b.member.Merge(i, b.clock())
 	}
 	b.mu.Unlock()
-	b.spread(slices.DeleteFunc(slices.Clone(is), func(i quota.Item) bool { return !i.Account.Fenced }))
-	b.sendTo(slices.DeleteFunc(is, func(i quota.Item) bool { return i.Account.Fenced }))
+	b.spread(slices.DeleteFunc(slices.Clone(is), func(i quota.Delta) bool { return !i.Account.Fenced }))
+	b.sendTo(slices.DeleteFunc(is, func(i quota.Delta) bool { return i.Account.Fenced }))
 }
 
 // tick has the member speak, and the keeper decide where this process owns the
 // bank; it gives the keeper's orders for the log.
 func (b *Budget) tick(m *machine) [][]byte {
-	var acks []quota.Item
-	var orders []quota.Order
+	var acks []quota.Delta
+	var orders []quota.Command
 	b.mu.Lock()
 	now := b.clock()
 	for name, n := range b.counts {
-		b.member.Count(name, n, 0)
+		b.member.AddToCounter(name, n, 0)
 	}
 	clear(b.counts)
 	if b.member.Fenced() {
@@ -292,11 +292,11 @@
 	case !keeps:
 		b.keeper = nil
 	case b.keeper == nil || b.token != token:
-		b.keeper, b.token, b.asked = quota.NewKeeper(b.total, b.timing, now), token, 0
+		b.keeper, b.token, b.asked = quota.NewAllocatorLeader(b.total, b.timing, now), token, 0
 	}
 	if b.keeper != nil {
 		m.mu.Lock()
-		var asked []quota.Order
+		var asked []quota.Command
 		asked, acks = b.keeper.Tick(now, b.member.State(), m.banks[b.kind])
 		m.mu.Unlock()
 		for _, a := range acks {
@@ -306,11 +306,11 @@
 			orders, b.asked = asked, now
 		}
 	}
-	freed, ticked, may := b.freed, b.ticked, b.member.May(now)
+	freed, ticked, may := b.freed, b.ticked, b.member.Available(now)
 	b.mu.Unlock()
-	if said.All != nil {
-		if piece := b.pack(*said.All); piece != nil {
-			b.tell(b.about(*said.All), piece)
+	if said.Broadcast != nil {
+		if piece := b.pack(*said.Broadcast); piece != nil {
+			b.tell(b.about(*said.Broadcast), piece)
 			for _, to := range b.voters() { // the keeper hears beats soon
 				if to != b.name {
 					b.send(to, piece)
@@ -319,11 +319,11 @@
 		}
 	}
 	b.sendTo(acks)
-	if said.Ask != nil {
-		b.askFor(*said.Ask, said.AskOf)
+	if said.Request != nil {
+		b.askFor(*said.Request, said.RequestTo)
 	}
-	for _, g := range said.Gifts {
-		if piece := b.pack(g.Item); piece != nil {
+	for _, g := range said.Transfers {
+		if piece := b.pack(g.Delta); piece != nil {
 			b.send(g.To.Member, piece)
 		}
 	}
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -110,7 +110,7 @@
 
 // horizon is the budgets' timing: ten beats in a horizon.
 func (c *Config) horizon() quota.Timing {
-	return quota.Timing{Horizon: c.Horizon, Drift: c.Drift, Hold: max(c.Hold, c.repeatHold()), Beat: c.Horizon / 10}
+	return quota.Timing{SessionTimeout: c.Horizon, MaxClockDrift: c.Drift, MaxHoldTime: max(c.Hold, c.repeatHold()), HeartbeatInterval: c.Horizon / 10}
 }
 
 // repeatHold is how long a repeat keeps its right: a second on any clock, so that
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -131,9 +131,9 @@
 		return err
 	}
 	f.machine = &machine{log: f.log, fence: fence, member: member, moved: make(chan struct{}, 1), clock: clock,
-		asked: map[uint64]chan error{}, banks: map[string]*quota.Bank{}, changed: func(of string, accounts []quota.Item) { f.budgets[of].changed(accounts) }}
+		asked: map[uint64]chan error{}, banks: map[string]*quota.Allocator{}, changed: func(of string, accounts []quota.Delta) { f.budgets[of].changed(accounts) }}
 	for kind, b := range f.budgets {
-		f.machine.banks[kind] = quota.NewBank(b.total)
+		f.machine.banks[kind] = quota.NewAllocator(b.total)
 	}
 	peers := maps.Clone(f.conf.Voters)
 	delete(peers, f.conf.Self)
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -33,16 +33,16 @@
 // bankOrder is an order for the bank of a budget, under the token of the lease Bank: the
 // log refuses what a late-waking old owner sends.
 type bankOrder struct {
-	Of    string      `json:"of"`
-	Token lease.Token `json:"token"`
-	Order quota.Order `json:"order"`
+	Of    string        `json:"of"`
+	Token lease.Token   `json:"token"`
+	Order quota.Command `json:"order"`
 }
 
 // snapshot is what the log came to.
 type snapshot struct {
-	Leases *lease.Table           `json:"leases"`
-	Banks  map[string]*quota.Bank `json:"banks,omitempty"`
-	Record rollout.Record         `json:"rollout"`
+	Leases *lease.Table                `json:"leases"`
+	Banks  map[string]*quota.Allocator `json:"banks,omitempty"`
+	Record rollout.Record              `json:"rollout"`
 }
 
 // machine is what a voter has under its log: consensus.Machine over
@@ -53,13 +53,13 @@
 	fence *lease.Fence
 	moved chan struct{} // has an item when a lease changed owners
 
-	changed func(budget string, accounts []quota.Item) // takes what a bank changed
+	changed func(budget string, accounts []quota.Delta) // takes what a bank changed
 
 	mu     sync.Mutex // the worker asks from its own goroutine
 	member *lease.Member
-	banks  map[string]*quota.Bank // by budget
-	record rollout.Record         // of changes
-	asked  map[uint64]chan error  // operators that wait, by their orders' nonces
+	banks  map[string]*quota.Allocator // by budget
+	record rollout.Record              // of changes
+	asked  map[uint64]chan error       // operators that wait, by their orders' nonces
 }
 
 // Apply implements consensus.Machine.
@@ -96,7 +96,7 @@
 		m.mu.Unlock()
 		return
 	}
-	var items []quota.Item
+	var items []quota.Delta
 	err := m.stale(Bank, o.Token)
 	if err == nil {
 		items, err = bank.Apply(o.Order, index)
@@ -106,7 +106,7 @@
 		m.log.Debug("fleet_order_refused", "error", err.Error())
 		return
 	}
-	m.log.Info("bank", "budget", o.Of, "order", string(o.Order.Kind), "of", o.Order.Of.String(), "amount", o.Order.Amount)
+	m.log.Info("bank", "budget", o.Of, "order", string(o.Order.Kind), "of", o.Order.Target.String(), "amount", o.Order.Amount)
 	m.changed(o.Of, items)
 }
 
@@ -243,14 +243,14 @@
 	m.mu.Lock()
 	moves := m.member.Restore(*s.Leases, m.clock())
 	m.record = s.Record
-	items := map[string][]quota.Item{}
+	items := map[string][]quota.Delta{}
 	for of, bank := range s.Banks {
 		if m.banks[of] == nil {
 			continue // a budget that the fleet has no more
 		}
 		m.banks[of] = bank
 		for id, a := range bank.Accounts {
-			items[of] = append(items[of], quota.Item{Of: id, Account: a})
+			items[of] = append(items[of], quota.Delta{ID: id, Account: a})
 		}
 	}
 	m.mu.Unlock()
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -23,7 +23,7 @@
 		}
 		return &machine{log: slog.New(slog.NewTextHandler(io.Discard, nil)), fence: &lease.Fence{}, member: member,
 			moved: make(chan struct{}, 1), clock: func() time.Duration { return 0 }, asked: map[uint64]chan error{},
-			banks: map[string]*quota.Bank{Calls: quota.NewBank(8)}, changed: func(string, []quota.Item) {}}
+			banks: map[string]*quota.Allocator{Calls: quota.NewAllocator(8)}, changed: func(string, []quota.Delta) {}}
 	}
 	m := newMachine()
 	index := uint64(0)
@@ -71,7 +71,7 @@
 
 	bank := take(Bank, "a", lease.Token{})
 	grant := func(token lease.Token, n uint64) {
-		apply(command{Bank: &bankOrder{Of: Calls, Token: token, Order: quota.Order{Kind: quota.Grant, Of: quota.ID{Member: "x", Life: 1}, Amount: n}}})
+		apply(command{Bank: &bankOrder{Of: Calls, Token: token, Order: quota.Command{Kind: quota.Grant, Target: quota.ID{Member: "x", Incarnation: 1}, Amount: n}}})
 	}
 	grant(bank, 3)
 	take(Bank, "b", bank)
--- a/fleet/quota/bank.go
+++ b/fleet/quota/bank.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Kind says what an order does.
-type Kind string
+// CommandKind says what an order does.
+type CommandKind string
 
 // The kinds of orders.
 const (
-	Grant  Kind = "grant"  // rights to a member, out of those that are free
-	Fence  Kind = "fence"  // a member is gone: it has certainly stopped spending
-	Settle Kind = "settle" // what all fenced members held goes back to the free ones
+	Grant   CommandKind = "grant"  // rights to a member, out of those that are free
+	Fence   CommandKind = "fence"  // a member is gone: it has certainly stopped spending
+	Reclaim CommandKind = "settle" // what all fenced members held goes back to the free ones
 )
 
-// Order is an entry of the bank's log.
-type Order struct {
-	Kind   Kind   `json:"kind"`
-	Of     ID     `json:"of,omitzero"`      // of Grant and Fence
-	Amount uint64 `json:"amount,omitempty"` // of Grant; 0 opens an account only
-	// Edges, of Settle, are what each member that is not fenced reported on each
+// Command is an entry of the bank's log.
+type Command struct {
+	Kind   CommandKind `json:"kind"`
+	Target ID          `json:"of,omitzero"`      // of Grant and Fence
+	Amount uint64      `json:"amount,omitempty"` // of Grant; 0 opens an account only
+	// Reports, of Settle, are what each member that is not fenced reported on each
 	// that is: by the fenced one, then by the reporter.
-	Edges map[ID]map[ID]Closing `json:"edges,omitempty"`
+	Reports map[ID]map[ID]TransferReport `json:"edges,omitempty"`
 }
 
-// Bank is the state machine that rights come from. All who applied the same
+// Allocator is the state machine that rights come from. All who applied the same
 // orders hold the same bank.
 //
 // Settle takes back what the members held that are fenced and not settled yet,
@@ -41,41 +41,41 @@
 // and the rows of the settled count no more.
 //
 // Its JSON is part of the snapshots of the fleet's log: the tags are that format.
-type Bank struct {
-	Total    uint64          `json:"Total"`
+type Allocator struct {
+	Capacity uint64          `json:"Total"`
 	Free     uint64          `json:"Free"`
 	Accounts map[ID]*Account `json:"Accounts"`
 }
 
-// NewBank makes a bank whose rights are all free.
-func NewBank(total uint64) *Bank {
-	return &Bank{Total: total, Free: total, Accounts: map[ID]*Account{}}
+// NewAllocator makes a bank whose rights are all free.
+func NewAllocator(total uint64) *Allocator {
+	return &Allocator{Capacity: total, Free: total, Accounts: map[ID]*Account{}}
 }
 
 // Apply takes in the order at an index of the log, and gives the accounts that
 // it changed. The error says why an order was refused, and nothing changed.
-func (b *Bank) Apply(o Order, index uint64) ([]Item, error) {
-	var items []Item
-	switch was := b.Accounts[o.Of]; o.Kind {
+func (b *Allocator) Apply(o Command, index uint64) ([]Delta, error) {
+	var items []Delta
+	switch was := b.Accounts[o.Target]; o.Kind {
 	case Grant:
 		a := Account{}
 		if was != nil {
 			a = *was
 		}
 		if a.Fenced || o.Amount == 0 && was != nil || b.Free < o.Amount {
-			return nil, fmt.Errorf("share: grant of %d to %s, %d free", o.Amount, o.Of, b.Free)
+			return nil, fmt.Errorf("share: grant of %d to %s, %d free", o.Amount, o.Target, b.Free)
 		}
 		b.Free -= o.Amount
-		a.Index, a.Granted = index, a.Granted+o.Amount
-		items = []Item{{Of: o.Of, Account: &a}}
+		a.LogIndex, a.Granted = index, a.Granted+o.Amount
+		items = []Delta{{ID: o.Target, Account: &a}}
 	case Fence:
 		if was == nil || was.Fenced {
-			return nil, fmt.Errorf("share: fence of %s, which has no account or is fenced", o.Of)
+			return nil, fmt.Errorf("share: fence of %s, which has no account or is fenced", o.Target)
 		}
 		a := *was
-		a.Index, a.Fenced = index, true
-		items = []Item{{Of: o.Of, Account: &a}}
-	case Settle:
+		a.LogIndex, a.Fenced = index, true
+		items = []Delta{{ID: o.Target, Account: &a}}
+	case Reclaim:
 		var err error
 		if items, err = b.settle(o, index); err != nil {
 			return nil, err
@@ -84,18 +84,18 @@
 		return nil, fmt.Errorf("share: order %q is none", o.Kind)
 	}
 	for _, i := range items {
-		b.Accounts[i.Of] = i.Account
+		b.Accounts[i.ID] = i.Account
 	}
 	return items, nil
 }
 
 // unsettled gives the accounts that are fenced and not settled, and those that
 // are not fenced, in order.
-func (b *Bank) unsettled() (fenced, live []ID) {
+func (b *Allocator) unsettled() (fenced, live []ID) {
 	for id, a := range b.Accounts {
 		if !a.Fenced {
 			live = append(live, id)
-		} else if !a.Settled {
+		} else if !a.Reclaimed {
 			fenced = append(fenced, id)
 		}
 	}
@@ -104,31 +104,31 @@
 	return fenced, live
 }
 
-func (b *Bank) settle(o Order, index uint64) ([]Item, error) {
+func (b *Allocator) settle(o Command, index uint64) ([]Delta, error) {
 	fenced, live := b.unsettled()
 	if len(fenced) == 0 {
 		return nil, fmt.Errorf("share: settlement, and nobody is fenced")
 	}
 	var back int64
-	var items []Item
+	var items []Delta
 	folds := map[ID]map[ID]int64{}
 	for _, id := range fenced {
 		a := *b.Accounts[id]
 		back += int64(a.Granted)
-		for _, n := range a.Folds {
+		for _, n := range a.SettledTransfers {
 			back += n
 		}
-		a.Index, a.Settled, a.Granted, a.Folds = index, true, 0, nil
-		items = append(items, Item{Of: id, Account: &a})
+		a.LogIndex, a.Reclaimed, a.Granted, a.SettledTransfers = index, true, 0, nil
+		items = append(items, Delta{ID: id, Account: &a})
 		for _, other := range live {
-			c, told := o.Edges[id][other]
+			c, told := o.Reports[id][other]
 			if !told {
 				return nil, fmt.Errorf("share: settlement of %s without a report of %s", id, other)
 			}
-			if net := int64(c.In) - int64(c.Out); net != 0 {
+			if net := int64(c.Received) - int64(c.Sent); net != 0 {
 				back -= net
 				if folds[other] == nil {
-					folds[other] = maps.Clone(b.Accounts[other].Folds)
+					folds[other] = maps.Clone(b.Accounts[other].SettledTransfers)
 				}
 				if folds[other] == nil {
 					folds[other] = map[ID]int64{}
@@ -142,8 +142,8 @@
 	}
 	for id, f := range folds {
 		a := *b.Accounts[id]
-		a.Index, a.Folds = index, f
-		items = append(items, Item{Of: id, Account: &a})
+		a.LogIndex, a.SettledTransfers = index, f
+		items = append(items, Delta{ID: id, Account: &a})
 	}
 	b.Free += uint64(back)
 	return items, nil
@@ -152,30 +152,32 @@
 // Timing is how long a member that hears nothing may go on. All members must be
 // told the same.
 type Timing struct {
-	Horizon time.Duration // after a beat that the keeper acked, until a member stops spending
-	Drift   float64       // most that a clock runs fast or slow by, as a share
-	Hold    time.Duration // the longest that anything is in hand: spending ends so long ahead
-	Beat    time.Duration // between two beats at rest
+	SessionTimeout    time.Duration // after a beat that the keeper acked, until a member stops spending
+	MaxClockDrift     float64       // most that a clock runs fast or slow by, as a share
+	MaxHoldTime       time.Duration // the longest that anything is in hand: spending ends so long ahead
+	HeartbeatInterval time.Duration // between two beats at rest
 }
 
 // Validate gives an error that names the field that makes no sense.
 func (t Timing) Validate() error {
 	switch {
-	case !(t.Drift >= 0 && t.Drift <= 0.2):
-		return fmt.Errorf("share: drift %v, 0 to 0.2 wanted", t.Drift)
-	case t.Beat <= 0 || t.Hold < 0 || t.stop() < 3*t.Beat:
-		return fmt.Errorf("share: horizon %v, at least %v and three beats (%v) wanted", t.Horizon, t.Hold, t.Beat)
+	case !(t.MaxClockDrift >= 0 && t.MaxClockDrift <= 0.2):
+		return fmt.Errorf("share: drift %v, 0 to 0.2 wanted", t.MaxClockDrift)
+	case t.HeartbeatInterval <= 0 || t.MaxHoldTime < 0 || t.stop() < 3*t.HeartbeatInterval:
+		return fmt.Errorf("share: horizon %v, at least %v and three beats (%v) wanted", t.SessionTimeout, t.MaxHoldTime, t.HeartbeatInterval)
 	}
 	return nil
 }
 
 func (t Timing) stop() time.Duration {
-	return time.Duration(float64(t.Horizon)*(1-t.Drift)) - t.Hold
+	return time.Duration(float64(t.SessionTimeout)*(1-t.MaxClockDrift)) - t.MaxHoldTime
 }
 
-func (t Timing) wait() time.Duration { return time.Duration(float64(t.Horizon) * (1 + t.Drift)) }
+func (t Timing) wait() time.Duration {
+	return time.Duration(float64(t.SessionTimeout) * (1 + t.MaxClockDrift))
+}
 
-// Keeper decides the bank's orders. Only the owner of the fleet's lease on the
+// AllocatorLeader decides the bank's orders. Only the owner of the fleet's lease on the
 // bank runs one, made anew when it comes into office, and only while it holds
 // the lease; the orders go under its token.
 //
@@ -183,7 +185,7 @@
 // when it acked, which is later; so a member that is fenced after the horizon has
 // stopped before. What an earlier keeper acked was sent before this one came
 // into office, so it waits a whole horizon from then.
-type Keeper struct {
+type AllocatorLeader struct {
 	timing Timing
 	total  uint64
 	since  time.Duration
@@ -195,54 +197,54 @@
 	at   time.Duration
 }
 
-// NewKeeper makes a keeper that comes into office at a time.
-func NewKeeper(total uint64, timing Timing, now time.Duration) *Keeper {
-	return &Keeper{timing: timing, total: total, since: now, heard: map[ID]heard{}}
+// NewAllocatorLeader makes a keeper that comes into office at a time.
+func NewAllocatorLeader(total uint64, timing Timing, now time.Duration) *AllocatorLeader {
+	return &AllocatorLeader{timing: timing, total: total, since: now, heard: map[ID]heard{}}
 }
 
 // Tick gives the orders to send to the log, and the acks, each for the member it
 // is of, by what the keeper knows at a time. Orders that are refused, or lost, come again.
-func (k *Keeper) Tick(now time.Duration, s State, b *Bank) (orders []Order, acks []Item) {
-	ids := slices.SortedFunc(maps.Keys(s.Rows), compareIDs)
+func (k *AllocatorLeader) Tick(now time.Duration, s State, b *Allocator) (orders []Command, acks []Delta) {
+	ids := slices.SortedFunc(maps.Keys(s.Members), compareIDs)
 	var live, waiting []ID
 	var needs uint64
 	for _, id := range ids {
-		row, a := s.Rows[id], b.Accounts[id]
+		row, a := s.Members[id], b.Accounts[id]
 		if a != nil && a.Fenced {
 			continue
 		}
-		if h, known := k.heard[id]; !known || row.Beat > h.beat {
-			k.heard[id] = heard{row.Beat, now}
+		if h, known := k.heard[id]; !known || row.Heartbeat > h.beat {
+			k.heard[id] = heard{row.Heartbeat, now}
 			ack := Account{}
 			if a != nil { // again and again, as it may have been lost
 				ack = *a
 			}
-			ack.Acked = row.Beat
-			acks = append(acks, Item{Of: id, Account: &ack})
+			ack.AckedHeartbeat = row.Heartbeat
+			acks = append(acks, Delta{ID: id, Account: &ack})
 		}
 		if a == nil {
 			waiting = append(waiting, id)
 		}
 		live = append(live, id)
-		needs += row.Need
+		needs += row.Shortfall
 	}
 	free := b.Free
-	if now-k.since < k.timing.Beat { // until it has heard who is there
+	if now-k.since < k.timing.HeartbeatInterval { // until it has heard who is there
 		free = 0
 	}
 	fair := max(1, k.total/uint64(max(1, len(live))))
 	for _, id := range waiting { // one that gets nothing has an account at least, so that others may give
-		if n := min(fair, free); n > 0 || now-k.since >= k.timing.Beat {
-			orders = append(orders, Order{Kind: Grant, Of: id, Amount: n})
+		if n := min(fair, free); n > 0 || now-k.since >= k.timing.HeartbeatInterval {
+			orders = append(orders, Command{Kind: Grant, Target: id, Amount: n})
 			free -= n
 		}
 	}
 	if len(waiting) == 0 && free > 0 { // to those that lack, by what they lack
 		spread := free
 		for _, id := range live {
-			if need := s.Rows[id].Need; need > 0 && free > 0 {
+			if need := s.Members[id].Shortfall; need > 0 && free > 0 {
 				n := min(free, max(1, spread*need/needs))
-				orders = append(orders, Order{Kind: Grant, Of: id, Amount: n})
+				orders = append(orders, Command{Kind: Grant, Target: id, Amount: n})
 				free -= n
 			}
 		}
@@ -254,26 +256,26 @@
 			h.at = k.since
 		}
 		if now-h.at >= k.timing.wait() {
-			orders = append(orders, Order{Kind: Fence, Of: id})
+			orders = append(orders, Command{Kind: Fence, Target: id})
 		}
 	}
 	if edges, all := reports(s, fenced, open); all {
-		orders = append(orders, Order{Kind: Settle, Edges: edges})
+		orders = append(orders, Command{Kind: Reclaim, Reports: edges})
 	}
 	return orders, acks
 }
 
 // reports collects what members that are not fenced say of those that are.
-func reports(s State, fenced, open []ID) (edges map[ID]map[ID]Closing, all bool) {
-	edges = map[ID]map[ID]Closing{}
+func reports(s State, fenced, open []ID) (edges map[ID]map[ID]TransferReport, all bool) {
+	edges = map[ID]map[ID]TransferReport{}
 	for _, of := range fenced {
-		edges[of] = map[ID]Closing{}
+		edges[of] = map[ID]TransferReport{}
 		for _, by := range open {
-			row := s.Rows[by]
+			row := s.Members[by]
 			if row == nil {
 				return nil, false
 			}
-			c, told := row.Closed[of]
+			c, told := row.TransferReports[of]
 			if !told {
 				return nil, false
 			}
--- a/fleet/quota/member.go
+++ b/fleet/quota/member.go
@@ -20,7 +20,7 @@
 	state  State
 	rng    *rand.Rand
 
-	row     Row // its own, as it will be said next
+	row     MemberState // its own, as it will be said next
 	changed bool
 	said    time.Duration
 	beats   []beat // said and not acked, oldest first
@@ -80,21 +80,21 @@
 		return 0
 	}
 	n := int64(a.Granted)
-	for _, fold := range a.Folds {
+	for _, fold := range a.SettledTransfers {
 		n += fold
 	}
-	for id, out := range m.row.Given {
-		if _, folded := a.Folds[id]; !folded {
+	for id, out := range m.row.Transferred {
+		if _, folded := a.SettledTransfers[id]; !folded {
 			n -= int64(out)
 		}
 	}
 	for id := range m.givers {
-		if _, folded := a.Folds[id]; folded {
+		if _, folded := a.SettledTransfers[id]; folded {
 			continue
 		}
-		in := m.state.Rows[id].Given[m.self]
-		if c, closed := m.row.Closed[id]; closed {
-			in = c.In
+		in := m.state.Members[id].Transferred[m.self]
+		if c, closed := m.row.TransferReports[id]; closed {
+			in = c.Received
 		} else if other := m.state.Accounts[id]; other != nil && other.Fenced {
 			continue // closed with nothing
 		}
@@ -103,10 +103,10 @@
 	return n
 }
 
-// Take puts one more in hand, if the member may at a time. What is in hand must
+// TryAcquire puts one more in hand, if the member may at a time. What is in hand must
 // be put back within Timing.Hold.
-func (m *Member) Take(now time.Duration) bool {
-	if m.used >= m.May(now) {
+func (m *Member) TryAcquire(now time.Duration) bool {
+	if m.used >= m.Available(now) {
 		m.refused++
 		return false
 	}
@@ -115,33 +115,33 @@
 	return true
 }
 
-// May is how much the member may have in hand at a time: none, whatever its
+// Available is how much the member may have in hand at a time: none, whatever its
 // rights, where it has heard nothing for too long.
-func (m *Member) May(now time.Duration) uint64 {
+func (m *Member) Available(now time.Duration) uint64 {
 	if now >= m.until {
 		return 0
 	}
 	return m.Rights()
 }
 
-// Want tells how much the member would have in hand if only it might, where its
+// ReportDemand tells how much the member would have in hand if only it might, where its
 // user keeps to May and so is never refused.
-func (m *Member) Want(n uint64) { m.refused = max(m.refused, n-min(n, m.used)) }
+func (m *Member) ReportDemand(n uint64) { m.refused = max(m.refused, n-min(n, m.used)) }
 
-// Put puts one back.
-func (m *Member) Put() { m.used-- }
+// Release puts one back.
+func (m *Member) Release() { m.used-- }
 
-// Used is what is in hand.
-func (m *Member) Used() uint64 { return m.used }
+// InUse is what is in hand.
+func (m *Member) InUse() uint64 { return m.used }
 
-// Count adds to a count; the next beat tells of it.
-func (m *Member) Count(name string, up, down uint64) {
-	m.row.Counts = maps.Clone(m.row.Counts)
-	if m.row.Counts == nil {
-		m.row.Counts = map[string]PN{}
+// AddToCounter adds to a count; the next beat tells of it.
+func (m *Member) AddToCounter(name string, up, down uint64) {
+	m.row.Counters = maps.Clone(m.row.Counters)
+	if m.row.Counters == nil {
+		m.row.Counters = map[string]PNCounter{}
 	}
-	c := m.row.Counts[name]
-	m.row.Counts[name] = PN{c.Up + up, c.Down + down}
+	c := m.row.Counters[name]
+	m.row.Counters[name] = PNCounter{c.Increments + up, c.Decrements + down}
 	m.keep()
 }
 
@@ -149,41 +149,41 @@
 // rises at once and falls slowly, so that rights don't wander with each gap.
 const wantMemory = 0.9
 
-// Gift is a part of the member's row that matters to one other only: what it
+// Transfer is a part of the member's row that matters to one other only: what it
 // has given it. It goes to that one directly; should it be lost, the whole row
 // tells of it later.
-type Gift struct {
-	To   ID
-	Item Item
+type Transfer struct {
+	To    ID
+	Delta Delta
 }
 
-// Ask is what a member that lacks rights says to Asks others, drawn anew each
+// TransferRequest is what a member that lacks rights says to Asks others, drawn anew each
 // time, so that what it costs does not grow with the fleet: one that can spare
 // some gives its part. It is not passed on. In CBOR it is an array: the order of the
 // fields is part of the format.
-type Ask struct {
+type TransferRequest struct {
 	_       struct{} `cbor:",toarray"`
-	Of      ID
-	Need    uint64
+	From    ID
+	Amount  uint64
 	Account Account // the asker's, so that one who has not heard of it may give
 }
 
-// Asks is how many others an Ask goes to: each gives so many parts of it at most.
-const Asks = 3
+// RequestFanout is how many others an Ask goes to: each gives so many parts of it at most.
+const RequestFanout = 3
 
-// Said is what a member has to say at a tick.
-type Said struct {
-	All   *Item  // to all, and soon to those who may keep the bank; nil for nothing
-	Gifts []Gift // to one each
-	Ask   *Ask   // to Asks others; nil where it lacks nothing
-	// AskOf are those of whom it is known that they had some to spare; the rest of
+// Messages is what a member has to say at a tick.
+type Messages struct {
+	Broadcast *Delta           // to all, and soon to those who may keep the bank; nil for nothing
+	Transfers []Transfer       // to one each
+	Request   *TransferRequest // to Asks others; nil where it lacks nothing
+	// RequestTo are those of whom it is known that they had some to spare; the rest of
 	// Asks is drawn from all.
-	AskOf []ID
+	RequestTo []ID
 }
 
 // Tick has the member give what it can spare to those that asked, and gives what
 // it has to say. It is to be called steadily, a few times a second.
-func (m *Member) Tick(now time.Duration) (said Said) {
+func (m *Member) Tick(now time.Duration) (said Messages) {
 	m.want = max(float64(m.peak)+min(float64(m.refused), max(4, float64(m.peak))), m.want*wantMemory)
 	m.peak, m.refused = m.used, 0
 	if m.Fenced() {
@@ -198,37 +198,37 @@
 		need = want - min(want, rights)
 	}
 	if now < m.until { // one that hears nothing gives nothing, and has no use for more
-		said.Gifts = m.give(spare)
-		for _, g := range said.Gifts {
-			spare -= g.Item.Row.Given[g.To] - m.state.Rows[m.self].givenTo(g.To)
+		said.Transfers = m.give(spare)
+		for _, g := range said.Transfers {
+			spare -= g.Delta.MemberState.Transferred[g.To] - m.state.Members[m.self].givenTo(g.To)
 		}
-		if a := m.state.Accounts[m.self]; need > 0 && a != nil && a.Index > 0 {
-			said.Ask = &Ask{Of: m.self, Need: need, Account: *a}
-			for len(said.AskOf) < Asks-1 && len(m.sparing) > 0 {
+		if a := m.state.Accounts[m.self]; need > 0 && a != nil && a.LogIndex > 0 {
+			said.Request = &TransferRequest{From: m.self, Amount: need, Account: *a}
+			for len(said.RequestTo) < RequestFanout-1 && len(m.sparing) > 0 {
 				id := m.sparing[m.rng.IntN(len(m.sparing))]
 				m.spares(id, false)
-				said.AskOf = append(said.AskOf, id)
+				said.RequestTo = append(said.RequestTo, id)
 			}
 		}
 	}
 	clear(m.asked)
 	quiet := now - m.said
-	if m.row.Beat > 0 && !m.changed && quiet < m.timing.Beat && (quiet < m.timing.Beat/spareSoon || !differs(spare, m.row.Spare)) {
-		if len(said.Gifts) > 0 { // the whole row, for those who ask later
+	if m.row.Heartbeat > 0 && !m.changed && quiet < m.timing.HeartbeatInterval && (quiet < m.timing.HeartbeatInterval/spareSoon || !differs(spare, m.row.Surplus)) {
+		if len(said.Transfers) > 0 { // the whole row, for those who ask later
 			m.keep()
 		}
 		return said
 	}
-	m.row.Spare, m.row.Need, m.changed, m.said = spare, need, false, now
-	m.row.Beat++
-	m.beats = append(m.beats, beat{m.row.Beat, now})
+	m.row.Surplus, m.row.Shortfall, m.changed, m.said = spare, need, false, now
+	m.row.Heartbeat++
+	m.beats = append(m.beats, beat{m.row.Heartbeat, now})
 	if len(m.beats) > mostBeats { // the oldest is of little use by now
 		m.beats = slices.Delete(m.beats, 1, 2)
 	}
 	m.keep()
 	row := m.row
-	row.Given = nil
-	said.All = &Item{Of: m.self, Row: &row}
+	row.Transferred = nil
+	said.Broadcast = &Delta{ID: m.self, MemberState: &row}
 	return said
 }
 
@@ -255,26 +255,26 @@
 	}
 }
 
-// Asked takes in that another asks for rights: until the next tick.
-func (m *Member) Asked(a Ask, now time.Duration) {
-	if a.Of == m.self {
+// HandleRequest takes in that another asks for rights: until the next tick.
+func (m *Member) HandleRequest(a TransferRequest, now time.Duration) {
+	if a.From == m.self {
 		return
 	}
-	m.Merge(Item{Of: a.Of, Account: &a.Account}, now)
-	m.asked[a.Of] = a.Need
+	m.Merge(Delta{ID: a.From, Account: &a.Account}, now)
+	m.asked[a.From] = a.Amount
 }
 
 // keep puts the member's row into its state.
 func (m *Member) keep() {
 	row := m.row
-	m.state.Rows[m.self] = &row
+	m.state.Members[m.self] = &row
 }
 
-func (r *Row) givenTo(id ID) uint64 {
+func (r *MemberState) givenTo(id ID) uint64 {
 	if r == nil {
 		return 0
 	}
-	return r.Given[id]
+	return r.Transferred[id]
 }
 
 // mostBeats is how many beats are remembered as not acked.
@@ -282,7 +282,7 @@
 
 // give gives spare rights to those that asked: to each its part of what it lacks,
 // as long as there are any, in an order that is drawn.
-func (m *Member) give(spare uint64) (gifts []Gift) {
+func (m *Member) give(spare uint64) (gifts []Transfer) {
 	if spare == 0 || len(m.asked) == 0 {
 		return nil
 	}
@@ -290,74 +290,74 @@
 	m.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	for _, id := range ids {
 		a := m.state.Accounts[id]
-		if _, partner := m.row.Given[id]; spare == 0 || a == nil || a.Index == 0 || a.Fenced || !partner && len(m.row.Given) >= mostPartners {
+		if _, partner := m.row.Transferred[id]; spare == 0 || a == nil || a.LogIndex == 0 || a.Fenced || !partner && len(m.row.Transferred) >= mostPartners {
 			continue // Index 0: the bank, which may not know of it, would not ask it for a report
 		}
-		n := min(spare, (m.asked[id]+Asks-1)/Asks)
+		n := min(spare, (m.asked[id]+RequestFanout-1)/RequestFanout)
 		spare -= n
-		m.row.Given = maps.Clone(m.row.Given)
-		if m.row.Given == nil {
-			m.row.Given = map[ID]uint64{}
+		m.row.Transferred = maps.Clone(m.row.Transferred)
+		if m.row.Transferred == nil {
+			m.row.Transferred = map[ID]uint64{}
 		}
-		m.row.Given[id] += n
+		m.row.Transferred[id] += n
 		m.stale = true
-		gifts = append(gifts, Gift{id, Item{Of: m.self, Row: &Row{Given: map[ID]uint64{id: m.row.Given[id]}}}})
+		gifts = append(gifts, Transfer{id, Delta{ID: m.self, MemberState: &MemberState{Transferred: map[ID]uint64{id: m.row.Transferred[id]}}}})
 	}
 	return gifts
 }
 
 func compareIDs(a, b ID) int {
-	return cmp.Or(cmp.Compare(a.Member, b.Member), cmp.Compare(a.Life, b.Life))
+	return cmp.Or(cmp.Compare(a.Member, b.Member), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
 // Merge takes an item in, from anybody, and gives what of it was news and is
 // to be passed on; false where nothing is. What members gave each other is not,
 // as it matters to the two alone, nor is the account of one that is not fenced,
 // as the bank's keeper tells it to that one.
-func (m *Member) Merge(i Item, now time.Duration) (Item, bool) {
-	if i.Of == m.self {
-		i.Row = nil // nobody knows better
+func (m *Member) Merge(i Delta, now time.Duration) (Delta, bool) {
+	if i.ID == m.self {
+		i.MemberState = nil // nobody knows better
 	}
-	was := m.state.Rows[i.Of]
-	if a := m.state.Accounts[i.Of]; (i.Row == nil || was != nil && was.covers(i.Row)) && (i.Account == nil || a == i.Account) {
-		return Item{Of: i.Of}, false // most of what comes has come before
+	was := m.state.Members[i.ID]
+	if a := m.state.Accounts[i.ID]; (i.MemberState == nil || was != nil && was.covers(i.MemberState)) && (i.Account == nil || a == i.Account) {
+		return Delta{ID: i.ID}, false // most of what comes has come before
 	}
 	news, ok := m.state.Join(i)
 	if !ok {
 		return news, false
 	}
-	if now := m.state.Rows[i.Of]; i.Of != m.self && now != nil {
-		if was == nil || was.Beat < now.Beat {
-			a := m.state.Accounts[i.Of]
-			m.spares(i.Of, now.Spare > 0 && (a == nil || !a.Fenced))
+	if now := m.state.Members[i.ID]; i.ID != m.self && now != nil {
+		if was == nil || was.Heartbeat < now.Heartbeat {
+			a := m.state.Accounts[i.ID]
+			m.spares(i.ID, now.Surplus > 0 && (a == nil || !a.Fenced))
 		}
 		if given := now.givenTo(m.self); given > was.givenTo(m.self) {
-			m.givers[i.Of] = struct{}{}
-			m.spares(i.Of, true)
+			m.givers[i.ID] = struct{}{}
+			m.spares(i.ID, true)
 		}
 	}
-	if news.Row != nil && (was == nil || was.Given[m.self] != news.Row.Given[m.self]) || news.Account != nil {
+	if news.MemberState != nil && (was == nil || was.Transferred[m.self] != news.MemberState.Transferred[m.self]) || news.Account != nil {
 		m.stale = true
 	}
-	if i.Of == m.self {
-		m.acked(m.state.Accounts[m.self].Acked)
-	} else if a := m.state.Accounts[i.Of]; a != nil && a.Fenced && news.Account != nil {
-		m.close(i.Of, a)
+	if i.ID == m.self {
+		m.acked(m.state.Accounts[m.self].AckedHeartbeat)
+	} else if a := m.state.Accounts[i.ID]; a != nil && a.Fenced && news.Account != nil {
+		m.close(i.ID, a)
 	}
 	if news.Account != nil && !news.Account.Fenced {
 		news.Account = nil
 	}
 	switch {
-	case news.Row == nil || i.Row.Beat == 0 || was != nil && was.Beat >= i.Row.Beat:
-		news.Row = nil
-	case i.Row.Given == nil:
-		news.Row = i.Row // as it came: what is told to all is one row for all who keep it
+	case news.MemberState == nil || i.MemberState.Heartbeat == 0 || was != nil && was.Heartbeat >= i.MemberState.Heartbeat:
+		news.MemberState = nil
+	case i.MemberState.Transferred == nil:
+		news.MemberState = i.MemberState // as it came: what is told to all is one row for all who keep it
 	default:
-		said := *i.Row
-		said.Given = nil
-		news.Row = &said
+		said := *i.MemberState
+		said.Transferred = nil
+		news.MemberState = &said
 	}
-	return news, news.Row != nil || news.Account != nil
+	return news, news.MemberState != nil || news.Account != nil
 }
 
 // acked notes that the keeper has heard a beat.
@@ -371,17 +371,17 @@
 // close reports what the member has to do with one that was fenced: from now
 // on it takes no more of its gifts in.
 func (m *Member) close(id ID, a *Account) {
-	if _, closed := m.row.Closed[id]; closed || a.Settled {
+	if _, closed := m.row.TransferReports[id]; closed || a.Reclaimed {
 		return
 	}
-	c := Closing{Out: m.row.Given[id]}
-	if row := m.state.Rows[id]; row != nil {
-		c.In = row.Given[m.self]
+	c := TransferReport{Sent: m.row.Transferred[id]}
+	if row := m.state.Members[id]; row != nil {
+		c.Received = row.Transferred[m.self]
 	}
-	m.row.Closed = maps.Clone(m.row.Closed)
-	if m.row.Closed == nil {
-		m.row.Closed = map[ID]Closing{}
+	m.row.TransferReports = maps.Clone(m.row.TransferReports)
+	if m.row.TransferReports == nil {
+		m.row.TransferReports = map[ID]TransferReport{}
 	}
-	m.row.Closed[id] = c
+	m.row.TransferReports[id] = c
 	m.changed, m.stale = true, true
 }
--- a/fleet/quota/share.go
+++ b/fleet/quota/share.go
@@ -31,13 +31,13 @@
 // array: the order of the fields is part of the format. In JSON it is the text
 // that MarshalText gives.
 type ID struct {
-	_      struct{} `cbor:",toarray"`
-	Member string
-	Life   uint64
+	_           struct{} `cbor:",toarray"`
+	Member      string
+	Incarnation uint64
 }
 
 // String gives the ID as "member/life".
-func (i ID) String() string { return i.Member + "/" + strconv.FormatUint(i.Life, 10) }
+func (i ID) String() string { return i.Member + "/" + strconv.FormatUint(i.Incarnation, 10) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (i ID) MarshalText() ([]byte, error) { return []byte(i.String()), nil }
@@ -52,53 +52,53 @@
 	if err != nil {
 		return fmt.Errorf("share: life of %q: %w", b, err)
 	}
-	*i = ID{Member: string(b[:at]), Life: life}
+	*i = ID{Member: string(b[:at]), Incarnation: life}
 	return nil
 }
 
-// PN is one member's part of a count: both only grow.
-type PN struct {
-	Up   uint64 `cbor:"1,keyasint,omitempty"`
-	Down uint64 `cbor:"2,keyasint,omitempty"`
+// PNCounter is one member's part of a count: both only grow.
+type PNCounter struct {
+	Increments uint64 `cbor:"1,keyasint,omitempty"`
+	Decrements uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Closing is what a member has to do with one that was fenced, for good: In is
+// TransferReport is what a member has to do with one that was fenced, for good: In is
 // what it got from it, Out what it gave it. It is sent in CBOR, and stored in the
 // fleet's log in JSON: both kinds of tags are part of the format.
-type Closing struct {
-	In  uint64 `cbor:"1,keyasint,omitempty" json:"In"`
-	Out uint64 `cbor:"2,keyasint,omitempty" json:"Out"`
+type TransferReport struct {
+	Received uint64 `cbor:"1,keyasint,omitempty" json:"In"`
+	Sent     uint64 `cbor:"2,keyasint,omitempty" json:"Out"`
 }
 
-// Row is what one life of a member says of itself; nobody else writes it. A row
+// MemberState is what one life of a member says of itself; nobody else writes it. A row
 // may come in parts: what only grows is joined part by part, and Spare and Need
 // are those of the latest Beat. Rows are not changed once they are part of a State.
-type Row struct {
-	Beat   uint64         `cbor:"1,keyasint"`           // grows with each change
-	Spare  uint64         `cbor:"2,keyasint,omitempty"` // rights it could give
-	Need   uint64         `cbor:"3,keyasint,omitempty"` // rights it lacks
-	Given  map[ID]uint64  `cbor:"4,keyasint,omitempty"` // rights given, in all
-	Closed map[ID]Closing `cbor:"5,keyasint,omitempty"` // with members that were fenced
-	Counts map[string]PN  `cbor:"6,keyasint,omitempty"`
+type MemberState struct {
+	Heartbeat       uint64                `cbor:"1,keyasint"`           // grows with each change
+	Surplus         uint64                `cbor:"2,keyasint,omitempty"` // rights it could give
+	Shortfall       uint64                `cbor:"3,keyasint,omitempty"` // rights it lacks
+	Transferred     map[ID]uint64         `cbor:"4,keyasint,omitempty"` // rights given, in all
+	TransferReports map[ID]TransferReport `cbor:"5,keyasint,omitempty"` // with members that were fenced
+	Counters        map[string]PNCounter  `cbor:"6,keyasint,omitempty"`
 }
 
 // Account is what the bank says of one life of a member. It is sent in CBOR, and
 // stored in the snapshots of the fleet's log in JSON: both kinds of tags are part
 // of the format.
 type Account struct {
-	Index   uint64       `cbor:"1,keyasint,omitempty" json:"Index"`   // of the log entry that changed it last
-	Granted uint64       `cbor:"2,keyasint,omitempty" json:"Granted"` // rights from the bank
-	Fenced  bool         `cbor:"3,keyasint,omitempty" json:"Fenced"`  // it is gone: it spends and gives nothing any more
-	Settled bool         `cbor:"4,keyasint,omitempty" json:"Settled"` // what it held has gone back to the bank
-	Folds   map[ID]int64 `cbor:"5,keyasint,omitempty" json:"Folds"`   // what it got from settled members less what it gave them
-	Acked   uint64       `cbor:"6,keyasint,omitempty" json:"Acked"`   // beat that the bank's keeper has heard
+	LogIndex         uint64       `cbor:"1,keyasint,omitempty" json:"Index"`   // of the log entry that changed it last
+	Granted          uint64       `cbor:"2,keyasint,omitempty" json:"Granted"` // rights from the bank
+	Fenced           bool         `cbor:"3,keyasint,omitempty" json:"Fenced"`  // it is gone: it spends and gives nothing any more
+	Reclaimed        bool         `cbor:"4,keyasint,omitempty" json:"Settled"` // what it held has gone back to the bank
+	SettledTransfers map[ID]int64 `cbor:"5,keyasint,omitempty" json:"Folds"`   // what it got from settled members less what it gave them
+	AckedHeartbeat   uint64       `cbor:"6,keyasint,omitempty" json:"Acked"`   // beat that the bank's keeper has heard
 }
 
-// Item is a delta: a row, an account, or both, of one ID.
-type Item struct {
-	Of      ID       `cbor:"1,keyasint"`
-	Row     *Row     `cbor:"2,keyasint,omitempty"`
-	Account *Account `cbor:"3,keyasint,omitempty"`
+// Delta is a delta: a row, an account, or both, of one ID.
+type Delta struct {
+	ID          ID           `cbor:"1,keyasint"`
+	MemberState *MemberState `cbor:"2,keyasint,omitempty"`
+	Account     *Account     `cbor:"3,keyasint,omitempty"`
 }
 
 // joinMax is the pointwise maximum. It gives a itself where that has all.
@@ -124,109 +124,109 @@
 
 func maxOf[T uint64 | int64](x, y T) (T, bool) { return max(x, y), y > x }
 
-func maxPN(x, y PN) (PN, bool) {
-	z := PN{max(x.Up, y.Up), max(x.Down, y.Down)}
+func maxPN(x, y PNCounter) (PNCounter, bool) {
+	z := PNCounter{max(x.Increments, y.Increments), max(x.Decrements, y.Decrements)}
 	return z, z != x
 }
 
-func maxClosing(x, y Closing) (Closing, bool) {
-	z := Closing{max(x.In, y.In), max(x.Out, y.Out)}
+func maxClosing(x, y TransferReport) (TransferReport, bool) {
+	z := TransferReport{max(x.Received, y.Received), max(x.Sent, y.Sent)}
 	return z, z != x
 }
 
 // Join gives the least row that is no older than either: what only grows is
 // joined by the maximum, what a member says of the moment is that of the later
 // beat.
-func (r Row) Join(o Row) Row {
-	if r.Beat < o.Beat {
+func (r MemberState) Join(o MemberState) MemberState {
+	if r.Heartbeat < o.Heartbeat {
 		r, o = o, r
 	}
-	if r.Beat == o.Beat { // the same, or a fault of its writer's
-		r.Spare, r.Need = max(r.Spare, o.Spare), max(r.Need, o.Need)
+	if r.Heartbeat == o.Heartbeat { // the same, or a fault of its writer's
+		r.Surplus, r.Shortfall = max(r.Surplus, o.Surplus), max(r.Shortfall, o.Shortfall)
 	}
-	r.Closed = joinMax(r.Closed, o.Closed, maxClosing)
-	r.Given = joinMax(r.Given, o.Given, maxOf[uint64])
-	r.Counts = joinMax(r.Counts, o.Counts, maxPN)
+	r.TransferReports = joinMax(r.TransferReports, o.TransferReports, maxClosing)
+	r.Transferred = joinMax(r.Transferred, o.Transferred, maxOf[uint64])
+	r.Counters = joinMax(r.Counters, o.Counters, maxPN)
 	return r
 }
 
 // Join gives the account of the later log entry, with the higher Acked.
 func (a Account) Join(o Account) Account {
-	acked := max(a.Acked, o.Acked)
-	if a.Index < o.Index {
+	acked := max(a.AckedHeartbeat, o.AckedHeartbeat)
+	if a.LogIndex < o.LogIndex {
 		a, o = o, a
 	}
-	if a.Index == o.Index { // the same, but for what is told without the log
-		a.Granted, a.Fenced, a.Settled = max(a.Granted, o.Granted), a.Fenced || o.Fenced, a.Settled || o.Settled
-		a.Folds = joinMax(a.Folds, o.Folds, maxOf[int64])
+	if a.LogIndex == o.LogIndex { // the same, but for what is told without the log
+		a.Granted, a.Fenced, a.Reclaimed = max(a.Granted, o.Granted), a.Fenced || o.Fenced, a.Reclaimed || o.Reclaimed
+		a.SettledTransfers = joinMax(a.SettledTransfers, o.SettledTransfers, maxOf[int64])
 	}
-	a.Acked = acked
+	a.AckedHeartbeat = acked
 	return a
 }
 
 // State is all that a member knows. Its rows and accounts are replaced, never
 // written into, so states may share them.
 type State struct {
-	Rows     map[ID]*Row
+	Members  map[ID]*MemberState
 	Accounts map[ID]*Account
 }
 
 // NewState makes an empty state.
-func NewState() State { return State{map[ID]*Row{}, map[ID]*Account{}} }
+func NewState() State { return State{map[ID]*MemberState{}, map[ID]*Account{}} }
 
 // Join takes an item in. It gives what of it was news, as it stands now; false
 // where nothing was.
-func (s State) Join(i Item) (Item, bool) {
-	out := Item{Of: i.Of}
-	if i.Row != nil {
-		if was := s.Rows[i.Of]; was == nil {
-			out.Row = i.Row
-		} else if !was.covers(i.Row) {
-			if i.Row.covers(was) {
-				out.Row = i.Row
+func (s State) Join(i Delta) (Delta, bool) {
+	out := Delta{ID: i.ID}
+	if i.MemberState != nil {
+		if was := s.Members[i.ID]; was == nil {
+			out.MemberState = i.MemberState
+		} else if !was.covers(i.MemberState) {
+			if i.MemberState.covers(was) {
+				out.MemberState = i.MemberState
 			} else {
-				row := was.Join(*i.Row)
-				out.Row = &row
+				row := was.Join(*i.MemberState)
+				out.MemberState = &row
 			}
 		}
-		if out.Row != nil {
-			s.Rows[i.Of] = out.Row
+		if out.MemberState != nil {
+			s.Members[i.ID] = out.MemberState
 		}
 	}
 	if i.Account != nil {
-		was := s.Accounts[i.Of]
+		was := s.Accounts[i.ID]
 		if was == nil {
 			out.Account = i.Account
 		} else if joined := was.Join(*i.Account); !joined.same(was) {
 			out.Account = &joined
 		}
 		if out.Account != nil {
-			s.Accounts[i.Of] = out.Account
+			s.Accounts[i.ID] = out.Account
 		}
 	}
-	return out, out.Row != nil || out.Account != nil
+	return out, out.MemberState != nil || out.Account != nil
 }
 
 // covers tells whether a row has all that another has.
-func (r *Row) covers(o *Row) bool {
+func (r *MemberState) covers(o *MemberState) bool {
 	if r == o {
 		return true
 	}
-	if r.Beat < o.Beat || r.Beat == o.Beat && (r.Spare < o.Spare || r.Need < o.Need) {
+	if r.Heartbeat < o.Heartbeat || r.Heartbeat == o.Heartbeat && (r.Surplus < o.Surplus || r.Shortfall < o.Shortfall) {
 		return false
 	}
-	for id, c := range o.Closed {
-		if x, ok := r.Closed[id]; !ok || x.In < c.In || x.Out < c.Out {
+	for id, c := range o.TransferReports {
+		if x, ok := r.TransferReports[id]; !ok || x.Received < c.Received || x.Sent < c.Sent {
 			return false
 		}
 	}
-	for id, n := range o.Given {
-		if x, ok := r.Given[id]; !ok || x < n {
+	for id, n := range o.Transferred {
+		if x, ok := r.Transferred[id]; !ok || x < n {
 			return false
 		}
 	}
-	for name, c := range o.Counts {
-		if x, ok := r.Counts[name]; !ok || x.Up < c.Up || x.Down < c.Down {
+	for name, c := range o.Counters {
+		if x, ok := r.Counters[name]; !ok || x.Increments < c.Increments || x.Decrements < c.Decrements {
 			return false
 		}
 	}
@@ -234,15 +234,15 @@
 }
 
 func (a *Account) same(o *Account) bool {
-	return a.Index == o.Index && a.Granted == o.Granted && a.Fenced == o.Fenced && a.Settled == o.Settled &&
-		a.Acked == o.Acked && maps.Equal(a.Folds, o.Folds)
+	return a.LogIndex == o.LogIndex && a.Granted == o.Granted && a.Fenced == o.Fenced && a.Reclaimed == o.Reclaimed &&
+		a.AckedHeartbeat == o.AckedHeartbeat && maps.Equal(a.SettledTransfers, o.SettledTransfers)
 }
 
-// Total is a count over all members and lives that are known.
-func (s State) Total(name string) int64 {
+// CounterValue is a count over all members and lives that are known.
+func (s State) CounterValue(name string) int64 {
 	var up, down uint64
-	for _, r := range s.Rows {
-		up, down = up+r.Counts[name].Up, down+r.Counts[name].Down
+	for _, r := range s.Members {
+		up, down = up+r.Counters[name].Increments, down+r.Counters[name].Decrements
 	}
 	return int64(up - down)
 }
--- a/fleet/quota/share_test.go
+++ b/fleet/quota/share_test.go
@@ -23,22 +23,22 @@
 // draw gives a state of a few rows and accounts, any at all.
 func draw(s *steps.Source) State {
 	out := NewState()
-	ids := []ID{{Member: "a", Life: 1}, {Member: "a", Life: 2}, {Member: "b", Life: 1}, {Member: "c", Life: 1}}
+	ids := []ID{{Member: "a", Incarnation: 1}, {Member: "a", Incarnation: 2}, {Member: "b", Incarnation: 1}, {Member: "c", Incarnation: 1}}
 	for range 1 + s.Pick(5) {
 		of := ids[s.Pick(len(ids))]
-		row := &Row{Beat: uint64(s.Pick(4)), Spare: uint64(s.Pick(3)), Need: uint64(s.Pick(3)),
-			Given:  map[ID]uint64{ids[s.Pick(4)]: uint64(1 + s.Pick(3)), ids[s.Pick(4)]: uint64(1 + s.Pick(3))},
-			Closed: map[ID]Closing{ids[s.Pick(4)]: {uint64(s.Pick(3)), uint64(s.Pick(3))}},
-			Counts: map[string]PN{"x": {uint64(s.Pick(4)), uint64(s.Pick(4))}}}
-		account := &Account{Index: uint64(s.Pick(4)), Granted: uint64(s.Pick(3)), Fenced: s.Pick(2) == 1, Settled: s.Pick(3) == 1,
-			Folds: map[ID]int64{ids[s.Pick(4)]: int64(s.Pick(5)) - 2}, Acked: uint64(s.Pick(4))}
+		row := &MemberState{Heartbeat: uint64(s.Pick(4)), Surplus: uint64(s.Pick(3)), Shortfall: uint64(s.Pick(3)),
+			Transferred:     map[ID]uint64{ids[s.Pick(4)]: uint64(1 + s.Pick(3)), ids[s.Pick(4)]: uint64(1 + s.Pick(3))},
+			TransferReports: map[ID]TransferReport{ids[s.Pick(4)]: {uint64(s.Pick(3)), uint64(s.Pick(3))}},
+			Counters:        map[string]PNCounter{"x": {uint64(s.Pick(4)), uint64(s.Pick(4))}}}
+		account := &Account{LogIndex: uint64(s.Pick(4)), Granted: uint64(s.Pick(3)), Fenced: s.Pick(2) == 1, Reclaimed: s.Pick(3) == 1,
+			SettledTransfers: map[ID]int64{ids[s.Pick(4)]: int64(s.Pick(5)) - 2}, AckedHeartbeat: uint64(s.Pick(4))}
 		switch s.Pick(3) {
 		case 0:
 			row = nil
 		case 1:
 			account = nil
 		}
-		out.Join(Item{of, row, account})
+		out.Join(Delta{of, row, account})
 	}
 	return out
 }
@@ -47,11 +47,11 @@
 func join(states ...State) State {
 	out := NewState()
 	for _, s := range states {
-		for id, r := range s.Rows {
-			out.Join(Item{Of: id, Row: r})
+		for id, r := range s.Members {
+			out.Join(Delta{ID: id, MemberState: r})
 		}
 		for id, a := range s.Accounts {
-			out.Join(Item{Of: id, Account: a})
+			out.Join(Delta{ID: id, Account: a})
 		}
 	}
 	return out
@@ -76,27 +76,27 @@
 		if text(t, a) != before {
 			t.Error("joining changed what was joined")
 		}
-		for id, r := range a.Rows {
-			if _, news := ab.Join(Item{Of: id, Row: r}); news {
+		for id, r := range a.Members {
+			if _, news := ab.Join(Delta{ID: id, MemberState: r}); news {
 				t.Errorf("a row of %s is news to its own join", id)
 			}
 		}
 	})
 }
 
-var timing = Timing{Horizon: 10 * time.Second, Drift: 0.05, Hold: time.Second, Beat: time.Second}
+var timing = Timing{SessionTimeout: 10 * time.Second, MaxClockDrift: 0.05, MaxHoldTime: time.Second, HeartbeatInterval: time.Second}
 
 // fleet is members whose pieces the test hands around as it likes.
 type fleet struct {
 	t     *testing.T
 	now   time.Duration
 	nodes map[string]*Member
-	bank  *Bank
+	bank  *Allocator
 	index uint64
 }
 
 func newFleet(t *testing.T, total uint64, names ...string) *fleet {
-	f := &fleet{t: t, nodes: map[string]*Member{}, bank: NewBank(total)}
+	f := &fleet{t: t, nodes: map[string]*Member{}, bank: NewAllocator(total)}
 	for _, name := range names {
 		f.start(name, 1)
 	}
@@ -104,7 +104,7 @@
 }
 
 func (f *fleet) start(name string, life uint64) {
-	m, err := NewMember(ID{Member: name, Life: life}, timing, rand.New(rand.NewPCG(life, uint64(len(name)))))
+	m, err := NewMember(ID{Member: name, Incarnation: life}, timing, rand.New(rand.NewPCG(life, uint64(len(name)))))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 }
 
 // order has the bank apply an order and all who are named hear of it.
-func (f *fleet) order(o Order, names ...string) error {
+func (f *fleet) order(o Command, names ...string) error {
 	f.index++
 	items, err := f.bank.Apply(o, f.index)
 	for _, i := range items {
@@ -127,26 +127,26 @@
 func (f *fleet) talk(from, to string) {
 	f.nodes[from].Tick(f.now) // what it says, and gives, is in its state too
 	s := f.nodes[from].State()
-	for id, r := range s.Rows {
-		f.nodes[to].Merge(Item{Of: id, Row: r}, f.now)
+	for id, r := range s.Members {
+		f.nodes[to].Merge(Delta{ID: id, MemberState: r}, f.now)
 	}
 	for id, a := range s.Accounts {
-		f.nodes[to].Merge(Item{Of: id, Account: a}, f.now)
+		f.nodes[to].Merge(Delta{ID: id, Account: a}, f.now)
 	}
 }
 
 // take has a member take as many as it may, and gives how many it has.
 func (f *fleet) take(name string) uint64 {
 	for range 100 {
-		f.nodes[name].Take(f.now)
+		f.nodes[name].TryAcquire(f.now)
 	}
-	return f.nodes[name].Used()
+	return f.nodes[name].InUse()
 }
 
 func (f *fleet) ack(name string) {
 	m := f.nodes[name]
 	m.Tick(f.now)
-	m.Merge(Item{Of: m.self, Account: &Account{Acked: m.row.Beat}}, f.now)
+	m.Merge(Delta{ID: m.self, Account: &Account{AckedHeartbeat: m.row.Heartbeat}}, f.now)
 }
 
 // TestDeadGiver has a member give rights away, tell only one of the others, and
@@ -155,19 +155,19 @@
 func TestDeadGiver(t *testing.T) {
 	f := newFleet(t, 30, "a", "b", "c")
 	for _, name := range []string{"a", "b", "c"} {
-		if err := f.order(Order{Kind: Grant, Of: ID{Member: name, Life: 1}, Amount: 10}, "a", "b", "c"); err != nil {
+		if err := f.order(Command{Kind: Grant, Target: ID{Member: name, Incarnation: 1}, Amount: 10}, "a", "b", "c"); err != nil {
 			t.Fatal(err)
 		}
 		f.ack(name)
 	}
 	f.take("b")
-	f.nodes["a"].Asked(*f.nodes["b"].Tick(f.now).Ask, f.now)
+	f.nodes["a"].HandleRequest(*f.nodes["b"].Tick(f.now).Request, f.now)
 	f.talk("a", "b") // a gives; c hears nothing
 	got := f.nodes["b"].Rights() - 10
 	if got == 0 || f.nodes["a"].Rights() != 10-got {
 		t.Fatalf("a gave %d and holds %d", got, f.nodes["a"].Rights())
 	}
-	if err := f.order(Order{Kind: Fence, Of: ID{Member: "a", Life: 1}}, "a", "b", "c"); err != nil {
+	if err := f.order(Command{Kind: Fence, Target: ID{Member: "a", Incarnation: 1}}, "a", "b", "c"); err != nil {
 		t.Fatal(err)
 	}
 	if f.take("a") != 0 {
@@ -183,11 +183,11 @@
 	if !all {
 		t.Fatalf("reports: %v", edges)
 	}
-	a, b := ID{Member: "a", Life: 1}, ID{Member: "b", Life: 1}
-	if err := f.order(Order{Kind: Settle, Edges: map[ID]map[ID]Closing{a: {b: edges[a][b]}}}); err == nil {
+	a, b := ID{Member: "a", Incarnation: 1}, ID{Member: "b", Incarnation: 1}
+	if err := f.order(Command{Kind: Reclaim, Reports: map[ID]map[ID]TransferReport{a: {b: edges[a][b]}}}); err == nil {
 		t.Error("settled without c's report")
 	}
-	if err := f.order(Order{Kind: Settle, Edges: edges}, "c"); err != nil {
+	if err := f.order(Command{Kind: Reclaim, Reports: edges}, "c"); err != nil {
 		t.Fatal(err)
 	}
 	if f.bank.Free != 10-got || f.nodes["b"].Rights() != 10+got {
@@ -202,10 +202,10 @@
 	if f.nodes["a"].Rights() != 0 || f.take("a") != 0 {
 		t.Error("a new life has what the old one held")
 	}
-	if err := f.order(Order{Kind: Settle, Edges: edges}); err == nil {
+	if err := f.order(Command{Kind: Reclaim, Reports: edges}); err == nil {
 		t.Error("settled twice")
 	}
-	if err := f.order(Order{Kind: Grant, Of: ID{Member: "a", Life: 1}, Amount: 1}); err == nil {
+	if err := f.order(Command{Kind: Grant, Target: ID{Member: "a", Incarnation: 1}, Amount: 1}); err == nil {
 		t.Error("granted to a fenced life")
 	}
 }
@@ -214,7 +214,7 @@
 // ahead of the horizon; the keeper fences it only after.
 func TestSilence(t *testing.T) {
 	f := newFleet(t, 20, "a", "b")
-	k := NewKeeper(20, timing, f.now)
+	k := NewAllocatorLeader(20, timing, f.now)
 	tick := func() (kinds []string) {
 		f.talk("b", "a")
 		f.nodes["a"].Tick(f.now)
@@ -223,7 +223,7 @@
 			f.nodes["a"].Merge(a, f.now)
 		}
 		for _, o := range orders {
-			kinds = append(kinds, fmt.Sprint(o.Kind, " ", o.Of))
+			kinds = append(kinds, fmt.Sprint(o.Kind, " ", o.Target))
 			if err := f.order(o, "a"); err != nil {
 				t.Fatal(err)
 			}
@@ -232,7 +232,7 @@
 		return kinds
 	}
 	tick()
-	f.now += timing.Beat
+	f.now += timing.HeartbeatInterval
 	if got := fmt.Sprint(tick()); got != "[grant a/1 grant b/1]" {
 		t.Fatalf("orders: %s", got)
 	}
@@ -240,15 +240,15 @@
 		t.Fatalf("b has %d", n)
 	}
 	for range 10 {
-		f.nodes["b"].Put()
+		f.nodes["b"].Release()
 	}
 	last, spent, fenced := f.now, time.Duration(0), time.Duration(0)
 	for fenced == 0 && f.now < last+time.Minute { // b is cut off now
 		f.now += 100 * time.Millisecond
 		f.nodes["a"].Tick(f.now)
 		f.nodes["b"].Tick(f.now)
-		if f.nodes["b"].Take(f.now) {
-			f.nodes["b"].Put()
+		if f.nodes["b"].TryAcquire(f.now) {
+			f.nodes["b"].Release()
 			spent = f.now
 		}
 		orders, acks := k.Tick(f.now, f.nodes["a"].State(), f.bank)
@@ -256,12 +256,12 @@
 			f.nodes["a"].Merge(a, f.now)
 		}
 		for _, o := range orders {
-			if o.Kind == Fence && o.Of == (ID{Member: "b", Life: 1}) {
+			if o.Kind == Fence && o.Target == (ID{Member: "b", Incarnation: 1}) {
 				fenced = f.now
 			}
 		}
 	}
-	if spent < last+8*time.Second || spent+timing.Hold > last+timing.Horizon || fenced < last+timing.Horizon {
+	if spent < last+8*time.Second || spent+timing.MaxHoldTime > last+timing.SessionTimeout || fenced < last+timing.SessionTimeout {
 		t.Errorf("last heard at %v, spent until %v, fenced at %v", last, spent, fenced)
 	}
 }
@@ -270,19 +270,19 @@
 func TestCounts(t *testing.T) {
 	f := newFleet(t, 1, "a", "b")
 	for range 5 {
-		f.nodes["a"].Count("repeats", 2, 1)
+		f.nodes["a"].AddToCounter("repeats", 2, 1)
 		f.talk("a", "b")
 		f.talk("a", "b")
 	}
-	f.nodes["b"].Count("repeats", 0, 3)
+	f.nodes["b"].AddToCounter("repeats", 0, 3)
 	f.talk("b", "a")
 	for _, m := range f.nodes {
-		if n := m.State().Total("repeats"); n != 2 {
+		if n := m.State().CounterValue("repeats"); n != 2 {
 			t.Errorf("%s counts %d", m.self, n)
 		}
 	}
 	var id ID
-	if err := id.UnmarshalText([]byte("a/b/7")); err != nil || id != (ID{Member: "a/b", Life: 7}) {
+	if err := id.UnmarshalText([]byte("a/b/7")); err != nil || id != (ID{Member: "a/b", Incarnation: 7}) {
 		t.Errorf("%v, %v", id, err)
 	}
 }
--- a/fleet/quota/simulation/emulate.go
+++ b/fleet/quota/simulation/emulate.go
@@ -61,7 +61,7 @@
 
 // queued is a piece of news on its way out.
 type queued struct {
-	item quota.Item
+	item quota.Delta
 	size int
 	left int // times that it is still sent
 }
@@ -70,8 +70,8 @@
 type letter struct {
 	to    int
 	group int
-	items []quota.Item
-	ask   *quota.Ask
+	items []quota.Delta
+	ask   *quota.TransferRequest
 }
 
 // Fleet is a fleet at work.
@@ -81,12 +81,12 @@
 	now    time.Duration
 	round  int
 	nodes  []*node
-	bank   *quota.Bank
+	bank   *quota.Allocator
 	index  uint64
-	keeper *quota.Keeper
+	keeper *quota.AllocatorLeader
 	owner  int // place of the keeper's node
 	late   map[int][]letter
-	rows   map[*quota.Row]int // sizes on the wire
+	rows   map[*quota.MemberState]int // sizes on the wire
 	others map[*quota.Account]int
 	again  int
 	over   int64 // most that was in hand beyond Total
@@ -94,8 +94,8 @@
 
 // New makes a fleet whose members know nobody but by the names of all.
 func New(c Config) (*Fleet, error) {
-	f := &Fleet{conf: c, rng: rand.New(rand.NewPCG(c.Seed, 17)), bank: quota.NewBank(c.Total), late: map[int][]letter{},
-		rows: map[*quota.Row]int{}, others: map[*quota.Account]int{}, over: math.MinInt64}
+	f := &Fleet{conf: c, rng: rand.New(rand.NewPCG(c.Seed, 17)), bank: quota.NewAllocator(c.Total), late: map[int][]letter{},
+		rows: map[*quota.MemberState]int{}, others: map[*quota.Account]int{}, over: math.MinInt64}
 	for i := range c.Members {
 		n := &node{rate: 1 + c.Drift*(2*f.rng.Float64()-1), offset: time.Duration(f.rng.Int64N(int64(time.Hour)))}
 		f.nodes = append(f.nodes, n)
@@ -112,7 +112,7 @@
 func (f *Fleet) start(i int) error {
 	f.again++
 	n := f.nodes[i]
-	n.id = quota.ID{Member: fmt.Sprint("n", i), Life: uint64(f.again)}
+	n.id = quota.ID{Member: fmt.Sprint("n", i), Incarnation: uint64(f.again)}
 	m, err := quota.NewMember(n.id, f.conf.Timing, rand.New(rand.NewPCG(f.conf.Seed, uint64(f.again))))
 	if err != nil {
 		return err
@@ -149,9 +149,9 @@
 		return false
 	}
 	f.owner = i
-	f.keeper = quota.NewKeeper(f.conf.Total, f.conf.Timing, f.clock(f.nodes[i]))
+	f.keeper = quota.NewAllocatorLeader(f.conf.Total, f.conf.Timing, f.clock(f.nodes[i]))
 	for id, a := range f.bank.Accounts { // the log has told it
-		f.merge(f.nodes[i], quota.Item{Of: id, Account: a})
+		f.merge(f.nodes[i], quota.Delta{ID: id, Account: a})
 	}
 	return true
 }
@@ -177,24 +177,24 @@
 }
 
 // merge has a member take an item in, and pass on what was news.
-func (f *Fleet) merge(n *node, i quota.Item) {
+func (f *Fleet) merge(n *node, i quota.Delta) {
 	if news, ok := n.m.Merge(i, f.clock(n)); ok {
 		f.send(n, news)
 	}
 }
 
 // send queues news, in place of older news of the same ID.
-func (f *Fleet) send(n *node, i quota.Item) {
+func (f *Fleet) send(n *node, i quota.Delta) {
 	times := int(math.Ceil(3*math.Log10(float64(len(f.nodes)+1)))) / f.conf.Fanout * f.conf.Fanout
 	times = max(times, f.conf.Fanout)
-	q := n.waits[i.Of]
+	q := n.waits[i.ID]
 	if q == nil {
 		q = &queued{i, f.size(i), times}
-		n.queue, n.waits[i.Of] = append(n.queue, q), q
+		n.queue, n.waits[i.ID] = append(n.queue, q), q
 		return
 	}
-	if i.Row == nil {
-		i.Row = q.item.Row
+	if i.MemberState == nil {
+		i.MemberState = q.item.MemberState
 	}
 	if i.Account == nil {
 		i.Account = q.item.Account
@@ -206,8 +206,8 @@
 const mostSizes = 1 << 15
 
 // size is an item's length on the wire.
-func (f *Fleet) size(i quota.Item) int {
-	return 8 + len(i.Of.Member) + sizeOf(f.rows, i.Row) + sizeOf(f.others, i.Account)
+func (f *Fleet) size(i quota.Delta) int {
+	return 8 + len(i.ID.Member) + sizeOf(f.rows, i.MemberState) + sizeOf(f.others, i.Account)
 }
 
 // sizeOf is the length of a part of an item, 0 where that is missing.
@@ -253,22 +253,22 @@
 			}
 		}
 		said := n.m.Tick(f.clock(n))
-		if said.All != nil {
-			f.send(n, *said.All)
-			f.tell(n, f.owner, *said.All) // the keeper hears beats soon
+		if said.Broadcast != nil {
+			f.send(n, *said.Broadcast)
+			f.tell(n, f.owner, *said.Broadcast) // the keeper hears beats soon
 		}
-		for _, g := range said.Gifts {
-			f.tell(n, f.place(g.To), g.Item)
+		for _, g := range said.Transfers {
+			f.tell(n, f.place(g.To), g.Delta)
 		}
-		if said.Ask != nil {
-			for k := range quota.Asks {
+		if said.Request != nil {
+			for k := range quota.RequestFanout {
 				to := f.rng.IntN(len(f.nodes))
-				if k < len(said.AskOf) {
-					to = f.place(said.AskOf[k])
+				if k < len(said.RequestTo) {
+					to = f.place(said.RequestTo[k])
 				}
 				if to >= 0 && to != i {
 					n.bytes += askSize
-					f.post(letter{to: to, group: n.group, ask: said.Ask})
+					f.post(letter{to: to, group: n.group, ask: said.Request})
 				}
 			}
 		}
@@ -289,12 +289,12 @@
 const askSize = 64
 
 // tell has a member say something to one other alone.
-func (f *Fleet) tell(n *node, to int, i quota.Item) {
+func (f *Fleet) tell(n *node, to int, i quota.Delta) {
 	if to < 0 || f.nodes[to] == n {
 		return
 	}
 	n.bytes += f.size(i)
-	f.post(letter{to: to, group: n.group, items: []quota.Item{i}})
+	f.post(letter{to: to, group: n.group, items: []quota.Delta{i}})
 }
 
 // keep has the keeper decide; its orders come to the bank at once.
@@ -302,7 +302,7 @@
 	orders, acks := f.keeper.Tick(f.clock(n), n.m.State(), f.bank)
 	for _, a := range acks {
 		f.merge(n, a)
-		f.tell(n, f.place(a.Of), a)
+		f.tell(n, f.place(a.ID), a)
 	}
 	for _, o := range orders {
 		f.index++
@@ -312,7 +312,7 @@
 		}
 		for _, i := range items {
 			if f.merge(n, i); !i.Account.Fenced {
-				f.tell(n, f.place(i.Of), i)
+				f.tell(n, f.place(i.ID), i)
 			}
 		}
 	}
@@ -329,11 +329,11 @@
 		}
 		n.stopped = n.paused
 		if !n.dead && !n.paused {
-			for range n.m.Used() {
-				n.m.Put()
+			for range n.m.InUse() {
+				n.m.Release()
 			}
 			for range n.wants {
-				if n.m.Take(f.clock(n)) {
+				if n.m.TryAcquire(f.clock(n)) {
 					n.used++
 				} else {
 					n.refused++
@@ -364,7 +364,7 @@
 		if q.left > 0 {
 			rest = append(rest, q)
 		} else {
-			delete(n.waits, q.item.Of)
+			delete(n.waits, q.item.ID)
 		}
 	}
 	n.queue = rest
@@ -405,22 +405,22 @@
 	for range mostRepeats {
 		if n.restAt >= len(n.rest) {
 			n.restAt, n.rest = 0, n.rest[:0]
-			for id := range s.Rows {
+			for id := range s.Members {
 				n.rest = append(n.rest, id)
 			}
 			for id := range s.Accounts {
-				if s.Rows[id] == nil {
+				if s.Members[id] == nil {
 					n.rest = append(n.rest, id)
 				}
 			}
-			slices.SortFunc(n.rest, func(a, b quota.ID) int { return int(a.Life) - int(b.Life) })
+			slices.SortFunc(n.rest, func(a, b quota.ID) int { return int(a.Incarnation) - int(b.Incarnation) })
 			if len(n.rest) == 0 {
 				return
 			}
 			f.rng.Shuffle(len(n.rest), func(i, j int) { n.rest[i], n.rest[j] = n.rest[j], n.rest[i] })
 		}
 		id := n.rest[n.restAt]
-		i := quota.Item{Of: id, Row: s.Rows[id], Account: s.Accounts[id]}
+		i := quota.Delta{ID: id, MemberState: s.Members[id], Account: s.Accounts[id]}
 		size := f.size(i)
 		if size > room && len(l.items) > 0 {
 			return
@@ -445,7 +445,7 @@
 		f.merge(n, i)
 	}
 	if l.ask != nil {
-		n.m.Asked(*l.ask, f.clock(n))
+		n.m.HandleRequest(*l.ask, f.clock(n))
 	}
 }
 
@@ -481,8 +481,8 @@
 		if n.dead || n.paused {
 			continue
 		}
-		for id, r := range n.m.State().Rows {
-			marks[id] = max(marks[id], r.Beat)
+		for id, r := range n.m.State().Members {
+			marks[id] = max(marks[id], r.Heartbeat)
 		}
 	}
 	return marks
@@ -494,9 +494,9 @@
 		if n.dead || n.paused {
 			continue
 		}
-		rows := n.m.State().Rows
+		rows := n.m.State().Members
 		for id, beat := range marks {
-			if r := rows[id]; r == nil || r.Beat < beat {
+			if r := rows[id]; r == nil || r.Heartbeat < beat {
 				return false
 			}
 		}
--- a/fleet/quota/simulation/emulate_test.go
+++ b/fleet/quota/simulation/emulate_test.go
@@ -11,7 +11,7 @@
 func config(members int, seed uint64) Config {
 	return Config{Members: members, Total: uint64(members) * 8, Seed: seed, Round: 200 * time.Millisecond, Fanout: 3, Bytes: 1400,
 		Loss: 0.05, Double: 0.02, Late: 0.02, Drift: 0.05, Load: 1.2, Skew: 0.8, Reshuffle: 100,
-		Timing: quota.Timing{Horizon: 20 * time.Second, Drift: 0.05, Hold: 400 * time.Millisecond, Beat: 2 * time.Second}}
+		Timing: quota.Timing{SessionTimeout: 20 * time.Second, MaxClockDrift: 0.05, MaxHoldTime: 400 * time.Millisecond, HeartbeatInterval: 2 * time.Second}}
 }
 
 func run(f *Fleet, rounds int) {
--- a/internal/fleetlab/share.go
+++ b/internal/fleetlab/share.go
@@ -116,7 +116,7 @@
 	horizon := max(90*time.Second, time.Duration(members)*100*time.Millisecond)
 	f, err := simulation.New(simulation.Config{Members: members, Total: uint64(members) * budget, Seed: c.Seed, Round: roundTime,
 		Fanout: 3, Bytes: 1400 * max(1, members/1000), Loss: 0.05, Double: 0.02, Late: 0.02, Drift: 0.05, Load: 1, Skew: 0.9, Reshuffle: 250,
-		Timing: quota.Timing{Horizon: horizon, Drift: 0.05, Hold: 2 * roundTime, Beat: horizon / 9}})
+		Timing: quota.Timing{SessionTimeout: horizon, MaxClockDrift: 0.05, MaxHoldTime: 2 * roundTime, HeartbeatInterval: horizon / 9}})
 	if err != nil {
 		return out, err
 	}
