--- a/fleet/quota/bank.go
+++ b/fleet/quota/bank.go
@@ -77,7 +77,7 @@
 		items = []Delta{{ID: o.Target, Account: &a}}
 	case Reclaim:
 		var err error
-		if items, err = b.settle(o, index); err != nil {
+		if items, err = b.reclaim(o, index); err != nil {
 			return nil, err
 		}
 	default:
@@ -89,9 +89,9 @@
 	return items, nil
 }
 
-// unsettled gives the accounts that are fenced and not settled, and those that
+// fencedAndLive gives the accounts that are fenced and not settled, and those that
 // are not fenced, in order.
-func (b *Allocator) unsettled() (fenced, live []ID) {
+func (b *Allocator) fencedAndLive() (fenced, live []ID) {
 	for id, a := range b.Accounts {
 		if !a.Fenced {
 			live = append(live, id)
@@ -104,8 +104,8 @@
 	return fenced, live
 }
 
-func (b *Allocator) settle(o Command, index uint64) ([]Delta, error) {
-	fenced, live := b.unsettled()
+func (b *Allocator) reclaim(o Command, index uint64) ([]Delta, error) {
+	fenced, live := b.fencedAndLive()
 	if len(fenced) == 0 {
 		return nil, fmt.Errorf("share: settlement, and nobody is fenced")
 	}
@@ -163,17 +163,17 @@
 	switch {
 	case !(t.MaxClockDrift >= 0 && t.MaxClockDrift <= 0.2):
 		return fmt.Errorf("share: drift %v, 0 to 0.2 wanted", t.MaxClockDrift)
-	case t.HeartbeatInterval <= 0 || t.MaxHoldTime < 0 || t.stop() < 3*t.HeartbeatInterval:
+	case t.HeartbeatInterval <= 0 || t.MaxHoldTime < 0 || t.spendingTimeout() < 3*t.HeartbeatInterval:
 		return fmt.Errorf("share: horizon %v, at least %v and three beats (%v) wanted", t.SessionTimeout, t.MaxHoldTime, t.HeartbeatInterval)
 	}
 	return nil
 }
 
-func (t Timing) stop() time.Duration {
+func (t Timing) spendingTimeout() time.Duration {
 	return time.Duration(float64(t.SessionTimeout)*(1-t.MaxClockDrift)) - t.MaxHoldTime
 }
 
-func (t Timing) wait() time.Duration {
+func (t Timing) fencingTimeout() time.Duration {
 	return time.Duration(float64(t.SessionTimeout) * (1 + t.MaxClockDrift))
 }
 
@@ -186,20 +186,20 @@
 // stopped before. What an earlier keeper acked was sent before this one came
 // into office, so it waits a whole horizon from then.
 type AllocatorLeader struct {
-	timing Timing
-	total  uint64
-	since  time.Duration
-	heard  map[ID]heard
+	timing    Timing
+	capacity  uint64
+	electedAt time.Duration
+	lastSeen  map[ID]seenHeartbeat
 }
 
-type heard struct {
-	beat uint64
-	at   time.Duration
+type seenHeartbeat struct {
+	heartbeat uint64
+	at        time.Duration
 }
 
 // NewAllocatorLeader makes a keeper that comes into office at a time.
 func NewAllocatorLeader(total uint64, timing Timing, now time.Duration) *AllocatorLeader {
-	return &AllocatorLeader{timing: timing, total: total, since: now, heard: map[ID]heard{}}
+	return &AllocatorLeader{timing: timing, capacity: total, electedAt: now, lastSeen: map[ID]seenHeartbeat{}}
 }
 
 // Tick gives the orders to send to the log, and the acks, each for the member it
@@ -213,8 +213,8 @@
 		if a != nil && a.Fenced {
 			continue
 		}
-		if h, known := k.heard[id]; !known || row.Heartbeat > h.beat {
-			k.heard[id] = heard{row.Heartbeat, now}
+		if h, known := k.lastSeen[id]; !known || row.Heartbeat > h.heartbeat {
+			k.lastSeen[id] = seenHeartbeat{row.Heartbeat, now}
 			ack := Account{}
 			if a != nil { // again and again, as it may have been lost
 				ack = *a
@@ -229,12 +229,12 @@
 		needs += row.Shortfall
 	}
 	free := b.Free
-	if now-k.since < k.timing.HeartbeatInterval { // until it has heard who is there
+	if now-k.electedAt < k.timing.HeartbeatInterval { // until it has heard who is there
 		free = 0
 	}
-	fair := max(1, k.total/uint64(max(1, len(live))))
+	fair := max(1, k.capacity/uint64(max(1, len(live))))
 	for _, id := range waiting { // one that gets nothing has an account at least, so that others may give
-		if n := min(fair, free); n > 0 || now-k.since >= k.timing.HeartbeatInterval {
+		if n := min(fair, free); n > 0 || now-k.electedAt >= k.timing.HeartbeatInterval {
 			orders = append(orders, Command{Kind: Grant, Target: id, Amount: n})
 			free -= n
 		}
@@ -249,24 +249,24 @@
 			}
 		}
 	}
-	fenced, open := b.unsettled()
+	fenced, open := b.fencedAndLive()
 	for _, id := range open {
-		h, known := k.heard[id]
+		h, known := k.lastSeen[id]
 		if !known { // never heard of by this keeper
-			h.at = k.since
+			h.at = k.electedAt
 		}
-		if now-h.at >= k.timing.wait() {
+		if now-h.at >= k.timing.fencingTimeout() {
 			orders = append(orders, Command{Kind: Fence, Target: id})
 		}
 	}
-	if edges, all := reports(s, fenced, open); all {
+	if edges, all := collectReports(s, fenced, open); all {
 		orders = append(orders, Command{Kind: Reclaim, Reports: edges})
 	}
 	return orders, acks
 }
 
-// reports collects what members that are not fenced say of those that are.
-func reports(s State, fenced, open []ID) (edges map[ID]map[ID]TransferReport, all bool) {
+// collectReports collects what members that are not fenced say of those that are.
+func collectReports(s State, fenced, open []ID) (edges map[ID]map[ID]TransferReport, all bool) {
 	edges = map[ID]map[ID]TransferReport{}
 	for _, of := range fenced {
 		edges[of] = map[ID]TransferReport{}
--- a/fleet/quota/member.go
+++ b/fleet/quota/member.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// mostPartners is how many members one gives rights to in its life, at most: it
+// maxTransferPartners is how many members one gives rights to in its life, at most: it
 // bounds its row.
-const mostPartners = 256
+const maxTransferPartners = 256
 
 // Member is one life of a member: what it knows, holds and has in hand. It is
 // not safe for concurrent use.
 type Member struct {
-	self   ID
+	id     ID
 	timing Timing
 	state  State
 	rng    *rand.Rand
 
-	row     MemberState // its own, as it will be said next
-	changed bool
-	said    time.Duration
-	beats   []beat // said and not acked, oldest first
-	until   time.Duration
-
-	used    uint64 // in hand
-	peak    uint64 // most in hand since the last tick
-	refused uint64 // since the last tick
-	want    float64
-	rights  int64
-	stale   bool // rights need reckoning
-
-	givers map[ID]struct{} // who has given it anything
-	asked  map[ID]uint64   // who has asked it for how much since the last tick
+	own         MemberState // its own, as it will be said next
+	unpublished bool
+	publishedAt time.Duration
+	unacked     []sentHeartbeat // said and not acked, oldest first
+	spendUntil  time.Duration
+
+	inUse       uint64 // in hand
+	peakInUse   uint64 // most in hand since the last tick
+	unmet       uint64 // since the last tick
+	demand      float64
+	rights      int64
+	rightsStale bool // rights need reckoning
+
+	senders  map[ID]struct{} // who has given it anything
+	requests map[ID]uint64   // who has asked it for how much since the last tick
 	// Who may have some to spare, by what each said last, and its place there: those
 	// that were asked are left out until they give, or say so again.
-	sparing   []ID
-	sparingAt map[ID]int
+	surplusPeers []ID
+	sparingAt    map[ID]int
 }
 
-type beat struct {
-	n  uint64
-	at time.Duration
+type sentHeartbeat struct {
+	heartbeat uint64
+	at        time.Duration
 }
 
 // NewMember makes a member that holds nothing yet. rng draws whom it gives to.
@@ -51,8 +51,8 @@
 	if err := timing.Validate(); err != nil {
 		return nil, err
 	}
-	return &Member{self: self, timing: timing, state: NewState(), rng: rng, stale: true, changed: true,
-		givers: map[ID]struct{}{}, asked: map[ID]uint64{}, sparingAt: map[ID]int{}}, nil
+	return &Member{id: self, timing: timing, state: NewState(), rng: rng, rightsStale: true, unpublished: true,
+		senders: map[ID]struct{}{}, requests: map[ID]uint64{}, sparingAt: map[ID]int{}}, nil
 }
 
 // State is what the member knows; it must not be changed.
@@ -60,22 +60,22 @@
 
 // Fenced tells whether the fleet has given this life up: a new one must begin.
 func (m *Member) Fenced() bool {
-	a := m.state.Accounts[m.self]
+	a := m.state.Accounts[m.id]
 	return a != nil && a.Fenced
 }
 
 // Rights is how much the member may have in hand by its own knowledge, which
 // may lack some of what others gave it.
 func (m *Member) Rights() uint64 {
-	if m.stale {
-		m.stale = false
-		m.rights = m.reckon()
+	if m.rightsStale {
+		m.rightsStale = false
+		m.rights = m.computeRights()
 	}
 	return uint64(max(m.rights, 0))
 }
 
-func (m *Member) reckon() int64 {
-	a := m.state.Accounts[m.self]
+func (m *Member) computeRights() int64 {
+	a := m.state.Accounts[m.id]
 	if a == nil || a.Fenced {
 		return 0
 	}
@@ -83,17 +83,17 @@
 	for _, fold := range a.SettledTransfers {
 		n += fold
 	}
-	for id, out := range m.row.Transferred {
+	for id, out := range m.own.Transferred {
 		if _, folded := a.SettledTransfers[id]; !folded {
 			n -= int64(out)
 		}
 	}
-	for id := range m.givers {
+	for id := range m.senders {
 		if _, folded := a.SettledTransfers[id]; folded {
 			continue
 		}
-		in := m.state.Members[id].Transferred[m.self]
-		if c, closed := m.row.TransferReports[id]; closed {
+		in := m.state.Members[id].Transferred[m.id]
+		if c, closed := m.own.TransferReports[id]; closed {
 			in = c.Received
 		} else if other := m.state.Accounts[id]; other != nil && other.Fenced {
 			continue // closed with nothing
@@ -106,19 +106,19 @@
 // TryAcquire puts one more in hand, if the member may at a time. What is in hand must
 // be put back within Timing.Hold.
 func (m *Member) TryAcquire(now time.Duration) bool {
-	if m.used >= m.Available(now) {
-		m.refused++
+	if m.inUse >= m.Available(now) {
+		m.unmet++
 		return false
 	}
-	m.used++
-	m.peak = max(m.peak, m.used)
+	m.inUse++
+	m.peakInUse = max(m.peakInUse, m.inUse)
 	return true
 }
 
 // Available is how much the member may have in hand at a time: none, whatever its
 // rights, where it has heard nothing for too long.
 func (m *Member) Available(now time.Duration) uint64 {
-	if now >= m.until {
+	if now >= m.spendUntil {
 		return 0
 	}
 	return m.Rights()
@@ -126,28 +126,28 @@
 
 // ReportDemand tells how much the member would have in hand if only it might, where its
 // user keeps to May and so is never refused.
-func (m *Member) ReportDemand(n uint64) { m.refused = max(m.refused, n-min(n, m.used)) }
+func (m *Member) ReportDemand(n uint64) { m.unmet = max(m.unmet, n-min(n, m.inUse)) }
 
 // Release puts one back.
-func (m *Member) Release() { m.used-- }
+func (m *Member) Release() { m.inUse-- }
 
 // InUse is what is in hand.
-func (m *Member) InUse() uint64 { return m.used }
+func (m *Member) InUse() uint64 { return m.inUse }
 
 // AddToCounter adds to a count; the next beat tells of it.
 func (m *Member) AddToCounter(name string, up, down uint64) {
-	m.row.Counters = maps.Clone(m.row.Counters)
-	if m.row.Counters == nil {
-		m.row.Counters = map[string]PNCounter{}
+	m.own.Counters = maps.Clone(m.own.Counters)
+	if m.own.Counters == nil {
+		m.own.Counters = map[string]PNCounter{}
 	}
-	c := m.row.Counters[name]
-	m.row.Counters[name] = PNCounter{c.Increments + up, c.Decrements + down}
-	m.keep()
+	c := m.own.Counters[name]
+	m.own.Counters[name] = PNCounter{c.Increments + up, c.Decrements + down}
+	m.storeOwnState()
 }
 
-// wantMemory is the share of the last tick's want that the next one keeps: it
+// demandDecay is the share of the last tick's want that the next one keeps: it
 // rises at once and falls slowly, so that rights don't wander with each gap.
-const wantMemory = 0.9
+const demandDecay = 0.9
 
 // Transfer is a part of the member's row that matters to one other only: what it
 // has given it. It goes to that one directly; should it be lost, the whole row
@@ -184,124 +184,124 @@
 // Tick has the member give what it can spare to those that asked, and gives what
 // it has to say. It is to be called steadily, a few times a second.
 func (m *Member) Tick(now time.Duration) (said Messages) {
-	m.want = max(float64(m.peak)+min(float64(m.refused), max(4, float64(m.peak))), m.want*wantMemory)
-	m.peak, m.refused = m.used, 0
+	m.demand = max(float64(m.peakInUse)+min(float64(m.unmet), max(4, float64(m.peakInUse))), m.demand*demandDecay)
+	m.peakInUse, m.unmet = m.inUse, 0
 	if m.Fenced() {
 		return said
 	}
 	rights := m.Rights()
-	want := uint64(m.want + 0.5)
+	want := uint64(m.demand + 0.5)
 	var spare, need uint64
-	if keep := max(want, m.used); rights > keep {
+	if keep := max(want, m.inUse); rights > keep {
 		spare = rights - keep
 	} else {
 		need = want - min(want, rights)
 	}
-	if now < m.until { // one that hears nothing gives nothing, and has no use for more
-		said.Transfers = m.give(spare)
+	if now < m.spendUntil { // one that hears nothing gives nothing, and has no use for more
+		said.Transfers = m.transferSurplus(spare)
 		for _, g := range said.Transfers {
-			spare -= g.Delta.MemberState.Transferred[g.To] - m.state.Members[m.self].givenTo(g.To)
+			spare -= g.Delta.MemberState.Transferred[g.To] - m.state.Members[m.id].transferredTo(g.To)
 		}
-		if a := m.state.Accounts[m.self]; need > 0 && a != nil && a.LogIndex > 0 {
-			said.Request = &TransferRequest{From: m.self, Amount: need, Account: *a}
-			for len(said.RequestTo) < RequestFanout-1 && len(m.sparing) > 0 {
-				id := m.sparing[m.rng.IntN(len(m.sparing))]
-				m.spares(id, false)
+		if a := m.state.Accounts[m.id]; need > 0 && a != nil && a.LogIndex > 0 {
+			said.Request = &TransferRequest{From: m.id, Amount: need, Account: *a}
+			for len(said.RequestTo) < RequestFanout-1 && len(m.surplusPeers) > 0 {
+				id := m.surplusPeers[m.rng.IntN(len(m.surplusPeers))]
+				m.markSurplus(id, false)
 				said.RequestTo = append(said.RequestTo, id)
 			}
 		}
 	}
-	clear(m.asked)
-	quiet := now - m.said
-	if m.row.Heartbeat > 0 && !m.changed && quiet < m.timing.HeartbeatInterval && (quiet < m.timing.HeartbeatInterval/spareSoon || !differs(spare, m.row.Surplus)) {
+	clear(m.requests)
+	quiet := now - m.publishedAt
+	if m.own.Heartbeat > 0 && !m.unpublished && quiet < m.timing.HeartbeatInterval && (quiet < m.timing.HeartbeatInterval/surplusUpdatesPerHeartbeat || !surplusMoved(spare, m.own.Surplus)) {
 		if len(said.Transfers) > 0 { // the whole row, for those who ask later
-			m.keep()
+			m.storeOwnState()
 		}
 		return said
 	}
-	m.row.Surplus, m.row.Shortfall, m.changed, m.said = spare, need, false, now
-	m.row.Heartbeat++
-	m.beats = append(m.beats, beat{m.row.Heartbeat, now})
-	if len(m.beats) > mostBeats { // the oldest is of little use by now
-		m.beats = slices.Delete(m.beats, 1, 2)
+	m.own.Surplus, m.own.Shortfall, m.unpublished, m.publishedAt = spare, need, false, now
+	m.own.Heartbeat++
+	m.unacked = append(m.unacked, sentHeartbeat{m.own.Heartbeat, now})
+	if len(m.unacked) > maxUnackedHeartbeats { // the oldest is of little use by now
+		m.unacked = slices.Delete(m.unacked, 1, 2)
 	}
-	m.keep()
-	row := m.row
+	m.storeOwnState()
+	row := m.own
 	row.Transferred = nil
-	said.Broadcast = &Delta{ID: m.self, MemberState: &row}
+	said.Broadcast = &Delta{ID: m.id, MemberState: &row}
 	return said
 }
 
-// spareSoon is how many times as often as a beat what can be spared is said, at
+// surplusUpdatesPerHeartbeat is how many times as often as a beat what can be spared is said, at
 // most, while it changes.
-const spareSoon = 4
+const surplusUpdatesPerHeartbeat = 4
 
-// differs tells whether a figure has moved enough to be said again: up by a
+// surplusMoved tells whether a figure has moved enough to be said again: up by a
 // quarter, or to nothing.
-func differs(now, said uint64) bool { return now > said+said/4 || now == 0 && said > 0 }
+func surplusMoved(now, said uint64) bool { return now > said+said/4 || now == 0 && said > 0 }
 
-// spares notes whether another may have some to spare.
-func (m *Member) spares(id ID, on bool) {
+// markSurplus notes whether another may have some to spare.
+func (m *Member) markSurplus(id ID, on bool) {
 	at, there := m.sparingAt[id]
 	switch {
-	case on && !there && id != m.self:
-		m.sparingAt[id] = len(m.sparing)
-		m.sparing = append(m.sparing, id)
+	case on && !there && id != m.id:
+		m.sparingAt[id] = len(m.surplusPeers)
+		m.surplusPeers = append(m.surplusPeers, id)
 	case !on && there:
-		last := m.sparing[len(m.sparing)-1]
-		m.sparing[at], m.sparingAt[last] = last, at
-		m.sparing = m.sparing[:len(m.sparing)-1]
+		last := m.surplusPeers[len(m.surplusPeers)-1]
+		m.surplusPeers[at], m.sparingAt[last] = last, at
+		m.surplusPeers = m.surplusPeers[:len(m.surplusPeers)-1]
 		delete(m.sparingAt, id)
 	}
 }
 
 // HandleRequest takes in that another asks for rights: until the next tick.
 func (m *Member) HandleRequest(a TransferRequest, now time.Duration) {
-	if a.From == m.self {
+	if a.From == m.id {
 		return
 	}
 	m.Merge(Delta{ID: a.From, Account: &a.Account}, now)
-	m.asked[a.From] = a.Amount
+	m.requests[a.From] = a.Amount
 }
 
-// keep puts the member's row into its state.
-func (m *Member) keep() {
-	row := m.row
-	m.state.Members[m.self] = &row
+// storeOwnState puts the member's row into its state.
+func (m *Member) storeOwnState() {
+	row := m.own
+	m.state.Members[m.id] = &row
 }
 
-func (r *MemberState) givenTo(id ID) uint64 {
+func (r *MemberState) transferredTo(id ID) uint64 {
 	if r == nil {
 		return 0
 	}
 	return r.Transferred[id]
 }
 
-// mostBeats is how many beats are remembered as not acked.
-const mostBeats = 256
+// maxUnackedHeartbeats is how many beats are remembered as not acked.
+const maxUnackedHeartbeats = 256
 
-// give gives spare rights to those that asked: to each its part of what it lacks,
+// transferSurplus gives spare rights to those that asked: to each its part of what it lacks,
 // as long as there are any, in an order that is drawn.
-func (m *Member) give(spare uint64) (gifts []Transfer) {
-	if spare == 0 || len(m.asked) == 0 {
+func (m *Member) transferSurplus(spare uint64) (gifts []Transfer) {
+	if spare == 0 || len(m.requests) == 0 {
 		return nil
 	}
-	ids := slices.SortedFunc(maps.Keys(m.asked), compareIDs) // maps have no order, draws must
+	ids := slices.SortedFunc(maps.Keys(m.requests), compareIDs) // maps have no order, draws must
 	m.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	for _, id := range ids {
 		a := m.state.Accounts[id]
-		if _, partner := m.row.Transferred[id]; spare == 0 || a == nil || a.LogIndex == 0 || a.Fenced || !partner && len(m.row.Transferred) >= mostPartners {
+		if _, partner := m.own.Transferred[id]; spare == 0 || a == nil || a.LogIndex == 0 || a.Fenced || !partner && len(m.own.Transferred) >= maxTransferPartners {
 			continue // Index 0: the bank, which may not know of it, would not ask it for a report
 		}
-		n := min(spare, (m.asked[id]+RequestFanout-1)/RequestFanout)
+		n := min(spare, (m.requests[id]+RequestFanout-1)/RequestFanout)
 		spare -= n
-		m.row.Transferred = maps.Clone(m.row.Transferred)
-		if m.row.Transferred == nil {
-			m.row.Transferred = map[ID]uint64{}
+		m.own.Transferred = maps.Clone(m.own.Transferred)
+		if m.own.Transferred == nil {
+			m.own.Transferred = map[ID]uint64{}
 		}
-		m.row.Transferred[id] += n
-		m.stale = true
-		gifts = append(gifts, Transfer{id, Delta{ID: m.self, MemberState: &MemberState{Transferred: map[ID]uint64{id: m.row.Transferred[id]}}}})
+		m.own.Transferred[id] += n
+		m.rightsStale = true
+		gifts = append(gifts, Transfer{id, Delta{ID: m.id, MemberState: &MemberState{Transferred: map[ID]uint64{id: m.own.Transferred[id]}}}})
 	}
 	return gifts
 }
@@ -315,7 +315,7 @@
 // as it matters to the two alone, nor is the account of one that is not fenced,
 // as the bank's keeper tells it to that one.
 func (m *Member) Merge(i Delta, now time.Duration) (Delta, bool) {
-	if i.ID == m.self {
+	if i.ID == m.id {
 		i.MemberState = nil // nobody knows better
 	}
 	was := m.state.Members[i.ID]
@@ -326,23 +326,23 @@
 	if !ok {
 		return news, false
 	}
-	if now := m.state.Members[i.ID]; i.ID != m.self && now != nil {
+	if now := m.state.Members[i.ID]; i.ID != m.id && now != nil {
 		if was == nil || was.Heartbeat < now.Heartbeat {
 			a := m.state.Accounts[i.ID]
-			m.spares(i.ID, now.Surplus > 0 && (a == nil || !a.Fenced))
+			m.markSurplus(i.ID, now.Surplus > 0 && (a == nil || !a.Fenced))
 		}
-		if given := now.givenTo(m.self); given > was.givenTo(m.self) {
-			m.givers[i.ID] = struct{}{}
-			m.spares(i.ID, true)
+		if given := now.transferredTo(m.id); given > was.transferredTo(m.id) {
+			m.senders[i.ID] = struct{}{}
+			m.markSurplus(i.ID, true)
 		}
 	}
-	if news.MemberState != nil && (was == nil || was.Transferred[m.self] != news.MemberState.Transferred[m.self]) || news.Account != nil {
-		m.stale = true
+	if news.MemberState != nil && (was == nil || was.Transferred[m.id] != news.MemberState.Transferred[m.id]) || news.Account != nil {
+		m.rightsStale = true
 	}
-	if i.ID == m.self {
-		m.acked(m.state.Accounts[m.self].AckedHeartbeat)
+	if i.ID == m.id {
+		m.ackHeartbeat(m.state.Accounts[m.id].AckedHeartbeat)
 	} else if a := m.state.Accounts[i.ID]; a != nil && a.Fenced && news.Account != nil {
-		m.close(i.ID, a)
+		m.reportTransfers(i.ID, a)
 	}
 	if news.Account != nil && !news.Account.Fenced {
 		news.Account = nil
@@ -360,28 +360,28 @@
 	return news, news.MemberState != nil || news.Account != nil
 }
 
-// acked notes that the keeper has heard a beat.
-func (m *Member) acked(n uint64) {
-	for len(m.beats) > 0 && m.beats[0].n <= n {
-		m.until = max(m.until, m.beats[0].at+m.timing.stop())
-		m.beats = m.beats[1:]
+// ackHeartbeat notes that the keeper has heard a beat.
+func (m *Member) ackHeartbeat(n uint64) {
+	for len(m.unacked) > 0 && m.unacked[0].heartbeat <= n {
+		m.spendUntil = max(m.spendUntil, m.unacked[0].at+m.timing.spendingTimeout())
+		m.unacked = m.unacked[1:]
 	}
 }
 
-// close reports what the member has to do with one that was fenced: from now
+// reportTransfers reports what the member has to do with one that was fenced: from now
 // on it takes no more of its gifts in.
-func (m *Member) close(id ID, a *Account) {
-	if _, closed := m.row.TransferReports[id]; closed || a.Reclaimed {
+func (m *Member) reportTransfers(id ID, a *Account) {
+	if _, closed := m.own.TransferReports[id]; closed || a.Reclaimed {
 		return
 	}
-	c := TransferReport{Sent: m.row.Transferred[id]}
+	c := TransferReport{Sent: m.own.Transferred[id]}
 	if row := m.state.Members[id]; row != nil {
-		c.Received = row.Transferred[m.self]
+		c.Received = row.Transferred[m.id]
 	}
-	m.row.TransferReports = maps.Clone(m.row.TransferReports)
-	if m.row.TransferReports == nil {
-		m.row.TransferReports = map[ID]TransferReport{}
+	m.own.TransferReports = maps.Clone(m.own.TransferReports)
+	if m.own.TransferReports == nil {
+		m.own.TransferReports = map[ID]TransferReport{}
 	}
-	m.row.TransferReports[id] = c
-	m.changed, m.stale = true, true
+	m.own.TransferReports[id] = c
+	m.unpublished, m.rightsStale = true, true
 }
--- a/fleet/quota/share.go
+++ b/fleet/quota/share.go
@@ -101,8 +101,8 @@
 	Account     *Account     `cbor:"3,keyasint,omitempty"`
 }
 
-// joinMax is the pointwise maximum. It gives a itself where that has all.
-func joinMax[K comparable, V any](a, b map[K]V, join func(x, y V) (V, bool)) map[K]V {
+// joinMaps is the pointwise maximum. It gives a itself where that has all.
+func joinMaps[K comparable, V any](a, b map[K]V, join func(x, y V) (V, bool)) map[K]V {
 	out, copied := a, false
 	for k, y := range b {
 		if x, known := a[k]; known {
@@ -122,14 +122,14 @@
 	return out
 }
 
-func maxOf[T uint64 | int64](x, y T) (T, bool) { return max(x, y), y > x }
+func joinMax[T uint64 | int64](x, y T) (T, bool) { return max(x, y), y > x }
 
-func maxPN(x, y PNCounter) (PNCounter, bool) {
+func joinCounters(x, y PNCounter) (PNCounter, bool) {
 	z := PNCounter{max(x.Increments, y.Increments), max(x.Decrements, y.Decrements)}
 	return z, z != x
 }
 
-func maxClosing(x, y TransferReport) (TransferReport, bool) {
+func joinReports(x, y TransferReport) (TransferReport, bool) {
 	z := TransferReport{max(x.Received, y.Received), max(x.Sent, y.Sent)}
 	return z, z != x
 }
@@ -144,9 +144,9 @@
 	if r.Heartbeat == o.Heartbeat { // the same, or a fault of its writer's
 		r.Surplus, r.Shortfall = max(r.Surplus, o.Surplus), max(r.Shortfall, o.Shortfall)
 	}
-	r.TransferReports = joinMax(r.TransferReports, o.TransferReports, maxClosing)
-	r.Transferred = joinMax(r.Transferred, o.Transferred, maxOf[uint64])
-	r.Counters = joinMax(r.Counters, o.Counters, maxPN)
+	r.TransferReports = joinMaps(r.TransferReports, o.TransferReports, joinReports)
+	r.Transferred = joinMaps(r.Transferred, o.Transferred, joinMax[uint64])
+	r.Counters = joinMaps(r.Counters, o.Counters, joinCounters)
 	return r
 }
 
@@ -158,7 +158,7 @@
 	}
 	if a.LogIndex == o.LogIndex { // the same, but for what is told without the log
 		a.Granted, a.Fenced, a.Reclaimed = max(a.Granted, o.Granted), a.Fenced || o.Fenced, a.Reclaimed || o.Reclaimed
-		a.SettledTransfers = joinMax(a.SettledTransfers, o.SettledTransfers, maxOf[int64])
+		a.SettledTransfers = joinMaps(a.SettledTransfers, o.SettledTransfers, joinMax[int64])
 	}
 	a.AckedHeartbeat = acked
 	return a
@@ -197,7 +197,7 @@
 		was := s.Accounts[i.ID]
 		if was == nil {
 			out.Account = i.Account
-		} else if joined := was.Join(*i.Account); !joined.same(was) {
+		} else if joined := was.Join(*i.Account); !joined.equal(was) {
 			out.Account = &joined
 		}
 		if out.Account != nil {
@@ -233,7 +233,7 @@
 	return true
 }
 
-func (a *Account) same(o *Account) bool {
+func (a *Account) equal(o *Account) bool {
 	return a.LogIndex == o.LogIndex && a.Granted == o.Granted && a.Fenced == o.Fenced && a.Reclaimed == o.Reclaimed &&
 		a.AckedHeartbeat == o.AckedHeartbeat && maps.Equal(a.SettledTransfers, o.SettledTransfers)
 }
--- a/fleet/quota/simulation/emulate_test.go
+++ b/fleet/quota/simulation/emulate_test.go
@@ -8,27 +8,27 @@
 	"quincerail.example/quincerail/fleet/quota"
 )
 
-func config(members int, seed uint64) Config {
-	return Config{Members: members, Total: uint64(members) * 8, Seed: seed, Round: 200 * time.Millisecond, Fanout: 3, Bytes: 1400,
-		Loss: 0.05, Double: 0.02, Late: 0.02, Drift: 0.05, Load: 1.2, Skew: 0.8, Reshuffle: 100,
+func testConfig(members int, seed uint64) Config {
+	return Config{Members: members, Capacity: uint64(members) * 8, Seed: seed, RoundInterval: 200 * time.Millisecond, Fanout: 3, MaxMessageBytes: 1400,
+		LossRate: 0.05, DuplicateRate: 0.02, DelayRate: 0.02, MaxClockDrift: 0.05, Load: 1.2, Skew: 0.8, ReshuffleRounds: 100,
 		Timing: quota.Timing{SessionTimeout: 20 * time.Second, MaxClockDrift: 0.05, MaxHoldTime: 400 * time.Millisecond, HeartbeatInterval: 2 * time.Second}}
 }
 
-func run(f *Fleet, rounds int) {
+func steps(f *Fleet, rounds int) {
 	for range rounds {
 		f.Step()
 	}
 }
 
-// history plays a random history: partitions into groups that change, members
+// randomHistory plays a random randomHistory: partitions into groups that change, members
 // isolated, paused, killed and restarted, the keeper moving. Then all heals.
-func history(t *testing.T, seed uint64) *Fleet {
+func randomHistory(t *testing.T, seed uint64) *Fleet {
 	const members = 30
-	f, err := New(config(members, seed))
+	f, err := New(testConfig(members, seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(f, 100)
+	steps(f, 100)
 	for range 12 {
 		groups := 1 + f.rng.IntN(3)
 		f.Partition(func(int) int { return f.rng.IntN(groups) })
@@ -49,11 +49,11 @@
 			}
 		}
 		for range 5 {
-			if f.Keep(f.rng.IntN(members)) {
+			if f.ElectLeader(f.rng.IntN(members)) {
 				break
 			}
 		}
-		run(f, 20+f.rng.IntN(150))
+		steps(f, 20+f.rng.IntN(150))
 	}
 	f.Partition(func(int) int { return 0 })
 	for i, n := range f.nodes {
@@ -64,9 +64,9 @@
 			}
 		}
 	}
-	f.conf.Reshuffle = 0
-	f.Keep(0)
-	run(f, 400) // more than two horizons
+	f.config.ReshuffleRounds = 0
+	f.ElectLeader(0)
+	steps(f, 400) // more than two horizons
 	return f
 }
 
@@ -76,13 +76,13 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			f := history(t, seed)
+			f := randomHistory(t, seed)
 			if f.Overshoot() > 0 {
 				t.Errorf("%d in hand beyond the budget", f.Overshoot())
 			}
 			held, free := f.Rights()
-			if sum := held + free; sum > f.conf.Total || sum < f.conf.Total*95/100 {
-				t.Errorf("%d rights held and %d free of %d", held, free, f.conf.Total)
+			if sum := held + free; sum > f.config.Capacity || sum < f.config.Capacity*95/100 {
+				t.Errorf("%d rights held and %d free of %d", held, free, f.config.Capacity)
 			}
 			if used, want := f.Served(); float64(used) < 0.9*float64(want) {
 				t.Errorf("%d of %d used", used, want)
@@ -94,23 +94,23 @@
 // TestConverges heals a fleet that was split in halves: all know what any knew
 // within 40 rounds, and the budget is used again.
 func TestConverges(t *testing.T) {
-	f, err := New(config(100, 1))
+	f, err := New(testConfig(100, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(f, 150)
+	steps(f, 150)
 	f.Partition(func(i int) int { return i % 2 })
-	run(f, 50)
+	steps(f, 50)
 	f.Partition(func(int) int { return 0 })
-	marks, rounds := f.Marks(), 0
-	for !f.Know(marks) && rounds < 200 {
+	marks, rounds := f.LatestHeartbeats(), 0
+	for !f.Converged(marks) && rounds < 200 {
 		f.Step()
 		rounds++
 	}
 	if rounds > 40 {
 		t.Errorf("all know after %d rounds", rounds)
 	}
-	run(f, 49)
+	steps(f, 49)
 	if used, want := f.Served(); f.Overshoot() > 0 || float64(used) < 0.9*float64(want) {
 		t.Errorf("overshoot %d, %d of %d used", f.Overshoot(), used, want)
 	}
--- a/internal/fleetlab/share.go
+++ b/internal/fleetlab/share.go
@@ -114,8 +114,8 @@
 func (c *shareCmd) play(members int, p partition) (out play, err error) {
 	// News takes longer in a large fleet, and all say something each beat.
 	horizon := max(90*time.Second, time.Duration(members)*100*time.Millisecond)
-	f, err := simulation.New(simulation.Config{Members: members, Total: uint64(members) * budget, Seed: c.Seed, Round: roundTime,
-		Fanout: 3, Bytes: 1400 * max(1, members/1000), Loss: 0.05, Double: 0.02, Late: 0.02, Drift: 0.05, Load: 1, Skew: 0.9, Reshuffle: 250,
+	f, err := simulation.New(simulation.Config{Members: members, Capacity: uint64(members) * budget, Seed: c.Seed, RoundInterval: roundTime,
+		Fanout: 3, MaxMessageBytes: 1400 * max(1, members/1000), LossRate: 0.05, DuplicateRate: 0.02, DelayRate: 0.02, MaxClockDrift: 0.05, Load: 1, Skew: 0.9, ReshuffleRounds: 250,
 		Timing: quota.Timing{SessionTimeout: horizon, MaxClockDrift: 0.05, MaxHoldTime: 2 * roundTime, HeartbeatInterval: horizon / 9}})
 	if err != nil {
 		return out, err
@@ -142,13 +142,13 @@
 	f.Partition(func(i int) int { return p.group(i, members) })
 	out.cut = run(c.Cut, 0)
 	f.Partition(func(int) int { return 0 })
-	marks := f.Marks()
-	for out.rounds < c.Heal/2 && !f.Know(marks) {
+	marks := f.LatestHeartbeats()
+	for out.rounds < c.Heal/2 && !f.Converged(marks) {
 		run(1, 0)
 		out.rounds++
 	}
 	out.again = run(c.Heal-out.rounds, (c.Heal-out.rounds)/2)
-	out.overshoot, out.bytes = f.Overshoot(), f.SentBytes()/(float64(round)*roundTime.Seconds())
+	out.overshoot, out.bytes = f.Overshoot(), f.MeanSentBytes()/(float64(round)*roundTime.Seconds())
 	return out, nil
 }
 
