--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -75,7 +75,7 @@
 	}
 	if b.member != nil { // what it knew of the others holds
 		for _, i := range items(b.member.State()) {
-			m.Merge(i, b.clock())
+			m.Merge(i)
 		}
 	}
 	b.member = m
@@ -169,7 +169,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_, news = b.member.Merge(i, b.clock())
+	_, news = b.member.Merge(i)
 	return b.about(i), news
 }
 
@@ -181,7 +181,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.member.HandleRequest(a, b.clock())
+	b.member.HandleRequest(a)
 }
 
 // askFor asks some others for rights: those named, and the rest drawn.
@@ -259,7 +259,7 @@
 	b.mu.Lock()
 	b.asked = 0
 	for _, i := range is {
-		b.member.Merge(i, b.clock())
+		b.member.Merge(i)
 	}
 	b.mu.Unlock()
 	b.spread(slices.DeleteFunc(slices.Clone(is), func(i quota.Delta) bool { return !i.Account.Fenced }))
@@ -300,7 +300,7 @@
 		asked, acks = b.keeper.Tick(now, b.member.State(), m.banks[b.kind])
 		m.mu.Unlock()
 		for _, a := range acks {
-			b.member.Merge(a, now)
+			b.member.Merge(a)
 		}
 		if len(asked) > 0 && (b.asked == 0 || now-b.asked >= ordersAgain) {
 			orders, b.asked = asked, now
--- a/fleet/quota/golden_test.go
+++ b/fleet/quota/golden_test.go
@@ -48,20 +48,20 @@
 // TestGoldenDeltas writes and reads what members send each other. The maps have
 // one entry each, as the order of more is not fixed.
 func TestGoldenDeltas(t *testing.T) {
-	row := &MemberState{
+	member := &MemberState{
 		Heartbeat: 300, Surplus: 5, Shortfall: 1, Transferred: map[ID]uint64{goldenB: 4}, TransferReports: map[ID]TransferReport{goldenBLater: {Received: 3, Sent: 1}},
 		Counters: map[string]PNCounter{"answered": {Increments: 1 << 33, Decrements: 2}},
 	}
 	account := &Account{LogIndex: 12, Granted: 40, Fenced: true, Reclaimed: true, SettledTransfers: map[ID]int64{goldenB: -2}, AckedHeartbeat: 299}
-	for name, item := range map[string]Delta{
-		"item-row.cbor":           {ID: goldenA, MemberState: row},
+	for name, delta := range map[string]Delta{
+		"item-row.cbor":           {ID: goldenA, MemberState: member},
 		"item-account.cbor":       {ID: goldenA, Account: account},
-		"item-row-account.cbor":   {ID: goldenA, MemberState: row, Account: account},
+		"item-row-account.cbor":   {ID: goldenA, MemberState: member, Account: account},
 		"item-gift.cbor":          {ID: goldenA, MemberState: &MemberState{Transferred: map[ID]uint64{goldenB: 4}}},
 		"item-empty-closing.cbor": {ID: goldenA, MemberState: &MemberState{Heartbeat: 1, TransferReports: map[ID]TransferReport{goldenB: {}}}},
 		"item-ack.cbor":           {ID: goldenB, Account: &Account{AckedHeartbeat: 17}},
 	} {
-		golden.RoundTrip(t, name, item, cbor.Marshal, cbor.Unmarshal)
+		golden.RoundTrip(t, name, delta, cbor.Marshal, cbor.Unmarshal)
 	}
 	golden.RoundTrip(t, "ask.cbor", TransferRequest{From: goldenB, Amount: 3, Account: Account{LogIndex: 12, Granted: 40}}, cbor.Marshal, cbor.Unmarshal)
 	golden.RoundTrip(t, "id.cbor", goldenA, cbor.Marshal, cbor.Unmarshal)
--- a/fleet/quota/simulation/emulate.go
+++ b/fleet/quota/simulation/emulate.go
@@ -178,7 +178,7 @@
 
 // merge has a member take an item in, and pass on what was news.
 func (f *Fleet) merge(n *node, i quota.Delta) {
-	if news, ok := n.member.Merge(i, f.clock(n)); ok {
+	if news, ok := n.member.Merge(i); ok {
 		f.enqueue(n, news)
 	}
 }
@@ -445,7 +445,7 @@
 		f.merge(n, i)
 	}
 	if l.request != nil {
-		n.member.HandleRequest(*l.request, f.clock(n))
+		n.member.HandleRequest(*l.request)
 	}
 }
 
