--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -45,8 +45,8 @@
 	Record rollout.Record              `json:"rollout"`
 }
 
-// machine is what a voter has under its log: consensus.Machine over
-// lease.Member and quota.Bank.
+// machine is what a voter has under its log: consensus.StateMachine over
+// lease.Client and quota.Bank.
 type machine struct {
 	log   *slog.Logger
 	clock func() time.Duration
