--- a/fleet/rollout/follow.go
+++ b/fleet/rollout/follow.go
@@ -7,7 +7,8 @@
 	"quincerail.example/quincerail/fleet/lease"
 )
 
-// Direction is the owner's word to a server on the settings that it is to run.
+// Direction is the owner's word to a server on the settings that it is to run. In
+// CBOR it is an array: the order of the fields is part of the format.
 type Direction struct {
 	_      struct{}    `cbor:",toarray"`
 	Token  lease.Token // of the owner's lease
@@ -42,7 +43,7 @@
 // has been heard of.
 func (f *Follower) Take(d Direction) (apply bool, err error) {
 	if d.Token.Compare(f.token) < 0 {
-		return false, &lease.StaleError{Lease: "rollout", Token: d.Token, Highest: f.token}
+		return false, &lease.StaleTokenError{Lease: "rollout", Token: d.Token, Highest: f.token}
 	}
 	if d.Index < f.index {
 		return false, fmt.Errorf("rollout: a direction of entry %d, %d was seen", d.Index, f.index)
