--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -268,10 +268,10 @@
 // checks that no more than the budget were in hand meanwhile.
 func (r run) served(what string, calls int) {
 	r.t.Helper()
-	most, from, changed := r.Ledger.Count()
+	most, from, _ := r.Ledger.Count()
 	deadline := time.After(30 * time.Second)
 	for {
-		m, done, next := r.Ledger.Count()
+		m, done, changed := r.Ledger.Count()
 		if most = max(most, m); most > budget {
 			r.t.Fatalf("%s: %d calls in hand, the budget is %d", what, most, budget)
 		}
@@ -279,7 +279,6 @@
 			r.t.Logf("%s: at most %d in hand", what, most)
 			return
 		}
-		changed = next
 		select {
 		case <-changed:
 		case <-deadline:
@@ -293,8 +292,10 @@
 // with messages lost, doubled and reordered, with members paused, killed and
 // restarted, the bound holds at every instant, and work goes on.
 func TestBudget(t *testing.T) {
-	r := startWith(t, fleettest.Options{Load: 4, Took: 60 * time.Millisecond, TurnsAway: 8, Settings: map[string]any{"election_ms": 300,
-		"lease_ms": 300, "budget_calls": budget, "budget_repeats": repeats, "horizon_ms": 3000, "hold_ms": 600}})
+	r := startWith(t, fleettest.Options{Load: 4, Took: 60 * time.Millisecond, TurnsAway: 8, Settings: map[string]any{
+		"election_ms": 300, "lease_ms": 300,
+		"budget_calls": budget, "budget_repeats": repeats, "horizon_ms": 3000, "hold_ms": 600,
+	}})
 	r.served("whole", 300)
 	gossip := func(rule faultproxy.Rule, picks func(p *faultproxy.Link) bool) {
 		r.Net.SetRule(rule, func(p *faultproxy.Link) bool { return p.Kind != "publish" && picks(p) })
@@ -316,21 +317,11 @@
 	if err := r.Launch("v5"); err != nil { // its old name, a new life
 		t.Fatal(err)
 	}
-	fenced := func(l fleettest.Line) bool {
-		return l.Event == "bank" && l.Fields["budget"] == "calls" && l.Fields["order"] == "fence" && strings.HasPrefix(l.Fields["of"], "v5/")
-	}
-	if _, err := r.Await("the fence of the old life", from, fenced); err != nil {
-		t.Fatal(err)
-	}
+	r.quotaCommand("the fence of the old incarnation", from, "fence", "v5/")
 	r.signal("v4", syscall.SIGCONT)
 	r.served("paused, killed and lossy", 300)
 	r.Net.Heal()
-	settled := func(l fleettest.Line) bool {
-		return l.Event == "bank" && l.Fields["budget"] == "calls" && l.Fields["order"] == "settle"
-	}
-	if _, err := r.Await("the settlement of the old life", from, settled); err != nil {
-		t.Fatal(err)
-	}
+	r.quotaCommand("the settlement of the old incarnation", from, "settle", "")
 	r.served("settled", 300)
 	all, most := r.Ledger.Repeats(time.Second - onTheWay)
 	t.Logf("%d repeats, at most %d in a second", all, most)
@@ -338,14 +329,33 @@
 		t.Errorf("%d repeats in a second of %d, %d in all", most, repeats, all)
 	}
 
-	// At rest and healed, all rights are held by somebody, and all members have
-	// counted the same answers.
 	r.Quiet()
-	const rounds, round = 200, 200 * time.Millisecond
-	took, err := r.Converge("quincerail_fleet_rights", rounds*round, func(all map[string]map[string]float64) bool {
+	r.rightsAddUp()
+	r.countersAgree()
+}
+
+// quotaCommand waits for a command on the quota of calls in the logs; target is
+// the start of the name of the incarnation that it is about.
+func (r run) quotaCommand(what string, from int, kind, target string) {
+	r.t.Helper()
+	_, err := r.Await(what, from, func(l fleettest.Line) bool {
+		return l.Event == "bank" && l.Fields["budget"] == "calls" && l.Fields["order"] == kind && strings.HasPrefix(l.Fields["of"], target)
+	})
+	if err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+// Members at rest are to agree within convergeTimeout.
+const convergeTimeout = 200 * 200 * time.Millisecond
+
+// rightsAddUp checks that at rest and healed, somebody holds each right.
+func (r run) rightsAddUp() {
+	r.t.Helper()
+	took, err := r.Converge("quincerail_fleet_rights", convergeTimeout, func(all map[string]map[string]float64) bool {
 		free, err := r.Scrape("v1", "quincerail_fleet_free")
 		if err != nil {
-			t.Fatal(err)
+			r.t.Fatal(err)
 		}
 		sum := free["calls"]
 		for _, by := range all {
@@ -354,10 +364,16 @@
 		return sum == budget
 	})
 	if err != nil {
-		t.Error(err)
+		r.t.Error(err)
 	}
-	t.Logf("all rights are accounted for after %v", took)
-	took, err = r.Converge("quincerail_fleet_answers", rounds*round, func(all map[string]map[string]float64) bool {
+	r.t.Logf("all rights are accounted for after %v", took)
+}
+
+// countersAgree checks that at rest and healed, all members have counted the same
+// answers.
+func (r run) countersAgree() {
+	r.t.Helper()
+	took, err := r.Converge("quincerail_fleet_answers", convergeTimeout, func(all map[string]map[string]float64) bool {
 		for _, by := range all {
 			if by["served"] == 0 || !maps.Equal(by, all["m1"]) {
 				return false
@@ -366,7 +382,7 @@
 		return true
 	})
 	if err != nil {
-		t.Error(err)
+		r.t.Error(err)
 	}
-	t.Logf("all have counted the same after %v", took)
+	r.t.Logf("all have counted the same after %v", took)
 }
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -50,12 +50,16 @@
 	}
 	o.Adjust = func(config map[string]any) {
 		config["stop_ms"] = 1200
-		settings := config["settings"].(map[string]any)
-		info := settings["familyInfo"].(map[string]any)
+		settings := get[map[string]any](t, config, "settings")
+		info := get[map[string]any](t, settings, "familyInfo")
 		info["cores"], info["keyKb"] = 16, 0.05
-		settings["obligations"].(map[string]any)["drainGraceUs"] = 200000
-		for _, lane := range settings["lanes"].([]any) {
-			lane.(map[string]any)["goalTimeUs"] = 40000
+		get[map[string]any](t, settings, "obligations")["drainGraceUs"] = 200000
+		for i := range get[[]any](t, settings, "lanes") {
+			lane, ok := get[[]any](t, settings, "lanes")[i].(map[string]any)
+			if !ok {
+				t.Fatalf("lane %d is no object", i)
+			}
+			lane["goalTimeUs"] = 40000
 		}
 	}
 	o.Work = func() *standin.Work {
@@ -66,6 +70,16 @@
 	return startFleet(t, o)
 }
 
+// get returns a member of a JSON object, which has to be of type T.
+func get[T any](t *testing.T, object map[string]any, key string) T {
+	t.Helper()
+	value, ok := object[key].(T)
+	if !ok {
+		t.Fatalf("%s is a %T", key, object[key])
+	}
+	return value
+}
+
 // operator runs one of the program's commands against a voter.
 func (r run) operator(voter, command string, args ...string) (string, error) {
 	r.t.Helper()
@@ -74,7 +88,7 @@
 		r.t.Fatal(err)
 	}
 	all := append(strings.Fields(command), "--address", address)
-	out, err := exec.Command(binary, append(all, args...)...).CombinedOutput()
+	out, err := exec.CommandContext(r.t.Context(), binary, append(all, args...)...).CombinedOutput()
 	return string(out), err
 }
 
@@ -92,12 +106,12 @@
 	}
 }
 
-// phase waits until a voter's log has the rollout in a phase and stage, and gives
+// phase waits until some voter's log has the rollout in a phase and stage, and gives
 // the line.
-func (r run) phase(voter, phase, stage string) fleettest.Line {
+func (r run) phase(phase, stage string) fleettest.Line {
 	r.t.Helper()
 	l, err := r.Await("phase "+phase+" of stage "+stage, 0, func(l fleettest.Line) bool {
-		return (voter == "" || l.Child == voter) && l.Event == "rollout" && l.Fields["phase"] == phase && (stage == "" || l.Fields["stage"] == stage)
+		return l.Event == "rollout" && l.Fields["phase"] == phase && (stage == "" || l.Fields["stage"] == stage)
 	})
 	if err != nil {
 		status, _ := r.operator("v1", "rollout status")
@@ -157,7 +171,7 @@
 			return true
 		}
 	})
-	back := r.phase("", "back", "0")
+	back := r.phase("back", "0")
 	if !strings.Contains(back.Fields["reason"], "late is worse") && !strings.Contains(back.Fields["reason"], "slow is worse") {
 		t.Errorf("halted for %q", back.Fields["reason"])
 	}
@@ -169,7 +183,7 @@
 		return fmt.Sprint(err, "\n", out), err == nil && strings.Contains(out, "waits for:")
 	})
 	close(stuck)
-	r.phase("", "halted", "0")
+	r.phase("halted", "0")
 	most, err := starter.Stop()
 	if err != nil || most["late"] != 1 || r.Running("v1") != 6 {
 		t.Errorf("%v, at most %v, %d run v1", err, most, r.Running("v1"))
@@ -177,46 +191,51 @@
 	r.wantCourse("replacing 0", "baking 0", "back 0", "halted 0")
 }
 
+// rolloutOwner returns the owner of the rollout's lease.
+func (r run) rolloutOwner() string {
+	r.t.Helper()
+	for _, v := range []string{"v1", "v2", "v3"} {
+		if s, err := r.Change(v); err == nil && s.Owner != "" {
+			return s.Owner
+		}
+	}
+	r.t.Fatal("nobody owns the rollout")
+	return ""
+}
+
+// rolloutOwnerOtherThan waits until the log of a process other than former says
+// that the rollout's lease has another owner.
+func (r run) rolloutOwnerOtherThan(former string) {
+	r.t.Helper()
+	if _, err := r.Await("another owner", len(r.Lines()), func(l fleettest.Line) bool {
+		return l.Event == "lease" && l.Fields["lease"] == "rollout" && l.Child != former && l.Fields["to"] != former && l.Fields["to"] != ""
+	}); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
 // TestRolloutOwners rolls out a good build while owners of the rollout are killed
 // and stopped in the midst of stages: it goes through each stage once, and an old
 // owner that wakes late changes nothing.
 func TestRolloutOwners(t *testing.T) {
 	r := versions(t, fleettest.Options{Word: "page"}, nil)
 	r.begin(900, 1.5, "--id", "r2", "--from", "v1", "--to", "v2")
-	owner := func() string {
-		for _, v := range []string{"v1", "v2", "v3"} {
-			if s, err := r.Change(v); err == nil && s.Owner != "" {
-				return s.Owner
-			}
-		}
-		t.Fatal("nobody owns the rollout")
-		return ""
-	}
 	starter := r.Starter(nil)
-	r.phase("", "baking", "0")
-	killed := owner()
+	r.phase("baking", "0")
+	killed := r.rolloutOwner()
 	if err := r.Kill(killed); err != nil {
 		t.Fatal(err)
 	}
-	from := len(r.Lines())
-	if _, err := r.Await("another owner", from, func(l fleettest.Line) bool {
-		return l.Event == "lease" && l.Fields["lease"] == "rollout" && l.Fields["to"] != killed && l.Fields["to"] != ""
-	}); err != nil {
-		t.Fatal(err)
-	}
+	r.rolloutOwnerOtherThan(killed)
 	if err := r.Launch(killed); err != nil {
 		t.Fatal(err)
 	}
-	r.phase("", "replacing", "1")
-	stopped := owner()
+	r.phase("replacing", "1")
+	stopped := r.rolloutOwner()
 	r.signal(stopped, syscall.SIGSTOP)
-	if _, err := r.Await("another owner", len(r.Lines()), func(l fleettest.Line) bool {
-		return l.Event == "lease" && l.Fields["lease"] == "rollout" && l.Child != stopped && l.Fields["to"] != stopped && l.Fields["to"] != ""
-	}); err != nil {
-		t.Fatal(err)
-	}
+	r.rolloutOwnerOtherThan(stopped)
 	r.signal(stopped, syscall.SIGCONT)
-	r.phase("", "done", "2")
+	r.phase("done", "2")
 	most, err := starter.Stop()
 	if err != nil || most["v2"] != 6 {
 		t.Errorf("%v, at most %v", err, most)
@@ -236,11 +255,11 @@
 		New: fmt.Sprintf("post := ledger.AppendPost(nil, id, wait, append([]byte(%q), body...))", standin.NewForm)}})
 	r.begin(900, 1.5, "--id", "r3", "--from", "v1", "--to", "newform")
 	starter := r.Starter(nil)
-	back := r.phase("", "back", "0")
+	back := r.phase("back", "0")
 	if !strings.Contains(back.Fields["reason"], "old-failed is worse") {
 		t.Errorf("halted for %q", back.Fields["reason"])
 	}
-	r.phase("", "halted", "0")
+	r.phase("halted", "0")
 	if most, err := starter.Stop(); err != nil || most["newform"] != 1 {
 		t.Errorf("%v, at most %v", err, most)
 	}
@@ -252,7 +271,7 @@
 	r := versions(t, fleettest.Options{Word: "page"}, nil)
 	r.begin(40, 1.5, "--id", "r4", "--from", "v1", "--to", "v2")
 	starter := r.Starter(nil)
-	r.phase("", "replacing", "0")
+	r.phase("replacing", "0")
 	// The plan's name draws which server is the first: a plain member here.
 	var first string
 	r.until("a server is to run v2", func() (string, bool) {
@@ -269,12 +288,12 @@
 	}
 	zone := r.Own(first)["zone"]
 	r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind == "gossip" && r.Own(p.From)["zone"] == zone })
-	back := r.phase("", "back", "0")
+	back := r.phase("back", "0")
 	if !strings.Contains(back.Fields["reason"], "no word") && !strings.Contains(back.Fields["reason"], "did not come to run") {
 		t.Errorf("halted for %q", back.Fields["reason"])
 	}
 	r.Net.Heal()
-	r.phase("", "halted", "0")
+	r.phase("halted", "0")
 	if most, err := starter.Stop(); err != nil || most["v2"] != 1 {
 		t.Errorf("%v, at most %v", err, most)
 	}
@@ -287,17 +306,11 @@
 	r.line(from, server, "settings", func(f map[string]string) bool { return f["settings"] == number })
 }
 
-// TestSettings rolls out settings: good ones reach all servers, also one that
-// comes back as its file says. Then ones that are valid alone: a server whose
-// rules lead to a class that they rename turns them down, and all go back. One
-// that the stream does not reach meanwhile keeps the last good ones.
-func TestSettings(t *testing.T) {
-	rules, err := filepath.Abs(filepath.Join("..", "deploy", "rules.toml"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := versions(t, fleettest.Options{Word: "page", Files: map[string]map[string]any{"m2": {"rules": rules}}}, nil)
-	good, bad := filepath.Join(t.TempDir(), "good.json"), filepath.Join(t.TempDir(), "bad.json")
+// settingsPatches writes two patches of settings: good for all servers, and bad
+// for those whose rules lead to a class that it renames.
+func settingsPatches(t *testing.T) (good, bad string) {
+	t.Helper()
+	good, bad = filepath.Join(t.TempDir(), "good.json"), filepath.Join(t.TempDir(), "bad.json")
 	writeFile(t, good, `{"familyInfo": {"idleUs": 20000000}}`)
 	var example struct {
 		Settings struct {
@@ -314,9 +327,52 @@
 		t.Fatal(err)
 	}
 	writeFile(t, bad, string(patch))
+	return good, bad
+}
+
+// settingsRejected waits until the bad settings were rolled back, from a place of
+// the logs on.
+func (r run) settingsRejected(from int) {
+	r.t.Helper()
+	back, err := r.Await("the way back", from, func(l fleettest.Line) bool { return l.Event == "rollout" && l.Fields["phase"] == "back" })
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	if why := back.Fields["reason"]; !strings.Contains(why, "m2 turned 2 down") || !strings.Contains(why, "givarhistorik") {
+		r.t.Errorf("halted for %q", why)
+	}
+	if _, err := r.Await("all back", from, func(l fleettest.Line) bool { return l.Event == "rollout" && l.Fields["phase"] == "halted" }); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+// runSettings checks that all servers run settings of a number, as a voter knows.
+func (r run) runSettings(number uint64) {
+	r.t.Helper()
+	s, err := r.Change("v1")
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	for _, x := range s.Servers {
+		if x.Settings != number {
+			r.t.Errorf("%s runs settings %d", x.Name, x.Settings)
+		}
+	}
+}
 
+// TestSettings rolls out settings: good ones reach all servers, also one that
+// comes back as its file says. Then ones that are valid alone: a server whose
+// rules lead to a class that they rename turns them down, and all go back. One
+// that the stream does not reach meanwhile keeps the last good ones.
+func TestSettings(t *testing.T) {
+	rules, err := filepath.Abs(filepath.Join("..", "deploy", "rules.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := versions(t, fleettest.Options{Word: "page", Files: map[string]map[string]any{"m2": {"rules": rules}}}, nil)
+	good, bad := settingsPatches(t)
 	r.begin(900, 1.5, "--id", "s1", "--settings", good)
-	r.phase("", "done", "2")
+	r.phase("done", "2")
 	for name := range r.Children {
 		r.settings(name, "1", 0)
 	}
@@ -332,26 +388,9 @@
 	r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind == "gossip" && p.To == "m3" })
 	from = len(r.Lines())
 	r.begin(900, 1.5, "--id", "s2", "--settings", bad)
-	back, err := r.Await("the way back", from, func(l fleettest.Line) bool { return l.Event == "rollout" && l.Fields["phase"] == "back" })
-	if err != nil {
-		t.Fatal(err)
-	}
-	if why := back.Fields["reason"]; !strings.Contains(why, "m2 turned 2 down") || !strings.Contains(why, "givarhistorik") {
-		t.Errorf("halted for %q", why)
-	}
-	if _, err := r.Await("all back", from, func(l fleettest.Line) bool { return l.Event == "rollout" && l.Fields["phase"] == "halted" }); err != nil {
-		t.Fatal(err)
-	}
+	r.settingsRejected(from)
 	r.Net.Heal()
-	s, err := r.Change("v1")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, x := range s.Servers {
-		if x.Settings != 1 {
-			t.Errorf("%s runs settings %d", x.Name, x.Settings)
-		}
-	}
+	r.runSettings(1)
 	for _, l := range r.Lines()[from:] {
 		if l.Child == "m3" && l.Event == "settings" {
 			t.Errorf("m3, cut off: %s", l.Text)
