--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -61,7 +61,7 @@
 }
 
 func newBudget(kind string, news, ask byte, total uint64, timing quota.Timing, f *Fleet, clock func() time.Duration) (*Budget, error) {
-	b := &Budget{kind: kind, news: news, ask: ask, alive: f.alive, voters: f.voters, name: f.conf.Self, total: total, log: f.log, clock: clock, tell: f.tell, send: f.send,
+	b := &Budget{kind: kind, news: news, ask: ask, alive: f.alive, voters: f.voters, name: f.config.Self, total: total, log: f.log, clock: clock, tell: f.tell, send: f.send,
 		freed: func() {}, ticked: func(uint64) {}, timing: timing, counts: map[string]uint64{}}
 	return b, b.begin()
 }
--- a/fleet/changes.go
+++ b/fleet/changes.go
@@ -56,7 +56,7 @@
 }
 
 func newChanges(f *Fleet) *changes {
-	return &changes{conf: &f.conf, log: f.log, life: f.self.Incarnation, voters: f.voters, owner: f.Owner,
+	return &changes{conf: &f.config, log: f.log, life: f.self.Incarnation, voters: f.voters, owner: f.Owner,
 		collector: rollout.NewCollector(), told: make(chan rollout.Direction, 1), telling: map[string]bool{}}
 }
 
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -21,18 +21,18 @@
 
 // Fleet is this process's membership.
 type Fleet struct {
-	conf    Config
-	log     *slog.Logger
-	self    lease.Owner
-	board   *board
-	budgets map[string]*Budget // those that the fleet has
-	changes *changes
-	members *gossip.Membership
-	stop    context.CancelFunc
-	joined  chan struct{} // closed when there are members to tell
-	worked  chan struct{} // closed when the worker has ended
-	shared  chan struct{} // closed when the budgets are no longer kept
-	changed chan struct{} // closed when no change is driven any more
+	config            Config
+	log               *slog.Logger
+	self              lease.Owner
+	healthView        *healthView
+	budgets           map[string]*Budget // those that the fleet has
+	changes           *changes
+	members           *gossip.Membership
+	stop              context.CancelFunc
+	gossipStarted     chan struct{} // closed when there are members to tell
+	healthCheckerDone chan struct{} // closed when the worker has ended
+	shared            chan struct{} // closed when the budgets are no longer kept
+	changed           chan struct{} // closed when no change is driven any more
 
 	// Of a voter; nil in other members.
 	machine   *machine
@@ -63,14 +63,14 @@
 	if err := c.Validate(); err != nil {
 		return nil, err
 	}
-	f := &Fleet{conf: c, log: c.Logger, joined: make(chan struct{}), worked: make(chan struct{}), shared: make(chan struct{}),
+	f := &Fleet{config: c, log: c.Logger, gossipStarted: make(chan struct{}), healthCheckerDone: make(chan struct{}), shared: make(chan struct{}),
 		changed: make(chan struct{})}
 	if f.log == nil {
 		f.log = slog.Default()
 	}
 	f.self = lease.Owner{Member: c.Self, Incarnation: newLife()}
 	fence := &lease.Fence{}
-	f.board = &board{log: f.log, fence: fence, latest: map[string]Judgement{}, fresh: 5*c.ProbeEvery + 2*c.Term}
+	f.healthView = &healthView{log: f.log, fence: fence, latest: map[string]DependencyHealth{}, maxAge: 5*c.ProbeEvery + 2*c.Term}
 	began := time.Now()
 	clock := func() time.Duration { return time.Duration(float64(time.Since(began)) * c.ClockRate) }
 	f.budgets = map[string]*Budget{}
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	f.changes.send, f.changes.stream = f.members.Send, f.members.SendReliable
-	close(f.joined)
+	close(f.gossipStarted)
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	go f.work(ctx)
@@ -123,10 +123,10 @@
 	if len(f.budgets) > 0 {
 		wanted = append(wanted, Bank)
 	}
-	if f.conf.Window > 0 {
+	if f.config.Window > 0 {
 		wanted = append(wanted, Rollout)
 	}
-	member, err := lease.NewClient(f.self, f.conf.timing(), wanted)
+	member, err := lease.NewClient(f.self, f.config.timing(), wanted)
 	if err != nil {
 		return err
 	}
@@ -135,10 +135,10 @@
 	for kind, b := range f.budgets {
 		f.machine.banks[kind] = quota.NewAllocator(b.total)
 	}
-	peers := maps.Clone(f.conf.Voters)
-	delete(peers, f.conf.Self)
+	peers := maps.Clone(f.config.Voters)
+	delete(peers, f.config.Self)
 	ready := make(chan struct{})
-	f.transport, err = rafttransport.Listen(rafttransport.Options{Fleet: f.conf.Fleet, Self: f.conf.Self, Listen: f.conf.Raft, Peers: peers, Logger: f.log,
+	f.transport, err = rafttransport.Listen(rafttransport.Options{Fleet: f.config.Fleet, Self: f.config.Self, Listen: f.config.Raft, Peers: peers, Logger: f.log,
 		Receive: func(b []byte) {
 			if <-ready; f.node != nil { // nil where it did not start
 				f.node.Receive(b)
@@ -148,8 +148,8 @@
 		return err
 	}
 	defer close(ready)
-	f.node, err = consensus.Start(consensus.Options{Self: f.conf.Self, Voters: f.conf.Voters, Join: f.conf.Join, OnMembershipChange: f.reach,
-		ElectionTimeout: f.conf.Election, Dir: f.conf.Dir, StateMachine: f.machine, Send: f.transport.Send, Logger: f.log})
+	f.node, err = consensus.Start(consensus.Options{Self: f.config.Self, Voters: f.config.Voters, Join: f.config.Join, OnMembershipChange: f.reach,
+		ElectionTimeout: f.config.Election, Dir: f.config.Dir, StateMachine: f.machine, Send: f.transport.Send, Logger: f.log})
 	if err != nil {
 		go f.transport.Close()
 		return err
@@ -162,7 +162,7 @@
 func (f *Fleet) reach(voters []consensus.Voter) {
 	peers := map[string]string{}
 	for _, v := range voters {
-		peers[v.Name] = cmp.Or(f.conf.Voters[v.Name], v.Address)
+		peers[v.Name] = cmp.Or(f.config.Voters[v.Name], v.Address)
 	}
 	f.transport.SetPeers(peers)
 }
@@ -190,7 +190,7 @@
 	}
 	switch piece[0] {
 	case newsJudgement:
-		return n.f.board.heard(piece[1:])
+		return n.f.healthView.mergeUpdate(piece[1:])
 	case newsReport:
 		n.f.changes.heardReport(piece[1:])
 	case newsDirection:
@@ -209,7 +209,7 @@
 
 // KnownUpdates implements gossip.Delegate.
 func (n news) KnownUpdates() (out [][]byte) {
-	for _, p := range n.f.board.pieces() {
+	for _, p := range n.f.healthView.encodedUpdates() {
 		out = append(out, append([]byte{newsJudgement}, p...))
 	}
 	for _, b := range n.f.budgets {
@@ -221,7 +221,7 @@
 // tell spreads a piece of news, once there is anybody to tell.
 func (f *Fleet) tell(about string, piece []byte) {
 	select {
-	case <-f.joined:
+	case <-f.gossipStarted:
 		f.members.Broadcast(about, piece)
 	default: // it comes by KnownUpdates
 	}
@@ -230,7 +230,7 @@
 // send gives a piece of news to one member only, once, if it arrives.
 func (f *Fleet) send(to string, piece []byte) {
 	select {
-	case <-f.joined:
+	case <-f.gossipStarted:
 		f.members.Send(to, piece)
 	default:
 	}
@@ -240,7 +240,7 @@
 // that vote; none before this one has joined.
 func (f *Fleet) alive() []string {
 	select {
-	case <-f.joined:
+	case <-f.gossipStarted:
 		return f.members.Alive()
 	default:
 		return nil
@@ -249,7 +249,7 @@
 
 func (f *Fleet) voters() []string {
 	select {
-	case <-f.joined:
+	case <-f.gossipStarted:
 		return f.members.AliveWithRole(string(Voter))
 	default:
 		return nil
@@ -269,7 +269,7 @@
 	}
 	put, ok := b.Take()
 	if ok {
-		time.AfterFunc(f.conf.repeatHold(), put)
+		time.AfterFunc(f.config.repeatHold(), put)
 	}
 	return ok
 }
@@ -306,13 +306,13 @@
 	return f.machine.holds(name)
 }
 
-// Judgement is the latest word on the shared dependency that this member has;
+// DependencyHealth is the latest word on the shared dependency that this member has;
 // its State is Unknown where there was none for five probes and two terms.
-func (f *Fleet) Judgement() Judgement { return f.board.judgement() }
+func (f *Fleet) DependencyHealth() DependencyHealth { return f.healthView.current() }
 
 // Stats counts.
 func (f *Fleet) Stats() Stats {
-	s := Stats{Alive: len(f.members.Alive()), State: f.Judgement().State}
+	s := Stats{Alive: len(f.members.Alive()), State: f.DependencyHealth().State}
 	_, s.Owner = f.Owner(Registry)
 	s.Messages, s.Bytes = f.members.Sent()
 	if f.transport != nil {
@@ -324,18 +324,18 @@
 		rights, used := b.Rights()
 		s.Budgets[kind] = BudgetStats{int(rights), int(used), f.machine.free(kind)}
 	}
-	f.board.mu.Lock()
-	defer f.board.mu.Unlock()
-	s.Stale = f.board.stale
+	f.healthView.mu.Lock()
+	defer f.healthView.mu.Unlock()
+	s.Stale = f.healthView.stale
 	return s
 }
 
 // work probes and publishes while this process owns the lease.
 func (f *Fleet) work(ctx context.Context) {
-	defer close(f.worked)
-	client := &http.Client{Timeout: f.conf.Term}
+	defer close(f.healthCheckerDone)
+	client := &http.Client{Timeout: f.config.Term}
 	defer client.CloseIdleConnections()
-	ticker := time.NewTicker(f.conf.ProbeEvery)
+	ticker := time.NewTicker(f.config.ProbeEvery)
 	defer ticker.Stop()
 	var moved <-chan struct{}
 	if f.machine != nil {
@@ -357,26 +357,26 @@
 			held = lease.Token{}
 			continue
 		}
-		state, took := probe(ctx, f.conf.Probe, f.conf.Slow)
+		state, took := probeDependency(ctx, f.config.Probe, f.config.Slow)
 		if now, ok := f.Owner(Registry); !ok || now != token { // it ran out meanwhile
 			continue
 		}
-		f.publish(ctx, client, Judgement{Lease: Registry, Token: token, Seq: seq, By: f.conf.Self, State: state, Took: took})
+		f.publish(ctx, client, DependencyHealth{Lease: Registry, Token: token, Seq: seq, By: f.config.Self, State: state, Took: took})
 	}
 }
 
-func (f *Fleet) publish(ctx context.Context, client *http.Client, j Judgement) {
+func (f *Fleet) publish(ctx context.Context, client *http.Client, j DependencyHealth) {
 	piece, err := json.Marshal(j)
 	if err != nil {
 		f.log.Error("fleet_publish_failed", "error", err.Error())
 		return
 	}
-	f.board.heard(piece)
+	f.healthView.mergeUpdate(piece)
 	f.members.Broadcast(j.Lease, append([]byte{newsJudgement}, piece...))
-	if f.conf.Publish == "" {
+	if f.config.Publish == "" {
 		return
 	}
-	if err := put(ctx, client, f.conf.Publish, j); err != nil && ctx.Err() == nil {
+	if err := publishHealth(ctx, client, f.config.Publish, j); err != nil && ctx.Err() == nil {
 		f.log.Warn("fleet_publish_failed", "token", j.Token.String(), "error", err.Error())
 	}
 }
@@ -385,7 +385,7 @@
 // ends. It takes no longer than within, and a little.
 func (f *Fleet) Stop(within time.Duration) {
 	f.stop()
-	<-f.worked
+	<-f.healthCheckerDone
 	<-f.shared
 	<-f.changed
 	if f.machine != nil {
@@ -394,7 +394,7 @@
 		for f.machine.owns(f.self) && time.Now().Before(until) {
 			select {
 			case <-f.machine.moved:
-			case <-time.After(f.conf.Election / 10):
+			case <-time.After(f.config.Election / 10):
 			case <-f.node.Done():
 				until = time.Time{}
 			}
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -248,10 +248,10 @@
 func goldenFleet(t *testing.T, self string) *Fleet {
 	t.Helper()
 	f := &Fleet{
-		conf: Config{Self: self, Zone: "z1", Version: "2"}, log: logging.Discard(), self: lease.Owner{Member: self, Incarnation: 1 << 62},
-		budgets: map[string]*Budget{}, joined: make(chan struct{}),
+		config: Config{Self: self, Zone: "z1", Version: "2"}, log: logging.Discard(), self: lease.Owner{Member: self, Incarnation: 1 << 62},
+		budgets: map[string]*Budget{}, gossipStarted: make(chan struct{}),
 	}
-	f.board = &board{log: f.log, fence: &lease.Fence{}, latest: map[string]Judgement{}, fresh: time.Hour}
+	f.healthView = &healthView{log: f.log, fence: &lease.Fence{}, latest: map[string]DependencyHealth{}, maxAge: time.Hour}
 	for kind, first := range map[string][2]byte{Calls: {newsCalls, newsAskCalls}, Repeats: {newsRepeats, newsAskRepeats}} {
 		b, err := newBudget(kind, first[0], first[1], 8, quota.Timing{SessionTimeout: time.Second, HeartbeatInterval: time.Second / 10}, f, func() time.Duration { return 0 })
 		if err != nil {
@@ -338,16 +338,16 @@
 // TestGoldenJudgement writes and reads the word on the shared dependency, as
 // members hear it and as the operator's registry is told it.
 func TestGoldenJudgement(t *testing.T) {
-	j := Judgement{Lease: Registry, Token: lease.Token{Term: 2, Index: 300}, Seq: 9, By: "v1", State: Slow, Took: 31 * time.Millisecond}
+	j := DependencyHealth{Lease: Registry, Token: lease.Token{Term: 2, Index: 300}, Seq: 9, By: "v1", State: Slow, Took: 31 * time.Millisecond}
 	writer, reader := goldenFleet(t, "v1"), goldenFleet(t, "m1")
-	writer.budgets, writer.board.latest[Registry] = nil, j
+	writer.budgets, writer.healthView.latest[Registry] = nil, j
 	pieces := (news{writer}).KnownUpdates()
 	if len(pieces) != 1 {
 		t.Fatalf("%d pieces", len(pieces))
 	}
 	golden.Equal(t, "judgement", pieces[0])
-	if about, isNews := (news{reader}).MergeUpdate(golden.Bytes(t, "judgement")); about != Registry || !isNews || reader.Judgement() != j {
-		t.Errorf("about %q, news: %t, %+v", about, isNews, reader.Judgement())
+	if about, isNews := (news{reader}).MergeUpdate(golden.Bytes(t, "judgement")); about != Registry || !isNews || reader.DependencyHealth() != j {
+		t.Errorf("about %q, news: %t, %+v", about, isNews, reader.DependencyHealth())
 	}
 
 	asked := make(chan []byte, 1)
@@ -359,7 +359,7 @@
 		asked <- body
 	}))
 	defer registry.Close()
-	if err := put(t.Context(), registry.Client(), registry.URL, j); err != nil {
+	if err := publishHealth(t.Context(), registry.Client(), registry.URL, j); err != nil {
 		t.Fatal(err)
 	}
 	golden.Equal(t, "publish.json", <-asked)
--- a/fleet/judgement.go
+++ b/fleet/judgement.go
@@ -26,9 +26,9 @@
 	Down    State = "down" // no connection
 )
 
-// Judgement is what the owner of the lease Registry found, under its token. Of
+// DependencyHealth is what the owner of the lease Registry found, under its token. Of
 // two of one token the one with the higher Seq is the later.
-type Judgement struct {
+type DependencyHealth struct {
 	Lease string        `json:"lease"`
 	Token lease.Token   `json:"token"`
 	Seq   uint64        `json:"seq"`
@@ -37,30 +37,30 @@
 	Took  time.Duration `json:"took_ns"` // of the probe
 }
 
-// later tells whether j is news to one who knows k.
-func (j Judgement) later(k Judgement) bool {
+// supersedes tells whether j is news to one who knows k.
+func (j DependencyHealth) supersedes(k DependencyHealth) bool {
 	if d := j.Token.Compare(k.Token); d != 0 {
 		return d > 0
 	}
 	return j.Seq > k.Seq
 }
 
-// board is a member's copy of the latest judgement of each lease. It is a
+// healthView is a member's copy of the latest judgement of each lease. It is a
 // receiver of fleet work: what a fence refuses changes nothing.
-type board struct {
-	log   *slog.Logger
-	fence *lease.Fence
-	fresh time.Duration // how long a judgement counts without another
+type healthView struct {
+	log    *slog.Logger
+	fence  *lease.Fence
+	maxAge time.Duration // how long a judgement counts without another
 
-	mu      sync.Mutex
-	latest  map[string]Judgement
-	heardAt time.Time // the latest
-	stale   int       // refused
+	mu        sync.Mutex
+	latest    map[string]DependencyHealth
+	updatedAt time.Time // the latest
+	stale     int       // refused
 }
 
-// heard takes in a piece of news.
-func (b *board) heard(piece []byte) (about string, news bool) {
-	var j Judgement
+// mergeUpdate takes in a piece of news.
+func (b *healthView) mergeUpdate(piece []byte) (about string, news bool) {
+	var j DependencyHealth
 	if err := json.Unmarshal(piece, &j); err != nil || j.Lease != Registry {
 		b.log.Debug("fleet_news_unreadable", "bytes", len(piece))
 		return "", false
@@ -74,10 +74,10 @@
 	}
 	b.mu.Lock()
 	was, known := b.latest[j.Lease]
-	news = !known || j.later(was)
+	news = !known || j.supersedes(was)
 	if news {
 		b.latest[j.Lease] = j
-		b.heardAt = time.Now()
+		b.updatedAt = time.Now()
 	}
 	b.mu.Unlock()
 	if news && (was.State != j.State || was.Token != j.Token) {
@@ -86,23 +86,23 @@
 	return j.Lease, news
 }
 
-// judgement is the latest; without news of it for a while nothing is known,
+// current is the latest; without news of it for a while nothing is known,
 // which is the cautious side: what was good may be so no more.
-func (b *board) judgement() Judgement {
+func (b *healthView) current() DependencyHealth {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	j, ok := b.latest[Registry]
 	if !ok {
 		j.Lease = Registry
 	}
-	if !ok || time.Since(b.heardAt) > b.fresh {
+	if !ok || time.Since(b.updatedAt) > b.maxAge {
 		j.State = Unknown
 	}
 	return j
 }
 
-// pieces gives the judgements that are known.
-func (b *board) pieces() [][]byte {
+// encodedUpdates gives the judgements that are known.
+func (b *healthView) encodedUpdates() [][]byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out [][]byte
@@ -114,9 +114,9 @@
 	return out
 }
 
-// probe finds how the dependency stands: whether it takes a connection, and
+// probeDependency finds how the dependency stands: whether it takes a connection, and
 // how fast. It makes no call, which would take a slot of the fleet's.
-func probe(ctx context.Context, address string, slow time.Duration) (State, time.Duration) {
+func probeDependency(ctx context.Context, address string, slow time.Duration) (State, time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, 4*slow)
 	defer cancel()
 	began := time.Now()
@@ -132,9 +132,9 @@
 	return Good, took
 }
 
-// put hands a judgement to the operator's registry: an HTTP PUT whose body is
+// publishHealth hands a judgement to the operator's registry: an HTTP PUT whose body is
 // the judgement. 409 is its word that it has seen a higher token.
-func put(ctx context.Context, client *http.Client, url string, j Judgement) error {
+func publishHealth(ctx context.Context, client *http.Client, url string, j DependencyHealth) error {
 	body, err := json.Marshal(j)
 	if err != nil {
 		return fmt.Errorf("fleet: publish: %w", err)
--- a/fleet/judgement_test.go
+++ b/fleet/judgement_test.go
@@ -14,34 +14,34 @@
 // refused, and one that nothing follows count as unknown.
 func TestJudgementAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &board{log: logging.Discard(), fence: &lease.Fence{}, latest: map[string]Judgement{}, fresh: 3 * time.Second}
-		if s := b.judgement().State; s != Unknown {
+		b := &healthView{log: logging.Discard(), fence: &lease.Fence{}, latest: map[string]DependencyHealth{}, maxAge: 3 * time.Second}
+		if s := b.current().State; s != Unknown {
 			t.Errorf("before any word: %s", s)
 		}
 		for _, c := range []struct {
-			j    Judgement
+			j    DependencyHealth
 			news bool
 			want State
 		}{
-			{Judgement{Token: lease.Token{Term: 1, Index: 5}, Seq: 2, State: Good}, true, Good},
-			{Judgement{Token: lease.Token{Term: 1, Index: 5}, Seq: 1, State: Down}, false, Good},
-			{Judgement{Token: lease.Token{Term: 2, Index: 9}, Seq: 1, State: Slow}, true, Slow},
-			{Judgement{Token: lease.Token{Term: 1, Index: 5}, Seq: 3, State: Good}, false, Slow},
+			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Seq: 2, State: Good}, true, Good},
+			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Seq: 1, State: Down}, false, Good},
+			{DependencyHealth{Token: lease.Token{Term: 2, Index: 9}, Seq: 1, State: Slow}, true, Slow},
+			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Seq: 3, State: Good}, false, Slow},
 		} {
 			c.j.Lease = Registry
 			piece, err := json.Marshal(c.j)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, news := b.heard(piece); news != c.news || b.judgement().State != c.want {
-				t.Errorf("%+v: news %t, %s", c.j, news, b.judgement().State)
+			if _, news := b.mergeUpdate(piece); news != c.news || b.current().State != c.want {
+				t.Errorf("%+v: news %t, %s", c.j, news, b.current().State)
 			}
 		}
 		if b.stale != 1 {
 			t.Errorf("%d refused as stale", b.stale)
 		}
 		time.Sleep(3*time.Second + 1)
-		if s := b.judgement().State; s != Unknown {
+		if s := b.current().State; s != Unknown {
 			t.Errorf("after 3 s without news: %s", s)
 		}
 	})
