--- a/internal/fleettest/starter.go
+++ b/internal/fleettest/starter.go
@@ -1,6 +1,7 @@
 package fleettest
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -21,11 +22,15 @@
 	}
 	client := http.Client{Timeout: 2 * time.Second} // a voter may be stopped
 	defer client.CloseIdleConnections()
-	resp, err := client.Get("http://" + address + "/changes")
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/changes", http.NoBody)
 	if err != nil {
 		return s, fmt.Errorf("fleettest: %w", err)
 	}
-	defer resp.Body.Close()
+	resp, err := client.Do(request)
+	if err != nil {
+		return s, fmt.Errorf("fleettest: %w", err)
+	}
+	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		return s, fmt.Errorf("fleettest: %s: %s", name, resp.Status)
 	}
