--- a/fleet/rollout/trial/trial.go
+++ b/fleet/rollout/simulation/simulation.go
@@ -1,8 +1,8 @@
-// Package trial plays rollouts on a made-up fleet, from a fixed seed: servers of
+// Package simulation plays rollouts on a made-up fleet, from a fixed seed: servers of
 // different speeds in zones, load that moves with the hour, events that come in
 // bursts, reports that are missing now and then, servers that take their time to
 // be replaced.
-package trial
+package simulation
 
 import (
 	"fmt"
--- a/fleet/rollout/trial/trial_test.go
+++ b/fleet/rollout/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"encoding/json"
--- a/internal/fleetlab/rollout.go
+++ b/internal/fleetlab/rollout.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"quincerail.example/quincerail/fleet/rollout"
-	"quincerail.example/quincerail/fleet/rollout/trial"
+	"quincerail.example/quincerail/fleet/rollout/simulation"
 )
 
 // rolloutCmd plays rollouts of changes of each kind.
@@ -30,27 +30,27 @@
 	fmt.Println("| change | trials | done | halted | most servers reached | over 5% | windows (p50, p90) |\n| --- | --- | --- | --- | --- | --- | --- |")
 	for _, kind := range []struct {
 		name   string
-		change func(*trial.Config)
+		change func(*simulation.Config)
 	}{
-		{"good", func(*trial.Config) {}},
-		{"a fifth more late answers", func(x *trial.Config) { x.Late = 1.2 }},
-		{"twice the failures", func(x *trial.Config) { x.Failed = 2 }},
-		{"a fifth slower", func(x *trial.Config) { x.Slow = 1.2 }},
-		{"crashes once in ten windows", func(x *trial.Config) { x.Crashes = 0.1 }},
-		{"the old servers fail beside it", func(x *trial.Config) { x.Mixed = 0.5 }},
+		{"good", func(*simulation.Config) {}},
+		{"a fifth more late answers", func(x *simulation.Config) { x.Late = 1.2 }},
+		{"twice the failures", func(x *simulation.Config) { x.Failed = 2 }},
+		{"a fifth slower", func(x *simulation.Config) { x.Slow = 1.2 }},
+		{"crashes once in ten windows", func(x *simulation.Config) { x.Crashes = 0.1 }},
+		{"the old servers fail beside it", func(x *simulation.Config) { x.Mixed = 0.5 }},
 	} {
-		outs := make([]trial.Outcome, c.Trials)
+		outs := make([]simulation.Outcome, c.Trials)
 		var wg sync.WaitGroup
 		room := make(chan struct{}, runtime.NumCPU())
 		for i := range outs {
 			wg.Go(func() {
 				room <- struct{}{}
 				defer func() { <-room }()
-				x := trial.Config{Seed: uint64(i), Rate: 110, Late: 1, Failed: 1, Slow: 1, Windows: 6000,
-					Plan: rollout.Plan{ID: fmt.Sprint("r", i), Kind: rollout.Program, From: "v1", To: "v2", Servers: trial.Servers(c.Servers),
+				x := simulation.Config{Seed: uint64(i), Rate: 110, Late: 1, Failed: 1, Slow: 1, Windows: 6000,
+					Plan: rollout.Plan{ID: fmt.Sprint("r", i), Kind: rollout.Program, From: "v1", To: "v2", Servers: simulation.Servers(c.Servers),
 						Stages: rollout.DefaultStages(), Watch: 300, WatchMost: 3000, Limits: rollout.DefaultLimits()}}
 				kind.change(&x)
-				outs[i] = trial.Run(x, func(s rollout.State) rollout.State { return s })
+				outs[i] = simulation.Run(x, func(s rollout.State) rollout.State { return s })
 			})
 		}
 		wg.Wait()
