--- a/cmd/quincerail/rollout.go
+++ b/cmd/quincerail/rollout.go
@@ -52,7 +52,7 @@
 			fmt.Printf(" (%s)", why)
 		}
 		fmt.Println()
-		if missing := s.Record.Decision.Missing; len(missing) > 0 {
+		if missing := s.Record.Decision.PendingServers; len(missing) > 0 {
 			fmt.Println("waits for:", strings.Join(missing, " "))
 		}
 	} else {
@@ -97,8 +97,8 @@
 
 func (c *rolloutStartCmd) request() (program.ChangeRequest, error) {
 	r := program.ChangeRequest{Plan: rollout.Plan{ID: c.ID, Kind: rollout.Program, From: c.From, To: c.To,
-		Stages: rollout.DefaultStages(), Watch: defaultWatch, WatchMost: defaultWatchMost,
-		Warm: defaultWarm, Limits: rollout.DefaultLimits()}}
+		Stages: rollout.DefaultStages(), MinWatchWindows: defaultWatch, MaxWatchWindows: defaultWatchMost,
+		WarmUpWindows: defaultWarm, Limits: rollout.DefaultLimits()}}
 	if (c.Settings == "") == (c.From == "" || c.To == "") {
 		return r, errors.New("either --settings, or --from and --to wanted")
 	}
--- a/fleet/changes.go
+++ b/fleet/changes.go
@@ -51,13 +51,13 @@
 	seq       uint64
 	collector *rollout.Collector // of what members report; kept by each voter, so that the next owner need not begin anew
 	follower  rollout.Follower
-	told      chan rollout.Direction // the latest direction that is to be carried out
+	told      chan rollout.Directive // the latest direction that is to be carried out
 	telling   map[string]bool        // members that a direction is on the way to
 }
 
 func newChanges(f *Fleet) *changes {
 	return &changes{conf: &f.conf, log: f.log, life: f.self.Life, voters: f.voters, owner: f.Owner,
-		collector: rollout.NewCollector(), told: make(chan rollout.Direction, 1), telling: map[string]bool{}}
+		collector: rollout.NewCollector(), told: make(chan rollout.Directive, 1), telling: map[string]bool{}}
 }
 
 // Follow has the fleet report what a subject counts, and carry out settings there.
@@ -75,9 +75,9 @@
 		return nil
 	}
 	c.seq++
-	number, refused, reason := c.follower.Number()
-	return &rollout.Report{Server: c.conf.Self, Zone: c.conf.Zone, Life: c.life, Seq: c.seq, Version: c.conf.Version,
-		Settings: number, TurnedDown: refused, Reason: reason, Leaving: leaving, Totals: c.subject.Totals()}
+	number, refused, reason := c.follower.Settings()
+	return &rollout.Report{Server: c.conf.Self, Zone: c.conf.Zone, Incarnation: c.life, Sequence: c.seq, Version: c.conf.Version,
+		Settings: number, RejectedSettings: refused, RejectionReason: reason, Leaving: leaving, Totals: c.subject.Totals()}
 }
 
 // tell reports to all voters that are known.
@@ -109,20 +109,20 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.collector.Heard(r)
+	c.collector.Observe(r)
 }
 
 // heardDirection takes in the owner's word on this process's settings.
 func (c *changes) heardDirection(piece []byte) {
-	d, ok := unpack[rollout.Direction](c.log, piece)
+	d, ok := unpack[rollout.Directive](c.log, piece)
 	if !ok {
 		return
 	}
 	c.mu.Lock()
-	apply, err := c.follower.Take(d)
+	apply, err := c.follower.Accept(d)
 	c.mu.Unlock()
 	if err != nil {
-		c.log.Warn("fleet_direction_refused", "settings", d.Number, "error", err.Error())
+		c.log.Warn("fleet_direction_refused", "settings", d.SettingsNumber, "error", err.Error())
 		return
 	}
 	if !apply {
@@ -141,7 +141,7 @@
 // carryOut takes settings over as they are told.
 func (c *changes) carryOut(ctx context.Context) {
 	for {
-		var d rollout.Direction
+		var d rollout.Directive
 		select {
 		case <-ctx.Done():
 			return
@@ -155,12 +155,12 @@
 		}
 		err := subject.Apply(d.Patch)
 		c.mu.Lock()
-		c.follower.Done(d, err)
+		c.follower.Applied(d, err)
 		c.mu.Unlock()
 		if err != nil {
-			c.log.Warn("settings_turned_down", "settings", d.Number, "error", err.Error())
+			c.log.Warn("settings_turned_down", "settings", d.SettingsNumber, "error", err.Error())
 		} else {
-			c.log.Info("settings", "settings", d.Number, "token", d.Token.String(), "entry", d.Index)
+			c.log.Info("settings", "settings", d.SettingsNumber, "token", d.Token.String(), "entry", d.Index)
 		}
 	}
 }
@@ -200,7 +200,7 @@
 		kind = record.Plan.Kind
 	}
 	c.mu.Lock()
-	samples := c.collector.Window(kind)
+	samples := c.collector.EndWindow(kind)
 	c.mu.Unlock()
 	token, ok := c.owner(Rollout)
 	if !ok {
@@ -208,7 +208,7 @@
 	}
 	c.direct(&record, token)
 	if token == held && !record.Ended() {
-		c.propose(command{Rollout: &rolloutOrder{Token: token, Order: record.Next(samples)}})
+		c.propose(command{Rollout: &rolloutOrder{Token: token, Order: record.NextCommand(samples)}})
 	}
 	return token
 }
@@ -221,19 +221,19 @@
 // direct tells servers that run other settings than they should which ones to
 // run. What it says is what the log has, under the owner's token.
 func (c *changes) direct(record *rollout.Record, token lease.Token) {
-	of, others := record.Settings()
+	of, others := record.DesiredSettings()
 	c.mu.Lock()
-	reports := c.collector.Reports()
+	reports := c.collector.LatestReports()
 	c.mu.Unlock()
 	for _, r := range reports {
 		n, ok := of[r.Server]
 		if !ok {
 			n = others
 		}
-		if r.Settings == n || r.TurnedDown == n && n != 0 || r.Leaving {
+		if r.Settings == n || r.RejectedSettings == n && n != 0 || r.Leaving {
 			continue
 		}
-		piece, err := cbor.Marshal(rollout.Direction{Token: token, Index: record.Index, Number: n, Patch: record.Patches[n]})
+		piece, err := cbor.Marshal(rollout.Directive{Token: token, Index: record.Index, SettingsNumber: n, Patch: record.Patches[n]})
 		if err != nil {
 			c.log.Error("fleet_direction", "error", err.Error())
 			return
@@ -288,12 +288,12 @@
 	}
 	var s ChangeStatus
 	s.Record = f.machine.changes()
-	s.Desired = s.Record.Desired()
+	s.Desired = s.Record.DesiredVersions()
 	s.Owner, s.Token = f.machine.grant(Rollout)
 	f.changes.mu.Lock()
 	defer f.changes.mu.Unlock()
-	for _, r := range f.changes.collector.Reports() {
-		s.Servers = append(s.Servers, ServerStatus{r.Server, r.Zone, r.Version, r.Settings, r.TurnedDown, r.Reason, r.Leaving})
+	for _, r := range f.changes.collector.LatestReports() {
+		s.Servers = append(s.Servers, ServerStatus{r.Server, r.Zone, r.Version, r.Settings, r.RejectedSettings, r.RejectionReason, r.Leaving})
 	}
 	return s, nil
 }
@@ -308,14 +308,14 @@
 	}
 	if len(p.Servers) == 0 {
 		f.changes.mu.Lock()
-		for _, r := range f.changes.collector.Reports() {
+		for _, r := range f.changes.collector.LatestReports() {
 			if !r.Leaving {
 				p.Servers = append(p.Servers, rollout.Server{Name: r.Server, Zone: r.Zone})
 			}
 		}
 		f.changes.mu.Unlock()
 	}
-	return f.changes.ask(ctx, rollout.Order{Kind: rollout.Start, Plan: &p, Patch: patch})
+	return f.changes.ask(ctx, rollout.Command{Kind: rollout.Start, Plan: &p, Patch: patch})
 }
 
 // StopChange halts the plan of an ID: all its servers go back.
@@ -323,14 +323,14 @@
 	if f.machine == nil {
 		return ErrNoVoter
 	}
-	return f.changes.ask(ctx, rollout.Order{Kind: rollout.Stop, ID: id, Reason: reason})
+	return f.changes.ask(ctx, rollout.Command{Kind: rollout.Stop, ID: id, Reason: reason})
 }
 
 // askAgain is how often an order that may have been lost is proposed again.
 const askAgain = 300 * time.Millisecond
 
 // ask has an operator's order entered into the log, and gives what came of it.
-func (c *changes) ask(ctx context.Context, o rollout.Order) error {
+func (c *changes) ask(ctx context.Context, o rollout.Command) error {
 	nonce := rand.Uint64()
 	outcome := c.machine.await(nonce)
 	defer c.machine.forget(nonce)
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -27,7 +27,7 @@
 type rolloutOrder struct {
 	Token lease.Token   `json:"token,omitzero"`
 	Nonce uint64        `json:"nonce,omitempty"`
-	Order rollout.Order `json:"order"`
+	Order rollout.Command `json:"order"`
 }
 
 // bankOrder is an order for the bank of a budget, under the token of the lease Bank: the
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -40,15 +40,15 @@
 	take := func(name, by string, from lease.Token) lease.Token {
 		return lease.Token{Term: 1, Index: apply(command{Command: &lease.Command{Kind: lease.Take, Lease: name, By: lease.Owner{Member: by, Life: 1}, Token: from}})}
 	}
-	plan := rollout.Plan{ID: "r", Kind: rollout.Program, From: "1", To: "2", Watch: 1, WatchMost: 1, Limits: rollout.DefaultLimits(),
-		Servers: []rollout.Server{{Name: "x"}, {Name: "y"}}, Stages: []rollout.Stage{{Share: 1, Bake: 1, Patience: 9}}}
+	plan := rollout.Plan{ID: "r", Kind: rollout.Program, From: "1", To: "2", MinWatchWindows: 1, MaxWatchWindows: 1, Limits: rollout.DefaultLimits(),
+		Servers: []rollout.Server{{Name: "x"}, {Name: "y"}}, Stages: []rollout.Stage{{Share: 1, BakeWindows: 1, MaxWindows: 9}}}
 	outcome := m.await(7)
-	started := apply(command{Rollout: &rolloutOrder{Nonce: 7, Order: rollout.Order{Kind: rollout.Start, Plan: &plan}}})
+	started := apply(command{Rollout: &rolloutOrder{Nonce: 7, Order: rollout.Command{Kind: rollout.Start, Plan: &plan}}})
 	if err := <-outcome; err != nil {
 		t.Fatal(err)
 	}
 	step := func(token lease.Token, prev uint64, phase rollout.Phase) uint64 {
-		return apply(command{Rollout: &rolloutOrder{Token: token, Order: rollout.Order{Kind: rollout.Step, Prev: prev, State: rollout.State{Phase: phase}}}})
+		return apply(command{Rollout: &rolloutOrder{Token: token, Order: rollout.Command{Kind: rollout.Step, PreviousIndex: prev, State: rollout.State{Phase: phase}}}})
 	}
 	want := func(what string, phase rollout.Phase) {
 		t.Helper()
@@ -66,8 +66,8 @@
 	want("the old owner's step", rollout.Replacing)
 	step(now, started, rollout.Done)
 	want("a step from an older record", rollout.Replacing)
-	step(now, at, rollout.Back)
-	want("the new owner's step", rollout.Back)
+	step(now, at, rollout.RollingBack)
+	want("the new owner's step", rollout.RollingBack)
 
 	bank := take(Bank, "a", lease.Token{})
 	grant := func(token lease.Token, n uint64) {
@@ -88,7 +88,7 @@
 	if err := m.Restore(snap); err != nil {
 		t.Fatal(err)
 	}
-	want("after the snapshot", rollout.Back)
+	want("after the snapshot", rollout.RollingBack)
 	if owner, token := m.grant(Rollout); owner != "b" || token != now || m.free(Calls) != 5 {
 		t.Errorf("after the snapshot: %s owns under %v, %d free", owner, token, m.free(Calls))
 	}
--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -26,10 +26,10 @@
 // Stage is a part of the fleet that gets the change, and what it must show
 // before the next one does.
 type Stage struct {
-	Share    float64 `json:"share"`    // of all servers that have the change by the end of it; at least one does
-	Bake     int     `json:"bake"`     // windows that it serves at least
-	Sample   uint64  `json:"sample"`   // requests that the cohort answers at least
-	Patience int     `json:"patience"` // windows after which it goes back if it has not shown enough
+	Share       float64 `json:"share"`    // of all servers that have the change by the end of it; at least one does
+	BakeWindows int     `json:"bake"`     // windows that it serves at least
+	MinRequests uint64  `json:"sample"`   // requests that the cohort answers at least
+	MaxWindows  int     `json:"patience"` // windows after which it goes back if it has not shown enough
 }
 
 // Plan is a change and how it goes out.
@@ -40,32 +40,32 @@
 	To      string   `json:"to"`
 	Servers []Server `json:"servers"`
 	Stages  []Stage  `json:"stages"` // shares that grow, the last of them 1
-	// Watch is how many windows the servers are watched before the first stage, at
+	// MinWatchWindows is how many windows the servers are watched before the first stage, at
 	// least: each is compared with what it was itself, as machines differ. They are
 	// watched on until what is known of them bears the comparison, up to WatchMost.
-	Watch     int `json:"watch"`
-	WatchMost int `json:"watch_most"`
-	// Warm is how many windows a stage's servers are not judged after they were
+	MinWatchWindows int `json:"watch"`
+	MaxWatchWindows int `json:"watch_most"`
+	// WarmUpWindows is how many windows a stage's servers are not judged after they were
 	// replaced, but by their crashes: they are cold.
-	Warm   int    `json:"warm"`
-	Limits Limits `json:"limits"`
+	WarmUpWindows int    `json:"warm"`
+	Limits        Limits `json:"limits"`
 }
 
 // Limits are what the tests are made of.
 type Limits struct {
-	// Worse is the ratio of rates that a stage must not have: 1.2 is a fifth
+	// WorseRatio is the ratio of rates that a stage must not have: 1.2 is a fifth
 	// more late answers than the old servers.
-	Worse float64 `json:"worse"`
-	// Mistaken is the chance, over a whole plan, that a change which does no
+	WorseRatio float64 `json:"worse"`
+	// FalseHaltProbability is the chance, over a whole plan, that a change which does no
 	// worse is halted, and Missed that one which is worse by Worse passes a test.
-	Mistaken float64 `json:"mistaken"`
-	Missed   float64 `json:"missed"`
-	// Small is the share of the servers that may run a change which has not been
+	FalseHaltProbability float64 `json:"mistaken"`
+	MissProbability      float64 `json:"missed"`
+	// UnprovenShare is the share of the servers that may run a change which has not been
 	// shown to be no worse: a stage after which there are no more need not show it.
-	Small float64 `json:"small"`
-	// Least is a share of the requests that no test minds: what is rarer is too
+	UnprovenShare float64 `json:"small"`
+	// NegligibleRate is a share of the requests that no test minds: what is rarer is too
 	// rare to be compared.
-	Least float64 `json:"least"`
+	NegligibleRate float64 `json:"least"`
 }
 
 // DefaultStages are one server, then 5%, 25%, 50% and all.
@@ -76,7 +76,7 @@
 // DefaultLimits hold a change to a fifth worse, with one in a hundred halted by
 // mistake.
 func DefaultLimits() Limits {
-	return Limits{Worse: 1.2, Mistaken: 0.01, Missed: 0.001, Small: 0.05, Least: 0.004}
+	return Limits{WorseRatio: 1.2, FalseHaltProbability: 0.01, MissProbability: 0.001, UnprovenShare: 0.05, NegligibleRate: 0.004}
 }
 
 // Validate gives an error that names what makes no sense.
@@ -91,9 +91,9 @@
 		return fmt.Errorf("rollout: %d servers, 2 at least wanted, to compare", len(p.Servers))
 	case len(p.Stages) == 0 || p.Stages[len(p.Stages)-1].Share != 1:
 		return fmt.Errorf("rollout: the last stage must have the share 1")
-	case !(l.Worse > 1 && l.Worse <= 10) || !(l.Mistaken > 0 && l.Mistaken < 0.5) || !(l.Missed > 0 && l.Missed < 0.5) || !(l.Least >= 0 && l.Least < 1) ||
-		!(l.Small >= 0 && l.Small <= 1) || p.Watch < 1 || p.WatchMost < p.Watch || p.Warm < 0:
-		return fmt.Errorf("rollout: limits %+v, watch %d to %d or warm %d make no sense", l, p.Watch, p.WatchMost, p.Warm)
+	case !(l.WorseRatio > 1 && l.WorseRatio <= 10) || !(l.FalseHaltProbability > 0 && l.FalseHaltProbability < 0.5) || !(l.MissProbability > 0 && l.MissProbability < 0.5) || !(l.NegligibleRate >= 0 && l.NegligibleRate < 1) ||
+		!(l.UnprovenShare >= 0 && l.UnprovenShare <= 1) || p.MinWatchWindows < 1 || p.MaxWatchWindows < p.MinWatchWindows || p.WarmUpWindows < 0:
+		return fmt.Errorf("rollout: limits %+v, watch %d to %d or warm %d make no sense", l, p.MinWatchWindows, p.MaxWatchWindows, p.WarmUpWindows)
 	}
 	names := map[string]bool{}
 	for _, s := range p.Servers {
@@ -103,8 +103,8 @@
 		names[s.Name] = true
 	}
 	for i, s := range p.Stages {
-		if s.Share < 0 || s.Share > 1 || i > 0 && s.Share <= p.Stages[i-1].Share || s.Bake < 1 || s.Patience < p.Warm+s.Bake {
-			return fmt.Errorf("rollout: stage %d: %+v: a share that grows, a bake, and patience for it and for %d windows to warm up wanted", i, s, p.Warm)
+		if s.Share < 0 || s.Share > 1 || i > 0 && s.Share <= p.Stages[i-1].Share || s.BakeWindows < 1 || s.MaxWindows < p.WarmUpWindows+s.BakeWindows {
+			return fmt.Errorf("rollout: stage %d: %+v: a share that grows, a bake, and patience for it and for %d windows to warm up wanted", i, s, p.WarmUpWindows)
 		}
 	}
 	return nil
@@ -112,7 +112,7 @@
 
 // order is the servers in the order in which they get the change: from one zone
 // after the other, so that each stage is spread over all, drawn by the plan's ID.
-func (p *Plan) order() []Server {
+func (p *Plan) serverOrder() []Server {
 	rank := func(text string) uint64 {
 		h := fnv.New64a()
 		h.Write([]byte(p.ID + " " + text))
@@ -133,23 +133,23 @@
 	return out
 }
 
-// bearing gives the servers of the first stage that has to show that it is no
+// firstTestedServers gives the servers of the first stage that has to show that it is no
 // worse: what is known of them has to bear that.
-func (p *Plan) bearing() []Server {
+func (p *Plan) firstTestedServers() []Server {
 	stage := 0
-	for p.small(stage) {
+	for p.nextStageIsSmall(stage) {
 		stage++
 	}
-	return p.order()[:p.upTo(stage)]
+	return p.serverOrder()[:p.cohortSize(stage)]
 }
 
 // small tells whether the stage after one is still so small that nothing need be
 // shown before it.
-func (p *Plan) small(stage int) bool {
-	return stage+1 < len(p.Stages) && float64(p.upTo(stage+1)) <= p.Limits.Small*float64(len(p.Servers))
+func (p *Plan) nextStageIsSmall(stage int) bool {
+	return stage+1 < len(p.Stages) && float64(p.cohortSize(stage+1)) <= p.Limits.UnprovenShare*float64(len(p.Servers))
 }
 
-// upTo is how many servers have the change by the end of a stage.
-func (p *Plan) upTo(stage int) int {
+// cohortSize is how many servers have the change by the end of a stage.
+func (p *Plan) cohortSize(stage int) int {
 	return min(len(p.Servers), max(1, int(p.Stages[stage].Share*float64(len(p.Servers)))))
 }
--- a/fleet/rollout/record_test.go
+++ b/fleet/rollout/record_test.go
@@ -17,7 +17,7 @@
 }
 
 func settingsPlan(id string) *Plan {
-	return &Plan{ID: id, Kind: Settings, Servers: servers(4), Stages: []Stage{{0, 1, 0, 9}, {1, 1, 0, 9}}, Watch: 1, WatchMost: 1,
+	return &Plan{ID: id, Kind: Settings, Servers: servers(4), Stages: []Stage{{0, 1, 0, 9}, {1, 1, 0, 9}}, MinWatchWindows: 1, MaxWatchWindows: 1,
 		Limits: DefaultLimits()}
 }
 
@@ -27,7 +27,7 @@
 func TestRecord(t *testing.T) {
 	var r Record
 	index := uint64(0)
-	apply := func(o Order, want bool) {
+	apply := func(o Command, want bool) {
 		t.Helper()
 		index++
 		next, err := r.Apply(o, index)
@@ -36,18 +36,20 @@
 		}
 		r = next
 	}
-	step := func(s State) Order { return Order{Kind: Step, Prev: r.Index, State: s, SameUsed: true} }
+	step := func(s State) Command {
+		return Command{Kind: Step, PreviousIndex: r.Index, State: s, HistoriesUnchanged: true}
+	}
 	settings := func(server string) uint64 {
-		of, others := r.Settings()
+		of, others := r.DesiredSettings()
 		if n, ok := of[server]; ok {
 			return n
 		}
 		return others
 	}
-	apply(Order{Kind: Step}, false)
-	apply(Order{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage("{")}, false)
-	apply(Order{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage(`{"x":1}`)}, true)
-	apply(Order{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage(`{"x":2}`)}, false) // one at a time
+	apply(Command{Kind: Step}, false)
+	apply(Command{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage("{")}, false)
+	apply(Command{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage(`{"x":1}`)}, true)
+	apply(Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage(`{"x":2}`)}, false) // one at a time
 	late := step(State{Phase: Done, Stage: 1, Window: 9})
 	apply(step(State{Phase: Replacing, Stage: 0, Window: 1}), true)
 	apply(late, false)
@@ -64,20 +66,20 @@
 	if settings("s0") != 1 || settings("new") != 1 || string(r.Patches[1]) != `{"x":1}` {
 		t.Errorf("after it is done: %d, %d, %s", settings("s0"), settings("new"), r.Patches[1])
 	}
-	apply(Order{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage(`{"x":2}`)}, false) // the same name
-	apply(Order{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage(`{"x":2}`)}, true)
+	apply(Command{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage(`{"x":2}`)}, false) // the same name
+	apply(Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage(`{"x":2}`)}, true)
 	if r.Plan.From != "1" || r.Plan.To != "2" {
 		t.Errorf("from %s to %s", r.Plan.From, r.Plan.To)
 	}
 	apply(step(State{Phase: Baking, Stage: 1, Window: 5}), true)
-	apply(Order{Kind: Stop, ID: "a"}, false)
-	apply(Order{Kind: Stop, ID: "b", Reason: "enough"}, true)
-	if r.State.Phase != Back || settings("s0") != 1 || r.State.Reason != "enough" {
+	apply(Command{Kind: Stop, ID: "a"}, false)
+	apply(Command{Kind: Stop, ID: "b", Reason: "enough"}, true)
+	if r.State.Phase != RollingBack || settings("s0") != 1 || r.State.Reason != "enough" {
 		t.Errorf("halted: %s, %d", r.State.Phase, settings("s0"))
 	}
 	apply(step(State{Phase: Halted, Window: 6}), true)
-	if settings("s0") != 1 || r.Last != 2 || len(r.Patches) != 1 {
-		t.Errorf("all back: %d, last %d, %d patches", settings("s0"), r.Last, len(r.Patches))
+	if settings("s0") != 1 || r.LastSettings != 2 || len(r.Patches) != 1 {
+		t.Errorf("all back: %d, last %d, %d patches", settings("s0"), r.LastSettings, len(r.Patches))
 	}
 }
 
@@ -86,13 +88,13 @@
 func TestCollector(t *testing.T) {
 	c := NewCollector()
 	say := func(life, seq, requests uint64, version string) Report {
-		r := Report{Server: "a", Life: life, Seq: seq, Version: version, Totals: Totals{Requests: requests}}
-		c.Heard(r)
+		r := Report{Server: "a", Incarnation: life, Sequence: seq, Version: version, Totals: Totals{Requests: requests}}
+		c.Observe(r)
 		return r
 	}
 	window := func(what string, want ...Sample) {
 		t.Helper()
-		got := c.Window(Program)
+		got := c.EndWindow(Program)
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%s: %+v, want %+v", what, got, want)
 		}
@@ -107,10 +109,10 @@
 	window("two reports", sample("v1", 40, 0))
 	window("no word")
 	last := first
-	last.Seq, last.Leaving = 4, true
-	c.Heard(last)
+	last.Sequence, last.Leaving = 4, true
+	c.Observe(last)
 	say(2, 1, 5, "v2")
-	c.Heard(first) // of the life before
+	c.Observe(first) // of the life before
 	window("replaced")
 	say(2, 2, 25, "v2")
 	window("the new version", sample("v2", 20, 0))
@@ -119,8 +121,8 @@
 	say(3, 2, 10, "v2")
 	window("came back", sample("v2", 6, 0))
 	left := say(3, 3, 11, "v2")
-	left.Seq, left.Leaving = 4, true
-	c.Heard(left)
+	left.Sequence, left.Leaving = 4, true
+	c.Observe(left)
 	say(4, 1, 0, "v2")
 	window("restarted by an operator")
 }
@@ -129,27 +131,27 @@
 // that were turned down before change nothing.
 func TestFollower(t *testing.T) {
 	var f Follower
-	take := func(term, index, number uint64, want bool) Direction {
+	take := func(term, index, number uint64, want bool) Directive {
 		t.Helper()
-		d := Direction{Token: lease.Token{Term: term, Index: 1}, Index: index, Number: number, Patch: []byte{'0' + byte(number)}}
-		if got, _ := f.Take(d); got != want {
+		d := Directive{Token: lease.Token{Term: term, Index: 1}, Index: index, SettingsNumber: number, Patch: []byte{'0' + byte(number)}}
+		if got, _ := f.Accept(d); got != want {
 			t.Errorf("term %d, entry %d, settings %d: %v", term, index, number, got)
 		}
 		return d
 	}
-	f.Done(take(2, 10, 1, true), nil)
+	f.Applied(take(2, 10, 1, true), nil)
 	take(2, 10, 1, false) // in force
-	f.Done(take(3, 12, 2, true), errors.New("no such class"))
-	if n, refused, why := f.Number(); n != 1 || refused != 2 || why != "no such class" || string(f.Patch()) != "1" {
+	f.Applied(take(3, 12, 2, true), errors.New("no such class"))
+	if n, refused, why := f.Settings(); n != 1 || refused != 2 || why != "no such class" || string(f.Patch()) != "1" {
 		t.Errorf("settings %d, turned %d down: %s", n, refused, why)
 	}
 	take(3, 12, 2, false) // turned down
-	if _, err := f.Take(Direction{Token: lease.Token{Term: 2, Index: 1}, Index: 20, Number: 5}); err == nil {
+	if _, err := f.Accept(Directive{Token: lease.Token{Term: 2, Index: 1}, Index: 20, SettingsNumber: 5}); err == nil {
 		t.Error("an old owner's word is taken")
 	}
 	take(3, 11, 5, false) // a record before
-	f.Done(take(3, 13, 0, true), nil)
-	if n, refused, _ := f.Number(); n != 0 || refused != 0 || f.Patch() == nil {
+	f.Applied(take(3, 13, 0, true), nil)
+	if n, refused, _ := f.Settings(); n != 0 || refused != 0 || f.Patch() == nil {
 		t.Errorf("settings %d, turned %d down", n, refused)
 	}
 }
@@ -163,13 +165,13 @@
 		t.Fatal(err)
 	}
 	zones := map[string]int{}
-	for _, s := range p.order()[:p.upTo(1)] {
+	for _, s := range p.serverOrder()[:p.cohortSize(1)] {
 		zones[s.Zone]++
 	}
 	if zones["z0"] != 2 || zones["z1"] != 2 {
 		t.Errorf("the second stage is %v", zones)
 	}
-	if p.small(0) || len(p.bearing()) != 1 {
-		t.Errorf("a fifth is small, %d bear", len(p.bearing()))
+	if p.nextStageIsSmall(0) || len(p.firstTestedServers()) != 1 {
+		t.Errorf("a fifth is small, %d bear", len(p.firstTestedServers()))
 	}
 }
--- a/fleet/rollout/simulation/simulation.go
+++ b/fleet/rollout/simulation/simulation.go
@@ -16,23 +16,23 @@
 type Config struct {
 	Plan    rollout.Plan
 	Seed    uint64
-	Rate    float64 // requests of a server in a window, in the mean
-	Late    float64 // the change's ratio of late answers: 1.2 is a fifth more
-	Failed  float64 // of failures
-	Slow    float64 // of its answers' times
-	Crashes float64 // of each of its servers in a window
-	Mixed   float64 // failures that it causes at the old servers, as a share of its own part of the fleet
-	Silent  string  // a zone whose reports of the new version are lost
-	Stuck   string  // a server that does not come back from the change
-	Windows int     // played at most
+	RequestsPerWindow    float64 // requests of a server in a window, in the mean
+	LateRatio    float64 // the change's ratio of late answers: 1.2 is a fifth more
+	FailureRatio  float64 // of failures
+	LatencyRatio    float64 // of its answers' times
+	CrashesPerWindow float64 // of each of its servers in a window
+	BaselineFailures   float64 // failures that it causes at the old servers, as a share of its own part of the fleet
+	SilentZone  string  // a zone whose reports of the new version are lost
+	StuckServer   string  // a server that does not come back from the change
+	MaxWindows int     // played at most
 }
 
 // Outcome is what became of a rollout.
 type Outcome struct {
 	State   rollout.State
-	Reached float64 // largest share of the servers that ran the change
+	MaxShare float64 // largest share of the servers that ran the change
 	Windows int
-	Left    int // servers that run the change at the end
+	Remaining    int // servers that run the change at the end
 }
 
 // Servers gives a fleet in three zones.
@@ -54,7 +54,7 @@
 	}
 	hour := 0.0
 	var s rollout.State
-	for out.Windows = 1; out.Windows <= c.Windows; out.Windows++ {
+	for out.Windows = 1; out.Windows <= c.MaxWindows; out.Windows++ {
 		hour = 0.98*hour + 0.05*rng.NormFloat64()
 		changed := 0
 		for _, server := range c.Plan.Servers {
@@ -63,21 +63,21 @@
 			}
 		}
 		part := float64(changed) / float64(len(c.Plan.Servers))
-		out.Reached = max(out.Reached, part)
+		out.MaxShare = max(out.MaxShare, part)
 		var samples []rollout.Sample
 		for _, server := range c.Plan.Servers {
 			x := c.sample(rng, server.Name, runs[server.Name], habit[server.Name]*math.Exp(hour), part)
-			if rng.Float64() < 0.01 || c.Silent == server.Zone && x.Version == c.Plan.To {
+			if rng.Float64() < 0.01 || c.SilentZone == server.Zone && x.Version == c.Plan.To {
 				continue // the report is lost
 			}
 			samples = append(samples, x)
 		}
 		s, _ = c.Plan.Step(s, out.Windows, samples)
 		s = reload(s)
-		desired := c.Plan.Desired(s)
+		desired := c.Plan.DesiredVersions(s)
 		for _, server := range c.Plan.Servers { // the starter does some in each window
 			name, version := server.Name, desired[server.Name]
-			if runs[name] != version && rng.Float64() < 0.5 && !(name == c.Stuck && version == c.Plan.From) {
+			if runs[name] != version && rng.Float64() < 0.5 && !(name == c.StuckServer && version == c.Plan.From) {
 				runs[name] = version
 			}
 		}
@@ -88,7 +88,7 @@
 	out.State = s
 	for _, version := range runs {
 		if version == c.Plan.To {
-			out.Left++
+			out.Remaining++
 		}
 	}
 	return out
@@ -96,23 +96,23 @@
 
 // sample draws what one server reports of a window.
 func (c Config) sample(rng *rand.Rand, name, version string, factor, part float64) rollout.Sample {
-	x := rollout.Sample{Server: name, Version: version, Requests: poisson(rng, c.Rate*math.Exp(0.1*rng.NormFloat64()))}
+	x := rollout.Sample{Server: name, Version: version, Requests: poisson(rng, c.RequestsPerWindow*math.Exp(0.1*rng.NormFloat64()))}
 	late, failed, slow := 0.05*factor, 0.002, 1.0
 	if version == c.Plan.To {
-		late, failed, slow = late*c.Late, failed*c.Failed, c.Slow
-		x.Crashes = poisson(rng, c.Crashes)
+		late, failed, slow = late*c.LateRatio, failed*c.FailureRatio, c.LatencyRatio
+		x.Crashes = poisson(rng, c.CrashesPerWindow)
 	} else {
-		failed += c.Mixed * part
+		failed += c.BaselineFailures * part
 	}
 	burst := math.Exp(0.2 * rng.NormFloat64())
 	n := float64(x.Requests)
 	x.Late, x.Failed = min(x.Requests, poisson(rng, n*late*burst)), min(x.Requests, poisson(rng, n*failed))
-	x.Refused = min(x.Requests, poisson(rng, n*0.02*factor*burst))
-	for i, b := range rollout.Bounds { // log-normal times of a quarter of a second in the mean
+	x.Rejected = min(x.Requests, poisson(rng, n*0.02*factor*burst))
+	for i, b := range rollout.LatencyBounds { // log-normal times of a quarter of a second in the mean
 		z := (math.Log(b.Seconds()/(0.25*slow)) / 0.7)
-		x.Slower[i] = min(x.Requests, poisson(rng, n*0.5*math.Erfc(z/math.Sqrt2)))
+		x.SlowerThan[i] = min(x.Requests, poisson(rng, n*0.5*math.Erfc(z/math.Sqrt2)))
 		if i > 0 {
-			x.Slower[i] = min(x.Slower[i], x.Slower[i-1])
+			x.SlowerThan[i] = min(x.SlowerThan[i], x.SlowerThan[i-1])
 		}
 	}
 	return x
--- a/fleet/rollout/simulation/simulation_test.go
+++ b/fleet/rollout/simulation/simulation_test.go
@@ -9,8 +9,8 @@
 )
 
 func config(seed uint64) Config {
-	return Config{Seed: seed, Rate: 110, Late: 1, Failed: 1, Slow: 1, Windows: 4000,
-		Plan: rollout.Plan{ID: "r1", Kind: rollout.Program, From: "v1", To: "v2", Servers: Servers(60), Stages: rollout.DefaultStages(), Watch: 300, WatchMost: 3000,
+	return Config{Seed: seed, RequestsPerWindow: 110, LateRatio: 1, FailureRatio: 1, LatencyRatio: 1, MaxWindows: 4000,
+		Plan: rollout.Plan{ID: "r1", Kind: rollout.Program, From: "v1", To: "v2", Servers: Servers(60), Stages: rollout.DefaultStages(), MinWatchWindows: 300, MaxWatchWindows: 3000,
 			Limits: rollout.DefaultLimits()}}
 }
 
@@ -38,22 +38,22 @@
 		reason  string
 	}{
 		{"good", func(*Config) {}, rollout.Done, 1, ""},
-		{"late", func(c *Config) { c.Late = 1.2 }, rollout.Halted, 0.05, "late is worse"},
-		{"failing", func(c *Config) { c.Failed = 4 }, rollout.Halted, 0.05, "failed is worse"},
-		{"slow", func(c *Config) { c.Slow = 1.2 }, rollout.Halted, 0.05, "slow is worse"},
-		{"crashing", func(c *Config) { c.Crashes = 0.1 }, rollout.Halted, 0.05, "crashes"},
-		{"bad when mixed", func(c *Config) { c.Mixed = 0.5 }, rollout.Halted, 0.05, "old-failed"},
-		{"zone without word", func(c *Config) { c.Silent = "zone1" }, rollout.Halted, 0.05, "did not come to run v2"},
-		{"rollback fails", func(c *Config) { c.Late, c.Stuck, c.Windows = 2, "s000", 1500 }, rollout.Halted, 0.05, "late is worse"},
+		{"late", func(c *Config) { c.LateRatio = 1.2 }, rollout.Halted, 0.05, "late is worse"},
+		{"failing", func(c *Config) { c.FailureRatio = 4 }, rollout.Halted, 0.05, "failed is worse"},
+		{"slow", func(c *Config) { c.LatencyRatio = 1.2 }, rollout.Halted, 0.05, "slow is worse"},
+		{"crashing", func(c *Config) { c.CrashesPerWindow = 0.1 }, rollout.Halted, 0.05, "crashes"},
+		{"bad when mixed", func(c *Config) { c.BaselineFailures = 0.5 }, rollout.Halted, 0.05, "old-failed"},
+		{"zone without word", func(c *Config) { c.SilentZone = "zone1" }, rollout.Halted, 0.05, "did not come to run v2"},
+		{"rollback fails", func(c *Config) { c.LateRatio, c.StuckServer, c.MaxWindows = 2, "s000", 1500 }, rollout.Halted, 0.05, "late is worse"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			x := config(1)
 			c.change(&x)
 			out := Run(x, reread(t))
-			if out.State.Phase != c.phase || out.Reached > c.reached || !strings.Contains(out.State.Reason, c.reason) || c.phase == rollout.Halted && out.Left > 0 {
+			if out.State.Phase != c.phase || out.MaxShare > c.reached || !strings.Contains(out.State.Reason, c.reason) || c.phase == rollout.Halted && out.Remaining > 0 {
 				t.Errorf("%s at stage %d after %d windows, reached %.2f, %d left: %s", out.State.Phase, out.State.Stage, out.Windows,
-					out.Reached, out.Left, out.State.Reason)
+					out.MaxShare, out.Remaining, out.State.Reason)
 			}
 		})
 	}
--- a/internal/fleetlab/rollout.go
+++ b/internal/fleetlab/rollout.go
@@ -33,11 +33,11 @@
 		change func(*simulation.Config)
 	}{
 		{"good", func(*simulation.Config) {}},
-		{"a fifth more late answers", func(x *simulation.Config) { x.Late = 1.2 }},
-		{"twice the failures", func(x *simulation.Config) { x.Failed = 2 }},
-		{"a fifth slower", func(x *simulation.Config) { x.Slow = 1.2 }},
-		{"crashes once in ten windows", func(x *simulation.Config) { x.Crashes = 0.1 }},
-		{"the old servers fail beside it", func(x *simulation.Config) { x.Mixed = 0.5 }},
+		{"a fifth more late answers", func(x *simulation.Config) { x.LateRatio = 1.2 }},
+		{"twice the failures", func(x *simulation.Config) { x.FailureRatio = 2 }},
+		{"a fifth slower", func(x *simulation.Config) { x.LatencyRatio = 1.2 }},
+		{"crashes once in ten windows", func(x *simulation.Config) { x.CrashesPerWindow = 0.1 }},
+		{"the old servers fail beside it", func(x *simulation.Config) { x.BaselineFailures = 0.5 }},
 	} {
 		outs := make([]simulation.Outcome, c.Trials)
 		var wg sync.WaitGroup
@@ -46,9 +46,9 @@
 			wg.Go(func() {
 				room <- struct{}{}
 				defer func() { <-room }()
-				x := simulation.Config{Seed: uint64(i), Rate: 110, Late: 1, Failed: 1, Slow: 1, Windows: 6000,
+				x := simulation.Config{Seed: uint64(i), RequestsPerWindow: 110, LateRatio: 1, FailureRatio: 1, LatencyRatio: 1, MaxWindows: 6000,
 					Plan: rollout.Plan{ID: fmt.Sprint("r", i), Kind: rollout.Program, From: "v1", To: "v2", Servers: simulation.Servers(c.Servers),
-						Stages: rollout.DefaultStages(), Watch: 300, WatchMost: 3000, Limits: rollout.DefaultLimits()}}
+						Stages: rollout.DefaultStages(), MinWatchWindows: 300, MaxWatchWindows: 3000, Limits: rollout.DefaultLimits()}}
 				kind.change(&x)
 				outs[i] = simulation.Run(x, func(s rollout.State) rollout.State { return s })
 			})
@@ -64,10 +64,10 @@
 			case rollout.Halted:
 				halted++
 			}
-			if o.Reached > 0.05 {
+			if o.MaxShare > 0.05 {
 				over++
 			}
-			reached = max(reached, o.Reached)
+			reached = max(reached, o.MaxShare)
 			windows = append(windows, o.Windows)
 		}
 		slices.Sort(windows)
--- a/program/changes.go
+++ b/program/changes.go
@@ -56,15 +56,15 @@
 	t.totals.Requests++
 	switch kind {
 	case routing.Refused:
-		t.totals.Refused++
+		t.totals.Rejected++
 	case routing.Failed, routing.TimedOut:
 		t.totals.Failed++
 	case routing.Served:
 		if aim, ok := t.aims[class]; ok && took > aim {
 			t.totals.Late++
 		}
-		for i := 0; i < len(rollout.Bounds) && took >= rollout.Bounds[i]; i++ {
-			t.totals.Slower[i]++
+		for i := 0; i < len(rollout.LatencyBounds) && took >= rollout.LatencyBounds[i]; i++ {
+			t.totals.SlowerThan[i]++
 		}
 	}
 }
