--- /dev/null
+++ b/fleet/rollout/history.go
@@ -0,0 +1,55 @@
+package rollout
+
+// priorEvents is how many events at the fleet's rate are added to each history
+// (shrinkage): a server that had few is taken to be like the others.
+const priorEvents = 20
+
+// History is what a server counted while it was watched.
+type History struct {
+	Requests   float64                     `json:"requests"`
+	Late       float64                     `json:"late"`
+	Rejected   float64                     `json:"refused"`
+	Failed     float64                     `json:"failed"`
+	SlowerThan [len(LatencyBounds)]float64 `json:"slower"`
+}
+
+// add adds the sample of a window.
+func (h *History) add(s Sample) {
+	h.Requests += float64(s.Requests)
+	h.Late += float64(s.Late)
+	h.Rejected += float64(s.Rejected)
+	h.Failed += float64(s.Failed)
+	for i, n := range s.SlowerThan {
+		h.SlowerThan[i] += float64(n)
+	}
+}
+
+// sumHistories returns the history of the fleet as a whole.
+func sumHistories(histories map[string]History) History {
+	var sum History
+	for _, h := range histories {
+		sum.Requests += h.Requests
+		sum.Late += h.Late
+		sum.Rejected += h.Rejected
+		sum.Failed += h.Failed
+		for i, n := range h.SlowerThan {
+			sum.SlowerThan[i] += n
+		}
+	}
+	return sum
+}
+
+// weightByHistory returns a function that weighs a server's requests by how much
+// more often than the fleet it had an event in its history.
+func weightByHistory(histories map[string]History, event comparedEvent) func(Sample) float64 {
+	fleet := sumHistories(histories)
+	events := event.past(fleet)
+	rate := events / fleet.Requests
+	return func(s Sample) float64 {
+		if events == 0 {
+			return float64(s.Requests)
+		}
+		h := histories[s.Server]
+		return float64(s.Requests) * (event.past(h) + priorEvents) / (h.Requests*rate + priorEvents)
+	}
+}
--- a/fleet/rollout/simulation/simulation.go
+++ b/fleet/rollout/simulation/simulation.go
@@ -14,25 +14,25 @@
 
 // Config is a fleet and what the change does to it.
 type Config struct {
-	Plan    rollout.Plan
-	Seed    uint64
-	RequestsPerWindow    float64 // requests of a server in a window, in the mean
-	LateRatio    float64 // the change's ratio of late answers: 1.2 is a fifth more
-	FailureRatio  float64 // of failures
-	LatencyRatio    float64 // of its answers' times
-	CrashesPerWindow float64 // of each of its servers in a window
-	BaselineFailures   float64 // failures that it causes at the old servers, as a share of its own part of the fleet
-	SilentZone  string  // a zone whose reports of the new version are lost
-	StuckServer   string  // a server that does not come back from the change
-	MaxWindows int     // played at most
+	Plan              rollout.Plan
+	Seed              uint64
+	RequestsPerWindow float64 // requests of a server in a window, in the mean
+	LateRatio         float64 // the change's ratio of late answers: 1.2 is a fifth more
+	FailureRatio      float64 // of failures
+	LatencyRatio      float64 // of its answers' times
+	CrashesPerWindow  float64 // of each of its servers in a window
+	BaselineFailures  float64 // failures that it causes at the old servers, as a share of its own part of the fleet
+	SilentZone        string  // a zone whose reports of the new version are lost
+	StuckServer       string  // a server that does not come back from the change
+	MaxWindows        int     // played at most
 }
 
 // Outcome is what became of a rollout.
 type Outcome struct {
-	State   rollout.State
-	MaxShare float64 // largest share of the servers that ran the change
-	Windows int
-	Remaining    int // servers that run the change at the end
+	State     rollout.State
+	MaxShare  float64 // largest share of the servers that ran the change
+	Windows   int
+	Remaining int // servers that run the change at the end
 }
 
 // Servers gives a fleet in three zones.
