--- a/fleet/rollout/simulation/simulation.go
+++ b/fleet/rollout/simulation/simulation.go
@@ -1,7 +1,6 @@
-// Package simulation plays rollouts on a made-up fleet, from a fixed seed: servers of
-// different speeds in zones, load that moves with the hour, events that come in
-// bursts, reports that are missing now and then, servers that take their time to
-// be replaced.
+// Package simulation plays rollouts on a simulated fleet, from a fixed seed:
+// servers of different speeds in zones, load that changes with the hour, events
+// in bursts, lost reports, and servers that take time to be replaced.
 package simulation
 
 import (
@@ -12,22 +11,44 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
+// The simulated fleet, before the change.
+const (
+	zones = 3
+
+	lateRate     = 0.05 // of the requests of a server of ordinary speed
+	rejectedRate = 0.02
+	failureRate  = 0.002
+
+	medianLatency = 0.25 // seconds, of a log-normal distribution
+	latencySigma  = 0.7
+
+	serverSigma  = 0.3 // of the log of a server's speed
+	requestSigma = 0.1 // of the log of a server's requests in a window
+	burstSigma   = 0.2 // of the log of a server's event rate in a window
+
+	hourMemory = 0.98 // part of the hour's factor that a window keeps
+	hourSigma  = 0.05
+
+	reportLossRate  = 0.01
+	replacementRate = 0.5 // chance that a server is replaced within a window
+)
+
 // Config is a fleet and what the change does to it.
 type Config struct {
 	Plan              rollout.Plan
 	Seed              uint64
-	RequestsPerWindow float64 // requests of a server in a window, in the mean
-	LateRatio         float64 // the change's ratio of late answers: 1.2 is a fifth more
-	FailureRatio      float64 // of failures
-	LatencyRatio      float64 // of its answers' times
-	CrashesPerWindow  float64 // of each of its servers in a window
-	BaselineFailures  float64 // failures that it causes at the old servers, as a share of its own part of the fleet
-	SilentZone        string  // a zone whose reports of the new version are lost
-	StuckServer       string  // a server that does not come back from the change
-	MaxWindows        int     // played at most
+	RequestsPerWindow float64 // mean for one server
+	LateRatio         float64 // late answers of the change to those of the old version: 1.2 is a fifth more
+	FailureRatio      float64
+	LatencyRatio      float64
+	CrashesPerWindow  float64 // mean for one server that has the change
+	BaselineFailures  float64 // rate of failures that the change causes at the old servers, times its share of the fleet
+	SilentZone        string  // whose reports of the new version are lost
+	StuckServer       string  // which does not come back from the change
+	MaxWindows        int
 }
 
-// Outcome is what became of a rollout.
+// Outcome is the end of a rollout.
 type Outcome struct {
 	State     rollout.State
 	MaxShare  float64 // largest share of the servers that ran the change
@@ -35,97 +56,146 @@
 	Remaining int // servers that run the change at the end
 }
 
-// Servers gives a fleet in three zones.
-func Servers(n int) (out []rollout.Server) {
-	for i := range n {
-		out = append(out, rollout.Server{Name: fmt.Sprintf("s%03d", i), Zone: fmt.Sprint("zone", i%3)})
+// Servers returns n servers in three zones.
+func Servers(n int) []rollout.Server {
+	servers := make([]rollout.Server, n)
+	for i := range servers {
+		servers[i] = rollout.Server{Name: fmt.Sprintf("s%03d", i), Zone: fmt.Sprint("zone", i%zones)}
 	}
+	return servers
+}
+
+// Run plays one rollout. It calls reload with the state after each window and
+// continues from the result, as a new owner does that reads the state back.
+func Run(c Config, reload func(rollout.State) rollout.State) Outcome {
+	f := newFleet(c)
+	var out Outcome
+	var state rollout.State
+	for out.Windows = 1; out.Windows <= c.MaxWindows; out.Windows++ {
+		f.advanceHour()
+		out.MaxShare = max(out.MaxShare, f.changedShare())
+		samples := f.window()
+		state, _ = c.Plan.Step(state, out.Windows, samples)
+		state = reload(state)
+		f.replace(c.Plan.DesiredVersions(state))
+		if state.Phase == rollout.Done || state.Phase == rollout.Halted {
+			break
+		}
+	}
+	out.State, out.Remaining = state, f.changed()
 	return out
 }
 
-// Run plays one rollout. reload is called with the state after each window, and
-// gives that which the next one begins from: a new owner's, read back.
-func Run(c Config, reload func(rollout.State) rollout.State) (out Outcome) {
-	rng := rand.New(rand.NewPCG(c.Seed, 29))
-	runs := map[string]string{} // the version of each server
-	habit := map[string]float64{}
+// fleet is the state of the simulated servers.
+type fleet struct {
+	Config
+	random   *rand.Rand
+	versions map[string]string  // by server
+	speeds   map[string]float64 // factor of each server's event rates
+	hour     float64            // log of the hour's factor of all event rates
+}
+
+// newFleet returns a fleet of the old version.
+func newFleet(c Config) *fleet {
+	f := &fleet{
+		Config: c, random: rand.New(rand.NewPCG(c.Seed, 29)),
+		versions: map[string]string{}, speeds: map[string]float64{},
+	}
 	for _, s := range c.Plan.Servers {
-		runs[s.Name], habit[s.Name] = c.Plan.From, math.Exp(0.3*rng.NormFloat64())
+		f.versions[s.Name], f.speeds[s.Name] = c.Plan.From, math.Exp(serverSigma*f.random.NormFloat64())
 	}
-	hour := 0.0
-	var s rollout.State
-	for out.Windows = 1; out.Windows <= c.MaxWindows; out.Windows++ {
-		hour = 0.98*hour + 0.05*rng.NormFloat64()
-		changed := 0
-		for _, server := range c.Plan.Servers {
-			if runs[server.Name] == c.Plan.To {
-				changed++
-			}
-		}
-		part := float64(changed) / float64(len(c.Plan.Servers))
-		out.MaxShare = max(out.MaxShare, part)
-		var samples []rollout.Sample
-		for _, server := range c.Plan.Servers {
-			x := c.sample(rng, server.Name, runs[server.Name], habit[server.Name]*math.Exp(hour), part)
-			if rng.Float64() < 0.01 || c.SilentZone == server.Zone && x.Version == c.Plan.To {
-				continue // the report is lost
-			}
-			samples = append(samples, x)
-		}
-		s, _ = c.Plan.Step(s, out.Windows, samples)
-		s = reload(s)
-		desired := c.Plan.DesiredVersions(s)
-		for _, server := range c.Plan.Servers { // the starter does some in each window
-			name, version := server.Name, desired[server.Name]
-			if runs[name] != version && rng.Float64() < 0.5 && !(name == c.StuckServer && version == c.Plan.From) {
-				runs[name] = version
-			}
-		}
-		if s.Phase == rollout.Done || s.Phase == rollout.Halted {
-			break
+	return f
+}
+
+// advanceHour draws the load of the next window.
+func (f *fleet) advanceHour() {
+	f.hour = hourMemory*f.hour + hourSigma*f.random.NormFloat64()
+}
+
+// changed returns how many servers run the change.
+func (f *fleet) changed() int {
+	n := 0
+	for _, version := range f.versions {
+		if version == f.Plan.To {
+			n++
 		}
 	}
-	out.State = s
-	for _, version := range runs {
-		if version == c.Plan.To {
-			out.Remaining++
+	return n
+}
+
+// changedShare returns the share of the servers that run the change.
+func (f *fleet) changedShare() float64 {
+	return float64(f.changed()) / float64(len(f.Plan.Servers))
+}
+
+// window returns the samples of one window that are not lost.
+func (f *fleet) window() []rollout.Sample {
+	var samples []rollout.Sample
+	changedShare := f.changedShare()
+	for _, server := range f.Plan.Servers {
+		sample := f.sample(server.Name, changedShare)
+		lost := f.random.Float64() < reportLossRate
+		if lost || f.SilentZone == server.Zone && sample.Version == f.Plan.To {
+			continue
 		}
+		samples = append(samples, sample)
 	}
-	return out
+	return samples
 }
 
-// sample draws what one server reports of a window.
-func (c Config) sample(rng *rand.Rand, name, version string, factor, part float64) rollout.Sample {
-	x := rollout.Sample{Server: name, Version: version, Requests: poisson(rng, c.RequestsPerWindow*math.Exp(0.1*rng.NormFloat64()))}
-	late, failed, slow := 0.05*factor, 0.002, 1.0
-	if version == c.Plan.To {
-		late, failed, slow = late*c.LateRatio, failed*c.FailureRatio, c.LatencyRatio
-		x.Crashes = poisson(rng, c.CrashesPerWindow)
+// sample draws what one server counts in a window.
+func (f *fleet) sample(name string, changedShare float64) rollout.Sample {
+	sample := rollout.Sample{
+		Server: name, Version: f.versions[name],
+		Requests: f.poisson(f.RequestsPerWindow * math.Exp(requestSigma*f.random.NormFloat64())),
+	}
+	factor := f.speeds[name] * math.Exp(f.hour)
+	late, failed, latency := lateRate*factor, failureRate, 1.0
+	if sample.Version == f.Plan.To {
+		late, failed, latency = late*f.LateRatio, failed*f.FailureRatio, f.LatencyRatio
+		sample.Crashes = f.poisson(f.CrashesPerWindow)
 	} else {
-		failed += c.BaselineFailures * part
+		failed += f.BaselineFailures * changedShare
 	}
-	burst := math.Exp(0.2 * rng.NormFloat64())
-	n := float64(x.Requests)
-	x.Late, x.Failed = min(x.Requests, poisson(rng, n*late*burst)), min(x.Requests, poisson(rng, n*failed))
-	x.Rejected = min(x.Requests, poisson(rng, n*0.02*factor*burst))
-	for i, b := range rollout.LatencyBounds { // log-normal times of a quarter of a second in the mean
-		z := (math.Log(b.Seconds()/(0.25*slow)) / 0.7)
-		x.SlowerThan[i] = min(x.Requests, poisson(rng, n*0.5*math.Erfc(z/math.Sqrt2)))
+	burst := math.Exp(burstSigma * f.random.NormFloat64())
+	requests := float64(sample.Requests)
+	sample.Late = min(sample.Requests, f.poisson(requests*late*burst))
+	sample.Failed = min(sample.Requests, f.poisson(requests*failed))
+	sample.Rejected = min(sample.Requests, f.poisson(requests*rejectedRate*factor*burst))
+	for i, bound := range rollout.LatencyBounds {
+		z := math.Log(bound.Seconds()/(medianLatency*latency)) / latencySigma
+		sample.SlowerThan[i] = min(sample.Requests, f.poisson(requests*0.5*math.Erfc(z/math.Sqrt2)))
 		if i > 0 {
-			x.SlowerThan[i] = min(x.SlowerThan[i], x.SlowerThan[i-1])
+			sample.SlowerThan[i] = min(sample.SlowerThan[i], sample.SlowerThan[i-1])
+		}
+	}
+	return sample
+}
+
+// replace brings some of the servers to the version that they are to run, as an
+// operator's starter does within one window.
+func (f *fleet) replace(desired map[string]string) {
+	for _, server := range f.Plan.Servers {
+		name, version := server.Name, desired[server.Name]
+		if f.versions[name] == version || f.random.Float64() >= replacementRate {
+			continue
+		}
+		if name == f.StuckServer && version == f.Plan.From {
+			continue
 		}
+		f.versions[name] = version
 	}
-	return x
 }
 
-// poisson draws a count; a large one by its normal limit.
-func poisson(rng *rand.Rand, mean float64) uint64 {
-	if mean > 50 {
-		return uint64(max(0, math.Round(mean+math.Sqrt(mean)*rng.NormFloat64())))
+// poisson draws a count; from the normal distribution where the mean is large.
+func (f *fleet) poisson(mean float64) uint64 {
+	const largeMean = 50
+	if mean > largeMean {
+		return uint64(max(0, math.Round(mean+math.Sqrt(mean)*f.random.NormFloat64())))
 	}
-	n, p := uint64(0), rng.Float64()
-	for limit := math.Exp(-mean); p > limit; n++ {
-		p *= rng.Float64()
+	n, product := uint64(0), f.random.Float64()
+	for limit := math.Exp(-mean); product > limit; n++ {
+		product *= f.random.Float64()
 	}
 	return n
 }
