--- a/fleet/rollout/errors.go
+++ b/fleet/rollout/errors.go
@@ -61,6 +61,9 @@
 
 // Error implements error.
 func (e *StaleStepError) Error() string {
+	if e.PreviousIndex == e.RecordIndex {
+		return fmt.Sprintf("the step follows log index %d, but no plan is under way", e.PreviousIndex)
+	}
 	return fmt.Sprintf("the step follows log index %d, the record is at %d", e.PreviousIndex, e.RecordIndex)
 }
 
--- a/fleet/rollout/record_test.go
+++ b/fleet/rollout/record_test.go
@@ -76,24 +76,37 @@
 	ended := Record{Index: 7, Plan: settingsPlan("a"), State: State{Phase: Done}}
 	invalid := settingsPlan("b")
 	invalid.Stages = nil
+	is := func(reason error) func(error) bool {
+		return func(err error) bool { return errors.Is(err, reason) }
+	}
+	invalidPlan := func(err error) bool {
+		var plan *PlanError
+		return errors.As(err, &plan) && plan.PlanID == "b"
+	}
+	staleStep := func(previous, present uint64) func(error) bool {
+		return func(err error) bool {
+			var step *StaleStepError
+			return errors.As(err, &step) && step.PreviousIndex == previous && step.RecordIndex == present
+		}
+	}
 	for name, c := range map[string]struct {
 		record  Record
 		command Command
 		planID  string
-		reason  error
+		reason  func(error) bool
 	}{
-		"second plan":   {underWay, Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage("{}")}, "b", ErrPlanUnderWay},
-		"no plan":       {ended, Command{Kind: Start}, "", ErrPlanMissing},
-		"same ID":       {ended, Command{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage("{}")}, "a", ErrPlanIDReused},
-		"no JSON":       {ended, Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage("{")}, "b", ErrInvalidSettings},
-		"invalid plan":  {ended, Command{Kind: Start, Plan: invalid, Patch: json.RawMessage("{}")}, "b", new(PlanError)},
-		"old step":      {underWay, Command{Kind: Step, PreviousIndex: 6}, "", new(StaleStepError)},
-		"step at end":   {ended, Command{Kind: Step, PreviousIndex: 7}, "", new(StaleStepError)},
-		"another plan":  {underWay, Command{Kind: Stop, ID: "b"}, "b", ErrNotUnderWay},
-		"plan at end":   {ended, Command{Kind: Stop, ID: "a"}, "a", ErrNotUnderWay},
-		"unknown kind":  {underWay, Command{Kind: "pause", ID: "a"}, "a", ErrUnknownCommand},
-		"missing kind":  {underWay, Command{}, "", ErrUnknownCommand},
-		"never started": {Record{}, Command{Kind: Step}, "", new(StaleStepError)},
+		"second plan":   {underWay, Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage("{}")}, "b", is(ErrPlanUnderWay)},
+		"no plan":       {ended, Command{Kind: Start}, "", is(ErrPlanMissing)},
+		"same ID":       {ended, Command{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage("{}")}, "a", is(ErrPlanIDReused)},
+		"no JSON":       {ended, Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage("{")}, "b", is(ErrInvalidSettings)},
+		"invalid plan":  {ended, Command{Kind: Start, Plan: invalid, Patch: json.RawMessage("{}")}, "b", invalidPlan},
+		"old step":      {underWay, Command{Kind: Step, PreviousIndex: 6}, "", staleStep(6, 7)},
+		"step at end":   {ended, Command{Kind: Step, PreviousIndex: 7}, "", staleStep(7, 7)},
+		"another plan":  {underWay, Command{Kind: Stop, ID: "b"}, "b", is(ErrNotUnderWay)},
+		"plan at end":   {ended, Command{Kind: Stop, ID: "a"}, "a", is(ErrNotUnderWay)},
+		"unknown kind":  {underWay, Command{Kind: "pause", ID: "a"}, "a", is(ErrUnknownCommand)},
+		"missing kind":  {underWay, Command{}, "", is(ErrUnknownCommand)},
+		"never started": {Record{}, Command{Kind: Step}, "", staleStep(0, 0)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			after, err := c.record.Apply(c.command, 9)
@@ -104,21 +117,8 @@
 			if !errors.As(err, &refusal) || refusal.Kind != c.command.Kind || refusal.PlanID != c.planID || refusal.Index != 9 {
 				t.Fatalf("error %#v", err)
 			}
-			var plan *PlanError
-			var step *StaleStepError
-			switch c.reason.(type) {
-			case *PlanError:
-				if !errors.As(err, &plan) || plan.PlanID != c.planID {
-					t.Errorf("error %v", err)
-				}
-			case *StaleStepError:
-				if !errors.As(err, &step) || step.PreviousIndex != c.command.PreviousIndex || step.RecordIndex != c.record.Index {
-					t.Errorf("error %v", err)
-				}
-			default:
-				if !errors.Is(err, c.reason) {
-					t.Errorf("error %v, want %v", err, c.reason)
-				}
+			if !c.reason(err) {
+				t.Errorf("error %v", err)
 			}
 		})
 	}
