--- a/fleet/config.go
+++ b/fleet/config.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"quincerail.example/quincerail/fleet/lease"
-	"quincerail.example/quincerail/fleet/share"
+	"quincerail.example/quincerail/fleet/quota"
 )
 
 // Registry names the lease on probing the shared dependency and publishing how
@@ -105,12 +105,12 @@
 }
 
 func (c *Config) timing() lease.Timing {
-	return lease.Timing{Term: c.Term, Drift: c.Drift, Renew: c.Term / 4}
+	return lease.Timing{Duration: c.Term, ClockDrift: c.Drift, RenewInterval: c.Term / 4}
 }
 
 // horizon is the budgets' timing: ten beats in a horizon.
-func (c *Config) horizon() share.Timing {
-	return share.Timing{Horizon: c.Horizon, Drift: c.Drift, Hold: max(c.Hold, c.repeatHold()), Beat: c.Horizon / 10}
+func (c *Config) horizon() quota.Timing {
+	return quota.Timing{SessionTimeout: c.Horizon, MaxClockDrift: c.Drift, MaxHoldTime: max(c.Hold, c.repeatHold()), HeartbeatInterval: c.Horizon / 10}
 }
 
 // repeatHold is how long a repeat keeps its right: a second on any clock, so that
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"quincerail.example/quincerail/fleet/lease"
+	"quincerail.example/quincerail/fleet/quota"
 	"quincerail.example/quincerail/fleet/rollout"
-	"quincerail.example/quincerail/fleet/share"
 )
 
 // command is an entry of the log: one about a lease, or an order for the bank.
@@ -33,36 +33,36 @@
 // bankOrder is an order for the bank of a budget, under the token of the lease Bank: the
 // log refuses what a late-waking old owner sends.
 type bankOrder struct {
-	Of    string      `json:"of"`
-	Token lease.Token `json:"token"`
-	Order share.Order `json:"order"`
+	Of    string        `json:"of"`
+	Token lease.Token   `json:"token"`
+	Order quota.Command `json:"order"`
 }
 
 // snapshot is what the log came to.
 type snapshot struct {
-	Leases *lease.Table           `json:"leases"`
-	Banks  map[string]*share.Bank `json:"banks,omitempty"`
-	Record rollout.Record         `json:"rollout"`
+	Leases *lease.Table                `json:"leases"`
+	Banks  map[string]*quota.Allocator `json:"banks,omitempty"`
+	Record rollout.Record              `json:"rollout"`
 }
 
 // machine is what a voter has under its log: consensus.Machine over
-// lease.Member and share.Bank.
+// lease.Member and quota.Bank.
 type machine struct {
 	log   *slog.Logger
 	clock func() time.Duration
 	fence *lease.Fence
 	moved chan struct{} // has an item when a lease changed owners
 
-	changed func(budget string, accounts []share.Item) // takes what a bank changed
+	changed func(budget string, accounts []quota.Delta) // takes what a bank changed
 
 	mu     sync.Mutex // the worker asks from its own goroutine
-	member *lease.Member
-	banks  map[string]*share.Bank // by budget
-	record rollout.Record         // of changes
-	asked  map[uint64]chan error  // operators that wait, by their orders' nonces
+	member *lease.Client
+	banks  map[string]*quota.Allocator // by budget
+	record rollout.Record              // of changes
+	asked  map[uint64]chan error       // operators that wait, by their orders' nonces
 }
 
-// Apply implements consensus.Machine.
+// Apply implements consensus.StateMachine.
 func (m *machine) Apply(data []byte, term, index uint64) {
 	var c command
 	if err := json.Unmarshal(data, &c); err != nil {
@@ -81,7 +81,7 @@
 		return
 	}
 	m.mu.Lock()
-	move := m.member.Applied(*c.Command, lease.Token{Term: term, Index: index}, m.clock())
+	move := m.member.Apply(*c.Command, lease.Token{Term: term, Index: index}, m.clock())
 	m.mu.Unlock()
 	if move != nil {
 		m.tell(*move)
@@ -96,7 +96,7 @@
 		m.mu.Unlock()
 		return
 	}
-	var items []share.Item
+	var items []quota.Delta
 	err := m.stale(Bank, o.Token)
 	if err == nil {
 		items, err = bank.Apply(o.Order, index)
@@ -106,7 +106,7 @@
 		m.log.Debug("fleet_order_refused", "error", err.Error())
 		return
 	}
-	m.log.Info("bank", "budget", o.Of, "order", string(o.Order.Kind), "of", o.Order.Of.String(), "amount", o.Order.Amount)
+	m.log.Info("bank", "budget", o.Of, "order", string(o.Order.Kind), "of", o.Order.Target.String(), "amount", o.Order.Amount)
 	m.changed(o.Of, items)
 }
 
@@ -142,7 +142,7 @@
 // held.
 func (m *machine) stale(name string, token lease.Token) error {
 	if g := m.member.Table().Grant(name); g.Token != token || g.Free() {
-		return &lease.StaleError{Lease: name, Token: token, Highest: g.Token}
+		return &lease.StaleTokenError{Lease: name, Token: token, Highest: g.Token}
 	}
 	return nil
 }
@@ -181,7 +181,7 @@
 
 // tell says that a lease changed owners: to the log, to the fence, which so
 // knows of a grant ahead of the owner's acts, and to the worker.
-func (m *machine) tell(move lease.Move) {
+func (m *machine) tell(move lease.OwnerChange) {
 	if move.To.Member != "" { // a grant is news that the log brings ahead of the owner's acts
 		if err := m.fence.Admit(move.Lease, move.Token); err != nil {
 			m.log.Error("fleet_token_went_back", "error", err.Error())
@@ -194,7 +194,7 @@
 	}
 }
 
-// Tick implements consensus.Machine: the leader asks for what is free.
+// Tick implements consensus.StateMachine: the leader asks for what is free.
 func (m *machine) Tick(leader bool) [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,14 +224,14 @@
 	return out
 }
 
-// Snapshot implements consensus.Machine.
+// Snapshot implements consensus.StateMachine.
 func (m *machine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return json.Marshal(snapshot{m.member.Table(), m.banks, m.record})
 }
 
-// Restore implements consensus.Machine.
+// Restore implements consensus.StateMachine.
 func (m *machine) Restore(data []byte) error {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -243,14 +243,14 @@
 	m.mu.Lock()
 	moves := m.member.Restore(*s.Leases, m.clock())
 	m.record = s.Record
-	items := map[string][]share.Item{}
+	items := map[string][]quota.Delta{}
 	for of, bank := range s.Banks {
 		if m.banks[of] == nil {
 			continue // a budget that the fleet has no more
 		}
 		m.banks[of] = bank
 		for id, a := range bank.Accounts {
-			items[of] = append(items[of], share.Item{Of: id, Account: a})
+			items[of] = append(items[of], quota.Delta{ID: id, Account: a})
 		}
 	}
 	m.mu.Unlock()
@@ -291,5 +291,5 @@
 func (m *machine) retire() [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.encode(m.member.Retire(m.clock()))
+	return m.encode(m.member.Resign(m.clock()))
 }
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"quincerail.example/quincerail/fleet/lease"
+	"quincerail.example/quincerail/fleet/quota"
 	"quincerail.example/quincerail/fleet/rollout"
-	"quincerail.example/quincerail/fleet/share"
 )
 
 // TestMachineFencesOrders has the log refuse what an old owner still sends, of a
@@ -17,13 +17,13 @@
 // that takes a snapshot over goes on from the same.
 func TestMachineFencesOrders(t *testing.T) {
 	newMachine := func() *machine {
-		member, err := lease.NewMember(lease.Owner{Member: "c", Life: 1}, lease.Timing{Term: time.Second, Drift: 0.05, Renew: time.Second / 4}, nil)
+		member, err := lease.NewClient(lease.Owner{Member: "c", Incarnation: 1}, lease.Timing{Duration: time.Second, ClockDrift: 0.05, RenewInterval: time.Second / 4}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return &machine{log: slog.New(slog.NewTextHandler(io.Discard, nil)), fence: &lease.Fence{}, member: member,
 			moved: make(chan struct{}, 1), clock: func() time.Duration { return 0 }, asked: map[uint64]chan error{},
-			banks: map[string]*share.Bank{Calls: share.NewBank(8)}, changed: func(string, []share.Item) {}}
+			banks: map[string]*quota.Allocator{Calls: quota.NewAllocator(8)}, changed: func(string, []quota.Delta) {}}
 	}
 	m := newMachine()
 	index := uint64(0)
@@ -38,7 +38,7 @@
 		return index
 	}
 	take := func(name, by string, from lease.Token) lease.Token {
-		return lease.Token{Term: 1, Index: apply(command{Command: &lease.Command{Kind: lease.Take, Lease: name, By: lease.Owner{Member: by, Life: 1}, Token: from}})}
+		return lease.Token{Term: 1, Index: apply(command{Command: &lease.Command{Kind: lease.Acquire, Lease: name, Owner: lease.Owner{Member: by, Incarnation: 1}, Token: from}})}
 	}
 	plan := rollout.Plan{ID: "r", Kind: rollout.Program, From: "1", To: "2", MinWatchWindows: 1, MaxWatchWindows: 1, Limits: rollout.DefaultLimits(),
 		Servers: []rollout.Server{{Name: "x"}, {Name: "y"}}, Stages: []rollout.Stage{{Share: 1, BakeWindows: 1, MaxWindows: 9}}}
@@ -71,7 +71,7 @@
 
 	bank := take(Bank, "a", lease.Token{})
 	grant := func(token lease.Token, n uint64) {
-		apply(command{Bank: &bankOrder{Of: Calls, Token: token, Order: share.Order{Kind: share.Grant, Of: share.ID{Member: "x", Life: 1}, Amount: n}}})
+		apply(command{Bank: &bankOrder{Of: Calls, Token: token, Order: quota.Command{Kind: quota.Grant, Target: quota.ID{Member: "x", Incarnation: 1}, Amount: n}}})
 	}
 	grant(bank, 3)
 	take(Bank, "b", bank)
--- a/fleet/rollout/follower.go
+++ b/fleet/rollout/follower.go
@@ -39,12 +39,12 @@
 func (f *Follower) Patch() json.RawMessage { return f.patch }
 
 // Accept reports whether a directive is to be carried out; Applied then takes in
-// the result. It returns a *lease.StaleError where the directive is of an earlier
+// the result. It returns a *lease.StaleTokenError where the directive is of an earlier
 // owner than one that was seen, and a *StaleDirectiveError where it was made from
 // an earlier record.
 func (f *Follower) Accept(d Directive) (apply bool, err error) {
 	if d.Token.Compare(f.token) < 0 {
-		return false, &lease.StaleError{Lease: "rollout", Token: d.Token, Highest: f.token}
+		return false, &lease.StaleTokenError{Lease: "rollout", Token: d.Token, Highest: f.token}
 	}
 	if d.Index < f.index {
 		return false, &StaleDirectiveError{Index: d.Index, Highest: f.index}
--- a/fleet/rollout/follower_test.go
+++ b/fleet/rollout/follower_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("settings %d, turned %d down: %s", n, rejected, reason)
 	}
 	accept(3, 12, 2, false) // rejected before
-	var staleOwner *lease.StaleError
+	var staleOwner *lease.StaleTokenError
 	if _, err := f.Accept(Directive{Token: lease.Token{Term: 2, Index: 1}, Index: 20, SettingsNumber: 5}); !errors.As(err, &staleOwner) {
 		t.Error("the directive of an old owner is accepted")
 	}
