--- a/fleet/rollout/golden_test.go
+++ b/fleet/rollout/golden_test.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestGoldenDesired has the golden record lead to the same versions of the same
-// servers: a new owner of another version of the program goes on with the stage
-// that the one before it began.
+// TestGoldenDesired checks that the golden record leads to the same versions of
+// the same servers: a new owner of another version of the program resumes the
+// stage that the one before it began.
 func TestGoldenDesired(t *testing.T) {
 	for file, record := range map[string]string{"desired-program.json": "record-program.json", "desired-settings.json": "record-settings.json"} {
 		var r Record
--- a/fleet/rollout/record_test.go
+++ b/fleet/rollout/record_test.go
@@ -7,65 +7,92 @@
 	"testing"
 )
 
+// recordLog is a record with the commands that are applied to it in a test.
+type recordLog struct {
+	*testing.T
+	record Record
+	index  uint64
+}
+
+// apply applies a command at the next index, and checks whether it is accepted.
+func (l *recordLog) apply(c Command, accepted bool) {
+	l.Helper()
+	l.index++
+	next, err := l.record.Apply(c, l.index)
+	if (err == nil) != accepted {
+		l.Fatalf("%s at %d: %v", c.Kind, l.index, err)
+	}
+	l.record = next
+}
+
+// start makes the command that begins a change of settings.
+func (l *recordLog) start(id, patch string) Command {
+	return Command{Kind: Start, Plan: settingsPlan(id), Patch: json.RawMessage(patch)}
+}
+
+// step makes a step from the present record.
+func (l *recordLog) step(s State) Command {
+	return Command{Kind: Step, PreviousIndex: l.record.Index, State: s, HistoriesUnchanged: true}
+}
+
+// settings returns the number of the settings that a server is to run.
+func (l *recordLog) settings(server string) uint64 {
+	byServer, others := l.record.DesiredSettings()
+	if n, ok := byServer[server]; ok {
+		return n
+	}
+	return others
+}
+
 // TestRecord follows two changes of settings through the log: numbers only grow,
 // a step that was made from an older record is refused, and once a plan has ended
 // all servers are to run what it left in force.
 func TestRecord(t *testing.T) {
-	var r Record
-	index := uint64(0)
-	apply := func(c Command, want bool) {
-		t.Helper()
-		index++
-		next, err := r.Apply(c, index)
-		if (err == nil) != want {
-			t.Fatalf("%s at %d: %v", c.Kind, index, err)
-		}
-		r = next
-	}
-	step := func(s State) Command {
-		return Command{Kind: Step, PreviousIndex: r.Index, State: s, HistoriesUnchanged: true}
-	}
-	settings := func(server string) uint64 {
-		byServer, others := r.DesiredSettings()
-		if n, ok := byServer[server]; ok {
-			return n
-		}
-		return others
-	}
-	apply(Command{Kind: Step}, false)
-	apply(Command{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage("{")}, false)
-	apply(Command{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage(`{"x":1}`)}, true)
-	apply(Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage(`{"x":2}`)}, false) // one at a time
-	late := step(State{Phase: Done, Stage: 1, Window: 9})
-	apply(step(State{Phase: Replacing, Stage: 0, Window: 1}), true)
-	apply(late, false)
+	l := &recordLog{T: t}
+	completeChange(l)
+	haltChange(l)
+}
+
+// completeChange has the first change of settings go out to all servers.
+func completeChange(l *recordLog) {
+	l.apply(Command{Kind: Step}, false)
+	l.apply(l.start("a", "{"), false)
+	l.apply(l.start("a", `{"x":1}`), true)
+	l.apply(l.start("b", `{"x":2}`), false) // one at a time
+	late := l.step(State{Phase: Done, Stage: 1, Window: 9})
+	l.apply(l.step(State{Phase: Replacing, Stage: 0, Window: 1}), true)
+	l.apply(late, false)
 	changed := 0
-	for _, s := range r.Plan.Servers {
-		if settings(s.Name) == 1 {
+	for _, s := range l.record.Plan.Servers {
+		if l.settings(s.Name) == 1 {
 			changed++
 		}
 	}
-	if changed != 1 || settings("new") != 0 {
-		t.Errorf("%d servers of the first stage, others run %d", changed, settings("new"))
+	if changed != 1 || l.settings("new") != 0 {
+		l.Errorf("%d servers of the first stage, others run %d", changed, l.settings("new"))
 	}
-	apply(step(State{Phase: Done, Stage: 1, Window: 2}), true)
-	if settings("s0") != 1 || settings("new") != 1 || string(r.Patches[1]) != `{"x":1}` {
-		t.Errorf("after it is done: %d, %d, %s", settings("s0"), settings("new"), r.Patches[1])
+	l.apply(l.step(State{Phase: Done, Stage: 1, Window: 2}), true)
+	if l.settings("s0") != 1 || l.settings("new") != 1 || string(l.record.Patches[1]) != `{"x":1}` {
+		l.Errorf("after it is done: %d, %d, %s", l.settings("s0"), l.settings("new"), l.record.Patches[1])
 	}
-	apply(Command{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage(`{"x":2}`)}, false) // the same ID
-	apply(Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage(`{"x":2}`)}, true)
-	if r.Plan.From != "1" || r.Plan.To != "2" {
-		t.Errorf("from %s to %s", r.Plan.From, r.Plan.To)
+}
+
+// haltChange has an operator halt the second change, which rolls back.
+func haltChange(l *recordLog) {
+	l.apply(l.start("a", `{"x":2}`), false) // the same ID
+	l.apply(l.start("b", `{"x":2}`), true)
+	if plan := l.record.Plan; plan.From != "1" || plan.To != "2" {
+		l.Errorf("from %s to %s", plan.From, plan.To)
 	}
-	apply(step(State{Phase: Baking, Stage: 1, Window: 5}), true)
-	apply(Command{Kind: Stop, ID: "a"}, false)
-	apply(Command{Kind: Stop, ID: "b", Reason: "enough"}, true)
-	if r.State.Phase != RollingBack || settings("s0") != 1 || r.State.Reason != "enough" {
-		t.Errorf("halted: %s, %d", r.State.Phase, settings("s0"))
+	l.apply(l.step(State{Phase: Baking, Stage: 1, Window: 5}), true)
+	l.apply(Command{Kind: Stop, ID: "a"}, false)
+	l.apply(Command{Kind: Stop, ID: "b", Reason: "enough"}, true)
+	if state := l.record.State; state.Phase != RollingBack || l.settings("s0") != 1 || state.Reason != "enough" {
+		l.Errorf("halted: %s, %d", state.Phase, l.settings("s0"))
 	}
-	apply(step(State{Phase: Halted, Window: 6}), true)
-	if settings("s0") != 1 || r.LastSettings != 2 || len(r.Patches) != 1 {
-		t.Errorf("all back: %d, last %d, %d patches", settings("s0"), r.LastSettings, len(r.Patches))
+	l.apply(l.step(State{Phase: Halted, Window: 6}), true)
+	if l.settings("s0") != 1 || l.record.LastSettings != 2 || len(l.record.Patches) != 1 {
+		l.Errorf("all back: %d, last %d, %d patches", l.settings("s0"), l.record.LastSettings, len(l.record.Patches))
 	}
 }
 
