--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -25,8 +25,8 @@
 // rolloutOrder is an order for the record of changes: a step under the token of
 // the lease Rollout, or an operator's, who waits for what comes of its nonce.
 type rolloutOrder struct {
-	Token lease.Token   `json:"token,omitzero"`
-	Nonce uint64        `json:"nonce,omitempty"`
+	Token lease.Token     `json:"token,omitzero"`
+	Nonce uint64          `json:"nonce,omitempty"`
 	Order rollout.Command `json:"order"`
 }
 
