--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -25,9 +25,9 @@
 // rolloutOrder is an order for the record of changes: a step under the token of
 // the lease Rollout, or an operator's, who waits for what comes of its nonce.
 type rolloutOrder struct {
-	Token lease.Token   `json:"token,omitzero"`
-	Nonce uint64        `json:"nonce,omitempty"`
-	Order rollout.Order `json:"order"`
+	Token lease.Token     `json:"token,omitzero"`
+	Nonce uint64          `json:"nonce,omitempty"`
+	Order rollout.Command `json:"order"`
 }
 
 // bankOrder is an order for the bank of a budget, under the token of the lease Bank: the
--- a/program/golden_test.go
+++ b/program/golden_test.go
@@ -26,12 +26,12 @@
 func goldenChange() fleet.ChangeStatus {
 	plan := &rollout.Plan{
 		ID: "r1", Kind: rollout.Program, From: "1", To: "2", Servers: []rollout.Server{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z2"}},
-		Stages: rollout.DefaultStages(), Watch: 300, WatchMost: 3000, Warm: 2, Limits: rollout.DefaultLimits(),
+		Stages: rollout.DefaultStages(), MinWatchWindows: 300, MaxWatchWindows: 3000, WarmUpWindows: 2, Limits: rollout.DefaultLimits(),
 	}
 	return fleet.ChangeStatus{
 		Record: rollout.Record{
 			Index: 40, Plan: plan, State: rollout.State{Phase: rollout.Baking, Stage: 1, Window: 9},
-			Decision: rollout.Decision{Verdict: rollout.Wait, Reason: "baking", Missing: []string{"b"}}, Last: 3, Current: 2,
+			Decision: rollout.Decision{Verdict: rollout.Wait, Reason: "baking", PendingServers: []string{"b"}}, LastSettings: 3, CurrentSettings: 2,
 			Patches: map[uint64]json.RawMessage{2: json.RawMessage(`{"queue":null}`)},
 		},
 		Owner: "v1", Token: lease.Token{Term: 2, Index: 17}, Desired: map[string]string{"a": "2", "b": "1"},
