--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	budgetTick  = 100 * time.Millisecond
-	ordersAgain = time.Second // after orders were sent, until others are while they have not come back
+	quotaTickInterval = 100 * time.Millisecond
+	proposeAgainAfter = time.Second // after orders were sent, until others are while they have not come back
 )
 
-// newLife draws the number of a life of this process.
-func newLife() uint64 {
+// newIncarnation draws the number of a life of this process.
+func newIncarnation() uint64 {
 	var b [8]byte
 	rand.Read(b[:]) // never fails (crypto/rand)
 	return binary.BigEndian.Uint64(b[:])>>1 + 1
@@ -34,47 +34,47 @@
 	Repeats = "repeats" // made in any second
 )
 
-// Budget is this member's part of what the whole fleet may have in hand of some
+// QuotaAgent is this member's part of what the whole fleet may have in hand of some
 // kind (package quota). Its methods are safe for concurrent use.
-type Budget struct {
-	kind   string
-	news   byte // first byte of its pieces of news
-	ask    byte // and of what is asked of it
-	name   string
-	timing quota.Timing
-	total  uint64
-	log    *slog.Logger
-	clock  func() time.Duration
-	tell   func(about string, piece []byte)
-	send   func(to string, piece []byte)
-	alive  func() []string // all members that are thought to be alive
-	voters func() []string // those of them that may keep the bank
+type QuotaAgent struct {
+	kind        string
+	updateKind  byte // first byte of its pieces of news
+	requestKind byte // and of what is asked of it
+	name        string
+	timing      quota.Timing
+	total       uint64
+	log         *slog.Logger
+	clock       func() time.Duration
+	broadcast   func(about string, piece []byte)
+	send        func(to string, piece []byte)
+	alive       func() []string // all members that are thought to be alive
+	voters      func() []string // those of them that may keep the bank
 
-	mu     sync.Mutex
-	member *quota.Member
-	keeper *quota.AllocatorLeader // while this process owns the lease Bank
-	token  lease.Token            // under which
-	asked  time.Duration          // when orders were sent that have not come back yet; 0 for none
-	freed  func()
-	ticked func(may uint64)
-	counts map[string]uint64 // counted since the last tick
+	mu          sync.Mutex
+	member      *quota.Member
+	leader      *quota.AllocatorLeader // while this process owns the lease Bank
+	token       lease.Token            // under which
+	proposedAt  time.Duration          // when orders were sent that have not come back yet; 0 for none
+	onRelease   func()
+	onAvailable func(may uint64)
+	counts      map[string]uint64 // counted since the last tick
 }
 
-func newBudget(kind string, news, ask byte, total uint64, timing quota.Timing, f *Fleet, clock func() time.Duration) (*Budget, error) {
-	b := &Budget{kind: kind, news: news, ask: ask, alive: f.alive, voters: f.voters, name: f.config.Self, total: total, log: f.log, clock: clock, tell: f.tell, send: f.send,
-		freed: func() {}, ticked: func(uint64) {}, timing: timing, counts: map[string]uint64{}}
-	return b, b.begin()
+func newQuotaAgent(kind string, news, ask byte, total uint64, timing quota.Timing, f *Fleet, clock func() time.Duration) (*QuotaAgent, error) {
+	b := &QuotaAgent{kind: kind, updateKind: news, requestKind: ask, alive: f.aliveMembers, voters: f.aliveVoters, name: f.config.Self, total: total, log: f.log, clock: clock, broadcast: f.broadcast, send: f.send,
+		onRelease: func() {}, onAvailable: func(uint64) {}, timing: timing, counts: map[string]uint64{}}
+	return b, b.startIncarnation()
 }
 
-// begin begins a new life, which holds nothing yet. The lock is held, or not needed.
-func (b *Budget) begin() error {
-	life := newLife()
+// startIncarnation begins a new life, which holds nothing yet. The lock is held, or not needed.
+func (b *QuotaAgent) startIncarnation() error {
+	life := newIncarnation()
 	m, err := quota.NewMember(quota.ID{Member: b.name, Incarnation: life}, b.timing, mathrand.New(mathrand.NewPCG(life, 1)))
 	if err != nil {
 		return fmt.Errorf("fleet: budget: %w", err)
 	}
 	if b.member != nil { // what it knew of the others holds
-		for _, i := range items(b.member.State()) {
+		for _, i := range stateDeltas(b.member.State()) {
 			m.Merge(i)
 		}
 	}
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func items(s quota.State) (out []quota.Delta) {
+func stateDeltas(s quota.State) (out []quota.Delta) {
 	for id, r := range s.Members {
 		out = append(out, quota.Delta{ID: id, MemberState: r})
 	}
@@ -92,10 +92,10 @@
 	return out
 }
 
-// Take asks for one more call in hand. put gives it back, once, when the call
+// TryAcquire asks for one more call in hand. put gives it back, once, when the call
 // is over or can't be at the dependency any more; that has to be within the
 // configuration's Hold.
-func (b *Budget) Take() (put func(), ok bool) {
+func (b *QuotaAgent) TryAcquire() (put func(), ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.member // a call goes back to the life that took it
@@ -109,51 +109,51 @@
 	}, true
 }
 
-// OnFreed has f called, from another goroutine, whenever there may be more to take.
-func (b *Budget) OnFreed(f func()) {
+// OnRelease has f called, from another goroutine, whenever there may be more to take.
+func (b *QuotaAgent) OnRelease(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.freed = f
+	b.onRelease = f
 }
 
-// OnTick has f called, from another goroutine, ten times a second, with how many
+// OnAvailable has f called, from another goroutine, ten times a second, with how many
 // this member may have in hand: none where it has heard nothing for too long.
-func (b *Budget) OnTick(f func(may uint64)) {
+func (b *QuotaAgent) OnAvailable(f func(may uint64)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ticked = f
+	b.onAvailable = f
 }
 
-// Want tells how many the member would have in hand if only it might.
-func (b *Budget) Want(n int) {
+// ReportDemand tells how many the member would have in hand if only it might.
+func (b *QuotaAgent) ReportDemand(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.member.ReportDemand(uint64(max(0, n)))
 }
 
-// Count adds one to a count of the whole fleet's.
-func (b *Budget) Count(name string) {
+// AddToCounter adds one to a count of the whole fleet's.
+func (b *QuotaAgent) AddToCounter(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts[name]++
 }
 
-// Counted is what all members have counted, as far as this one has heard.
-func (b *Budget) Counted(name string) int64 {
+// CounterValue is what all members have counted, as far as this one has heard.
+func (b *QuotaAgent) CounterValue(name string) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.member.State().CounterValue(name)
 }
 
-// Rights is how many calls this member may have in hand now, and how many it has.
-func (b *Budget) Rights() (rights, used uint64) {
+// Usage is how many calls this member may have in hand now, and how many it has.
+func (b *QuotaAgent) Usage() (rights, used uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.member.Rights(), b.member.InUse()
 }
 
-// unpack reads a piece of news; what makes no sense is passed over.
-func unpack[T any](log *slog.Logger, piece []byte) (v T, ok bool) {
+// decodeUpdate reads a piece of news; what makes no sense is passed over.
+func decodeUpdate[T any](log *slog.Logger, piece []byte) (v T, ok bool) {
 	if err := cbor.Unmarshal(piece, &v); err != nil {
 		log.Debug("fleet_news_unreadable", "bytes", len(piece))
 		return v, false
@@ -161,21 +161,21 @@
 	return v, true
 }
 
-// heard takes in a piece of news.
-func (b *Budget) heard(piece []byte) (about string, news bool) {
-	i, ok := unpack[quota.Delta](b.log, piece)
+// mergeUpdate takes in a piece of news.
+func (b *QuotaAgent) mergeUpdate(piece []byte) (about string, news bool) {
+	i, ok := decodeUpdate[quota.Delta](b.log, piece)
 	if !ok {
 		return "", false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, news = b.member.Merge(i)
-	return b.about(i), news
+	return b.updateName(i), news
 }
 
-// heardAsk takes in that another member asks for rights.
-func (b *Budget) heardAsk(piece []byte) {
-	a, ok := unpack[quota.TransferRequest](b.log, piece)
+// handleRequest takes in that another member asks for rights.
+func (b *QuotaAgent) handleRequest(piece []byte) {
+	a, ok := decodeUpdate[quota.TransferRequest](b.log, piece)
 	if !ok {
 		return
 	}
@@ -184,8 +184,8 @@
 	b.member.HandleRequest(a)
 }
 
-// askFor asks some others for rights: those named, and the rest drawn.
-func (b *Budget) askFor(a quota.TransferRequest, of []quota.ID) {
+// requestTransfer asks some others for rights: those named, and the rest drawn.
+func (b *QuotaAgent) requestTransfer(a quota.TransferRequest, of []quota.ID) {
 	piece, err := cbor.Marshal(a)
 	if err != nil {
 		b.log.Error("fleet_share", "error", err.Error())
@@ -199,76 +199,76 @@
 				continue
 			}
 		}
-		b.send(others[i], append([]byte{b.ask}, piece...))
+		b.send(others[i], append([]byte{b.requestKind}, piece...))
 		others = slices.Delete(others, i, i+1)
 	}
 }
 
-// sendTo tells each member what is its own alone.
-func (b *Budget) sendTo(is []quota.Delta) {
+// sendToOwners tells each member what is its own alone.
+func (b *QuotaAgent) sendToOwners(is []quota.Delta) {
 	for _, i := range is {
-		if piece := b.pack(i); piece != nil && i.ID.Member != b.name {
+		if piece := b.encodeUpdate(i); piece != nil && i.ID.Member != b.name {
 			b.send(i.ID.Member, piece)
 		}
 	}
 }
 
-// about names what an item is about: the next of the same name is later.
-func (b *Budget) about(i quota.Delta) string {
+// updateName names what an item is updateName: the next of the same name is later.
+func (b *QuotaAgent) updateName(i quota.Delta) string {
 	if i.MemberState != nil {
 		return b.kind + " row " + i.ID.String()
 	}
 	return b.kind + " account " + i.ID.String()
 }
 
-// latest gives all that is known, for those who join.
-func (b *Budget) latest() (out [][]byte) {
+// encodedUpdates gives all that is known, for those who join.
+func (b *QuotaAgent) encodedUpdates() (out [][]byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, i := range items(b.member.State()) {
-		if piece := b.pack(i); piece != nil {
+	for _, i := range stateDeltas(b.member.State()) {
+		if piece := b.encodeUpdate(i); piece != nil {
 			out = append(out, piece)
 		}
 	}
 	return out
 }
 
-// pack gives an item as a piece of news; nil where that fails, which the log
+// encodeUpdate gives an item as a piece of news; nil where that fails, which the log
 // tells.
-func (b *Budget) pack(i quota.Delta) []byte {
+func (b *QuotaAgent) encodeUpdate(i quota.Delta) []byte {
 	piece, err := cbor.Marshal(i)
 	if err != nil {
 		b.log.Error("fleet_share", "error", err.Error())
 		return nil
 	}
-	return append([]byte{b.news}, piece...)
+	return append([]byte{b.updateKind}, piece...)
 }
 
-// spread tells the others, outside the lock.
-func (b *Budget) spread(is []quota.Delta) {
+// broadcastAll tells the others, outside the lock.
+func (b *QuotaAgent) broadcastAll(is []quota.Delta) {
 	for _, i := range is {
-		if piece := b.pack(i); piece != nil {
-			b.tell(b.about(i), piece)
+		if piece := b.encodeUpdate(i); piece != nil {
+			b.broadcast(b.updateName(i), piece)
 		}
 	}
 }
 
-// changed takes in accounts that the log changed: all are told who was fenced,
+// mergeAccounts takes in accounts that the log mergeAccounts: all are told who was fenced,
 // and each other member of its own.
-func (b *Budget) changed(is []quota.Delta) {
+func (b *QuotaAgent) mergeAccounts(is []quota.Delta) {
 	b.mu.Lock()
-	b.asked = 0
+	b.proposedAt = 0
 	for _, i := range is {
 		b.member.Merge(i)
 	}
 	b.mu.Unlock()
-	b.spread(slices.DeleteFunc(slices.Clone(is), func(i quota.Delta) bool { return !i.Account.Fenced }))
-	b.sendTo(slices.DeleteFunc(is, func(i quota.Delta) bool { return i.Account.Fenced }))
+	b.broadcastAll(slices.DeleteFunc(slices.Clone(is), func(i quota.Delta) bool { return !i.Account.Fenced }))
+	b.sendToOwners(slices.DeleteFunc(is, func(i quota.Delta) bool { return i.Account.Fenced }))
 }
 
 // tick has the member speak, and the keeper decide where this process owns the
 // bank; it gives the keeper's orders for the log.
-func (b *Budget) tick(m *machine) [][]byte {
+func (b *QuotaAgent) tick(m *stateMachine) [][]byte {
 	var acks []quota.Delta
 	var orders []quota.Command
 	b.mu.Lock()
@@ -279,38 +279,38 @@
 	clear(b.counts)
 	if b.member.Fenced() {
 		b.log.Warn("fleet_share_fenced", "of", b.kind, "member", b.name)
-		if err := b.begin(); err != nil {
+		if err := b.startIncarnation(); err != nil {
 			b.log.Error("fleet_share", "error", err.Error())
 		}
 	}
 	said := b.member.Tick(now)
 	token, keeps := lease.Token{}, false
 	if m != nil {
-		token, keeps = m.holds(Bank)
+		token, keeps = m.holds(QuotaLease)
 	}
 	switch {
 	case !keeps:
-		b.keeper = nil
-	case b.keeper == nil || b.token != token:
-		b.keeper, b.token, b.asked = quota.NewAllocatorLeader(b.total, b.timing, now), token, 0
+		b.leader = nil
+	case b.leader == nil || b.token != token:
+		b.leader, b.token, b.proposedAt = quota.NewAllocatorLeader(b.total, b.timing, now), token, 0
 	}
-	if b.keeper != nil {
+	if b.leader != nil {
 		m.mu.Lock()
 		var asked []quota.Command
-		asked, acks = b.keeper.Tick(now, b.member.State(), m.banks[b.kind])
+		asked, acks = b.leader.Tick(now, b.member.State(), m.allocators[b.kind])
 		m.mu.Unlock()
 		for _, a := range acks {
 			b.member.Merge(a)
 		}
-		if len(asked) > 0 && (b.asked == 0 || now-b.asked >= ordersAgain) {
-			orders, b.asked = asked, now
+		if len(asked) > 0 && (b.proposedAt == 0 || now-b.proposedAt >= proposeAgainAfter) {
+			orders, b.proposedAt = asked, now
 		}
 	}
-	freed, ticked, may := b.freed, b.ticked, b.member.Available(now)
+	freed, ticked, may := b.onRelease, b.onAvailable, b.member.Available(now)
 	b.mu.Unlock()
 	if said.Broadcast != nil {
-		if piece := b.pack(*said.Broadcast); piece != nil {
-			b.tell(b.about(*said.Broadcast), piece)
+		if piece := b.encodeUpdate(*said.Broadcast); piece != nil {
+			b.broadcast(b.updateName(*said.Broadcast), piece)
 			for _, to := range b.voters() { // the keeper hears beats soon
 				if to != b.name {
 					b.send(to, piece)
@@ -318,12 +318,12 @@
 			}
 		}
 	}
-	b.sendTo(acks)
+	b.sendToOwners(acks)
 	if said.Request != nil {
-		b.askFor(*said.Request, said.RequestTo)
+		b.requestTransfer(*said.Request, said.RequestTo)
 	}
 	for _, g := range said.Transfers {
-		if piece := b.pack(g.Delta); piece != nil {
+		if piece := b.encodeUpdate(g.Delta); piece != nil {
 			b.send(g.To.Member, piece)
 		}
 	}
@@ -331,7 +331,7 @@
 	ticked(may)
 	var commands []command
 	for _, o := range orders {
-		commands = append(commands, command{Bank: &bankOrder{b.kind, token, o}})
+		commands = append(commands, command{Quota: &quotaCommand{b.kind, token, o}})
 	}
-	return encode(b.log, commands...)
+	return encodeCommands(b.log, commands...)
 }
--- a/fleet/changes.go
+++ b/fleet/changes.go
@@ -16,16 +16,16 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// Rollout names the lease on driving a change through the fleet.
-const Rollout = "rollout"
+// RolloutLease names the lease on driving a change through the fleet.
+const RolloutLease = "rollout"
 
 // ErrNoVoter is given where a member that votes on nothing is asked for what
 // only the voters know.
 var ErrNoVoter = errors.New("fleet: this member is no voter: ask one")
 
-// Subject is what a rollout changes, and compares: this process. Its methods are
+// Target is what a rollout changes, and compares: this process. Its methods are
 // called from the fleet's goroutines.
-type Subject interface {
+type Target interface {
 	// Totals gives what was counted since the process began.
 	Totals() rollout.Totals
 	// Apply puts settings in force: a JSON merge patch (RFC 7396) on those of the
@@ -33,55 +33,55 @@
 	Apply(patch json.RawMessage) error
 }
 
-// changes is a member's part in rollouts: every member reports to the voters and
+// rolloutDriver is a member's part in rollouts: every member reports to the voters and
 // follows the owner's directions; the owner decides what comes next.
-type changes struct {
-	conf    *Config
-	log     *slog.Logger
-	life    uint64
-	machine *machine // nil but in voters
-	node    interface{ RunInLoop(func() [][]byte) }
-	voters  func() []string // names of those that are known
-	send    func(to string, piece []byte)
-	stream  func(to string, piece []byte) error
-	owner   func(name string) (lease.Token, bool)
+type rolloutDriver struct {
+	config       *Config
+	log          *slog.Logger
+	incarnation  uint64
+	machine      *stateMachine // nil but in voters
+	node         interface{ RunInLoop(func() [][]byte) }
+	voters       func() []string // names of those that are known
+	send         func(to string, piece []byte)
+	sendReliable func(to string, piece []byte) error
+	owner        func(name string) (lease.Token, bool)
 
-	mu        sync.Mutex
-	subject   Subject
-	seq       uint64
-	collector *rollout.Collector // of what members report; kept by each voter, so that the next owner need not begin anew
-	follower  rollout.Follower
-	told      chan rollout.Directive // the latest direction that is to be carried out
-	telling   map[string]bool        // members that a direction is on the way to
+	mu                 sync.Mutex
+	target             Target
+	seq                uint64
+	collector          *rollout.Collector // of what members report; kept by each voter, so that the next owner need not begin anew
+	follower           rollout.Follower
+	directives         chan rollout.Directive // the latest direction that is to be carried out
+	directivesInFlight map[string]bool        // members that a direction is on the way to
 }
 
-func newChanges(f *Fleet) *changes {
-	return &changes{conf: &f.config, log: f.log, life: f.self.Incarnation, voters: f.voters, owner: f.Owner,
-		collector: rollout.NewCollector(), told: make(chan rollout.Directive, 1), telling: map[string]bool{}}
+func newRolloutDriver(f *Fleet) *rolloutDriver {
+	return &rolloutDriver{config: &f.config, log: f.log, incarnation: f.self.Incarnation, voters: f.aliveVoters, owner: f.Owner,
+		collector: rollout.NewCollector(), directives: make(chan rollout.Directive, 1), directivesInFlight: map[string]bool{}}
 }
 
 // Follow has the fleet report what a subject counts, and carry out settings there.
-func (f *Fleet) Follow(s Subject) {
-	f.changes.mu.Lock()
-	defer f.changes.mu.Unlock()
-	f.changes.subject = s
+func (f *Fleet) Follow(s Target) {
+	f.rolloutDriver.mu.Lock()
+	defer f.rolloutDriver.mu.Unlock()
+	f.rolloutDriver.target = s
 }
 
 // report makes this process's next report; nil while there is nobody to report of.
-func (c *changes) report(leaving bool) *rollout.Report {
+func (c *rolloutDriver) report(leaving bool) *rollout.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.subject == nil {
+	if c.target == nil {
 		return nil
 	}
 	c.seq++
 	number, refused, reason := c.follower.Settings()
-	return &rollout.Report{Server: c.conf.Self, Zone: c.conf.Zone, Incarnation: c.life, Sequence: c.seq, Version: c.conf.Version,
-		Settings: number, RejectedSettings: refused, RejectionReason: reason, Leaving: leaving, Totals: c.subject.Totals()}
+	return &rollout.Report{Server: c.config.Self, Zone: c.config.Zone, Incarnation: c.incarnation, Sequence: c.seq, Version: c.config.Version,
+		Settings: number, RejectedSettings: refused, RejectionReason: reason, Leaving: leaving, Totals: c.target.Totals()}
 }
 
-// tell reports to all voters that are known.
-func (c *changes) tell(leaving bool) {
+// sendReport reports to all voters that are known.
+func (c *rolloutDriver) sendReport(leaving bool) {
 	r := c.report(leaving)
 	if r == nil {
 		return
@@ -91,19 +91,19 @@
 		c.log.Error("fleet_report", "error", err.Error())
 		return
 	}
-	piece = append([]byte{newsReport}, piece...)
+	piece = append([]byte{messageReport}, piece...)
 	for _, to := range c.voters() {
-		if to == c.conf.Self {
-			c.heardReport(piece[1:])
+		if to == c.config.Self {
+			c.receiveReport(piece[1:])
 		} else {
 			c.send(to, piece)
 		}
 	}
 }
 
-// heardReport takes in what a member says of itself.
-func (c *changes) heardReport(piece []byte) {
-	r, ok := unpack[rollout.Report](c.log, piece)
+// receiveReport takes in what a member says of itself.
+func (c *rolloutDriver) receiveReport(piece []byte) {
+	r, ok := decodeUpdate[rollout.Report](c.log, piece)
 	if !ok {
 		return
 	}
@@ -112,9 +112,9 @@
 	c.collector.Observe(r)
 }
 
-// heardDirection takes in the owner's word on this process's settings.
-func (c *changes) heardDirection(piece []byte) {
-	d, ok := unpack[rollout.Directive](c.log, piece)
+// receiveDirective takes in the owner's word on this process's settings.
+func (c *rolloutDriver) receiveDirective(piece []byte) {
+	d, ok := decodeUpdate[rollout.Directive](c.log, piece)
 	if !ok {
 		return
 	}
@@ -129,26 +129,26 @@
 		return
 	}
 	select { // the latest counts
-	case <-c.told:
+	case <-c.directives:
 	default:
 	}
 	select {
-	case c.told <- d:
+	case c.directives <- d:
 	default: // a later one was put there meanwhile
 	}
 }
 
-// carryOut takes settings over as they are told.
-func (c *changes) carryOut(ctx context.Context) {
+// applyDirectives takes settings over as they are told.
+func (c *rolloutDriver) applyDirectives(ctx context.Context) {
 	for {
 		var d rollout.Directive
 		select {
 		case <-ctx.Done():
 			return
-		case d = <-c.told:
+		case d = <-c.directives:
 		}
 		c.mu.Lock()
-		subject := c.subject
+		subject := c.target
 		c.mu.Unlock()
 		if subject == nil {
 			continue // it is told again
@@ -166,35 +166,35 @@
 }
 
 // run reports, and drives the change while this process owns its lease.
-func (c *changes) run(ctx context.Context) {
+func (c *rolloutDriver) run(ctx context.Context) {
 	carried := make(chan struct{})
 	go func() {
-		c.carryOut(ctx)
+		c.applyDirectives(ctx)
 		close(carried)
 	}()
 	defer func() { <-carried }()
-	ticker := time.NewTicker(c.conf.Window)
+	ticker := time.NewTicker(c.config.Window)
 	defer ticker.Stop()
 	var held lease.Token
 	for {
 		select {
 		case <-ctx.Done():
-			c.tell(true)
+			c.sendReport(true)
 			return
 		case <-ticker.C:
 		}
-		c.tell(false)
+		c.sendReport(false)
 		if c.machine != nil {
-			held = c.drive(held)
+			held = c.endWindow(held)
 		}
 	}
 }
 
-// drive ends a window. It gives the token under which this process owned the
+// endWindow ends a window. It gives the token under which this process owned the
 // lease: the first window after it came is not judged, as part of it may have
 // been judged by the owner before.
-func (c *changes) drive(held lease.Token) lease.Token {
-	record := c.machine.changes()
+func (c *rolloutDriver) endWindow(held lease.Token) lease.Token {
+	record := c.machine.rolloutRecord()
 	kind := rollout.Program
 	if record.Plan != nil {
 		kind = record.Plan.Kind
@@ -202,25 +202,25 @@
 	c.mu.Lock()
 	samples := c.collector.EndWindow(kind)
 	c.mu.Unlock()
-	token, ok := c.owner(Rollout)
+	token, ok := c.owner(RolloutLease)
 	if !ok {
 		return lease.Token{}
 	}
-	c.direct(&record, token)
+	c.sendDirectives(&record, token)
 	if token == held && !record.Ended() {
-		c.propose(command{Rollout: &rolloutOrder{Token: token, Order: record.NextCommand(samples)}})
+		c.propose(command{Rollout: &rolloutCommand{Token: token, Command: record.NextCommand(samples)}})
 	}
 	return token
 }
 
-func (c *changes) propose(o command) {
-	entries := encode(c.log, o)
+func (c *rolloutDriver) propose(o command) {
+	entries := encodeCommands(c.log, o)
 	c.node.RunInLoop(func() [][]byte { return entries })
 }
 
-// direct tells servers that run other settings than they should which ones to
+// sendDirectives tells servers that run other settings than they should which ones to
 // run. What it says is what the log has, under the owner's token.
-func (c *changes) direct(record *rollout.Record, token lease.Token) {
+func (c *rolloutDriver) sendDirectives(record *rollout.Record, token lease.Token) {
 	of, others := record.DesiredSettings()
 	c.mu.Lock()
 	reports := c.collector.LatestReports()
@@ -238,24 +238,24 @@
 			c.log.Error("fleet_direction", "error", err.Error())
 			return
 		}
-		if r.Server == c.conf.Self {
-			c.heardDirection(piece)
+		if r.Server == c.config.Self {
+			c.receiveDirective(piece)
 			continue
 		}
 		c.mu.Lock()
-		busy := c.telling[r.Server]
-		c.telling[r.Server] = true
+		busy := c.directivesInFlight[r.Server]
+		c.directivesInFlight[r.Server] = true
 		c.mu.Unlock()
 		if busy { // the last one has not got there yet
 			continue
 		}
 		go func() {
-			if err := c.stream(r.Server, append([]byte{newsDirection}, piece...)); err != nil {
+			if err := c.sendReliable(r.Server, append([]byte{messageDirective}, piece...)); err != nil {
 				c.log.Debug("fleet_direction", "to", r.Server, "error", err.Error())
 			}
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			delete(c.telling, r.Server)
+			delete(c.directivesInFlight, r.Server)
 		}()
 	}
 }
@@ -283,16 +283,16 @@
 // Change gives what this voter knows of the fleet's changes; ErrNoVoter at
 // another member.
 func (f *Fleet) Change() (ChangeStatus, error) {
-	if f.machine == nil {
+	if f.stateMachine == nil {
 		return ChangeStatus{}, ErrNoVoter
 	}
 	var s ChangeStatus
-	s.Record = f.machine.changes()
+	s.Record = f.stateMachine.rolloutRecord()
 	s.Desired = s.Record.DesiredVersions()
-	s.Owner, s.Token = f.machine.grant(Rollout)
-	f.changes.mu.Lock()
-	defer f.changes.mu.Unlock()
-	for _, r := range f.changes.collector.LatestReports() {
+	s.Owner, s.Token = f.stateMachine.grant(RolloutLease)
+	f.rolloutDriver.mu.Lock()
+	defer f.rolloutDriver.mu.Unlock()
+	for _, r := range f.rolloutDriver.collector.LatestReports() {
 		s.Servers = append(s.Servers, ServerStatus{r.Server, r.Zone, r.Version, r.Settings, r.RejectedSettings, r.RejectionReason, r.Leaving})
 	}
 	return s, nil
@@ -303,45 +303,45 @@
 // error says why it was turned down, or wraps ctx's where the log did not take it
 // in time.
 func (f *Fleet) StartChange(ctx context.Context, p rollout.Plan, patch json.RawMessage) error {
-	if f.machine == nil {
+	if f.stateMachine == nil {
 		return ErrNoVoter
 	}
 	if len(p.Servers) == 0 {
-		f.changes.mu.Lock()
-		for _, r := range f.changes.collector.LatestReports() {
+		f.rolloutDriver.mu.Lock()
+		for _, r := range f.rolloutDriver.collector.LatestReports() {
 			if !r.Leaving {
 				p.Servers = append(p.Servers, rollout.Server{Name: r.Server, Zone: r.Zone})
 			}
 		}
-		f.changes.mu.Unlock()
+		f.rolloutDriver.mu.Unlock()
 	}
-	return f.changes.ask(ctx, rollout.Command{Kind: rollout.Start, Plan: &p, Patch: patch})
+	return f.rolloutDriver.submit(ctx, rollout.Command{Kind: rollout.Start, Plan: &p, Patch: patch})
 }
 
 // StopChange halts the plan of an ID: all its servers go back.
 func (f *Fleet) StopChange(ctx context.Context, id, reason string) error {
-	if f.machine == nil {
+	if f.stateMachine == nil {
 		return ErrNoVoter
 	}
-	return f.changes.ask(ctx, rollout.Command{Kind: rollout.Stop, ID: id, Reason: reason})
+	return f.rolloutDriver.submit(ctx, rollout.Command{Kind: rollout.Stop, ID: id, Reason: reason})
 }
 
-// askAgain is how often an order that may have been lost is proposed again.
-const askAgain = 300 * time.Millisecond
+// resubmitInterval is how often an order that may have been lost is proposed again.
+const resubmitInterval = 300 * time.Millisecond
 
-// ask has an operator's order entered into the log, and gives what came of it.
-func (c *changes) ask(ctx context.Context, o rollout.Command) error {
+// submit has an operator's order entered into the log, and gives what came of it.
+func (c *rolloutDriver) submit(ctx context.Context, o rollout.Command) error {
 	nonce := rand.Uint64()
-	outcome := c.machine.await(nonce)
-	defer c.machine.forget(nonce)
+	outcome := c.machine.registerWaiter(nonce)
+	defer c.machine.removeWaiter(nonce)
 	for {
-		c.propose(command{Rollout: &rolloutOrder{Nonce: nonce, Order: o}})
+		c.propose(command{Rollout: &rolloutCommand{Nonce: nonce, Command: o}})
 		select {
 		case err := <-outcome:
 			return err
 		case <-ctx.Done():
 			return fmt.Errorf("fleet: the log did not take the order: %w", ctx.Err())
-		case <-time.After(askAgain):
+		case <-time.After(resubmitInterval):
 		}
 	}
 }
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -19,12 +19,12 @@
 	"quincerail.example/quincerail/fleet/quota"
 )
 
-// Registry names the lease on probing the shared dependency and publishing how
+// HealthLease names the lease on probing the shared dependency and publishing how
 // it stands.
-const Registry = "registry"
+const HealthLease = "registry"
 
-// Bank names the lease on keeping the fleet's budget.
-const Bank = "bank"
+// QuotaLease names the lease on keeping the fleet's budget.
+const QuotaLease = "bank"
 
 // Role is a member's part.
 type Role string
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -16,8 +16,8 @@
 	"quincerail.example/quincerail/fleet/rafttransport"
 )
 
-// leaveWithin is how long a member that ends waits for its leave to spread.
-const leaveWithin = 300 * time.Millisecond
+// leaveTimeout is how long a member that ends waits for its leave to spread.
+const leaveTimeout = 300 * time.Millisecond
 
 // Fleet is this process's membership.
 type Fleet struct {
@@ -25,19 +25,19 @@
 	log               *slog.Logger
 	self              lease.Owner
 	healthView        *healthView
-	budgets           map[string]*Budget // those that the fleet has
-	changes           *changes
-	members           *gossip.Membership
-	stop              context.CancelFunc
+	quotaAgents       map[string]*QuotaAgent // those that the fleet has
+	rolloutDriver     *rolloutDriver
+	membership        *gossip.Membership
+	cancel            context.CancelFunc
 	gossipStarted     chan struct{} // closed when there are members to tell
 	healthCheckerDone chan struct{} // closed when the worker has ended
-	shared            chan struct{} // closed when the budgets are no longer kept
-	changed           chan struct{} // closed when no change is driven any more
+	quotaDone         chan struct{} // closed when the budgets are no longer kept
+	rolloutDone       chan struct{} // closed when no change is driven any more
 
 	// Of a voter; nil in other members.
-	machine   *machine
-	node      *consensus.Node
-	transport *rafttransport.Transport
+	stateMachine *stateMachine
+	node         *consensus.Node
+	transport    *rafttransport.Transport
 }
 
 // Stats are a member's counts.
@@ -63,77 +63,77 @@
 	if err := c.Validate(); err != nil {
 		return nil, err
 	}
-	f := &Fleet{config: c, log: c.Logger, gossipStarted: make(chan struct{}), healthCheckerDone: make(chan struct{}), shared: make(chan struct{}),
-		changed: make(chan struct{})}
+	f := &Fleet{config: c, log: c.Logger, gossipStarted: make(chan struct{}), healthCheckerDone: make(chan struct{}), quotaDone: make(chan struct{}),
+		rolloutDone: make(chan struct{})}
 	if f.log == nil {
 		f.log = slog.Default()
 	}
-	f.self = lease.Owner{Member: c.Self, Incarnation: newLife()}
+	f.self = lease.Owner{Member: c.Self, Incarnation: newIncarnation()}
 	fence := &lease.Fence{}
 	f.healthView = &healthView{log: f.log, fence: fence, latest: map[string]DependencyHealth{}, maxAge: 5*c.ProbeEvery + 2*c.Term}
 	began := time.Now()
 	clock := func() time.Duration { return time.Duration(float64(time.Since(began)) * c.ClockRate) }
-	f.budgets = map[string]*Budget{}
+	f.quotaAgents = map[string]*QuotaAgent{}
 	for _, b := range []struct {
 		kind  string
 		news  byte
 		ask   byte
 		total uint64
-	}{{Calls, newsCalls, newsAskCalls, c.Budget}, {Repeats, newsRepeats, newsAskRepeats, c.Repeats}} {
+	}{{Calls, updateCallsQuota, requestCallsTransfer, c.Budget}, {Repeats, updateRetryQuota, requestRetryTransfer, c.Repeats}} {
 		if b.total > 0 {
 			var err error
-			if f.budgets[b.kind], err = newBudget(b.kind, b.news, b.ask, b.total, c.horizon(), f, clock); err != nil {
+			if f.quotaAgents[b.kind], err = newQuotaAgent(b.kind, b.news, b.ask, b.total, c.horizon(), f, clock); err != nil {
 				return nil, err
 			}
 		}
 	}
-	f.changes = newChanges(f)
+	f.rolloutDriver = newRolloutDriver(f)
 	raft := ""
 	if c.Role == Voter {
 		if err := f.startVoter(fence, clock); err != nil {
 			return nil, err
 		}
 		raft = f.transport.Addr().String()
-		f.changes.machine, f.changes.node = f.machine, f.node
+		f.rolloutDriver.machine, f.rolloutDriver.node = f.stateMachine, f.node
 	}
 	var err error
-	if f.members, err = gossip.Start(gossip.Options{Fleet: c.Fleet, Self: c.Self, Listen: c.Gossip, Seeds: c.Seeds,
-		Role: string(c.Role), Delegate: news{f}, Logger: f.log}); err != nil {
+	if f.membership, err = gossip.Start(gossip.Options{Fleet: c.Fleet, Self: c.Self, Listen: c.Gossip, Seeds: c.Seeds,
+		Role: string(c.Role), Delegate: delegate{f}, Logger: f.log}); err != nil {
 		f.stopVoter()
 		return nil, err
 	}
-	f.changes.send, f.changes.stream = f.members.Send, f.members.SendReliable
+	f.rolloutDriver.send, f.rolloutDriver.sendReliable = f.membership.Send, f.membership.SendReliable
 	close(f.gossipStarted)
 	ctx, stop := context.WithCancel(context.Background())
-	f.stop = stop
-	go f.work(ctx)
-	go f.share(ctx)
+	f.cancel = stop
+	go f.runHealthChecker(ctx)
+	go f.runQuotaAgents(ctx)
 	go func() {
-		defer close(f.changed)
+		defer close(f.rolloutDone)
 		if c.Window > 0 {
-			f.changes.run(ctx)
+			f.rolloutDriver.run(ctx)
 		}
 	}()
-	f.log.Info("fleet", "name", c.Self, "role", string(c.Role), "raft", raft, "gossip", f.members.Addr())
+	f.log.Info("fleet", "name", c.Self, "role", string(c.Role), "raft", raft, "gossip", f.membership.Addr())
 	return f, nil
 }
 
 func (f *Fleet) startVoter(fence *lease.Fence, clock func() time.Duration) error {
-	wanted := []string{Registry}
-	if len(f.budgets) > 0 {
-		wanted = append(wanted, Bank)
+	wanted := []string{HealthLease}
+	if len(f.quotaAgents) > 0 {
+		wanted = append(wanted, QuotaLease)
 	}
 	if f.config.Window > 0 {
-		wanted = append(wanted, Rollout)
+		wanted = append(wanted, RolloutLease)
 	}
 	member, err := lease.NewClient(f.self, f.config.timing(), wanted)
 	if err != nil {
 		return err
 	}
-	f.machine = &machine{log: f.log, fence: fence, member: member, moved: make(chan struct{}, 1), clock: clock,
-		asked: map[uint64]chan error{}, banks: map[string]*quota.Allocator{}, changed: func(of string, accounts []quota.Delta) { f.budgets[of].changed(accounts) }}
-	for kind, b := range f.budgets {
-		f.machine.banks[kind] = quota.NewAllocator(b.total)
+	f.stateMachine = &stateMachine{log: f.log, fence: fence, leaseClient: member, ownerChanged: make(chan struct{}, 1), clock: clock,
+		waiters: map[uint64]chan error{}, allocators: map[string]*quota.Allocator{}, onAccountsChanged: func(of string, accounts []quota.Delta) { f.quotaAgents[of].mergeAccounts(accounts) }}
+	for kind, b := range f.quotaAgents {
+		f.stateMachine.allocators[kind] = quota.NewAllocator(b.total)
 	}
 	peers := maps.Clone(f.config.Voters)
 	delete(peers, f.config.Self)
@@ -148,8 +148,8 @@
 		return err
 	}
 	defer close(ready)
-	f.node, err = consensus.Start(consensus.Options{Self: f.config.Self, Voters: f.config.Voters, Join: f.config.Join, OnMembershipChange: f.reach,
-		ElectionTimeout: f.config.Election, Dir: f.config.Dir, StateMachine: f.machine, Send: f.transport.Send, Logger: f.log})
+	f.node, err = consensus.Start(consensus.Options{Self: f.config.Self, Voters: f.config.Voters, Join: f.config.Join, OnMembershipChange: f.setPeers,
+		ElectionTimeout: f.config.Election, Dir: f.config.Dir, StateMachine: f.stateMachine, Send: f.transport.Send, Logger: f.log})
 	if err != nil {
 		go f.transport.Close()
 		return err
@@ -157,9 +157,9 @@
 	return nil
 }
 
-// reach has the voters be reached that the log has, by the addresses of this
+// setPeers has the voters be reached that the log has, by the addresses of this
 // process's own file where that names them.
-func (f *Fleet) reach(voters []consensus.Voter) {
+func (f *Fleet) setPeers(voters []consensus.Voter) {
 	peers := map[string]string{}
 	for _, v := range voters {
 		peers[v.Name] = cmp.Or(f.config.Voters[v.Name], v.Address)
@@ -169,60 +169,60 @@
 
 // The kinds of news, as a piece's first byte.
 const (
-	newsJudgement = 'j'
-	newsCalls     = 'c'
-	newsRepeats   = 'r'
+	updateHealth     = 'j'
+	updateCallsQuota = 'c'
+	updateRetryQuota = 'r'
 
 	// These go to one member each, and are not passed on.
-	newsAskCalls   = 'C'
-	newsAskRepeats = 'R'
-	newsReport     = 'p' // of a member to a voter
-	newsDirection  = 'd' // of the owner of Rollout to a member
+	requestCallsTransfer = 'C'
+	requestRetryTransfer = 'R'
+	messageReport        = 'p' // of a member to a voter
+	messageDirective     = 'd' // of the owner of Rollout to a member
 )
 
-// news is what the members tell each other: gossip.Delegate.
-type news struct{ f *Fleet }
+// delegate is what the members tell each other: gossip.Delegate.
+type delegate struct{ f *Fleet }
 
 // MergeUpdate implements gossip.Delegate.
-func (n news) MergeUpdate(piece []byte) (about string, isNews bool) {
+func (n delegate) MergeUpdate(piece []byte) (about string, isNews bool) {
 	if len(piece) == 0 {
 		return "", false
 	}
 	switch piece[0] {
-	case newsJudgement:
+	case updateHealth:
 		return n.f.healthView.mergeUpdate(piece[1:])
-	case newsReport:
-		n.f.changes.heardReport(piece[1:])
-	case newsDirection:
-		n.f.changes.heardDirection(piece[1:])
+	case messageReport:
+		n.f.rolloutDriver.receiveReport(piece[1:])
+	case messageDirective:
+		n.f.rolloutDriver.receiveDirective(piece[1:])
 	}
-	for _, b := range n.f.budgets {
+	for _, b := range n.f.quotaAgents {
 		switch piece[0] {
-		case b.news:
-			return b.heard(piece[1:])
-		case b.ask:
-			b.heardAsk(piece[1:])
+		case b.updateKind:
+			return b.mergeUpdate(piece[1:])
+		case b.requestKind:
+			b.handleRequest(piece[1:])
 		}
 	}
 	return "", false
 }
 
 // KnownUpdates implements gossip.Delegate.
-func (n news) KnownUpdates() (out [][]byte) {
+func (n delegate) KnownUpdates() (out [][]byte) {
 	for _, p := range n.f.healthView.encodedUpdates() {
-		out = append(out, append([]byte{newsJudgement}, p...))
+		out = append(out, append([]byte{updateHealth}, p...))
 	}
-	for _, b := range n.f.budgets {
-		out = append(out, b.latest()...)
+	for _, b := range n.f.quotaAgents {
+		out = append(out, b.encodedUpdates()...)
 	}
 	return out
 }
 
-// tell spreads a piece of news, once there is anybody to tell.
-func (f *Fleet) tell(about string, piece []byte) {
+// broadcast spreads a piece of news, once there is anybody to broadcast.
+func (f *Fleet) broadcast(about string, piece []byte) {
 	select {
 	case <-f.gossipStarted:
-		f.members.Broadcast(about, piece)
+		f.membership.Broadcast(about, piece)
 	default: // it comes by KnownUpdates
 	}
 }
@@ -231,56 +231,56 @@
 func (f *Fleet) send(to string, piece []byte) {
 	select {
 	case <-f.gossipStarted:
-		f.members.Send(to, piece)
+		f.membership.Send(to, piece)
 	default:
 	}
 }
 
-// alive names the members that are thought to be alive, voters those of them
+// aliveMembers names the members that are thought to be aliveMembers, voters those of them
 // that vote; none before this one has joined.
-func (f *Fleet) alive() []string {
+func (f *Fleet) aliveMembers() []string {
 	select {
 	case <-f.gossipStarted:
-		return f.members.Alive()
+		return f.membership.Alive()
 	default:
 		return nil
 	}
 }
 
-func (f *Fleet) voters() []string {
+func (f *Fleet) aliveVoters() []string {
 	select {
 	case <-f.gossipStarted:
-		return f.members.AliveWithRole(string(Voter))
+		return f.membership.AliveWithRole(string(Voter))
 	default:
 		return nil
 	}
 }
 
-// Budget is this member's part of one of the fleet's budgets, nil where there is
+// QuotaAgent is this member's part of one of the fleet's budgets, nil where there is
 // none of that kind.
-func (f *Fleet) Budget(kind string) *Budget { return f.budgets[kind] }
+func (f *Fleet) QuotaAgent(kind string) *QuotaAgent { return f.quotaAgents[kind] }
 
 // Repeat takes one of the repeats of calls that the fleet may make; false where
 // none is left here for now. A fleet without such a budget has no bound.
 func (f *Fleet) Repeat() bool {
-	b := f.budgets[Repeats]
+	b := f.quotaAgents[Repeats]
 	if b == nil {
 		return true
 	}
-	put, ok := b.Take()
+	put, ok := b.TryAcquire()
 	if ok {
 		time.AfterFunc(f.config.repeatHold(), put)
 	}
 	return ok
 }
 
-// share keeps this member's part of the budgets.
-func (f *Fleet) share(ctx context.Context) {
-	defer close(f.shared)
-	if len(f.budgets) == 0 {
+// runQuotaAgents keeps this member's part of the budgets.
+func (f *Fleet) runQuotaAgents(ctx context.Context) {
+	defer close(f.quotaDone)
+	if len(f.quotaAgents) == 0 {
 		return
 	}
-	ticker := time.NewTicker(budgetTick)
+	ticker := time.NewTicker(quotaTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -288,8 +288,8 @@
 			return
 		case <-ticker.C:
 		}
-		for _, b := range f.budgets {
-			if orders := b.tick(f.machine); len(orders) > 0 {
+		for _, b := range f.quotaAgents {
+			if orders := b.tick(f.stateMachine); len(orders) > 0 {
 				f.node.RunInLoop(func() [][]byte { return orders })
 			}
 		}
@@ -300,10 +300,10 @@
 // under which token. It is to be asked right before each act, and the token to
 // go with the act.
 func (f *Fleet) Owner(name string) (lease.Token, bool) {
-	if f.machine == nil {
+	if f.stateMachine == nil {
 		return lease.Token{}, false
 	}
-	return f.machine.holds(name)
+	return f.stateMachine.holds(name)
 }
 
 // DependencyHealth is the latest word on the shared dependency that this member has;
@@ -312,17 +312,17 @@
 
 // Stats counts.
 func (f *Fleet) Stats() Stats {
-	s := Stats{Alive: len(f.members.Alive()), State: f.DependencyHealth().State}
-	_, s.Owner = f.Owner(Registry)
-	s.Messages, s.Bytes = f.members.Sent()
+	s := Stats{Alive: len(f.membership.Alive()), State: f.DependencyHealth().State}
+	_, s.Owner = f.Owner(HealthLease)
+	s.Messages, s.Bytes = f.membership.Sent()
 	if f.transport != nil {
 		messages, bytes := f.transport.Sent()
 		s.Messages, s.Bytes = s.Messages+messages, s.Bytes+bytes
 	}
 	s.Budgets = map[string]BudgetStats{}
-	for kind, b := range f.budgets {
-		rights, used := b.Rights()
-		s.Budgets[kind] = BudgetStats{int(rights), int(used), f.machine.free(kind)}
+	for kind, b := range f.quotaAgents {
+		rights, used := b.Usage()
+		s.Budgets[kind] = BudgetStats{int(rights), int(used), f.stateMachine.freeRights(kind)}
 	}
 	f.healthView.mu.Lock()
 	defer f.healthView.mu.Unlock()
@@ -330,16 +330,16 @@
 	return s
 }
 
-// work probes and publishes while this process owns the lease.
-func (f *Fleet) work(ctx context.Context) {
+// runHealthChecker probes and publishes while this process owns the lease.
+func (f *Fleet) runHealthChecker(ctx context.Context) {
 	defer close(f.healthCheckerDone)
 	client := &http.Client{Timeout: f.config.Term}
 	defer client.CloseIdleConnections()
 	ticker := time.NewTicker(f.config.ProbeEvery)
 	defer ticker.Stop()
 	var moved <-chan struct{}
-	if f.machine != nil {
-		moved = f.machine.moved
+	if f.stateMachine != nil {
+		moved = f.stateMachine.ownerChanged
 	}
 	var held lease.Token
 	for seq := uint64(1); ; seq++ {
@@ -349,30 +349,30 @@
 		case <-ticker.C:
 		case <-moved: // a new owner begins at once
 		}
-		token, ok := f.Owner(Registry)
+		token, ok := f.Owner(HealthLease)
 		if held != (lease.Token{}) && (!ok || token != held) {
-			f.log.Warn("lease_lapsed", "lease", Registry, "token", held.String())
+			f.log.Warn("lease_lapsed", "lease", HealthLease, "token", held.String())
 		}
 		if held = token; !ok {
 			held = lease.Token{}
 			continue
 		}
 		state, took := probeDependency(ctx, f.config.Probe, f.config.Slow)
-		if now, ok := f.Owner(Registry); !ok || now != token { // it ran out meanwhile
+		if now, ok := f.Owner(HealthLease); !ok || now != token { // it ran out meanwhile
 			continue
 		}
-		f.publish(ctx, client, DependencyHealth{Lease: Registry, Token: token, Seq: seq, By: f.config.Self, State: state, Took: took})
+		f.publishHealth(ctx, client, DependencyHealth{Lease: HealthLease, Token: token, Seq: seq, By: f.config.Self, State: state, Took: took})
 	}
 }
 
-func (f *Fleet) publish(ctx context.Context, client *http.Client, j DependencyHealth) {
+func (f *Fleet) publishHealth(ctx context.Context, client *http.Client, j DependencyHealth) {
 	piece, err := json.Marshal(j)
 	if err != nil {
 		f.log.Error("fleet_publish_failed", "error", err.Error())
 		return
 	}
 	f.healthView.mergeUpdate(piece)
-	f.members.Broadcast(j.Lease, append([]byte{newsJudgement}, piece...))
+	f.membership.Broadcast(j.Lease, append([]byte{updateHealth}, piece...))
 	if f.config.Publish == "" {
 		return
 	}
@@ -384,16 +384,16 @@
 // Stop gives up what this process owns, hands leadership on, takes leave, and
 // ends. It takes no longer than within, and a little.
 func (f *Fleet) Stop(within time.Duration) {
-	f.stop()
+	f.cancel()
 	<-f.healthCheckerDone
-	<-f.shared
-	<-f.changed
-	if f.machine != nil {
+	<-f.quotaDone
+	<-f.rolloutDone
+	if f.stateMachine != nil {
 		until := time.Now().Add(within)
-		f.node.RunInLoop(f.machine.retire)
-		for f.machine.owns(f.self) && time.Now().Before(until) {
+		f.node.RunInLoop(f.stateMachine.resign)
+		for f.stateMachine.ownsAnyLease(f.self) && time.Now().Before(until) {
 			select {
-			case <-f.machine.moved:
+			case <-f.stateMachine.ownerChanged:
 			case <-time.After(f.config.Election / 10):
 			case <-f.node.Done():
 				until = time.Time{}
@@ -402,14 +402,14 @@
 		f.node.TransferLeadership()
 		f.node.RunInLoop(func() [][]byte { return nil }) // the transfer of leadership has been sent
 	}
-	if err := f.members.Stop(leaveWithin); err != nil {
+	if err := f.membership.Stop(leaveTimeout); err != nil {
 		f.log.Debug("fleet_leave", "error", err.Error())
 	}
 	f.stopVoter()
 }
 
 func (f *Fleet) stopVoter() {
-	if f.machine == nil {
+	if f.stateMachine == nil {
 		return
 	}
 	if err := f.node.Stop(); err != nil {
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -19,19 +19,19 @@
 )
 
 // goldenMachine makes a voter's machine; it wants the leases named.
-func goldenMachine(t *testing.T, self string, wanted ...string) *machine {
+func goldenMachine(t *testing.T, self string, wanted ...string) *stateMachine {
 	t.Helper()
-	member, err := lease.NewClient(lease.Owner{Member: self, Incarnation: newLife()},
+	member, err := lease.NewClient(lease.Owner{Member: self, Incarnation: newIncarnation()},
 		lease.Timing{Duration: time.Second, ClockDrift: 0.05, RenewInterval: time.Second / 4}, wanted)
 	if err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	return &machine{
-		log: logging.Discard(), fence: &lease.Fence{}, member: member, moved: make(chan struct{}, 1),
-		clock: func() time.Duration { return time.Since(began) }, asked: map[uint64]chan error{},
-		banks:   map[string]*quota.Allocator{Calls: quota.NewAllocator(8), Repeats: quota.NewAllocator(100)},
-		changed: func(string, []quota.Delta) {},
+	return &stateMachine{
+		log: logging.Discard(), fence: &lease.Fence{}, leaseClient: member, ownerChanged: make(chan struct{}, 1),
+		clock: func() time.Duration { return time.Since(began) }, waiters: map[uint64]chan error{},
+		allocators:        map[string]*quota.Allocator{Calls: quota.NewAllocator(8), Repeats: quota.NewAllocator(100)},
+		onAccountsChanged: func(string, []quota.Delta) {},
 	}
 }
 
@@ -53,27 +53,27 @@
 	}
 	leases := func(c lease.Command) command { return command{Command: &c} }
 	banks := func(of string, token lease.Token, o quota.Command) command {
-		return command{Bank: &bankOrder{Of: of, Token: token, Order: o}}
+		return command{Quota: &quotaCommand{Budget: of, Token: token, Command: o}}
 	}
-	rollouts := func(o rolloutOrder) command { return command{Rollout: &o} }
+	rollouts := func(o rolloutCommand) command { return command{Rollout: &o} }
 	return []goldenEntry{
-		{"entry-lease-take.json", leases(lease.Command{Kind: lease.Acquire, Lease: Registry, Owner: owner, Nonce: 1})},
-		{"entry-lease-renew.json", leases(lease.Command{Kind: lease.Renew, Lease: Registry, Owner: owner, Token: registry, Nonce: 2})},
-		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: Registry, Owner: owner, Token: registry, Nonce: 3})},
-		{"entry-lease-take-bank.json", leases(lease.Command{Kind: lease.Acquire, Lease: Bank, Owner: owner, Nonce: 4})},
-		{"entry-lease-take-rollout.json", leases(lease.Command{Kind: lease.Acquire, Lease: Rollout, Owner: lease.Owner{Member: "v2", Incarnation: 7}, Nonce: 1})},
+		{"entry-lease-take.json", leases(lease.Command{Kind: lease.Acquire, Lease: HealthLease, Owner: owner, Nonce: 1})},
+		{"entry-lease-renew.json", leases(lease.Command{Kind: lease.Renew, Lease: HealthLease, Owner: owner, Token: registry, Nonce: 2})},
+		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: HealthLease, Owner: owner, Token: registry, Nonce: 3})},
+		{"entry-lease-take-bank.json", leases(lease.Command{Kind: lease.Acquire, Lease: QuotaLease, Owner: owner, Nonce: 4})},
+		{"entry-lease-take-rollout.json", leases(lease.Command{Kind: lease.Acquire, Lease: RolloutLease, Owner: lease.Owner{Member: "v2", Incarnation: 7}, Nonce: 1})},
 		{"entry-bank-grant.json", banks(Calls, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 5})},
 		{"entry-bank-grant-another.json", banks(Calls, bank, quota.Command{Kind: quota.Grant, Target: b, Amount: 2})},
 		{"entry-bank-repeats.json", banks(Repeats, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 10})},
 		{"entry-bank-fence.json", banks(Calls, bank, quota.Command{Kind: quota.Fence, Target: b})},
 		{"entry-bank-settle.json", banks(Calls, bank, quota.Command{Kind: quota.Reclaim, Reports: map[quota.ID]map[quota.ID]quota.TransferReport{b: {a: {Received: 1}}}})},
-		{"entry-rollout-start.json", rollouts(rolloutOrder{Nonce: 1 << 63, Order: rollout.Command{Kind: rollout.Start, Plan: plan}})},
-		{"entry-rollout-step.json", rollouts(rolloutOrder{Token: driver, Order: rollout.Command{
+		{"entry-rollout-start.json", rollouts(rolloutCommand{Nonce: 1 << 63, Command: rollout.Command{Kind: rollout.Start, Plan: plan}})},
+		{"entry-rollout-step.json", rollouts(rolloutCommand{Token: driver, Command: rollout.Command{
 			Kind: rollout.Step, PreviousIndex: 11,
 			State:    rollout.State{Phase: rollout.Watching, Window: 1, WindowsInPhase: 1, Histories: map[string]rollout.History{"a": {Requests: 10, Late: 1}}},
 			Decision: rollout.Decision{Verdict: rollout.Wait, Reason: "watching"},
 		}})},
-		{"entry-rollout-stop.json", rollouts(rolloutOrder{Nonce: 8, Order: rollout.Command{Kind: rollout.Stop, ID: "r1", Reason: "halted"}})},
+		{"entry-rollout-stop.json", rollouts(rolloutCommand{Nonce: 8, Command: rollout.Command{Kind: rollout.Stop, ID: "r1", Reason: "halted"}})},
 		{"entry-bank-stale.json", banks(Calls, registry, quota.Command{Kind: quota.Grant, Target: a, Amount: 1})},
 	}
 }
@@ -83,7 +83,7 @@
 func TestGoldenEntries(t *testing.T) {
 	m := goldenMachine(t, "v3")
 	for i, e := range goldenEntries() {
-		written := encode(m.log, e.c)
+		written := encodeCommands(m.log, e.c)
 		if len(written) != 1 {
 			t.Fatalf("%s was not encoded", e.name)
 		}
@@ -105,17 +105,17 @@
 		t.Fatal(err)
 	}
 	golden.Equal(t, "snapshot.json", snap)
-	if owner, token := m.grant(Rollout); owner != "v2" || token != (lease.Token{Term: 1, Index: 5}) {
+	if owner, token := m.grant(RolloutLease); owner != "v2" || token != (lease.Token{Term: 1, Index: 5}) {
 		t.Errorf("%s owns the lease on rollouts under %v", owner, token)
 	}
-	if owner, _ := m.grant(Registry); owner != "" {
+	if owner, _ := m.grant(HealthLease); owner != "" {
 		t.Errorf("%s owns the lease that was given up", owner)
 	}
 	// 5 and 2 of 8 were granted, and of the 2 one is with the other member for good.
-	if m.free(Calls) != 2 || m.free(Repeats) != 90 {
-		t.Errorf("%d calls and %d repeats are free", m.free(Calls), m.free(Repeats))
+	if m.freeRights(Calls) != 2 || m.freeRights(Repeats) != 90 {
+		t.Errorf("%d calls and %d repeats are free", m.freeRights(Calls), m.freeRights(Repeats))
 	}
-	if r := m.changes(); r.Plan.ID != "r1" || r.State.Phase != rollout.RollingBack || r.Index != 13 {
+	if r := m.rolloutRecord(); r.Plan.ID != "r1" || r.State.Phase != rollout.RollingBack || r.Index != 13 {
 		t.Errorf("the record: %+v", r)
 	}
 }
@@ -132,13 +132,13 @@
 	if err := m.Restore(golden.Bytes(t, "snapshot-new.json")); err != nil {
 		t.Fatal(err)
 	}
-	if owner, token := m.grant(Registry); owner != "" || token != (lease.Token{}) || m.free(Calls) != 8 || m.changes().Plan != nil {
-		t.Errorf("%s owns under %v, %d free, %+v", owner, token, m.free(Calls), m.changes())
+	if owner, token := m.grant(HealthLease); owner != "" || token != (lease.Token{}) || m.freeRights(Calls) != 8 || m.rolloutRecord().Plan != nil {
+		t.Errorf("%s owns under %v, %d free, %+v", owner, token, m.freeRights(Calls), m.rolloutRecord())
 	}
 }
 
 // startGolden starts a voter on a copy of its golden log.
-func startGolden(t *testing.T, self string, m *machine, send func(to string, message []byte)) *consensus.Node {
+func startGolden(t *testing.T, self string, m *stateMachine, send func(to string, message []byte)) *consensus.Node {
 	t.Helper()
 	o := consensus.Options{
 		Self: self, Voters: map[string]string{"v1": "10.0.0.1:7000", "v2": "10.0.0.2:7000", "v3": "10.0.0.3:7000"},
@@ -186,10 +186,10 @@
 		if err := before.Restore(golden.Bytes(t, "logs-state.json")); err != nil {
 			t.Fatal(err)
 		}
-		nodes, machines := map[string]*consensus.Node{}, map[string]*machine{}
+		nodes, machines := map[string]*consensus.Node{}, map[string]*stateMachine{}
 		ready := make(chan struct{})
 		for _, self := range []string{"v1", "v4"} {
-			machines[self] = goldenMachine(t, self, Registry, Bank, Rollout)
+			machines[self] = goldenMachine(t, self, HealthLease, QuotaLease, RolloutLease)
 			nodes[self] = startGolden(t, self, machines[self], func(to string, message []byte) {
 				select {
 				case <-ready: // all nodes are known
@@ -214,13 +214,13 @@
 		if err := after.Restore(snap); err != nil {
 			t.Fatal(err)
 		}
-		for _, name := range []string{Registry, Bank, Rollout} {
+		for _, name := range []string{HealthLease, QuotaLease, RolloutLease} {
 			_, was := before.grant(name)
 			if owner, token := after.grant(name); token.Compare(was) <= 0 || machines[owner] == nil {
 				t.Errorf("%s: %s owns it under %v, after %v", name, owner, token, was)
 			}
 		}
-		if !reflect.DeepEqual(after.banks, before.banks) || !reflect.DeepEqual(after.changes(), before.changes()) {
+		if !reflect.DeepEqual(after.allocators, before.allocators) || !reflect.DeepEqual(after.rolloutRecord(), before.rolloutRecord()) {
 			t.Errorf("the budgets or the record changed: %s", snap)
 		}
 	})
@@ -238,10 +238,10 @@
 // goldenSubject counts what the golden report says.
 type goldenSubject struct{}
 
-// Totals implements Subject.
+// Totals implements Target.
 func (goldenSubject) Totals() rollout.Totals { return goldenTotals() }
 
-// Apply implements Subject.
+// Apply implements Target.
 func (goldenSubject) Apply(json.RawMessage) error { return nil }
 
 // goldenFleet makes a member without a network.
@@ -249,17 +249,17 @@
 	t.Helper()
 	f := &Fleet{
 		config: Config{Self: self, Zone: "z1", Version: "2"}, log: logging.Discard(), self: lease.Owner{Member: self, Incarnation: 1 << 62},
-		budgets: map[string]*Budget{}, gossipStarted: make(chan struct{}),
+		quotaAgents: map[string]*QuotaAgent{}, gossipStarted: make(chan struct{}),
 	}
 	f.healthView = &healthView{log: f.log, fence: &lease.Fence{}, latest: map[string]DependencyHealth{}, maxAge: time.Hour}
-	for kind, first := range map[string][2]byte{Calls: {newsCalls, newsAskCalls}, Repeats: {newsRepeats, newsAskRepeats}} {
-		b, err := newBudget(kind, first[0], first[1], 8, quota.Timing{SessionTimeout: time.Second, HeartbeatInterval: time.Second / 10}, f, func() time.Duration { return 0 })
+	for kind, first := range map[string][2]byte{Calls: {updateCallsQuota, requestCallsTransfer}, Repeats: {updateRetryQuota, requestRetryTransfer}} {
+		b, err := newQuotaAgent(kind, first[0], first[1], 8, quota.Timing{SessionTimeout: time.Second, HeartbeatInterval: time.Second / 10}, f, func() time.Duration { return 0 })
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.budgets[kind] = b
+		f.quotaAgents[kind] = b
 	}
-	f.changes = newChanges(f)
+	f.rolloutDriver = newRolloutDriver(f)
 	f.Follow(goldenSubject{})
 	return f
 }
@@ -279,8 +279,8 @@
 func TestGoldenBudgetPieces(t *testing.T) {
 	for _, kind := range []string{Calls, Repeats} {
 		writer, reader := goldenFleet(t, "m1"), goldenFleet(t, "m2")
-		b := writer.budgets[kind]
-		golden.Equal(t, kind+"-item", b.pack(goldenItem))
+		b := writer.quotaAgents[kind]
+		golden.Equal(t, kind+"-item", b.encodeUpdate(goldenItem))
 		b.alive = func() []string { return []string{"m1", "m2"} }
 		b.send = func(to string, piece []byte) {
 			if to != "m2" {
@@ -288,13 +288,13 @@
 			}
 			golden.Equal(t, kind+"-ask", piece)
 		}
-		b.askFor(goldenAsk, nil)
+		b.requestTransfer(goldenAsk, nil)
 
-		b = reader.budgets[kind]
-		if about, isNews := (news{reader}).MergeUpdate(golden.Bytes(t, kind+"-item")); !isNews || about != kind+" row a/2305843009213693952" {
+		b = reader.quotaAgents[kind]
+		if about, isNews := (delegate{reader}).MergeUpdate(golden.Bytes(t, kind+"-item")); !isNews || about != kind+" row a/2305843009213693952" {
 			t.Errorf("the item is about %q, news: %t", about, isNews)
 		}
-		news{reader}.MergeUpdate(golden.Bytes(t, kind+"-ask"))
+		delegate{reader}.MergeUpdate(golden.Bytes(t, kind+"-ask"))
 		if !reflect.DeepEqual(b.member.State().Accounts[goldenAsk.From], &goldenAsk.Account) {
 			t.Errorf("%s: after the ask: %+v", kind, b.member.State().Accounts[goldenAsk.From])
 		}
@@ -309,28 +309,28 @@
 // owner's direction to a member.
 func TestGoldenRolloutPieces(t *testing.T) {
 	member, voter := goldenFleet(t, "m1"), goldenFleet(t, "v1")
-	member.changes.voters = func() []string { return []string{"v1"} }
-	member.changes.send = func(_ string, piece []byte) { golden.Equal(t, "report", piece) }
-	member.changes.tell(true)
-	news{voter}.MergeUpdate(golden.Bytes(t, "report"))
+	member.rolloutDriver.voters = func() []string { return []string{"v1"} }
+	member.rolloutDriver.send = func(_ string, piece []byte) { golden.Equal(t, "report", piece) }
+	member.rolloutDriver.sendReport(true)
+	delegate{voter}.MergeUpdate(golden.Bytes(t, "report"))
 	want := rollout.Report{Server: "m1", Zone: "z1", Incarnation: 1 << 62, Sequence: 1, Version: "2", Leaving: true, Totals: goldenTotals()}
-	if got := voter.changes.collector.LatestReports(); !reflect.DeepEqual(got, []rollout.Report{want}) {
+	if got := voter.rolloutDriver.collector.LatestReports(); !reflect.DeepEqual(got, []rollout.Report{want}) {
 		t.Errorf("reports %+v, want %+v", got, want)
 	}
 
 	voter = goldenFleet(t, "v1")
-	voter.changes.collector.Observe(rollout.Report{Server: "m1", Incarnation: 1, Sequence: 1})
+	voter.rolloutDriver.collector.Observe(rollout.Report{Server: "m1", Incarnation: 1, Sequence: 1})
 	sent := make(chan []byte, 1)
-	voter.changes.stream = func(_ string, piece []byte) error {
+	voter.rolloutDriver.sendReliable = func(_ string, piece []byte) error {
 		sent <- piece
 		return nil
 	}
 	token := lease.Token{Term: 2, Index: 300}
 	patch := json.RawMessage(`{"queue":null}`)
-	voter.changes.direct(&rollout.Record{Index: 90, LastSettings: 3, CurrentSettings: 3, Patches: map[uint64]json.RawMessage{3: patch}}, token)
+	voter.rolloutDriver.sendDirectives(&rollout.Record{Index: 90, LastSettings: 3, CurrentSettings: 3, Patches: map[uint64]json.RawMessage{3: patch}}, token)
 	golden.Equal(t, "direction", <-sent)
-	news{member}.MergeUpdate(golden.Bytes(t, "direction"))
-	if got, want := <-member.changes.told, (rollout.Directive{Token: token, Index: 90, SettingsNumber: 3, Patch: patch}); !reflect.DeepEqual(got, want) {
+	delegate{member}.MergeUpdate(golden.Bytes(t, "direction"))
+	if got, want := <-member.rolloutDriver.directives, (rollout.Directive{Token: token, Index: 90, SettingsNumber: 3, Patch: patch}); !reflect.DeepEqual(got, want) {
 		t.Errorf("direction %+v, want %+v", got, want)
 	}
 }
@@ -338,15 +338,15 @@
 // TestGoldenJudgement writes and reads the word on the shared dependency, as
 // members hear it and as the operator's registry is told it.
 func TestGoldenJudgement(t *testing.T) {
-	j := DependencyHealth{Lease: Registry, Token: lease.Token{Term: 2, Index: 300}, Seq: 9, By: "v1", State: Slow, Took: 31 * time.Millisecond}
+	j := DependencyHealth{Lease: HealthLease, Token: lease.Token{Term: 2, Index: 300}, Seq: 9, By: "v1", State: Slow, Took: 31 * time.Millisecond}
 	writer, reader := goldenFleet(t, "v1"), goldenFleet(t, "m1")
-	writer.budgets, writer.healthView.latest[Registry] = nil, j
-	pieces := (news{writer}).KnownUpdates()
+	writer.quotaAgents, writer.healthView.latest[HealthLease] = nil, j
+	pieces := (delegate{writer}).KnownUpdates()
 	if len(pieces) != 1 {
 		t.Fatalf("%d pieces", len(pieces))
 	}
 	golden.Equal(t, "judgement", pieces[0])
-	if about, isNews := (news{reader}).MergeUpdate(golden.Bytes(t, "judgement")); about != Registry || !isNews || reader.DependencyHealth() != j {
+	if about, isNews := (delegate{reader}).MergeUpdate(golden.Bytes(t, "judgement")); about != HealthLease || !isNews || reader.DependencyHealth() != j {
 		t.Errorf("about %q, news: %t, %+v", about, isNews, reader.DependencyHealth())
 	}
 
--- a/fleet/judgement.go
+++ b/fleet/judgement.go
@@ -61,7 +61,7 @@
 // mergeUpdate takes in a piece of news.
 func (b *healthView) mergeUpdate(piece []byte) (about string, news bool) {
 	var j DependencyHealth
-	if err := json.Unmarshal(piece, &j); err != nil || j.Lease != Registry {
+	if err := json.Unmarshal(piece, &j); err != nil || j.Lease != HealthLease {
 		b.log.Debug("fleet_news_unreadable", "bytes", len(piece))
 		return "", false
 	}
@@ -91,9 +91,9 @@
 func (b *healthView) current() DependencyHealth {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	j, ok := b.latest[Registry]
+	j, ok := b.latest[HealthLease]
 	if !ok {
-		j.Lease = Registry
+		j.Lease = HealthLease
 	}
 	if !ok || time.Since(b.updatedAt) > b.maxAge {
 		j.State = Unknown
--- a/fleet/judgement_test.go
+++ b/fleet/judgement_test.go
@@ -28,7 +28,7 @@
 			{DependencyHealth{Token: lease.Token{Term: 2, Index: 9}, Seq: 1, State: Slow}, true, Slow},
 			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Seq: 3, State: Good}, false, Slow},
 		} {
-			c.j.Lease = Registry
+			c.j.Lease = HealthLease
 			piece, err := json.Marshal(c.j)
 			if err != nil {
 				t.Fatal(err)
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -18,118 +18,118 @@
 // the type is called.
 type command struct {
 	*lease.Command `json:"lease,omitempty"`
-	Bank           *bankOrder    `json:"bank,omitempty"`
-	Rollout        *rolloutOrder `json:"rollout,omitempty"`
+	Quota          *quotaCommand   `json:"bank,omitempty"`
+	Rollout        *rolloutCommand `json:"rollout,omitempty"`
 }
 
-// rolloutOrder is an order for the record of changes: a step under the token of
+// rolloutCommand is an order for the record of changes: a step under the token of
 // the lease Rollout, or an operator's, who waits for what comes of its nonce.
-type rolloutOrder struct {
-	Token lease.Token     `json:"token,omitzero"`
-	Nonce uint64          `json:"nonce,omitempty"`
-	Order rollout.Command `json:"order"`
+type rolloutCommand struct {
+	Token   lease.Token     `json:"token,omitzero"`
+	Nonce   uint64          `json:"nonce,omitempty"`
+	Command rollout.Command `json:"order"`
 }
 
-// bankOrder is an order for the bank of a budget, under the token of the lease Bank: the
+// quotaCommand is an order for the bank of a budget, under the token of the lease Bank: the
 // log refuses what a late-waking old owner sends.
-type bankOrder struct {
-	Of    string        `json:"of"`
-	Token lease.Token   `json:"token"`
-	Order quota.Command `json:"order"`
+type quotaCommand struct {
+	Budget  string        `json:"of"`
+	Token   lease.Token   `json:"token"`
+	Command quota.Command `json:"order"`
 }
 
 // snapshot is what the log came to.
 type snapshot struct {
-	Leases *lease.Table                `json:"leases"`
-	Banks  map[string]*quota.Allocator `json:"banks,omitempty"`
-	Record rollout.Record              `json:"rollout"`
+	Leases     *lease.Table                `json:"leases"`
+	Allocators map[string]*quota.Allocator `json:"banks,omitempty"`
+	Record     rollout.Record              `json:"rollout"`
 }
 
-// machine is what a voter has under its log: consensus.StateMachine over
+// stateMachine is what a voter has under its log: consensus.StateMachine over
 // lease.Client and quota.Bank.
-type machine struct {
-	log   *slog.Logger
-	clock func() time.Duration
-	fence *lease.Fence
-	moved chan struct{} // has an item when a lease changed owners
+type stateMachine struct {
+	log          *slog.Logger
+	clock        func() time.Duration
+	fence        *lease.Fence
+	ownerChanged chan struct{} // has an item when a lease changed owners
 
-	changed func(budget string, accounts []quota.Delta) // takes what a bank changed
+	onAccountsChanged func(budget string, accounts []quota.Delta) // takes what a bank changed
 
-	mu     sync.Mutex // the worker asks from its own goroutine
-	member *lease.Client
-	banks  map[string]*quota.Allocator // by budget
-	record rollout.Record              // of changes
-	asked  map[uint64]chan error       // operators that wait, by their orders' nonces
+	mu          sync.Mutex // the worker asks from its own goroutine
+	leaseClient *lease.Client
+	allocators  map[string]*quota.Allocator // by budget
+	record      rollout.Record              // of changes
+	waiters     map[uint64]chan error       // operators that wait, by their orders' nonces
 }
 
 // Apply implements consensus.StateMachine.
-func (m *machine) Apply(data []byte, term, index uint64) {
+func (m *stateMachine) Apply(data []byte, term, index uint64) {
 	var c command
 	if err := json.Unmarshal(data, &c); err != nil {
 		m.log.Error("fleet_command_unreadable", "index", index, "error", err.Error())
 		return
 	}
-	if c.Bank != nil {
-		m.order(*c.Bank, index)
+	if c.Quota != nil {
+		m.applyQuotaCommand(*c.Quota, index)
 		return
 	}
 	if c.Rollout != nil {
-		m.change(*c.Rollout, index)
+		m.applyRolloutCommand(*c.Rollout, index)
 		return
 	}
 	if c.Command == nil {
 		return
 	}
 	m.mu.Lock()
-	move := m.member.Apply(*c.Command, lease.Token{Term: term, Index: index}, m.clock())
+	move := m.leaseClient.Apply(*c.Command, lease.Token{Term: term, Index: index}, m.clock())
 	m.mu.Unlock()
 	if move != nil {
-		m.tell(*move)
+		m.notifyOwnerChange(*move)
 	}
 }
 
-// order has the bank take in an order, unless it is an old owner's.
-func (m *machine) order(o bankOrder, index uint64) {
+// applyQuotaCommand has the bank take in an applyQuotaCommand, unless it is an old owner's.
+func (m *stateMachine) applyQuotaCommand(o quotaCommand, index uint64) {
 	m.mu.Lock()
-	bank := m.banks[o.Of]
+	bank := m.allocators[o.Budget]
 	if bank == nil {
 		m.mu.Unlock()
 		return
 	}
 	var items []quota.Delta
-	err := m.stale(Bank, o.Token)
+	err := m.checkToken(QuotaLease, o.Token)
 	if err == nil {
-		items, err = bank.Apply(o.Order, index)
+		items, err = bank.Apply(o.Command, index)
 	}
 	m.mu.Unlock()
 	if err != nil {
 		m.log.Debug("fleet_order_refused", "error", err.Error())
 		return
 	}
-	m.log.Info("bank", "budget", o.Of, "order", string(o.Order.Kind), "of", o.Order.Target.String(), "amount", o.Order.Amount)
-	m.changed(o.Of, items)
+	m.log.Info("bank", "budget", o.Budget, "order", string(o.Command.Kind), "of", o.Command.Target.String(), "amount", o.Command.Amount)
+	m.onAccountsChanged(o.Budget, items)
 }
 
-// change takes in an order for the record of changes, unless it is a step of an
+// applyRolloutCommand takes in an order for the record of changes, unless it is a step of an
 // old owner's.
-func (m *machine) change(o rolloutOrder, index uint64) {
+func (m *stateMachine) applyRolloutCommand(o rolloutCommand, index uint64) {
 	m.mu.Lock()
 	was := m.record
 	var err error
-	if o.Order.Kind == rollout.Step {
-		err = m.stale(Rollout, o.Token)
+	if o.Command.Kind == rollout.Step {
+		err = m.checkToken(RolloutLease, o.Token)
 	}
 	if err == nil {
-		m.record, err = was.Apply(o.Order, index)
+		m.record, err = was.Apply(o.Command, index)
 	}
-	if outcome := m.asked[o.Nonce]; outcome != nil {
+	if outcome := m.waiters[o.Nonce]; outcome != nil {
 		outcome <- err
-		delete(m.asked, o.Nonce) // it may come again, and is refused then
+		delete(m.waiters, o.Nonce) // it may come again, and is refused then
 	}
 	now := m.record
 	m.mu.Unlock()
 	if err != nil {
-		m.log.Warn("rollout_refused", "order", string(o.Order.Kind), "token", o.Token.String(), "error", err.Error())
+		m.log.Warn("rollout_refused", "order", string(o.Command.Kind), "token", o.Token.String(), "error", err.Error())
 		return
 	}
 	if was.Plan != now.Plan || was.State.Phase != now.State.Phase || was.State.Stage != now.State.Stage {
@@ -138,50 +138,50 @@
 	}
 }
 
-// stale tells that a token is not that of a lease's present owner. The lock is
+// checkToken tells that a token is not that of a lease's present owner. The lock is
 // held.
-func (m *machine) stale(name string, token lease.Token) error {
-	if g := m.member.Table().Grant(name); g.Token != token || g.Free() {
+func (m *stateMachine) checkToken(name string, token lease.Token) error {
+	if g := m.leaseClient.Table().Grant(name); g.Token != token || g.Free() {
 		return &lease.StaleTokenError{Lease: name, Token: token, Highest: g.Token}
 	}
 	return nil
 }
 
-// changes gives the record of changes as it stands; it is replaced, never written
+// rolloutRecord gives the record of rolloutRecord as it stands; it is replaced, never written
 // into.
-func (m *machine) changes() rollout.Record {
+func (m *stateMachine) rolloutRecord() rollout.Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.record
 }
 
-// await gives where the outcome of an operator's order will come, and forget
+// registerWaiter gives where the outcome of an operator's order will come, and forget
 // gives that up.
-func (m *machine) await(nonce uint64) <-chan error {
+func (m *stateMachine) registerWaiter(nonce uint64) <-chan error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := make(chan error, 1)
-	m.asked[nonce] = c
+	m.waiters[nonce] = c
 	return c
 }
 
-func (m *machine) forget(nonce uint64) {
+func (m *stateMachine) removeWaiter(nonce uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.asked, nonce)
+	delete(m.waiters, nonce)
 }
 
 // grant gives a lease's owner, "" where it is free, and the token of its grant.
-func (m *machine) grant(name string) (owner string, token lease.Token) {
+func (m *stateMachine) grant(name string) (owner string, token lease.Token) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	g := m.member.Table().Grant(name)
+	g := m.leaseClient.Table().Grant(name)
 	return g.Owner.Member, g.Token
 }
 
-// tell says that a lease changed owners: to the log, to the fence, which so
+// notifyOwnerChange says that a lease changed owners: to the log, to the fence, which so
 // knows of a grant ahead of the owner's acts, and to the worker.
-func (m *machine) tell(move lease.OwnerChange) {
+func (m *stateMachine) notifyOwnerChange(move lease.OwnerChange) {
 	if move.To.Member != "" { // a grant is news that the log brings ahead of the owner's acts
 		if err := m.fence.Admit(move.Lease, move.Token); err != nil {
 			m.log.Error("fleet_token_went_back", "error", err.Error())
@@ -189,29 +189,29 @@
 	}
 	m.log.Info("lease", "lease", move.Lease, "from", move.From.Member, "to", move.To.Member, "token", move.Token.String())
 	select {
-	case m.moved <- struct{}{}:
+	case m.ownerChanged <- struct{}{}:
 	default:
 	}
 }
 
 // Tick implements consensus.StateMachine: the leader asks for what is free.
-func (m *machine) Tick(leader bool) [][]byte {
+func (m *stateMachine) Tick(leader bool) [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.encode(m.member.Tick(m.clock(), leader))
+	return m.encode(m.leaseClient.Tick(m.clock(), leader))
 }
 
-func (m *machine) encode(leases []lease.Command) [][]byte {
+func (m *stateMachine) encode(leases []lease.Command) [][]byte {
 	commands := make([]command, len(leases))
 	for i := range leases {
 		commands[i].Command = &leases[i]
 	}
-	return encode(m.log, commands...)
+	return encodeCommands(m.log, commands...)
 }
 
-// encode gives commands as entries for the log; what can't be encoded is left
+// encodeCommands gives commands as entries for the log; what can't be encoded is left
 // out, which the log of the process tells.
-func encode(log *slog.Logger, commands ...command) [][]byte {
+func encodeCommands(log *slog.Logger, commands ...command) [][]byte {
 	var out [][]byte
 	for _, c := range commands {
 		b, err := json.Marshal(c)
@@ -225,14 +225,14 @@
 }
 
 // Snapshot implements consensus.StateMachine.
-func (m *machine) Snapshot() ([]byte, error) {
+func (m *stateMachine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return json.Marshal(snapshot{m.member.Table(), m.banks, m.record})
+	return json.Marshal(snapshot{m.leaseClient.Table(), m.allocators, m.record})
 }
 
 // Restore implements consensus.StateMachine.
-func (m *machine) Restore(data []byte) error {
+func (m *stateMachine) Restore(data []byte) error {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -241,55 +241,55 @@
 		s.Leases = &lease.Table{}
 	}
 	m.mu.Lock()
-	moves := m.member.Restore(*s.Leases, m.clock())
+	moves := m.leaseClient.Restore(*s.Leases, m.clock())
 	m.record = s.Record
 	items := map[string][]quota.Delta{}
-	for of, bank := range s.Banks {
-		if m.banks[of] == nil {
+	for of, bank := range s.Allocators {
+		if m.allocators[of] == nil {
 			continue // a budget that the fleet has no more
 		}
-		m.banks[of] = bank
+		m.allocators[of] = bank
 		for id, a := range bank.Accounts {
 			items[of] = append(items[of], quota.Delta{ID: id, Account: a})
 		}
 	}
 	m.mu.Unlock()
 	for of, is := range items {
-		m.changed(of, is)
+		m.onAccountsChanged(of, is)
 	}
 	for _, move := range moves {
-		m.tell(move)
+		m.notifyOwnerChange(move)
 	}
 	return nil
 }
 
 // holds tells whether this voter may act as a lease's owner now.
-func (m *machine) holds(name string) (lease.Token, bool) {
+func (m *stateMachine) holds(name string) (lease.Token, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.member.Holds(name, m.clock())
+	return m.leaseClient.Holds(name, m.clock())
 }
 
-// free is how much of a budget nobody holds; 0 where there is no log.
-func (m *machine) free(of string) int {
+// freeRights is how much of a budget nobody holds; 0 where there is no log.
+func (m *stateMachine) freeRights(of string) int {
 	if m == nil {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return int(m.banks[of].Free)
+	return int(m.allocators[of].Free)
 }
 
-// owns tells whether the log has this voter as the owner of any lease.
-func (m *machine) owns(self lease.Owner) bool {
+// ownsAnyLease tells whether the log has this voter as the owner of any lease.
+func (m *stateMachine) ownsAnyLease(self lease.Owner) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := m.member.Table()
+	t := m.leaseClient.Table()
 	return slices.ContainsFunc(t.Leases(), func(name string) bool { return t.Grant(name).Owner == self })
 }
 
-func (m *machine) retire() [][]byte {
+func (m *stateMachine) resign() [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.encode(m.member.Resign(m.clock()))
+	return m.encode(m.leaseClient.Resign(m.clock()))
 }
--- a/fleet/voters.go
+++ b/fleet/voters.go
@@ -23,7 +23,7 @@
 	if f.node == nil {
 		return nil, ErrNoVoter
 	}
-	alive := f.members.Alive()
+	alive := f.membership.Alive()
 	var out []VoterStatus
 	for _, v := range f.node.Voters() {
 		out = append(out, VoterStatus{v, slices.Contains(alive, v.Name)})
@@ -38,7 +38,7 @@
 	if f.node == nil {
 		return ErrNoVoter
 	}
-	return f.regroup(ctx, func() error { return f.node.AddVoter(name, address) }, func(vs []consensus.Voter) bool {
+	return f.changeMembership(ctx, func() error { return f.node.AddVoter(name, address) }, func(vs []consensus.Voter) bool {
 		return slices.ContainsFunc(vs, func(v consensus.Voter) bool { return v.Name == name })
 	})
 }
@@ -68,13 +68,13 @@
 	if 2*alive <= stay {
 		return fmt.Errorf("fleet: of the %d voters that would stay %v are not alive: no majority", stay, dead)
 	}
-	return f.regroup(ctx, func() error { return f.node.RemoveVoter(name) }, func(vs []consensus.Voter) bool {
+	return f.changeMembership(ctx, func() error { return f.node.RemoveVoter(name) }, func(vs []consensus.Voter) bool {
 		return !slices.ContainsFunc(vs, func(v consensus.Voter) bool { return v.Name == name })
 	})
 }
 
-// regroup asks for a change of the group until it is there.
-func (f *Fleet) regroup(ctx context.Context, ask func() error, is func([]consensus.Voter) bool) error {
+// changeMembership asks for a change of the group until it is there.
+func (f *Fleet) changeMembership(ctx context.Context, ask func() error, is func([]consensus.Voter) bool) error {
 	for {
 		if is(f.node.Voters()) {
 			return nil
@@ -85,7 +85,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("fleet: the log did not take the change of voters: %w", ctx.Err())
-		case <-time.After(askAgain):
+		case <-time.After(resubmitInterval):
 		}
 	}
 }
--- a/program/changes.go
+++ b/program/changes.go
@@ -69,20 +69,20 @@
 	}
 }
 
-// changeable is what the fleet's rollouts change: fleet.Subject.
+// changeable is what the fleet's rollouts change: fleet.Target.
 type changeable struct {
 	*tally
 	server *Server
 }
 
-// Totals implements fleet.Subject.
+// Totals implements fleet.Target.
 func (c changeable) Totals() rollout.Totals {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.totals
 }
 
-// Apply implements fleet.Subject.
+// Apply implements fleet.Target.
 func (c changeable) Apply(patch json.RawMessage) error {
 	s := c.server
 	s.reloading.Lock()
--- a/program/downstream/budget.go
+++ b/program/downstream/budget.go
@@ -17,10 +17,10 @@
 }
 
 // Budget is the member's part of what the whole fleet may have in hand at
-// the shared dependency; *fleet.Budget is one.
+// the shared dependency; *fleet.QuotaAgent is one.
 type Budget interface {
-	Take() (put func(), ok bool)
-	OnFreed(f func())
+	TryAcquire() (put func(), ok bool)
+	OnRelease(f func())
 }
 
 // Budgeted lets calls go below only within a budget: routing.Dependency
@@ -53,7 +53,7 @@
 // Attach has to follow.
 func NewBudgeted(next routing.Dependency, budget Budget, linger func() time.Duration) *Budgeted {
 	b := &Budgeted{next: next, budget: budget, linger: linger, out: map[string]budgetedCall{}}
-	budget.OnFreed(b.pump)
+	budget.OnRelease(b.pump)
 	return b
 }
 
@@ -76,7 +76,7 @@
 		k := b.waiting[0]
 		left := time.Until(k.until)
 		if left > 0 {
-			put, ok := b.budget.Take()
+			put, ok := b.budget.TryAcquire()
 			if !ok {
 				return
 			}
@@ -126,9 +126,9 @@
 // Bound has the module keep to this member's part of the fleet's budgets, as they
 // move, and tells the fleet what it would have in hand if only it might.
 func Bound(core *routing.Core, member *fleet.Fleet) {
-	calls := member.Budget(fleet.Calls)
+	calls := member.QuotaAgent(fleet.Calls)
 	b := decision.Bounds{Calls: math.Inf(1)}
-	if member.Budget(fleet.Repeats) != nil {
+	if member.QuotaAgent(fleet.Repeats) != nil {
 		b.Repeat = member.Repeat
 	}
 	if calls == nil {
@@ -138,7 +138,7 @@
 		return
 	}
 	latest := make(chan uint64, 1) // a core that is busy must not hold up the fleet's side
-	calls.OnTick(func(may uint64) {
+	calls.OnAvailable(func(may uint64) {
 		select {
 		case latest <- may:
 		default:
@@ -147,7 +147,7 @@
 	go func() {
 		for may := range latest {
 			b.Calls = float64(may)
-			if core.Bound(b, calls.Want) != nil {
+			if core.Bound(b, calls.ReportDemand) != nil {
 				return // it has stopped
 			}
 		}
--- a/program/downstream/budget_test.go
+++ b/program/downstream/budget_test.go
@@ -25,7 +25,7 @@
 }
 
 // Take implements Budget.
-func (r *rights) Take() (func(), bool) {
+func (r *rights) TryAcquire() (func(), bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.left == 0 {
@@ -35,8 +35,8 @@
 	return func() { r.add(1) }, true
 }
 
-// OnFreed implements Budget.
-func (r *rights) OnFreed(f func()) { r.freed = f }
+// OnRelease implements Budget.
+func (r *rights) OnRelease(f func()) { r.freed = f }
 
 // below is a dependency that notes what it is told, and a core that notes what
 // it hears.
--- a/program/metrics.go
+++ b/program/metrics.go
@@ -108,7 +108,7 @@
 		count("quincerail_fleet_stale_total", "Pieces of fleet work refused for their token.",
 			func(s fleet.Stats) float64 { return float64(s.Stale) }))
 	for _, of := range []string{fleet.Calls, fleet.Repeats} {
-		if f.Budget(of) == nil {
+		if f.QuotaAgent(of) == nil {
 			continue
 		}
 		labels := prometheus.Labels{"of": of}
@@ -123,15 +123,15 @@
 				Help: "What of the fleet's budget nobody holds, by a voter's log."},
 				func() float64 { return float64(f.Stats().Budgets[of].Free) }))
 	}
-	calls := f.Budget(fleet.Calls)
+	calls := f.QuotaAgent(fleet.Calls)
 	if calls == nil {
 		return
 	}
-	m.count = calls.Count
+	m.count = calls.AddToCounter
 	for _, kind := range kindNames {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "quincerail_fleet_answers",
 			ConstLabels: prometheus.Labels{"kind": kind}, Help: "Final answers of the whole fleet, as far as this member has heard."},
-			func() float64 { return float64(calls.Counted(kind)) }))
+			func() float64 { return float64(calls.CounterValue(kind)) }))
 	}
 }
 
--- a/program/program.go
+++ b/program/program.go
@@ -155,8 +155,8 @@
 		}
 	}()
 	var budgeted *downstream.Budgeted
-	if member != nil && member.Budget(fleet.Calls) != nil {
-		budgeted = downstream.NewBudgeted(pool, member.Budget(fleet.Calls), func() time.Duration { return c.Settings.Linger })
+	if member != nil && member.QuotaAgent(fleet.Calls) != nil {
+		budgeted = downstream.NewBudgeted(pool, member.QuotaAgent(fleet.Calls), func() time.Duration { return c.Settings.Linger })
 		opt.Dependency = budgeted
 	}
 	core, err := routing.New(opt)
