--- a/cmd/fleet-experiment/main.go
+++ b/cmd/fleet-experiment/main.go
@@ -25,7 +25,7 @@
 type cli struct {
 	Failover failoverCmd `cmd:"" help:"Time from an owner's end to the next owner's first act."`
 	Traffic  trafficCmd  `cmd:"" help:"Messages, bytes and CPU time of each member of a fleet at rest."`
-	Share    shareCmd    `cmd:"" help:"Partitions of fleets on the emulator: a table, and charts."`
+	Quota    quotaCmd    `cmd:"" name:"share" help:"Partitions of fleets in the simulation of the quota: a table, and charts."`
 	Rollout  rolloutCmd  `cmd:"" help:"Rollouts of good and bad changes on a made-up fleet."`
 }
 
--- a/cmd/fleet-experiment/rollout.go
+++ b/cmd/fleet-experiment/rollout.go
@@ -16,87 +16,133 @@
 	"quincerail.example/quincerail/fleet/rollout/simulation"
 )
 
-// rolloutCmd plays rollouts of changes of each kind.
+const (
+	rolloutRequestsPerWindow = 110 // of each server
+	rolloutMaxWindows        = 6000
+	// wideShare is the share of servers that a bad change should not reach.
+	wideShare = 0.05
+)
+
+// rolloutCmd simulates rollouts of changes of each kind.
 type rolloutCmd struct {
 	Trials  int    `default:"200" help:"Of each kind."`
 	Servers int    `default:"100"`
 	Charts  string `default:"docs" help:"Folder for the chart."`
 }
 
+// changeKind is a kind of change, by what it does to the servers that run it.
+type changeKind struct {
+	name  string
+	apply func(*simulation.Config)
+}
+
+var changeKinds = []changeKind{
+	{"good", func(*simulation.Config) {}},
+	{"a fifth more late answers", func(c *simulation.Config) { c.LateRatio = 1.2 }},
+	{"twice the failures", func(c *simulation.Config) { c.FailureRatio = 2 }},
+	{"a fifth slower", func(c *simulation.Config) { c.LatencyRatio = 1.2 }},
+	{"crashes once in ten windows", func(c *simulation.Config) { c.CrashesPerWindow = 0.1 }},
+	{"the old servers fail beside it", func(c *simulation.Config) { c.BaselineFailures = 0.5 }},
+}
+
+// rolloutResult is what the trials of a kind of change came to.
+type rolloutResult struct {
+	kind         string
+	done, halted int
+	wide         int     // that reached more than wideShare of the servers
+	maxShare     float64 // of the servers that any reached
+	windows      []int   // that each took, in order
+}
+
 // Run implements the sub-command.
 func (c *rolloutCmd) Run() error {
-	ends := map[string][]int{}
-	var kinds []string
 	fmt.Println("| change | trials | done | halted | most servers reached | over 5% | windows (p50, p90) |\n| --- | --- | --- | --- | --- | --- | --- |")
-	for _, kind := range []struct {
-		name   string
-		change func(*simulation.Config)
-	}{
-		{"good", func(*simulation.Config) {}},
-		{"a fifth more late answers", func(x *simulation.Config) { x.LateRatio = 1.2 }},
-		{"twice the failures", func(x *simulation.Config) { x.FailureRatio = 2 }},
-		{"a fifth slower", func(x *simulation.Config) { x.LatencyRatio = 1.2 }},
-		{"crashes once in ten windows", func(x *simulation.Config) { x.CrashesPerWindow = 0.1 }},
-		{"the old servers fail beside it", func(x *simulation.Config) { x.BaselineFailures = 0.5 }},
-	} {
-		outs := make([]simulation.Outcome, c.Trials)
-		var wg sync.WaitGroup
-		room := make(chan struct{}, runtime.NumCPU())
-		for i := range outs {
-			wg.Go(func() {
-				room <- struct{}{}
-				defer func() { <-room }()
-				x := simulation.Config{Seed: uint64(i), RequestsPerWindow: 110, LateRatio: 1, FailureRatio: 1, LatencyRatio: 1, MaxWindows: 6000,
-					Plan: rollout.Plan{ID: fmt.Sprint("r", i), Kind: rollout.Program, From: "v1", To: "v2", Servers: simulation.Servers(c.Servers),
-						Stages: rollout.DefaultStages(), MinWatchWindows: 300, MaxWatchWindows: 3000, Limits: rollout.DefaultLimits()}}
-				kind.change(&x)
-				outs[i] = simulation.Run(x, func(s rollout.State) rollout.State { return s })
-			})
+	var results []rolloutResult
+	for _, kind := range changeKinds {
+		r := summarize(kind.name, c.simulate(kind))
+		n := len(r.windows)
+		fmt.Printf("| %s | %d | %d | %d | %.2f | %d | %d, %d |\n", r.kind, c.Trials, r.done, r.halted, r.maxShare, r.wide,
+			r.windows[n/2], r.windows[n*9/10])
+		results = append(results, r)
+	}
+	return c.chart(results)
+}
+
+// simulate runs the trials of a kind of change, one on each processor at a time.
+func (c *rolloutCmd) simulate(kind changeKind) []simulation.Outcome {
+	outcomes := make([]simulation.Outcome, c.Trials)
+	var tasks sync.WaitGroup
+	slots := make(chan struct{}, runtime.NumCPU())
+	for trial := range outcomes {
+		tasks.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			config := c.config(trial)
+			kind.apply(&config)
+			outcomes[trial] = simulation.Run(config, func(s rollout.State) rollout.State { return s })
+		})
+	}
+	tasks.Wait()
+	return outcomes
+}
+
+func (c *rolloutCmd) config(trial int) simulation.Config {
+	return simulation.Config{
+		Seed: uint64(trial), RequestsPerWindow: rolloutRequestsPerWindow, MaxWindows: rolloutMaxWindows,
+		LateRatio: 1, FailureRatio: 1, LatencyRatio: 1,
+		Plan: rollout.Plan{
+			ID: fmt.Sprint("r", trial), Kind: rollout.Program, From: "v1", To: "v2", Servers: simulation.Servers(c.Servers),
+			Stages: rollout.DefaultStages(), MinWatchWindows: 300, MaxWatchWindows: 3000, Limits: rollout.DefaultLimits(),
+		},
+	}
+}
+
+func summarize(kind string, outcomes []simulation.Outcome) rolloutResult {
+	r := rolloutResult{kind: kind}
+	for _, o := range outcomes {
+		switch o.State.Phase {
+		case rollout.Done:
+			r.done++
+		case rollout.Halted:
+			r.halted++
 		}
-		wg.Wait()
-		var done, halted, over int
-		var reached float64
-		var windows []int
-		for _, o := range outs {
-			switch o.State.Phase {
-			case rollout.Done:
-				done++
-			case rollout.Halted:
-				halted++
-			}
-			if o.MaxShare > 0.05 {
-				over++
-			}
-			reached = max(reached, o.MaxShare)
-			windows = append(windows, o.Windows)
+		if o.MaxShare > wideShare {
+			r.wide++
 		}
-		slices.Sort(windows)
-		kinds, ends[kind.name] = append(kinds, kind.name), windows
-		fmt.Printf("| %s | %d | %d | %d | %.2f | %d | %d, %d |\n", kind.name, c.Trials, done, halted, reached, over,
-			windows[len(windows)/2], windows[len(windows)*9/10])
+		r.maxShare = max(r.maxShare, o.MaxShare)
+		r.windows = append(r.windows, o.Windows)
 	}
-	return c.chart(kinds, ends)
+	slices.Sort(r.windows)
+	return r
 }
 
 // chart draws which share of the trials of each kind had ended by a window.
-func (c *rolloutCmd) chart(kinds []string, ends map[string][]int) error {
+func (c *rolloutCmd) chart(results []rolloutResult) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d servers, %d trials of each kind", c.Servers, c.Trials)
 	p.X.Label.Text, p.Y.Label.Text = "windows since the start", "share of trials ended"
 	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, 1
-	for i, kind := range kinds {
-		var xy plotter.XYs
-		for n, at := range ends[kind] {
-			xy = append(xy, plotter.XY{X: float64(at), Y: float64(n) / float64(c.Trials)}, plotter.XY{X: float64(at), Y: float64(n+1) / float64(c.Trials)})
-		}
-		line, err := plotter.NewLine(xy)
+	for i, r := range results {
+		line, err := plotter.NewLine(c.endedShare(r.windows))
 		if err != nil {
 			return fmt.Errorf("chart: %w", err)
 		}
 		line.Color, line.Dashes = plotutil.Color(i), plotutil.Dashes(i)
 		p.Add(line)
-		p.Legend.Add(kind, line)
+		p.Legend.Add(r.kind, line)
 	}
 	p.Legend.Top, p.Legend.Left = false, false
 	return p.Save(18*vg.Centimeter, 9*vg.Centimeter, filepath.Join(c.Charts, "rollout.svg"))
 }
+
+// endedShare is a step function: the share of trials that ended by each window.
+func (c *rolloutCmd) endedShare(windows []int) plotter.XYs {
+	var points plotter.XYs
+	for ended, window := range windows {
+		x := float64(window)
+		points = append(points,
+			plotter.XY{X: x, Y: float64(ended) / float64(c.Trials)},
+			plotter.XY{X: x, Y: float64(ended+1) / float64(c.Trials)})
+	}
+	return points
+}
