--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -188,7 +188,7 @@
 func (b *Budget) askFor(a quota.TransferRequest, of []quota.ID) {
 	piece, err := cbor.Marshal(a)
 	if err != nil {
-		b.log.Error("fleet_share", "error", err.Error())
+		b.log.Error("quota_encode_failed", "error", err.Error())
 		return
 	}
 	others := slices.DeleteFunc(b.alive(), func(name string) bool { return name == b.name })
@@ -238,7 +238,7 @@
 func (b *Budget) pack(i quota.Delta) []byte {
 	piece, err := cbor.Marshal(i)
 	if err != nil {
-		b.log.Error("fleet_share", "error", err.Error())
+		b.log.Error("quota_encode_failed", "error", err.Error())
 		return nil
 	}
 	return append([]byte{b.news}, piece...)
@@ -278,9 +278,9 @@
 	}
 	clear(b.counts)
 	if b.member.Fenced() {
-		b.log.Warn("fleet_share_fenced", "of", b.kind, "member", b.name)
+		b.log.Warn("quota_member_fenced", "budget", b.kind, "member", b.name)
 		if err := b.begin(); err != nil {
-			b.log.Error("fleet_share", "error", err.Error())
+			b.log.Error("quota_member_start_failed", "error", err.Error())
 		}
 	}
 	said := b.member.Tick(now)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -317,7 +317,7 @@
 		t.Fatal(err)
 	}
 	fenced := func(l fleettest.Line) bool {
-		return l.Event == "bank" && l.Fields["budget"] == "calls" && l.Fields["order"] == "fence" && strings.HasPrefix(l.Fields["of"], "v5/")
+		return l.Event == "quota_command_applied" && l.Fields["budget"] == "calls" && l.Fields["command"] == "fence" && strings.HasPrefix(l.Fields["member"], "v5/")
 	}
 	if _, err := r.Await("the fence of the old life", from, fenced); err != nil {
 		t.Fatal(err)
@@ -326,7 +326,7 @@
 	r.served("paused, killed and lossy", 300)
 	r.Net.Heal()
 	settled := func(l fleettest.Line) bool {
-		return l.Event == "bank" && l.Fields["budget"] == "calls" && l.Fields["order"] == "settle"
+		return l.Event == "quota_command_applied" && l.Fields["budget"] == "calls" && l.Fields["command"] == "settle"
 	}
 	if _, err := r.Await("the settlement of the old life", from, settled); err != nil {
 		t.Fatal(err)
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -103,10 +103,10 @@
 	}
 	m.mu.Unlock()
 	if err != nil {
-		m.log.Debug("fleet_order_refused", "error", err.Error())
+		m.log.Debug("quota_command_refused", "error", err.Error())
 		return
 	}
-	m.log.Info("bank", "budget", o.Of, "order", string(o.Order.Kind), "of", o.Order.Target.String(), "amount", o.Order.Amount)
+	m.log.Info("quota_command_applied", "budget", o.Of, "command", string(o.Order.Kind), "member", o.Order.Target.String(), "amount", o.Order.Amount)
 	m.changed(o.Of, items)
 }
 
