--- /dev/null
+++ b/cmd/fleet-experiment/main.go
@@ -0,0 +1,55 @@
+// Command fleet-experiment measures fleets, of real processes on loopback and in
+// the simulations of the quota and of rollouts. It is no part of CI; docs/fleet.md,
+// docs/share.md and docs/rollout.md have its tables.
+//
+//	go run ./cmd/fleet-experiment failover --trials 100
+//	go run ./cmd/fleet-experiment traffic --members 295
+//	go run ./cmd/fleet-experiment share
+//	go run ./cmd/fleet-experiment rollout
+package main
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/alecthomas/kong"
+
+	"quincerail.example/quincerail/internal/fleettest"
+)
+
+// startTimeout is how long a fleet's processes may take to start.
+const startTimeout = 2 * time.Minute
+
+type cli struct {
+	Failover failoverCmd `cmd:"" help:"Time from an owner's end to the next owner's first act."`
+	Traffic  trafficCmd  `cmd:"" help:"Messages, bytes and CPU time of each member of a fleet at rest."`
+	Share    shareCmd    `cmd:"" help:"Partitions of fleets on the emulator: a table, and charts."`
+	Rollout  rolloutCmd  `cmd:"" help:"Rollouts of good and bad changes on a made-up fleet."`
+}
+
+func main() {
+	c := cli{}
+	ctx := kong.Parse(&c)
+	ctx.FatalIfErrorf(ctx.Run())
+}
+
+// withFleet builds the program, starts a fleet of it, and runs an experiment on it.
+func withFleet(options fleettest.Options, experiment func(*fleettest.Fleet) error) (err error) {
+	dir, err := os.MkdirTemp("", "fleet-experiment")
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	if options.Binary, err = fleettest.Build(dir); err != nil {
+		return err
+	}
+	options.Dir, options.Example, options.Within = dir, filepath.Join("example", "config.json"), startTimeout
+	fleet, err := fleettest.Start(options)
+	if err != nil {
+		return err
+	}
+	defer fleet.Close()
+	return experiment(fleet)
+}
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -21,8 +21,8 @@
 // goldenMachine makes a voter's machine; it wants the leases named.
 func goldenMachine(t *testing.T, self string, wanted ...string) *machine {
 	t.Helper()
-	member, err := lease.NewMember(lease.Owner{Member: self, Life: newLife()},
-		lease.Timing{Term: time.Second, Drift: 0.05, Renew: time.Second / 4}, wanted)
+	member, err := lease.NewClient(lease.Owner{Member: self, Incarnation: newLife()},
+		lease.Timing{Duration: time.Second, ClockDrift: 0.05, RenewInterval: time.Second / 4}, wanted)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,12 +44,12 @@
 // goldenEntries are one for each kind of command, and the last of them an old
 // owner's, which is refused; the first has index 1.
 func goldenEntries() []goldenEntry {
-	owner := lease.Owner{Member: "v1", Life: 1 << 62}
+	owner := lease.Owner{Member: "v1", Incarnation: 1 << 62}
 	registry, bank, driver := lease.Token{Term: 1, Index: 1}, lease.Token{Term: 1, Index: 4}, lease.Token{Term: 1, Index: 5}
 	a, b := quota.ID{Member: "a", Incarnation: 1 << 61}, quota.ID{Member: "b", Incarnation: 1}
 	plan := &rollout.Plan{
-		ID: "r1", Kind: rollout.Program, From: "1", To: "2", Watch: 1, WatchMost: 2, Limits: rollout.DefaultLimits(),
-		Servers: []rollout.Server{{Name: "a", Zone: "z"}, {Name: "b", Zone: "z"}}, Stages: []rollout.Stage{{Share: 1, Bake: 1, Sample: 1, Patience: 9}},
+		ID: "r1", Kind: rollout.Program, From: "1", To: "2", MinWatchWindows: 1, MaxWatchWindows: 2, Limits: rollout.DefaultLimits(),
+		Servers: []rollout.Server{{Name: "a", Zone: "z"}, {Name: "b", Zone: "z"}}, Stages: []rollout.Stage{{Share: 1, BakeWindows: 1, MinRequests: 1, MaxWindows: 9}},
 	}
 	leases := func(c lease.Command) command { return command{Command: &c} }
 	banks := func(of string, token lease.Token, o quota.Command) command {
@@ -57,23 +57,23 @@
 	}
 	rollouts := func(o rolloutOrder) command { return command{Rollout: &o} }
 	return []goldenEntry{
-		{"entry-lease-take.json", leases(lease.Command{Kind: lease.Take, Lease: Registry, By: owner, Nonce: 1})},
-		{"entry-lease-renew.json", leases(lease.Command{Kind: lease.Renew, Lease: Registry, By: owner, Token: registry, Nonce: 2})},
-		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: Registry, By: owner, Token: registry, Nonce: 3})},
-		{"entry-lease-take-bank.json", leases(lease.Command{Kind: lease.Take, Lease: Bank, By: owner, Nonce: 4})},
-		{"entry-lease-take-rollout.json", leases(lease.Command{Kind: lease.Take, Lease: Rollout, By: lease.Owner{Member: "v2", Life: 7}, Nonce: 1})},
+		{"entry-lease-take.json", leases(lease.Command{Kind: lease.Acquire, Lease: Registry, Owner: owner, Nonce: 1})},
+		{"entry-lease-renew.json", leases(lease.Command{Kind: lease.Renew, Lease: Registry, Owner: owner, Token: registry, Nonce: 2})},
+		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: Registry, Owner: owner, Token: registry, Nonce: 3})},
+		{"entry-lease-take-bank.json", leases(lease.Command{Kind: lease.Acquire, Lease: Bank, Owner: owner, Nonce: 4})},
+		{"entry-lease-take-rollout.json", leases(lease.Command{Kind: lease.Acquire, Lease: Rollout, Owner: lease.Owner{Member: "v2", Incarnation: 7}, Nonce: 1})},
 		{"entry-bank-grant.json", banks(Calls, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 5})},
 		{"entry-bank-grant-another.json", banks(Calls, bank, quota.Command{Kind: quota.Grant, Target: b, Amount: 2})},
 		{"entry-bank-repeats.json", banks(Repeats, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 10})},
 		{"entry-bank-fence.json", banks(Calls, bank, quota.Command{Kind: quota.Fence, Target: b})},
 		{"entry-bank-settle.json", banks(Calls, bank, quota.Command{Kind: quota.Reclaim, Reports: map[quota.ID]map[quota.ID]quota.TransferReport{b: {a: {Received: 1}}}})},
-		{"entry-rollout-start.json", rollouts(rolloutOrder{Nonce: 1 << 63, Order: rollout.Order{Kind: rollout.Start, Plan: plan}})},
-		{"entry-rollout-step.json", rollouts(rolloutOrder{Token: driver, Order: rollout.Order{
-			Kind: rollout.Step, Prev: 11,
-			State:    rollout.State{Phase: rollout.Watching, Window: 1, Waited: 1, Used: map[string]rollout.Used{"a": {Requests: 10, Late: 1}}},
+		{"entry-rollout-start.json", rollouts(rolloutOrder{Nonce: 1 << 63, Order: rollout.Command{Kind: rollout.Start, Plan: plan}})},
+		{"entry-rollout-step.json", rollouts(rolloutOrder{Token: driver, Order: rollout.Command{
+			Kind: rollout.Step, PreviousIndex: 11,
+			State:    rollout.State{Phase: rollout.Watching, Window: 1, WindowsInPhase: 1, Histories: map[string]rollout.History{"a": {Requests: 10, Late: 1}}},
 			Decision: rollout.Decision{Verdict: rollout.Wait, Reason: "watching"},
 		}})},
-		{"entry-rollout-stop.json", rollouts(rolloutOrder{Nonce: 8, Order: rollout.Order{Kind: rollout.Stop, ID: "r1", Reason: "halted"}})},
+		{"entry-rollout-stop.json", rollouts(rolloutOrder{Nonce: 8, Order: rollout.Command{Kind: rollout.Stop, ID: "r1", Reason: "halted"}})},
 		{"entry-bank-stale.json", banks(Calls, registry, quota.Command{Kind: quota.Grant, Target: a, Amount: 1})},
 	}
 }
@@ -115,7 +115,7 @@
 	if m.free(Calls) != 2 || m.free(Repeats) != 90 {
 		t.Errorf("%d calls and %d repeats are free", m.free(Calls), m.free(Repeats))
 	}
-	if r := m.changes(); r.Plan.ID != "r1" || r.State.Phase != rollout.Back || r.Index != 13 {
+	if r := m.changes(); r.Plan.ID != "r1" || r.State.Phase != rollout.RollingBack || r.Index != 13 {
 		t.Errorf("the record: %+v", r)
 	}
 }
@@ -142,7 +142,7 @@
 	t.Helper()
 	o := consensus.Options{
 		Self: self, Voters: map[string]string{"v1": "10.0.0.1:7000", "v2": "10.0.0.2:7000", "v3": "10.0.0.3:7000"},
-		Election: time.Second, Dir: golden.CopyFolder(t, "log-"+self), Machine: m, Send: send, Logger: logging.Discard(),
+		ElectionTimeout: time.Second, Dir: golden.CopyFolder(t, "log-"+self), StateMachine: m, Send: send, Logger: logging.Discard(),
 	}
 	o.Join = self == "v4"
 	n, err := consensus.Start(o)
@@ -228,9 +228,9 @@
 
 // goldenTotals are what the golden report counts.
 func goldenTotals() (totals rollout.Totals) {
-	totals.Requests, totals.Refused, totals.Late, totals.Failed = 1<<33, 5, 6, 7
-	for i := range totals.Slower {
-		totals.Slower[i] = uint64(100 - i)
+	totals.Requests, totals.Rejected, totals.Late, totals.Failed = 1<<33, 5, 6, 7
+	for i := range totals.SlowerThan {
+		totals.SlowerThan[i] = uint64(100 - i)
 	}
 	return totals
 }
@@ -248,7 +248,7 @@
 func goldenFleet(t *testing.T, self string) *Fleet {
 	t.Helper()
 	f := &Fleet{
-		conf: Config{Self: self, Zone: "z1", Version: "2"}, log: logging.Discard(), self: lease.Owner{Member: self, Life: 1 << 62},
+		conf: Config{Self: self, Zone: "z1", Version: "2"}, log: logging.Discard(), self: lease.Owner{Member: self, Incarnation: 1 << 62},
 		budgets: map[string]*Budget{}, joined: make(chan struct{}),
 	}
 	f.board = &board{log: f.log, fence: &lease.Fence{}, latest: map[string]Judgement{}, fresh: time.Hour}
@@ -313,13 +313,13 @@
 	member.changes.send = func(_ string, piece []byte) { golden.Equal(t, "report", piece) }
 	member.changes.tell(true)
 	news{voter}.MergeUpdate(golden.Bytes(t, "report"))
-	want := rollout.Report{Server: "m1", Zone: "z1", Life: 1 << 62, Seq: 1, Version: "2", Leaving: true, Totals: goldenTotals()}
-	if got := voter.changes.collector.Reports(); !reflect.DeepEqual(got, []rollout.Report{want}) {
+	want := rollout.Report{Server: "m1", Zone: "z1", Incarnation: 1 << 62, Sequence: 1, Version: "2", Leaving: true, Totals: goldenTotals()}
+	if got := voter.changes.collector.LatestReports(); !reflect.DeepEqual(got, []rollout.Report{want}) {
 		t.Errorf("reports %+v, want %+v", got, want)
 	}
 
 	voter = goldenFleet(t, "v1")
-	voter.changes.collector.Heard(rollout.Report{Server: "m1", Life: 1, Seq: 1})
+	voter.changes.collector.Observe(rollout.Report{Server: "m1", Incarnation: 1, Sequence: 1})
 	sent := make(chan []byte, 1)
 	voter.changes.stream = func(_ string, piece []byte) error {
 		sent <- piece
@@ -327,10 +327,10 @@
 	}
 	token := lease.Token{Term: 2, Index: 300}
 	patch := json.RawMessage(`{"queue":null}`)
-	voter.changes.direct(&rollout.Record{Index: 90, Last: 3, Current: 3, Patches: map[uint64]json.RawMessage{3: patch}}, token)
+	voter.changes.direct(&rollout.Record{Index: 90, LastSettings: 3, CurrentSettings: 3, Patches: map[uint64]json.RawMessage{3: patch}}, token)
 	golden.Equal(t, "direction", <-sent)
 	news{member}.MergeUpdate(golden.Bytes(t, "direction"))
-	if got, want := <-member.changes.told, (rollout.Direction{Token: token, Index: 90, Number: 3, Patch: patch}); !reflect.DeepEqual(got, want) {
+	if got, want := <-member.changes.told, (rollout.Directive{Token: token, Index: 90, SettingsNumber: 3, Patch: patch}); !reflect.DeepEqual(got, want) {
 		t.Errorf("direction %+v, want %+v", got, want)
 	}
 }
--- a/fleet/lease/golden_test.go
+++ b/fleet/lease/golden_test.go
@@ -13,12 +13,12 @@
 // leases: a command of each kind, and the table; and the token, which is sent in
 // CBOR too.
 func TestGoldenForms(t *testing.T) {
-	a, b := Owner{Member: "v1", Life: 1 << 63}, Owner{Member: "v2", Life: 7}
+	a, b := Owner{Member: "v1", Incarnation: 1 << 63}, Owner{Member: "v2", Incarnation: 7}
 	first, second := Token{Term: 2, Index: 11}, Token{Term: 3, Index: 1 << 40}
-	take := Command{Kind: Take, Lease: "registry", By: a, Nonce: 1}
-	retake := Command{Kind: Take, Lease: "registry", By: b, Token: first, Renewals: 1, Nonce: 4}
-	renew := Command{Kind: Renew, Lease: "registry", By: a, Token: first, Nonce: 2}
-	release := Command{Kind: Release, Lease: "registry", By: b, Token: second, Nonce: 5}
+	take := Command{Kind: Acquire, Lease: "registry", Owner: a, Nonce: 1}
+	retake := Command{Kind: Acquire, Lease: "registry", Owner: b, Token: first, Renewals: 1, Nonce: 4}
+	renew := Command{Kind: Renew, Lease: "registry", Owner: a, Token: first, Nonce: 2}
+	release := Command{Kind: Release, Lease: "registry", Owner: b, Token: second, Nonce: 5}
 	golden.RoundTrip(t, "command-take.json", take, json.Marshal, json.Unmarshal)
 	golden.RoundTrip(t, "command-take-after-renewal.json", retake, json.Marshal, json.Unmarshal)
 	golden.RoundTrip(t, "command-renew.json", renew, json.Marshal, json.Unmarshal)
@@ -40,7 +40,7 @@
 		{renew, Token{Term: 2, Index: 12}},
 		{retake, second},
 		{release, Token{Term: 3, Index: 1<<40 + 1}},
-		{Command{Kind: Take, Lease: "bank", By: a, Nonce: 2}, Token{Term: 3, Index: 1<<40 + 2}},
+		{Command{Kind: Acquire, Lease: "bank", Owner: a, Nonce: 2}, Token{Term: 3, Index: 1<<40 + 2}},
 	} {
 		if !table.Apply(step.command, step.at) {
 			t.Fatalf("%+v at %v was not granted", step.command, step.at)
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -25,9 +25,9 @@
 // rolloutOrder is an order for the record of changes: a step under the token of
 // the lease Rollout, or an operator's, who waits for what comes of its nonce.
 type rolloutOrder struct {
-	Token lease.Token   `json:"token,omitzero"`
-	Nonce uint64        `json:"nonce,omitempty"`
-	Order rollout.Order `json:"order"`
+	Token lease.Token     `json:"token,omitzero"`
+	Nonce uint64          `json:"nonce,omitempty"`
+	Order rollout.Command `json:"order"`
 }
 
 // bankOrder is an order for the bank of a budget, under the token of the lease Bank: the
@@ -45,8 +45,8 @@
 	Record rollout.Record              `json:"rollout"`
 }
 
-// machine is what a voter has under its log: consensus.Machine over
-// lease.Member and quota.Bank.
+// machine is what a voter has under its log: consensus.StateMachine over
+// lease.Client and quota.Bank.
 type machine struct {
 	log   *slog.Logger
 	clock func() time.Duration
@@ -56,13 +56,13 @@
 	changed func(budget string, accounts []quota.Delta) // takes what a bank changed
 
 	mu     sync.Mutex // the worker asks from its own goroutine
-	member *lease.Member
+	member *lease.Client
 	banks  map[string]*quota.Allocator // by budget
 	record rollout.Record              // of changes
 	asked  map[uint64]chan error       // operators that wait, by their orders' nonces
 }
 
-// Apply implements consensus.Machine.
+// Apply implements consensus.StateMachine.
 func (m *machine) Apply(data []byte, term, index uint64) {
 	var c command
 	if err := json.Unmarshal(data, &c); err != nil {
@@ -81,7 +81,7 @@
 		return
 	}
 	m.mu.Lock()
-	move := m.member.Applied(*c.Command, lease.Token{Term: term, Index: index}, m.clock())
+	move := m.member.Apply(*c.Command, lease.Token{Term: term, Index: index}, m.clock())
 	m.mu.Unlock()
 	if move != nil {
 		m.tell(*move)
@@ -142,7 +142,7 @@
 // held.
 func (m *machine) stale(name string, token lease.Token) error {
 	if g := m.member.Table().Grant(name); g.Token != token || g.Free() {
-		return &lease.StaleError{Lease: name, Token: token, Highest: g.Token}
+		return &lease.StaleTokenError{Lease: name, Token: token, Highest: g.Token}
 	}
 	return nil
 }
@@ -181,7 +181,7 @@
 
 // tell says that a lease changed owners: to the log, to the fence, which so
 // knows of a grant ahead of the owner's acts, and to the worker.
-func (m *machine) tell(move lease.Move) {
+func (m *machine) tell(move lease.OwnerChange) {
 	if move.To.Member != "" { // a grant is news that the log brings ahead of the owner's acts
 		if err := m.fence.Admit(move.Lease, move.Token); err != nil {
 			m.log.Error("fleet_token_went_back", "error", err.Error())
@@ -194,7 +194,7 @@
 	}
 }
 
-// Tick implements consensus.Machine: the leader asks for what is free.
+// Tick implements consensus.StateMachine: the leader asks for what is free.
 func (m *machine) Tick(leader bool) [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,14 +224,14 @@
 	return out
 }
 
-// Snapshot implements consensus.Machine.
+// Snapshot implements consensus.StateMachine.
 func (m *machine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return json.Marshal(snapshot{m.member.Table(), m.banks, m.record})
 }
 
-// Restore implements consensus.Machine.
+// Restore implements consensus.StateMachine.
 func (m *machine) Restore(data []byte) error {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -291,5 +291,5 @@
 func (m *machine) retire() [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.encode(m.member.Retire(m.clock()))
+	return m.encode(m.member.Resign(m.clock()))
 }
