--- a/cmd/quincerail/versions_handover_test.go
+++ b/cmd/quincerail/versions_handover_test.go
@@ -126,8 +126,10 @@
 	s.t.Cleanup(processor.Close)
 	operator := filepath.Join(s.t.TempDir(), "operator.toml")
 	must(s.t, 0, os.WriteFile(operator, []byte("[metrics]\nlisten = '127.0.0.1:0'\n[log]\nlevel = 'debug'\nrepeats = 100\n"), 0o600))
-	config := writeConfig(s.t, map[string]any{"listen": anyPort, "control": anyPort, "processor": processor.Addr(),
-		"ledger": s.ledger.Addr(), "announce": s.announce.Addr(), "settings": s.settings})
+	config := writeConfig(s.t, map[string]any{
+		"listen": anyPort, "control": anyPort, "processor": processor.Addr(),
+		"ledger": s.ledger.Addr(), "announce": s.announce.Addr(), "settings": s.settings,
+	})
 	p := &serverProcess{t: s.t, exited: make(chan error, 1)}
 	p.command = exec.CommandContext(s.t.Context(), program, "--operator", operator)
 	p.command.Env = append(os.Environ(), "GW_CONFIG="+config, "GW_FD=3", "TMPDIR="+s.folder)
@@ -276,6 +278,7 @@
 // all have been served.
 func (s *handoverSite) send(requests []keyedRequest, callers int) *sync.WaitGroup {
 	var group sync.WaitGroup
+	s.t.Cleanup(group.Wait) // of a test that ends early
 	for _, r := range requests {
 		for range callers {
 			group.Go(func() { s.serve(s.t.Context(), r) })
--- a/cmd/quincerail/versions_test.go
+++ b/cmd/quincerail/versions_test.go
@@ -177,8 +177,10 @@
 	handoverEvents = []string{"handover"}
 	// expectedWarnings come of what the tests do: processes and parties end, nobody
 	// plays the announce service in a fleet, and busy machines let leases run out.
-	expectedWarnings = []string{"announce", "fleet_direction_refused", "fleet_publish_failed", "fleet_share_fenced",
-		"lease_lapsed", "processor_link_lost", "processor_reject", "rollout_refused", "suppressed"}
+	expectedWarnings = []string{
+		"announce", "fleet_direction_refused", "fleet_publish_failed", "fleet_share_fenced",
+		"lease_lapsed", "processor_link_lost", "processor_reject", "rollout_refused", "suppressed",
+	}
 	// unreadableMarks are parts of the names of events, of any level, that report
 	// a stored record or a message that could not be read.
 	unreadableMarks = []string{"unreadable", "undecodable", "malformed", "corrupt", "damaged", "message_refused", "keys_lost"}
--- a/cmd/quincerail/versions_voters_test.go
+++ b/cmd/quincerail/versions_voters_test.go
@@ -54,8 +54,10 @@
 func TestVersionsSideBySideVoters(t *testing.T) {
 	forEachVersionPair(t, func(t *testing.T, pair versionPair) {
 		began := time.Now()
-		f := startVersionsFleet(t, fleettest.Options{Binary: pair.previous, Version: previousVersion,
-			Versions: map[string]string{currentVersion: pair.current}, Members: 1})
+		f := startVersionsFleet(t, fleettest.Options{
+			Binary: pair.previous, Version: previousVersion,
+			Versions: map[string]string{currentVersion: pair.current}, Members: 1,
+		})
 		f.rollOut(pair.current, "before", quickPlan)
 		f.awaitPhase("done")
 		f.rollOut(pair.previous, "across", endlessPlan)
@@ -79,8 +81,10 @@
 func TestVersionsSideBySideJoin(t *testing.T) {
 	forEachVersionPair(t, func(t *testing.T, pair versionPair) {
 		for _, programs := range []versionPair{pair, {previous: pair.current, current: pair.previous}} {
-			f := startVersionsFleet(t, fleettest.Options{Binary: programs.previous, Version: previousVersion,
-				Versions: map[string]string{currentVersion: programs.current}, Joining: 1})
+			f := startVersionsFleet(t, fleettest.Options{
+				Binary: programs.previous, Version: previousVersion,
+				Versions: map[string]string{currentVersion: programs.current}, Joining: 1,
+			})
 			must(t, 0, f.Replace("v4", currentVersion))
 			f.rollOut(programs.previous, "before", quickPlan)
 			f.awaitPhase("done")
@@ -115,8 +119,10 @@
 
 func startVersionsFleet(t *testing.T, o fleettest.Options) *versionsFleet {
 	t.Helper()
-	f := &versionsFleet{t: t, work: standin.NewWork(keyedRunTime), voters: []string{"v1", "v2", "v3"}, keyed: map[string][]keyedRequest{},
-		programs: []string{o.Binary, o.Versions[currentVersion]}}
+	f := &versionsFleet{
+		t: t, work: standin.NewWork(keyedRunTime), voters: []string{"v1", "v2", "v3"}, keyed: map[string][]keyedRequest{},
+		programs: []string{o.Binary, o.Versions[currentVersion]},
+	}
 	o.Dir, o.Seed, o.Example = t.TempDir(), 26, filepath.Join("..", "..", "example", "config.json")
 	o.Voters, o.Load, o.Took, o.TurnsAway, o.Within = 3, 4, 60*time.Millisecond, 8, conditionTimeout
 	o.Adjust = func(config map[string]any) {
@@ -124,8 +130,10 @@
 		config["control"] = anyPort
 	}
 	o.Work = func() *standin.Work { return f.work }
-	o.Settings = map[string]any{"election_ms": 500, "lease_ms": 500, "probe_ms": 50, "window_ms": 200, "budget_calls": budgetCalls,
-		"budget_repeats": budgetRepeats, "horizon_ms": 3000, "hold_ms": 600}
+	o.Settings = map[string]any{
+		"election_ms": 500, "lease_ms": 500, "probe_ms": 50, "window_ms": 200, "budget_calls": budgetCalls,
+		"budget_repeats": budgetRepeats, "horizon_ms": 3000, "hold_ms": 600,
+	}
 	o.Own, o.Files = map[string]map[string]any{}, map[string]map[string]any{}
 	for _, name := range []string{"v1", "v2", "v3", "v4"} {
 		o.Own[name] = map[string]any{"operators": anyPort}
@@ -239,6 +247,7 @@
 // serveAll has requests served by a voter; open is how many are on the way.
 func (f *versionsFleet) serveAll(name string, requests []keyedRequest, open *atomic.Int64) *sync.WaitGroup {
 	var group sync.WaitGroup
+	f.t.Cleanup(group.Wait) // of a test that ends early
 	address := f.Address(name)
 	for _, r := range requests {
 		open.Add(1)
