--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -12,8 +12,8 @@
 
 	"quincerail.example/quincerail/fleet/consensus"
 	"quincerail.example/quincerail/fleet/lease"
+	"quincerail.example/quincerail/fleet/quota"
 	"quincerail.example/quincerail/fleet/rollout"
-	"quincerail.example/quincerail/fleet/share"
 	"quincerail.example/quincerail/internal/golden"
 	"quincerail.example/quincerail/logging"
 )
@@ -30,8 +30,8 @@
 	return &machine{
 		log: logging.Discard(), fence: &lease.Fence{}, member: member, moved: make(chan struct{}, 1),
 		clock: func() time.Duration { return time.Since(began) }, asked: map[uint64]chan error{},
-		banks:   map[string]*share.Bank{Calls: share.NewBank(8), Repeats: share.NewBank(100)},
-		changed: func(string, []share.Item) {},
+		banks:   map[string]*quota.Allocator{Calls: quota.NewAllocator(8), Repeats: quota.NewAllocator(100)},
+		changed: func(string, []quota.Delta) {},
 	}
 }
 
@@ -46,13 +46,13 @@
 func goldenEntries() []goldenEntry {
 	owner := lease.Owner{Member: "v1", Incarnation: 1 << 62}
 	registry, bank, driver := lease.Token{Term: 1, Index: 1}, lease.Token{Term: 1, Index: 4}, lease.Token{Term: 1, Index: 5}
-	a, b := share.ID{Member: "a", Life: 1 << 61}, share.ID{Member: "b", Life: 1}
+	a, b := quota.ID{Member: "a", Incarnation: 1 << 61}, quota.ID{Member: "b", Incarnation: 1}
 	plan := &rollout.Plan{
-		ID: "r1", Kind: rollout.Program, From: "1", To: "2", Watch: 1, WatchMost: 2, Limits: rollout.DefaultLimits(),
-		Servers: []rollout.Server{{Name: "a", Zone: "z"}, {Name: "b", Zone: "z"}}, Stages: []rollout.Stage{{Share: 1, Bake: 1, Sample: 1, Patience: 9}},
+		ID: "r1", Kind: rollout.Program, From: "1", To: "2", MinWatchWindows: 1, MaxWatchWindows: 2, Limits: rollout.DefaultLimits(),
+		Servers: []rollout.Server{{Name: "a", Zone: "z"}, {Name: "b", Zone: "z"}}, Stages: []rollout.Stage{{Share: 1, BakeWindows: 1, MinRequests: 1, MaxWindows: 9}},
 	}
 	leases := func(c lease.Command) command { return command{Command: &c} }
-	banks := func(of string, token lease.Token, o share.Order) command {
+	banks := func(of string, token lease.Token, o quota.Command) command {
 		return command{Bank: &bankOrder{Of: of, Token: token, Order: o}}
 	}
 	rollouts := func(o rolloutOrder) command { return command{Rollout: &o} }
@@ -62,19 +62,19 @@
 		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: Registry, Owner: owner, Token: registry, Nonce: 3})},
 		{"entry-lease-take-bank.json", leases(lease.Command{Kind: lease.Acquire, Lease: Bank, Owner: owner, Nonce: 4})},
 		{"entry-lease-take-rollout.json", leases(lease.Command{Kind: lease.Acquire, Lease: Rollout, Owner: lease.Owner{Member: "v2", Incarnation: 7}, Nonce: 1})},
-		{"entry-bank-grant.json", banks(Calls, bank, share.Order{Kind: share.Grant, Of: a, Amount: 5})},
-		{"entry-bank-grant-another.json", banks(Calls, bank, share.Order{Kind: share.Grant, Of: b, Amount: 2})},
-		{"entry-bank-repeats.json", banks(Repeats, bank, share.Order{Kind: share.Grant, Of: a, Amount: 10})},
-		{"entry-bank-fence.json", banks(Calls, bank, share.Order{Kind: share.Fence, Of: b})},
-		{"entry-bank-settle.json", banks(Calls, bank, share.Order{Kind: share.Settle, Edges: map[share.ID]map[share.ID]share.Closing{b: {a: {In: 1}}}})},
-		{"entry-rollout-start.json", rollouts(rolloutOrder{Nonce: 1 << 63, Order: rollout.Order{Kind: rollout.Start, Plan: plan}})},
-		{"entry-rollout-step.json", rollouts(rolloutOrder{Token: driver, Order: rollout.Order{
-			Kind: rollout.Step, Prev: 11,
-			State:    rollout.State{Phase: rollout.Watching, Window: 1, Waited: 1, Used: map[string]rollout.Used{"a": {Requests: 10, Late: 1}}},
+		{"entry-bank-grant.json", banks(Calls, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 5})},
+		{"entry-bank-grant-another.json", banks(Calls, bank, quota.Command{Kind: quota.Grant, Target: b, Amount: 2})},
+		{"entry-bank-repeats.json", banks(Repeats, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 10})},
+		{"entry-bank-fence.json", banks(Calls, bank, quota.Command{Kind: quota.Fence, Target: b})},
+		{"entry-bank-settle.json", banks(Calls, bank, quota.Command{Kind: quota.Reclaim, Reports: map[quota.ID]map[quota.ID]quota.TransferReport{b: {a: {Received: 1}}}})},
+		{"entry-rollout-start.json", rollouts(rolloutOrder{Nonce: 1 << 63, Order: rollout.Command{Kind: rollout.Start, Plan: plan}})},
+		{"entry-rollout-step.json", rollouts(rolloutOrder{Token: driver, Order: rollout.Command{
+			Kind: rollout.Step, PreviousIndex: 11,
+			State:    rollout.State{Phase: rollout.Watching, Window: 1, WindowsInPhase: 1, Histories: map[string]rollout.History{"a": {Requests: 10, Late: 1}}},
 			Decision: rollout.Decision{Verdict: rollout.Wait, Reason: "watching"},
 		}})},
-		{"entry-rollout-stop.json", rollouts(rolloutOrder{Nonce: 8, Order: rollout.Order{Kind: rollout.Stop, ID: "r1", Reason: "halted"}})},
-		{"entry-bank-stale.json", banks(Calls, registry, share.Order{Kind: share.Grant, Of: a, Amount: 1})},
+		{"entry-rollout-stop.json", rollouts(rolloutOrder{Nonce: 8, Order: rollout.Command{Kind: rollout.Stop, ID: "r1", Reason: "halted"}})},
+		{"entry-bank-stale.json", banks(Calls, registry, quota.Command{Kind: quota.Grant, Target: a, Amount: 1})},
 	}
 }
 
@@ -115,7 +115,7 @@
 	if m.free(Calls) != 2 || m.free(Repeats) != 90 {
 		t.Errorf("%d calls and %d repeats are free", m.free(Calls), m.free(Repeats))
 	}
-	if r := m.changes(); r.Plan.ID != "r1" || r.State.Phase != rollout.Back || r.Index != 13 {
+	if r := m.changes(); r.Plan.ID != "r1" || r.State.Phase != rollout.RollingBack || r.Index != 13 {
 		t.Errorf("the record: %+v", r)
 	}
 }
@@ -228,9 +228,9 @@
 
 // goldenTotals are what the golden report counts.
 func goldenTotals() (totals rollout.Totals) {
-	totals.Requests, totals.Refused, totals.Late, totals.Failed = 1<<33, 5, 6, 7
-	for i := range totals.Slower {
-		totals.Slower[i] = uint64(100 - i)
+	totals.Requests, totals.Rejected, totals.Late, totals.Failed = 1<<33, 5, 6, 7
+	for i := range totals.SlowerThan {
+		totals.SlowerThan[i] = uint64(100 - i)
 	}
 	return totals
 }
@@ -253,7 +253,7 @@
 	}
 	f.board = &board{log: f.log, fence: &lease.Fence{}, latest: map[string]Judgement{}, fresh: time.Hour}
 	for kind, first := range map[string][2]byte{Calls: {newsCalls, newsAskCalls}, Repeats: {newsRepeats, newsAskRepeats}} {
-		b, err := newBudget(kind, first[0], first[1], 8, share.Timing{Horizon: time.Second, Beat: time.Second / 10}, f, func() time.Duration { return 0 })
+		b, err := newBudget(kind, first[0], first[1], 8, quota.Timing{SessionTimeout: time.Second, HeartbeatInterval: time.Second / 10}, f, func() time.Duration { return 0 })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -267,11 +267,11 @@
 // goldenItem and goldenAsk are of the golden pieces about budgets. The maps have
 // one entry each, as the order of more is not fixed.
 var (
-	goldenItem = share.Item{Of: share.ID{Member: "a", Life: 1 << 61}, Row: &share.Row{
-		Beat: 300, Spare: 5,
-		Counts: map[string]share.PN{"answered": {Up: 9}},
-	}, Account: &share.Account{Index: 12, Granted: 40, Fenced: true}}
-	goldenAsk = share.Ask{Of: share.ID{Member: "b", Life: 1}, Need: 3, Account: share.Account{Index: 13, Granted: 2}}
+	goldenItem = quota.Delta{ID: quota.ID{Member: "a", Incarnation: 1 << 61}, MemberState: &quota.MemberState{
+		Heartbeat: 300, Surplus: 5,
+		Counters: map[string]quota.PNCounter{"answered": {Increments: 9}},
+	}, Account: &quota.Account{LogIndex: 12, Granted: 40, Fenced: true}}
+	goldenAsk = quota.TransferRequest{From: quota.ID{Member: "b", Incarnation: 1}, Amount: 3, Account: quota.Account{LogIndex: 13, Granted: 2}}
 )
 
 // TestGoldenBudgetPieces writes and reads what members tell each other about the
@@ -295,12 +295,12 @@
 			t.Errorf("the item is about %q, news: %t", about, isNews)
 		}
 		news{reader}.MergeUpdate(golden.Bytes(t, kind+"-ask"))
-		if !reflect.DeepEqual(b.member.State().Accounts[goldenAsk.Of], &goldenAsk.Account) {
-			t.Errorf("%s: after the ask: %+v", kind, b.member.State().Accounts[goldenAsk.Of])
+		if !reflect.DeepEqual(b.member.State().Accounts[goldenAsk.From], &goldenAsk.Account) {
+			t.Errorf("%s: after the ask: %+v", kind, b.member.State().Accounts[goldenAsk.From])
 		}
 		state := b.member.State()
-		if !reflect.DeepEqual(state.Rows[goldenItem.Of], goldenItem.Row) || !reflect.DeepEqual(state.Accounts[goldenItem.Of], goldenItem.Account) {
-			t.Errorf("%s: after the item: %+v, %+v", kind, state.Rows[goldenItem.Of], state.Accounts[goldenItem.Of])
+		if !reflect.DeepEqual(state.Members[goldenItem.ID], goldenItem.MemberState) || !reflect.DeepEqual(state.Accounts[goldenItem.ID], goldenItem.Account) {
+			t.Errorf("%s: after the item: %+v, %+v", kind, state.Members[goldenItem.ID], state.Accounts[goldenItem.ID])
 		}
 	}
 }
@@ -313,13 +313,13 @@
 	member.changes.send = func(_ string, piece []byte) { golden.Equal(t, "report", piece) }
 	member.changes.tell(true)
 	news{voter}.MergeUpdate(golden.Bytes(t, "report"))
-	want := rollout.Report{Server: "m1", Zone: "z1", Life: 1 << 62, Seq: 1, Version: "2", Leaving: true, Totals: goldenTotals()}
-	if got := voter.changes.collector.Reports(); !reflect.DeepEqual(got, []rollout.Report{want}) {
+	want := rollout.Report{Server: "m1", Zone: "z1", Incarnation: 1 << 62, Sequence: 1, Version: "2", Leaving: true, Totals: goldenTotals()}
+	if got := voter.changes.collector.LatestReports(); !reflect.DeepEqual(got, []rollout.Report{want}) {
 		t.Errorf("reports %+v, want %+v", got, want)
 	}
 
 	voter = goldenFleet(t, "v1")
-	voter.changes.collector.Heard(rollout.Report{Server: "m1", Life: 1, Seq: 1})
+	voter.changes.collector.Observe(rollout.Report{Server: "m1", Incarnation: 1, Sequence: 1})
 	sent := make(chan []byte, 1)
 	voter.changes.stream = func(_ string, piece []byte) error {
 		sent <- piece
@@ -327,10 +327,10 @@
 	}
 	token := lease.Token{Term: 2, Index: 300}
 	patch := json.RawMessage(`{"queue":null}`)
-	voter.changes.direct(&rollout.Record{Index: 90, Last: 3, Current: 3, Patches: map[uint64]json.RawMessage{3: patch}}, token)
+	voter.changes.direct(&rollout.Record{Index: 90, LastSettings: 3, CurrentSettings: 3, Patches: map[uint64]json.RawMessage{3: patch}}, token)
 	golden.Equal(t, "direction", <-sent)
 	news{member}.MergeUpdate(golden.Bytes(t, "direction"))
-	if got, want := <-member.changes.told, (rollout.Direction{Token: token, Index: 90, Number: 3, Patch: patch}); !reflect.DeepEqual(got, want) {
+	if got, want := <-member.changes.told, (rollout.Directive{Token: token, Index: 90, SettingsNumber: 3, Patch: patch}); !reflect.DeepEqual(got, want) {
 		t.Errorf("direction %+v, want %+v", got, want)
 	}
 }
--- /dev/null
+++ b/fleet/rollout/collector.go
@@ -0,0 +1,112 @@
+package rollout
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
+
+const (
+	maxPastIncarnations = 8    // of a server, whose late reports are recognized
+	maxSilentWindows    = 3600 // after which a server is removed
+)
+
+// Collector makes the samples of each window from the reports of servers. It is
+// not safe for concurrent use.
+type Collector struct{ servers map[string]*serverReports }
+
+// serverReports is what is known of one server.
+type serverReports struct {
+	last             Report
+	windowStart      Report   // the last when the window began; its Incarnation is 0 where there was none
+	pastIncarnations []uint64 // the latest last; late reports of theirs are ignored
+	crashes          uint64   // in this window
+	silentWindows    int
+}
+
+// NewCollector returns a collector without reports.
+func NewCollector() *Collector { return &Collector{servers: map[string]*serverReports{}} }
+
+// Observe takes in a report; reports may come late, twice and in any order.
+func (c *Collector) Observe(r Report) {
+	s := c.servers[r.Server]
+	if s == nil {
+		c.servers[r.Server] = &serverReports{last: r}
+		return
+	}
+	switch {
+	case r.Incarnation == s.last.Incarnation:
+		if r.Sequence > s.last.Sequence {
+			s.last = r
+		}
+	case !slices.Contains(s.pastIncarnations, r.Incarnation):
+		s.restarted(r)
+	}
+}
+
+// restarted takes in the first report of a new incarnation. It counts a crash,
+// unless the one before was leaving or of another version.
+func (s *serverReports) restarted(r Report) {
+	if !s.last.Leaving && r.Version == s.last.Version {
+		s.crashes++
+	}
+	oldest := max(0, len(s.pastIncarnations)-maxPastIncarnations+1)
+	s.pastIncarnations = append(slices.Clone(s.pastIncarnations[oldest:]), s.last.Incarnation)
+	s.last = r
+}
+
+// EndWindow ends a window and returns its samples, in the order of the servers'
+// names. A server has a sample if it was of one incarnation and version through
+// all of the window; a server that came back after a crash has one with the
+// crash alone.
+func (c *Collector) EndWindow(kind Kind) []Sample {
+	var samples []Sample
+	for _, name := range slices.Sorted(maps.Keys(c.servers)) {
+		s := c.servers[name]
+		if sample, ok := s.sample(kind); ok {
+			samples = append(samples, sample)
+		}
+		s.beginWindow()
+		if s.silentWindows > maxSilentWindows {
+			delete(c.servers, name)
+		}
+	}
+	return samples
+}
+
+// sample returns the server's sample of the window that ends, if it has one.
+func (s *serverReports) sample(kind Kind) (Sample, bool) {
+	version := kind.runningVersion(&s.last)
+	steady := s.last.Incarnation == s.windowStart.Incarnation && s.last.Sequence > s.windowStart.Sequence &&
+		version == kind.runningVersion(&s.windowStart)
+	if !steady {
+		return Sample{Server: s.last.Server, Version: version, Crashes: s.crashes}, s.crashes > 0
+	}
+	sample := s.last.sampleSince(&s.windowStart, version)
+	sample.Crashes = s.crashes
+	if kind == Settings && s.last.RejectedSettings != 0 {
+		sample.RejectedVersion = settingsVersion(s.last.RejectedSettings)
+		sample.RejectionReason = s.last.RejectionReason
+	}
+	return sample, true
+}
+
+// beginWindow begins the next window.
+func (s *serverReports) beginWindow() {
+	s.silentWindows++
+	if s.last.Incarnation != s.windowStart.Incarnation || s.last.Sequence > s.windowStart.Sequence {
+		s.silentWindows = 0
+	}
+	s.windowStart, s.crashes = s.last, 0
+}
+
+// LatestReports returns the latest report of each server, in the order of their
+// names.
+func (c *Collector) LatestReports() []Report {
+	reports := make([]Report, 0, len(c.servers))
+	for _, s := range c.servers {
+		reports = append(reports, s.last)
+	}
+	slices.SortFunc(reports, func(a, b Report) int { return cmp.Compare(a.Server, b.Server) })
+	return reports
+}
