--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -339,7 +339,7 @@
 func (r run) quotaCommand(what string, from int, kind, target string) {
 	r.t.Helper()
 	_, err := r.Await(what, from, func(l fleettest.Line) bool {
-		return l.Event == "bank" && l.Fields["budget"] == "calls" && l.Fields["order"] == kind && strings.HasPrefix(l.Fields["of"], target)
+		return l.Event == "quota_command_applied" && l.Fields["budget"] == "calls" && l.Fields["command"] == kind && strings.HasPrefix(l.Fields["member"], target)
 	})
 	if err != nil {
 		r.t.Fatal(err)
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -103,10 +103,10 @@
 	}
 	m.mu.Unlock()
 	if err != nil {
-		m.log.Debug("fleet_order_refused", "error", err.Error())
+		m.log.Debug("quota_command_refused", "error", err.Error())
 		return
 	}
-	m.log.Info("bank", "budget", o.Budget, "order", string(o.Command.Kind), "of", o.Command.Target.String(), "amount", o.Command.Amount)
+	m.log.Info("quota_command_applied", "budget", o.Budget, "command", string(o.Command.Kind), "member", o.Command.Target.String(), "amount", o.Command.Amount)
 	m.onAccountsChanged(o.Budget, items)
 }
 
