--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -252,7 +252,8 @@
 	const post = "post := ledger.AppendPost(nil, id, wait, body)"
 	r := versions(t, fleettest.Options{Class: "ny-gava", Took: 5 * time.Millisecond}, map[string]fleettest.Edit{"newform": {
 		File: filepath.Join("..", "program", "downstream", "pool.go"), Old: post,
-		New: fmt.Sprintf("post := ledger.AppendPost(nil, id, wait, append([]byte(%q), body...))", standin.NewForm)}})
+		New: fmt.Sprintf("post := ledger.AppendPost(nil, id, wait, append([]byte(%q), body...))", standin.NewForm),
+	}})
 	r.begin(900, 1.5, "--id", "r3", "--from", "v1", "--to", "newform")
 	starter := r.Starter(nil)
 	back := r.phase("back", "0")
--- /dev/null
+++ b/fleet/state_machine_test.go
@@ -0,0 +1,123 @@
+package fleet
+
+import (
+	"encoding/json"
+	"log/slog"
+	"testing"
+	"time"
+
+	"quincerail.example/quincerail/fleet/lease"
+	"quincerail.example/quincerail/fleet/quota"
+	"quincerail.example/quincerail/fleet/rollout"
+)
+
+// machineTest is a state machine under test, and how many entries it has applied.
+type machineTest struct {
+	*stateMachine
+	t     *testing.T
+	index uint64
+}
+
+func newMachineTest(t *testing.T) *machineTest {
+	t.Helper()
+	client, err := lease.NewClient(lease.Owner{Member: "c", Incarnation: 1}, lease.Timing{Duration: time.Second, ClockDrift: 0.05, RenewInterval: time.Second / 4}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &machineTest{t: t, stateMachine: &stateMachine{
+		log: slog.New(slog.DiscardHandler), fence: &lease.Fence{}, leaseClient: client,
+		ownerChanged: make(chan struct{}, 1), clock: func() time.Duration { return 0 }, waiters: map[uint64]chan error{},
+		allocators: map[string]*quota.Allocator{Calls: quota.NewAllocator(8)}, onAccountsChanged: func(string, []quota.Delta) {},
+	}}
+}
+
+// apply applies a command as the next entry of the log, and returns its index.
+func (m *machineTest) apply(c command) uint64 {
+	m.t.Helper()
+	b, err := json.Marshal(c)
+	if err != nil {
+		m.t.Fatal(err)
+	}
+	m.index++
+	m.Apply(b, 1, m.index)
+	return m.index
+}
+
+// acquire has a member acquire a lease from the owner with a token.
+func (m *machineTest) acquire(name, by string, from lease.Token) lease.Token {
+	m.t.Helper()
+	return lease.Token{Term: 1, Index: m.apply(command{Command: &lease.Command{Kind: lease.Acquire, Lease: name, Owner: lease.Owner{Member: by, Incarnation: 1}, Token: from}})}
+}
+
+// start starts a rollout, and returns its entry's index.
+func (m *machineTest) start() uint64 {
+	m.t.Helper()
+	plan := rollout.Plan{
+		ID: "r", Kind: rollout.Program, From: "1", To: "2", MinWatchWindows: 1, MaxWatchWindows: 1, Limits: rollout.DefaultLimits(),
+		Servers: []rollout.Server{{Name: "x"}, {Name: "y"}}, Stages: []rollout.Stage{{Share: 1, BakeWindows: 1, MaxWindows: 9}},
+	}
+	outcome := m.registerWaiter(7)
+	started := m.apply(command{Rollout: &rolloutCommand{Nonce: 7, Command: rollout.Command{Kind: rollout.Start, Plan: &plan}}})
+	if err := <-outcome; err != nil {
+		m.t.Fatal(err)
+	}
+	return started
+}
+
+func (m *machineTest) step(token lease.Token, prev uint64, phase rollout.Phase) uint64 {
+	m.t.Helper()
+	return m.apply(command{Rollout: &rolloutCommand{Token: token, Command: rollout.Command{Kind: rollout.Step, PreviousIndex: prev, State: rollout.State{Phase: phase}}}})
+}
+
+func (m *machineTest) grantRights(token lease.Token, n uint64) {
+	m.t.Helper()
+	m.apply(command{Quota: &quotaCommand{Budget: Calls, Token: token, Command: quota.Command{Kind: quota.Grant, Target: quota.ID{Member: "x", Incarnation: 1}, Amount: n}}})
+}
+
+func (m *machineTest) wantPhase(what string, phase rollout.Phase) {
+	m.t.Helper()
+	if got := m.rolloutRecord().State.Phase; got != phase {
+		m.t.Errorf("%s: %q, want %q", what, got, phase)
+	}
+}
+
+// TestMachineFencesOrders has the log refuse what a former owner still sends, of a
+// rollout and of a quota, and a step that was made from an older record; a voter
+// that restores a snapshot continues from the same state.
+func TestMachineFencesOrders(t *testing.T) {
+	m := newMachineTest(t)
+	started := m.start()
+	m.step(lease.Token{}, started, rollout.Done)
+	m.wantPhase("nobody's step", "")
+	old := m.acquire(RolloutLease, "a", lease.Token{})
+	at := m.step(old, started, rollout.Replacing)
+	m.wantPhase("the owner's step", rollout.Replacing)
+	now := m.acquire(RolloutLease, "b", old)
+	m.step(old, at, rollout.Done)
+	m.wantPhase("the old owner's step", rollout.Replacing)
+	m.step(now, started, rollout.Done)
+	m.wantPhase("a step from an older record", rollout.Replacing)
+	m.step(now, at, rollout.RollingBack)
+	m.wantPhase("the new owner's step", rollout.RollingBack)
+
+	former := m.acquire(QuotaLease, "a", lease.Token{})
+	m.grantRights(former, 3)
+	m.acquire(QuotaLease, "b", former)
+	m.grantRights(former, 3)
+	if free := m.freeRights(Calls); free != 5 {
+		t.Errorf("%d rights free", free)
+	}
+
+	snap, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	m = newMachineTest(t)
+	if err := m.Restore(snap); err != nil {
+		t.Fatal(err)
+	}
+	m.wantPhase("after the snapshot", rollout.RollingBack)
+	if owner, token := m.grant(RolloutLease); owner != "b" || token != now || m.freeRights(Calls) != 5 {
+		t.Errorf("after the snapshot: %s owns under %v, %d free", owner, token, m.freeRights(Calls))
+	}
+}
--- /dev/null
+++ b/fleet/voter.go
@@ -0,0 +1,95 @@
+package fleet
+
+import (
+	"cmp"
+	"maps"
+	"time"
+
+	"quincerail.example/quincerail/fleet/consensus"
+	"quincerail.example/quincerail/fleet/rafttransport"
+)
+
+// startVoter starts the transport and the log of a voter.
+func (f *Fleet) startVoter() error {
+	stateMachine, err := newStateMachine(f)
+	if err != nil {
+		return err
+	}
+	f.stateMachine = stateMachine
+	ready := make(chan struct{})
+	defer close(ready)
+	peers := maps.Clone(f.config.Voters)
+	delete(peers, f.config.Self)
+	transport, err := rafttransport.Listen(rafttransport.Options{
+		Fleet:  f.config.Fleet,
+		Self:   f.config.Self,
+		Listen: f.config.Raft,
+		Peers:  peers,
+		Logger: f.log,
+		Receive: func(message []byte) {
+			<-ready
+			if f.node != nil { // nil where it did not start
+				f.node.Receive(message)
+			}
+		},
+	})
+	if err != nil {
+		return err
+	}
+	f.transport = transport
+	node, err := consensus.Start(consensus.Options{
+		Self:               f.config.Self,
+		Voters:             f.config.Voters,
+		Join:               f.config.Join,
+		OnMembershipChange: f.setPeers,
+		ElectionTimeout:    f.config.Election,
+		Dir:                f.config.Dir,
+		StateMachine:       f.stateMachine,
+		Send:               f.transport.Send,
+		Logger:             f.log,
+	})
+	if err != nil {
+		return err
+	}
+	f.node = node
+	return nil
+}
+
+// setPeers connects the transport to the voters that the log has, at the addresses
+// of this process's own configuration where that names them.
+func (f *Fleet) setPeers(voters []consensus.Voter) {
+	peers := map[string]string{}
+	for _, voter := range voters {
+		peers[voter.Name] = cmp.Or(f.config.Voters[voter.Name], voter.Address)
+	}
+	f.transport.SetPeers(peers)
+}
+
+// resignLeases releases what this process owns, waits until the log has that, and
+// transfers leadership.
+func (f *Fleet) resignLeases(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
+	f.node.RunInLoop(f.stateMachine.resign)
+	for f.stateMachine.ownsAnyLease(f.self) && time.Now().Before(deadline) {
+		select {
+		case <-f.stateMachine.ownerChanged:
+		case <-time.After(f.config.Election / 10):
+		case <-f.node.Done():
+			deadline = time.Time{}
+		}
+	}
+	f.node.TransferLeadership()
+	f.node.RunInLoop(func() [][]byte { return nil }) // returns after the transfer of leadership was sent
+}
+
+// stopVoter stops the log and its transport, as far as they have started.
+func (f *Fleet) stopVoter() {
+	if f.node != nil {
+		if err := f.node.Stop(); err != nil {
+			f.log.Warn("fleet_voter_stopped", "error", err.Error())
+		}
+	}
+	if f.transport != nil {
+		f.transport.Close()
+	}
+}
--- a/fleet/voters.go
+++ b/fleet/voters.go
@@ -10,6 +10,26 @@
 	"quincerail.example/quincerail/fleet/consensus"
 )
 
+var (
+	// ErrNoVoter is returned where a member that is no voter is asked for what only
+	// the voters know.
+	ErrNoVoter = errors.New("fleet: this member is no voter: ask one")
+	// ErrLastVoter is returned for the removal of the only voter.
+	ErrLastVoter = errors.New("fleet: the last voter can't be removed")
+)
+
+// NoMajorityError is returned for the removal of a voter where most of those that
+// would stay are not alive.
+type NoMajorityError struct {
+	Staying int      // voters that would stay
+	Dead    []string // of them
+}
+
+// Error implements error.
+func (e *NoMajorityError) Error() string {
+	return fmt.Sprintf("fleet: of the %d voters that would stay %v are not alive: no majority", e.Staying, e.Dead)
+}
+
 // VoterStatus is a voter as another one knows it. In JSON, the members of the
 // embedded struct stand beside Alive: it must stay embedded, and without a tag.
 type VoterStatus struct {
@@ -17,69 +37,79 @@
 	Alive bool `json:"alive"` // by gossip: a hint
 }
 
-// Voters gives the fleet's voters, in the order of their names; ErrNoVoter at a
-// member that votes on nothing.
+// Voters returns the fleet's voters, in the order of their names; ErrNoVoter at a
+// member that is no voter.
 func (f *Fleet) Voters() ([]VoterStatus, error) {
 	if f.node == nil {
 		return nil, ErrNoVoter
 	}
 	alive := f.membership.Alive()
-	var out []VoterStatus
-	for _, v := range f.node.Voters() {
-		out = append(out, VoterStatus{v, slices.Contains(alive, v.Name)})
+	var voters []VoterStatus
+	for _, voter := range f.node.Voters() {
+		voters = append(voters, VoterStatus{voter, slices.Contains(alive, voter.Name)})
 	}
-	return out, nil
+	return voters, nil
 }
 
-// AddVoter has a voter join the group, by the address where the others are to
-// reach it; it gets its vote when it has caught up. It returns once the log has
-// taken that in; the error wraps ctx's where it did not in time.
+// AddVoter adds a voter to the group, at the address where the others are to reach
+// it; it gets its vote when it has caught up. It returns once the log has the
+// change; the error wraps ctx's where it did not in time.
 func (f *Fleet) AddVoter(ctx context.Context, name, address string) error {
 	if f.node == nil {
 		return ErrNoVoter
 	}
-	return f.changeMembership(ctx, func() error { return f.node.AddVoter(name, address) }, func(vs []consensus.Voter) bool {
-		return slices.ContainsFunc(vs, func(v consensus.Voter) bool { return v.Name == name })
-	})
+	add := func() error { return f.node.AddVoter(name, address) }
+	return f.changeMembership(ctx, add, func(voters []consensus.Voter) bool { return hasVoter(voters, name) })
 }
 
-// RemoveVoter has a voter leave the group for good. It is refused where most of
-// those that stay are not alive: they could agree on nothing any more, and nobody
+// RemoveVoter removes a voter from the group for good. It is refused where most of
+// those that stay are not alive: they could commit nothing any more, and nobody
 // could add others.
 func (f *Fleet) RemoveVoter(ctx context.Context, name string) error {
 	voters, err := f.Voters()
 	if err != nil {
 		return err
 	}
-	stay, alive := 0, 0
+	if err := checkRemoval(voters, name); err != nil {
+		return err
+	}
+	remove := func() error { return f.node.RemoveVoter(name) }
+	return f.changeMembership(ctx, remove, func(voters []consensus.Voter) bool { return !hasVoter(voters, name) })
+}
+
+// checkRemoval returns an error where the voters without the named one have no live
+// majority.
+func checkRemoval(voters []VoterStatus, name string) error {
+	staying, alive := 0, 0
 	var dead []string
-	for _, v := range voters {
-		switch {
-		case v.Name == name || v.Learner:
-		case v.Alive:
-			stay, alive = stay+1, alive+1
-		default:
-			stay, dead = stay+1, append(dead, v.Name)
+	for _, voter := range voters {
+		if voter.Name == name || voter.Learner {
+			continue
+		}
+		staying++
+		if voter.Alive {
+			alive++
+		} else {
+			dead = append(dead, voter.Name)
 		}
 	}
-	if stay == 0 {
-		return errors.New("fleet: the last voter can't be removed")
+	if staying == 0 {
+		return ErrLastVoter
 	}
-	if 2*alive <= stay {
-		return fmt.Errorf("fleet: of the %d voters that would stay %v are not alive: no majority", stay, dead)
+	if 2*alive <= staying {
+		return &NoMajorityError{Staying: staying, Dead: dead}
 	}
-	return f.changeMembership(ctx, func() error { return f.node.RemoveVoter(name) }, func(vs []consensus.Voter) bool {
-		return !slices.ContainsFunc(vs, func(v consensus.Voter) bool { return v.Name == name })
-	})
+	return nil
 }
 
-// changeMembership asks for a change of the group until it is there.
-func (f *Fleet) changeMembership(ctx context.Context, ask func() error, is func([]consensus.Voter) bool) error {
-	for {
-		if is(f.node.Voters()) {
-			return nil
-		}
-		if err := ask(); err != nil {
+func hasVoter(voters []consensus.Voter, name string) bool {
+	return slices.ContainsFunc(voters, func(voter consensus.Voter) bool { return voter.Name == name })
+}
+
+// changeMembership proposes a change of the group until the log has it.
+func (f *Fleet) changeMembership(ctx context.Context, propose func() error, done func([]consensus.Voter) bool) error {
+	for !done(f.node.Voters()) {
+		if err := propose(); err != nil {
 			return err
 		}
 		select {
@@ -88,4 +118,5 @@
 		case <-time.After(resubmitInterval):
 		}
 	}
+	return nil
 }
