--- a/fleet/dependency_health_test.go
+++ b/fleet/dependency_health_test.go
@@ -10,9 +10,9 @@
 	"quincerail.example/quincerail/logging"
 )
 
-// TestJudgementAges has judgements taken in by token and number, stale ones
-// refused, and one that nothing follows count as unknown.
-func TestJudgementAges(t *testing.T) {
+// TestDependencyHealthAges merges updates by token and number: stale ones are
+// refused, and one that nothing follows counts as unknown.
+func TestDependencyHealthAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &healthView{log: logging.Discard(), fence: &lease.Fence{}, latest: map[string]DependencyHealth{}, maxAge: 3 * time.Second}
 		if s := b.current().State; s != Unknown {
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -235,14 +235,14 @@
 	return totals
 }
 
-// goldenSubject counts what the golden report says.
-type goldenSubject struct{}
+// goldenTarget counts what the golden report says.
+type goldenTarget struct{}
 
 // Totals implements Target.
-func (goldenSubject) Totals() rollout.Totals { return goldenTotals() }
+func (goldenTarget) Totals() rollout.Totals { return goldenTotals() }
 
 // Apply implements Target.
-func (goldenSubject) Apply(json.RawMessage) error { return nil }
+func (goldenTarget) Apply(json.RawMessage) error { return nil }
 
 // goldenFleet makes a member without a network.
 func goldenFleet(t *testing.T, self string) *Fleet {
@@ -260,7 +260,7 @@
 		f.quotaAgents[kind] = b
 	}
 	f.rolloutDriver = newRolloutDriver(f)
-	f.Follow(goldenSubject{})
+	f.Follow(goldenTarget{})
 	return f
 }
 
@@ -335,9 +335,9 @@
 	}
 }
 
-// TestGoldenJudgement writes and reads the word on the shared dependency, as
+// TestGoldenDependencyHealth writes and reads the word on the shared dependency, as
 // members hear it and as the operator's registry is told it.
-func TestGoldenJudgement(t *testing.T) {
+func TestGoldenDependencyHealth(t *testing.T) {
 	j := DependencyHealth{Lease: HealthLease, Token: lease.Token{Term: 2, Index: 300}, Seq: 9, By: "v1", State: Slow, Took: 31 * time.Millisecond}
 	writer, reader := goldenFleet(t, "v1"), goldenFleet(t, "m1")
 	writer.quotaAgents, writer.healthView.latest[HealthLease] = nil, j
