--- a/fleet/dependency_health.go
+++ b/fleet/dependency_health.go
@@ -61,19 +61,19 @@
 func (v *healthView) mergeUpdate(update []byte) (topic string, isNew bool) {
 	var health DependencyHealth
 	if err := json.Unmarshal(update, &health); err != nil || health.Lease != HealthLease {
-		v.log.Debug("fleet_news_unreadable", "bytes", len(update))
+		v.log.Debug(eventUpdateUnreadable, "bytes", len(update))
 		return "", false
 	}
 	if err := v.fence.Admit(health.Lease, health.Token); err != nil {
 		v.mu.Lock()
 		v.stale++
 		v.mu.Unlock()
-		v.log.Debug("fleet_stale", "by", health.By, "error", err.Error())
+		v.log.Debug(eventStaleUpdateRefused, "by", health.By, "error", err.Error())
 		return "", false
 	}
 	previous, isNew := v.replace(health)
 	if isNew && (previous.State != health.State || previous.Token != health.Token) {
-		v.log.Info("judgement", "of", health.Lease, "state", string(health.State), "by", health.By, "token", health.Token.String())
+		v.log.Info(eventHealthChanged, "of", health.Lease, "state", string(health.State), "by", health.By, "token", health.Token.String())
 	}
 	return health.Lease, isNew
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -73,7 +73,7 @@
 	if f.transport != nil {
 		raftAddress = f.transport.Addr().String()
 	}
-	f.log.Info("fleet", "name", config.Self, "role", string(config.Role), "raft", raftAddress, "gossip", f.membership.Addr())
+	f.log.Info(eventFleetJoined, "name", config.Self, "role", string(config.Role), "raft", raftAddress, "gossip", f.membership.Addr())
 	return f, nil
 }
 
@@ -208,7 +208,7 @@
 		f.resignLeases(timeout)
 	}
 	if err := f.membership.Stop(leaveTimeout); err != nil {
-		f.log.Debug("fleet_leave", "error", err.Error())
+		f.log.Debug(eventLeaveFailed, "error", err.Error())
 	}
 	f.stopVoter()
 }
--- a/fleet/health_checker.go
+++ b/fleet/health_checker.go
@@ -70,7 +70,7 @@
 func (c *healthChecker) check(ctx context.Context) {
 	token, owns := c.owner(HealthLease)
 	if c.held != (lease.Token{}) && (!owns || token != c.held) {
-		c.log.Warn("lease_lapsed", "lease", HealthLease, "token", c.held.String())
+		c.log.Warn(eventLeaseLapsed, "lease", HealthLease, "token", c.held.String())
 	}
 	if !owns {
 		c.held = lease.Token{}
@@ -90,7 +90,7 @@
 func (c *healthChecker) publish(ctx context.Context, health DependencyHealth) {
 	update, err := json.Marshal(health)
 	if err != nil {
-		c.log.Error("fleet_publish_failed", "error", err.Error())
+		c.log.Error(eventHealthPublishFailed, "error", err.Error())
 		return
 	}
 	c.view.mergeUpdate(update)
@@ -99,7 +99,7 @@
 		return
 	}
 	if err := publishHealth(ctx, c.client, c.config.Publish, health); err != nil && ctx.Err() == nil {
-		c.log.Warn("fleet_publish_failed", "token", health.Token.String(), "error", err.Error())
+		c.log.Warn(eventHealthPublishFailed, "token", health.Token.String(), "error", err.Error())
 	}
 }
 
--- a/fleet/log_entries.go
+++ b/fleet/log_entries.go
@@ -56,7 +56,7 @@
 	for _, c := range commands {
 		entry, err := json.Marshal(c)
 		if err != nil {
-			log.Error("fleet_command", "error", err.Error())
+			log.Error(eventCommandEncodeFailed, "error", err.Error())
 			continue
 		}
 		entries = append(entries, entry)
--- /dev/null
+++ b/fleet/log_events.go
@@ -0,0 +1,30 @@
+package fleet
+
+// Messages of the log events; docs/operating.md lists them with what to do.
+const (
+	eventFleetJoined           = "fleet"
+	eventLeaveFailed           = "fleet_leave"
+	eventLeaseOwnerChanged     = "lease"
+	eventLeaseLapsed           = "lease_lapsed"
+	eventTokenDecreased        = "fencing_token_decreased"
+	eventHealthChanged         = "dependency_health_changed"
+	eventHealthPublishFailed   = "fleet_publish_failed"
+	eventStaleUpdateRefused    = "stale_update_refused"
+	eventUpdateUnreadable      = "gossip_update_unreadable"
+	eventCommandUnreadable     = "fleet_command_unreadable"
+	eventCommandEncodeFailed   = "fleet_command_encode_failed"
+	eventVoterStopped          = "fleet_voter_stopped"
+	eventQuotaCommandApplied   = "quota_command_applied"
+	eventQuotaCommandRefused   = "quota_command_refused"
+	eventQuotaMemberFenced     = "quota_member_fenced"
+	eventQuotaStartFailed      = "quota_member_start_failed"
+	eventQuotaEncodeFailed     = "quota_encode_failed"
+	eventRolloutChanged        = "rollout"
+	eventRolloutRefused        = "rollout_refused"
+	eventReportEncodeFailed    = "rollout_report_encode_failed"
+	eventDirectiveRefused      = "rollout_directive_refused"
+	eventDirectiveEncodeFailed = "rollout_directive_encode_failed"
+	eventDirectiveSendFailed   = "rollout_directive_send_failed"
+	eventSettingsApplied       = "settings"
+	eventSettingsRejected      = "settings_rejected"
+)
--- a/fleet/quota_agent.go
+++ b/fleet/quota_agent.go
@@ -280,9 +280,9 @@
 	if !a.member.Fenced() {
 		return
 	}
-	a.log.Warn("quota_member_fenced", "budget", a.kind, "member", a.name)
+	a.log.Warn(eventQuotaMemberFenced, "budget", a.kind, "member", a.name)
 	if err := a.startIncarnation(); err != nil {
-		a.log.Error("quota_member_start_failed", "error", err.Error())
+		a.log.Error(eventQuotaStartFailed, "error", err.Error())
 	}
 }
 
--- a/fleet/quota_messages.go
+++ b/fleet/quota_messages.go
@@ -67,7 +67,7 @@
 func (a *QuotaAgent) encodeUpdate(delta quota.Delta) []byte {
 	body, err := cbor.Marshal(delta)
 	if err != nil {
-		a.log.Error("quota_encode_failed", "error", err.Error())
+		a.log.Error(eventQuotaEncodeFailed, "error", err.Error())
 		return nil
 	}
 	return append([]byte{a.updateKind}, body...)
@@ -96,7 +96,7 @@
 func (a *QuotaAgent) requestTransfer(request quota.TransferRequest, named []quota.ID) {
 	body, err := cbor.Marshal(request)
 	if err != nil {
-		a.log.Error("quota_encode_failed", "error", err.Error())
+		a.log.Error(eventQuotaEncodeFailed, "error", err.Error())
 		return
 	}
 	others := slices.DeleteFunc(a.alive(), func(name string) bool { return name == a.name })
--- a/fleet/rollout_driver.go
+++ b/fleet/rollout_driver.go
@@ -89,7 +89,7 @@
 	}
 	body, err := cbor.Marshal(report)
 	if err != nil {
-		d.log.Error("fleet_report", "error", err.Error())
+		d.log.Error(eventReportEncodeFailed, "error", err.Error())
 		return
 	}
 	message := append([]byte{messageReport}, body...)
@@ -124,7 +124,7 @@
 	apply, err := d.follower.Accept(directive)
 	d.mu.Unlock()
 	if err != nil {
-		d.log.Warn("fleet_direction_refused", "settings", directive.SettingsNumber, "error", err.Error())
+		d.log.Warn(eventDirectiveRefused, "settings", directive.SettingsNumber, "error", err.Error())
 		return
 	}
 	if !apply {
@@ -166,10 +166,10 @@
 	d.follower.Applied(directive, err)
 	d.mu.Unlock()
 	if err != nil {
-		d.log.Warn("settings_turned_down", "settings", directive.SettingsNumber, "error", err.Error())
+		d.log.Warn(eventSettingsRejected, "settings", directive.SettingsNumber, "error", err.Error())
 		return
 	}
-	d.log.Info("settings", "settings", directive.SettingsNumber, "token", directive.Token.String(), "entry", directive.Index)
+	d.log.Info(eventSettingsApplied, "settings", directive.SettingsNumber, "token", directive.Token.String(), "entry", directive.Index)
 }
 
 // run reports in each window, and takes the rollout's steps while this process owns
@@ -240,7 +240,7 @@
 			Token: token, Index: record.Index, SettingsNumber: number, Patch: record.Patches[number],
 		})
 		if err != nil {
-			d.log.Error("fleet_direction", "error", err.Error())
+			d.log.Error(eventDirectiveEncodeFailed, "error", err.Error())
 			return
 		}
 		d.sendDirective(report.Server, body)
@@ -263,7 +263,7 @@
 	}
 	go func() {
 		if err := d.sendReliable(server, append([]byte{messageDirective}, body...)); err != nil {
-			d.log.Debug("fleet_direction", "to", server, "error", err.Error())
+			d.log.Debug(eventDirectiveSendFailed, "to", server, "error", err.Error())
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
--- a/fleet/state_machine.go
+++ b/fleet/state_machine.go
@@ -65,7 +65,7 @@
 func (m *stateMachine) Apply(data []byte, term, index uint64) {
 	var c command
 	if err := json.Unmarshal(data, &c); err != nil {
-		m.log.Error("fleet_command_unreadable", "index", index, "error", err.Error())
+		m.log.Error(eventCommandUnreadable, "index", index, "error", err.Error())
 		return
 	}
 	switch {
@@ -103,10 +103,10 @@
 	}
 	m.mu.Unlock()
 	if err != nil {
-		m.log.Debug("quota_command_refused", "error", err.Error())
+		m.log.Debug(eventQuotaCommandRefused, "error", err.Error())
 		return
 	}
-	m.log.Info("quota_command_applied", "budget", c.Budget, "command", string(c.Command.Kind), "member", c.Command.Target.String(), "amount", c.Command.Amount)
+	m.log.Info(eventQuotaCommandApplied, "budget", c.Budget, "command", string(c.Command.Kind), "member", c.Command.Target.String(), "amount", c.Command.Amount)
 	m.onAccountsChanged(c.Budget, accounts)
 }
 
@@ -129,11 +129,11 @@
 	record := m.record
 	m.mu.Unlock()
 	if err != nil {
-		m.log.Warn("rollout_refused", "order", string(c.Command.Kind), "token", c.Token.String(), "error", err.Error())
+		m.log.Warn(eventRolloutRefused, "order", string(c.Command.Kind), "token", c.Token.String(), "error", err.Error())
 		return
 	}
 	if previous.Plan != record.Plan || previous.State.Phase != record.State.Phase || previous.State.Stage != record.State.Stage {
-		m.log.Info("rollout", "plan", record.Plan.ID, "to", record.Plan.To, "phase", string(record.State.Phase), "stage", record.State.Stage,
+		m.log.Info(eventRolloutChanged, "plan", record.Plan.ID, "to", record.Plan.To, "phase", string(record.State.Phase), "stage", record.State.Stage,
 			"window", record.State.Window, "entry", index, "verdict", string(record.Decision.Verdict), "reason", record.Decision.Reason)
 	}
 }
@@ -184,10 +184,10 @@
 func (m *stateMachine) notifyOwnerChange(change lease.OwnerChange) {
 	if change.To.Member != "" {
 		if err := m.fence.Admit(change.Lease, change.Token); err != nil {
-			m.log.Error("fleet_token_went_back", "error", err.Error())
+			m.log.Error(eventTokenDecreased, "error", err.Error())
 		}
 	}
-	m.log.Info("lease", "lease", change.Lease, "from", change.From.Member, "to", change.To.Member, "token", change.Token.String())
+	m.log.Info(eventLeaseOwnerChanged, "lease", change.Lease, "from", change.From.Member, "to", change.To.Member, "token", change.Token.String())
 	select {
 	case m.ownerChanged <- struct{}{}:
 	default:
--- a/fleet/updates.go
+++ b/fleet/updates.go
@@ -62,7 +62,7 @@
 // decodeUpdate decodes a message in CBOR; one that is unreadable is dropped.
 func decodeUpdate[T any](log *slog.Logger, message []byte) (value T, ok bool) {
 	if err := cbor.Unmarshal(message, &value); err != nil {
-		log.Debug("fleet_news_unreadable", "bytes", len(message))
+		log.Debug(eventUpdateUnreadable, "bytes", len(message))
 		return value, false
 	}
 	return value, true
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -86,7 +86,7 @@
 func (f *Fleet) stopVoter() {
 	if f.node != nil {
 		if err := f.node.Stop(); err != nil {
-			f.log.Warn("fleet_voter_stopped", "error", err.Error())
+			f.log.Warn(eventVoterStopped, "error", err.Error())
 		}
 	}
 	if f.transport != nil {
--- a/internal/fleettest/violations.go
+++ b/internal/fleettest/violations.go
@@ -40,7 +40,7 @@
 		switch l.Event {
 		case "fleet":
 			delete(seen, l.Child)
-		case "judgement":
+		case "dependency_health_changed", "judgement": // judgement: of versions before it was renamed
 			t := ParseToken(l.Fields["token"])
 			if t.Compare(seen[l.Child]) < 0 {
 				violations = append(violations, fmt.Sprintf("%s took %v in after %v", l.Child, t, seen[l.Child]))
