--- a/fleet/rollout/simulation/simulation.go
+++ b/fleet/rollout/simulation/simulation.go
@@ -1,6 +1,3 @@
-// Package simulation plays rollouts on a simulated fleet, from a fixed seed:
-// servers of different speeds in zones, load that changes with the hour, events
-// in bursts, lost reports, and servers that take time to be replaced.
 package simulation
 
 import (
