--- a/cmd/quincerail/versions_voters_test.go
+++ b/cmd/quincerail/versions_voters_test.go
@@ -328,7 +328,7 @@
 // that the voters agree on that.
 func (f *versionsFleet) checkAtRest() {
 	f.t.Helper()
-	f.Quiet()
+	f.StopCallers()
 	f.awaitRights()
 	f.checkBudget()
 	eventually(f.t, "the voters agree on what is free", func() (string, bool) {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -329,7 +329,7 @@
 		t.Errorf("%d repeats in a second of %d, %d in all", most, repeats, all)
 	}
 
-	r.Quiet()
+	r.StopCallers()
 	r.rightsAddUp()
 	r.countersAgree()
 }
--- a/internal/fleettest/callers.go
+++ b/internal/fleettest/callers.go
@@ -55,8 +55,8 @@
 	return err
 }
 
-// Quiet ends the callers, and returns when they have.
-func (f *Fleet) Quiet() {
-	f.quiet()
+// StopCallers ends the callers, and returns when they have.
+func (f *Fleet) StopCallers() {
+	f.stopCallers()
 	f.callers.Wait()
 }
--- a/internal/fleettest/fleettest.go
+++ b/internal/fleettest/fleettest.go
@@ -4,7 +4,7 @@
 //
 // A [Fleet] owns its processes (Child), the stand-ins for the parties around them,
 // the proxies and the callers. A goroutine for each process reads its log; one for
-// each caller sends requests until Quiet or Close.
+// each caller sends requests until StopCallers or Close.
 package fleettest
 
 import (
@@ -30,20 +30,20 @@
 	Ledger   *standin.SharedLedger // nil without load
 	Children map[string]*Child
 
-	opt     Options
-	quiet   func() // ends the callers
-	closed  chan struct{}
-	callers sync.WaitGroup
-	gossip  map[string]string // where members hear the others
-	mu      sync.Mutex
-	lines   []Line
-	changed chan struct{}
+	opt         Options
+	stopCallers func() // ends the callers
+	closed      chan struct{}
+	callers     sync.WaitGroup
+	gossip      map[string]string // where members hear the others
+	mu          sync.Mutex
+	lines       []Line
+	changed     chan struct{}
 }
 
 // Start starts all members, and returns once each says where it listens.
 func Start(opt Options) (*Fleet, error) {
 	f := &Fleet{Net: faultproxy.NewNetwork(opt.Seed), Children: map[string]*Child{}, opt: opt, gossip: map[string]string{}, closed: make(chan struct{}), changed: make(chan struct{})}
-	f.quiet = sync.OnceFunc(func() { close(f.closed) })
+	f.stopCallers = sync.OnceFunc(func() { close(f.closed) })
 	if f.opt.Within == 0 {
 		f.opt.Within = defaultTimeout
 	}
@@ -106,7 +106,7 @@
 
 // Close kills all processes and ends what stands around them.
 func (f *Fleet) Close() {
-	f.quiet()
+	f.stopCallers()
 	for _, c := range f.Children {
 		if c.cmd != nil && c.cmd.Process != nil {
 			_ = c.cmd.Process.Kill() // it may have ended
