--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -279,9 +279,9 @@
 		"classes: none":            func(c *admission.Config) { c.Classes = nil },
 		`classes[1] "kampanjsida"`: func(c *admission.Config) { c.Classes[1].Name = "kampanjsida" },
 		`classes[0] "kampanjsida": aim`: func(c *admission.Config) {
-			c.Classes[0].Deadline = c.Classes[0].Aim / 2
+			c.Classes[0].Deadline = c.Classes[0].LatencyObjective / 2
 		},
-		`classes[1] "ny-gava": a keyed class needs a window`: func(c *admission.Config) { c.Classes[1].Window = 0 },
+		`classes[1] "ny-gava": a keyed class needs a window`: func(c *admission.Config) { c.Classes[1].KeyWindow = 0 },
 		`routes[0] `: func(c *admission.Config) { c.Routes[0].Class = "sida" },
 		"memory -1":  func(c *admission.Config) { c.Memory = -1 },
 	} {
--- a/admission/config.go
+++ b/admission/config.go
@@ -87,10 +87,10 @@
 		switch {
 		case class.Name == "" || known[class.Name]:
 			return c, fmt.Errorf("%s: a name of its own is needed", at)
-		case class.Aim <= 0 || class.Deadline < class.Aim:
+		case class.LatencyObjective <= 0 || class.Deadline < class.LatencyObjective:
 			return c, fmt.Errorf("%s: aim %v, deadline %v: an aim and a deadline no shorter are needed",
-				at, class.Aim, class.Deadline)
-		case class.Effect == decision.Keyed && class.Window <= 0:
+				at, class.LatencyObjective, class.Deadline)
+		case class.Effect == decision.Keyed && class.KeyWindow <= 0:
 			return c, fmt.Errorf("%s: a keyed class needs a window", at)
 		}
 		known[class.Name] = true
@@ -134,8 +134,8 @@
 func (c Config) settings() (decision.Settings, []string) {
 	s := decision.Settings{
 		Cores: c.Cores, Servers: 1, Callers: 1, MemoryKB: float64(c.Memory) / 1024,
-		KeyKB: 1, RunFactor: 1, Stop: decision.StopDrop, MaxAdvice: maxAdvice, AnswerSlack: answerSlack,
-		DrainGrace: c.DrainGrace, FallMultiple: fallMultiple, FallSpan: fallSpan, ColdFrom: 1, BatchGap: batchGap,
+		KeyMemoryKB: 1, RunningMemoryFactor: 1, CancelMode: decision.CancelDiscard, MaxRetryAfter: maxAdvice, DeadlineSlack: answerSlack,
+		DrainGrace: c.DrainGrace, OverloadRatio: fallMultiple, OverloadWindow: fallSpan, SlowStartMinSpeed: 1, BatchInterval: batchGap,
 	}
 	names := make([]string, 0, len(c.Classes))
 	for _, class := range c.Classes {
--- a/admission/frameworks_test.go
+++ b/admission/frameworks_test.go
@@ -25,10 +25,10 @@
 func quick() admission.Config {
 	return admission.Config{
 		Classes: []describe.Class{
-			{Name: "sida", Class: decision.Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}},
+			{Name: "sida", Class: decision.Class{LatencyObjective: time.Second, Deadline: 3 * time.Second, Weight: 1}},
 			{Name: "gava", Class: decision.Class{
-				Aim: time.Second, Deadline: 3 * time.Second, Worth: 3,
-				Effect: decision.Keyed, Window: 20 * time.Second,
+				LatencyObjective: time.Second, Deadline: 3 * time.Second, Weight: 3,
+				Effect: decision.Keyed, KeyWindow: 20 * time.Second,
 			}},
 		},
 		Routes: describe.Routes{{Path: "/sida", Class: "sida"}, {Path: "/gava", Class: "gava"}},
--- a/admission/machine.go
+++ b/admission/machine.go
@@ -46,22 +46,22 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Usage implements routing.Machine. It answers at once.
-func (p *process) Usage(reply func(decision.Gauges)) {
-	g := decision.Gauges{CoreUse: -1, OnCores: -1, Memory: -1, Conns: -1}
+// ReadGauges implements routing.Machine. It answers at once.
+func (p *process) ReadGauges(reply func(decision.Gauges)) {
+	g := decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
 	p.mu.Lock()
 	cpu, now := cpuTime(), time.Now()
 	if wall := now.Sub(p.at); cpu > 0 && wall > 0 {
-		g.CoreUse = min(1, float64(cpu-p.cpu)/float64(wall)/p.cores)
+		g.CoreUtilization = min(1, float64(cpu-p.cpu)/float64(wall)/p.cores)
 	}
 	p.cpu, p.at = cpu, now
 	p.mu.Unlock()
 	reply(g)
 }
 
-// Trial implements routing.Machine: good when a new goroutine is scheduled
+// CheckHealth implements routing.Machine: good when a new goroutine is scheduled
 // within trialWithin.
-func (p *process) Trial(reply func(good bool)) {
+func (p *process) CheckHealth(reply func(good bool)) {
 	asked := time.Now()
 	go func() { reply(time.Since(asked) < trialWithin) }()
 }
--- a/admission/machine_test.go
+++ b/admission/machine_test.go
@@ -30,14 +30,14 @@
 		runtime.Gosched()
 	}
 	var g decision.Gauges
-	p.Usage(func(read decision.Gauges) { g = read })
-	if !(g.CoreUse > 0 && g.CoreUse <= 1) {
-		t.Errorf("core use %v, want a share above 0", g.CoreUse)
+	p.ReadGauges(func(read decision.Gauges) { g = read })
+	if !(g.CoreUtilization > 0 && g.CoreUtilization <= 1) {
+		t.Errorf("core use %v, want a share above 0", g.CoreUtilization)
 	}
-	if g.OnCores >= 0 || g.Memory >= 0 || g.Conns >= 0 {
-		t.Errorf("on the cores %v, memory %v, connections %v: none is known", g.OnCores, g.Memory, g.Conns)
+	if g.RunnableTasks >= 0 || g.MemoryUtilization >= 0 || g.Connections >= 0 {
+		t.Errorf("on the cores %v, memory %v, connections %v: none is known", g.RunnableTasks, g.MemoryUtilization, g.Connections)
 	}
 	good := make(chan bool)
-	p.Trial(func(ok bool) { good <- ok })
+	p.CheckHealth(func(ok bool) { good <- ok })
 	<-good // with spinners on every core it may be late; that it answers is what counts here
 }
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -48,8 +48,8 @@
 	aim := time.Second
 	cfg := admission.Config{
 		Classes: []describe.Class{
-			{Name: "rapport", Class: decision.Class{Aim: aim, Deadline: 2 * aim, Worth: 1}},
-			{Name: "ping", Class: decision.Class{Aim: aim, Deadline: 2 * aim, Worth: 2}}, // held before reports
+			{Name: "rapport", Class: decision.Class{LatencyObjective: aim, Deadline: 2 * aim, Weight: 1}},
+			{Name: "ping", Class: decision.Class{LatencyObjective: aim, Deadline: 2 * aim, Weight: 2}}, // held before reports
 		},
 		Routes: describe.Routes{{Path: "/rapport", Class: "rapport"}, {Path: "/ping", Class: "ping"}},
 		Cores:  8, Seed: seed,
--- a/admission/run.go
+++ b/admission/run.go
@@ -39,13 +39,13 @@
 	return &run{s: s, next: next, request: r}
 }
 
-// Begin implements routing.Backend. The module says when a run is stopped, not
+// Start implements routing.Backend. The module says when a run is stopped, not
 // the caller's connection: a keyed run goes on after its caller left, so that
 // a repeat gets its result.
-func (b *run) Begin(r routing.Run) {
+func (b *run) Start(r routing.Run) {
 	b.s.stats.runs.Add(1)
 	b.s.stats.running.Add(1)
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(b.request.Context()), r.Due)
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(b.request.Context()), r.Deadline)
 	b.cancel = cancel // before Interrupt can come, on the core's goroutine
 	b.s.workers.start(job{b, ctx, r})
 }
@@ -116,22 +116,22 @@
 			b.s.cfg.Logger.Error("handler panicked", "class", r.Class, "id", r.ID, "panic", fmt.Sprint(panicked))
 		}
 	}
-	end := routing.Good
+	end := routing.RunSucceeded
 	switch {
 	case stopped:
-		end = routing.Cut
+		end = routing.RunCancelled
 	case panicked != nil || ctx.Err() != nil: // what a handler says whose time ran out is no result
-		b.s.core.Completed(r.ID, routing.Bad, time.Since(began), routing.Payload{})
+		b.s.core.RunCompleted(r.ID, routing.RunFailed, time.Since(began), routing.Payload{})
 		return
 	case w.status >= http.StatusInternalServerError:
-		end = routing.Bad
+		end = routing.RunFailed
 	}
-	b.s.core.Completed(r.ID, end, time.Since(began), w.result())
+	b.s.core.RunCompleted(r.ID, end, time.Since(began), w.result())
 }
 
-// Interrupt implements routing.Backend: the handler's context ends. Until it
+// Cancel implements routing.Backend: the handler's context ends. Until it
 // returns, it counts as stuck.
-func (b *run) Interrupt(string) {
+func (b *run) Cancel(string) {
 	b.halted.CompareAndSwap(0, time.Now().UnixNano()) // before the state, which the handler's return reads
 	if b.state.CompareAndSwap(working, halted) {
 		b.s.stats.stuck.Add(1)
@@ -145,11 +145,11 @@
 // Close implements io.Closer.
 func (bodyReader) Close() error { return nil }
 
-// Answer implements routing.Backend: handlers make their calls themselves.
-func (b *run) Answer(string, []byte) {}
+// ReplyToCall implements routing.Backend: handlers make their calls themselves.
+func (b *run) ReplyToCall(string, []byte) {}
 
-// Without implements routing.Backend: handlers make their calls themselves.
-func (b *run) Without(string, uint64) {}
+// SkipCall implements routing.Backend: handlers make their calls themselves.
+func (b *run) SkipCall(string, uint64) {}
 
 // recorder is the http.ResponseWriter that a handler writes to. Nothing of it
 // reaches the caller before the handler has returned.
--- a/admission/server.go
+++ b/admission/server.go
@@ -61,10 +61,10 @@
 	settings, names := cfg.settings()
 	opt := routing.Options{
 		Settings: settings, Classes: names, Seed: cfg.Seed, Machine: newProcess(cfg.Cores),
-		KeyBytes: int(cfg.Memory / keysShare),
+		MaxKeyTableBytes: int(cfg.Memory / keysShare),
 	}
 	if cfg.Pools != nil {
-		opt.Pools = &routing.PoolOptions{Cheapest: cfg.Pools.Cheapest, Reserve: cfg.Pools.Reserve}
+		opt.Pools = &routing.PoolOptions{CheapestClass: cfg.Pools.Cheapest, ReservedSlots: cfg.Pools.Reserve}
 	}
 	core, err := routing.New(opt)
 	if err != nil {
@@ -72,7 +72,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	go core.Run(ctx)
-	core.Started(false, 0)
+	core.BackendReady(false, 0)
 	return &Server{
 		cfg: cfg, table: cfg.Routes.Compile(), core: core, stop: stop,
 		workers: workers{jobs: make(chan job), done: ctx.Done()},
@@ -87,7 +87,7 @@
 // the grace is turned away, and all is answered 250 ms before stopAt.
 func (s *Server) Drain(stopAt time.Time) {
 	s.draining.Store(true)
-	s.core.Drain(s.core.NoticeTime(), stopAt)
+	s.core.Drain(s.core.DrainNoticeTime(), stopAt)
 }
 
 // Shutdown drains and then shuts hs down. For the grace the listeners stay
@@ -139,7 +139,7 @@
 func (s *Server) Health(w http.ResponseWriter, r *http.Request) {
 	good := make(chan bool, 1)
 	deep := r.URL.Query().Get("deep") == "1"
-	if s.core.Check(deep, func(fit bool) { good <- fit }) != nil || !<-good {
+	if s.core.CheckHealth(deep, func(fit bool) { good <- fit }) != nil || !<-good {
 		refuse(w, maxAdvice)
 		return
 	}
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -29,11 +29,11 @@
 }
 
 // answered counts a final answer.
-func (c *counters) answered(k routing.Kind) {
+func (c *counters) answered(k routing.OutcomeKind) {
 	switch k {
 	case routing.Served:
 		c.served.Add(1)
-	case routing.Refused:
+	case routing.Shed:
 		c.refused.Add(1)
 	case routing.TimedOut:
 		c.timedOut.Add(1)
--- a/admission/wrap.go
+++ b/admission/wrap.go
@@ -79,9 +79,9 @@
 	}
 	answer, id := make(sink, 1), routing.NewID()
 	err := s.core.Submit(routing.Request{
-		ID: id, Class: class, Key: key, Door: door, Due: writeDue(r, door),
-		HeldKB: baseKB + float64(len(body))/1024, Payload: routing.Payload{Body: body},
-		Backend: s.newRun(next, r), Sink: answer,
+		ID: id, Class: class, Key: key, ArrivedAt: door, Deadline: writeDue(r, door),
+		ReservedKB: baseKB + float64(len(body))/1024, Payload: routing.Payload{Body: body},
+		Backend: s.newRun(next, r), Responder: answer,
 	})
 	if errors.Is(err, routing.ErrStopped) {
 		s.stats.refused.Add(1)
@@ -97,7 +97,7 @@
 		s.respond(w, o)
 	case <-r.Context().Done(): // the caller left, or a framework's timeout fired before ours
 		s.stats.gone.Add(1) // before the run hears of it
-		s.core.Lost(id, answer)
+		s.core.CallerDisconnected(id, answer)
 	case <-s.core.Done():
 		select {
 		case o := <-answer: // it came just before the end
@@ -126,16 +126,16 @@
 // sink takes the answer to the goroutine that serves the request.
 type sink chan routing.Outcome
 
-// Answer implements routing.Sink. There is one answer, and room for it.
-func (s sink) Answer(_ string, o routing.Outcome) { s <- o }
+// Respond implements routing.Sink. There is one answer, and room for it.
+func (s sink) Respond(_ string, o routing.Outcome) { s <- o }
 
 func (s *Server) respond(w http.ResponseWriter, o routing.Outcome) {
 	s.stats.answered(o.Kind)
 	if s.draining.Load() { // callers go to another
 		w.Header().Set("Connection", "close")
 	}
-	if o.Kind == routing.Refused {
-		refuse(w, o.Later)
+	if o.Kind == routing.Shed {
+		refuse(w, o.RetryAfter)
 		return
 	}
 	if o.Kind != routing.Served && len(o.Result.Fields) == 0 { // the handler has said nothing
--- a/cmd/quincerail/main_test.go
+++ b/cmd/quincerail/main_test.go
@@ -617,7 +617,7 @@
 	keys := filepath.Join(dir, "keys")
 	s, _, err := store.Open(store.Options{Dir: keys})
 	must(t, 0, err)
-	state, _ := json.Marshal(routing.KeyState{Key: "k1", Class: "ny-gava", Ran: "t1", Till: time.Now().Add(time.Hour)})
+	state, _ := json.Marshal(routing.KeyState{Key: "k1", Class: "ny-gava", RanAttemptID: "t1", ExpiresAt: time.Now().Add(time.Hour)})
 	done := make(chan error, 1)
 	s.Put("key/k1", state, time.Now().Add(time.Hour), func(err error) { done <- err })
 	must(t, 0, <-done)
--- a/cmd/quincerail/tools.go
+++ b/cmd/quincerail/tools.go
@@ -147,12 +147,12 @@
 // agrees tells whether a description says of a class what the settings do, in
 // what both know.
 func agrees(d, s decision.Class) bool {
-	return d.Aim == s.Aim && d.Deadline == s.Deadline && d.Effect == s.Effect && d.Worth == s.Worth &&
-		(d.Effect != decision.Keyed || d.Window == s.Window)
+	return d.LatencyObjective == s.LatencyObjective && d.Deadline == s.Deadline && d.Effect == s.Effect && d.Weight == s.Weight &&
+		(d.Effect != decision.Keyed || d.KeyWindow == s.KeyWindow)
 }
 
 func brief(c decision.Class) string {
-	return fmt.Sprintf("aim %v, deadline %v, worth %v, effect %d, window %v", c.Aim, c.Deadline, c.Worth, c.Effect, c.Window)
+	return fmt.Sprintf("aim %v, deadline %v, worth %v, effect %d, window %v", c.LatencyObjective, c.Deadline, c.Weight, c.Effect, c.KeyWindow)
 }
 
 // keysCmd reports what a folder of keys holds, as a new process would find it.
@@ -197,9 +197,9 @@
 // keyOutcome returns what became of a key.
 func keyOutcome(state routing.KeyState) string {
 	switch {
-	case state.Ran == "":
+	case state.RanAttemptID == "":
 		return keyNotRun
-	case !state.Over:
+	case !state.Completed:
 		return keyInDoubt
 	case state.Result == nil:
 		return keyFailed
@@ -212,7 +212,7 @@
 func listKeys(states []routing.KeyState) {
 	lines := make([]string, len(states))
 	for i, state := range states {
-		lines[i] = fmt.Sprintf("%s\t%s\t%s\tuntil %s", state.Key, state.Class, keyOutcome(state), state.Till.Format(time.RFC3339))
+		lines[i] = fmt.Sprintf("%s\t%s\t%s\tuntil %s", state.Key, state.Class, keyOutcome(state), state.ExpiresAt.Format(time.RFC3339))
 	}
 	slices.Sort(lines)
 	for _, line := range lines {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -150,16 +150,16 @@
 	switch m.Name {
 	case "REQ":
 		r := m.Request()
-		f = func() { i.module.Request(now, r) }
+		f = func() { i.module.RequestReceived(now, r) }
 	case "WORK_DONE":
 		id, outcome, took := m.ID("xid"), m.Outcome("outcome"), m.Micros("timeTakenUs")
-		f = func() { i.module.Done(now, id, outcome, took) }
+		f = func() { i.module.RunDone(now, id, outcome, took) }
 	case "CLIENT_GONE":
 		id := m.ID("xid")
-		f = func() { i.module.Gone(now, id) }
+		f = func() { i.module.CallerGone(now, id) }
 	case "NEEDS_DEP":
 		id := m.ID("xid")
-		f = func() { i.module.NeedsCall(now, id) }
+		f = func() { i.module.CallNeeded(now, id) }
 	case "CAME_BACK":
 		id, outcome, took := m.ID("xid"), m.Outcome("outcome"), m.Micros("timeTakenUs")
 		f = func() { i.module.CallDone(now, id, outcome, took) }
@@ -209,7 +209,7 @@
 func (h *host) decide(out *bufio.Writer) {
 	for _, i := range h.order {
 		i.guard(func() { i.module.Decide(h.now) })
-		out.Write(i.reply.Take())
+		out.Write(i.reply.TakeLines())
 		i.touched = false
 	}
 	h.order = h.order[:0]
--- a/decision/validate.go
+++ b/decision/validate.go
@@ -28,35 +28,35 @@
 		return err
 	}
 	checks := []setting{
-		{"CallsOver", float64(s.CallsOver)},
-		{"Linger", float64(s.Linger)},
-		{"Fresh", float64(s.Fresh)},
-		{"Heeded", float64(s.Heeded)},
-		{"MaxAdvice", float64(s.MaxAdvice)},
-		{"MaxIdle", float64(s.MaxIdle)},
-		{"AnswerSlack", float64(s.AnswerSlack)},
+		{"CallsOver", float64(s.CallQuotaWindow)},
+		{"Linger", float64(s.AbandonedCallDuration)},
+		{"Fresh", float64(s.CacheTTL)},
+		{"Heeded", float64(s.LoadReportTTL)},
+		{"MaxAdvice", float64(s.MaxRetryAfter)},
+		{"MaxIdle", float64(s.MaxIdleTime)},
+		{"AnswerSlack", float64(s.DeadlineSlack)},
 		{"DrainGrace", float64(s.DrainGrace)},
-		{"FallSpan", float64(s.FallSpan)},
-		{"ColdSpan", float64(s.ColdSpan)},
-		{"BatchGap", float64(s.BatchGap)},
+		{"FallSpan", float64(s.OverloadWindow)},
+		{"ColdSpan", float64(s.SlowStartDuration)},
+		{"BatchGap", float64(s.BatchInterval)},
 		{"MemoryKB", s.MemoryKB},
-		{"KeyKB", s.KeyKB},
-		{"RunFactor", s.RunFactor},
-		{"CallsOut", s.CallsOut},
-		{"FallMultiple", s.FallMultiple},
-		{"ColdFrom", s.ColdFrom},
-		{"OverShareWorth", s.OverShareWorth},
+		{"KeyKB", s.KeyMemoryKB},
+		{"RunFactor", s.RunningMemoryFactor},
+		{"CallsOut", s.CallQuota},
+		{"FallMultiple", s.OverloadRatio},
+		{"ColdFrom", s.SlowStartMinSpeed},
+		{"OverShareWorth", s.OverQuotaWeight},
 		{"Servers", float64(s.Servers)},
 		{"Callers", float64(s.Callers)},
 	}
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("Classes[%d].", i)
-		times := []setting{{at + "Aim", float64(c.Aim)}, {at + "Deadline", float64(c.Deadline)}}
+		times := []setting{{at + "Aim", float64(c.LatencyObjective)}, {at + "Deadline", float64(c.Deadline)}}
 		if err := least(1, times...); err != nil {
 			return err
 		}
-		checks = append(checks, setting{at + "Window", float64(c.Window)}, setting{at + "Worth", c.Worth},
-			setting{at + "AimStretch", c.AimStretch}, setting{at + "SkipWorth", c.SkipWorth})
+		checks = append(checks, setting{at + "Window", float64(c.KeyWindow)}, setting{at + "Worth", c.Weight},
+			setting{at + "AimStretch", c.ObjectivePerCost}, setting{at + "SkipWorth", c.DegradedWeight})
 	}
 	for i, t := range s.Tenants {
 		checks = append(checks, setting{fmt.Sprintf("Tenants[%d].Quota", i), t.Quota})
--- a/decision/validate_test.go
+++ b/decision/validate_test.go
@@ -9,8 +9,8 @@
 
 func sound() Settings {
 	return Settings{
-		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}, Cores: 1,
-		MemoryKB: 1024, RunFactor: 1,
+		Classes: []Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 1}}, Cores: 1,
+		MemoryKB: 1024, RunningMemoryFactor: 1,
 	}
 }
 
@@ -23,9 +23,9 @@
 		"classes":           func(s *Settings) { s.Classes = nil },
 		"Cores":             func(s *Settings) { s.Cores = 0 },
 		"MemoryKB":          func(s *Settings) { s.MemoryKB = math.NaN() },
-		"Linger":            func(s *Settings) { s.Linger = -time.Millisecond },
-		"Classes[0].Aim":    func(s *Settings) { s.Classes[0].Aim = 0 },
-		"Classes[0].Window": func(s *Settings) { s.Classes[0].Window = -1 },
+		"Linger":            func(s *Settings) { s.AbandonedCallDuration = -time.Millisecond },
+		"Classes[0].Aim":    func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"Classes[0].Window": func(s *Settings) { s.Classes[0].KeyWindow = -1 },
 		"Tenants[1].Quota":  func(s *Settings) { s.Tenants = []Tenant{{Quota: 1}, {Quota: -2}} },
 	} {
 		s := sound()
--- a/describe/describe.go
+++ b/describe/describe.go
@@ -115,27 +115,27 @@
 			return time.Duration(c.Get(key).Float() * float64(time.Millisecond))
 		}
 		class := Class{name.String(), decision.Class{
-			Aim: ms("aim_ms"), Deadline: ms("deadline_ms"),
-			Worth: c.Get("worth").Float(), LateWorth: c.Get("late_worth").Float(), Window: ms("window_ms"),
+			LatencyObjective: ms("aim_ms"), Deadline: ms("deadline_ms"),
+			Weight: c.Get("worth").Float(), LateWeight: c.Get("late_worth").Float(), KeyWindow: ms("window_ms"),
 		}}
 		switch effect := c.Get("effect").String(); effect {
 		case "", "safe":
 		case "keyed":
 			class.Effect = decision.Keyed
 		case "unsafe":
-			class.Effect = decision.Unsafe
+			class.Effect = decision.NonIdempotent
 		default:
 			err = fmt.Errorf("%s.%s.effect: %q", extClasses, name, effect)
 		}
-		if class.Worth == 0 {
-			class.Worth = 1
+		if class.Weight == 0 {
+			class.Weight = 1
 		}
 		switch {
-		case class.Aim <= 0:
+		case class.LatencyObjective <= 0:
 			err = fmt.Errorf("%s.%s.aim_ms: a time wanted", extClasses, name)
-		case class.Deadline < class.Aim:
+		case class.Deadline < class.LatencyObjective:
 			err = fmt.Errorf("%s.%s.deadline_ms: at least aim_ms wanted", extClasses, name)
-		case class.Effect == decision.Keyed && class.Window <= 0:
+		case class.Effect == decision.Keyed && class.KeyWindow <= 0:
 			err = fmt.Errorf("%s.%s.window_ms: a time wanted", extClasses, name)
 		}
 		list = append(list, class)
--- a/describe/describe_test.go
+++ b/describe/describe_test.go
@@ -41,8 +41,8 @@
 			t.Errorf("%s: routes %v, want %v", name, d.Routes, want)
 		}
 		gift := Class{"ny-gava", decision.Class{
-			Aim: 1800 * time.Millisecond, Deadline: 6900 * time.Millisecond,
-			Worth: 3, LateWorth: 0.2, Effect: decision.Keyed, Window: 20706 * time.Millisecond,
+			LatencyObjective: 1800 * time.Millisecond, Deadline: 6900 * time.Millisecond,
+			Weight: 3, LateWeight: 0.2, Effect: decision.Keyed, KeyWindow: 20706 * time.Millisecond,
 		}}
 		if got := d.Classes[len(d.Classes)-1]; got != gift {
 			t.Errorf("%s: class %v, want %v", name, got, gift)
--- a/idempotency/journal/contents.go
+++ b/idempotency/journal/contents.go
@@ -56,7 +56,7 @@
 		var state routing.KeyState
 		if err := json.Unmarshal(value.Bytes, &state); err != nil {
 			contents.UnreadableKeys = append(contents.UnreadableKeys, key)
-			state = routing.KeyState{Ran: unreadableAttempt, Till: value.ExpiresAt, Over: true}
+			state = routing.KeyState{RanAttemptID: unreadableAttempt, ExpiresAt: value.ExpiresAt, Completed: true}
 			state.Key = key
 			contents.States = append(contents.States, state)
 			continue
--- a/idempotency/journal/golden_test.go
+++ b/idempotency/journal/golden_test.go
@@ -18,15 +18,15 @@
 
 // goldenStates are what the golden journal holds, the later of a key last.
 func goldenStates() []routing.KeyState {
-	running := routing.KeyState{Key: "gåva/1", Class: "ny-gava", Body: 1<<64 - 1, Ran: "9b1f03aa5c7e2d41", Till: goldenExpiry}
+	running := routing.KeyState{Key: "gåva/1", Class: "ny-gava", BodyHash: 1<<64 - 1, RanAttemptID: "9b1f03aa5c7e2d41", ExpiresAt: goldenExpiry}
 	succeeded, failed, notRun, inDoubt := running, running, running, running
-	succeeded.Over = true
+	succeeded.Completed = true
 	succeeded.Result = &routing.Payload{
 		Fields: []routing.Field{{Name: ":status", Value: "201"}},
 		Body:   []byte("tack\x00\xff"),
 	}
-	failed.Key, failed.Over = "gava-2", true
-	notRun.Key, notRun.Ran, notRun.Over = "gava-3", "", true
+	failed.Key, failed.Completed = "gava-2", true
+	notRun.Key, notRun.RanAttemptID, notRun.Completed = "gava-3", "", true
 	inDoubt.Key = "gava-4"
 	return []routing.KeyState{running, succeeded, failed, notRun, inDoubt}
 }
--- a/idempotency/journal/journal.go
+++ b/idempotency/journal/journal.go
@@ -92,7 +92,7 @@
 		done(&RecordError{Key: state.Key, Err: err})
 		return
 	}
-	j.store.Put(keyPrefix+state.Key, value, state.Till, func(err error) {
+	j.store.Put(keyPrefix+state.Key, value, state.ExpiresAt, func(err error) {
 		if err != nil {
 			err = &RecordError{Key: state.Key, Err: err}
 		}
--- a/idempotency/journal/journal_test.go
+++ b/idempotency/journal/journal_test.go
@@ -73,11 +73,11 @@
 }
 
 func claimed(key string) routing.KeyState {
-	return routing.KeyState{Key: key, Class: "ny-gava", Body: 7, Ran: "attempt-" + key, Till: now.Add(longestWindow)}
+	return routing.KeyState{Key: key, Class: "ny-gava", BodyHash: 7, RanAttemptID: "attempt-" + key, ExpiresAt: now.Add(longestWindow)}
 }
 
 func completed(state routing.KeyState) routing.KeyState {
-	state.Over = true
+	state.Completed = true
 	return state
 }
 
@@ -118,7 +118,7 @@
 	dir := t.TempDir()
 	j := openJournal(t, dir, now)
 	ended := claimed("ended")
-	ended.Till = now.Add(time.Second)
+	ended.ExpiresAt = now.Add(time.Second)
 	j.record(t, claimed("a"), claimed("b"), ended, completed(claimed("a")))
 	j.close(t)
 
@@ -134,10 +134,10 @@
 // sameState compares states by value: a time that was read from JSON has another
 // location.
 func sameState(a, b routing.KeyState) bool {
-	if !a.Till.Equal(b.Till) || !a.Door.Equal(b.Door) {
+	if !a.ExpiresAt.Equal(b.ExpiresAt) || !a.ArrivedAt.Equal(b.ArrivedAt) {
 		return false
 	}
-	a.Till, a.Door = b.Till, b.Door
+	a.ExpiresAt, a.ArrivedAt = b.ExpiresAt, b.ArrivedAt
 	return reflect.DeepEqual(a, b)
 }
 
@@ -212,7 +212,7 @@
 	defer j.close(t)
 	ran := map[string]string{}
 	for _, state := range j.recovered.States {
-		ran[state.Key] = state.Ran
+		ran[state.Key] = state.RanAttemptID
 	}
 	if len(ran) != 2 || ran["a"] == "" || ran["b"] == "" {
 		t.Errorf("recovered %+v, want two keys that count as run", j.recovered)
--- a/internal/coretest/coretest.go
+++ b/internal/coretest/coretest.go
@@ -20,8 +20,8 @@
 // Answers collects what a core answers, each as the request's id and the kind.
 type Answers chan string
 
-// Answer implements routing.Sink.
-func (a Answers) Answer(id string, o routing.Outcome) { a <- fmt.Sprint(id, " ", o.Kind) }
+// Respond implements routing.Sink.
+func (a Answers) Respond(id string, o routing.Outcome) { a <- fmt.Sprint(id, " ", o.Kind) }
 
 // Example gives the text of one of the example's files.
 func Example(t testing.TB, name string) string {
@@ -47,7 +47,7 @@
 	if opt.Settings, err = wire.Settings(string(config.Settings)); err != nil {
 		t.Fatal(err)
 	}
-	opt.Settings.Fresh = 0
+	opt.Settings.CacheTTL = 0
 	for _, lane := range gjson.GetBytes(config.Settings, "lanes").Array() {
 		opt.Classes = append(opt.Classes, lane.Get("name").String())
 	}
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -12,9 +12,9 @@
 	buf      []byte
 }
 
-// Take gives the lines collected so far and starts anew. The bytes are good
+// TakeLines gives the lines collected so far and starts anew. The bytes are good
 // until the next action.
-func (r *Reply) Take() []byte {
+func (r *Reply) TakeLines() []byte {
 	b := r.buf
 	r.buf = r.buf[:0]
 	return b
@@ -64,11 +64,11 @@
 // Run implements decision.Host.
 func (r *Reply) Run(id string) { r.plain("START", id) }
 
-// Halt implements decision.Host.
-func (r *Reply) Halt(id string) { r.plain("PREEMPT", id) }
+// Cancel implements decision.Host.
+func (r *Reply) Cancel(id string) { r.plain("PREEMPT", id) }
 
-// Refuse implements decision.Host.
-func (r *Reply) Refuse(id string, stayAway time.Duration, last bool) {
+// Shed implements decision.Host.
+func (r *Reply) Shed(id string, stayAway time.Duration, last bool) {
 	r.request("BOUNCE", id)
 	r.int("notBeforeForUs", stayAway.Microseconds())
 	r.bool("last", last)
@@ -85,47 +85,47 @@
 	r.end()
 }
 
-// Skip implements decision.Host.
-func (r *Reply) Skip(id string) { r.plain("BYPASS", id) }
+// SkipCall implements decision.Host.
+func (r *Reply) SkipCall(id string) { r.plain("BYPASS", id) }
 
-// Keep implements decision.Host.
-func (r *Reply) Keep(id string, ttl time.Duration) {
+// CacheResult implements decision.Host.
+func (r *Reply) CacheResult(id string, ttl time.Duration) {
 	r.request("RECORD_KEY", id)
 	r.int("holdForUs", ttl.Microseconds())
 	r.end()
 }
 
-// Forget implements decision.Host.
-func (r *Reply) Forget(id string) { r.plain("FORGET", id) }
+// EvictResult implements decision.Host.
+func (r *Reply) EvictResult(id string) { r.plain("FORGET", id) }
 
-// Reuse implements decision.Host.
-func (r *Reply) Reuse(id string) { r.plain("JOIN", id) }
+// ServeCached implements decision.Host.
+func (r *Reply) ServeCached(id string) { r.plain("JOIN", id) }
 
-// Health implements decision.Host.
-func (r *Reply) Health(on, cached bool) {
+// SetHealth implements decision.Host.
+func (r *Reply) SetHealth(on, cached bool) {
 	r.begin("FITNESS")
 	r.bool("cached", cached)
 	r.bool("on", on)
 	r.end()
 }
 
-// Say implements decision.Host.
-func (r *Reply) Say(value float64) {
+// PublishLoad implements decision.Host.
+func (r *Reply) PublishLoad(value float64) {
 	r.begin("HINT_OUT")
 	r.key("amount")
 	r.buf = strconv.AppendFloat(r.buf, value, 'f', -1, 64)
 	r.end()
 }
 
-// CloseIdle implements decision.Host.
-func (r *Reply) CloseIdle(after time.Duration) {
+// SetIdleTimeout implements decision.Host.
+func (r *Reply) SetIdleTimeout(after time.Duration) {
 	r.begin("IDLE")
 	r.int("holdForUs", after.Microseconds())
 	r.end()
 }
 
-// Wake implements decision.Host.
-func (r *Reply) Wake(after time.Duration, token int64) {
+// SetTimer implements decision.Host.
+func (r *Reply) SetTimer(after time.Duration, token int64) {
 	r.begin("NOTIFY_ME")
 	r.int("fromNowUs", after.Microseconds())
 	r.int("cookie", token)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -136,53 +136,53 @@
 func (m *Message) Outcome(key string) decision.Outcome {
 	switch n := m.Need(key); n {
 	case 200:
-		return decision.OK
+		return decision.Succeeded
 	case 502:
-		return decision.Errored
+		return decision.Failed
 	case 429:
-		return decision.Full
+		return decision.Rejected
 	case 408:
 		return decision.TimedOut
 	case 521:
 		return decision.ConnectFailed
 	case 520:
-		return decision.Reset
+		return decision.ConnectionReset
 	case 444:
 		return decision.Cancelled
 	case 409:
-		return decision.Moot
+		return decision.NotStarted
 	default:
 		m.fail(key, m.fields[key], "a known outcome")
-		return decision.Errored
+		return decision.Failed
 	}
 }
 
 // Request gives the request of a REQ line.
 func (m *Message) Request() decision.Request {
 	r := decision.Request{
-		ID:      m.ID("xid"),
-		Class:   int(m.Int("qos")),
-		Tenant:  int(m.Int("billing")),
-		Key:     m.Text("pathKey"),
-		Due:     m.Micros("notAfterUs"),
-		Cost:    m.Micros("costUs"),
-		HeldKB:  m.Float("heldKb"),
-		Rank:    m.Float("place"),
-		Retry:   m.Bool("retry"),
-		Write:   m.Bool("isWrite"),
-		From:    int(m.Int("from")),
-		Waited:  m.Micros("waitedUs"),
-		Earlier: m.Text("earlier"),
+		ID:          m.ID("xid"),
+		Class:       int(m.Int("qos")),
+		Tenant:      int(m.Int("billing")),
+		CacheKey:    m.Text("pathKey"),
+		Deadline:    m.Micros("notAfterUs"),
+		CostHint:    m.Micros("costUs"),
+		ReservedKB:  m.Float("heldKb"),
+		Rank:        m.Float("place"),
+		Retry:       m.Bool("retry"),
+		Write:       m.Bool("isWrite"),
+		Caller:      int(m.Int("from")),
+		Waited:      m.Micros("waitedUs"),
+		DuplicateOf: m.Text("earlier"),
 	}
-	if r.Earlier == "0" {
-		r.Earlier = ""
+	if r.DuplicateOf == "0" {
+		r.DuplicateOf = ""
 	}
 	return r
 }
 
 // Gauges gives the readings of a RING line.
 func (m *Message) Gauges(key string) decision.Gauges {
-	g := decision.Gauges{CoreUse: -1, OnCores: -1, Memory: -1, Conns: -1}
+	g := decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
 	v := m.Text(key)
 	for v != "" {
 		var pair string
@@ -195,13 +195,13 @@
 		}
 		switch name {
 		case "core_use":
-			g.CoreUse = x
+			g.CoreUtilization = x
 		case "on_cores":
-			g.OnCores = x
+			g.RunnableTasks = x
 		case "heap_share":
-			g.Memory = x
+			g.MemoryUtilization = x
 		case "links":
-			g.Conns = x
+			g.Connections = x
 		}
 	}
 	return g
@@ -247,17 +247,17 @@
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	f, o := &p.FamilyInfo, &p.Obligations
 	s := decision.Settings{
-		OverShareWorth: p.OverShareWorth,
-		Servers:        p.Servers, Callers: f.Senders, Cores: f.Cores, Cold: f.JustStarted,
-		MemoryKB: f.MemoryKb, KeyKB: f.KeyKb, RunFactor: f.RunFactor,
-		CallsOut: f.CallsOut, CallsOver: us(f.CallsOverUs), Linger: us(f.StaysForUs),
-		Fresh: us(f.FreshUs), Heeded: us(f.HeededUs), MaxIdle: us(f.IdleUs),
-		AnswerSlack: us(o.AnswerSlackUs), DrainGrace: us(o.DrainGraceUs),
-		FallMultiple: o.FallMultiple, FallSpan: us(o.OverloadForUs),
-		ColdFrom: o.ColdFrom, ColdSpan: us(o.ColdUs), BatchGap: us(p.QuantumUs), Readiness: f.Readiness,
+		OverQuotaWeight: p.OverShareWorth,
+		Servers:         p.Servers, Callers: f.Senders, Cores: f.Cores, SlowStart: f.JustStarted,
+		MemoryKB: f.MemoryKb, KeyMemoryKB: f.KeyKb, RunningMemoryFactor: f.RunFactor,
+		CallQuota: f.CallsOut, CallQuotaWindow: us(f.CallsOverUs), AbandonedCallDuration: us(f.StaysForUs),
+		CacheTTL: us(f.FreshUs), LoadReportTTL: us(f.HeededUs), MaxIdleTime: us(f.IdleUs),
+		DeadlineSlack: us(o.AnswerSlackUs), DrainGrace: us(o.DrainGraceUs),
+		OverloadRatio: o.FallMultiple, OverloadWindow: us(o.OverloadForUs),
+		SlowStartMinSpeed: o.ColdFrom, SlowStartDuration: us(o.ColdUs), BatchInterval: us(p.QuantumUs), ListFollowsHealth: f.Readiness,
 	}
 	if p.Caps.RetryAfter {
-		s.MaxAdvice = us(p.Caps.MaxRetryAfterUs)
+		s.MaxRetryAfter = us(p.Caps.MaxRetryAfterUs)
 	}
 	var err error
 	pick := func(key, value string, known map[string]int) int {
@@ -267,28 +267,28 @@
 		}
 		return n
 	}
-	s.Below = decision.Below(pick("dependsOn", f.DependsOn, map[string]int{
-		"": 0, "silent": 0, "common": int(decision.BelowShared), "next_hop": int(decision.BelowTier),
+	s.Dependency = decision.DependencyKind(pick("dependsOn", f.DependsOn, map[string]int{
+		"": 0, "silent": 0, "common": int(decision.SharedDependency), "next_hop": int(decision.NextTier),
 	}))
-	s.Stop = decision.StopMode(pick("stopMode", f.StopMode, map[string]int{
-		"": 0, "silent": 0, "drop": int(decision.StopDrop), "pause": int(decision.StopPause),
+	s.CancelMode = decision.CancelMode(pick("stopMode", f.StopMode, map[string]int{
+		"": 0, "silent": 0, "drop": int(decision.CancelDiscard), "pause": int(decision.CancelPause),
 	}))
-	s.Say = decision.SayMode(pick("say", f.Say, map[string]int{
+	s.LoadReportMode = decision.LoadReportMode(pick("say", f.Say, map[string]int{
 		"": 0, "silent": 0,
-		"min_rank": int(decision.SayRank), "tokens": int(decision.SayCredit), "bias": int(decision.SayWeight),
+		"min_rank": int(decision.LoadReportMinRank), "tokens": int(decision.LoadReportCredit), "bias": int(decision.LoadReportWeight),
 	}))
 	for i, l := range p.Lanes {
 		c := decision.Class{
-			Aim: us(l.GoalTimeUs), AimStretch: l.AimStretch, Deadline: us(l.HardLimitUs),
-			Worth: l.Gain, LateWorth: l.LateWorth, Window: us(l.WindowUs),
+			LatencyObjective: us(l.GoalTimeUs), ObjectivePerCost: l.AimStretch, Deadline: us(l.HardLimitUs),
+			Weight: l.Gain, LateWeight: l.LateWorth, KeyWindow: us(l.WindowUs),
 			Effect: decision.Effect(pick("semantics", l.Semantics, map[string]int{
 				"": 0, "free": 0,
-				"guarded": int(decision.Keyed), "single_shot": int(decision.Unsafe),
+				"guarded": int(decision.Keyed), "single_shot": int(decision.NonIdempotent),
 			})),
-			Calls: i < len(f.CallsByClass) && f.CallsByClass[i],
+			CallsDependency: i < len(f.CallsByClass) && f.CallsByClass[i],
 		}
 		if i < len(f.DegradedWorth) {
-			c.SkipWorth = f.DegradedWorth[i]
+			c.DegradedWeight = f.DegradedWorth[i]
 		}
 		s.Classes = append(s.Classes, c)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(m.Err())
 	}
 	want := decision.Request{
-		ID: "5d3a", Class: 2, Due: 8652250 * time.Microsecond, Cost: 12 * time.Millisecond, HeldKB: 24.5,
+		ID: "5d3a", Class: 2, Deadline: 8652250 * time.Microsecond, CostHint: 12 * time.Millisecond, ReservedKB: 24.5,
 		Rank: 0.625, Retry: true, Waited: 1850 * time.Microsecond,
 	}
 	if r != want {
@@ -47,7 +47,7 @@
 			t.Errorf("%q passed", line)
 		}
 	}
-	if m, _ := Parse("RING stats=core_use"); m.Gauges("stats").CoreUse >= 0 || m.Err() == nil {
+	if m, _ := Parse("RING stats=core_use"); m.Gauges("stats").CoreUtilization >= 0 || m.Err() == nil {
 		t.Error("a gauge without a value passed")
 	}
 }
@@ -60,9 +60,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Servers != 11 || s.Cores != 6 || s.Below != decision.BelowShared || s.Stop != decision.StopPause ||
-		s.Say != decision.SayRank || s.Heeded != 900*time.Millisecond || s.Linger != 200*time.Millisecond || len(s.Classes) != 2 ||
-		s.Classes[0].Effect != decision.Unsafe || !s.Classes[0].Calls || s.Classes[1].Effect != decision.Keyed {
+	if s.Servers != 11 || s.Cores != 6 || s.Dependency != decision.SharedDependency || s.CancelMode != decision.CancelPause ||
+		s.LoadReportMode != decision.LoadReportMinRank || s.LoadReportTTL != 900*time.Millisecond || s.AbandonedCallDuration != 200*time.Millisecond || len(s.Classes) != 2 ||
+		s.Classes[0].Effect != decision.NonIdempotent || !s.Classes[0].CallsDependency || s.Classes[1].Effect != decision.Keyed {
 		t.Errorf("%+v", s)
 	}
 	for _, bad := range []string{"{", `{"familyInfo": {"stopMode": "sideways"}}`} {
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -100,11 +100,11 @@
 func TestEmptyRetryBudgetFailsOrSkips(t *testing.T) {
 	for _, skip := range []float64{0, 0.5} {
 		s := settings()
-		s.Classes[0].SkipWorth = skip
+		s.Classes[0].DegradedWeight = skip
 		in, r := start(t, s)
-		in.Request(0, decision.Request{ID: "a", HeldKB: 1})
+		in.RequestReceived(0, decision.Request{ID: "a", ReservedKB: 1})
 		in.Decide(0)
-		in.NeedsCall(0, "a")
+		in.CallNeeded(0, "a")
 		in.Decide(0)
 		in.CallDone(500*ms, "a", decision.TimedOut, 500*ms)
 		in.Decide(500 * ms)
@@ -128,12 +128,12 @@
 	in, r := start(t, settings())
 	in.optimizer = *fill(100 * ms)
 	try := func(now time.Duration, id string) {
-		in.Request(now, decision.Request{ID: id, HeldKB: 1})
+		in.RequestReceived(now, decision.Request{ID: id, ReservedKB: 1})
 		in.Decide(now)
-		in.NeedsCall(now, id)
+		in.CallNeeded(now, id)
 		in.Decide(now)
 		if r.count("fail "+id) == 1 {
-			in.Done(now, id, decision.Cancelled, 0)
+			in.RunDone(now, id, decision.Cancelled, 0)
 		}
 	}
 	now := time.Second
@@ -151,7 +151,7 @@
 	if r.count("call") != 1 || r.count("fail") != diagnostic-1 {
 		t.Fatalf("want one diagnostic call and the rest failed: %v", r.acts)
 	}
-	in.CallDone(now+100*ms, "r4", decision.OK, 50*ms)
+	in.CallDone(now+100*ms, "r4", decision.Succeeded, 50*ms)
 	if in.isBroken() {
 		t.Error("still broken after a good diagnostic")
 	}
@@ -179,13 +179,13 @@
 	in, _ := start(t, settings())
 	in.queue = []*request{{class: &in.set.Classes[0]}}
 	for range 1000 {
-		in.tuneRunLimit(decision.Gauges{CoreUse: 0.3, OnCores: 1})
+		in.tuneRunLimit(decision.Gauges{CoreUtilization: 0.3, RunnableTasks: 1})
 	}
 	if got, want := in.runLimit, in.crowdLimit(); got != want {
 		t.Errorf("limit %v with idle cores and waiting work, want the crowd %v", got, want)
 	}
 	for range 1000 {
-		in.tuneRunLimit(decision.Gauges{CoreUse: 1, OnCores: 9})
+		in.tuneRunLimit(decision.Gauges{CoreUtilization: 1, RunnableTasks: 9})
 	}
 	if got, want := in.runLimit, float64(in.set.Cores); got < want || got > want+0.01 {
 		t.Errorf("limit %v with busy cores, want the cores %v", got, want)
@@ -194,10 +194,10 @@
 
 func TestColdStartCarriesLess(t *testing.T) {
 	s := settings()
-	s.Cold = true
+	s.SlowStart = true
 	in, _ := start(t, s)
 	cold := in.crowdLimit()
-	in.now = s.ColdSpan
+	in.now = s.SlowStartDuration
 	if warm := in.crowdLimit(); cold >= warm/2 {
 		t.Errorf("cold crowd %v, warm %v", cold, warm)
 	}
@@ -207,9 +207,9 @@
 	s := settings()
 	in, r := start(t, s)
 	in.Drain(0, 4*time.Second)
-	in.Request(time.Second, decision.Request{ID: "early", Class: 1, HeldKB: 1})
+	in.RequestReceived(time.Second, decision.Request{ID: "early", Class: 1, ReservedKB: 1})
 	in.Decide(time.Second)
-	in.Request(3*time.Second, decision.Request{ID: "late", Class: 1, HeldKB: 1})
+	in.RequestReceived(3*time.Second, decision.Request{ID: "late", Class: 1, ReservedKB: 1})
 	in.Decide(3 * time.Second)
 	if r.count("run early") != 1 || r.count("refuse late") != 1 {
 		t.Errorf("want early run and late refused: %v", r.acts)
@@ -224,7 +224,7 @@
 // felled the dependency. The account makes it a rest, in proportion to the call.
 func TestCallsBelowAShareOfOneRestInProportion(t *testing.T) {
 	s := settings()
-	s.CallsOut, s.Linger = 0.3, 0
+	s.CallQuota, s.AbandonedCallDuration = 0.3, 0
 	in, r := start(t, s)
 	const took, day = 100 * ms, 60 * time.Second
 	busy := time.Duration(0)
@@ -233,17 +233,17 @@
 			switch q.state {
 			case calling:
 				busy += took
-				in.CallDone(now, q.ID, decision.OK, took)
-				in.Done(now, q.ID, decision.OK, took)
+				in.CallDone(now, q.ID, decision.Succeeded, took)
+				in.RunDone(now, q.ID, decision.Succeeded, took)
 			case running:
-				in.NeedsCall(now, q.ID)
+				in.CallNeeded(now, q.ID)
 			case standing:
 				if q.answered {
-					in.Done(now, q.ID, decision.Cancelled, 0)
+					in.RunDone(now, q.ID, decision.Cancelled, 0)
 				}
 			}
 		}
-		in.Request(now, decision.Request{ID: fmt.Sprint(now), HeldKB: 1, Due: now + 8*time.Second})
+		in.RequestReceived(now, decision.Request{ID: fmt.Sprint(now), ReservedKB: 1, Deadline: now + 8*time.Second})
 		in.Decide(now)
 		r.acts = nil
 	}
@@ -258,8 +258,8 @@
 func TestNewcomerThatCannotGetItsCallIsTurnedAwayUntilItCan(t *testing.T) {
 	in, r := start(t, settings())
 	in.credit = -time.Minute
-	in.Request(0, decision.Request{ID: "calls", Class: 0, HeldKB: 1})
-	in.Request(0, decision.Request{ID: "plain", Class: 1, HeldKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "calls", Class: 0, ReservedKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "plain", Class: 1, ReservedKB: 1})
 	in.Decide(0)
 	if r.count("refuse calls 0s true") != 1 {
 		t.Errorf("want the one that calls turned away for good and without advice: %v", r.acts)
@@ -267,7 +267,7 @@
 	if r.count("run plain") != 1 {
 		t.Errorf("the one that calls nothing does not run: %v", r.acts)
 	}
-	in.Request(time.Minute, decision.Request{ID: "later", Class: 0, HeldKB: 1})
+	in.RequestReceived(time.Minute, decision.Request{ID: "later", Class: 0, ReservedKB: 1})
 	in.Decide(time.Minute)
 	if r.count("run later") != 1 {
 		t.Errorf("no recovery, credit %v: %v", in.credit, r.acts)
@@ -279,7 +279,7 @@
 func TestCallsThatAllHangStayUnderTheShare(t *testing.T) {
 	for _, share := range []float64{0.44, 1, 4, 12} {
 		s := settings()
-		s.CallsOut = share
+		s.CallQuota = share
 		in, r := start(t, s)
 		in.now = 10 * time.Second
 		in.payCalls() // saved as much as it may
@@ -293,9 +293,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			held += (d + s.Linger).Seconds()
+			held += (d + s.AbandonedCallDuration).Seconds()
 		}
-		if most := share * s.CallsOver.Seconds(); held == 0 || held > most {
+		if most := share * s.CallQuotaWindow.Seconds(); held == 0 || held > most {
 			t.Errorf("share %v: calls that hang hold %.2f s of %.2f s", share, held, most)
 		}
 	}
@@ -306,7 +306,7 @@
 func TestOverdrawnAccountHoldsCallsAndRecovers(t *testing.T) {
 	for _, share := range []float64{0, 0.3, 10} {
 		s := settings()
-		s.CallsOut = share
+		s.CallQuota = share
 		in, r := start(t, s)
 		in.credit = -time.Second
 		q := &request{class: &s.Classes[2], due: time.Hour, state: standing}
@@ -328,12 +328,12 @@
 func TestWorkThatMayLeaveItsCallOutIsNotRefusedForWantOfOne(t *testing.T) {
 	for credit, want := range map[time.Duration]string{-time.Minute: "skip a", -ms: ""} {
 		s := settings()
-		s.Classes[0].SkipWorth = 0.5
+		s.Classes[0].DegradedWeight = 0.5
 		in, r := start(t, s)
 		in.credit = credit
-		in.Request(0, decision.Request{ID: "a", HeldKB: 1})
+		in.RequestReceived(0, decision.Request{ID: "a", ReservedKB: 1})
 		in.Decide(0)
-		in.NeedsCall(0, "a")
+		in.CallNeeded(0, "a")
 		in.Decide(0)
 		if r.count("run a") != 1 || r.count("skip a") != len(want)/len("skip a") {
 			t.Errorf("credit %v: want it run and %q: %v", credit, want, r.acts)
@@ -350,11 +350,11 @@
 	for range 1000 {
 		in.controller.update(true, 10*ms, time.Second)
 	}
-	if got := in.controller.timeout; got != s.Linger {
-		t.Errorf("time-out %v after quick calls, want the stay of %v", got, s.Linger)
+	if got := in.controller.timeout; got != s.AbandonedCallDuration {
+		t.Errorf("time-out %v after quick calls, want the stay of %v", got, s.AbandonedCallDuration)
 	}
-	in.controller.update(false, s.Linger, time.Second)
-	if got := in.controller.timeout; got <= s.Linger {
+	in.controller.update(false, s.AbandonedCallDuration, time.Second)
+	if got := in.controller.timeout; got <= s.AbandonedCallDuration {
 		t.Errorf("time-out %v does not grow after one", got)
 	}
 }
@@ -364,7 +364,7 @@
 // once between two moves, and must be right after each.
 func TestCallsToComeAreCountedOnceBetweenTwoMoves(t *testing.T) {
 	s := settings()
-	s.CallsOut = 1
+	s.CallQuota = 1
 	in, _ := start(t, s)
 	check := func() {
 		t.Helper()
@@ -381,12 +381,12 @@
 		}
 	}
 	for i := range 6 {
-		in.Request(0, decision.Request{ID: fmt.Sprint(i), HeldKB: 1})
+		in.RequestReceived(0, decision.Request{ID: fmt.Sprint(i), ReservedKB: 1})
 		in.Decide(0)
 		check()
 	}
 	for i := range 6 {
-		in.NeedsCall(ms, fmt.Sprint(i))
+		in.CallNeeded(ms, fmt.Sprint(i))
 		check()
 		in.Decide(ms)
 		check()
@@ -395,9 +395,9 @@
 	if in.callsToCome() != 1e6 {
 		t.Error("counted again without a move")
 	}
-	in.CallDone(2*ms, "0", decision.OK, ms)
+	in.CallDone(2*ms, "0", decision.Succeeded, ms)
 	check()
-	in.Done(3*ms, "0", decision.OK, ms)
+	in.RunDone(3*ms, "0", decision.Succeeded, ms)
 	check()
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -102,7 +102,7 @@
 // Instance decides for one server. It is not safe for concurrent use.
 type Instance struct {
 	set            decision.Settings
-	bounds         decision.Bounds
+	bounds         decision.FleetBounds
 	host           decision.Host
 	rng            *rand.Rand
 	now, born, gap time.Duration // gap: between two looks at the clock
@@ -151,7 +151,7 @@
 		set: s, host: host, rng: rand.New(rand.NewSource(seed)), requests: make(map[string]*request),
 		runLimit: float64(s.Cores), calls: make([]float64, len(s.Classes)),
 		rates: make([]float64, max(1, len(s.Tenants))), budget: budgetMost,
-		said: -1, well: true, idle: s.MaxIdle, bounds: decision.Bounds{Calls: math.Inf(1)},
+		said: -1, well: true, idle: s.MaxIdleTime, bounds: decision.FleetBounds{MaxCalls: math.Inf(1)},
 	}
 	in.tune(0)
 	in.controller.timeout = time.Duration(float64(in.shortest) * startShare)
@@ -161,20 +161,20 @@
 // tune derives what follows from the settings. Classes from the given one on are new.
 func (in *Instance) tune(newFrom int) {
 	s := &in.set
-	in.gap = max(s.BatchGap, min(tickMost, s.AnswerSlack/4))
+	in.gap = max(s.BatchInterval, min(tickMost, s.DeadlineSlack/4))
 	in.shortest = slices.MinFunc(s.Classes,
-		func(a, b decision.Class) int { return cmp.Compare(a.Aim, b.Aim) }).Aim
+		func(a, b decision.Class) int { return cmp.Compare(a.LatencyObjective, b.LatencyObjective) }).LatencyObjective
 	for i := newFrom; i < len(s.Classes); i++ {
-		if s.Classes[i].Calls {
+		if s.Classes[i].CallsDependency {
 			in.calls[i] = 1 // until seen
 		}
 	}
-	in.optimizer.lost, in.controller.least = float64(s.Linger), s.Linger
+	in.optimizer.lost, in.controller.least = float64(s.AbandonedCallDuration), s.AbandonedCallDuration
 }
 
-// Retune takes over other settings. A class keeps its place, and new ones follow;
+// UpdateSettings takes over other settings. A class keeps its place, and new ones follow;
 // what is held or runs keeps what its class was. How cold it started stays.
-func (in *Instance) Retune(now time.Duration, s decision.Settings) error {
+func (in *Instance) UpdateSettings(now time.Duration, s decision.Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
 	}
@@ -183,23 +183,23 @@
 		return fmt.Errorf("classes: %d, want at least the %d that there were", len(s.Classes), old)
 	}
 	in.now = now
-	s.Cold, s.ColdFrom, s.ColdSpan = in.set.Cold, in.set.ColdFrom, in.set.ColdSpan
-	if s.Say != in.set.Say {
+	s.SlowStart, s.SlowStartMinSpeed, s.SlowStartDuration = in.set.SlowStart, in.set.SlowStartMinSpeed, in.set.SlowStartDuration
+	if s.LoadReportMode != in.set.LoadReportMode {
 		in.said = -1 // what was said means another thing
 	}
 	in.set = s
 	in.calls = append(in.calls, make([]float64, len(s.Classes)-old)...)
 	in.rates = append(in.rates, make([]float64, max(0, len(s.Tenants)-len(in.rates)))...)
 	in.tune(old)
-	in.memory = in.set.KeyKB * float64(len(in.kept))
+	in.memory = in.set.KeyMemoryKB * float64(len(in.kept))
 	for _, q := range in.live {
 		in.memory += in.weight(q, q.state)
 	}
 	return nil
 }
 
-// Request takes in a request that was read. Decide settles what becomes of it.
-func (in *Instance) Request(now time.Duration, r decision.Request) {
+// RequestReceived takes in a request that was read. Decide settles what becomes of it.
+func (in *Instance) RequestReceived(now time.Duration, r decision.Request) {
 	in.now = now
 	if r.Class < 0 || r.Class >= len(in.set.Classes) || in.requests[r.ID] != nil {
 		return
@@ -208,7 +208,7 @@
 		r.Tenant = 0
 	}
 	c := &in.set.Classes[r.Class]
-	q := &request{Request: r, class: c, arrived: now - r.Waited, due: r.Due, state: fresh}
+	q := &request{Request: r, class: c, arrived: now - r.Waited, due: r.Deadline, state: fresh}
 	if q.due <= 0 {
 		q.due = max(now, q.arrived+c.Deadline)
 	}
@@ -218,26 +218,26 @@
 	in.reads++
 	in.lag += learn * (r.Waited.Seconds() - in.lag)
 	in.memory += in.weight(q, fresh)
-	in.heard = slices.DeleteFunc(in.heard, func(c caller) bool { return c.from == r.From })
-	in.heard = append(in.heard, caller{r.From, now})
+	in.heard = slices.DeleteFunc(in.heard, func(c caller) bool { return c.from == r.Caller })
+	in.heard = append(in.heard, caller{r.Caller, now})
 	if !r.Retry {
 		in.rates[r.Tenant]++
 	}
-	q.worth = c.Worth * in.share(r.Tenant)
+	q.worth = c.Weight * in.share(r.Tenant)
 	if r.Retry { // part of its aim is gone: where there is not room for all it goes after first tries
 		q.worth *= retryWorth
 	}
 }
 
-// Done takes in the end of a run or of a joined request.
-func (in *Instance) Done(now time.Duration, id string, outcome decision.Outcome, _ time.Duration) {
+// RunDone takes in the end of a run or of a joined request.
+func (in *Instance) RunDone(now time.Duration, id string, outcome decision.Outcome, _ time.Duration) {
 	in.now = now
 	q := in.requests[id]
 	if q == nil || q.state == over {
 		return
 	}
-	if q.state == calling && in.set.Linger > 0 { // a call that ends with its request was given up
-		in.lingering = append(in.lingering, now+in.set.Linger)
+	if q.state == calling && in.set.AbandonedCallDuration > 0 { // a call that ends with its request was given up
+		in.lingering = append(in.lingering, now+in.set.AbandonedCallDuration)
 	}
 	if q.stopping && outcome == decision.Cancelled && !q.answered {
 		q.stopping = false
@@ -246,8 +246,8 @@
 	}
 	joined := q.state == joining
 	in.move(q, over)
-	if !joined && (outcome == decision.OK || outcome == decision.Errored) {
-		in.ownRun(outcome == decision.Errored)
+	if !joined && (outcome == decision.Succeeded || outcome == decision.Failed) {
+		in.ownRun(outcome == decision.Failed)
 		in.runTime += time.Duration(learn * float64(q.onCores-in.runTime))
 		in.calls[q.Class] += learn * (float64(q.calls) - in.calls[q.Class])
 	}
@@ -255,8 +255,8 @@
 	in.fail(q) // stopped by nobody here, it still owes an answer
 }
 
-// NeedsCall takes in that a running request stands at a call.
-func (in *Instance) NeedsCall(now time.Duration, id string) {
+// CallNeeded takes in that a running request stands at a call.
+func (in *Instance) CallNeeded(now time.Duration, id string) {
 	in.now = now
 	if q := in.requests[id]; q != nil && q.state == running {
 		q.notYet, q.step, q.tries, q.calls, q.stopping = 0, 0, 0, q.calls+1, false
@@ -272,7 +272,7 @@
 		return
 	}
 	in.learnCall(q, outcome, took)
-	if outcome == decision.OK {
+	if outcome == decision.Succeeded {
 		in.move(q, running)
 		return
 	}
@@ -280,8 +280,8 @@
 	if q.answered {
 		return
 	}
-	unseen := outcome == decision.Full || outcome == decision.ConnectFailed
-	if q.class.Effect == decision.Safe && in.budget >= 1 || unseen && q.class.SkipWorth == 0 {
+	unseen := outcome == decision.Rejected || outcome == decision.ConnectFailed
+	if q.class.Effect == decision.Idempotent && in.budget >= 1 || unseen && q.class.DegradedWeight == 0 {
 		in.budget = max(0, in.budget-1)
 		if unseen { // it came back at once: the same again at once would too
 			q.notYet = now + in.controller.timeout/4<<min(q.tries, 4)
@@ -293,8 +293,8 @@
 	in.giveUpCall(q)
 }
 
-// Gone takes in that nobody waits for a request.
-func (in *Instance) Gone(now time.Duration, id string) {
+// CallerGone takes in that nobody waits for a request.
+func (in *Instance) CallerGone(now time.Duration, id string) {
 	in.now = now
 	q := in.requests[id]
 	if q == nil || q.state == over {
@@ -308,14 +308,14 @@
 func (in *Instance) Drain(now, stopAt time.Duration) {
 	in.now = now
 	in.draining, in.drainedAt, in.stopAt = true, now, stopAt
-	in.host.Health(false, true)
+	in.host.SetHealth(false, true)
 	in.host.Log(fmt.Sprintf("drain: leaving in %v", stopAt-now))
 }
 
 // Tick takes in a timer with the gauges of the moment.
 func (in *Instance) Tick(now time.Duration, _ int64, g decision.Gauges) {
 	in.now = now
-	in.host.Wake(in.gap, 0)
+	in.host.SetTimer(in.gap, 0)
 	in.fade()
 	in.tuneRunLimit(g)
 	in.watchSelf()
@@ -329,8 +329,8 @@
 	in.now = now
 	if !in.begun {
 		in.begun, in.born, in.creditAt, in.fadedAt = true, now, now, now
-		in.host.Wake(in.gap, 0)
-		in.host.Health(true, true)
+		in.host.SetTimer(in.gap, 0)
+		in.host.SetHealth(true, true)
 	}
 	in.payCalls()
 	in.guardDue()
@@ -390,9 +390,9 @@
 	case over:
 		return 0
 	case fresh, held, joining:
-		return q.HeldKB
+		return q.ReservedKB
 	}
-	return q.HeldKB * in.set.RunFactor
+	return q.ReservedKB * in.set.RunningMemoryFactor
 }
 
 // before orders work: most worth first, then oldest.
@@ -414,21 +414,21 @@
 // refuse turns away a request, with advice to stay away as far as reading is
 // the burden. last is the chance of the wish that it is not tried elsewhere.
 func (in *Instance) refuse(q *request, chance, last float64) {
-	if q.ran && q.class.Effect != decision.Safe {
+	if q.ran && q.class.Effect != decision.Idempotent {
 		in.fail(q)
 		return
 	}
 	q.answered = true
 	burden := max(in.readsLate(), in.reading) // else advice keeps work from cores that idle a moment later
-	away := time.Duration(chance * burden * (0.5 + in.rng.Float64()) * float64(in.set.MaxAdvice))
+	away := time.Duration(chance * burden * (0.5 + in.rng.Float64()) * float64(in.set.MaxRetryAfter))
 	if in.draining {
-		away = in.set.MaxAdvice
+		away = in.set.MaxRetryAfter
 	}
 	slow := in.runTime > in.aim(q)/hurry // then peers are likely quicker
 	stay := !in.draining && (in.rng.Float64() < last && !slow || in.now-q.arrived > in.aim(q)/hurry)
-	in.host.Refuse(q.ID, min(away, in.set.MaxAdvice), stay)
+	in.host.Shed(q.ID, min(away, in.set.MaxRetryAfter), stay)
 	if q.keptTill != 0 && !q.ran {
-		in.host.Forget(q.ID)
+		in.host.EvictResult(q.ID)
 		q.keptTill = in.now // the next tick takes it out
 	}
 	in.settle(q)
@@ -440,8 +440,8 @@
 	case fresh, held, paused, joining:
 		in.move(q, over)
 	case running:
-		if in.set.Stop != decision.StopNever {
-			in.host.Halt(q.ID)
+		if in.set.CancelMode != decision.CancelNever {
+			in.host.Cancel(q.ID)
 		}
 	}
 }
@@ -452,9 +452,9 @@
 // can't be stopped goes on and still weighs on the cores and in memory.
 func (in *Instance) guardDue() {
 	for _, q := range in.live {
-		due := q.due + in.set.AnswerSlack/2 // an early answer would cut runs short
-		if over := q.arrived + in.aim(q); q.class.LateWorth == 0 && over < q.due && q.state != joining &&
-			q.state != calling && (q.state != running || in.set.Stop != decision.StopNever) {
+		due := q.due + in.set.DeadlineSlack/2 // an early answer would cut runs short
+		if over := q.arrived + in.aim(q); q.class.LateWeight == 0 && over < q.due && q.state != joining &&
+			q.state != calling && (q.state != running || in.set.CancelMode != decision.CancelNever) {
 			due = over // the cores are for others
 		}
 		if in.draining {
@@ -466,8 +466,8 @@
 		if q.state == running { // it hangs, or the cores are far too slow
 			in.ownRun(true)
 		}
-		if q.state == fresh && q.Earlier == "" || q.state == held ||
-			q.ran && q.class.Effect == decision.Safe {
+		if q.state == fresh && q.DuplicateOf == "" || q.state == held ||
+			q.ran && q.class.Effect == decision.Idempotent {
 			in.refuse(q, 1, in.pressure)
 		} else {
 			in.fail(q)
@@ -492,11 +492,11 @@
 // to the cores at once, the instance would survive. A cold one survives less.
 func (in *Instance) crowdLimit() float64 {
 	speed := 1.0
-	if age := in.now - in.born; in.set.Cold && age < in.set.ColdSpan {
-		speed = in.set.ColdFrom + (1-in.set.ColdFrom)*float64(age)/float64(in.set.ColdSpan)
+	if age := in.now - in.born; in.set.SlowStart && age < in.set.SlowStartDuration {
+		speed = in.set.SlowStartMinSpeed + (1-in.set.SlowStartMinSpeed)*float64(age)/float64(in.set.SlowStartDuration)
 	}
 	cores := float64(in.set.Cores)
-	return max(1, crowdShare*cores*(1+max(0, in.set.FallMultiple-1)*speed))
+	return max(1, crowdShare*cores*(1+max(0, in.set.OverloadRatio-1)*speed))
 }
 
 func (in *Instance) expireKeys() {
@@ -505,7 +505,7 @@
 			return false
 		}
 		q.keptTill = 0
-		in.memory -= in.set.KeyKB
+		in.memory -= in.set.KeyMemoryKB
 		if q.state == over {
 			delete(in.requests, q.ID)
 		}
@@ -522,7 +522,7 @@
 	well := in.errors <= errorsFrom && !lags
 	if well != in.well && !in.draining {
 		in.well, in.staysTill = well, in.now+errorsSpan
-		in.host.Health(well, true)
+		in.host.SetHealth(well, true)
 		in.host.Log(fmt.Sprintf("well: %v; share of own runs failing or hanging %.2f, reads late by %.1f s",
 			well, in.errors, in.lag))
 	}
@@ -542,11 +542,11 @@
 // --- Intake refusal ---
 
 func (in *Instance) intake(q *request) {
-	if q.Earlier != "" {
-		prior := in.requests[q.Earlier]
+	if q.DuplicateOf != "" {
+		prior := in.requests[q.DuplicateOf]
 		if prior == nil || prior.ran || prior.state != over {
-			in.host.Reuse(q.ID)
-			q.ran = q.class.Effect != decision.Safe // its effect may have been had
+			in.host.ServeCached(q.ID)
+			q.ran = q.class.Effect != decision.Idempotent // its effect may have been had
 			in.move(q, joining)
 			return
 		}
@@ -566,17 +566,17 @@
 		return
 	}
 	in.move(q, held)
-	ttl := q.class.Window - (in.now - q.arrived)
-	if q.class.Effect == decision.Safe && in.set.Fresh > 0 && q.Key != "" && !q.Write {
-		ttl = q.class.Aim + in.set.Fresh
+	ttl := q.class.KeyWindow - (in.now - q.arrived)
+	if q.class.Effect == decision.Idempotent && in.set.CacheTTL > 0 && q.CacheKey != "" && !q.Write {
+		ttl = q.class.LatencyObjective + in.set.CacheTTL
 	} else if q.class.Effect != decision.Keyed {
 		return
 	}
 	if ttl > 0 {
-		in.host.Keep(q.ID, ttl+in.gap)
+		in.host.CacheResult(q.ID, ttl+in.gap)
 		q.keptTill = in.now + ttl + in.gap
 		in.kept = append(in.kept, q)
-		in.memory += in.set.KeyKB
+		in.memory += in.set.KeyMemoryKB
 	}
 }
 
@@ -598,8 +598,8 @@
 // dependency behind the work that calls before it: all in hand, and what is
 // held before it. Work that can't get its call costs cores and memory first.
 func (in *Instance) callWait(q *request) time.Duration {
-	if !q.class.Calls || in.set.Below != decision.BelowShared ||
-		q.class.SkipWorth > 0 && q.state != standing {
+	if !q.class.CallsDependency || in.set.Dependency != decision.SharedDependency ||
+		q.class.DegradedWeight > 0 && q.state != standing {
 		return 0
 	}
 	calls := in.callsToCome()
@@ -638,7 +638,7 @@
 
 // aim is how long after its arrival a request's answer earns full worth.
 func (in *Instance) aim(q *request) time.Duration {
-	return min(q.due-q.arrived, q.class.Aim+time.Duration(q.class.AimStretch*float64(q.Cost)))
+	return min(q.due-q.arrived, q.class.LatencyObjective+time.Duration(q.class.ObjectivePerCost*float64(q.CostHint)))
 }
 
 // patience is how long a request may wait: the rest of its aim is for its run.
@@ -671,7 +671,7 @@
 		return 1
 	}
 	in4 := math.Round(4*quota/in.rates[tenant]) / 4 // in quarters: order of arrival within each
-	return max(in.set.OverShareWorth, in4)
+	return max(in.set.OverQuotaWeight, in4)
 }
 
 // --- Run limit ---
@@ -680,7 +680,7 @@
 // toward the cores while they are busy.
 func (in *Instance) tuneRunLimit(g decision.Gauges) {
 	cores := float64(in.set.Cores)
-	on := g.OnCores
+	on := g.RunnableTasks
 	if on < 0 {
 		on = float64(in.count[running])
 	}
@@ -696,7 +696,7 @@
 	reading := max(0, on-float64(in.count[running])) / max(1, on)
 	in.reading += (reading - in.reading) * min(1, float64(in.gap)/float64(smooth))
 	switch {
-	case on > busyFrom*cores || g.CoreUse >= idleBelow:
+	case on > busyFrom*cores || g.CoreUtilization >= idleBelow:
 		in.runLimit -= (in.runLimit - cores) * 0.05
 	case len(in.queue) > 0:
 		in.runLimit += 0.25
@@ -734,11 +734,11 @@
 			least = r
 		}
 	}
-	if in.set.Stop != decision.StopPause || least == nil || least.worth > q.worth*wayWorth {
+	if in.set.CancelMode != decision.CancelPause || least == nil || least.worth > q.worth*wayWorth {
 		return false
 	}
 	least.stopping = true
-	in.host.Halt(least.ID)
+	in.host.Cancel(least.ID)
 	return true
 }
 
@@ -753,12 +753,12 @@
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(b.worth*(1-b.class.SkipWorth), a.worth*(1-a.class.SkipWorth)), before(a, b))
+		return cmp.Or(cmp.Compare(b.worth*(1-b.class.DegradedWeight), a.worth*(1-a.class.DegradedWeight)), before(a, b))
 	})
 	for _, q := range waiting {
 		if in.mayCall() {
 			in.call(q)
-		} else if q.class.SkipWorth > 0 && ramp(in.callWait(q), in.patience(q)) > 0 {
+		} else if q.class.DegradedWeight > 0 && ramp(in.callWait(q), in.patience(q)) > 0 {
 			in.giveUpCall(q)
 		}
 	}
@@ -770,7 +770,7 @@
 	left := q.due - in.now - in.gap
 	timeout := left
 	q.probe, q.last = false, false
-	if q.class.Effect == decision.Safe {
+	if q.class.Effect == decision.Idempotent {
 		if in.safeCalls++; in.safeCalls%solveEvery == 0 {
 			in.optimizer.solve()
 		}
@@ -782,7 +782,7 @@
 			q.last = len(in.optimizer.buffer) < bufferSize
 		case q.step >= len(sequence)-1 || in.budget < 1: // a lower step needs a repeat to pay for
 			timeout, q.last = sequence[len(sequence)-1], true
-			if in.budget < 1 && q.class.SkipWorth == 0 {
+			if in.budget < 1 && q.class.DegradedWeight == 0 {
 				timeout = left // giving up would only lose the request
 			}
 		default:
@@ -790,15 +790,15 @@
 		}
 	}
 	if in.isBroken() && !q.probe {
-		if q.class.Effect != decision.Safe && q.class.SkipWorth == 0 {
+		if q.class.Effect != decision.Idempotent && q.class.DegradedWeight == 0 {
 			q.notYet = in.brokenTill // nobody can run it again: it waits
 			return
 		}
 		in.giveUpCall(q)
 		return
 	}
-	if q.tries > 0 && in.bounds.Repeat != nil && !in.bounds.Repeat() { // others made all there are for now
-		if q.notYet = in.now + repeatRest; q.class.SkipWorth > 0 {
+	if q.tries > 0 && in.bounds.AcquireRetry != nil && !in.bounds.AcquireRetry() { // others made all there are for now
+		if q.notYet = in.now + repeatRest; q.class.DegradedWeight > 0 {
 			in.giveUpCall(q)
 		}
 		return
@@ -813,8 +813,8 @@
 
 // giveUpCall goes on without the call where that still earns something.
 func (in *Instance) giveUpCall(q *request) {
-	if q.class.SkipWorth > 0 {
-		in.host.Skip(q.ID)
+	if q.class.DegradedWeight > 0 {
+		in.host.SkipCall(q.ID)
 		in.move(q, running)
 		return
 	}
@@ -825,14 +825,14 @@
 // the breaker.
 func (in *Instance) learnCall(q *request, outcome decision.Outcome, took time.Duration) {
 	spent := took
-	if outcome == decision.TimedOut && in.set.Linger > 0 {
-		in.lingering = append(in.lingering, in.now+in.set.Linger)
-		spent += in.set.Linger
+	if outcome == decision.TimedOut && in.set.AbandonedCallDuration > 0 {
+		in.lingering = append(in.lingering, in.now+in.set.AbandonedCallDuration)
+		spent += in.set.AbandonedCallDuration
 	}
 	in.callTime += time.Duration(learn * float64(spent-in.callTime))
-	if q.class.Effect == decision.Safe {
-		if q.probe && (outcome == decision.OK || outcome == decision.TimedOut) {
-			in.controller.update(outcome == decision.OK, took, q.class.Deadline)
+	if q.class.Effect == decision.Idempotent {
+		if q.probe && (outcome == decision.Succeeded || outcome == decision.TimedOut) {
+			in.controller.update(outcome == decision.Succeeded, took, q.class.Deadline)
 			if outcome == decision.TimedOut { // longer than seen: as long as the Controller now allows for
 				took = in.controller.timeout
 			}
@@ -843,11 +843,11 @@
 		return // a lower step's time-out says little
 	}
 	in.failing -= learn * in.failing
-	if outcome != decision.OK {
+	if outcome != decision.Succeeded {
 		in.failing += learn
 	}
 	switch {
-	case outcome == decision.OK:
+	case outcome == decision.Succeeded:
 		in.brokenTill = in.now
 	case in.failing > breakAt:
 		in.brokenTill = in.now + breakFor
@@ -866,16 +866,16 @@
 // callsOut counts calls in hand, with those given up that still linger.
 func (in *Instance) callsOut() int { return in.count[calling] + len(in.lingering) }
 
-// Bound takes in this server's part of what its fleet shares, and gives how many
+// SetFleetBounds takes in this server's part of what its fleet shares, and gives how many
 // calls it has in hand or would make now, if only it might.
-func (in *Instance) Bound(b decision.Bounds) (wanted int) {
+func (in *Instance) SetFleetBounds(b decision.FleetBounds) (wanted int) {
 	in.bounds = b
 	return in.callsOut() + in.count[standing]
 }
 
 // callPace is how many calls may be in hand on average.
 func (in *Instance) callPace() float64 {
-	return min(callGoal*max(callLeast, in.set.CallsOut), max(callLeast, in.bounds.Calls))
+	return min(callGoal*max(callLeast, in.set.CallQuota), max(callLeast, in.bounds.MaxCalls))
 }
 
 // payCalls keeps the account of the time that calls spend below. It earns the
@@ -892,9 +892,9 @@
 // mayCall says whether the call cap has room for one more.
 func (in *Instance) mayCall() bool {
 	out := float64(in.callsOut())
-	if out >= in.bounds.Calls {
+	if out >= in.bounds.MaxCalls {
 		return false
-	} else if in.set.Below != decision.BelowShared {
+	} else if in.set.Dependency != decision.SharedDependency {
 		return out < in.runLimit
 	}
 	return out < max(1, in.callsAtOnce()) && in.credit >= 0
@@ -912,12 +912,12 @@
 // when the calls of all instances hang at once: what they may overdraw then,
 // with what they have saved, stays under the told share in the told span.
 func (in *Instance) longestCall() time.Duration {
-	if in.set.Below != decision.BelowShared {
+	if in.set.Dependency != decision.SharedDependency {
 		return math.MaxInt64
 	}
-	spare := (callShare-callGoal)*in.set.CallsOut*float64(in.set.CallsOver) - in.callPace()*float64(callSaved)
+	spare := (callShare-callGoal)*in.set.CallQuota*float64(in.set.CallQuotaWindow) - in.callPace()*float64(callSaved)
 	each := time.Duration(spare / math.Ceil(max(1, in.callPace()*callBurst)))
-	return max(in.controller.timeout, each-in.set.Linger)
+	return max(in.controller.timeout, each-in.set.AbandonedCallDuration)
 }
 
 // controller holds the time-out of diagnostic calls (the paper's 4.4). least is
@@ -1036,13 +1036,13 @@
 // reads to be seen, so the storm counts as over only when hardly any are left.
 func (in *Instance) closeIdle() {
 	in.storm = in.reading > stormFrom || in.storm && in.reading > stormFrom/10
-	after := in.set.MaxIdle
+	after := in.set.MaxIdleTime
 	if float64(in.set.Callers)*float64(in.now-in.born) > float64(after)*float64(in.reads) && !in.storm {
 		after = min(after, idleLeast)
 	}
 	if after != in.idle {
 		in.idle = after
-		in.host.CloseIdle(after)
+		in.host.SetIdleTimeout(after)
 	}
 }
 
@@ -1051,18 +1051,18 @@
 	in.pressure += (in.pressed - in.pressure) * min(1, float64(in.gap)/float64(smooth))
 	in.pressed = in.chance(&request{arrived: math.MaxInt64}) // of one that would run last
 	value, full := in.said, 1.0
-	in.heard = slices.DeleteFunc(in.heard, func(c caller) bool { return c.at < in.now-in.set.Heeded })
-	switch in.set.Say {
-	case decision.SayRank:
+	in.heard = slices.DeleteFunc(in.heard, func(c caller) bool { return c.at < in.now-in.set.LoadReportTTL })
+	switch in.set.LoadReportMode {
+	case decision.LoadReportMinRank:
 		value = in.pressure
-	case decision.SayCredit: // heeded by those that heard it of late, each to its own even part
+	case decision.LoadReportCredit: // heeded by those that heard it of late, each to its own even part
 		full = in.crowdLimit() / float64(max(1, len(in.heard)))
 		value = full * (1 - in.pressure*(1-leastShare))
-	case decision.SayWeight:
+	case decision.LoadReportWeight:
 		value = 1 - in.pressure*(1-leastShare)
 	}
 	if math.Abs(value-in.said) >= sayStep*full {
 		in.said = value
-		in.host.Say(value)
+		in.host.PublishLoad(value)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,22 +18,22 @@
 	r.acts = append(r.acts, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) Run(id string)  { r.add("run %s", id) }
-func (r *recorder) Halt(id string) { r.add("halt %s", id) }
-func (r *recorder) Refuse(id string, away time.Duration, last bool) {
+func (r *recorder) Run(id string)    { r.add("run %s", id) }
+func (r *recorder) Cancel(id string) { r.add("halt %s", id) }
+func (r *recorder) Shed(id string, away time.Duration, last bool) {
 	r.add("refuse %s %v %v", id, away, last)
 }
-func (r *recorder) Fail(id string)                    { r.add("fail %s", id) }
-func (r *recorder) Call(id string, d time.Duration)   { r.add("call %s %v", id, d) }
-func (r *recorder) Skip(id string)                    { r.add("skip %s", id) }
-func (r *recorder) Keep(id string, ttl time.Duration) { r.add("keep %s %v", id, ttl) }
-func (r *recorder) Forget(id string)                  { r.add("forget %s", id) }
-func (r *recorder) Reuse(id string)                   { r.add("reuse %s", id) }
-func (r *recorder) Health(on, cached bool)            { r.add("health %v %v", on, cached) }
-func (r *recorder) Say(v float64)                     { r.add("say %.3f", v) }
-func (r *recorder) CloseIdle(d time.Duration)         { r.add("idle %v", d) }
-func (r *recorder) Wake(d time.Duration, token int64) { r.add("wake %v %d", d, token) }
-func (r *recorder) Log(text string)                   { r.add("log %s", text) }
+func (r *recorder) Fail(id string)                           { r.add("fail %s", id) }
+func (r *recorder) Call(id string, d time.Duration)          { r.add("call %s %v", id, d) }
+func (r *recorder) SkipCall(id string)                       { r.add("skip %s", id) }
+func (r *recorder) CacheResult(id string, ttl time.Duration) { r.add("keep %s %v", id, ttl) }
+func (r *recorder) EvictResult(id string)                    { r.add("forget %s", id) }
+func (r *recorder) ServeCached(id string)                    { r.add("reuse %s", id) }
+func (r *recorder) SetHealth(on, cached bool)                { r.add("health %v %v", on, cached) }
+func (r *recorder) PublishLoad(v float64)                    { r.add("say %.3f", v) }
+func (r *recorder) SetIdleTimeout(d time.Duration)           { r.add("idle %v", d) }
+func (r *recorder) SetTimer(d time.Duration, token int64)    { r.add("wake %v %d", d, token) }
+func (r *recorder) Log(text string)                          { r.add("log %s", text) }
 
 // count tells how many actions start with a prefix.
 func (r *recorder) count(prefix string) int {
@@ -49,14 +49,14 @@
 func settings() decision.Settings {
 	return decision.Settings{
 		Classes: []decision.Class{
-			{Aim: 2 * time.Second, Deadline: 8 * time.Second, Worth: 1, Calls: true},
-			{Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 2, Effect: decision.Keyed, Window: 20 * time.Second},
-			{Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 3, Effect: decision.Unsafe, Calls: true},
+			{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1, CallsDependency: true},
+			{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, Weight: 2, Effect: decision.Keyed, KeyWindow: 20 * time.Second},
+			{LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, Weight: 3, Effect: decision.NonIdempotent, CallsDependency: true},
 		},
-		Servers: 10, Callers: 3, Cores: 2, MemoryKB: 1e5, KeyKB: 1, RunFactor: 4,
-		Below: decision.BelowShared, CallsOut: 10, CallsOver: 5 * time.Second, Linger: 200 * ms,
-		MaxAdvice: time.Second, MaxIdle: 20 * time.Second, AnswerSlack: 80 * ms, DrainGrace: 2 * time.Second,
-		FallMultiple: 5, FallSpan: 2 * time.Second, ColdFrom: 0.2, ColdSpan: 10 * time.Second, BatchGap: 2 * ms,
+		Servers: 10, Callers: 3, Cores: 2, MemoryKB: 1e5, KeyMemoryKB: 1, RunningMemoryFactor: 4,
+		Dependency: decision.SharedDependency, CallQuota: 10, CallQuotaWindow: 5 * time.Second, AbandonedCallDuration: 200 * ms,
+		MaxRetryAfter: time.Second, MaxIdleTime: 20 * time.Second, DeadlineSlack: 80 * ms, DrainGrace: 2 * time.Second,
+		OverloadRatio: 5, OverloadWindow: 2 * time.Second, SlowStartMinSpeed: 0.2, SlowStartDuration: 10 * time.Second, BatchInterval: 2 * ms,
 	}
 }
 
@@ -75,8 +75,8 @@
 	for field, spoil := range map[string]func(*decision.Settings){
 		"Cores":          func(s *decision.Settings) { s.Cores = 0 },
 		"classes":        func(s *decision.Settings) { s.Classes = nil },
-		"Classes[1].Aim": func(s *decision.Settings) { s.Classes[1].Aim = -1 },
-		"Linger":         func(s *decision.Settings) { s.Linger = -1 },
+		"Classes[1].Aim": func(s *decision.Settings) { s.Classes[1].LatencyObjective = -1 },
+		"Linger":         func(s *decision.Settings) { s.AbandonedCallDuration = -1 },
 		"MemoryKB":       func(s *decision.Settings) { s.MemoryKB = -1 },
 	} {
 		s := settings()
@@ -89,12 +89,12 @@
 
 func TestKeyedRunsOnceAndIsNeverRefusedAfterRunning(t *testing.T) {
 	in, r := start(t, settings())
-	in.Request(0, decision.Request{ID: "a", Class: 1, HeldKB: 1})
-	in.Request(0, decision.Request{ID: "b", Class: 1, HeldKB: 1, Earlier: "a"}) // in the same batch
+	in.RequestReceived(0, decision.Request{ID: "a", Class: 1, ReservedKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "b", Class: 1, ReservedKB: 1, DuplicateOf: "a"}) // in the same batch
 	in.Decide(0)
-	in.Done(500*ms, "a", decision.OK, 500*ms)
+	in.RunDone(500*ms, "a", decision.Succeeded, 500*ms)
 	in.Decide(500 * ms)
-	in.Request(time.Second, decision.Request{ID: "c", Class: 1, HeldKB: 1, Earlier: "a"})
+	in.RequestReceived(time.Second, decision.Request{ID: "c", Class: 1, ReservedKB: 1, DuplicateOf: "a"})
 	in.Decide(time.Second)
 	if r.count("run") != 1 || r.count("reuse") != 2 || r.count("refuse") != 0 {
 		t.Errorf("want one run, two reused, none refused; got %v", r.acts)
@@ -105,21 +105,21 @@
 // and counts against the cap: the shared dependency fell over without it.
 func TestCallOfFailedRequestLingers(t *testing.T) {
 	s := settings()
-	s.CallsOut = 1
+	s.CallQuota = 1
 	in, r := start(t, s)
 	for _, id := range []string{"a", "b"} {
-		in.Request(0, decision.Request{ID: id, Class: 0, HeldKB: 1, Due: 8 * time.Second})
+		in.RequestReceived(0, decision.Request{ID: id, Class: 0, ReservedKB: 1, Deadline: 8 * time.Second})
 	}
 	in.Decide(0)
-	in.NeedsCall(ms, "a")
+	in.CallNeeded(ms, "a")
 	in.Decide(ms)
-	in.NeedsCall(2*ms, "b")
-	in.Done(10*ms, "a", decision.Cancelled, 0)
+	in.CallNeeded(2*ms, "b")
+	in.RunDone(10*ms, "a", decision.Cancelled, 0)
 	in.Decide(10 * ms)
 	if r.count("call b") != 0 {
 		t.Errorf("b called while the call of a lingers: %v", r.acts)
 	}
-	in.Decide(10*ms + s.Linger)
+	in.Decide(10*ms + s.AbandonedCallDuration)
 	in.Decide(time.Second)
 	if r.count("call b") != 1 {
 		t.Errorf("b not called after the call of a left: %v", r.acts)
@@ -130,14 +130,14 @@
 // earns nothing ends at its aim, and its core is free for others.
 func TestWorkThatEarnsNothingLateEndsAtItsAim(t *testing.T) {
 	s := settings()
-	s.Stop, s.Cores = decision.StopPause, 3
-	s.Classes[1].LateWorth = 0.2
+	s.CancelMode, s.Cores = decision.CancelPause, 3
+	s.Classes[1].LateWeight = 0.2
 	in, r := start(t, s)
-	in.Request(0, decision.Request{ID: "a", Class: 0, HeldKB: 1})
-	in.Request(0, decision.Request{ID: "b", Class: 1, HeldKB: 1})
-	in.Request(0, decision.Request{ID: "c", Class: 2, HeldKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "a", Class: 0, ReservedKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "b", Class: 1, ReservedKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "c", Class: 2, ReservedKB: 1})
 	in.Decide(0)
-	in.Decide(s.Classes[0].Aim)
+	in.Decide(s.Classes[0].LatencyObjective)
 	if r.count("refuse a") != 1 || r.count("halt a") != 1 {
 		t.Errorf("safe work past its aim goes on: %v", r.acts)
 	}
@@ -154,8 +154,8 @@
 	s := settings()
 	s.Cores = 1
 	in, r := start(t, s)
-	in.Request(0, decision.Request{ID: "again", HeldKB: 1, Retry: true})
-	in.Request(0, decision.Request{ID: "first", HeldKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "again", ReservedKB: 1, Retry: true})
+	in.RequestReceived(0, decision.Request{ID: "first", ReservedKB: 1})
 	in.Decide(0)
 	if r.count("run first") != 1 || r.count("run again") != 0 {
 		t.Errorf("want the first try to run alone: %v", r.acts)
@@ -166,13 +166,13 @@
 // and callers hear of the lag: otherwise the instance would only read.
 func TestLaggingReadsStillRunAndAreTold(t *testing.T) {
 	s := settings()
-	s.Say = decision.SayWeight
+	s.LoadReportMode = decision.LoadReportWeight
 	in, r := start(t, s)
 	now := 10 * time.Second
 	for i := range 40 {
 		now += 50 * ms
-		in.Tick(now, 0, decision.Gauges{CoreUse: 1, OnCores: 4, Memory: -1, Conns: -1})
-		in.Request(now, decision.Request{ID: fmt.Sprint(i), Class: 1, HeldKB: 1, Waited: 1800 * ms})
+		in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: 4, MemoryUtilization: -1, Connections: -1})
+		in.RequestReceived(now, decision.Request{ID: fmt.Sprint(i), Class: 1, ReservedKB: 1, Waited: 1800 * ms})
 		in.Decide(now)
 	}
 	if r.count("run") < s.Cores {
@@ -188,13 +188,13 @@
 func TestRunningWorkIsAnsweredAfterItsDueTimeWithinTheSlack(t *testing.T) {
 	s := settings()
 	in, r := start(t, s)
-	in.Request(0, decision.Request{ID: "a", Class: 1, HeldKB: 1, Due: 100 * ms})
+	in.RequestReceived(0, decision.Request{ID: "a", Class: 1, ReservedKB: 1, Deadline: 100 * ms})
 	in.Decide(0)
 	in.Decide(100*ms - 1)
 	if r.count("fail a") != 0 {
 		t.Fatalf("failed before its due time: %v", r.acts)
 	}
-	in.Decide(100*ms + s.AnswerSlack/2)
+	in.Decide(100*ms + s.DeadlineSlack/2)
 	if r.count("fail a") != 1 {
 		t.Errorf("lost: %v", r.acts)
 	}
@@ -204,14 +204,14 @@
 // unseen while the retry budget was empty.
 func TestKeyedWaitsOutCallsThatWereTurnedAway(t *testing.T) {
 	s := settings()
-	s.Classes[1].Calls = true
+	s.Classes[1].CallsDependency = true
 	in, r := start(t, s)
 	in.budget = 0
-	in.Request(0, decision.Request{ID: "a", Class: 1, HeldKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "a", Class: 1, ReservedKB: 1})
 	in.Decide(0)
-	in.NeedsCall(0, "a")
+	in.CallNeeded(0, "a")
 	in.Decide(0)
-	in.CallDone(5*ms, "a", decision.Full, 5*ms)
+	in.CallDone(5*ms, "a", decision.Rejected, 5*ms)
 	in.Decide(5 * ms)
 	in.Decide(time.Second)
 	if r.count("call a") != 2 || r.count("fail a") != 0 {
@@ -228,20 +228,20 @@
 // until its callers give up. Both are well again soon after the cause ends.
 func TestOwnFailuresAndHangsFailTheHealthCheckAndRecover(t *testing.T) {
 	for name, serveBadly := range map[string]func(in *Instance, now time.Duration, id string){
-		"fails fast": func(in *Instance, now time.Duration, id string) { in.Done(now, id, decision.Errored, 10*ms) },
+		"fails fast": func(in *Instance, now time.Duration, id string) { in.RunDone(now, id, decision.Failed, 10*ms) },
 		"hangs":      func(*Instance, time.Duration, string) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			in, r := start(t, settings())
 			now := time.Duration(0)
 			serve := func(id string, end func(*Instance, time.Duration, string)) {
-				in.Request(now, decision.Request{ID: id, HeldKB: 1, Due: now + 150*ms})
+				in.RequestReceived(now, decision.Request{ID: id, ReservedKB: 1, Deadline: now + 150*ms})
 				in.Decide(now)
 				now += 200 * ms
 				end(in, now, id)
-				in.Tick(now, 0, decision.Gauges{OnCores: 1})
+				in.Tick(now, 0, decision.Gauges{RunnableTasks: 1})
 				in.Decide(now)
-				in.Done(now, id, decision.OK, 0) // what hung ends unheard
+				in.RunDone(now, id, decision.Succeeded, 0) // what hung ends unheard
 			}
 			for i := range 20 {
 				serve(fmt.Sprint("bad", i), serveBadly)
@@ -251,7 +251,7 @@
 			}
 			for i := range 40 {
 				serve(fmt.Sprint("good", i), func(in *Instance, now time.Duration, id string) {
-					in.Done(now, id, decision.OK, 100*ms)
+					in.RunDone(now, id, decision.Succeeded, 100*ms)
 				})
 			}
 			if !in.well || r.count("health true") != 2 {
@@ -293,7 +293,7 @@
 	in, r := start(t, settings())
 	for i := range 40 {
 		now := time.Duration(i+1) * 50 * ms
-		in.Request(now, decision.Request{ID: fmt.Sprint(i), HeldKB: 1, Waited: 3 * time.Second})
+		in.RequestReceived(now, decision.Request{ID: fmt.Sprint(i), ReservedKB: 1, Waited: 3 * time.Second})
 		in.Tick(now, 0, decision.Gauges{})
 		in.Decide(now)
 	}
@@ -311,7 +311,7 @@
 		in, r := start(t, s)
 		for i := range 50 {
 			now := time.Duration(i+1) * 200 * ms
-			in.Request(now, decision.Request{ID: fmt.Sprint(i), HeldKB: 1})
+			in.RequestReceived(now, decision.Request{ID: fmt.Sprint(i), ReservedKB: 1})
 			in.Tick(now, 0, decision.Gauges{})
 			in.Decide(now)
 		}
@@ -333,7 +333,7 @@
 	in, r := start(t, settings())
 	in.lag = 5
 	for i := range 4 {
-		in.Request(0, decision.Request{ID: fmt.Sprint(i), HeldKB: 1})
+		in.RequestReceived(0, decision.Request{ID: fmt.Sprint(i), ReservedKB: 1})
 	}
 	in.lag = 5
 	in.Decide(0)
@@ -351,7 +351,7 @@
 // a quota; a tenant that sends several times its share is still found.
 func TestTenantIsJudgedByWhatTheCountSupports(t *testing.T) {
 	s := settings()
-	s.Servers, s.Tenants, s.OverShareWorth = 300, []decision.Tenant{{Quota: 120}, {Quota: 120}}, 0.1
+	s.Servers, s.Tenants, s.OverQuotaWeight = 300, []decision.Tenant{{Quota: 120}, {Quota: 120}}, 0.1
 	in, _ := start(t, s)
 	in.rates[0], in.rates[1] = 3, 9 // 2 are expected
 	if got := in.share(0); got != 1 {
@@ -381,21 +381,21 @@
 // up again; work of like worth makes no way for each other.
 func TestRunOfLittleWorthMakesWayAndIsTakenUpAgain(t *testing.T) {
 	s := settings()
-	s.Cores, s.Stop = 1, decision.StopPause
+	s.Cores, s.CancelMode = 1, decision.CancelPause
 	in, r := start(t, s)
-	in.Request(0, decision.Request{ID: "low", HeldKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "low", ReservedKB: 1})
 	in.Decide(0)
-	in.Request(0, decision.Request{ID: "high", Class: 2, HeldKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "high", Class: 2, ReservedKB: 1})
 	in.Decide(0)
-	in.Done(ms, "low", decision.Cancelled, ms)
-	in.Request(ms, decision.Request{ID: "same", Class: 2, HeldKB: 1})
+	in.RunDone(ms, "low", decision.Cancelled, ms)
+	in.RequestReceived(ms, decision.Request{ID: "same", Class: 2, ReservedKB: 1})
 	in.Decide(ms)
 	if r.count("halt low") != 1 || r.count("run high") != 1 || r.count("run same")+r.count("halt high") != 0 {
 		t.Fatalf("want low paused for high alone: %v", r.acts)
 	}
-	in.Done(500*ms, "high", decision.OK, 500*ms)
+	in.RunDone(500*ms, "high", decision.Succeeded, 500*ms)
 	in.Decide(500 * ms)
-	in.Done(900*ms, "same", decision.OK, 400*ms)
+	in.RunDone(900*ms, "same", decision.Succeeded, 400*ms)
 	in.Decide(900 * ms)
 	if r.count("run low") != 2 || r.count("fail low")+r.count("refuse low") != 0 {
 		t.Errorf("what was paused is not taken up again: %v", r.acts)
@@ -409,23 +409,23 @@
 	s := settings()
 	s.Cores = 1
 	in, r := start(t, s)
-	in.Request(0, decision.Request{ID: "slow", HeldKB: 1})
+	in.RequestReceived(0, decision.Request{ID: "slow", ReservedKB: 1})
 	in.Decide(0)
 	now := 1900 * ms
-	in.Tick(now, 0, decision.Gauges{CoreUse: 1, OnCores: 1})
+	in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: 1})
 	in.pressure = 1
-	in.Request(now, decision.Request{ID: "new", HeldKB: 1, Waited: 150 * ms})
+	in.RequestReceived(now, decision.Request{ID: "new", ReservedKB: 1, Waited: 150 * ms})
 	in.Decide(now)
 	if r.count("refuse new") != 1 || strings.HasSuffix(r.acts[len(r.acts)-1], "true") {
 		t.Fatalf("want new sent on at once, free to be tried elsewhere: %v", r.acts)
 	}
-	in.Done(now, "slow", decision.OK, now)
+	in.RunDone(now, "slow", decision.Succeeded, now)
 	in.pressure = 0
 	for i := range 40 {
-		in.Request(now, decision.Request{ID: fmt.Sprint(i), HeldKB: 1})
+		in.RequestReceived(now, decision.Request{ID: fmt.Sprint(i), ReservedKB: 1})
 		in.Decide(now)
 		now += 50 * ms
-		in.Done(now, fmt.Sprint(i), decision.OK, 50*ms)
+		in.RunDone(now, fmt.Sprint(i), decision.Succeeded, 50*ms)
 	}
 	if p := in.patience(&request{class: &s.Classes[0], due: time.Hour}); p != time.Second {
 		t.Errorf("patience %v after quick runs, want half of the aim", p)
@@ -436,17 +436,17 @@
 // stood idle for nothing, and the next in line paused another.
 func TestNothingMakesWayForWorkThatCannotStart(t *testing.T) {
 	s := settings()
-	s.Cores, s.Stop, s.MemoryKB = 1, decision.StopPause, 100
+	s.Cores, s.CancelMode, s.MemoryKB = 1, decision.CancelPause, 100
 	in, r := start(t, s)
-	in.Request(0, decision.Request{ID: "low", HeldKB: 5})
+	in.RequestReceived(0, decision.Request{ID: "low", ReservedKB: 5})
 	in.Decide(0)
-	in.Request(0, decision.Request{ID: "high", Class: 2, HeldKB: 30})
+	in.RequestReceived(0, decision.Request{ID: "high", Class: 2, ReservedKB: 30})
 	in.Decide(0)
 	if r.count("run low") != 1 || r.count("halt")+r.count("run high") != 0 {
 		t.Errorf("want low to go on while high has no room: %v", r.acts)
 	}
-	in.Done(ms, "low", decision.OK, ms)
-	in.Request(ms, decision.Request{ID: "small", HeldKB: 1})
+	in.RunDone(ms, "low", decision.Succeeded, ms)
+	in.RequestReceived(ms, decision.Request{ID: "small", ReservedKB: 1})
 	in.Decide(ms)
 	if r.count("run small") != 1 {
 		t.Errorf("work that has room does not run: %v", r.acts)
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -37,19 +37,19 @@
 
 func (h *transcript) set(id, state string) { h.state[id] = state }
 
-func (h *transcript) Run(id string)  { h.recorder.Run(id); h.set(id, "running") }
-func (h *transcript) Halt(id string) { h.recorder.Halt(id); h.set(id, "halting") }
-func (h *transcript) Refuse(id string, away time.Duration, last bool) {
-	h.recorder.Refuse(id, away, last)
+func (h *transcript) Run(id string)    { h.recorder.Run(id); h.set(id, "running") }
+func (h *transcript) Cancel(id string) { h.recorder.Cancel(id); h.set(id, "halting") }
+func (h *transcript) Shed(id string, away time.Duration, last bool) {
+	h.recorder.Shed(id, away, last)
 	h.finish(id)
 }
 func (h *transcript) Fail(id string)                  { h.recorder.Fail(id); h.finish(id) }
 func (h *transcript) Call(id string, d time.Duration) { h.recorder.Call(id, d); h.set(id, "calling") }
-func (h *transcript) Skip(id string)                  { h.recorder.Skip(id); h.set(id, "running") }
-func (h *transcript) Reuse(id string)                 { h.recorder.Reuse(id); h.set(id, "joined") }
-func (h *transcript) Say(v float64)                   { h.add("say %.17g", v) }
-func (h *transcript) Wake(d time.Duration, token int64) {
-	h.recorder.Wake(d, token)
+func (h *transcript) SkipCall(id string)              { h.recorder.SkipCall(id); h.set(id, "running") }
+func (h *transcript) ServeCached(id string)           { h.recorder.ServeCached(id); h.set(id, "joined") }
+func (h *transcript) PublishLoad(v float64)           { h.add("say %.17g", v) }
+func (h *transcript) SetTimer(d time.Duration, token int64) {
+	h.recorder.SetTimer(d, token)
 	h.wakes = append(h.wakes, h.now+d)
 }
 
@@ -77,19 +77,19 @@
 func recordedSettings(seed int64, rng *rand.Rand) decision.Settings {
 	s := settings()
 	s.Classes = append(s.Classes, decision.Class{
-		Aim: time.Second, AimStretch: 2, Deadline: 5 * time.Second, Worth: 1.5, LateWorth: 0.3,
-		SkipWorth: 0.6, Calls: true,
+		LatencyObjective: time.Second, ObjectivePerCost: 2, Deadline: 5 * time.Second, Weight: 1.5, LateWeight: 0.3,
+		DegradedWeight: 0.6, CallsDependency: true,
 	})
-	s.Stop = []decision.StopMode{decision.StopNever, decision.StopDrop, decision.StopPause, decision.StopPause}[seed%4]
-	s.Say = []decision.SayMode{decision.SayNothing, decision.SayRank, decision.SayCredit, decision.SayWeight}[seed/2%4]
-	s.Below = []decision.Below{decision.BelowNothing, decision.BelowShared, decision.BelowShared, decision.BelowTier}[seed/3%4]
+	s.CancelMode = []decision.CancelMode{decision.CancelNever, decision.CancelDiscard, decision.CancelPause, decision.CancelPause}[seed%4]
+	s.LoadReportMode = []decision.LoadReportMode{decision.LoadReportNone, decision.LoadReportMinRank, decision.LoadReportCredit, decision.LoadReportWeight}[seed/2%4]
+	s.Dependency = []decision.DependencyKind{decision.NoDependency, decision.SharedDependency, decision.SharedDependency, decision.NextTier}[seed/3%4]
 	s.Callers = []int{3, 300, 3000}[seed/4%3]
-	s.Cold, s.Readiness = rng.Intn(2) == 0, rng.Intn(2) == 0
-	s.Fresh, s.Heeded = time.Duration(rng.Intn(2))*time.Second, time.Duration(1+rng.Intn(3))*time.Second
-	s.CallsOut, s.Cores, s.MemoryKB = 0.5+30*rng.Float64(), 1+rng.Intn(8), 400+8000*rng.Float64()
+	s.SlowStart, s.ListFollowsHealth = rng.Intn(2) == 0, rng.Intn(2) == 0
+	s.CacheTTL, s.LoadReportTTL = time.Duration(rng.Intn(2))*time.Second, time.Duration(1+rng.Intn(3))*time.Second
+	s.CallQuota, s.Cores, s.MemoryKB = 0.5+30*rng.Float64(), 1+rng.Intn(8), 400+8000*rng.Float64()
 	if rng.Intn(2) == 0 {
 		s.Tenants = []decision.Tenant{{Quota: 50}, {Quota: 1000}, {}}
-		s.OverShareWorth = 0.2
+		s.OverQuotaWeight = 0.2
 	}
 	return s
 }
@@ -119,7 +119,7 @@
 		end /= 6
 	}
 	for p.host.now < end {
-		p.host.now += p.settings.BatchGap + time.Duration(p.rng.Int63n(int64(10*ms)))
+		p.host.now += p.settings.BatchInterval + time.Duration(p.rng.Int63n(int64(10*ms)))
 		now := p.host.now
 		p.tick(now)
 		if !drained && now > end-recordedDrain {
@@ -155,14 +155,14 @@
 			p.host.wakes = append(p.host.wakes, at)
 			continue
 		}
-		gauges := decision.Gauges{CoreUse: p.rng.Float64(), OnCores: 8 * p.rng.Float64(), Memory: p.rng.Float64(), Conns: 9}
+		gauges := decision.Gauges{CoreUtilization: p.rng.Float64(), RunnableTasks: 8 * p.rng.Float64(), MemoryUtilization: p.rng.Float64(), Connections: 9}
 		if phase := int(now/gaugePhase) % 3; phase == 1 { // reads take the cores
-			gauges.OnCores = 40 * p.rng.Float64()
+			gauges.RunnableTasks = 40 * p.rng.Float64()
 		} else if phase == 2 {
-			gauges.OnCores = 0
+			gauges.RunnableTasks = 0
 		}
 		if p.rng.Intn(10) == 0 {
-			gauges = decision.Gauges{CoreUse: -1, OnCores: -1, Memory: -1, Conns: -1}
+			gauges = decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
 		}
 		p.module.Tick(now, 0, gauges)
 	}
@@ -171,25 +171,25 @@
 // retune changes settings, and now and then adds a class.
 func (p *recording) retune(t *testing.T, now time.Duration) {
 	t.Helper()
-	p.settings.CallsOut = 0.5 + 30*p.rng.Float64()
+	p.settings.CallQuota = 0.5 + 30*p.rng.Float64()
 	p.settings.MemoryKB = 400 + 4000*p.rng.Float64()
-	p.settings.MaxIdle = time.Duration(1+p.rng.Intn(20)) * time.Second
+	p.settings.MaxIdleTime = time.Duration(1+p.rng.Intn(20)) * time.Second
 	if len(p.settings.Classes) < 6 {
 		added := p.settings.Classes[p.rng.Intn(len(p.settings.Classes))]
 		p.settings.Classes = append(append([]decision.Class{}, p.settings.Classes...), added)
 	}
-	if err := p.module.Retune(now, p.settings); err != nil {
+	if err := p.module.UpdateSettings(now, p.settings); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // bound gives the instance its part of what a fleet shares.
 func (p *recording) bound() {
-	bounds := decision.Bounds{Calls: 30 * p.rng.Float64()}
+	bounds := decision.FleetBounds{MaxCalls: 30 * p.rng.Float64()}
 	if p.rng.Intn(2) == 0 {
-		bounds.Repeat = func() bool { return p.rng.Intn(2) == 0 }
+		bounds.AcquireRetry = func() bool { return p.rng.Intn(2) == 0 }
 	}
-	p.host.add("wanted %d", p.module.Bound(bounds))
+	p.host.add("wanted %d", p.module.SetFleetBounds(bounds))
 }
 
 // request sends a request, or a retry of an earlier one.
@@ -197,22 +197,22 @@
 	id := fmt.Sprint(len(p.ids))
 	class := p.rng.Intn(len(p.settings.Classes))
 	r := decision.Request{
-		ID: id, Class: class, HeldKB: 5 + 20*p.rng.Float64(), Waited: time.Duration(p.rng.Int63n(int64(40 * ms))),
-		Rank: p.rng.Float64(), Retry: p.rng.Intn(4) == 0, Write: p.rng.Intn(3) == 0, From: p.rng.Intn(5),
-		Cost: time.Duration(p.rng.Int63n(int64(100 * ms))), Tenant: p.rng.Intn(4),
+		ID: id, Class: class, ReservedKB: 5 + 20*p.rng.Float64(), Waited: time.Duration(p.rng.Int63n(int64(40 * ms))),
+		Rank: p.rng.Float64(), Retry: p.rng.Intn(4) == 0, Write: p.rng.Intn(3) == 0, Caller: p.rng.Intn(5),
+		CostHint: time.Duration(p.rng.Int63n(int64(100 * ms))), Tenant: p.rng.Intn(4),
 	}
 	if p.rng.Intn(2) == 0 {
-		r.Key = fmt.Sprint("item", p.rng.Intn(50))
+		r.CacheKey = fmt.Sprint("item", p.rng.Intn(50))
 	}
 	if p.rng.Intn(3) == 0 {
-		r.Due = now + time.Duration(p.rng.Int63n(int64(3*time.Second)))
+		r.Deadline = now + time.Duration(p.rng.Int63n(int64(3*time.Second)))
 	}
 	if len(p.ids) > 0 && p.rng.Intn(5) == 0 {
-		r.Earlier = p.ids[max(0, len(p.ids)-1-p.rng.Intn(40))]
+		r.DuplicateOf = p.ids[max(0, len(p.ids)-1-p.rng.Intn(40))]
 	}
 	p.ids, p.open, p.class[id] = append(p.ids, id), append(p.open, id), class
 	p.host.set(id, "held")
-	p.module.Request(now, r)
+	p.module.RequestReceived(now, r)
 }
 
 // progress lets the world go on with one request.
@@ -222,14 +222,14 @@
 		p.progressRun(now, id)
 	case "halting":
 		p.host.set(id, "over")
-		if p.settings.Stop == decision.StopPause {
+		if p.settings.CancelMode == decision.CancelPause {
 			p.host.set(id, "paused")
 		}
-		p.module.Done(now, id, decision.Cancelled, 0)
+		p.module.RunDone(now, id, decision.Cancelled, 0)
 	case "standing":
 		if p.rng.Intn(400) == 0 {
 			p.host.set(id, "over")
-			p.module.Done(now, id, decision.Errored, 0)
+			p.module.RunDone(now, id, decision.Failed, 0)
 		}
 	case "calling":
 		if p.rng.Intn(8) == 0 {
@@ -238,12 +238,12 @@
 	case "joined":
 		if p.rng.Intn(60) == 0 {
 			p.host.set(id, "over")
-			p.module.Done(now, id, []decision.Outcome{decision.OK, decision.Errored}[p.rng.Intn(2)], 0)
+			p.module.RunDone(now, id, []decision.Outcome{decision.Succeeded, decision.Failed}[p.rng.Intn(2)], 0)
 		}
 	case "held":
 		if p.rng.Intn(3000) == 0 {
 			p.host.set(id, "over")
-			p.module.Gone(now, id)
+			p.module.CallerGone(now, id)
 		}
 	}
 }
@@ -252,17 +252,17 @@
 func (p *recording) progressRun(now time.Duration, id string) {
 	switch p.rng.Intn(30) {
 	case 0, 3, 4, 5:
-		if p.settings.Classes[p.class[id]].Calls {
+		if p.settings.Classes[p.class[id]].CallsDependency {
 			p.host.set(id, "standing")
-			p.module.NeedsCall(now, id)
+			p.module.CallNeeded(now, id)
 		}
 	case 1:
 		p.host.set(id, "over")
-		ends := []decision.Outcome{decision.OK, decision.OK, decision.OK, decision.Errored, decision.Cancelled, decision.Moot}
-		p.module.Done(now, id, ends[p.rng.Intn(len(ends))], 20*ms)
+		ends := []decision.Outcome{decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Failed, decision.Cancelled, decision.NotStarted}
+		p.module.RunDone(now, id, ends[p.rng.Intn(len(ends))], 20*ms)
 	case 2:
 		if p.rng.Intn(20) == 0 {
-			p.module.Gone(now, id)
+			p.module.CallerGone(now, id)
 		}
 	}
 }
@@ -270,12 +270,12 @@
 // endCall ends a call; more often than not with a reply.
 func (p *recording) endCall(now time.Duration, id string) {
 	ends := []decision.Outcome{
-		decision.OK, decision.OK, decision.OK, decision.OK, decision.OK, decision.Errored, decision.Full,
-		decision.TimedOut, decision.ConnectFailed, decision.Reset,
+		decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Failed, decision.Rejected,
+		decision.TimedOut, decision.ConnectFailed, decision.ConnectionReset,
 	}
 	end := ends[p.rng.Intn(len(ends))]
 	p.host.set(id, "standing")
-	if end == decision.OK {
+	if end == decision.Succeeded {
 		p.host.set(id, "running")
 	}
 	took := ms << p.rng.Intn(10) // from 1 ms to 0.5 s, long ones as often as short ones
--- a/policy/told_test.go
+++ b/policy/told_test.go
@@ -13,25 +13,25 @@
 // that heard it of late; pressure is told to them as it changes.
 func TestCreditIsSharedByThoseThatHeardItAndFollowsThePressure(t *testing.T) {
 	s := settings()
-	s.Say, s.Callers, s.Heeded = decision.SayCredit, 1000, time.Second
+	s.LoadReportMode, s.Callers, s.LoadReportTTL = decision.LoadReportCredit, 1000, time.Second
 	in, r := start(t, s)
 	for i := range 3 {
-		in.Request(0, decision.Request{ID: string(rune('a' + i)), From: i, HeldKB: 1})
+		in.RequestReceived(0, decision.Request{ID: string(rune('a' + i)), Caller: i, ReservedKB: 1})
 	}
 	in.Decide(0)
-	in.Tick(ms, 0, decision.Gauges{CoreUse: 0.5, OnCores: 1})
+	in.Tick(ms, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 	if want := in.crowdLimit() / 3; in.said != want {
 		t.Fatalf("said %v to three callers, want %v each", in.said, want)
 	}
 	said := r.count("say")
 	for now := in.gap; now < 300*ms; now += in.gap {
 		in.pressed = 1
-		in.Tick(now, 0, decision.Gauges{CoreUse: 1, OnCores: 4})
+		in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: 4})
 	}
 	if r.count("say") < said+5 {
 		t.Errorf("said %d times while the pressure rose", r.count("say")-said)
 	}
-	in.Tick(3*time.Second, 0, decision.Gauges{CoreUse: 0.5, OnCores: 1})
+	in.Tick(3*time.Second, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 	if len(in.heard) != 0 {
 		t.Errorf("%d callers counted long after they were heard", len(in.heard))
 	}
@@ -43,8 +43,8 @@
 	in, _ := start(t, settings())
 	for i := range 1000 {
 		now := time.Duration(i) * in.gap
-		in.Request(now, decision.Request{ID: string(rune('a' + i)), From: i, HeldKB: 1})
-		in.Tick(now, 0, decision.Gauges{CoreUse: 0.5, OnCores: 1})
+		in.RequestReceived(now, decision.Request{ID: string(rune('a' + i)), Caller: i, ReservedKB: 1})
+		in.Tick(now, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 	}
 	if len(in.heard) > 100 {
 		t.Errorf("%d callers are remembered", len(in.heard))
@@ -59,7 +59,7 @@
 	in, r := start(t, s)
 	last := func(from, to time.Duration, on float64) string {
 		for now := from; now < to; now += in.gap {
-			in.Tick(now, 0, decision.Gauges{CoreUse: 1, OnCores: on})
+			in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: on})
 		}
 		act := ""
 		for _, a := range r.acts {
@@ -92,25 +92,25 @@
 	in, _ := start(t, s)
 	now := time.Second
 	for _, id := range []string{"a", "b"} {
-		in.Request(now, decision.Request{ID: id, Class: 0, HeldKB: 10})
+		in.RequestReceived(now, decision.Request{ID: id, Class: 0, ReservedKB: 10})
 	}
 	in.Decide(now)
-	s.RunFactor, s.KeyKB = 2*s.RunFactor, 3*s.KeyKB
-	if err := in.Retune(now, s); err != nil {
+	s.RunningMemoryFactor, s.KeyMemoryKB = 2*s.RunningMemoryFactor, 3*s.KeyMemoryKB
+	if err := in.UpdateSettings(now, s); err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"a", "b"} {
-		in.Done(now, id, decision.OK, 0)
+		in.RunDone(now, id, decision.Succeeded, 0)
 	}
 	in.Decide(now)
 	for range 2 { // the keys that were kept go with their windows
 		now += time.Hour
-		in.Tick(now, 0, decision.Gauges{CoreUse: -1, OnCores: -1, Memory: -1, Conns: -1})
+		in.Tick(now, 0, decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1})
 	}
 	if in.memory != 0 {
 		t.Errorf("%v KB are taken by nothing", in.memory)
 	}
-	if s.Classes = s.Classes[:len(s.Classes)-1]; in.Retune(now, s) == nil {
+	if s.Classes = s.Classes[:len(s.Classes)-1]; in.UpdateSettings(now, s) == nil {
 		t.Error("a class may lose its place")
 	}
 }
@@ -119,33 +119,33 @@
 // none where it has heard nothing for too long; what it would make is told.
 func TestCallsKeepToTheFleetsBound(t *testing.T) {
 	s := settings()
-	s.Cores, s.CallsOut = 6, 20
+	s.Cores, s.CallQuota = 6, 20
 	in, r := start(t, s)
 	for i := range 6 {
 		id := string(rune('a' + i))
-		in.Request(0, decision.Request{ID: id, From: i, HeldKB: 1})
+		in.RequestReceived(0, decision.Request{ID: id, Caller: i, ReservedKB: 1})
 		in.Decide(0)
 	}
 	running := in.count[running]
 	if running < 3 {
 		t.Fatalf("%d run", running)
 	}
-	in.Bound(decision.Bounds{Calls: 0})
+	in.SetFleetBounds(decision.FleetBounds{MaxCalls: 0})
 	for id := range in.requests {
-		in.NeedsCall(ms, id)
+		in.CallNeeded(ms, id)
 	}
 	in.Decide(ms)
 	if n := r.count("call"); n != 0 {
 		t.Errorf("%d calls without a right", n)
 	}
-	if wanted := in.Bound(decision.Bounds{Calls: 2}); wanted != running {
+	if wanted := in.SetFleetBounds(decision.FleetBounds{MaxCalls: 2}); wanted != running {
 		t.Errorf("%d wanted of %d", wanted, running)
 	}
 	in.Decide(2 * ms)
 	if n := r.count("call"); n != 2 || in.callPace() > 2 {
 		t.Errorf("%d calls with two rights, at a pace of %v", n, in.callPace())
 	}
-	in.Bound(decision.Bounds{Calls: math.Inf(1)})
+	in.SetFleetBounds(decision.FleetBounds{MaxCalls: math.Inf(1)})
 	in.Decide(3 * ms)
 	if n := r.count("call"); n != running {
 		t.Errorf("%d calls of %d without a bound", n, running)
@@ -157,15 +157,15 @@
 func TestRepeatsKeepToTheFleetsBound(t *testing.T) {
 	in, r := start(t, settings())
 	left := 0
-	in.Bound(decision.Bounds{Calls: math.Inf(1), Repeat: func() bool { left--; return left >= 0 }})
-	in.Request(0, decision.Request{ID: "a", HeldKB: 1})
+	in.SetFleetBounds(decision.FleetBounds{MaxCalls: math.Inf(1), AcquireRetry: func() bool { left--; return left >= 0 }})
+	in.RequestReceived(0, decision.Request{ID: "a", ReservedKB: 1})
 	in.Decide(0)
-	in.NeedsCall(0, "a")
+	in.CallNeeded(0, "a")
 	in.Decide(0)
-	in.CallDone(ms, "a", decision.Full, ms)
+	in.CallDone(ms, "a", decision.Rejected, ms)
 	run := func(from, to time.Duration) {
 		for now := from; now < to; now += in.gap {
-			in.Tick(now, 0, decision.Gauges{CoreUse: 0.5, OnCores: 1})
+			in.Tick(now, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 			in.Decide(now)
 		}
 	}
--- a/policy/walk_test.go
+++ b/policy/walk_test.go
@@ -65,20 +65,20 @@
 		c.t.Fatalf("%v: %s run, which came after the grace", c.now, id)
 	}
 	for _, o := range c.order {
-		if o != q && o.ran && o.who == q.who && q.class.Effect != decision.Safe &&
-			(q.class.Effect == decision.Unsafe || q.arrived <= o.arrived+q.class.Window) {
+		if o != q && o.ran && o.who == q.who && q.class.Effect != decision.Idempotent &&
+			(q.class.Effect == decision.NonIdempotent || q.arrived <= o.arrived+q.class.KeyWindow) {
 			c.t.Fatalf("%v: %s and %s both run, tries of one request", c.now, o.id, id)
 		}
 	}
 	q.at, q.ran = "running", true
 }
 
-func (c *contract) Refuse(id string, away time.Duration, last bool) {
-	c.recorder.Refuse(id, away, last)
+func (c *contract) Shed(id string, away time.Duration, last bool) {
+	c.recorder.Shed(id, away, last)
 	q := c.get(id, "refuse")
 	c.answer(q, "refuse")
 	for _, o := range c.order {
-		if o.ran && o.who == q.who && q.class.Effect != decision.Safe && (o == q || q.arrived <= o.arrived+q.class.Window) {
+		if o.ran && o.who == q.who && q.class.Effect != decision.Idempotent && (o == q || q.arrived <= o.arrived+q.class.KeyWindow) {
 			c.t.Fatalf("%v: %s refused after a try of it ran", c.now, id)
 		}
 	}
@@ -99,7 +99,7 @@
 func (c *contract) Call(id string, d time.Duration) {
 	c.recorder.Call(id, d)
 	q := c.get(id, "call")
-	if q.called && q.class.Effect != decision.Safe {
+	if q.called && q.class.Effect != decision.Idempotent {
 		c.t.Fatalf("%v: the call of %s is repeated", c.now, id)
 	}
 	if q.at == "standing" {
@@ -107,27 +107,27 @@
 	}
 }
 
-func (c *contract) Skip(id string) {
-	c.recorder.Skip(id)
+func (c *contract) SkipCall(id string) {
+	c.recorder.SkipCall(id)
 	q := c.get(id, "skip")
-	if q.class.SkipWorth == 0 {
+	if q.class.DegradedWeight == 0 {
 		c.t.Fatalf("%v: the call of %s may not be left out", c.now, id)
 	}
 	q.at = "running"
 }
 
-func (c *contract) Keep(id string, ttl time.Duration) {
-	c.recorder.Keep(id, ttl)
+func (c *contract) CacheResult(id string, ttl time.Duration) {
+	c.recorder.CacheResult(id, ttl)
 	c.entries[id] = c.now + ttl
 }
 
-func (c *contract) Forget(id string) {
-	c.recorder.Forget(id)
+func (c *contract) EvictResult(id string) {
+	c.recorder.EvictResult(id)
 	delete(c.entries, id)
 }
 
-func (c *contract) Reuse(id string) {
-	c.recorder.Reuse(id)
+func (c *contract) ServeCached(id string) {
+	c.recorder.ServeCached(id)
 	q := c.get(id, "reuse")
 	if q.prior == "" {
 		c.t.Fatalf("%v: reuse of %s, which repeats nothing", c.now, id)
@@ -135,28 +135,28 @@
 	q.at = "joined"
 }
 
-func (c *contract) Halt(id string) {
-	c.recorder.Halt(id)
-	if c.s.Stop == decision.StopNever {
+func (c *contract) Cancel(id string) {
+	c.recorder.Cancel(id)
+	if c.s.CancelMode == decision.CancelNever {
 		c.t.Fatalf("%v: halt of %s, where work can't be stopped", c.now, id)
 	}
 	if q := c.get(id, "halt"); q.at == "running" && !q.answered {
-		if c.s.Stop != decision.StopPause {
+		if c.s.CancelMode != decision.CancelPause {
 			c.t.Fatalf("%v: what was done of %s is lost", c.now, id)
 		}
 		q.at = "pausing"
 	}
 }
 
-func (c *contract) Say(v float64) {
-	c.recorder.Say(v)
-	if c.s.Say == decision.SayNothing || v < 0 {
+func (c *contract) PublishLoad(v float64) {
+	c.recorder.PublishLoad(v)
+	if c.s.LoadReportMode == decision.LoadReportNone || v < 0 {
 		c.t.Fatalf("%v: says %v", c.now, v)
 	}
 }
 
-func (c *contract) Wake(d time.Duration, token int64) {
-	c.recorder.Wake(d, token)
+func (c *contract) SetTimer(d time.Duration, token int64) {
+	c.recorder.SetTimer(d, token)
 	c.wakes = append(c.wakes, c.now+d)
 }
 
@@ -168,7 +168,7 @@
 			delete(c.entries, id)
 			continue
 		}
-		kb += c.s.KeyKB
+		kb += c.s.KeyMemoryKB
 	}
 	inHand := 0
 	for _, q := range c.order {
@@ -176,23 +176,23 @@
 		case "held", "joined":
 			kb += q.kb
 		case "paused":
-			kb += q.kb * c.s.RunFactor
+			kb += q.kb * c.s.RunningMemoryFactor
 		case "running", "standing", "calling", "pausing":
-			kb += q.kb * c.s.RunFactor
+			kb += q.kb * c.s.RunningMemoryFactor
 			inHand++
 		}
 		due := q.due
 		if c.drained {
 			due = min(due, c.stopAt)
 		}
-		if !q.answered && c.now > due+c.s.AnswerSlack {
+		if !q.answered && c.now > due+c.s.DeadlineSlack {
 			c.t.Fatalf("%v: %s lost, due at %v, is %s", c.now, q.id, due, q.at)
 		}
 	}
 	if kb > c.s.MemoryKB {
 		c.t.Fatalf("%v: %v KB needed of %v", c.now, kb, c.s.MemoryKB)
 	}
-	if limit := float64(c.s.Cores) * c.s.FallMultiple; float64(inHand) > limit {
+	if limit := float64(c.s.Cores) * c.s.OverloadRatio; float64(inHand) > limit {
 		c.t.Fatalf("%v: %d in hand, %v survive", c.now, inHand, limit)
 	}
 }
@@ -210,12 +210,12 @@
 	const day = 20 * time.Second
 	var sent []*tracked
 	for c.now < day {
-		c.now += s.BatchGap + time.Duration(rng.Int63n(int64(8*ms)))
+		c.now += s.BatchInterval + time.Duration(rng.Int63n(int64(8*ms)))
 		due := c.wakes
 		c.wakes = nil
 		for _, w := range due {
 			if w <= c.now {
-				in.Tick(c.now, 0, decision.Gauges{CoreUse: rng.Float64(), OnCores: 8 * rng.Float64(), Memory: 0.5, Conns: 9})
+				in.Tick(c.now, 0, decision.Gauges{CoreUtilization: rng.Float64(), RunnableTasks: 8 * rng.Float64(), MemoryUtilization: 0.5, Connections: 9})
 			} else {
 				c.wakes = append(c.wakes, w)
 			}
@@ -247,8 +247,8 @@
 			if q.class.Effect == decision.Keyed {
 				sent = append(sent, q)
 			}
-			in.Request(c.now, decision.Request{
-				ID: q.id, Class: class, Due: q.due, HeldKB: q.kb, Waited: c.now - q.arrived, Earlier: q.prior,
+			in.RequestReceived(c.now, decision.Request{
+				ID: q.id, Class: class, Deadline: q.due, ReservedKB: q.kb, Waited: c.now - q.arrived, DuplicateOf: q.prior,
 				Rank: rng.Float64(),
 			})
 		}
@@ -263,9 +263,9 @@
 
 // progress lets the world go on with one request.
 func (c *contract) progress(in *Instance, q *tracked, rng *rand.Rand) {
-	outcome := decision.OK
+	outcome := decision.Succeeded
 	if rng.Intn(8) == 0 {
-		outcome = decision.Errored
+		outcome = decision.Failed
 	}
 	switch {
 	case q.at == "over":
@@ -274,56 +274,62 @@
 		if q.answered {
 			q.at = "over"
 		}
-		in.Done(c.now, q.id, decision.Cancelled, 0)
-	case q.at == "running" && rng.Intn(60) == 0 && q.class.Calls && !q.answered:
+		in.RunDone(c.now, q.id, decision.Cancelled, 0)
+	case q.at == "running" && rng.Intn(60) == 0 && q.class.CallsDependency && !q.answered:
 		q.at, q.called = "standing", false
-		in.NeedsCall(c.now, q.id)
+		in.CallNeeded(c.now, q.id)
 	case q.at == "running" && rng.Intn(60) == 0:
 		q.at, q.answered = "over", true
-		in.Done(c.now, q.id, outcome, 0)
+		in.RunDone(c.now, q.id, outcome, 0)
 	case (q.at == "standing" || q.at == "calling") && q.answered:
 		q.at = "over"
-		in.Done(c.now, q.id, decision.Cancelled, 0)
+		in.RunDone(c.now, q.id, decision.Cancelled, 0)
 	case q.at == "calling" && c.now >= q.callTill:
 		q.at = "standing"
 		in.CallDone(c.now, q.id, decision.TimedOut, c.now)
 	case q.at == "calling" && rng.Intn(40) == 0:
-		outcome = []decision.Outcome{decision.OK, decision.OK, decision.OK, decision.OK, decision.Errored, decision.Full, decision.ConnectFailed, decision.Reset}[rng.Intn(8)]
+		outcome = []decision.Outcome{decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Failed, decision.Rejected, decision.ConnectFailed, decision.ConnectionReset}[rng.Intn(8)]
 		q.at = "standing"
-		if outcome == decision.OK {
+		if outcome == decision.Succeeded {
 			q.at = "running"
 		}
-		if outcome == decision.Full || outcome == decision.ConnectFailed {
+		if outcome == decision.Rejected || outcome == decision.ConnectFailed {
 			q.called = false
 		}
 		in.CallDone(c.now, q.id, outcome, 50*ms)
 	case q.at == "joined" && rng.Intn(50) == 0:
 		q.at, q.answered = "over", true
-		in.Done(c.now, q.id, outcome, 0)
+		in.RunDone(c.now, q.id, outcome, 0)
 	case !q.answered && rng.Intn(2000) == 0:
 		q.answered = true
 		if q.at == "held" || q.at == "joined" {
 			q.at = "over"
 		}
-		in.Gone(c.now, q.id)
+		in.CallerGone(c.now, q.id)
 	}
 }
 
 func TestRandomWalkKeepsTheFourRules(t *testing.T) {
 	for i, change := range []func(*decision.Settings){
 		func(*decision.Settings) {},
-		func(s *decision.Settings) { s.Stop, s.Say, s.Cold = decision.StopDrop, decision.SayWeight, true },
-		func(s *decision.Settings) { s.Stop, s.Say, s.MemoryKB = decision.StopPause, decision.SayRank, 600 },
 		func(s *decision.Settings) {
-			s.Below, s.Say, s.Classes[0].SkipWorth = decision.BelowTier, decision.SayCredit, 0.5
+			s.CancelMode, s.LoadReportMode, s.SlowStart = decision.CancelDiscard, decision.LoadReportWeight, true
 		},
 		func(s *decision.Settings) {
-			s.Below = decision.BelowNothing
+			s.CancelMode, s.LoadReportMode, s.MemoryKB = decision.CancelPause, decision.LoadReportMinRank, 600
+		},
+		func(s *decision.Settings) {
+			s.Dependency, s.LoadReportMode, s.Classes[0].DegradedWeight = decision.NextTier, decision.LoadReportCredit, 0.5
+		},
+		func(s *decision.Settings) {
+			s.Dependency = decision.NoDependency
 			s.Tenants = []decision.Tenant{{Quota: 10}, {Quota: 500}}
-			s.OverShareWorth = 0.1
+			s.OverQuotaWeight = 0.1
+		},
+		func(s *decision.Settings) { s.CallQuota, s.Servers, s.Callers = 0.2, 3000, 1200 },
+		func(s *decision.Settings) {
+			s.CallQuota, s.Servers, s.Callers, s.CancelMode = 0, 1, 0, decision.CancelDiscard
 		},
-		func(s *decision.Settings) { s.CallsOut, s.Servers, s.Callers = 0.2, 3000, 1200 },
-		func(s *decision.Settings) { s.CallsOut, s.Servers, s.Callers, s.Stop = 0, 1, 0, decision.StopDrop },
 	} {
 		for seed := int64(1); seed <= 3; seed++ {
 			s := settings()
--- a/program/announce.go
+++ b/program/announce.go
@@ -114,8 +114,8 @@
 	a.hurry()
 }
 
-// Accepting implements routing.Presence. Only the newest word counts.
-func (a *announcer) Accepting(on bool) {
+// SetAccepting implements routing.Presence. Only the newest word counts.
+func (a *announcer) SetAccepting(on bool) {
 	select {
 	case <-a.changes:
 	default:
--- a/program/announce_test.go
+++ b/program/announce_test.go
@@ -80,9 +80,9 @@
 func TestAnnounceHurries(t *testing.T) {
 	playAnnounce(t, func(t *testing.T, p *registryPeer) {
 		p.status = func(int) int { return 0 }
-		p.Accepting(true)
+		p.SetAccepting(true)
 		p.want(t, "here", "true", 0)
-		p.Accepting(false)
+		p.SetAccepting(false)
 		p.want(t, "here", "false", 0)
 		p.move("silent")
 		synctest.Wait()
@@ -101,7 +101,7 @@
 		if len(p.reports) > 0 {
 			t.Errorf("a report before it can serve: %s", <-p.reports)
 		}
-		p.Accepting(true)
+		p.SetAccepting(true)
 		p.want(t, "there", "true", 0)
 	})
 }
@@ -116,7 +116,7 @@
 			}
 			return http.StatusNoContent
 		}
-		p.Accepting(false)
+		p.SetAccepting(false)
 		p.want(t, "here", "false", 0)
 		for wait := retryFirst; wait <= 4*retryFirst; wait *= 2 {
 			p.want(t, "here", "false", wait)
--- a/program/backend/cut_test.go
+++ b/program/backend/cut_test.go
@@ -43,7 +43,7 @@
 			t.Errorf("hello %s on the first link", hello)
 		}
 		<-working
-		err = core.Submit(routing.Request{ID: "r", Class: "ny-gava", Key: "k", Door: time.Now(), HeldKB: 1, Sink: got})
+		err = core.Submit(routing.Request{ID: "r", Class: "ny-gava", Key: "k", ArrivedAt: time.Now(), ReservedKB: 1, Responder: got})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/program/backend/processor.go
+++ b/program/backend/processor.go
@@ -55,7 +55,7 @@
 	core   *routing.Core
 	log    *slog.Logger
 	gauges []string
-	link   *transport.Link
+	link   *transport.Redialer
 
 	mu       sync.Mutex
 	present  *transport.Conn // the newest, in order or not; nil between a break and the next
@@ -76,7 +76,7 @@
 // names, in order; Attach has to follow.
 func NewProcessor(address string, gauges []string, log *slog.Logger) *Processor {
 	p := &Processor{log: log, gauges: gauges, usages: make(map[uint64]func(decision.Gauges)), trials: make(map[string]func(bool))}
-	p.link = transport.NewLink(address, p.opened, p.closed)
+	p.link = transport.NewRedialer(address, p.opened, p.closed)
 	return p
 }
 
@@ -86,8 +86,8 @@
 // Run keeps the link until ctx ends.
 func (p *Processor) Run(ctx context.Context) { p.link.Run(ctx) }
 
-// Move has the link go to another address.
-func (p *Processor) Move(address string) { p.link.Move(address) }
+// SetAddress has the link go to another address.
+func (p *Processor) SetAddress(address string) { p.link.SetAddress(address) }
 
 // errReplaced ends a connection that a newer one has replaced.
 var errReplaced = errors.New("replaced by a newer link")
@@ -171,20 +171,20 @@
 		p.greeted = true
 		p.marker = p.asked
 		p.greeting.Send(processor.AppendUsage(nil, strconv.FormatUint(p.marker, 10)))
-		tell = func() { p.core.Started(n.Word == "new", n.Took) }
+		tell = func() { p.core.BackendReady(n.Word == "new", n.Took) }
 	case processor.Complete:
 		p.proven(func(c command) bool { return c.id == n.ID })
-		end, known := map[string]routing.End{
-			"good": routing.Good, "bad": routing.Bad,
-			"cut": routing.Cut, "gone": routing.Unborn,
+		end, known := map[string]routing.RunEnd{
+			"good": routing.RunSucceeded, "bad": routing.RunFailed,
+			"cut": routing.RunCancelled, "gone": routing.RunNotStarted,
 		}[n.Word]
 		if !known {
-			end = routing.Bad
+			end = routing.RunFailed
 		}
-		tell = func() { p.core.Completed(n.ID, end, n.Took, routing.Payload{Body: n.Payload}) }
+		tell = func() { p.core.RunCompleted(n.ID, end, n.Took, routing.Payload{Body: n.Payload}) }
 	case processor.Ask:
 		p.proven(func(c command) bool { return c.id == n.ID && c.kind != interrupt })
-		tell = func() { p.core.Asked(n.ID, n.Number, n.Payload) }
+		tell = func() { p.core.CallRequested(n.ID, n.Number, n.Payload) }
 	case processor.Used:
 		tag, _ := strconv.ParseUint(n.Tag, 10, 64)
 		p.proven(func(c command) bool { return c.sent && c.after < tag })
@@ -205,7 +205,7 @@
 		if n.Word != "begin" {
 			p.log.Warn("processor_reject", "command", n.Word, "id", n.ID)
 		} else { // nothing ran: neither does the key count as used, nor the run as one that failed
-			tell = func() { p.core.Completed(n.ID, routing.Unborn, 0, routing.Payload{}) }
+			tell = func() { p.core.RunCompleted(n.ID, routing.RunNotStarted, 0, routing.Payload{}) }
 		}
 	}
 	p.mu.Unlock()
@@ -232,20 +232,20 @@
 }
 
 func (p *Processor) reading(values []float64) decision.Gauges {
-	g := decision.Gauges{CoreUse: -1, OnCores: -1, Memory: -1, Conns: -1}
+	g := decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
 	for i, name := range p.gauges {
 		if i >= len(values) {
 			break
 		}
 		switch name {
 		case "core_use":
-			g.CoreUse = values[i]
+			g.CoreUtilization = values[i]
 		case "on_cores":
-			g.OnCores = values[i]
+			g.RunnableTasks = values[i]
 		case "heap_share":
-			g.Memory = values[i]
+			g.MemoryUtilization = values[i]
 		case "links":
-			g.Conns = values[i]
+			g.Connections = values[i]
 		}
 	}
 	return g
@@ -262,28 +262,28 @@
 	p.pending = append(p.pending, c)
 }
 
-// Begin implements routing.Backend.
-func (p *Processor) Begin(r routing.Run) {
+// Start implements routing.Backend.
+func (p *Processor) Start(r routing.Run) {
 	p.command(begin, r.ID, processor.AppendBegin(nil, r.ID, r.Class, r.Payload.Body))
 }
 
-// Interrupt implements routing.Backend.
-func (p *Processor) Interrupt(id string) {
+// Cancel implements routing.Backend.
+func (p *Processor) Cancel(id string) {
 	p.command(interrupt, id, processor.AppendInterrupt(nil, id))
 }
 
-// Answer implements routing.Backend.
-func (p *Processor) Answer(id string, reply []byte) {
+// ReplyToCall implements routing.Backend.
+func (p *Processor) ReplyToCall(id string, reply []byte) {
 	p.command(resume, id, processor.AppendAnswer(nil, id, reply))
 }
 
-// Without implements routing.Backend.
-func (p *Processor) Without(id string, notice uint64) {
+// SkipCall implements routing.Backend.
+func (p *Processor) SkipCall(id string, notice uint64) {
 	p.command(resume, id, processor.AppendWithout(nil, id, notice))
 }
 
-// Usage implements routing.Machine. Without a link there is no reply.
-func (p *Processor) Usage(reply func(decision.Gauges)) {
+// ReadGauges implements routing.Machine. Without a link there is no reply.
+func (p *Processor) ReadGauges(reply func(decision.Gauges)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.silent++; p.silent > maxUnanswered && p.greeted && p.present != nil {
@@ -300,8 +300,8 @@
 	p.conn.Send(processor.AppendUsage(nil, strconv.FormatUint(p.asked, 10)))
 }
 
-// Trial implements routing.Machine.
-func (p *Processor) Trial(reply func(good bool)) {
+// CheckHealth implements routing.Machine.
+func (p *Processor) CheckHealth(reply func(good bool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn == nil {
--- a/program/backend/processor_test.go
+++ b/program/backend/processor_test.go
@@ -21,10 +21,10 @@
 	"quincerail.example/quincerail/transport"
 )
 
-func submit(t *testing.T, core *routing.Core, id, class string, sink routing.Sink) {
+func submit(t *testing.T, core *routing.Core, id, class string, sink routing.Responder) {
 	t.Helper()
 	err := core.Submit(routing.Request{
-		ID: id, Class: class, Key: "key of " + id, Door: time.Now(), HeldKB: 1, Sink: sink,
+		ID: id, Class: class, Key: "key of " + id, ArrivedAt: time.Now(), ReservedKB: 1, Responder: sink,
 		Payload: routing.Payload{Body: []byte("body of " + id)},
 	})
 	if err != nil {
@@ -191,8 +191,8 @@
 // health remembers what a core last said of itself.
 type health struct{ on atomic.Bool }
 
-// Accepting implements routing.Presence.
-func (h *health) Accepting(on bool) { h.on.Store(on) }
+// SetAccepting implements routing.Presence.
+func (h *health) SetAccepting(on bool) { h.on.Store(on) }
 
 // TestProcessorReject sees that a begin which was not carried out fails its
 // request at once, and that such requests, which only a bad client sends, don't
@@ -201,7 +201,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		link := NewProcessor("", nil, slog.Default())
 		self := &health{}
-		link.core = coretest.New(t, routing.Options{Backend: link, Machine: link, Presence: self})
+		link.core = coretest.New(t, routing.Options{Backend: link, Machine: link, Registrar: self})
 		e := &engine{t: t, link: link}
 		e.open()
 		got := make(coretest.Answers, 1)
--- a/program/backend/uwsgi.go
+++ b/program/backend/uwsgi.go
@@ -27,16 +27,16 @@
 	return &UWSGI{core: core, address: address, runs: make(map[string]context.CancelFunc)}
 }
 
-// Move has the runs to come go to another address.
-func (b *UWSGI) Move(address string) {
+// SetAddress has the runs to come go to another address.
+func (b *UWSGI) SetAddress(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.address = address
 }
 
-// Begin implements routing.Backend.
-func (b *UWSGI) Begin(r routing.Run) {
-	ctx, cancel := context.WithDeadline(context.Background(), r.Due)
+// Start implements routing.Backend.
+func (b *UWSGI) Start(r routing.Run) {
+	ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
 	b.mu.Lock()
 	b.runs[r.ID] = cancel
 	address := b.address
@@ -48,15 +48,15 @@
 		delete(b.runs, r.ID)
 		b.mu.Unlock()
 		if ctx.Err() == context.Canceled {
-			end = routing.Cut
+			end = routing.RunCancelled
 		}
 		cancel()
-		b.core.Completed(r.ID, end, time.Since(began), result)
+		b.core.RunCompleted(r.ID, end, time.Since(began), result)
 	}()
 }
 
 // run does one attempt. A connection that was refused proves that nothing ran.
-func (b *UWSGI) run(ctx context.Context, address string, r routing.Run) (routing.End, routing.Payload) {
+func (b *UWSGI) run(ctx context.Context, address string, r routing.Run) (routing.RunEnd, routing.Payload) {
 	var vars []uwsgi.Var
 	method := ""
 	for _, f := range r.Payload.Fields {
@@ -67,21 +67,21 @@
 	}
 	packet, err := uwsgi.AppendRequest(nil, vars, r.Payload.Body)
 	if err != nil {
-		return routing.Unborn, routing.Payload{}
+		return routing.RunNotStarted, routing.Payload{}
 	}
 	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
-		return routing.Unborn, routing.Payload{}
+		return routing.RunNotStarted, routing.Payload{}
 	}
 	defer nc.Close()
-	nc.SetDeadline(r.Due)
+	nc.SetDeadline(r.Deadline)
 	defer context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)) })()
 	if _, err := nc.Write(packet); err != nil {
-		return routing.Bad, routing.Payload{}
+		return routing.RunFailed, routing.Payload{}
 	}
 	resp, err := uwsgi.ReadResponse(bufio.NewReader(nc), method)
 	if err != nil {
-		return routing.Bad, routing.Payload{}
+		return routing.RunFailed, routing.Payload{}
 	}
 	var headers []routing.Field
 	for _, h := range resp.Headers {
@@ -89,13 +89,13 @@
 	}
 	result := httpresult.Encode(resp.Status, headers, resp.Body)
 	if resp.Status >= 500 {
-		return routing.Bad, result
+		return routing.RunFailed, result
 	}
-	return routing.Good, result
+	return routing.RunSucceeded, result
 }
 
-// Interrupt implements routing.Backend.
-func (b *UWSGI) Interrupt(id string) {
+// Cancel implements routing.Backend.
+func (b *UWSGI) Cancel(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if cancel := b.runs[id]; cancel != nil {
@@ -103,8 +103,8 @@
 	}
 }
 
-// Answer implements routing.Backend: these runs make no calls.
-func (b *UWSGI) Answer(string, []byte) {}
+// ReplyToCall implements routing.Backend: these runs make no calls.
+func (b *UWSGI) ReplyToCall(string, []byte) {}
 
-// Without implements routing.Backend: these runs make no calls.
-func (b *UWSGI) Without(string, uint64) {}
+// SkipCall implements routing.Backend: these runs make no calls.
+func (b *UWSGI) SkipCall(string, uint64) {}
--- a/program/changes.go
+++ b/program/changes.go
@@ -24,10 +24,10 @@
 // observers tells several.
 type observers []routing.Observer
 
-// Answered implements routing.Observer.
-func (o observers) Answered(class string, kind routing.Kind, took time.Duration, repeat bool) {
+// ObserveResponse implements routing.Observer.
+func (o observers) ObserveResponse(class string, kind routing.OutcomeKind, took time.Duration, repeat bool) {
 	for _, x := range o {
-		x.Answered(class, kind, took, repeat)
+		x.ObserveResponse(class, kind, took, repeat)
 	}
 }
 
@@ -42,20 +42,20 @@
 func (t *tally) tune(names []string, s decision.Settings) {
 	aims := make(map[string]time.Duration, len(names))
 	for i, name := range names {
-		aims[name] = s.Classes[i].Aim
+		aims[name] = s.Classes[i].LatencyObjective
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.aims = aims
 }
 
-// Answered implements routing.Observer.
-func (t *tally) Answered(class string, kind routing.Kind, took time.Duration, _ bool) {
+// ObserveResponse implements routing.Observer.
+func (t *tally) ObserveResponse(class string, kind routing.OutcomeKind, took time.Duration, _ bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.totals.Requests++
 	switch kind {
-	case routing.Refused:
+	case routing.Shed:
 		t.totals.Rejected++
 	case routing.Failed, routing.TimedOut:
 		t.totals.Failed++
--- a/program/config.go
+++ b/program/config.go
@@ -165,7 +165,7 @@
 	if c.Settings, err = wire.Settings(settings.Raw); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	c.Settings.Fresh = 0 // reads are not shared here: no site asks for it
+	c.Settings.CacheTTL = 0 // reads are not shared here: no site asks for it
 	for _, lane := range settings.Get("lanes").Array() {
 		c.Classes = append(c.Classes, lane.Get("name").String())
 	}
--- a/program/config_test.go
+++ b/program/config_test.go
@@ -181,9 +181,9 @@
 		}
 		for _, c := range doc.Classes {
 			want := config.Settings.Classes[slices.Index(config.Classes, c.Name)]
-			want.Calls, want.SkipWorth = false, 0 // of no concern outside the platform
+			want.CallsDependency, want.DegradedWeight = false, 0 // of no concern outside the platform
 			if want.Effect != decision.Keyed {
-				want.Window = 0
+				want.KeyWindow = 0
 			}
 			if c.Class != want {
 				t.Errorf("%s: class %+v, want %+v", name, c, want)
--- a/program/control.go
+++ b/program/control.go
@@ -61,9 +61,9 @@
 			}
 		})
 	case "drain-on":
-		err = d.core.SendAway(true, func() { answer(nil) })
+		err = d.core.SetTrafficDisabled(true, func() { answer(nil) })
 	case "drain-off":
-		err = d.core.SendAway(false, func() { answer(nil) })
+		err = d.core.SetTrafficDisabled(false, func() { answer(nil) })
 	default:
 		err = fmt.Errorf("%q is no call", call)
 	}
--- a/program/crossing_test.go
+++ b/program/crossing_test.go
@@ -94,7 +94,7 @@
 
 // oneAtATime has one run at work, what else comes waits in the queue.
 func oneAtATime(c *program.Config) {
-	c.Settings.Cores, c.Settings.FallMultiple = 1, 1
+	c.Settings.Cores, c.Settings.OverloadRatio = 1, 1
 	c.Settings.DrainGrace, c.Stop = 300*time.Millisecond, 1500*time.Millisecond
 }
 
--- a/program/downstream/budget.go
+++ b/program/downstream/budget.go
@@ -13,7 +13,7 @@
 
 // Caller hears how calls ended; *routing.Core is one.
 type Caller interface {
-	Called(id string, number int, end routing.CallEnd, reply []byte)
+	CallCompleted(id string, number int, end routing.CallOutcome, reply []byte)
 }
 
 // Budget is the member's part of what the whole fleet may have in hand at
@@ -101,17 +101,17 @@
 	}
 }
 
-// Called implements Caller: it stands between the dependency and the core.
-func (b *Budgeted) Called(id string, number int, end routing.CallEnd, reply []byte) {
+// CallCompleted implements Caller: it stands between the dependency and the core.
+func (b *Budgeted) CallCompleted(id string, number int, end routing.CallOutcome, reply []byte) {
 	b.mu.Lock()
 	k, out := b.out[id]
 	if out = out && k.number == number; out {
 		delete(b.out, id)
 	}
 	b.mu.Unlock()
-	b.core.Called(id, number, end, reply)
+	b.core.CallCompleted(id, number, end, reply)
 	switch {
-	case out && end == decision.Reset: // nobody knows whether it still runs
+	case out && end == decision.ConnectionReset: // nobody knows whether it still runs
 		time.AfterFunc(b.linger(), func() { b.back(k) })
 	case out:
 		b.back(k)
@@ -127,13 +127,13 @@
 // move, and tells the fleet what it would have in hand if only it might.
 func Bound(core *routing.Core, member *fleet.Fleet) {
 	calls := member.QuotaAgent(fleet.Calls)
-	b := decision.Bounds{Calls: math.Inf(1)}
+	b := decision.FleetBounds{MaxCalls: math.Inf(1)}
 	if member.QuotaAgent(fleet.Repeats) != nil {
-		b.Repeat = member.Repeat
+		b.AcquireRetry = member.Repeat
 	}
 	if calls == nil {
-		if b.Repeat != nil {
-			core.Bound(b, func(int) {})
+		if b.AcquireRetry != nil {
+			core.SetFleetBounds(b, func(int) {})
 		}
 		return
 	}
@@ -146,8 +146,8 @@
 	})
 	go func() {
 		for may := range latest {
-			b.Calls = float64(may)
-			if core.Bound(b, calls.ReportDemand) != nil {
+			b.MaxCalls = float64(may)
+			if core.SetFleetBounds(b, calls.ReportDemand) != nil {
 				return // it has stopped
 			}
 		}
--- a/program/downstream/budget_test.go
+++ b/program/downstream/budget_test.go
@@ -59,8 +59,8 @@
 // Abandon implements routing.Dependency.
 func (b *below) Abandon(id string) { b.tell("abandon " + id) }
 
-// Called implements Caller.
-func (b *below) Called(id string, number int, _ routing.CallEnd, _ []byte) {
+// CallCompleted implements Caller.
+func (b *below) CallCompleted(id string, number int, _ routing.CallOutcome, _ []byte) {
 	b.tell(fmt.Sprint("called ", id, number))
 }
 
@@ -86,9 +86,9 @@
 		}
 		check("call a1 1s", "call b1 1s")
 		time.Sleep(300 * time.Millisecond)
-		b.Called("a", 1, decision.OK, nil)
+		b.CallCompleted("a", 1, decision.Succeeded, nil)
 		check("called a1", "call c1 700ms")
-		b.Called("a", 1, decision.OK, nil) // a second reply gives nothing back
+		b.CallCompleted("a", 1, decision.Succeeded, nil) // a second reply gives nothing back
 		check("called a1")
 		b.Abandon("d") // it waits
 		b.Abandon("b") // it is out, and lingers
@@ -99,7 +99,7 @@
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
 		check("call e1 500ms")
-		b.Called("c", 1, decision.Reset, nil) // it may run on
+		b.CallCompleted("c", 1, decision.ConnectionReset, nil) // it may run on
 		check("called c1")
 		r.add(1)
 		r.freed()
--- a/program/downstream/cut_test.go
+++ b/program/downstream/cut_test.go
@@ -15,8 +15,8 @@
 // ends tells how calls ended, each by its number.
 type ends chan string
 
-// Called implements Caller.
-func (e ends) Called(_ string, number int, end routing.CallEnd, reply []byte) {
+// CallCompleted implements Caller.
+func (e ends) CallCompleted(_ string, number int, end routing.CallOutcome, reply []byte) {
 	e <- fmt.Sprintf("%d: %d %q", number, end, reply)
 }
 
@@ -44,9 +44,9 @@
 	pool, got := NewPool(l.Addr().String()), make(ends, 2)
 	pool.Attach(got)
 	for n := range len(reply) + 1 {
-		want := fmt.Sprintf("%d: %d %q", n, decision.Reset, "")
+		want := fmt.Sprintf("%d: %d %q", n, decision.ConnectionReset, "")
 		if n == len(reply) {
-			want = fmt.Sprintf("%d: %d %q", n, decision.OK, "hello")
+			want = fmt.Sprintf("%d: %d %q", n, decision.Succeeded, "hello")
 		}
 		pool.Call("r", n, time.Minute, []byte("body"))
 		if end := <-got; end != want {
--- a/program/downstream/pool.go
+++ b/program/downstream/pool.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// Move has calls go to another address. Those that are out are waited for where
+// SetAddress has calls go to another address. Those that are out are waited for where
 // they were made.
-func (l *Pool) Move(address string) {
+func (l *Pool) SetAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if address == l.address {
@@ -170,7 +170,7 @@
 		l.take(k, reply)
 		return nil
 	})
-	l.end(k, decision.Reset)
+	l.end(k, decision.ConnectionReset)
 }
 
 // dial opens a connection to the ledger, wherever it moves meanwhile.
@@ -204,14 +204,14 @@
 	if call == nil { // to a call that was given up, a second copy, or to nobody's
 		return
 	}
-	end := map[ledger.Status]routing.CallEnd{
-		ledger.Posted: decision.OK, ledger.QueueFull: decision.Full,
-		ledger.Errored: decision.Errored, ledger.Expired: decision.TimedOut, ledger.Moot: decision.Moot,
+	end := map[ledger.Status]routing.CallOutcome{
+		ledger.Posted: decision.Succeeded, ledger.QueueFull: decision.Rejected,
+		ledger.Errored: decision.Failed, ledger.Expired: decision.TimedOut, ledger.Moot: decision.NotStarted,
 	}[reply.Status]
-	l.core.Called(reply.ID, call.number, end, reply.Body)
+	l.core.CallCompleted(reply.ID, call.number, end, reply.Body)
 }
 
-func (l *Pool) end(k *ledgerConn, end routing.CallEnd) {
+func (l *Pool) end(k *ledgerConn, end routing.CallOutcome) {
 	l.mu.Lock()
 	l.spend(k)
 	calls := k.calls
@@ -221,6 +221,6 @@
 	}
 	l.mu.Unlock()
 	for id, call := range calls {
-		l.core.Called(id, call.number, end, nil)
+		l.core.CallCompleted(id, call.number, end, nil)
 	}
 }
--- a/program/downstream/pool_test.go
+++ b/program/downstream/pool_test.go
@@ -23,20 +23,22 @@
 	resumed chan string
 }
 
-// Begin implements routing.Backend.
-func (a *asking) Begin(r routing.Run) { go a.core.Asked(r.ID, 1, r.Payload.Body) }
+// Start implements routing.Backend.
+func (a *asking) Start(r routing.Run) { go a.core.CallRequested(r.ID, 1, r.Payload.Body) }
 
-// Interrupt implements routing.Backend.
-func (a *asking) Interrupt(id string) { go a.core.Completed(id, routing.Cut, 0, routing.Payload{}) }
+// Cancel implements routing.Backend.
+func (a *asking) Cancel(id string) {
+	go a.core.RunCompleted(id, routing.RunCancelled, 0, routing.Payload{})
+}
 
-// Answer implements routing.Backend.
-func (a *asking) Answer(id string, reply []byte) {
+// ReplyToCall implements routing.Backend.
+func (a *asking) ReplyToCall(id string, reply []byte) {
 	a.resumed <- string(reply)
-	go a.core.Completed(id, routing.Good, 0, routing.Payload{})
+	go a.core.RunCompleted(id, routing.RunSucceeded, 0, routing.Payload{})
 }
 
-// Without implements routing.Backend.
-func (a *asking) Without(id string, _ uint64) { a.Answer(id, []byte("without")) }
+// SkipCall implements routing.Backend.
+func (a *asking) SkipCall(id string, _ uint64) { a.ReplyToCall(id, []byte("without")) }
 
 // TestLedgerOutcomes maps what the ledger says, or does not, to what becomes of
 // a keyed request, which calls once and never again after an unclear end.
@@ -69,9 +71,9 @@
 			pool, back := NewPool(l.Addr().String()), &asking{resumed: make(chan string, 1)}
 			core := coretest.New(t, routing.Options{Backend: back, Dependency: pool})
 			pool.core, back.core = core, core
-			core.Started(false, 0)
+			core.BackendReady(false, 0)
 			got := make(coretest.Answers, 1)
-			if err := core.Submit(routing.Request{ID: "r", Class: "ny-gava", Key: "k", Door: time.Now(), HeldKB: 1, Sink: got}); err != nil {
+			if err := core.Submit(routing.Request{ID: "r", Class: "ny-gava", Key: "k", ArrivedAt: time.Now(), ReservedKB: 1, Responder: got}); err != nil {
 				t.Fatal(err)
 			}
 			if a := <-got; a != x.want {
@@ -135,7 +137,7 @@
 
 // end ends all connections.
 func (b *books) end() {
-	b.pool.Move("elsewhere")
+	b.pool.SetAddress("elsewhere")
 	b.pool.mu.Lock()
 	ids := slices.Collect(maps.Keys(b.pool.where))
 	b.pool.mu.Unlock()
@@ -233,9 +235,9 @@
 	back := &asking{resumed: make(chan string, 1)}
 	core := coretest.New(t, routing.Options{Backend: back, Dependency: dependency{pool, called}})
 	pool.core, back.core = core, core
-	core.Started(false, 0)
+	core.BackendReady(false, 0)
 	got := make(coretest.Answers, 1)
-	if err := core.Submit(routing.Request{ID: "r", Class: "ny-gava", Key: "k", Door: time.Now(), HeldKB: 1, Sink: got}); err != nil {
+	if err := core.Submit(routing.Request{ID: "r", Class: "ny-gava", Key: "k", ArrivedAt: time.Now(), ReservedKB: 1, Responder: got}); err != nil {
 		t.Fatal(err)
 	}
 	<-called
@@ -289,16 +291,16 @@
 	pool, back := NewPool(first.Addr().String()), &asking{resumed: make(chan string, 2)}
 	core := coretest.New(t, routing.Options{Backend: back, Dependency: pool})
 	pool.core, back.core = core, core
-	core.Started(false, 0)
+	core.BackendReady(false, 0)
 	got := make(coretest.Answers, 2)
 	call := func(id string) post {
-		if err := core.Submit(routing.Request{ID: id, Class: "ny-gava", Key: id, Door: time.Now(), HeldKB: 1, Sink: got}); err != nil {
+		if err := core.Submit(routing.Request{ID: id, Class: "ny-gava", Key: id, ArrivedAt: time.Now(), ReservedKB: 1, Responder: got}); err != nil {
 			t.Fatal(err)
 		}
 		return <-posts
 	}
 	a := call("a")
-	pool.Move(second.Addr().String())
+	pool.SetAddress(second.Addr().String())
 	first.Close()
 	b := call("b")
 	if b.LocalAddr().String() != second.Addr().String() {
@@ -325,7 +327,7 @@
 func (d dependency) Call(id string, number int, wait time.Duration, body []byte) {
 	d.Pool.Call(id, number, wait, body)
 	select {
-	case d.called <- decision.OK:
+	case d.called <- decision.Succeeded:
 	default:
 	}
 }
--- a/program/drain.go
+++ b/program/drain.go
@@ -32,7 +32,7 @@
 		}
 	}
 	config := s.config.Load()
-	notice := s.core.NoticeTime()
+	notice := s.core.DrainNoticeTime()
 	stopAt := notice.Add(config.stopAfter())
 	s.log.Info("drain", "stop_in", time.Until(stopAt).Round(time.Millisecond).String(),
 		"notice_ago", time.Since(notice).Round(time.Millisecond).String())
@@ -135,7 +135,7 @@
 
 // phase logs that a drain enters a phase.
 func (s *Server) phase(name string) {
-	s.log.Info("drain_phase", "phase", name, "open_requests", s.core.Open())
+	s.log.Info("drain_phase", "phase", name, "open_requests", s.core.InFlight())
 }
 
 // stopped logs that the process may end, and whether connections are still open. A
@@ -153,13 +153,13 @@
 func (s *Server) unanswered() int {
 	answer := make(chan int, 1)
 	if s.core.Unanswered(func(requests int) { answer <- requests }) != nil {
-		return int(s.core.Open())
+		return int(s.core.InFlight())
 	}
 	select {
 	case requests := <-answer:
 		return requests
 	case <-time.After(unansweredIn):
-		return int(s.core.Open())
+		return int(s.core.InFlight())
 	}
 }
 
@@ -169,7 +169,7 @@
 	go func() {
 		defer close(empty)
 		for _, d := range s.listeners {
-			<-d.server.Empty()
+			<-d.server.Done()
 		}
 	}()
 	return empty
@@ -204,7 +204,7 @@
 // leaving to the announce service: the other one's word holds.
 func (s *Server) handOver(p *peer) {
 	config := s.config.Load()
-	stopAt := s.core.NoticeTime().Add(config.stopAfter())
+	stopAt := s.core.DrainNoticeTime().Add(config.stopAfter())
 	settled := s.core.HandOver(stopAt)
 	s.stopReporting()
 	for _, d := range s.listeners {
--- a/program/fronts_test.go
+++ b/program/fronts_test.go
@@ -23,26 +23,28 @@
 // instant is a backend whose runs end at once, but for bodies that say hang.
 type instant struct{ core *routing.Core }
 
-// Begin implements routing.Backend.
-func (b *instant) Begin(r routing.Run) {
+// Start implements routing.Backend.
+func (b *instant) Start(r routing.Run) {
 	if string(r.Payload.Body) != "hang" {
-		go b.core.Completed(r.ID, routing.Good, 0, r.Payload)
+		go b.core.RunCompleted(r.ID, routing.RunSucceeded, 0, r.Payload)
 	}
 }
 
-// Interrupt implements routing.Backend.
-func (b *instant) Interrupt(id string) { go b.core.Completed(id, routing.Cut, 0, routing.Payload{}) }
+// Cancel implements routing.Backend.
+func (b *instant) Cancel(id string) {
+	go b.core.RunCompleted(id, routing.RunCancelled, 0, routing.Payload{})
+}
 
-// Answer implements routing.Backend.
-func (b *instant) Answer(string, []byte) {}
+// ReplyToCall implements routing.Backend.
+func (b *instant) ReplyToCall(string, []byte) {}
 
-// Without implements routing.Backend.
-func (b *instant) Without(string, uint64) {}
+// SkipCall implements routing.Backend.
+func (b *instant) SkipCall(string, uint64) {}
 
 func newInstant(t *testing.T) *instant {
 	b := &instant{}
 	b.core = coretest.New(t, routing.Options{Backend: b})
-	b.core.Started(false, 0)
+	b.core.BackendReady(false, 0)
 	return b
 }
 
@@ -266,7 +268,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		c := &thriftConn{core: &routing.Core{}, conn: transport.NewConn(near), open: map[string]int32{"a": 1}, ids: map[int32]string{1: "a"}}
-		c.Answer("a", routing.Outcome{Kind: routing.Served, Result: routing.Payload{Body: make([]byte, thrift.MaxResult+1)}})
+		c.Respond("a", routing.Outcome{Kind: routing.Served, Result: routing.Payload{Body: make([]byte, thrift.MaxResult+1)}})
 		go c.conn.Serve(func(r *bufio.Reader) error { _, err := r.ReadByte(); return err })
 		if reply, err := standin.ReadReply(bufio.NewReader(far)); err != nil || reply.Which != 2 {
 			t.Errorf("%+v, %v, want Fault", reply, err)
--- a/program/handover.go
+++ b/program/handover.go
@@ -166,7 +166,7 @@
 // serve works the connection to a peer until it ends.
 func (h *handoverDoor) serve(p *peer, elder bool) {
 	defer close(p.ended)
-	h.core.Meet(p, elder)
+	h.core.ConnectPeer(p, elder)
 	if elder {
 		p.conn.Send(handover.AppendNext(nil))
 	}
@@ -178,42 +178,42 @@
 		}
 		switch {
 		case m.Kind == handover.Key:
-			h.core.Learn(p, m.State)
+			h.core.ApplyKey(p, m.State)
 		case m.Kind == handover.Claim && !elder:
-			h.core.Claimed(p, m.State)
+			h.core.ClaimRequested(p, m.State)
 		case m.Kind == handover.Next && !elder:
-			h.core.TellKeys(p)
+			h.core.ReplicateKeys(p)
 		case m.Kind == handover.Away:
-			h.core.Follow(p, m.On)
+			h.core.ApplyTrafficDisabled(p, m.On)
 		case m.Kind == handover.Part && elder && !m.On:
 			p.conn.Send(handover.AppendNext(nil))
 		case m.Kind == handover.Part && elder && !met:
 			met = true
 			close(p.met)
 		case (m.Kind == handover.Grant || m.Kind == handover.Deny) && elder:
-			h.core.Settled(p, m.Ran, m.Kind == handover.Grant)
+			h.core.ClaimDecided(p, m.Ran, m.Kind == handover.Grant)
 		default:
 			return fmt.Errorf("%w: %s: %w", lines.ErrBroken, m.Kind, errOutOfTurn)
 		}
 		return nil
 	})
 	h.log.Info("peer_gone", "elder", elder, "reason", fmt.Sprint(err))
-	h.core.Parted(p)
+	h.core.PeerDisconnected(p)
 }
 
-// Tell implements routing.Peer.
-func (p *peer) Tell(k routing.KeyState) { p.conn.Send(handover.AppendKey(nil, k)) }
+// ReplicateKey implements routing.Peer.
+func (p *peer) ReplicateKey(k routing.KeyState) { p.conn.Send(handover.AppendKey(nil, k)) }
 
-// Claim implements routing.Peer.
-func (p *peer) Claim(k routing.KeyState) { p.conn.Send(handover.AppendClaim(nil, k)) }
+// RequestClaim implements routing.Peer.
+func (p *peer) RequestClaim(k routing.KeyState) { p.conn.Send(handover.AppendClaim(nil, k)) }
 
-// Settle implements routing.Peer.
-func (p *peer) Settle(ran string, granted bool) {
+// DecideClaim implements routing.Peer.
+func (p *peer) DecideClaim(ran string, granted bool) {
 	p.conn.Send(handover.AppendSettle(nil, ran, granted))
 }
 
-// Part implements routing.Peer.
-func (p *peer) Part(last bool) {
+// EndKeyBatch implements routing.Peer.
+func (p *peer) EndKeyBatch(last bool) {
 	p.conn.Send(handover.AppendPart(nil, last))
 	if last {
 		select {
@@ -224,8 +224,8 @@
 	}
 }
 
-// Away implements routing.Peer.
-func (p *peer) Away(on bool) { p.conn.Send(handover.AppendAway(nil, on)) }
+// SetTrafficDisabled implements routing.Peer.
+func (p *peer) SetTrafficDisabled(on bool) { p.conn.Send(handover.AppendAway(nil, on)) }
 
 // leave ends the connection once all is said.
 func (p *peer) leave() {
--- a/program/handover_refused_test.go
+++ b/program/handover_refused_test.go
@@ -20,7 +20,7 @@
 // process serves alone.
 func TestHandoverRefused(t *testing.T) {
 	core, err := routing.New(routing.Options{Classes: []string{"page"}, Settings: decision.Settings{Cores: 1,
-		MemoryKB: 1024, RunFactor: 1, Classes: []decision.Class{{Aim: time.Second, Deadline: 2 * time.Second}}}})
+		MemoryKB: 1024, RunningMemoryFactor: 1, Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/program/keys.go
+++ b/program/keys.go
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	options.Journal = keys
-	options.Recovered = recovered.States
+	options.RecoveredKeys = recovered.States
 	options.InDoubtUntil = recovered.InDoubtUntil
 	return keys, nil
 }
--- a/program/metrics.go
+++ b/program/metrics.go
@@ -16,7 +16,7 @@
 )
 
 // answerKinds are all kinds of answers.
-var answerKinds = []routing.Kind{routing.Served, routing.Refused, routing.Failed, routing.TimedOut, routing.Rejected}
+var answerKinds = []routing.OutcomeKind{routing.Served, routing.Shed, routing.Failed, routing.TimedOut, routing.Rejected}
 
 // metrics are a server's counts for its operators, in the Prometheus text
 // format on a listener of the operator's own (github.com/prometheus/client_golang):
@@ -87,7 +87,7 @@
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "quincerail_open_requests",
 			Help: "Requests handed in and not answered yet."}, func() float64 {
 			if c := m.core.Load(); c != nil {
-				return float64(c.Open())
+				return float64(c.InFlight())
 			}
 			return 0
 		}))
@@ -150,8 +150,8 @@
 	}
 }
 
-// Answered implements routing.Observer.
-func (m *metrics) Answered(class string, kind routing.Kind, took time.Duration, repeat bool) {
+// ObserveResponse implements routing.Observer.
+func (m *metrics) ObserveResponse(class string, kind routing.OutcomeKind, took time.Duration, repeat bool) {
 	name := kind.String()
 	m.answers.WithLabelValues(class, name).Inc()
 	m.count(name)
--- a/program/program.go
+++ b/program/program.go
@@ -44,8 +44,8 @@
 // idleLimit holds how long connections may idle.
 type idleLimit struct{ after atomic.Int64 }
 
-// CloseIdle implements routing.Connections.
-func (l *idleLimit) CloseIdle(after time.Duration) { l.after.Store(int64(after)) }
+// SetIdleTimeout implements routing.Connections.
+func (l *idleLimit) SetIdleTimeout(after time.Duration) { l.after.Store(int64(after)) }
 
 // front is what the drain needs of a front.
 type front interface {
@@ -108,11 +108,11 @@
 	}
 	link, pool := backend.NewProcessor(c.Processor, c.Gauges, logger), downstream.NewPool(c.Ledger)
 	presence, idle := newAnnouncer(c.Name, logger), &idleLimit{}
-	idle.CloseIdle(c.Settings.MaxIdle)
+	idle.SetIdleTimeout(c.Settings.MaxIdleTime)
 	monitor := guard.NewMonitor(logger)
 	opt := routing.Options{Monitor: monitor, Settings: c.Settings, Classes: c.Classes, Tenants: c.Tenants, Seed: c.Seed, Logger: logger,
-		Backend: link, Machine: link, Dependency: pool, Presence: presence, Connections: idle,
-		KeyBytes: c.MemoryMB << 20 / keysShare}
+		Backend: link, Machine: link, Dependency: pool, Registrar: presence, Connections: idle,
+		MaxKeyTableBytes: c.MemoryMB << 20 / keysShare}
 	var watch *metrics
 	var counted *tally
 	var watching observers
@@ -167,7 +167,7 @@
 	}
 	var budgeted *downstream.Budgeted
 	if member != nil && member.QuotaAgent(fleet.Calls) != nil {
-		budgeted = downstream.NewBudgeted(pool, member.QuotaAgent(fleet.Calls), func() time.Duration { return c.Settings.Linger })
+		budgeted = downstream.NewBudgeted(pool, member.QuotaAgent(fleet.Calls), func() time.Duration { return c.Settings.AbandonedCallDuration })
 		opt.Dependency = budgeted
 	}
 	core, err := routing.New(opt)
@@ -215,7 +215,7 @@
 		return nil, err
 	}
 	if s.control != nil {
-		go s.control.Run()
+		go s.control.Serve()
 	}
 	working, stop := context.WithCancel(context.Background())
 	s.stop = stop
@@ -282,7 +282,7 @@
 	ctx, s.stopReporting = context.WithCancel(ctx)
 	go s.presence.run(ctx, c.Announce)
 	for _, d := range s.listeners {
-		go d.server.Run()
+		go d.server.Serve()
 		s.log.Info("listening", "name", c.Name, "address", d.server.Addr().String())
 	}
 	s.serving.Store(true)
@@ -294,7 +294,7 @@
 // there, and may run there as long as it lives: such keys fail for a window.
 func (s *Server) takeOver(ctx context.Context, c *Config) {
 	elder, err := s.handover.meet(ctx)
-	if err != nil && s.core.Doubt(time.Now().Add(c.stopAfter()+longestWindow(c.Settings))) != nil {
+	if err != nil && s.core.MarkUnknownKeysInDoubt(time.Now().Add(c.stopAfter()+longestWindow(c.Settings))) != nil {
 		return // it has stopped
 	}
 	if elder != nil { // its connections count with those here
@@ -311,7 +311,7 @@
 		return
 	}
 	stop := context.AfterFunc(ctx, server.Close)
-	server.Run()
+	server.Serve()
 	stop()
 }
 
@@ -339,7 +339,7 @@
 func longestWindow(s decision.Settings) time.Duration {
 	var most time.Duration
 	for _, c := range s.Classes {
-		most = max(most, c.Window)
+		most = max(most, c.KeyWindow)
 	}
 	return most + time.Second
 }
--- a/program/reload.go
+++ b/program/reload.go
@@ -30,12 +30,12 @@
 // reload puts a configuration in force.
 func (s *Server) reload(c *Config, u *UWSGIConfig) error {
 	was := s.config.Load()
-	if err := s.core.Retune(c.Settings, c.Classes, c.Tenants); err != nil {
+	if err := s.core.UpdateSettings(c.Settings, c.Classes, c.Tenants); err != nil {
 		return err
 	}
 	Limit(c)
-	s.link.Move(c.Processor)
-	s.pool.Move(c.Ledger)
+	s.link.SetAddress(c.Processor)
+	s.pool.SetAddress(c.Ledger)
 	s.presence.move(c.Announce)
 	if c.Rules != nil && c.Rules != was.Rules {
 		s.log.Info("rules", "version", s.rules.Replace(c.Rules), "rules", c.Rules.Len())
@@ -43,7 +43,7 @@
 	stays := map[string]bool{"name": c.Name != was.Name, "listen": c.Listen != was.Listen, "control": c.Control != was.Control,
 		"limits.sockets": c.Sockets != was.Sockets, "settings.familyInfo.ownStats": !slices.Equal(c.Gauges, was.Gauges)}
 	if s.uwsgi != nil && u != nil {
-		s.backend.Move(u.Backend)
+		s.backend.SetAddress(u.Backend)
 		stays["uwsgi listen"] = s.uwsgi.reload(u)
 	}
 	for key, changed := range stays {
--- a/program/suite_test.go
+++ b/program/suite_test.go
@@ -320,7 +320,7 @@
 
 func shortDeadline(c *program.Config) {
 	for i := range c.Settings.Classes {
-		c.Settings.Classes[i].Aim, c.Settings.Classes[i].Deadline = time.Second, 1500*time.Millisecond
+		c.Settings.Classes[i].LatencyObjective, c.Settings.Classes[i].Deadline = time.Second, 1500*time.Millisecond
 	}
 }
 
--- a/program/thrift.go
+++ b/program/thrift.go
@@ -55,10 +55,10 @@
 	if by := f.drainBy.Load(); by != nil { // likewise
 		c.Drain(*by)
 	}
-	c.ExpectWithin(thriftWithin, thriftStalls, t.owes)
-	c.NotifyBeforeEnd(t.notify)
+	c.SetReceiveTimeouts(thriftWithin, thriftStalls, t.owes)
+	c.NotifyBeforeClose(t.notify)
 	var lost []string
-	c.OnEnd(func(error) { lost = t.failOpen() })
+	c.OnClose(func(error) { lost = t.failOpen() })
 	c.Serve(t.step)
 	lost = append(lost, t.failOpen()...) // also where a write failed
 	f.ended(c, lost)
@@ -150,7 +150,7 @@
 		switch {
 		case t.notified():
 			t.notifyOrClose(crowdedLeave)
-		case !t.conn.Spoken():
+		case !t.conn.ReceivedMessage():
 			if t.idle(silentAfter) {
 				t.notifyOrClose(crowdedLeave)
 			}
--- a/program/thriftconn.go
+++ b/program/thriftconn.go
@@ -105,7 +105,7 @@
 	if t.good > 0 {
 		t.notifyLocked()
 	}
-	return transport.ErrSkipped
+	return transport.ErrMessageSkipped
 }
 
 // failOpen gives up what is open as the connection ends. A caller that has only shut
@@ -119,7 +119,7 @@
 	}
 	t.mu.Unlock()
 	for id := range lost {
-		t.core.Lost(id, t)
+		t.core.CallerDisconnected(id, t)
 		ids = append(ids, id)
 	}
 	return ids
@@ -147,7 +147,7 @@
 			t.checks--
 			t.conn.Send(thrift.AppendAnswer(nil, m.Name, m.Seq, thrift.Answer{Good: good, Fields: t.fields()}))
 		}
-		if t.core.Check(m.Probe, answer) != nil { // it has stopped
+		if t.core.CheckHealth(m.Probe, answer) != nil { // it has stopped
 			answer(false)
 		}
 	case m.Name == "interrupt" && m.Type == thrift.Oneway:
@@ -158,7 +158,7 @@
 		}
 		t.mu.Unlock()
 		if ok {
-			t.core.Gone(id, t)
+			t.core.CancelRequest(id, t)
 		}
 	case m.Type == thrift.Call:
 		t.conn.Send(thrift.AppendException(nil, m.Name, m.Seq, thrift.UnknownMethod, "unknown method"))
@@ -213,10 +213,10 @@
 		return request, fmt.Errorf("door %q", m.Fields["door"])
 	}
 	request = routing.Request{
-		ID: m.Fields["txn"], Item: m.Fields["item"], Tenant: m.Fields["team"], Door: timeline.Time(arrived),
-		After: t.conn.CameAfter(), ReadBy: t.conn.ReadAt(), Payload: routing.Payload{Body: m.Body}, Sink: t,
+		ID: m.Fields["txn"], CacheKey: m.Fields["item"], Tenant: m.Fields["team"], ArrivedAt: timeline.Time(arrived),
+		ReadAfter: t.conn.ReadAfter(), ReadBy: t.conn.ReadAt(), Payload: routing.Payload{Body: m.Body}, Responder: t,
 	}
-	if request.HeldKB, err = strconv.ParseFloat(m.Fields["ram"], 64); err != nil || !(request.HeldKB > 0 && request.HeldKB < 2000) {
+	if request.ReservedKB, err = strconv.ParseFloat(m.Fields["ram"], 64); err != nil || !(request.ReservedKB > 0 && request.ReservedKB < 2000) {
 		return request, fmt.Errorf("ram %q", m.Fields["ram"])
 	}
 	if request.Rank, err = strconv.ParseFloat(m.Fields["standing"], 64); err != nil || !(request.Rank >= 0 && request.Rank < 1) {
@@ -225,7 +225,7 @@
 	if request.Caller, err = strconv.Atoi(m.Fields["lb"]); err != nil {
 		return request, fmt.Errorf("lb %q", m.Fields["lb"])
 	}
-	if request.Due, err = callerDue(request.Door, m.Fields["limit"]); err != nil {
+	if request.Deadline, err = callerDue(request.ArrivedAt, m.Fields["limit"]); err != nil {
 		return request, err
 	}
 	if _, err := strconv.ParseUint(request.ID, 16, 64); err != nil || len(request.ID) != 16 {
@@ -265,14 +265,14 @@
 
 // fields gives those that any answer carries: the free value, where there is one.
 func (t *thriftConn) fields() map[string]string {
-	if value, ok := t.core.Said(); ok {
+	if value, ok := t.core.LoadReport(); ok {
 		return map[string]string{"feedback": strconv.FormatFloat(max(0, value), 'f', 4, 64)}
 	}
 	return nil
 }
 
-// Answer implements routing.Sink.
-func (t *thriftConn) Answer(id string, o routing.Outcome) {
+// Respond implements routing.Sink.
+func (t *thriftConn) Respond(id string, o routing.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	seq, ok := t.open[id]
@@ -286,11 +286,11 @@
 	switch o.Kind {
 	case routing.Served:
 		t.conn.Send(thrift.AppendAnswer(nil, "execute", seq, thrift.Answer{Body: o.Result.Body, Fields: t.fields(), Good: true}))
-	case routing.Refused:
+	case routing.Shed:
 		// A refusal always says when to come back, be it at once.
-		fields := map[string]string{"later": strconv.FormatInt(max(1, o.Later.Milliseconds()), 10)}
+		fields := map[string]string{"later": strconv.FormatInt(max(1, o.RetryAfter.Milliseconds()), 10)}
 		maps.Copy(fields, t.fields())
-		if o.GiveUp {
+		if o.NoRetryElsewhere {
 			fields["giveup"] = "1"
 		}
 		t.conn.Send(thrift.AppendShed(nil, seq, fields))
--- a/program/uwsgi.go
+++ b/program/uwsgi.go
@@ -75,7 +75,7 @@
 	id, answered := u.id, u.closing
 	u.mu.Unlock()
 	if id != "" && !answered {
-		f.core.Lost(id, u)
+		f.core.CallerDisconnected(id, u)
 	}
 }
 
@@ -93,7 +93,7 @@
 	req, err := u.decoder.Read(r)
 	switch {
 	case err == nil && req.Modifier1 == uwsgi.ModifierPing:
-		u.front.core.Check(false, func(good bool) {
+		u.front.core.CheckHealth(false, func(good bool) {
 			if good {
 				u.conn.Send(uwsgi.AppendPong(nil))
 			}
@@ -128,7 +128,7 @@
 	u.conn.SetReadDeadline(time.Time{}) // from here on the core answers in time
 	u.mu.Unlock()
 	if now.HealthPath != "" && path == now.HealthPath {
-		f.core.Check(false, func(good bool) {
+		f.core.CheckHealth(false, func(good bool) {
 			if good {
 				u.respond(http.StatusOK)
 			} else {
@@ -149,8 +149,8 @@
 		size += len(v.Name) + len(v.Value)
 	}
 	err := f.core.Submit(routing.Request{ID: id, Class: class, Key: key,
-		Door: time.Now(), ReadBy: u.conn.ReadAt(), Caller: -1, HeldKB: uwsgiBaseKB + float64(size)/1024, Payload: payload,
-		Backend: f.backend, Sink: u})
+		ArrivedAt: time.Now(), ReadBy: u.conn.ReadAt(), Caller: -1, ReservedKB: uwsgiBaseKB + float64(size)/1024, Payload: payload,
+		Backend: f.backend, Responder: u})
 	if err != nil { // a keyed class without its key
 		u.respond(http.StatusBadRequest)
 	}
@@ -175,8 +175,8 @@
 	return route.Class, req.Get(route.KeyHeader), ok
 }
 
-// Answer implements routing.Sink.
-func (u *uwsgiConn) Answer(_ string, o routing.Outcome) {
+// Respond implements routing.Sink.
+func (u *uwsgiConn) Respond(_ string, o routing.Outcome) {
 	switch o.Kind {
 	case routing.Served:
 		status, headers, body := httpresult.Decode(o.Result)
@@ -185,8 +185,8 @@
 			resp.Headers = append(resp.Headers, uwsgi.Var(h))
 		}
 		u.send(resp)
-	case routing.Refused:
-		u.refuse(o.Later)
+	case routing.Shed:
+		u.refuse(o.RetryAfter)
 	default:
 		u.respond(httpresult.Status(o.Kind))
 	}
--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -71,14 +71,14 @@
 		if e != nil || e2 != nil || e3 != nil {
 			return m, broken
 		}
-		m.State = routing.KeyState{Key: string(key), Class: string(class), Body: hash, Ran: words[4], Till: moment(words[5])}
-		if m.State.Ran == none {
-			m.State.Ran = ""
+		m.State = routing.KeyState{Key: string(key), Class: string(class), BodyHash: hash, RanAttemptID: words[4], ExpiresAt: moment(words[5])}
+		if m.State.RanAttemptID == none {
+			m.State.RanAttemptID = ""
 		}
 		if m.Kind == Claim {
-			m.State.Door = moment(words[6])
+			m.State.ArrivedAt = moment(words[6])
 		} else {
-			m.State.Over = truth(words[6])
+			m.State.Completed = truth(words[6])
 		}
 		if body != nil {
 			m.State.Result = &routing.Payload{Body: body}
@@ -95,13 +95,13 @@
 }
 
 func words(kind Kind, k routing.KeyState, last string) []string {
-	ran := k.Ran
+	ran := k.RanAttemptID
 	if ran == "" {
 		ran = none
 	}
 	return []string{
-		string(kind), hex.EncodeToString([]byte(k.Key)), hex.EncodeToString([]byte(k.Class)), strconv.FormatUint(k.Body, 16), ran,
-		strconv.FormatInt(k.Till.UnixNano(), 10), last,
+		string(kind), hex.EncodeToString([]byte(k.Key)), hex.EncodeToString([]byte(k.Class)), strconv.FormatUint(k.BodyHash, 16), ran,
+		strconv.FormatInt(k.ExpiresAt.UnixNano(), 10), last,
 	}
 }
 
@@ -112,12 +112,12 @@
 	if r := k.Result; r != nil && len(r.Fields) == 0 && len(r.Body) <= lines.MaxBody {
 		body = append([]byte{}, r.Body...)
 	}
-	return lines.Append(to, body, words(Key, k, strconv.FormatBool(k.Over))...)
+	return lines.Append(to, body, words(Key, k, strconv.FormatBool(k.Completed))...)
 }
 
 // AppendClaim appends the question whether a try may run.
 func AppendClaim(to []byte, k routing.KeyState) []byte {
-	return lines.Append(to, nil, words(Claim, k, strconv.FormatInt(k.Door.UnixNano(), 10))...)
+	return lines.Append(to, nil, words(Claim, k, strconv.FormatInt(k.ArrivedAt.UnixNano(), 10))...)
 }
 
 // AppendSettle appends the answer to that.
--- a/protocol/handover/handover_test.go
+++ b/protocol/handover/handover_test.go
@@ -18,12 +18,12 @@
 func TestRoundTrip(t *testing.T) {
 	till := time.Unix(1764576000, 123456789)
 	ran := routing.KeyState{
-		Key: "\x00k \r\n", Class: "ny-gåva", Body: 1 << 63, Ran: "9b1f03aa5c7e2d41", Till: till, Over: true,
+		Key: "\x00k \r\n", Class: "ny-gåva", BodyHash: 1 << 63, RanAttemptID: "9b1f03aa5c7e2d41", ExpiresAt: till, Completed: true,
 		Result: &routing.Payload{Body: []byte("a\r\nb")},
 	}
-	empty, free, claim := ran, routing.KeyState{Key: "k", Class: "c", Till: till, Over: true}, ran
+	empty, free, claim := ran, routing.KeyState{Key: "k", Class: "c", ExpiresAt: till, Completed: true}, ran
 	empty.Result = &routing.Payload{Body: []byte{}}
-	claim.Result, claim.Over, claim.Door = nil, false, till.Add(-time.Second)
+	claim.Result, claim.Completed, claim.ArrivedAt = nil, false, till.Add(-time.Second)
 	unsaid, large := ran, ran
 	unsaid.Result = nil
 	large.Result = &routing.Payload{Body: make([]byte, lines.MaxBody+1)}
--- a/protocol/httpresult/httpresult.go
+++ b/protocol/httpresult/httpresult.go
@@ -38,9 +38,9 @@
 }
 
 // Status gives the status of an outcome that is no result.
-func Status(k routing.Kind) int {
+func Status(k routing.OutcomeKind) int {
 	switch k {
-	case routing.Refused:
+	case routing.Shed:
 		return http.StatusServiceUnavailable
 	case routing.TimedOut:
 		return http.StatusGatewayTimeout
--- a/routing/admit.go
+++ b/routing/admit.go
@@ -23,30 +23,30 @@
 		earlier = c.keys.enter(a)
 	}
 	r := decision.Request{
-		ID: a.ID, Class: a.class, Tenant: a.tenant, Key: a.Item, HeldKB: a.HeldKB, Rank: a.Rank, From: a.Caller,
-		Write: a.kind.Effect != decision.Safe, Waited: c.now - a.came, Earlier: earlier,
+		ID: a.ID, Class: a.class, Tenant: a.tenant, CacheKey: a.CacheKey, ReservedKB: a.ReservedKB, Rank: a.Rank, Caller: a.Caller,
+		Write: a.kind.Effect != decision.Idempotent, Waited: c.now - a.came, DuplicateOf: earlier,
 	}
 	if a.due != a.came+a.kind.Deadline { // the caller said that it waits less, or its time began before
-		r.Due = a.due
+		r.Deadline = a.due
 	}
-	c.module.Request(c.now, r)
+	c.module.RequestReceived(c.now, r)
 }
 
-// Gone tells that a caller no longer waits for the request that it handed in with
+// CancelRequest tells that a caller no longer waits for the request that it handed in with
 // a sink. No answer is owed. The sink keeps others from taking it back by its id.
-func (c *Core) Gone(id string, s Sink) {
-	c.post(func() {
+func (c *Core) CancelRequest(id string, s Responder) {
+	c.enqueue(func() {
 		if a := c.waiting(id, s); a != nil {
 			c.gone(a)
 		}
 	})
 }
 
-// Lost tells that the caller's connection has ended. No answer is owed, but it may
+// CallerDisconnected tells that the caller's connection has ended. No answer is owed, but it may
 // ask again: a keyed run goes on, so that there is a result for it then, as it
 // must not run a second time.
-func (c *Core) Lost(id string, s Sink) {
-	c.post(func() {
+func (c *Core) CallerDisconnected(id string, s Responder) {
+	c.enqueue(func() {
 		a := c.waiting(id, s)
 		switch {
 		case a == nil:
@@ -60,8 +60,8 @@
 }
 
 // waiting gives the attempt that was handed in with a sink, if it has no answer.
-func (c *Core) waiting(id string, s Sink) *attempt {
-	if a := c.attempts[id]; a != nil && !a.answered && a.Sink == s {
+func (c *Core) waiting(id string, s Responder) *attempt {
+	if a := c.attempts[id]; a != nil && !a.answered && a.Responder == s {
 		return a
 	}
 	return nil
@@ -71,7 +71,7 @@
 	a.answered = true
 	c.open.Add(-1)
 	if c.module != nil {
-		c.module.Gone(c.now, a.ID)
+		c.module.CallerGone(c.now, a.ID)
 	}
 	c.release(a)
 }
@@ -79,15 +79,15 @@
 // host carries out the module's actions.
 type host struct{ *Core }
 
-// Refuse turns a request away, at once.
-func (h host) Refuse(id string, stayAway time.Duration, last bool) {
+// Shed turns a request away, at once.
+func (h host) Shed(id string, stayAway time.Duration, last bool) {
 	if a := h.attempts[id]; a != nil {
 		if err := guard.MayShed(a.shedFacts()); err != nil { // an effect that may have been had is never denied
 			h.opt.Monitor.Denied(guard.FalsePromise, err, id)
 			h.answer(a, h.failure(a))
 			return
 		}
-		h.answer(a, Outcome{Kind: Refused, Later: stayAway, GiveUp: last})
+		h.answer(a, Outcome{Kind: Shed, RetryAfter: stayAway, NoRetryElsewhere: last})
 	}
 }
 
@@ -99,28 +99,28 @@
 }
 
 func (c *Core) failure(a *attempt) Outcome {
-	if c.now+c.set.AnswerSlack >= a.due {
+	if c.now+c.set.DeadlineSlack >= a.due {
 		return Outcome{Kind: TimedOut}
 	}
 	return Outcome{Kind: Failed}
 }
 
-// Health says how checks are answered.
-func (h host) Health(on, cached bool) { h.setHealth(on, cached) }
+// SetHealth says how checks are answered.
+func (h host) SetHealth(on, cached bool) { h.setHealth(on, cached) }
 
-// Say changes the free value.
-func (h host) Say(value float64) {
-	if h.set.Say != decision.SayNothing {
-		h.said.Store(&value)
+// PublishLoad changes the free value.
+func (h host) PublishLoad(value float64) {
+	if h.set.LoadReportMode != decision.LoadReportNone {
+		h.loadReport.Store(&value)
 	}
 }
 
-// CloseIdle says how long connections may idle.
-func (h host) CloseIdle(after time.Duration) {
+// SetIdleTimeout says how long connections may idle.
+func (h host) SetIdleTimeout(after time.Duration) {
 	if h.opt.Connections != nil {
-		h.opt.Connections.CloseIdle(after)
+		h.opt.Connections.SetIdleTimeout(after)
 	}
 }
 
-// Wake sets a timer.
-func (h host) Wake(after time.Duration, token int64) { h.wake(after, token) }
+// SetTimer sets a timer.
+func (h host) SetTimer(after time.Duration, token int64) { h.wake(after, token) }
--- a/routing/answer.go
+++ b/routing/answer.go
@@ -19,15 +19,15 @@
 	a.answered = true
 	c.logAnswer(a, o)
 	c.checkAnswer(a, o)
-	a.Sink.Answer(a.ID, o)
+	a.Responder.Respond(a.ID, o)
 	c.open.Add(-1)
 	if c.opt.Observer != nil {
 		repeat := o.Kind == Served && a.entry != nil && a.entry.ran != a.ID
 		class := a.Class
 		if _, taken := c.tuned.Load().classes.taken[class]; !taken {
-			class = DroppedClass
+			class = RemovedClass
 		}
-		c.opt.Observer.Answered(class, o.Kind, time.Duration(c.now-a.door), repeat)
+		c.opt.Observer.ObserveResponse(class, o.Kind, time.Duration(c.now-a.door), repeat)
 	}
 	c.release(a)
 }
@@ -46,11 +46,11 @@
 // from an earlier one, for example: a caller that uses an id again would wait
 // for ever.
 func (c *Core) answerOverdue() {
-	late := c.set.AnswerSlack * 3 / 4 // the module's own guard comes at half of it
+	late := c.set.DeadlineSlack * 3 / 4 // the module's own guard comes at half of it
 	for id, a := range c.attempts {
 		if !a.answered && (c.now > a.due+late || c.stopAt != 0 && c.now > c.stopAt) {
 			c.answer(a, c.failure(a))
-			c.module.Gone(c.now, id)
+			c.module.CallerGone(c.now, id)
 		}
 	}
 }
@@ -67,22 +67,22 @@
 	}
 	e := a.entry
 	if a.paused {
-		c.recordRun(a, Cut, Payload{})
+		c.recordRun(a, RunCancelled, Payload{})
 	}
 	for _, r := range c.keys.leave(a) {
-		c.followUps = append(c.followUps, func() { c.settleRepeat(r, e) })
+		c.deferredEvents = append(c.deferredEvents, func() { c.settleRepeat(r, e) })
 	}
 }
 
 // recordRun remembers what a keyed run came to, for its repeats.
-func (c *Core) recordRun(a *attempt, end End, result Payload) {
+func (c *Core) recordRun(a *attempt, end RunEnd, result Payload) {
 	if a.entry == nil || a.entry.ran != a.ID {
 		return
 	}
 	switch end {
-	case Good:
+	case RunSucceeded:
 		c.keys.store(a.entry, result)
-	case Unborn:
+	case RunNotStarted:
 		c.keys.unclaim(a)
 	}
 	c.tellPeer(a.entry, true)
@@ -95,7 +95,7 @@
 func (c *Core) journal(e *entry, over bool) {
 	if c.opt.Journal != nil {
 		k := c.state(e)
-		k.Over = over
+		k.Completed = over
 		c.opt.Journal.Record(k, func(err error) {
 			if err != nil {
 				c.log.Warn("journal_failed", "key", k.Key, "error", err.Error())
@@ -107,7 +107,7 @@
 // Unanswered tells how many requests have no answer and a caller that waits for one, once
 // all that was handed in before is taken in.
 func (c *Core) Unanswered(reply func(requests int)) error {
-	return c.post(func() {
+	return c.enqueue(func() {
 		waiting := 0
 		for _, a := range c.attempts {
 			if !a.answered {
--- a/routing/core.go
+++ b/routing/core.go
@@ -28,24 +28,24 @@
 
 // Options are what a core is made of. Settings and Classes are required.
 type Options struct {
-	Settings    decision.Settings
-	Classes     []string // names, in the order of the settings
-	Tenants     []string // likewise; nil where the settings have none
-	Seed        int64
-	Backend     Backend     // for requests that name none
-	Machine     Machine     // nil: no gauges, and deep checks go by the module alone
-	Dependency  Dependency  // nil: calls can't be made
-	Presence    Presence    // may be nil
-	Connections Connections // may be nil
-	KeyBytes    int         // of kept results; 0 for no bound
+	Settings         decision.Settings
+	Classes          []string // names, in the order of the settings
+	Tenants          []string // likewise; nil where the settings have none
+	Seed             int64
+	Backend          Backend     // for requests that name none
+	Machine          Machine     // nil: no gauges, and deep checks go by the module alone
+	Dependency       Dependency  // nil: calls can't be made
+	Registrar        Registrar   // may be nil
+	Connections      Connections // may be nil
+	MaxKeyTableBytes int         // of kept results; 0 for no bound
 
 	// Journal keeps what the table of keys knows beyond the process; nil keeps it
 	// in memory only. A keyed run begins once its claim is durable there.
 	Journal Journal
-	// Recovered is what a journal held at the start: learnt before any request.
+	// RecoveredKeys is what a journal held at the start: learnt before any request.
 	// A run that began and was not told to end is in doubt: it is not run again,
 	// and its repeats fail.
-	Recovered []KeyState
+	RecoveredKeys []KeyState
 	// InDoubtUntil is set where a journal lost records: until then, a key that the
 	// table does not know may have run, and a try of it fails.
 	InDoubtUntil time.Time
@@ -62,22 +62,22 @@
 	Monitor *guard.Monitor
 }
 
-// DroppedClass stands for the class of a request that came under a class which new
+// RemovedClass stands for the class of a request that came under a class which new
 // settings no longer have, where answers are counted.
-const DroppedClass = "(dropped)"
+const RemovedClass = "(dropped)"
 
 // Observer is told of each final answer: the class by its name, or DroppedClass, the
 // kind, and how long after the request came; repeat tells an answer that was another
 // try's result. Its method must not block.
 type Observer interface {
-	Answered(class string, kind Kind, took time.Duration, repeat bool)
+	ObserveResponse(class string, kind OutcomeKind, took time.Duration, repeat bool)
 }
 
 // PoolOptions are what the pools are made of.
 type PoolOptions struct {
-	Cheapest string // class
-	Reserve  int    // slots for it alone
-	Start    float64
+	CheapestClass string // class
+	ReservedSlots int    // slots for it alone
+	InitialLimit  float64
 }
 
 // Journal keeps states of keys durably. Its method must not block; done is called
@@ -101,42 +101,42 @@
 	inDoubtUntil time.Duration // Options.InDoubtUntil
 
 	// All below belongs to Run's goroutine.
-	set       decision.Settings // in force
-	module    *policy.Instance
-	now       time.Duration // of the batch, on the clock's timeline
-	attempts  map[string]*attempt
-	keys      *keyTable
-	followUps []func() // events that the module's own actions bring
-	gauges    decision.Gauges
-	bounds    *decision.Bounds        // of a fleet; nil for none
-	said      atomic.Pointer[float64] // the free value that callers are told; nil where there is none
-	fit       bool                    // health as the module sets it
-	stored    bool                    // checks are answered from it alone
-	away      bool                    // operators have its callers sent away
-	peer      Peer                    // nil where this process is alone
-	elder     bool                    // the peer was there first
-	untold    []*entry                // keys that a peer which has just come has not been told of
-	settled   chan struct{}           // closed once nothing is open; nil where nobody waits for that
-	draining  bool
-	holdUntil time.Duration // nothing is begun before: a notice to leave may not have been seen yet
-	noticeAt  time.Duration // when the notice to leave came at the earliest
-	graceEnd  time.Duration // of the drain
-	stopAt    time.Duration
-	pools     *limits.Pools // nil where runs are bound by the module alone
-	log       *slog.Logger
-	open      atomic.Int64 // requests handed in and not yet answered, for Open
+	set             decision.Settings // in force
+	module          *policy.Instance
+	now             time.Duration // of the batch, on the clock's timeline
+	attempts        map[string]*attempt
+	keys            *keyTable
+	deferredEvents  []func() // events that the module's own actions bring
+	gauges          decision.Gauges
+	bounds          *decision.FleetBounds   // of a fleet; nil for none
+	loadReport      atomic.Pointer[float64] // the free value that callers are told; nil where there is none
+	healthy         bool                    // health as the module sets it
+	healthCached    bool                    // checks are answered from it alone
+	trafficDisabled bool                    // operators have its callers sent away
+	peer            Peer                    // nil where this process is alone
+	predecessor     bool                    // the peer was there first
+	pendingKeys     []*entry                // keys that a peer which has just come has not been told of
+	idle            chan struct{}           // closed once nothing is open; nil where nobody waits for that
+	draining        bool
+	holdUntil       time.Duration // nothing is begun before: a notice to leave may not have been seen yet
+	noticeAt        time.Duration // when the notice to leave came at the earliest
+	graceEnd        time.Duration // of the drain
+	stopAt          time.Duration
+	pools           *limits.Pools // nil where runs are bound by the module alone
+	log             *slog.Logger
+	open            atomic.Int64 // requests handed in and not yet answered, for Open
 }
 
-// Open is the number of requests handed in and not answered yet. It may be
+// InFlight is the number of requests handed in and not answered yet. It may be
 // called from any goroutine.
-func (c *Core) Open() int64 { return c.open.Load() }
+func (c *Core) InFlight() int64 { return c.open.Load() }
 
 // New makes a core. The error names the setting that makes no sense.
 func New(opt Options) (*Core, error) {
 	c := &Core{
 		opt: opt, first: make(map[string]bool), events: make(chan func(), mailbox),
-		done: make(chan struct{}), clock: clock.New(), attempts: make(map[string]*attempt), keys: newKeyTable(opt.KeyBytes), fit: true,
-		gauges: decision.Gauges{CoreUse: -1, OnCores: -1, Memory: -1, Conns: -1}, log: opt.Logger,
+		done: make(chan struct{}), clock: clock.New(), attempts: make(map[string]*attempt), keys: newKeyTable(opt.MaxKeyTableBytes), healthy: true,
+		gauges: decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}, log: opt.Logger,
 	}
 	if c.log == nil {
 		c.log = slog.Default()
@@ -148,9 +148,9 @@
 		c.first[name] = true
 	}
 	if p := opt.Pools; p != nil {
-		cfg := limits.Config{Reserve: p.Reserve, Start: p.Start}
+		cfg := limits.Config{Reserve: p.ReservedSlots, Start: p.InitialLimit}
 		for _, name := range opt.Classes {
-			cfg.Classes = append(cfg.Classes, limits.Class{Name: name, Cheapest: name == p.Cheapest})
+			cfg.Classes = append(cfg.Classes, limits.Class{Name: name, Cheapest: name == p.CheapestClass})
 		}
 		var err error
 		if c.pools, err = limits.New(cfg); err != nil {
@@ -161,9 +161,9 @@
 		c.inDoubtUntil = c.clock.At(opt.InDoubtUntil)
 	}
 	now := c.clock.Now()
-	for _, k := range opt.Recovered {
-		if till := c.clock.At(k.Till); till > now {
-			k.Over = true // what ran and was not told to end ended unheard of
+	for _, k := range opt.RecoveredKeys {
+		if till := c.clock.At(k.ExpiresAt); till > now {
+			k.Completed = true // what ran and was not told to end ended unheard of
 			c.keys.learn(k, till)
 		}
 	}
@@ -179,7 +179,7 @@
 		case <-ctx.Done():
 			return
 		case event := <-c.events:
-			c.tick()
+			c.advanceClock()
 			event()
 		}
 		for ready := true; ready; {
@@ -201,24 +201,24 @@
 func (c *Core) decide() {
 	for c.module != nil {
 		c.module.Decide(c.now)
-		if len(c.followUps) == 0 {
+		if len(c.deferredEvents) == 0 {
 			break
 		}
-		events := c.followUps
-		c.followUps = nil
+		events := c.deferredEvents
+		c.deferredEvents = nil
 		for _, event := range events {
 			event()
 		}
 	}
 	c.keys.expire(c.now)
-	if c.settled != nil && len(c.attempts) == 0 {
-		close(c.settled)
-		c.settled = nil
+	if c.idle != nil && len(c.attempts) == 0 {
+		close(c.idle)
+		c.idle = nil
 	}
 }
 
-// post leaves an event for Run.
-func (c *Core) post(event func()) error {
+// enqueue leaves an event for Run.
+func (c *Core) enqueue(event func()) error {
 	select {
 	case <-c.done: // even if there is room: nobody would take it
 		return ErrStopped
@@ -232,15 +232,15 @@
 	}
 }
 
-// Started tells that the backend came up so long ago, and whether cold. The
+// BackendReady tells that the backend came up so long ago, and whether cold. The
 // module is born then: how warm it takes the cores to be counts from there.
-func (c *Core) Started(cold bool, ago time.Duration) {
-	c.post(func() {
+func (c *Core) BackendReady(cold bool, ago time.Duration) {
+	c.enqueue(func() {
 		if c.module != nil {
 			return
 		}
 		s := c.set
-		s.Cold = cold
+		s.SlowStart = cold
 		module, err := policy.New(s, c.opt.Seed, host{c})
 		if err != nil { // New has tried the same settings
 			c.log.Error("module_failed", "error", err.Error())
@@ -249,7 +249,7 @@
 		c.module = module
 		c.stalls.start()
 		if c.bounds != nil {
-			c.module.Bound(*c.bounds)
+			c.module.SetFleetBounds(*c.bounds)
 		}
 		c.module.Decide(c.now - ago)
 		if c.draining {
@@ -258,14 +258,14 @@
 	})
 }
 
-// Bound has the module keep to this server's part of what its fleet shares, and
+// SetFleetBounds has the module keep to this server's part of what its fleet shares, and
 // tells how many calls it has in hand or would make if it might; wanted is called
 // by Run's goroutine and must not block. Bounds.Repeat is called by it too.
-func (c *Core) Bound(b decision.Bounds, wanted func(calls int)) error {
-	return c.post(func() {
+func (c *Core) SetFleetBounds(b decision.FleetBounds, wanted func(calls int)) error {
+	return c.enqueue(func() {
 		c.bounds = &b
 		if c.module != nil {
-			wanted(c.module.Bound(b))
+			wanted(c.module.SetFleetBounds(b))
 		}
 	})
 }
@@ -274,7 +274,7 @@
 // with the last ones if the machine is slow to tell.
 func (c *Core) wake(after time.Duration, token int64) {
 	time.AfterFunc(after, func() {
-		c.post(func() {
+		c.enqueue(func() {
 			c.answerOverdue()
 			if c.opt.Machine == nil {
 				c.module.Tick(c.now, token, c.gauges)
@@ -287,34 +287,34 @@
 					c.module.Tick(c.now, token, c.gauges)
 				}
 			}
-			late := time.AfterFunc(gaugesWithin, func() { c.post(tick) })
-			c.opt.Machine.Usage(func(g decision.Gauges) {
+			late := time.AfterFunc(gaugesWithin, func() { c.enqueue(tick) })
+			c.opt.Machine.ReadGauges(func(g decision.Gauges) {
 				late.Stop()
-				c.post(func() { c.gauges = g; tick() })
+				c.enqueue(func() { c.gauges = g; tick() })
 			})
 		})
 	})
 }
 
-// Check answers a health check: at once from the module's word, or a deep one
+// CheckHealth answers a health check: at once from the module's word, or a deep one
 // by a trial of the machine where the module has not settled it.
-func (c *Core) Check(deep bool, reply func(good bool)) error {
-	return c.post(func() {
-		if !deep || c.stored || !c.welcome() || c.opt.Machine == nil {
-			reply(c.welcome())
+func (c *Core) CheckHealth(deep bool, reply func(good bool)) error {
+	return c.enqueue(func() {
+		if !deep || c.healthCached || !c.ready() || c.opt.Machine == nil {
+			reply(c.ready())
 			return
 		}
 		answered := false
 		once := func(good bool) {
-			c.post(func() {
+			c.enqueue(func() {
 				if !answered {
 					answered = true
-					reply(good && c.welcome())
+					reply(good && c.ready())
 				}
 			})
 		}
 		late := time.AfterFunc(trialWithin, func() { once(false) })
-		c.opt.Machine.Trial(func(good bool) { late.Stop(); once(good) })
+		c.opt.Machine.CheckHealth(func(good bool) { late.Stop(); once(good) })
 	})
 }
 
@@ -322,7 +322,7 @@
 // (NoticeTime): the process is stopped at another, and all is answered a margin before
 // that. From the grace after the notice on, nothing that is read is begun.
 func (c *Core) Drain(notice, stopAt time.Time) {
-	c.post(func() {
+	c.enqueue(func() {
 		if c.draining {
 			return
 		}
@@ -337,50 +337,50 @@
 }
 
 func (c *Core) setHealth(on, stored bool) {
-	c.fit, c.stored = on, stored
+	c.healthy, c.healthCached = on, stored
 	c.report()
 }
 
-// wanted tells whether callers are to come whatever this server's health: not before
+// acceptsTraffic tells whether callers are to come whatever this server's health: not before
 // anything can run here.
-func (c *Core) wanted() bool { return c.module != nil && !c.away && !c.draining }
+func (c *Core) acceptsTraffic() bool { return c.module != nil && !c.trafficDisabled && !c.draining }
 
-// welcome tells whether callers are to come.
-func (c *Core) welcome() bool { return c.fit && c.wanted() }
+// ready tells whether callers are to come.
+func (c *Core) ready() bool { return c.healthy && c.acceptsTraffic() }
 
 // report tells the list whether callers are to come. Where that does not follow a
 // server's health, it knows only whether the server runs or drains.
 func (c *Core) report() {
-	if c.opt.Presence != nil {
-		c.opt.Presence.Accepting(c.wanted() && (c.fit || !c.set.Readiness))
+	if c.opt.Registrar != nil {
+		c.opt.Registrar.SetAccepting(c.acceptsTraffic() && (c.healthy || !c.set.ListFollowsHealth))
 	}
 }
 
-// Said gives the free value that rides on answers and health checks, as its module
+// LoadReport gives the free value that rides on answers and health checks, as its module
 // set it last; ok is false where the settings have none. It may be called from any
 // goroutine.
-func (c *Core) Said() (value float64, ok bool) {
-	if v := c.said.Load(); v != nil {
+func (c *Core) LoadReport() (value float64, ok bool) {
+	if v := c.loadReport.Load(); v != nil {
 		return *v, true
 	}
 	return 0, false
 }
 
-// SendAway has callers told to stay away, or to come again, whatever the module
+// SetTrafficDisabled has callers told to stay away, or to come again, whatever the module
 // says of its health. What still comes is served as ever.
-func (c *Core) SendAway(on bool, done func()) error {
-	return c.post(func() {
-		c.setAway(on)
+func (c *Core) SetTrafficDisabled(on bool, done func()) error {
+	return c.enqueue(func() {
+		c.setTrafficDisabled(on)
 		if c.peer != nil {
-			c.peer.Away(on)
+			c.peer.SetTrafficDisabled(on)
 		}
 		done()
 	})
 }
 
-func (c *Core) setAway(on bool) {
-	if c.away != on {
-		c.away = on
+func (c *Core) setTrafficDisabled(on bool) {
+	if c.trafficDisabled != on {
+		c.trafficDisabled = on
 		c.log.Info("away", "on", on)
 		c.report()
 	}
@@ -388,5 +388,5 @@
 
 // Ready tells whether requests can be run here.
 func (c *Core) Ready(reply func(ready bool)) error {
-	return c.post(func() { reply(c.module != nil && !c.draining) })
+	return c.enqueue(func() { reply(c.module != nil && !c.draining) })
 }
--- a/routing/core_test.go
+++ b/routing/core_test.go
@@ -56,32 +56,32 @@
 // wait lets all come to rest that happens now.
 func (p *party) wait() { p.sleep(0) }
 
-// Begin implements Backend.
-func (p *party) Begin(r Run) {
+// Start implements Backend.
+func (p *party) Start(r Run) {
 	defer p.lock()()
 	p.begun[r.ID] = time.Now()
 	p.runs[r.ID]++
 	p.bodies[r.ID] = string(r.Payload.Body)
 }
 
-// Interrupt implements Backend.
-func (p *party) Interrupt(id string) {
+// Cancel implements Backend.
+func (p *party) Cancel(id string) {
 	defer p.lock()()
 	p.stopped = append(p.stopped, id)
 	if _, ok := p.begun[id]; ok {
 		delete(p.begun, id)
-		go p.each(func(c *Core) { c.Completed(id, Cut, 0, Payload{}) })
+		go p.each(func(c *Core) { c.RunCompleted(id, RunCancelled, 0, Payload{}) })
 	}
 }
 
-// Answer implements Backend.
-func (p *party) Answer(id string, reply []byte) {
+// ReplyToCall implements Backend.
+func (p *party) ReplyToCall(id string, reply []byte) {
 	defer p.lock()()
 	p.resumed[id] = string(reply)
 }
 
-// Without implements Backend.
-func (p *party) Without(id string, notice uint64) {
+// SkipCall implements Backend.
+func (p *party) SkipCall(id string, notice uint64) {
 	defer p.lock()()
 	p.resumed[id] = fmt.Sprint("without ", notice)
 }
@@ -90,7 +90,7 @@
 func (p *party) Call(id string, number int, _ time.Duration, _ []byte) {
 	defer p.lock()()
 	p.asked[id] = number
-	if at, ok := p.gaveUp[id]; ok && time.Since(at) <= settings().BatchGap {
+	if at, ok := p.gaveUp[id]; ok && time.Since(at) <= settings().BatchInterval {
 		p.hasty = append(p.hasty, id)
 	}
 }
@@ -102,8 +102,8 @@
 	p.gaveUp[id] = time.Now()
 }
 
-// Accepting implements Presence.
-func (p *party) Accepting(on bool) {
+// SetAccepting implements Presence.
+func (p *party) SetAccepting(on bool) {
 	defer p.lock()()
 	p.present = append(p.present, on)
 }
@@ -111,22 +111,22 @@
 // sink is the Sink of a party.
 type sink struct{ *party }
 
-// Answer implements Sink.
-func (s sink) Answer(id string, o Outcome) {
+// Respond implements Sink.
+func (s sink) Respond(id string, o Outcome) {
 	defer s.lock()()
 	s.answers[id] = append(s.answers[id], o)
 	s.answered[id] = time.Now()
 }
 
 func settings() decision.Settings {
-	class := decision.Class{Aim: 2 * time.Second, Deadline: testDeadline, Worth: 1, Window: testWindow, Calls: true, LateWorth: 0.2}
+	class := decision.Class{LatencyObjective: 2 * time.Second, Deadline: testDeadline, Weight: 1, KeyWindow: testWindow, CallsDependency: true, LateWeight: 0.2}
 	keyed, skips := class, class
-	keyed.Effect, skips.SkipWorth = decision.Keyed, 0.6
+	keyed.Effect, skips.DegradedWeight = decision.Keyed, 0.6
 	return decision.Settings{
 		Classes: []decision.Class{skips, keyed, keyed}, Servers: 1, Callers: 1, Cores: 2, MemoryKB: 10000,
-		KeyKB: 1, RunFactor: 4, Below: decision.BelowShared, CallsOut: 10, CallsOver: 5 * time.Second, Linger: 200 * time.Millisecond,
-		Stop: decision.StopDrop, MaxAdvice: time.Second, AnswerSlack: testSlack, DrainGrace: testGrace,
-		FallMultiple: 8, FallSpan: 1500 * time.Millisecond, ColdFrom: 0.3, ColdSpan: 10 * time.Second, BatchGap: 4 * time.Millisecond, Readiness: true,
+		KeyMemoryKB: 1, RunningMemoryFactor: 4, Dependency: decision.SharedDependency, CallQuota: 10, CallQuotaWindow: 5 * time.Second, AbandonedCallDuration: 200 * time.Millisecond,
+		CancelMode: decision.CancelDiscard, MaxRetryAfter: time.Second, DeadlineSlack: testSlack, DrainGrace: testGrace,
+		OverloadRatio: 8, OverloadWindow: 1500 * time.Millisecond, SlowStartMinSpeed: 0.3, SlowStartDuration: 10 * time.Second, BatchInterval: 4 * time.Millisecond, ListFollowsHealth: true,
 	}
 }
 
@@ -151,7 +151,7 @@
 // start sets a core to work.
 func (p *party) start(t *testing.T, ctx context.Context) *Core {
 	t.Helper()
-	opt := Options{Settings: settings(), Classes: []string{"read", "gift", "receipt"}, Seed: 1, Backend: p, Dependency: p, Presence: p}
+	opt := Options{Settings: settings(), Classes: []string{"read", "gift", "receipt"}, Seed: 1, Backend: p, Dependency: p, Registrar: p}
 	if p.change != nil {
 		p.change(&opt)
 	}
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	go core.Run(ctx)
-	core.Started(false, 0)
+	core.BackendReady(false, 0)
 	return core
 }
 
@@ -186,16 +186,16 @@
 
 func (p *party) submitTo(t *testing.T, c *Core, id, class, key string) {
 	t.Helper()
-	err := c.Submit(Request{ID: id, Class: class, Key: key, Door: time.Now(), HeldKB: 20, Sink: sink{p}})
+	err := c.Submit(Request{ID: id, Class: class, Key: key, ArrivedAt: time.Now(), ReservedKB: 20, Responder: sink{p}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.wait()
 }
 
-func (p *party) complete(id string, end End, body string) {
+func (p *party) complete(id string, end RunEnd, body string) {
 	delete(p.begun, id)
-	p.each(func(c *Core) { c.Completed(id, end, time.Second, Payload{Body: []byte(body)}) })
+	p.each(func(c *Core) { c.RunCompleted(id, end, time.Second, Payload{Body: []byte(body)}) })
 	p.wait()
 }
 
@@ -209,7 +209,7 @@
 }
 
 // wantAnswer checks the one answer of a request.
-func (p *party) wantAnswer(t *testing.T, id string, kind Kind, body string) {
+func (p *party) wantAnswer(t *testing.T, id string, kind OutcomeKind, body string) {
 	t.Helper()
 	got := p.answers[id]
 	if len(got) != 1 || got[0].Kind != kind || string(got[0].Result.Body) != body {
@@ -220,9 +220,9 @@
 func TestAnswersOnce(t *testing.T) {
 	bubble(t, func(t *testing.T, p *party) {
 		p.submit(t, "a", "read", "")
-		p.complete("a", Good, "page")
-		p.complete("a", Good, "page again")
-		p.Gone("a", sink{p})
+		p.complete("a", RunSucceeded, "page")
+		p.complete("a", RunSucceeded, "page again")
+		p.CancelRequest("a", sink{p})
 		p.wait()
 		p.wantAnswer(t, "a", Served, "page")
 	})
@@ -233,7 +233,7 @@
 func TestDeadlineByDoor(t *testing.T) {
 	bubble(t, func(t *testing.T, p *party) {
 		began := time.Now()
-		p.Submit(Request{ID: "a", Class: "gift", Key: "k", Door: began.Add(-4 * time.Second), HeldKB: 20, Sink: sink{p}})
+		p.Submit(Request{ID: "a", Class: "gift", Key: "k", ArrivedAt: began.Add(-4 * time.Second), ReservedKB: 20, Responder: sink{p}})
 		p.sleep(testDeadline)
 		p.wantAnswer(t, "a", TimedOut, "")
 		if took := p.answered["a"].Sub(began); took > time.Second+testSlack {
@@ -250,7 +250,7 @@
 func TestKeyAfterCut(t *testing.T) {
 	bubble(t, func(t *testing.T, p *party) {
 		p.submit(t, "a", "gift", "k")
-		p.Gone("a", sink{p})
+		p.CancelRequest("a", sink{p})
 		p.wait()
 		p.sleep(testWindow - time.Second)
 		p.submit(t, "b", "gift", "k")
@@ -268,7 +268,7 @@
 func TestIDUsedAgain(t *testing.T) {
 	bubble(t, func(t *testing.T, p *party) {
 		p.submit(t, "a", "gift", "k")
-		p.complete("a", Good, "thanks")
+		p.complete("a", RunSucceeded, "thanks")
 		p.answers = make(map[string][]Outcome)
 		p.submit(t, "a", "read", "")
 		p.sleep(testDeadline + testSlack)
@@ -285,7 +285,7 @@
 		p.submit(t, "a", "read", "")
 		p.sleep(90 * time.Millisecond)
 		p.submit(t, "b", "read", "")
-		p.wantAnswer(t, "b", Refused, "")
+		p.wantAnswer(t, "b", Shed, "")
 		if p.runs["a"] != 1 || p.runs["b"] != 0 || p.present[len(p.present)-1] {
 			t.Errorf("runs %v, present %v", p.runs, p.present)
 		}
@@ -298,14 +298,14 @@
 	bubble(t, func(t *testing.T, p *party) {
 		p.submit(t, "a", "gift", "k")
 		p.submit(t, "b", "read", "")
-		p.Lost("a", sink{p})
-		p.Lost("b", sink{p})
+		p.CallerDisconnected("a", sink{p})
+		p.CallerDisconnected("b", sink{p})
 		p.wait()
 		if len(p.stopped) != 1 || p.stopped[0] != "b" {
 			t.Errorf("stopped %v, want only b", p.stopped)
 		}
 		p.submit(t, "c", "gift", "k")
-		p.complete("a", Good, "thanks")
+		p.complete("a", RunSucceeded, "thanks")
 		p.submit(t, "d", "gift", "k")
 		for _, id := range []string{"c", "d"} {
 			p.wantAnswer(t, id, Served, "thanks")
@@ -314,7 +314,7 @@
 			t.Errorf("the lost one is answered %v", p.answers["a"])
 		}
 		p.submit(t, "e", "gift", "k2")
-		p.Lost("e", sink{p})
+		p.CallerDisconnected("e", sink{p})
 		p.sleep(testDeadline + testSlack)
 		if len(p.stopped) != 2 || p.stopped[1] != "e" {
 			t.Errorf("stopped %v, want e when its time is over", p.stopped)
@@ -328,14 +328,14 @@
 	bubble(t, func(t *testing.T, p *party) {
 		p.submit(t, "a", "gift", "k")
 		other := sink{&party{answers: make(map[string][]Outcome), answered: make(map[string]time.Time)}}
-		p.Submit(Request{ID: "a", Class: "read", Door: time.Now(), HeldKB: 20, Sink: other})
-		p.Gone("a", other)
+		p.Submit(Request{ID: "a", Class: "read", ArrivedAt: time.Now(), ReservedKB: 20, Responder: other})
+		p.CancelRequest("a", other)
 		p.wait()
 		other.wantAnswer(t, "a", Rejected, "")
 		if len(p.stopped) > 0 {
 			t.Error("another caller has stopped its run")
 		}
-		p.complete("a", Good, "thanks")
+		p.complete("a", RunSucceeded, "thanks")
 		p.wantAnswer(t, "a", Served, "thanks")
 	})
 }
@@ -346,7 +346,7 @@
 	bubble(t, func(t *testing.T, p *party) {
 		try := func(id, body string) {
 			p.Submit(Request{
-				ID: id, Class: "gift", Key: "k", Door: time.Now(), HeldKB: 20, Sink: sink{p},
+				ID: id, Class: "gift", Key: "k", ArrivedAt: time.Now(), ReservedKB: 20, Responder: sink{p},
 				Payload: Payload{Body: []byte(body)},
 			})
 			p.wait()
@@ -354,14 +354,14 @@
 		try("a", "10 kr")
 		try("b", "20 kr")
 		p.wantAnswer(t, "b", Rejected, "")
-		p.complete("a", Good, "thanks")
+		p.complete("a", RunSucceeded, "thanks")
 		try("c", "20 kr")
 		p.wantAnswer(t, "c", Rejected, "")
 		try("d", "10 kr")
 		p.wantAnswer(t, "d", Served, "thanks")
 		p.sleep(testWindow + time.Second)
 		try("e", "20 kr") // the window is over: it is a request of its own
-		p.complete("e", Good, "thanks again")
+		p.complete("e", RunSucceeded, "thanks again")
 		p.wantAnswer(t, "e", Served, "thanks again")
 	})
 }
@@ -371,7 +371,7 @@
 // leave the list.
 func TestOldDoor(t *testing.T) {
 	bubble(t, func(t *testing.T, p *party) {
-		p.Submit(Request{ID: "a", Class: "read", Door: time.UnixMilli(1), HeldKB: 20, Sink: sink{p}})
+		p.Submit(Request{ID: "a", Class: "read", ArrivedAt: time.UnixMilli(1), ReservedKB: 20, Responder: sink{p}})
 		p.sleep(time.Second)
 		p.wantAnswer(t, "a", TimedOut, "")
 		if !p.present[len(p.present)-1] {
@@ -392,10 +392,10 @@
 			t.Fatal(err)
 		}
 		p.submit(t, "c", "present", "k")
-		p.complete("a", Good, "thanks")
+		p.complete("a", RunSucceeded, "thanks")
 		p.wantAnswer(t, "c", Served, "thanks")
 		p.submit(t, "d", "present", "l")
-		p.complete("d", Good, "thanks")
+		p.complete("d", RunSucceeded, "thanks")
 		p.submit(t, "e", "gift", "l")
 		p.wantAnswer(t, "e", Served, "thanks")
 		if p.runs["c"]+p.runs["e"] != 0 {
@@ -409,10 +409,10 @@
 func TestUnbornLeavesKeyFree(t *testing.T) {
 	bubble(t, func(t *testing.T, p *party) {
 		p.submit(t, "a", "gift", "k")
-		p.complete("a", Unborn, "")
+		p.complete("a", RunNotStarted, "")
 		p.wantAnswer(t, "a", Failed, "")
 		p.submit(t, "b", "gift", "k")
-		p.complete("b", Good, "thanks")
+		p.complete("b", RunSucceeded, "thanks")
 		p.wantAnswer(t, "b", Served, "thanks")
 	})
 }
@@ -422,7 +422,7 @@
 func TestCallGivenUp(t *testing.T) {
 	bubble(t, func(t *testing.T, p *party) {
 		p.submit(t, "a", "read", "")
-		p.Asked("a", 7, []byte("call"))
+		p.CallRequested("a", 7, []byte("call"))
 		p.wait()
 		first := p.asked["a"]
 		if first == 0 {
@@ -437,7 +437,7 @@
 		if p.asked["a"] == first {
 			t.Fatal("the call is never given up")
 		}
-		p.Called("a", first, decision.OK, []byte("late"))
+		p.CallCompleted("a", first, decision.Succeeded, []byte("late"))
 		p.wait()
 		if p.resumed["a"] == "late" {
 			t.Error("a reply to a call that was given up is passed on")
@@ -513,27 +513,27 @@
 				p.submitTo(t, core, id, class, key)
 			case 3:
 				if runs {
-					p.complete(id, End(s.Pick(3)), "result of "+id)
+					p.complete(id, RunEnd(s.Pick(3)), "result of "+id)
 				}
 			case 4:
 				if x := tries[id]; x != nil && len(p.answers[id]) == 0 {
 					x.gone = true
 					if s.Pick(2) == 0 {
-						p.each(func(c *Core) { c.Gone(id, sink{p}) })
+						p.each(func(c *Core) { c.CancelRequest(id, sink{p}) })
 					} else {
-						p.each(func(c *Core) { c.Lost(id, sink{p}) })
+						p.each(func(c *Core) { c.CallerDisconnected(id, sink{p}) })
 					}
 				}
 			case 5:
 				if runs {
 					notice++
-					p.each(func(c *Core) { c.Asked(id, notice, []byte("call")) })
+					p.each(func(c *Core) { c.CallRequested(id, notice, []byte("call")) })
 				}
 			case 6:
 				if n := p.asked[id]; n != 0 {
 					delete(p.asked, id)
 					end := decision.Outcome(s.Pick(6))
-					p.each(func(c *Core) { c.Called(id, n, end, []byte("reply")) })
+					p.each(func(c *Core) { c.CallCompleted(id, n, end, []byte("reply")) })
 				}
 			case 7:
 				p.sleep(time.Duration(1+s.Pick(200)) * 10 * time.Millisecond)
@@ -568,7 +568,7 @@
 			}
 			if p.runs[id] > 0 {
 				ran[x.key] = x.door
-				if len(answers) == 1 && answers[0].Kind == Refused {
+				if len(answers) == 1 && answers[0].Kind == Shed {
 					t.Errorf("%s: refused after it was run", id)
 				}
 			}
--- a/routing/crossing_test.go
+++ b/routing/crossing_test.go
@@ -13,7 +13,7 @@
 // try is a keyed try with a door of its own.
 func (p *party) try(t *testing.T, id string, door time.Time) {
 	t.Helper()
-	err := p.Submit(Request{ID: id, Class: "gift", Key: "k", Door: door, HeldKB: 20, Sink: sink{p}})
+	err := p.Submit(Request{ID: id, Class: "gift", Key: "k", ArrivedAt: door, ReservedKB: 20, Responder: sink{p}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 			bubble(t, func(t *testing.T, p *party) {
 				first := time.Now()
 				p.try(t, "first", first)
-				p.complete("first", Good, "result")
+				p.complete("first", RunSucceeded, "result")
 				p.sleep(x.came + x.readLate)
 				p.submit(t, "other", "read", "") // a batch, in which old entries go
 				p.try(t, "repeat", first.Add(x.came))
@@ -61,12 +61,12 @@
 		bubble(t, func(t *testing.T, p *party) {
 			p.try(t, "first", time.Now())
 			gate := make(chan struct{})
-			p.post(func() { <-gate }) // what comes now is one batch
-			complete := func() { p.Core.Completed("first", Good, time.Second, Payload{Body: []byte("result")}) }
+			p.enqueue(func() { <-gate }) // what comes now is one batch
+			complete := func() { p.Core.RunCompleted("first", RunSucceeded, time.Second, Payload{Body: []byte("result")}) }
 			if !before {
 				complete()
 			}
-			if err := p.Submit(Request{ID: "repeat", Class: "gift", Key: "k", Door: time.Now(), HeldKB: 20, Sink: sink{p}}); err != nil {
+			if err := p.Submit(Request{ID: "repeat", Class: "gift", Key: "k", ArrivedAt: time.Now(), ReservedKB: 20, Responder: sink{p}}); err != nil {
 				t.Fatal(err)
 			}
 			if before {
@@ -88,8 +88,8 @@
 func (p *party) overtaken(t *testing.T, s decision.Settings, classes, tenants []string, read func()) {
 	t.Helper()
 	gate, retuned := make(chan struct{}), make(chan error, 1)
-	p.post(func() { <-gate })
-	p.post(func() { retuned <- p.Core.retune(s, classes, tenants) })
+	p.enqueue(func() { <-gate })
+	p.enqueue(func() { retuned <- p.Core.retune(s, classes, tenants) })
 	read()
 	close(gate)
 	p.wait()
@@ -109,7 +109,7 @@
 		next.Classes[1].Deadline = time.Second  // of pledge
 		p.overtaken(t, next, []string{"read", "pledge", "receipt"}, nil, func() {
 			for _, r := range []Request{{ID: "keyless", Class: "read"}, {ID: "keyed", Class: "read", Key: "a"}, {ID: "dropped", Class: "gift", Key: "b"}} {
-				r.Door, r.HeldKB, r.Sink = time.Now(), 20, sink{p}
+				r.ArrivedAt, r.ReservedKB, r.Responder = time.Now(), 20, sink{p}
 				if err := p.Submit(r); err != nil {
 					t.Fatal(err)
 				}
@@ -123,7 +123,7 @@
 		if len(p.answers["dropped"]) > 0 {
 			t.Error("it comes under another class's deadline")
 		}
-		p.complete("dropped", Good, "late")
+		p.complete("dropped", RunSucceeded, "late")
 		p.wantAnswer(t, "dropped", Served, "late")
 	})
 }
@@ -132,14 +132,14 @@
 // repeat of what has run.
 func TestFullTableKeepsRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPartyWith(t, func(o *Options) { o.KeyBytes = entryBytes })
+		p := newPartyWith(t, func(o *Options) { o.MaxKeyTableBytes = entryBytes })
 		defer p.end()
 		p.submit(t, "a", "gift", "a")
 		p.submit(t, "b", "gift", "b")
-		p.complete("a", Bad, "")
-		p.complete("b", Bad, "")
+		p.complete("a", RunFailed, "")
+		p.complete("b", RunFailed, "")
 		p.submit(t, "new", "gift", "c")
-		p.wantAnswer(t, "new", Refused, "")
+		p.wantAnswer(t, "new", Shed, "")
 		p.submit(t, "repeat", "gift", "a")
 		p.wantAnswer(t, "repeat", Failed, "")
 	})
@@ -152,7 +152,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			p := newParty(t)
 			defer p.end()
-			core, err := New(Options{Settings: settings(), Classes: []string{"read", "gift", "receipt"}, Backend: p, Presence: p})
+			core, err := New(Options{Settings: settings(), Classes: []string{"read", "gift", "receipt"}, Backend: p, Registrar: p})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -161,7 +161,7 @@
 			defer cancel()
 			go core.Run(ctx)
 			health := func() (good bool) {
-				core.Check(false, func(on bool) { good = on })
+				core.CheckHealth(false, func(on bool) { good = on })
 				p.wait()
 				return good
 			}
@@ -171,7 +171,7 @@
 			if leaving {
 				core.Drain(time.Now(), time.Now().Add(10*time.Second))
 			}
-			core.Started(true, 0)
+			core.BackendReady(true, 0)
 			p.wait()
 			if health() == leaving || slices.Contains(p.present, leaving) {
 				t.Errorf("leaving %t: reports %v", leaving, p.present)
