--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -12,14 +12,14 @@
 func TestGoldenKeyStates(t *testing.T) {
 	till := time.Date(2200, 1, 2, 3, 4, 5, 678_900_000, time.UTC)
 	for name, k := range map[string]KeyState{
-		"key-runs.json":   {Key: "gåva/1", Class: "ny-gava", Body: 1<<64 - 1, Ran: "9b1f03aa5c7e2d41", Till: till},
-		"key-failed.json": {Key: "k", Class: "ny-gava", Body: 1, Ran: "r", Till: till, Over: true},
+		"key-runs.json":   {Key: "gåva/1", Class: "ny-gava", BodyHash: 1<<64 - 1, RanAttemptID: "9b1f03aa5c7e2d41", ExpiresAt: till},
+		"key-failed.json": {Key: "k", Class: "ny-gava", BodyHash: 1, RanAttemptID: "r", ExpiresAt: till, Completed: true},
 		"key-done.json": {
-			Key: "k", Class: "ny-gava", Body: 1, Ran: "r", Door: till.Add(-time.Hour), Till: till, Over: true,
+			Key: "k", Class: "ny-gava", BodyHash: 1, RanAttemptID: "r", ArrivedAt: till.Add(-time.Hour), ExpiresAt: till, Completed: true,
 			Result: &Payload{Fields: []Field{{Name: ":status", Value: "201"}, {Name: "Content-Type", Value: "text/plain"}}, Body: []byte("tack\x00\xff")},
 		},
-		"key-done-empty.json": {Key: "k", Class: "ny-gava", Body: 1, Ran: "r", Till: till, Over: true, Result: &Payload{Body: []byte{}}},
-		"key-not-run.json":    {Key: "k", Class: "ny-gava", Till: till, Over: true},
+		"key-done-empty.json": {Key: "k", Class: "ny-gava", BodyHash: 1, RanAttemptID: "r", ExpiresAt: till, Completed: true, Result: &Payload{Body: []byte{}}},
+		"key-not-run.json":    {Key: "k", Class: "ny-gava", ExpiresAt: till, Completed: true},
 	} {
 		golden.RoundTrip(t, name, k, json.Marshal, json.Unmarshal)
 	}
@@ -31,14 +31,14 @@
 func TestGoldenJournal(t *testing.T) {
 	j := &journal{}
 	playJournal(t, func(o *Options) { o.Journal = j }, func(t *testing.T, p *party) {
-		err := p.Submit(Request{ID: "a", Class: "gift", Key: "k", Door: time.Now(), HeldKB: 20, Payload: Payload{Body: []byte("10 kr")}, Sink: sink{p}})
+		err := p.Submit(Request{ID: "a", Class: "gift", Key: "k", ArrivedAt: time.Now(), ReservedKB: 20, Payload: Payload{Body: []byte("10 kr")}, Responder: sink{p}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		p.wait()
 		j.settle(nil)
 		p.wait()
-		p.complete("a", Good, "tack")
+		p.complete("a", RunSucceeded, "tack")
 		j.mu.Lock()
 		defer j.mu.Unlock()
 		if len(j.states) != 2 {
@@ -46,7 +46,7 @@
 		}
 		for i, name := range []string{"journal-claim.json", "journal-end.json"} {
 			k := j.states[i]
-			k.Till = k.Till.UTC() // it is in the machine's own time zone
+			k.ExpiresAt = k.ExpiresAt.UTC() // it is in the machine's own time zone
 			golden.RoundTrip(t, name, k, json.Marshal, json.Unmarshal)
 		}
 	})
--- a/routing/journal_test.go
+++ b/routing/journal_test.go
@@ -23,7 +23,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.states = append(j.states, k)
-	if k.Over {
+	if k.Completed {
 		done(nil)
 		return
 	}
@@ -62,12 +62,12 @@
 		if p.runs["a"] != 1 {
 			t.Fatalf("%d runs once the claim was durable", p.runs["a"])
 		}
-		p.complete("a", Good, "tack")
+		p.complete("a", RunSucceeded, "tack")
 		p.wantAnswer(t, "a", Served, "tack")
 		j.mu.Lock()
 		defer j.mu.Unlock()
-		if n := len(j.states); n != 2 || j.states[0].Ran != "a" || j.states[0].Over ||
-			!j.states[1].Over || string(j.states[1].Result.Body) != "tack" {
+		if n := len(j.states); n != 2 || j.states[0].RanAttemptID != "a" || j.states[0].Completed ||
+			!j.states[1].Completed || string(j.states[1].Result.Body) != "tack" {
 			t.Errorf("recorded %+v", j.states)
 		}
 	})
@@ -81,7 +81,7 @@
 		p.submit(t, "a", "gift", "k")
 		j.settle(errors.New("full"))
 		p.wait()
-		p.wantAnswer(t, "a", Refused, "")
+		p.wantAnswer(t, "a", Shed, "")
 		if p.runs["a"] != 0 {
 			t.Errorf("%d runs", p.runs["a"])
 		}
@@ -106,9 +106,9 @@
 		sum := sha256.Sum256(nil) // of what the tries bring
 		body := binary.BigEndian.Uint64(sum[:])
 		p := newPartyWith(t, func(o *Options) {
-			o.Recovered = []KeyState{
-				{Key: "doubt", Class: "gift", Body: body, Ran: "old1", Till: till},
-				{Key: "done", Class: "gift", Body: body, Ran: "old2", Till: till, Over: true, Result: done},
+			o.RecoveredKeys = []KeyState{
+				{Key: "doubt", Class: "gift", BodyHash: body, RanAttemptID: "old1", ExpiresAt: till},
+				{Key: "done", Class: "gift", BodyHash: body, RanAttemptID: "old2", ExpiresAt: till, Completed: true, Result: done},
 			}
 			o.InDoubtUntil = time.Now().Add(time.Second)
 		})
--- a/routing/keys.go
+++ b/routing/keys.go
@@ -90,7 +90,7 @@
 
 // state is what a peer is told of an entry.
 func (c *Core) state(e *entry) KeyState {
-	return KeyState{Key: e.key, Class: e.class, Body: e.body, Ran: e.ran, Till: c.clock.Unix(e.till), Over: e.over, Result: e.result}
+	return KeyState{Key: e.key, Class: e.class, BodyHash: e.body, RanAttemptID: e.ran, ExpiresAt: c.clock.Unix(e.till), Completed: e.over, Result: e.result}
 }
 
 // learn takes over what a peer tells of a key, whose window ends at a time. It gives
@@ -98,8 +98,8 @@
 func (t *keyTable) learn(k KeyState, till time.Duration) (e *entry, joined []*attempt) {
 	e = t.entry(k.Key)
 	t.drop(e)
-	e.class, e.body, e.holder, e.ran, e.till = k.Class, k.Body, k.Ran, k.Ran, till
-	e.over = k.Over || k.Ran == ""
+	e.class, e.body, e.holder, e.ran, e.till = k.Class, k.BodyHash, k.RanAttemptID, k.RanAttemptID, till
+	e.over = k.Completed || k.RanAttemptID == ""
 	e.remote = !e.over
 	if k.Result != nil {
 		t.store(e, *k.Result)
--- a/routing/observer_test.go
+++ b/routing/observer_test.go
@@ -14,8 +14,8 @@
 	told []string
 }
 
-// Answered implements Observer.
-func (o *observer) Answered(class string, kind Kind, _ time.Duration, repeat bool) {
+// ObserveResponse implements Observer.
+func (o *observer) ObserveResponse(class string, kind OutcomeKind, _ time.Duration, repeat bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.told = append(o.told, fmt.Sprintf("%s %d %t", class, kind, repeat))
@@ -30,17 +30,17 @@
 		defer p.end()
 		p.submit(t, "a", "gift", "k")
 		p.submit(t, "b", "gift", "k")
-		if n := p.Open(); n != 2 {
+		if n := p.InFlight(); n != 2 {
 			t.Errorf("%d open", n)
 		}
-		p.complete("a", Good, "tack")
+		p.complete("a", RunSucceeded, "tack")
 		p.submit(t, "c", "read", "")
-		p.each(func(c *Core) { c.Gone("c", sink{p}) })
+		p.each(func(c *Core) { c.CancelRequest("c", sink{p}) })
 		p.wait()
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		if got := fmt.Sprint(o.told); got != "[gift 0 false gift 0 true]" || p.Open() != 0 {
-			t.Errorf("told %s, %d open", got, p.Open())
+		if got := fmt.Sprint(o.told); got != "[gift 0 false gift 0 true]" || p.InFlight() != 0 {
+			t.Errorf("told %s, %d open", got, p.InFlight())
 		}
 	})
 }
--- a/routing/pause_test.go
+++ b/routing/pause_test.go
@@ -16,15 +16,15 @@
 		t.Run(less, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newPartyWith(t, func(o *Options) {
-					o.Settings.Stop, o.Settings.Cores = decision.StopPause, 1
+					o.Settings.CancelMode, o.Settings.Cores = decision.CancelPause, 1
 					o.Settings.Classes = append([]decision.Class(nil), o.Settings.Classes...)
-					o.Settings.Classes[2].Worth = 10
+					o.Settings.Classes[2].Weight = 10
 				})
 				defer p.end()
 				ask := func(id string) {
 					err := p.Submit(Request{
-						ID: id, Class: less, Key: "k", Door: time.Now(), HeldKB: 20,
-						Payload: Payload{Body: []byte("as it came")}, Sink: sink{p},
+						ID: id, Class: less, Key: "k", ArrivedAt: time.Now(), ReservedKB: 20,
+						Payload: Payload{Body: []byte("as it came")}, Responder: sink{p},
 					})
 					if err != nil {
 						t.Fatal(err)
@@ -36,13 +36,13 @@
 				if p.runs["worthy"] != 1 || len(p.stopped) != 1 {
 					t.Fatalf("runs %v, stopped %v", p.runs, p.stopped)
 				}
-				p.complete("worthy", Good, "first")
-				p.sleep(settings().BatchGap * 10)
+				p.complete("worthy", RunSucceeded, "first")
+				p.sleep(settings().BatchInterval * 10)
 				if p.runs["way"] != 2 || p.bodies["way"] != "as it came" {
 					t.Fatalf("runs %v, begun again with %q", p.runs, p.bodies["way"])
 				}
 				ask("repeat") // of the gift: it waits for the run
-				p.complete("way", Good, "second")
+				p.complete("way", RunSucceeded, "second")
 				p.wantAnswer(t, "worthy", Served, "first")
 				p.wantAnswer(t, "way", Served, "second")
 				if less == "gift" {
--- a/routing/peer.go
+++ b/routing/peer.go
@@ -10,102 +10,102 @@
 // KeyState is what one process of an app server tells another of a key. Its JSON
 // is stored in the key journal: the tags are part of that format.
 type KeyState struct {
-	Key    string    `json:"Key"`
-	Class  string    `json:"Class"` // of the first try
-	Body   uint64    `json:"Body"`  // hash of what all tries of the request bring
-	Ran    string    `json:"Ran"`   // id of the try that was run; "" where none was
-	Door   time.Time `json:"Door"`
-	Till   time.Time `json:"Till"`   // end of its window
-	Over   bool      `json:"Over"`   // the run has ended
-	Result *Payload  `json:"Result"` // if it went well
+	Key          string    `json:"Key"`
+	Class        string    `json:"Class"` // of the first try
+	BodyHash     uint64    `json:"Body"`  // hash of what all tries of the request bring
+	RanAttemptID string    `json:"Ran"`   // id of the try that was run; "" where none was
+	ArrivedAt    time.Time `json:"Door"`
+	ExpiresAt    time.Time `json:"Till"`   // end of its window
+	Completed    bool      `json:"Over"`   // the run has ended
+	Result       *Payload  `json:"Result"` // if it went well
 }
 
 // Peer is another process of the same app server, at work beside this one while
 // it takes over: a key that runs in one must not run in the other. The elder says
 // who may run a key. Its methods must not block; their order is kept.
 type Peer interface {
-	Tell(k KeyState)                 // what has become of a key
-	Claim(k KeyState)                // to the elder: may this try run?
-	Settle(ran string, granted bool) // the elder's word on that
-	Part(last bool)                  // a part of the elder's keys has been told
-	Away(on bool)                    // operators have callers sent away, or not any more
+	ReplicateKey(k KeyState)              // what has become of a key
+	RequestClaim(k KeyState)              // to the elder: may this try run?
+	DecideClaim(ran string, granted bool) // the elder's word on that
+	EndKeyBatch(last bool)                // a part of the elder's keys has been told
+	SetTrafficDisabled(on bool)           // operators have callers sent away, or not any more
 }
 
-// Meet takes in a peer; elder tells whether it was there first. Only one is had
+// ConnectPeer takes in a peer; elder tells whether it was there first. Only one is had
 // at a time.
-func (c *Core) Meet(p Peer, elder bool) error {
-	return c.post(func() {
+func (c *Core) ConnectPeer(p Peer, elder bool) error {
+	return c.enqueue(func() {
 		if c.peer == nil {
-			c.peer, c.elder = p, elder
+			c.peer, c.predecessor = p, elder
 		}
 	})
 }
 
-// TellKeys tells the next part of the keys to a peer that has just come.
-func (c *Core) TellKeys(p Peer) {
-	c.post(func() {
+// ReplicateKeys tells the next part of the keys to a peer that has just come.
+func (c *Core) ReplicateKeys(p Peer) {
+	c.enqueue(func() {
 		if c.peer != p {
 			return
 		}
-		if c.untold == nil {
-			c.untold = make([]*entry, 0, len(c.keys.entries))
+		if c.pendingKeys == nil {
+			c.pendingKeys = make([]*entry, 0, len(c.keys.entries))
 			for _, e := range c.keys.entries {
-				c.untold = append(c.untold, e)
+				c.pendingKeys = append(c.pendingKeys, e)
 			}
 		}
-		n := min(snapshotPart, len(c.untold))
-		for _, e := range c.untold[:n] {
+		n := min(snapshotPart, len(c.pendingKeys))
+		for _, e := range c.pendingKeys[:n] {
 			if e.ran != "" && c.keys.entries[e.key] == e {
-				p.Tell(c.state(e))
+				p.ReplicateKey(c.state(e))
 			}
 		}
-		c.untold = c.untold[n:]
-		if len(c.untold) == 0 {
-			p.Away(c.away)
+		c.pendingKeys = c.pendingKeys[n:]
+		if len(c.pendingKeys) == 0 {
+			p.SetTrafficDisabled(c.trafficDisabled)
 		}
-		p.Part(len(c.untold) == 0)
+		p.EndKeyBatch(len(c.pendingKeys) == 0)
 	})
 }
 
-// Learn takes in what a peer tells of a key.
-func (c *Core) Learn(p Peer, k KeyState) {
-	c.post(func() {
+// ApplyKey takes in what a peer tells of a key.
+func (c *Core) ApplyKey(p Peer, k KeyState) {
+	c.enqueue(func() {
 		if c.peer == p {
-			c.learn(k)
+			c.applyKey(k)
 		}
 	})
 }
 
-func (c *Core) learn(k KeyState) {
-	e, joined := c.keys.learn(k, c.clock.At(k.Till))
+func (c *Core) applyKey(k KeyState) {
+	e, joined := c.keys.learn(k, c.clock.At(k.ExpiresAt))
 	if e.ran != "" {
 		c.journal(e, e.over)
 	}
 	for _, r := range joined {
-		c.followUps = append(c.followUps, func() { c.settleRepeat(r, e) })
+		c.deferredEvents = append(c.deferredEvents, func() { c.settleRepeat(r, e) })
 	}
 }
 
-// Claimed takes in that a younger peer wants to run a try.
-func (c *Core) Claimed(p Peer, k KeyState) {
-	c.post(func() {
+// ClaimRequested takes in that a younger peer wants to run a try.
+func (c *Core) ClaimRequested(p Peer, k KeyState) {
+	c.enqueue(func() {
 		if c.peer != p {
 			return
 		}
 		e := c.keys.entries[k.Key]
-		granted := e == nil || !e.ranFor(c.clock.At(k.Door))
+		granted := e == nil || !e.ranFor(c.clock.At(k.ArrivedAt))
 		if granted {
-			c.learn(k)
+			c.applyKey(k)
 		} else {
-			p.Tell(c.state(e))
+			p.ReplicateKey(c.state(e))
 		}
-		p.Settle(k.Ran, granted)
+		p.DecideClaim(k.RanAttemptID, granted)
 	})
 }
 
-// Settled takes in the elder's word on a claim.
-func (c *Core) Settled(p Peer, ran string, granted bool) {
-	c.post(func() {
+// ClaimDecided takes in the elder's word on a claim.
+func (c *Core) ClaimDecided(p Peer, ran string, granted bool) {
+	c.enqueue(func() {
 		if a := c.attempts[ran]; c.peer == p && a != nil && a.claiming {
 			c.settleClaim(a, granted)
 		}
@@ -118,28 +118,28 @@
 	case granted && !a.answered:
 		c.send(a)
 	case granted: // given up meanwhile: it is not begun
-		c.completed(a.ID, Unborn, 0, Payload{})
+		c.completed(a.ID, RunNotStarted, 0, Payload{})
 	default:
 		c.keys.unclaim(a)
 		a.begun = false
-		host{c}.Reuse(a.ID)
+		host{c}.ServeCached(a.ID)
 		c.release(a)
 	}
 }
 
-// Parted takes in that a peer has gone. What it told counts; what still ran there
+// PeerDisconnected takes in that a peer has gone. What it told counts; what still ran there
 // has no result that anybody will hear of.
-func (c *Core) Parted(p Peer) {
-	c.post(func() {
+func (c *Core) PeerDisconnected(p Peer) {
+	c.enqueue(func() {
 		if c.peer != p {
 			return
 		}
-		c.peer, c.untold = nil, nil
+		c.peer, c.pendingKeys = nil, nil
 		for _, e := range c.keys.entries {
 			if e.remote {
 				k := c.state(e)
-				k.Over = true
-				c.learn(k)
+				k.Completed = true
+				c.applyKey(k)
 			}
 		}
 		for _, a := range c.attempts {
@@ -150,11 +150,11 @@
 	})
 }
 
-// Follow takes in what operators have said to a peer.
-func (c *Core) Follow(p Peer, away bool) {
-	c.post(func() {
+// ApplyTrafficDisabled takes in what operators have said to a peer.
+func (c *Core) ApplyTrafficDisabled(p Peer, away bool) {
+	c.enqueue(func() {
 		if c.peer == p {
-			c.setAway(away)
+			c.setTrafficDisabled(away)
 		}
 	})
 }
@@ -164,9 +164,9 @@
 // channel is closed once nothing is open.
 func (c *Core) HandOver(stopAt time.Time) <-chan struct{} {
 	settled := make(chan struct{})
-	c.post(func() {
+	c.enqueue(func() {
 		c.log.Info("handover", "open", len(c.attempts))
-		c.stopAt, c.settled = c.clock.At(stopAt.Add(-stopMargin)), settled
+		c.stopAt, c.idle = c.clock.At(stopAt.Add(-stopMargin)), settled
 	})
 	return settled
 }
@@ -175,14 +175,14 @@
 func (c *Core) tellPeer(e *entry, over bool) {
 	if c.peer != nil {
 		k := c.state(e)
-		k.Over = over
-		c.peer.Tell(k)
+		k.Completed = over
+		c.peer.ReplicateKey(k)
 	}
 }
 
-// Doubt has the core take keys that it does not know for ones that may have run, until
+// MarkUnknownKeysInDoubt has the core take keys that it does not know for ones that may have run, until
 // a time: tries of them fail, and are never run. It is for a process that could not learn
 // what another one ran.
-func (c *Core) Doubt(until time.Time) error {
-	return c.post(func() { c.inDoubtUntil = max(c.inDoubtUntil, c.clock.At(until)) })
+func (c *Core) MarkUnknownKeysInDoubt(until time.Time) error {
+	return c.enqueue(func() { c.inDoubtUntil = max(c.inDoubtUntil, c.clock.At(until)) })
 }
--- a/routing/peer_test.go
+++ b/routing/peer_test.go
@@ -13,24 +13,24 @@
 	back *wire
 }
 
-// Tell implements Peer.
-func (w *wire) Tell(k KeyState) { w.far.Learn(w.back, k) }
+// ReplicateKey implements Peer.
+func (w *wire) ReplicateKey(k KeyState) { w.far.ApplyKey(w.back, k) }
 
-// Claim implements Peer.
-func (w *wire) Claim(k KeyState) { w.far.Claimed(w.back, k) }
+// RequestClaim implements Peer.
+func (w *wire) RequestClaim(k KeyState) { w.far.ClaimRequested(w.back, k) }
 
-// Settle implements Peer.
-func (w *wire) Settle(ran string, granted bool) { w.far.Settled(w.back, ran, granted) }
+// DecideClaim implements Peer.
+func (w *wire) DecideClaim(ran string, granted bool) { w.far.ClaimDecided(w.back, ran, granted) }
 
-// Part implements Peer.
-func (w *wire) Part(last bool) {
+// EndKeyBatch implements Peer.
+func (w *wire) EndKeyBatch(last bool) {
 	if !last {
-		w.back.far.TellKeys(w)
+		w.back.far.ReplicateKeys(w)
 	}
 }
 
-// Away implements Peer.
-func (w *wire) Away(on bool) { w.far.Follow(w.back, on) }
+// SetTrafficDisabled implements Peer.
+func (w *wire) SetTrafficDisabled(on bool) { w.far.ApplyTrafficDisabled(w.back, on) }
 
 // meet has a younger core come beside the party's and learn its keys.
 func (p *party) meet(t *testing.T) (toElder, toYounger *wire) {
@@ -41,9 +41,9 @@
 	p.cancel = func() { old(); cancel() }
 	toElder, toYounger = &wire{far: p.Core}, &wire{far: p.younger}
 	toElder.back, toYounger.back = toYounger, toElder
-	p.Meet(toYounger, false)
-	p.younger.Meet(toElder, true)
-	p.TellKeys(toYounger)
+	p.ConnectPeer(toYounger, false)
+	p.younger.ConnectPeer(toElder, true)
+	p.ReplicateKeys(toYounger)
 	p.wait()
 	return toElder, toYounger
 }
@@ -56,7 +56,7 @@
 		for i := range 2*snapshotPart + 1 {
 			id := fmt.Sprint("before", i)
 			p.submit(t, id, "gift", "key of "+id)
-			p.complete(id, Good, "thanks "+id)
+			p.complete(id, RunSucceeded, "thanks "+id)
 		}
 		p.submit(t, "elder's", "gift", "k")
 		toElder, toYounger := p.meet(t)
@@ -66,28 +66,28 @@
 			p.wantAnswer(t, again, Served, "thanks "+id)
 		}
 		p.submitTo(t, p.younger, "its repeat", "gift", "k")
-		p.complete("elder's", Good, "thanks")
+		p.complete("elder's", RunSucceeded, "thanks")
 		p.wantAnswer(t, "its repeat", Served, "thanks")
 
 		p.submitTo(t, p.younger, "younger's", "gift", "l")
 		p.submit(t, "repeat of that", "gift", "l")
-		p.complete("younger's", Bad, "")
+		p.complete("younger's", RunFailed, "")
 		p.wantAnswer(t, "repeat of that", Failed, "")
 
 		for id, core := range map[string]*Core{"one": p.Core, "other": p.younger} { // at the same moment
-			core.Submit(Request{ID: id, Class: "gift", Key: "m", Door: time.Now(), HeldKB: 20, Sink: sink{p}})
+			core.Submit(Request{ID: id, Class: "gift", Key: "m", ArrivedAt: time.Now(), ReservedKB: 20, Responder: sink{p}})
 		}
 		p.wait()
 		if p.runs["one"]+p.runs["other"] != 1 {
 			t.Errorf("%d runs by one, %d by the other", p.runs["one"], p.runs["other"])
 		}
-		p.complete("one", Good, "thanks")
-		p.complete("other", Good, "thanks")
+		p.complete("one", RunSucceeded, "thanks")
+		p.complete("other", RunSucceeded, "thanks")
 		p.wantAnswer(t, "one", Served, "thanks")
 		p.wantAnswer(t, "other", Served, "thanks")
 
 		p.submitTo(t, p.younger, "unborn", "gift", "n")
-		p.complete("unborn", Unborn, "")
+		p.complete("unborn", RunNotStarted, "")
 		p.submit(t, "born", "gift", "n")
 		if p.runs["born"] != 1 {
 			t.Error("a key that never ran is kept from running")
@@ -95,8 +95,8 @@
 
 		p.submit(t, "hangs", "gift", "o")
 		p.submitTo(t, p.younger, "waits", "gift", "o")
-		p.younger.Parted(toElder)
-		p.Parted(toYounger)
+		p.younger.PeerDisconnected(toElder)
+		p.PeerDisconnected(toYounger)
 		p.wait()
 		p.wantAnswer(t, "waits", Failed, "")
 		p.submitTo(t, p.younger, "alone", "gift", "p")
@@ -112,16 +112,16 @@
 	bubble(t, func(t *testing.T, p *party) {
 		silent := &wire{far: p.Core} // which does not know of it, and says nothing
 		silent.back = &wire{far: p.Core}
-		p.Meet(silent, true)
+		p.ConnectPeer(silent, true)
 		for _, id := range []string{"gone", "stays"} {
 			p.submit(t, id, "gift", id)
 		}
-		p.Gone("gone", sink{p})
+		p.CancelRequest("gone", sink{p})
 		p.wait()
 		if len(p.runs) != 0 || len(p.stopped) != 0 {
 			t.Errorf("runs %v, stopped %v before the elder's word", p.runs, p.stopped)
 		}
-		p.Parted(silent)
+		p.PeerDisconnected(silent)
 		p.wait()
 		if p.runs["gone"] != 0 || p.runs["stays"] != 1 {
 			t.Errorf("runs %v, want that of what is waited for", p.runs)
@@ -137,13 +137,13 @@
 // told by the other to come.
 func TestAwayIsShared(t *testing.T) {
 	bubble(t, func(t *testing.T, p *party) {
-		p.SendAway(true, func() {})
+		p.SetTrafficDisabled(true, func() {})
 		p.meet(t)
 		away := func(want bool) {
 			t.Helper()
 			p.wait()
 			p.each(func(c *Core) {
-				c.Check(false, func(good bool) {
+				c.CheckHealth(false, func(good bool) {
 					if good == want {
 						t.Errorf("checks are good: %t", good)
 					}
@@ -152,9 +152,9 @@
 			p.wait()
 		}
 		away(true)
-		p.younger.SendAway(false, func() {})
+		p.younger.SetTrafficDisabled(false, func() {})
 		away(false)
-		p.SendAway(true, func() {})
+		p.SetTrafficDisabled(true, func() {})
 		away(true)
 	})
 }
@@ -170,7 +170,7 @@
 			t.Error("settled with a request open")
 		default:
 		}
-		p.complete("a", Good, "page")
+		p.complete("a", RunSucceeded, "page")
 		<-settled
 		if last := p.present[len(p.present)-1]; !last {
 			t.Error("callers are sent away")
--- a/routing/pools_test.go
+++ b/routing/pools_test.go
@@ -13,7 +13,7 @@
 // holds no slot to give back.
 func TestPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPartyWith(t, func(o *Options) { o.Pools, o.Settings.Cores = &PoolOptions{Start: 1}, 8 })
+		p := newPartyWith(t, func(o *Options) { o.Pools, o.Settings.Cores = &PoolOptions{InitialLimit: 1}, 8 })
 		defer p.end()
 		for _, id := range []string{"a", "b", "c", "d", "e"} {
 			p.submit(t, id, "read", "")
@@ -21,14 +21,14 @@
 		if len(p.runs) != 3 || p.runs["d"] != 0 {
 			t.Fatalf("runs %v with three slots", p.runs)
 		}
-		p.each(func(c *Core) { c.Gone("d", sink{p}) }) // its caller leaves while it waits
+		p.each(func(c *Core) { c.CancelRequest("d", sink{p}) }) // its caller leaves while it waits
 		p.wait()
-		p.complete("a", Good, "one")
+		p.complete("a", RunSucceeded, "one")
 		if p.runs["d"] != 0 || p.runs["e"] != 1 {
 			t.Fatalf("runs %v once the first ended", p.runs)
 		}
 		p.submit(t, "f", "read", "") // a run takes a second now, and all slots are taken
-		p.wantAnswer(t, "f", Refused, "")
+		p.wantAnswer(t, "f", Shed, "")
 		if p.runs["f"] != 0 {
 			t.Error("the turned-away read ran")
 		}
--- a/routing/relay.go
+++ b/routing/relay.go
@@ -8,76 +8,76 @@
 
 // Relay: what backend and dependency report goes on to the module and back.
 
-// Completed tells how a run ended.
-func (c *Core) Completed(id string, end End, took time.Duration, result Payload) {
-	c.post(func() { c.completed(id, end, took, result) })
+// RunCompleted tells how a run ended.
+func (c *Core) RunCompleted(id string, end RunEnd, took time.Duration, result Payload) {
+	c.enqueue(func() { c.completed(id, end, took, result) })
 }
 
-func (c *Core) completed(id string, end End, took time.Duration, result Payload) {
+func (c *Core) completed(id string, end RunEnd, took time.Duration, result Payload) {
 	a := c.attempts[id]
 	if a == nil || !a.begun {
 		return
 	}
 	c.endCall(a)
-	c.released(a, took, end == Good)
+	c.released(a, took, end == RunSucceeded)
 	a.pooled = false
-	if end == Cut && a.halting && !a.answered && c.set.Stop == decision.StopPause {
+	if end == RunCancelled && a.halting && !a.answered && c.set.CancelMode == decision.CancelPause {
 		a.begun, a.paused = false, true // what it has of its key stays claimed
-		c.module.Done(c.now, id, decision.Cancelled, took)
+		c.module.RunDone(c.now, id, decision.Cancelled, took)
 		return
 	}
-	if end == Unborn {
+	if end == RunNotStarted {
 		a.ran = false
 	}
-	outcome := [...]decision.Outcome{Good: decision.OK, Bad: decision.Errored, Cut: decision.Cancelled, Unborn: decision.Moot}[end]
+	outcome := [...]decision.Outcome{RunSucceeded: decision.Succeeded, RunFailed: decision.Failed, RunCancelled: decision.Cancelled, RunNotStarted: decision.NotStarted}[end]
 	c.recordRun(a, end, result)
 	switch end {
-	case Good:
+	case RunSucceeded:
 		c.answer(a, Outcome{Kind: Served, Result: result})
-	case Bad, Unborn:
+	case RunFailed, RunNotStarted:
 		o := c.failure(a)
 		o.Result = result
 		c.answer(a, o)
 	}
 	a.begun = false
-	c.module.Done(c.now, id, outcome, took)
+	c.module.RunDone(c.now, id, outcome, took)
 	c.release(a)
 }
 
-// Asked tells that a run waits for a call.
-func (c *Core) Asked(id string, notice uint64, body []byte) {
-	c.post(func() {
+// CallRequested tells that a run waits for a call.
+func (c *Core) CallRequested(id string, notice uint64, body []byte) {
+	c.enqueue(func() {
 		a := c.attempts[id]
 		if a == nil || !a.begun || a.call != nil && a.call.notice >= notice {
 			return
 		}
 		c.endCall(a)
 		a.call = &call{notice: notice, body: body}
-		c.module.NeedsCall(c.now, id)
+		c.module.CallNeeded(c.now, id)
 	})
 }
 
-// Called tells how the call of that number ended.
-func (c *Core) Called(id string, number int, end CallEnd, reply []byte) {
-	c.post(func() {
+// CallCompleted tells how the call of that number ended.
+func (c *Core) CallCompleted(id string, number int, end CallOutcome, reply []byte) {
+	c.enqueue(func() {
 		if a := c.attempts[id]; a != nil && a.call != nil && !a.call.givenUp {
 			c.called(a, number, end, reply)
 		}
 	})
 }
 
-func (c *Core) called(a *attempt, number int, end CallEnd, reply []byte) {
+func (c *Core) called(a *attempt, number int, end CallOutcome, reply []byte) {
 	k := a.call
 	if k == nil || !k.out || a.calls != number { // late: it was given up, and another may be out
 		return
 	}
-	k.out, k.unseen = false, end == decision.Full || end == decision.ConnectFailed
+	k.out, k.unseen = false, end == decision.Rejected || end == decision.ConnectFailed
 	if k.timer != nil {
 		k.timer.Stop()
 	}
-	if end == decision.OK {
+	if end == decision.Succeeded {
 		a.call = nil
-		a.backend.Answer(a.ID, reply)
+		a.backend.ReplyToCall(a.ID, reply)
 	}
 	c.module.CallDone(c.now, a.ID, end, c.now-k.since)
 }
@@ -87,13 +87,13 @@
 	if a.answered {
 		return
 	}
-	outcome := decision.Errored
+	outcome := decision.Failed
 	if e != nil && e.result != nil && e.body == a.body {
-		outcome = decision.OK
+		outcome = decision.Succeeded
 		c.answer(a, Outcome{Kind: Served, Result: *e.result})
 	} else {
 		c.answer(a, c.failure(a))
 	}
-	c.module.Done(c.now, a.ID, outcome, 0)
+	c.module.RunDone(c.now, a.ID, outcome, 0)
 	c.release(a)
 }
--- a/routing/route.go
+++ b/routing/route.go
@@ -19,11 +19,11 @@
 	case errors.Is(err, guard.ErrAfterGrace):
 		h.opt.Monitor.Denied(guard.DrainStart, err, id)
 		a.begun = true // so that the module hears that it never began
-		h.followUps = append(h.followUps, func() { h.turnAway(a) })
+		h.deferredEvents = append(h.deferredEvents, func() { h.turnAway(a) })
 		return
 	case errors.Is(err, guard.ErrKeyRan):
 		h.opt.Monitor.Denied(guard.DuplicateRun, err, id)
-		h.Reuse(id)
+		h.ServeCached(id)
 		return
 	case err != nil:
 		return
@@ -34,11 +34,11 @@
 		return
 	}
 	if a.entry != nil {
-		h.keys.claim(a, a.kind.Window)
+		h.keys.claim(a, a.kind.KeyWindow)
 	}
 	if hold := h.holdUntil - h.now; hold > 0 {
 		a.begun, a.held = true, true
-		time.AfterFunc(hold, func() { h.post(func() { h.endHold(a) }) })
+		time.AfterFunc(hold, func() { h.enqueue(func() { h.endHold(a) }) })
 		return
 	}
 	h.claim(a)
@@ -51,7 +51,7 @@
 	}
 	a.held = false
 	if a.answered { // given up meanwhile
-		c.completed(a.ID, Unborn, 0, Payload{})
+		c.completed(a.ID, RunNotStarted, 0, Payload{})
 		return
 	}
 	a.begun = false
@@ -63,7 +63,7 @@
 	if a.entry != nil && h.opt.Journal != nil { // it begins once its claim is durable
 		a.begun, a.claiming = true, true
 		k := h.state(a.entry)
-		h.opt.Journal.Record(k, func(err error) { h.post(func() { h.journaled(a, err) }) })
+		h.opt.Journal.Record(k, func(err error) { h.enqueue(func() { h.journaled(a, err) }) })
 		return
 	}
 	h.proceed(a)
@@ -80,10 +80,10 @@
 	case err != nil:
 		c.log.Warn("journal_refused", "key", a.Key, "error", err.Error())
 		c.keys.unclaim(a)
-		c.answer(a, Outcome{Kind: Refused, Later: c.set.MaxAdvice})
-		c.completed(a.ID, Unborn, 0, Payload{})
+		c.answer(a, Outcome{Kind: Shed, RetryAfter: c.set.MaxRetryAfter})
+		c.completed(a.ID, RunNotStarted, 0, Payload{})
 	case a.answered: // given up meanwhile
-		c.completed(a.ID, Unborn, 0, Payload{})
+		c.completed(a.ID, RunNotStarted, 0, Payload{})
 	default:
 		a.begun = false
 		host{c}.proceed(a)
@@ -92,11 +92,11 @@
 
 // proceed begins a run whose key, if it has one, is claimed here.
 func (h host) proceed(a *attempt) {
-	if a.entry != nil && h.peer != nil && h.elder {
+	if a.entry != nil && h.peer != nil && h.predecessor {
 		a.begun, a.claiming = true, true
 		k := h.state(a.entry)
-		k.Door = h.clock.Unix(a.door)
-		h.peer.Claim(k)
+		k.ArrivedAt = h.clock.Unix(a.door)
+		h.peer.RequestClaim(k)
 		return
 	}
 	if a.entry != nil {
@@ -105,23 +105,23 @@
 	h.send(a)
 }
 
-// Halt has a run stopped.
-func (h host) Halt(id string) {
+// Cancel has a run stopped.
+func (h host) Cancel(id string) {
 	a := h.attempts[id]
 	switch {
 	case a == nil || !a.begun || a.claiming || a.held:
 	case a.pooled: // it waits in its pool's line: it never began
 		h.pools.Leave(a.class, id)
-		h.followUps = append(h.followUps, func() { h.completed(id, Unborn, 0, Payload{}) })
+		h.deferredEvents = append(h.deferredEvents, func() { h.completed(id, RunNotStarted, 0, Payload{}) })
 	default:
 		a.halting = true
-		a.backend.Interrupt(id)
+		a.backend.Cancel(id)
 	}
 }
 
-// Reuse has a repeat wait for the result of the try that it repeats. What comes
+// ServeCached has a repeat wait for the result of the try that it repeats. What comes
 // of it is an event of its own, as the module is in the midst of a batch.
-func (h host) Reuse(id string) {
+func (h host) ServeCached(id string) {
 	a := h.attempts[id]
 	if a == nil || a.answered {
 		return
@@ -130,15 +130,15 @@
 		e.joined = append(e.joined, a)
 		return
 	}
-	h.followUps = append(h.followUps, func() { h.settleRepeat(a, a.entry) })
+	h.deferredEvents = append(h.deferredEvents, func() { h.settleRepeat(a, a.entry) })
 }
 
-// Keep enters a request in the table of keys.
-func (h host) Keep(id string, _ time.Duration) {
+// CacheResult enters a request in the table of keys.
+func (h host) CacheResult(id string, _ time.Duration) {
 	if a := h.attempts[id]; a != nil && a.entry != nil {
 		h.keys.keep(a)
 	}
 }
 
-// Forget needs nothing: the entry of a try that never ran goes with the try.
-func (h host) Forget(string) {}
+// EvictResult needs nothing: the entry of a try that never ran goes with the try.
+func (h host) EvictResult(string) {}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -35,90 +35,90 @@
 
 // Request is one try of a request as a front read it.
 type Request struct {
-	ID      string    // new with every try
-	Class   string    // by its name in the settings
-	Key     string    // keyed classes: the same for all tries of one request
-	Item    string    // what a read is about; may be empty
-	Tenant  string    // by its name in the settings; of no meaning where these have none
-	Door    time.Time // when it came to the machine; what is past its time then is only answered
-	After   time.Time // its last byte came after this, where it came in pieces; zero else
-	ReadBy  time.Time // its last byte came before this; zero for now
-	Due     time.Time // when its caller gives up, where that is sooner than its class's deadline; zero else
-	Caller  int
-	HeldKB  float64 // memory that it takes while held
-	Rank    float64 // 0 to 1, by worth
-	Payload Payload
-	Backend Backend // runs it; nil for the core's own
-	Sink    Sink    // gets the answer
+	ID         string    // new with every try
+	Class      string    // by its name in the settings
+	Key        string    // keyed classes: the same for all tries of one request
+	CacheKey   string    // what a read is about; may be empty
+	Tenant     string    // by its name in the settings; of no meaning where these have none
+	ArrivedAt  time.Time // when it came to the machine; what is past its time then is only answered
+	ReadAfter  time.Time // its last byte came after this, where it came in pieces; zero else
+	ReadBy     time.Time // its last byte came before this; zero for now
+	Deadline   time.Time // when its caller gives up, where that is sooner than its class's deadline; zero else
+	Caller     int
+	ReservedKB float64 // memory that it takes while held
+	Rank       float64 // 0 to 1, by worth
+	Payload    Payload
+	Backend    Backend   // runs it; nil for the core's own
+	Responder  Responder // gets the answer
 }
 
-// Kind says how a request was answered.
-type Kind int
+// OutcomeKind says how a request was answered.
+type OutcomeKind int
 
 // The kinds of answers.
 const (
-	Served  Kind = iota // with the result of a run
-	Refused             // this try never ran, or may be repeated freely
+	Served OutcomeKind = iota // with the result of a run
+	Shed                      // this try never ran, or may be repeated freely
 	Failed
 	TimedOut // failed because its time is over
 	Rejected // never run: its id is open, or its key is another request's
 )
 
 // String names the kind, as metrics and logs do.
-func (k Kind) String() string {
-	return [...]string{Served: "served", Refused: "refused", Failed: "failed", TimedOut: "deadline", Rejected: "rejected"}[k]
+func (k OutcomeKind) String() string {
+	return [...]string{Served: "served", Shed: "refused", Failed: "failed", TimedOut: "deadline", Rejected: "rejected"}[k]
 }
 
 // Outcome is a request's final answer.
 type Outcome struct {
-	Kind   Kind
-	Result Payload       // served; failed: what the run said, if anything
-	Later  time.Duration // refused: how long to stay away
-	GiveUp bool          // refused: the wish that it is not tried elsewhere
+	Kind             OutcomeKind
+	Result           Payload       // served; failed: what the run said, if anything
+	RetryAfter       time.Duration // refused: how long to stay away
+	NoRetryElsewhere bool          // refused: the wish that it is not tried elsewhere
 }
 
-// Sink takes a request's one final answer. It must not block.
-type Sink interface {
-	Answer(id string, o Outcome)
+// Responder takes a request's one final answer. It must not block.
+type Responder interface {
+	Respond(id string, o Outcome)
 }
 
-// End says how a run ended.
-type End int
+// RunEnd says how a run ended.
+type RunEnd int
 
 // The ends of a run.
 const (
-	Good   End = iota // with a result
-	Bad               // it failed
-	Cut               // it was stopped
-	Unborn            // nothing was started, as the request was over
+	RunSucceeded  RunEnd = iota // with a result
+	RunFailed                   // it failed
+	RunCancelled                // it was stopped
+	RunNotStarted               // nothing was started, as the request was over
 )
 
 // Run is work for a backend: an attempt at a request.
 type Run struct {
-	ID      string
-	Class   string
-	Due     time.Time
-	Payload Payload
+	ID       string
+	Class    string
+	Deadline time.Time
+	Payload  Payload
 }
 
 // Backend runs requests. Its methods must not block; what becomes of a run is
 // told by the core's Completed and Asked.
 type Backend interface {
-	Begin(r Run)
-	Interrupt(id string)
-	Answer(id string, reply []byte)   // to the call that a run waits for
-	Without(id string, notice uint64) // go on without that call
+	Start(r Run)
+	Cancel(id string)
+	ReplyToCall(id string, reply []byte) // to the call that a run waits for
+	SkipCall(id string, notice uint64)   // go on without that call
 }
 
 // Machine is what a backend may tell of the machine that it runs on. Its
 // methods must not block.
 type Machine interface {
-	Usage(reply func(decision.Gauges))
-	Trial(reply func(good bool))
+	ReadGauges(reply func(decision.Gauges))
+	CheckHealth(reply func(good bool))
 }
 
-// CallEnd says how a call ended.
-type CallEnd = decision.Outcome
+// CallOutcome says how a call ended.
+type CallOutcome = decision.Outcome
 
 // Dependency makes calls for runs. Its methods must not block; how a call
 // ended is told by the core's Called, with the number that tells a run's calls
@@ -128,12 +128,12 @@
 	Abandon(id string)
 }
 
-// Presence tells callers whether work is taken. Its method must not block.
-type Presence interface {
-	Accepting(on bool)
+// Registrar tells callers whether work is taken. Its method must not block.
+type Registrar interface {
+	SetAccepting(on bool)
 }
 
 // Connections is told how long idle connections may stay. Its method must not block.
 type Connections interface {
-	CloseIdle(after time.Duration)
+	SetIdleTimeout(after time.Duration)
 }
--- a/routing/rules.go
+++ b/routing/rules.go
@@ -31,7 +31,7 @@
 func (c *Core) checkStart(a *attempt) {
 	switch {
 	case a.resuming:
-	case a.entry != nil && a.entry.ran != a.ID, a.ran && a.kind.Effect != decision.Safe:
+	case a.entry != nil && a.entry.ran != a.ID, a.ran && a.kind.Effect != decision.Idempotent:
 		c.opt.Monitor.Violated(guard.DuplicateRun, "request", a.ID, "key", a.Key)
 	case c.draining && a.readBy > c.graceEnd:
 		c.opt.Monitor.Violated(guard.DrainStart, "request", a.ID, "read_after_grace", (a.readBy - c.graceEnd).String())
@@ -45,21 +45,21 @@
 	if k == nil {
 		return guard.Call{}
 	}
-	return guard.Call{Waiting: true, Out: k.out, Made: k.made, Unseen: k.unseen, Repeatable: a.kind.Effect == decision.Safe}
+	return guard.Call{Waiting: true, Out: k.out, Made: k.made, Unseen: k.unseen, Repeatable: a.kind.Effect == decision.Idempotent}
 }
 
 // shedFacts is what counts for turning a request away.
 func (a *attempt) shedFacts() guard.Shed {
 	keyRan := a.entry != nil && a.entry.ranFor(a.door)
-	return guard.Shed{Repeatable: a.kind.Effect == decision.Safe, Ran: keyRan || a.ran}
+	return guard.Shed{Repeatable: a.kind.Effect == decision.Idempotent, Ran: keyRan || a.ran}
 }
 
 // checkAnswer counts an answer against the rules.
 func (c *Core) checkAnswer(a *attempt, o Outcome) {
-	if late := c.now - max(a.due, a.readBy) - c.set.AnswerSlack; late > 0 {
+	if late := c.now - max(a.due, a.readBy) - c.set.DeadlineSlack; late > 0 {
 		c.opt.Monitor.Violated(guard.LateAnswer, "request", a.ID, "late_by", late.Round(time.Millisecond).String())
 	}
-	if err := guard.MayShed(a.shedFacts()); o.Kind == Refused && err != nil {
+	if err := guard.MayShed(a.shedFacts()); o.Kind == Shed && err != nil {
 		c.opt.Monitor.Violated(guard.FalsePromise, "request", a.ID, "reason", err.Error())
 	}
 }
--- a/routing/send.go
+++ b/routing/send.go
@@ -28,14 +28,14 @@
 func (c *Core) send(a *attempt) {
 	a.begun = true
 	if c.pools != nil {
-		ticket, ok := c.pools.Acquire(a.class, a.Item)
+		ticket, ok := c.pools.Acquire(a.class, a.CacheKey)
 		if !ok {
-			patience := a.door + a.kind.Aim/2 - c.now
+			patience := a.door + a.kind.LatencyObjective/2 - c.now
 			if c.pools.Wait(a.class, a.ID, c.now, patience) {
 				a.pooled = true
 				return
 			}
-			c.followUps = append(c.followUps, func() { c.turnAway(a) })
+			c.deferredEvents = append(c.deferredEvents, func() { c.turnAway(a) })
 			return
 		}
 		a.ticket, a.slotted = ticket, true
@@ -46,12 +46,12 @@
 func (c *Core) begin(a *attempt) {
 	if err := c.mayBegin(a); err != nil { // a drain has overtaken its claim, or its wait for a pool
 		c.opt.Monitor.Denied(guard.DrainStart, err, a.ID)
-		c.followUps = append(c.followUps, func() { c.turnAway(a) })
+		c.deferredEvents = append(c.deferredEvents, func() { c.turnAway(a) })
 		return
 	}
 	c.checkStart(a)
-	a.backend.Begin(Run{ID: a.ID, Class: a.Class, Due: c.clock.Time(a.due), Payload: a.Payload})
-	if c.set.Stop != decision.StopPause { // else it is begun again with the same, once it was paused
+	a.backend.Start(Run{ID: a.ID, Class: a.Class, Deadline: c.clock.Time(a.due), Payload: a.Payload})
+	if c.set.CancelMode != decision.CancelPause { // else it is begun again with the same, once it was paused
 		a.Payload = Payload{} // the backend has it; a kept key need not
 	}
 }
@@ -64,8 +64,8 @@
 	if a.entry != nil {
 		c.keys.unclaim(a)
 	}
-	c.answer(a, Outcome{Kind: Refused, Later: c.set.MaxAdvice})
-	c.completed(a.ID, Unborn, 0, Payload{})
+	c.answer(a, Outcome{Kind: Shed, RetryAfter: c.set.MaxRetryAfter})
+	c.completed(a.ID, RunNotStarted, 0, Payload{})
 }
 
 // released gives a pool's slot back, and begins what its end lets begin.
@@ -94,7 +94,7 @@
 	if err := guard.MayCall(a.callFacts()); err != nil {
 		if errors.Is(err, guard.ErrMayHaveRun) {
 			h.opt.Monitor.Denied(guard.RepeatedCall, err, id)
-			h.followUps = append(h.followUps, func() { h.module.CallDone(h.now, id, decision.Errored, 0) })
+			h.deferredEvents = append(h.deferredEvents, func() { h.module.CallDone(h.now, id, decision.Failed, 0) })
 		}
 		return
 	}
@@ -103,16 +103,16 @@
 	a.calls++
 	number := a.calls
 	if h.opt.Dependency == nil {
-		h.followUps = append(h.followUps, func() { h.called(a, number, decision.ConnectFailed, nil) })
+		h.deferredEvents = append(h.deferredEvents, func() { h.called(a, number, decision.ConnectFailed, nil) })
 		return
 	}
 	k.timer = time.AfterFunc(timeout, func() {
-		h.post(func() {
+		h.enqueue(func() {
 			if a.call == k && k.out && a.calls == number {
 				k.givenUp = true
 				h.opt.Dependency.Abandon(id)
 				k.timer = time.AfterFunc(h.settling(), func() {
-					h.post(func() { h.called(a, number, decision.TimedOut, nil) })
+					h.enqueue(func() { h.called(a, number, decision.TimedOut, nil) })
 				})
 			}
 		})
@@ -124,14 +124,14 @@
 // run stands at the call again only when those around have taken the giving up
 // in, which they do once a batch: a call made before that is given up with the
 // first, and further ones find no run that waits.
-func (c *Core) settling() time.Duration { return 2 * c.set.BatchGap }
+func (c *Core) settling() time.Duration { return 2 * c.set.BatchInterval }
 
-// Skip has a run go on without its call.
-func (h host) Skip(id string) {
+// SkipCall has a run go on without its call.
+func (h host) SkipCall(id string) {
 	if a := h.attempts[id]; a != nil && a.call != nil {
 		notice := a.call.notice
 		h.endCall(a)
-		a.backend.Without(id, notice)
+		a.backend.SkipCall(id, notice)
 	}
 }
 
--- a/routing/stall.go
+++ b/routing/stall.go
@@ -64,8 +64,8 @@
 	return now
 }
 
-// tick reads the clock, and logs what happened to it and to the process meanwhile.
-func (c *Core) tick() {
+// advanceClock reads the clock, and logs what happened to it and to the process meanwhile.
+func (c *Core) advanceClock() {
 	c.now = c.clock.Now()
 	stalled := c.stalls.batch(c.now)
 	if stalled >= stallLogged {
@@ -82,6 +82,6 @@
 // Clock is the clock that the core goes by.
 func (c *Core) Clock() *clock.Clock { return c.clock }
 
-// NoticeTime gives the earliest moment at which a signal that is seen now may have been
+// DrainNoticeTime gives the earliest moment at which a signal that is seen now may have been
 // sent: the process may have stood still when it came.
-func (c *Core) NoticeTime() time.Time { return c.clock.Time(c.stalls.notBefore(c.clock.Now())) }
+func (c *Core) DrainNoticeTime() time.Time { return c.clock.Time(c.stalls.notBefore(c.clock.Now())) }
--- a/routing/stall_test.go
+++ b/routing/stall_test.go
@@ -16,7 +16,7 @@
 		p.wait()
 		j.settle(nil)
 		p.wait()
-		p.wantAnswer(t, "a", Refused, "")
+		p.wantAnswer(t, "a", Shed, "")
 		if p.runs["a"] != 0 {
 			t.Error("it ran after the grace")
 		}
@@ -25,7 +25,7 @@
 
 // standStill has the core find that it stood still for longer than a drain's grace.
 func (p *party) standStill() {
-	p.post(func() { // the batch before the next was so long ago
+	p.enqueue(func() { // the batch before the next was so long ago
 		p.stalls.mu.Lock()
 		p.stalls.last -= 2 * settings().DrainGrace
 		p.stalls.mu.Unlock()
@@ -39,20 +39,20 @@
 	for _, noticed := range []bool{true, false} {
 		bubble(t, func(t *testing.T, p *party) {
 			p.standStill()
-			if err := p.Submit(Request{ID: "a", Class: "read", Door: time.Now(), HeldKB: 20, Sink: sink{p}}); err != nil {
+			if err := p.Submit(Request{ID: "a", Class: "read", ArrivedAt: time.Now(), ReservedKB: 20, Responder: sink{p}}); err != nil {
 				t.Fatal(err)
 			}
 			p.wait()
 			p.sleep(stallHold / 2)
 			if noticed {
-				p.Drain(p.NoticeTime(), time.Now().Add(time.Minute))
+				p.Drain(p.DrainNoticeTime(), time.Now().Add(time.Minute))
 			}
 			p.sleep(stallHold)
 			p.wait()
 			want := 1
 			if noticed {
 				want = 0
-				p.wantAnswer(t, "a", Refused, "")
+				p.wantAnswer(t, "a", Shed, "")
 			}
 			if p.runs["a"] != want {
 				t.Errorf("noticed %t: it ran %d times, want %d", noticed, p.runs["a"], want)
@@ -67,7 +67,7 @@
 	bubble(t, func(t *testing.T, p *party) {
 		p.standStill()
 		p.submit(t, "a", "read", "")
-		p.Parted(nil) // as the present peer, of which there is none
+		p.PeerDisconnected(nil) // as the present peer, of which there is none
 		p.sleep(2 * stallHold)
 		if p.runs["a"] != 1 {
 			t.Errorf("it ran %d times, want 1", p.runs["a"])
--- a/routing/takein.go
+++ b/routing/takein.go
@@ -69,15 +69,15 @@
 	if !ok {
 		return fmt.Errorf("tenant %q is not known", r.Tenant)
 	}
-	if r.ID == "" || !(r.HeldKB > 0) {
-		return fmt.Errorf("id %q, memory %v: both are needed", r.ID, r.HeldKB)
+	if r.ID == "" || !(r.ReservedKB > 0) {
+		return fmt.Errorf("id %q, memory %v: both are needed", r.ID, r.ReservedKB)
 	}
-	return c.post(func() { c.takeIn(r, class, tenant) })
+	return c.enqueue(func() { c.takeIn(r, class, tenant) })
 }
 
 func (c *Core) takeIn(r Request, class, tenant int) {
 	if c.attempts[r.ID] != nil { // ids never return
-		r.Sink.Answer(r.ID, Outcome{Kind: Rejected})
+		r.Responder.Respond(r.ID, Outcome{Kind: Rejected})
 		return
 	}
 	// New settings may have come since it was handed in: it comes under those in force
@@ -86,24 +86,24 @@
 	if kind.Effect != decision.Keyed {
 		r.Key = ""
 	} else if r.Key == "" || len(r.Key) > maxKey {
-		r.Sink.Answer(r.ID, Outcome{Kind: Rejected})
+		r.Responder.Respond(r.ID, Outcome{Kind: Rejected})
 		return
 	}
 	a := &attempt{
-		Request: r, class: class, tenant: tenant, kind: kind, door: c.clock.Received(r.Door), readBy: c.now,
+		Request: r, class: class, tenant: tenant, kind: kind, door: c.clock.Received(r.ArrivedAt), readBy: c.now,
 		backend: r.Backend,
 	}
 	// A caller's clock ahead of ours can't have made it come after now.
 	a.door = min(a.door, c.now)
-	if a.came = a.door; !r.After.IsZero() { // by its parts it may have come after the grace of a drain
-		a.came = min(max(a.door, c.clock.At(r.After)), c.now)
+	if a.came = a.door; !r.ReadAfter.IsZero() { // by its parts it may have come after the grace of a drain
+		a.came = min(max(a.door, c.clock.At(r.ReadAfter)), c.now)
 	}
 	if !r.ReadBy.IsZero() {
 		a.readBy = min(c.clock.At(r.ReadBy), c.now)
 	}
 	a.due = a.door + a.kind.Deadline
-	if !r.Due.IsZero() {
-		a.due = min(a.due, a.door+r.Due.Sub(r.Door))
+	if !r.Deadline.IsZero() {
+		a.due = min(a.due, a.door+r.Deadline.Sub(r.ArrivedAt))
 	}
 	if a.backend == nil {
 		a.backend = c.opt.Backend
@@ -123,7 +123,7 @@
 		return
 	case c.module == nil, // nothing can run yet, or ever
 		a.Key != "" && e == nil && c.keys.full(): // it could run, but not be kept from running again
-		c.answer(a, Outcome{Kind: Refused, Later: c.set.MaxAdvice})
+		c.answer(a, Outcome{Kind: Shed, RetryAfter: c.set.MaxRetryAfter})
 		return
 	}
 	if a.Key != "" && e == nil && c.now < c.inDoubtUntil {
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -58,12 +58,12 @@
 // tries. Those that were there from the start are no such pair.
 func (c *Core) kin(a, b string) bool { return a == b || !c.first[a] || !c.first[b] }
 
-// Retune takes over other settings, with the names of their classes and tenants: from
+// UpdateSettings takes over other settings, with the names of their classes and tenants: from
 // then on those that are new are taken, and those that are gone are not. An error
 // names what makes no sense, and nothing has changed then.
-func (c *Core) Retune(s decision.Settings, classes, tenants []string) error {
+func (c *Core) UpdateSettings(s decision.Settings, classes, tenants []string) error {
 	result := make(chan error, 1)
-	if err := c.post(func() { result <- c.retune(s, classes, tenants) }); err != nil {
+	if err := c.enqueue(func() { result <- c.retune(s, classes, tenants) }); err != nil {
 		return err
 	}
 	select {
@@ -100,20 +100,20 @@
 	}
 	s.Classes, s.Tenants = t.classes.items, t.tenants.items
 	if c.module != nil {
-		err = c.module.Retune(c.now, s)
+		err = c.module.UpdateSettings(c.now, s)
 	} else {
 		_, err = policy.New(s, c.opt.Seed, host{c})
 	}
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if s.Say != c.set.Say { // what was said has another meaning, or none
-		c.said.Store(nil)
+	if s.LoadReportMode != c.set.LoadReportMode { // what was said has another meaning, or none
+		c.loadReport.Store(nil)
 	}
 	if c.draining { // other settings may end the grace sooner, not later
 		c.graceEnd = min(c.graceEnd, c.noticeAt+s.DrainGrace)
 	}
-	follows := s.Readiness != c.set.Readiness
+	follows := s.ListFollowsHealth != c.set.ListFollowsHealth
 	c.set = s
 	for _, class := range s.Classes {
 		c.keys.late = max(c.keys.late, class.Deadline)
--- a/routing/tuning_test.go
+++ b/routing/tuning_test.go
@@ -17,14 +17,14 @@
 
 func (p *party) retuneBoth(s decision.Settings, classes, tenants []string) error {
 	result := make(chan error, 1)
-	go func() { result <- p.Retune(s, classes, tenants) }()
+	go func() { result <- p.UpdateSettings(s, classes, tenants) }()
 	p.wait()
 	return <-result
 }
 
 // read hands in a tenant's request of the class read.
 func (p *party) read(id, tenant string) error {
-	return p.Submit(Request{ID: id, Class: "read", Tenant: tenant, Door: time.Now(), HeldKB: 20, Sink: sink{p}})
+	return p.Submit(Request{ID: id, Class: "read", Tenant: tenant, ArrivedAt: time.Now(), ReservedKB: 20, Responder: sink{p}})
 }
 
 // TestRetune guards what is open against settings that change around it: it
@@ -34,7 +34,7 @@
 	bubble(t, func(t *testing.T, p *party) {
 		retune := p.retune
 		refused := func(class string) bool {
-			return p.Submit(Request{ID: "no " + class, Class: class, Key: "k", Door: time.Now(), HeldKB: 20, Sink: sink{p}}) != nil
+			return p.Submit(Request{ID: "no " + class, Class: class, Key: "k", ArrivedAt: time.Now(), ReservedKB: 20, Responder: sink{p}}) != nil
 		}
 		p.submit(t, "open", "gift", "k")
 		s := settings()
@@ -49,7 +49,7 @@
 		p.submit(t, "new", "pledge", "k")
 		p.sleep(testDeadline - time.Second)
 		p.wantAnswer(t, "new", TimedOut, "")
-		p.complete("open", Good, "thanks")
+		p.complete("open", RunSucceeded, "thanks")
 		p.wantAnswer(t, "open", Served, "thanks")
 
 		wrong := settings()
@@ -162,7 +162,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPartyWith(t, func(o *Options) {
 			o.Settings.Tenants, o.Tenants = []decision.Tenant{{Quota: 1}, {Quota: 1000}}, []string{"floods", "sparing"}
-			o.Settings.OverShareWorth = 0.05
+			o.Settings.OverQuotaWeight = 0.05
 		})
 		defer p.end()
 		read := func(id, tenant string) {
@@ -175,7 +175,7 @@
 		for i := range 40 {
 			id := fmt.Sprint("early ", i)
 			read(id, "floods")
-			p.complete(id, Good, "")
+			p.complete(id, RunSucceeded, "")
 		}
 		for i := range p.set.Cores {
 			read(fmt.Sprint("runs ", i), "floods")
@@ -186,7 +186,7 @@
 		if p.runs["waits"]+p.runs["of another"] > 0 {
 			t.Fatal("the cores are not full")
 		}
-		p.complete("runs 0", Good, "")
+		p.complete("runs 0", RunSucceeded, "")
 		if p.runs["of another"] != 1 || p.runs["waits"] != 0 {
 			t.Errorf("runs %v", p.runs)
 		}
@@ -198,16 +198,16 @@
 func TestListFollowsHealth(t *testing.T) {
 	for _, follows := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPartyWith(t, func(o *Options) { o.Settings.Readiness = follows })
+			p := newPartyWith(t, func(o *Options) { o.Settings.ListFollowsHealth = follows })
 			defer p.end()
 			last := func() bool { return p.present[len(p.present)-1] }
-			p.post(func() { host{p.Core}.Health(false, true) })
+			p.enqueue(func() { host{p.Core}.SetHealth(false, true) })
 			p.wait()
 			if last() == follows {
 				t.Errorf("follows %t: the list says %t of an unfit server", follows, last())
 			}
 			other := settings()
-			other.Readiness = !follows
+			other.ListFollowsHealth = !follows
 			if err := p.retune(other, "read", "gift", "receipt"); err != nil {
 				t.Fatal(err)
 			}
@@ -227,17 +227,17 @@
 // and told anew where they give it another.
 func TestSaidAcrossSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPartyWith(t, func(o *Options) { o.Settings.Say = decision.SayRank })
+		p := newPartyWith(t, func(o *Options) { o.Settings.LoadReportMode = decision.LoadReportMinRank })
 		defer p.end()
-		for _, say := range []decision.SayMode{decision.SayRank, decision.SayNothing, decision.SayRank, decision.SayCredit, decision.SayNothing} {
+		for _, say := range []decision.LoadReportMode{decision.LoadReportMinRank, decision.LoadReportNone, decision.LoadReportMinRank, decision.LoadReportCredit, decision.LoadReportNone} {
 			s := settings()
-			s.Say = say
+			s.LoadReportMode = say
 			if err := p.retune(s, "read", "gift", "receipt"); err != nil {
 				t.Fatal(err)
 			}
 			p.sleep(time.Second)
-			value, ok := p.Said()
-			if ok != (say != decision.SayNothing) || say == decision.SayCredit && value < 1 {
+			value, ok := p.LoadReport()
+			if ok != (say != decision.LoadReportNone) || say == decision.LoadReportCredit && value < 1 {
 				t.Errorf("say %d: %v, %t", say, value, ok)
 			}
 		}
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -19,12 +19,12 @@
 	skipNotice  = 50 * time.Millisecond  // after what was skipped, until a connection that rests is asked to end
 )
 
-// ErrSkipped is given by a step that has passed over what is no message. The connection
+// ErrMessageSkipped is given by a step that has passed over what is no message. The connection
 // takes those behind it, and ends soon where none comes and nothing is owed.
-var ErrSkipped = errors.New("no message: passed over")
+var ErrMessageSkipped = errors.New("no message: passed over")
 
-// ErrCutOff is why a connection ended whose peer stopped reading.
-var ErrCutOff = errors.New("peer stopped reading")
+// ErrPeerNotReading is why a connection ended whose peer stopped reading.
+var ErrPeerNotReading = errors.New("peer stopped reading")
 
 // state is where a connection is on its way. Only the goroutine of Serve moves
 // it on; what others want of it are requests, which that goroutine reads. Whether
@@ -170,26 +170,26 @@
 	}
 }
 
-// ExpectWithin sets how long the first message may take to begin, so that a peer which
+// SetReceiveTimeouts sets how long the first message may take to begin, so that a peer which
 // says nothing is ended, and how long any may stand still before it is whole. Where
 // answers are still owed by then, it ends after these. It must be called before Serve.
-func (c *Conn) ExpectWithin(begins, standsStill time.Duration, owed func() bool) {
+func (c *Conn) SetReceiveTimeouts(begins, standsStill time.Duration, owed func() bool) {
 	c.standsStill, c.owed = standsStill, owed
 	c.SetReadDeadline(time.Now().Add(begins))
 }
 
-// NotifyBeforeEnd has a peer told before the connection is ended for want of messages:
+// NotifyBeforeClose has a peer told before the connection is ended for want of messages:
 // f is called then, and returns for how long the peer is still to be waited for. It
 // must be called before Serve.
-func (c *Conn) NotifyBeforeEnd(f func() time.Duration) { c.noticeLeft = f }
+func (c *Conn) NotifyBeforeClose(f func() time.Duration) { c.noticeLeft = f }
 
-// OnEnd has f called once no more messages are taken and before the last flush,
+// OnClose has f called once no more messages are taken and before the last flush,
 // with the reason: what it sends still goes out, if the peer reads. It must be
 // called before Serve.
-func (c *Conn) OnEnd(f func(error)) { c.ending = f }
+func (c *Conn) OnClose(f func(error)) { c.ending = f }
 
-// Spoken tells whether a whole message has ever come.
-func (c *Conn) Spoken() bool {
+// ReceivedMessage tells whether a whole message has ever come.
+func (c *Conn) ReceivedMessage() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.spoken
@@ -211,10 +211,10 @@
 	c.nc.Close() // also ends a write that the peer's full window blocks
 }
 
-// CameAfter tells, within a step, a time after which the last byte of the message
+// ReadAfter tells, within a step, a time after which the last byte of the message
 // came that the step has read: all that had come by then was no whole one. It is
 // zero where the message came in one piece.
-func (c *Conn) CameAfter() time.Time { return c.src.partAt }
+func (c *Conn) ReadAfter() time.Time { return c.src.partAt }
 
 // ReadAt tells, within a step, when the last byte of the message that the step has
 // read had come at the latest: it was read then.
--- a/transport/conn_test.go
+++ b/transport/conn_test.go
@@ -200,7 +200,7 @@
 				p := newIdlePeer()
 				defer p.Close()
 				began := time.Now()
-				p.conn.ExpectWithin(time.Second, time.Second, func() bool { return time.Since(began) < x.owed })
+				p.conn.SetReceiveTimeouts(time.Second, time.Second, func() bool { return time.Since(began) < x.owed })
 				p.serve()
 				whole := min(len(x.says), frame)
 				p.Write([]byte(x.says[:whole]))
@@ -253,7 +253,7 @@
 		default:
 		}
 	})
-	go s.Run()
+	go s.Serve()
 	dial := func() net.Conn {
 		nc, err := net.Dial("tcp", s.Addr().String())
 		if err != nil {
@@ -294,12 +294,12 @@
 	d.Close()
 	e.Close()
 	select {
-	case <-s.Empty():
+	case <-s.Done():
 		t.Error("empty with a connection open")
 	default:
 	}
 	c.Close()
-	<-s.Empty()
+	<-s.Done()
 	if c.Send([]byte("x")) {
 		t.Error("a connection that has ended takes more")
 	}
--- a/transport/crossing_test.go
+++ b/transport/crossing_test.go
@@ -75,7 +75,7 @@
 				r.Discard(frame)
 				switch m {
 				case "bad":
-					return ErrSkipped
+					return ErrMessageSkipped
 				case "end":
 					return errBad
 				}
@@ -202,7 +202,7 @@
 		taken = append(taken, m)
 		c.Send([]byte("re " + m))
 	})
-	c.ExpectWithin(time.Minute, time.Minute, func() bool { return false })
+	c.SetReceiveTimeouts(time.Minute, time.Minute, func() bool { return false })
 	close(g.leave)
 	ended := serve()
 	write(t, far, "onebadbadtwo")
@@ -222,7 +222,7 @@
 // ends by itself, with no word of its peer.
 func TestSkippedMessageEnds(t *testing.T) {
 	g, c, far, serve := sockets(t, nil)
-	c.ExpectWithin(time.Minute, time.Minute, func() bool { return false })
+	c.SetReceiveTimeouts(time.Minute, time.Minute, func() bool { return false })
 	close(g.leave)
 	ended := serve()
 	write(t, far, "bad")
@@ -235,8 +235,8 @@
 // up and the connection ends at once, whatever is owed, so that no more is written to it.
 func TestUnreadableEndsAtOnce(t *testing.T) {
 	g, c, far, serve := sockets(t, nil)
-	c.ExpectWithin(time.Minute, time.Minute, func() bool { return true })
-	c.OnEnd(func(why error) {
+	c.SetReceiveTimeouts(time.Minute, time.Minute, func() bool { return true })
+	c.OnClose(func(why error) {
 		if !errors.Is(why, errBad) {
 			t.Errorf("it ends for %v", why)
 		}
@@ -256,7 +256,7 @@
 // OnEnd, in answer to nothing that came later.
 func TestPeerHalfCloses(t *testing.T) {
 	g, c, far, serve := sockets(t, nil)
-	c.OnEnd(func(why error) {
+	c.OnClose(func(why error) {
 		if !errors.Is(why, io.EOF) {
 			t.Errorf("it ends for %v", why)
 		}
@@ -326,7 +326,7 @@
 	room := &waitingRoom{TCPListener: l.(*net.TCPListener), open: make(chan struct{}), shutting: make(chan struct{}), left: waiting}
 	s := NewServer(room, 9, echo, func() {})
 	running := make(chan struct{})
-	go func() { s.Run(); close(running) }()
+	go func() { s.Serve(); close(running) }()
 	var conns []net.Conn
 	for range waiting {
 		nc, err := net.Dial("tcp", l.Addr().String())
@@ -344,7 +344,7 @@
 		read(t, nc, "re one", false)
 		nc.Close()
 	}
-	<-s.Empty()
+	<-s.Done()
 }
 
 // TestShutWaitsForRoom: connections that wait for room as their server shuts are let in
@@ -355,7 +355,7 @@
 		t.Fatal(err)
 	}
 	s := NewServer(l, 1, echo, func() {})
-	go s.Run()
+	go s.Serve()
 	const waiting = 2 * shutExcess
 	var conns []net.Conn
 	for range waiting {
@@ -377,7 +377,7 @@
 	}
 	conns[0].Close()
 	<-shut
-	<-s.Empty()
+	<-s.Done()
 	if nc, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		nc.Close()
 		t.Error("a server that has shut takes connections")
@@ -415,7 +415,7 @@
 	defer nc.Close()
 	s.running = make(chan struct{}) // as if Run had been called
 	s.extend()
-	go func() { s.Run(); close(shut) }()
+	go func() { s.Serve(); close(shut) }()
 	<-served
 	<-shut
 	s.Close()
--- a/transport/ending.go
+++ b/transport/ending.go
@@ -68,7 +68,7 @@
 func (c *Conn) abort(err error) error {
 	c.end.Reason, c.end.Err = WriteFailed, err
 	switch {
-	case errors.Is(err, ErrCutOff):
+	case errors.Is(err, ErrPeerNotReading):
 		c.end.Reason = CutOff
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		c.end.Reason = PeerFailed
--- a/transport/link.go
+++ b/transport/link.go
@@ -15,9 +15,9 @@
 	redialMost  = 250 * time.Millisecond
 )
 
-// Link holds one connection to an address, and opens it anew after every break.
+// Redialer holds one connection to an address, and opens it anew after every break.
 // The address may change: the present connection goes on until the next is open.
-type Link struct {
+type Redialer struct {
 	opened func(*Conn) (step func(*bufio.Reader) error)
 	closed func(*Conn, error)
 
@@ -26,14 +26,14 @@
 	moved   chan struct{} // closed when the address changes
 }
 
-// NewLink makes a link; Run works it. opened gives the step that reads from a
+// NewRedialer makes a link; Run works it. opened gives the step that reads from a
 // new connection, closed is told of each one's end.
-func NewLink(address string, opened func(*Conn) (step func(*bufio.Reader) error), closed func(*Conn, error)) *Link {
-	return &Link{opened: opened, closed: closed, address: address, moved: make(chan struct{})}
+func NewRedialer(address string, opened func(*Conn) (step func(*bufio.Reader) error), closed func(*Conn, error)) *Redialer {
+	return &Redialer{opened: opened, closed: closed, address: address, moved: make(chan struct{})}
 }
 
-// Move changes the address.
-func (l *Link) Move(address string) {
+// SetAddress changes the address.
+func (l *Redialer) SetAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if address != l.address {
@@ -43,14 +43,14 @@
 	}
 }
 
-func (l *Link) target() (address string, moved <-chan struct{}) {
+func (l *Redialer) target() (address string, moved <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.address, l.moved
 }
 
 // Run keeps the link until ctx ends.
-func (l *Link) Run(ctx context.Context) {
+func (l *Redialer) Run(ctx context.Context) {
 	pause := redialFirst
 	var present *Conn
 	for ctx.Err() == nil {
@@ -84,7 +84,7 @@
 
 // serve works a connection in a goroutine of its own. The channel that it gives
 // is closed with the connection's end.
-func (l *Link) serve(c *Conn) <-chan struct{} {
+func (l *Redialer) serve(c *Conn) <-chan struct{} {
 	ended, step := make(chan struct{}), l.opened(c)
 	go func() {
 		defer close(ended)
--- a/transport/serve.go
+++ b/transport/serve.go
@@ -39,7 +39,7 @@
 		switch {
 		case err == nil:
 			c.taken()
-		case errors.Is(err, ErrSkipped):
+		case errors.Is(err, ErrMessageSkipped):
 			c.skipped()
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.examined = nowait && !c.src.failed()
--- a/transport/server.go
+++ b/transport/server.go
@@ -98,9 +98,9 @@
 // when the server ends, with the last of them. It must be called before Run.
 func (s *Server) OnAcceptFailures(f func(last error, failures int)) { s.acceptFailures = f }
 
-// Run accepts until Close or Shut. Accepting that fails (descriptors ran out, say) is
+// Serve accepts until Close or Shut. Accepting that fails (descriptors ran out, say) is
 // tried again after a pause that grows: it neither ends the listener nor takes a core.
-func (s *Server) Run() error {
+func (s *Server) Serve() error {
 	done := make(chan struct{})
 	defer close(done)
 	s.mu.Lock()
@@ -242,5 +242,5 @@
 	}
 }
 
-// Empty is closed once the server is closed and its last connection has ended.
-func (s *Server) Empty() <-chan struct{} { return s.empty }
+// Done is closed once the server is closed and its last connection has ended.
+func (s *Server) Done() <-chan struct{} { return s.empty }
--- a/transport/write.go
+++ b/transport/write.go
@@ -23,7 +23,7 @@
 		c.mu.Lock()
 		if c.aborted {
 			c.mu.Unlock()
-			return ErrCutOff
+			return ErrPeerNotReading
 		}
 		if len(c.queue) == 0 {
 			c.woken = false
