--- a/admission/machine.go
+++ b/admission/machine.go
@@ -14,7 +14,7 @@
 const trialWithin = 100 * time.Millisecond
 
 // process gives the module the gauge of the process it runs in that the
-// processor gives the daemon (routing.Machine): CoreUse, the process's CPU time
+// processor gives the daemon (dispatch.Machine): CoreUse, the process's CPU time
 // (getrusage(2), user and system) over the wall time since the last reading,
 // for the configured cores. What wants a core is not told (negative), so the
 // module counts its own runs: goroutines that run or wait for a core
@@ -46,7 +46,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// ReadGauges implements routing.Machine. It answers at once.
+// ReadGauges implements dispatch.Machine. It answers at once.
 func (p *process) ReadGauges(reply func(decision.Gauges)) {
 	g := decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
 	p.mu.Lock()
@@ -59,7 +59,7 @@
 	reply(g)
 }
 
-// CheckHealth implements routing.Machine: good when a new goroutine is scheduled
+// CheckHealth implements dispatch.Machine: good when a new goroutine is scheduled
 // within trialWithin.
 func (p *process) CheckHealth(reply func(good bool)) {
 	asked := time.Now()
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -15,7 +15,7 @@
 	"quincerail.example/quincerail/admission"
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/describe"
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // The experiment: a service of 8 cores whose handlers do their work on a
@@ -31,7 +31,7 @@
 	pingRate   = 10        // a second
 )
 
-func newMachine() *standin.Machine { return &standin.Machine{Cores: 4, ThrashAt: 2, Thrash: 0.5} }
+func newMachine() *fakes.Machine { return &fakes.Machine{Cores: 4, ThrashAt: 2, Thrash: 0.5} }
 
 // outcome is what the callers of an experiment came to.
 type outcome struct {
--- a/admission/run.go
+++ b/admission/run.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/httpresult"
-	"quincerail.example/quincerail/routing"
 )
 
 // stuckAfter is how long a handler may take to return once it was told to
@@ -39,10 +39,10 @@
 	return &run{s: s, next: next, request: r}
 }
 
-// Start implements routing.Backend. The module says when a run is stopped, not
+// Start implements dispatch.Backend. The module says when a run is stopped, not
 // the caller's connection: a keyed run goes on after its caller left, so that
 // a repeat gets its result.
-func (b *run) Start(r routing.Run) {
+func (b *run) Start(r dispatch.Run) {
 	b.s.stats.runs.Add(1)
 	b.s.stats.running.Add(1)
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(b.request.Context()), r.Deadline)
@@ -66,7 +66,7 @@
 type job struct {
 	run *run
 	ctx context.Context
-	r   routing.Run
+	r   dispatch.Run
 }
 
 // start gives a job to a worker that waits, or to a new one.
@@ -94,7 +94,7 @@
 	}
 }
 
-func (b *run) serve(ctx context.Context, r routing.Run) {
+func (b *run) serve(ctx context.Context, r dispatch.Run) {
 	defer b.cancel()
 	began := time.Now()
 	w := &recorder{header: make(http.Header)}
@@ -116,20 +116,20 @@
 			b.s.cfg.Logger.Error("handler panicked", "class", r.Class, "id", r.ID, "panic", fmt.Sprint(panicked))
 		}
 	}
-	end := routing.RunSucceeded
+	end := dispatch.RunSucceeded
 	switch {
 	case stopped:
-		end = routing.RunCancelled
+		end = dispatch.RunCancelled
 	case panicked != nil || ctx.Err() != nil: // what a handler says whose time ran out is no result
-		b.s.core.RunCompleted(r.ID, routing.RunFailed, time.Since(began), routing.Payload{})
+		b.s.core.RunCompleted(r.ID, dispatch.RunFailed, time.Since(began), dispatch.Payload{})
 		return
 	case w.status >= http.StatusInternalServerError:
-		end = routing.RunFailed
+		end = dispatch.RunFailed
 	}
 	b.s.core.RunCompleted(r.ID, end, time.Since(began), w.result())
 }
 
-// Cancel implements routing.Backend: the handler's context ends. Until it
+// Cancel implements dispatch.Backend: the handler's context ends. Until it
 // returns, it counts as stuck.
 func (b *run) Cancel(string) {
 	b.halted.CompareAndSwap(0, time.Now().UnixNano()) // before the state, which the handler's return reads
@@ -145,17 +145,17 @@
 // Close implements io.Closer.
 func (bodyReader) Close() error { return nil }
 
-// ReplyToCall implements routing.Backend: handlers make their calls themselves.
+// ReplyToCall implements dispatch.Backend: handlers make their calls themselves.
 func (b *run) ReplyToCall(string, []byte) {}
 
-// SkipCall implements routing.Backend: handlers make their calls themselves.
+// SkipCall implements dispatch.Backend: handlers make their calls themselves.
 func (b *run) SkipCall(string, uint64) {}
 
 // recorder is the http.ResponseWriter that a handler writes to. Nothing of it
 // reaches the caller before the handler has returned.
 type recorder struct {
 	header http.Header
-	sent   []routing.Field // the headers as they were when the status was written
+	sent   []dispatch.Field // the headers as they were when the status was written
 	status int
 	body   bytes.Buffer
 }
@@ -177,7 +177,7 @@
 	slices.Sort(names)
 	for _, name := range names {
 		for _, value := range w.header[name] {
-			w.sent = append(w.sent, routing.Field{Name: name, Value: value})
+			w.sent = append(w.sent, dispatch.Field{Name: name, Value: value})
 		}
 	}
 }
@@ -197,6 +197,6 @@
 	return nil
 }
 
-func (w *recorder) result() routing.Payload {
+func (w *recorder) result() dispatch.Payload {
 	return httpresult.Encode(w.status, w.sent, w.body.Bytes())
 }
--- a/admission/server.go
+++ b/admission/server.go
@@ -35,7 +35,7 @@
 	"time"
 
 	"quincerail.example/quincerail/describe"
-	"quincerail.example/quincerail/routing"
+	"quincerail.example/quincerail/dispatch"
 )
 
 // Server admits requests before a service's handlers. Its methods are safe
@@ -43,7 +43,7 @@
 type Server struct {
 	cfg      Config
 	table    *describe.Table // of cfg.Routes
-	core     *routing.Core
+	core     *dispatch.Core
 	stop     context.CancelFunc
 	draining atomic.Bool
 	stats    counters
@@ -59,14 +59,14 @@
 		return nil, fmt.Errorf("admission: %w", err)
 	}
 	settings, names := cfg.settings()
-	opt := routing.Options{
+	opt := dispatch.Options{
 		Settings: settings, Classes: names, Seed: cfg.Seed, Machine: newProcess(cfg.Cores),
 		MaxKeyTableBytes: int(cfg.Memory / keysShare),
 	}
 	if cfg.Pools != nil {
-		opt.Pools = &routing.PoolOptions{CheapestClass: cfg.Pools.Cheapest, ReservedSlots: cfg.Pools.Reserve}
+		opt.Pools = &dispatch.PoolOptions{CheapestClass: cfg.Pools.Cheapest, ReservedSlots: cfg.Pools.Reserve}
 	}
-	core, err := routing.New(opt)
+	core, err := dispatch.New(opt)
 	if err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
 	}
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"quincerail.example/quincerail/routing"
+	"quincerail.example/quincerail/dispatch"
 )
 
 // Stats are a server's counts since New. Each request that matched a route
@@ -29,15 +29,15 @@
 }
 
 // answered counts a final answer.
-func (c *counters) answered(k routing.OutcomeKind) {
+func (c *counters) answered(k dispatch.OutcomeKind) {
 	switch k {
-	case routing.Served:
+	case dispatch.Served:
 		c.served.Add(1)
-	case routing.Shed:
+	case dispatch.Shed:
 		c.refused.Add(1)
-	case routing.TimedOut:
+	case dispatch.TimedOut:
 		c.timedOut.Add(1)
-	case routing.Rejected:
+	case dispatch.Rejected:
 		c.rejected.Add(1)
 	default:
 		c.failed.Add(1)
--- a/admission/wrap.go
+++ b/admission/wrap.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"quincerail.example/quincerail/describe"
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/match"
 	"quincerail.example/quincerail/protocol/httpresult"
-	"quincerail.example/quincerail/routing"
 )
 
 // writeMargin is how long before the http.Server's write deadline an answer is
@@ -77,13 +77,13 @@
 	if !ok {
 		return
 	}
-	answer, id := make(sink, 1), routing.NewID()
-	err := s.core.Submit(routing.Request{
+	answer, id := make(sink, 1), dispatch.NewID()
+	err := s.core.Submit(dispatch.Request{
 		ID: id, Class: class, Key: key, ArrivedAt: door, Deadline: writeDue(r, door),
-		ReservedKB: baseKB + float64(len(body))/1024, Payload: routing.Payload{Body: body},
+		ReservedKB: baseKB + float64(len(body))/1024, Payload: dispatch.Payload{Body: body},
 		Backend: s.newRun(next, r), Responder: answer,
 	})
-	if errors.Is(err, routing.ErrStopped) {
+	if errors.Is(err, dispatch.ErrStopped) {
 		s.stats.refused.Add(1)
 		refuse(w, maxAdvice)
 		return
@@ -103,7 +103,7 @@
 		case o := <-answer: // it came just before the end
 			s.respond(w, o)
 		default: // it may have run, so it is not turned away
-			s.respond(w, routing.Outcome{Kind: routing.Failed})
+			s.respond(w, dispatch.Outcome{Kind: dispatch.Failed})
 		}
 	}
 }
@@ -124,21 +124,21 @@
 }
 
 // sink takes the answer to the goroutine that serves the request.
-type sink chan routing.Outcome
+type sink chan dispatch.Outcome
 
-// Respond implements routing.Sink. There is one answer, and room for it.
-func (s sink) Respond(_ string, o routing.Outcome) { s <- o }
+// Respond implements dispatch.Sink. There is one answer, and room for it.
+func (s sink) Respond(_ string, o dispatch.Outcome) { s <- o }
 
-func (s *Server) respond(w http.ResponseWriter, o routing.Outcome) {
+func (s *Server) respond(w http.ResponseWriter, o dispatch.Outcome) {
 	s.stats.answered(o.Kind)
 	if s.draining.Load() { // callers go to another
 		w.Header().Set("Connection", "close")
 	}
-	if o.Kind == routing.Shed {
+	if o.Kind == dispatch.Shed {
 		refuse(w, o.RetryAfter)
 		return
 	}
-	if o.Kind != routing.Served && len(o.Result.Fields) == 0 { // the handler has said nothing
+	if o.Kind != dispatch.Served && len(o.Result.Fields) == 0 { // the handler has said nothing
 		status := httpresult.Status(o.Kind)
 		http.Error(w, http.StatusText(status), status)
 		return
--- a/program/backend/cut_test.go
+++ b/backend/cut_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"quincerail.example/quincerail/internal/coretest"
+	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/internal/dispatchtest"
 	"quincerail.example/quincerail/protocol/lines"
-	"quincerail.example/quincerail/routing"
 )
 
 // TestNoticeCutAtEveryByte has the processor's link break after each byte of the
@@ -35,7 +35,7 @@
 			}
 		}()
 		link := NewProcessor(l.Addr().String(), nil, slog.Default())
-		core, got := coretest.New(t, routing.Options{Backend: link, Machine: link}), make(coretest.Answers, 2)
+		core, got := dispatchtest.New(t, dispatch.Options{Backend: link, Machine: link}), make(dispatchtest.Answers, 2)
 		link.Attach(core)
 		ctx, cancel := context.WithCancel(t.Context())
 		go link.Run(ctx)
@@ -43,11 +43,11 @@
 			t.Errorf("hello %s on the first link", hello)
 		}
 		<-working
-		err = core.Submit(routing.Request{ID: "r", Class: "ny-gava", Key: "k", ArrivedAt: time.Now(), ReservedKB: 1, Responder: got})
+		err = core.Submit(dispatch.Request{ID: "r", Class: "ny-gava", Key: "k", ArrivedAt: time.Now(), ReservedKB: 1, Responder: got})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if answer, want := <-got, fmt.Sprint("r ", routing.Served); answer != want {
+		if answer, want := <-got, fmt.Sprint("r ", dispatch.Served); answer != want {
 			t.Errorf("cut after %d bytes: answer %s, want %s", cut, answer, want)
 		}
 		if hello, want := <-hellos, map[bool]string{true: "1", false: "0"}[cut == len(notice)]; hello != want {
--- a/program/backend/processor.go
+++ b/backend/processor.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/lines"
 	"quincerail.example/quincerail/protocol/processor"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
@@ -52,7 +52,7 @@
 // The link may move to another address. What the connection before still says
 // is passed over then: the processor says it again on the new one.
 type Processor struct {
-	core   *routing.Core
+	core   *dispatch.Core
 	log    *slog.Logger
 	gauges []string
 	link   *transport.Redialer
@@ -81,7 +81,7 @@
 }
 
 // Attach sets the core that is told what comes of runs; it goes before Run.
-func (p *Processor) Attach(core *routing.Core) { p.core = core }
+func (p *Processor) Attach(core *dispatch.Core) { p.core = core }
 
 // Run keeps the link until ctx ends.
 func (p *Processor) Run(ctx context.Context) { p.link.Run(ctx) }
@@ -174,14 +174,14 @@
 		tell = func() { p.core.BackendReady(n.Word == "new", n.Took) }
 	case processor.Complete:
 		p.proven(func(c command) bool { return c.id == n.ID })
-		end, known := map[string]routing.RunEnd{
-			"good": routing.RunSucceeded, "bad": routing.RunFailed,
-			"cut": routing.RunCancelled, "gone": routing.RunNotStarted,
+		end, known := map[string]dispatch.RunEnd{
+			"good": dispatch.RunSucceeded, "bad": dispatch.RunFailed,
+			"cut": dispatch.RunCancelled, "gone": dispatch.RunNotStarted,
 		}[n.Word]
 		if !known {
-			end = routing.RunFailed
+			end = dispatch.RunFailed
 		}
-		tell = func() { p.core.RunCompleted(n.ID, end, n.Took, routing.Payload{Body: n.Payload}) }
+		tell = func() { p.core.RunCompleted(n.ID, end, n.Took, dispatch.Payload{Body: n.Payload}) }
 	case processor.Ask:
 		p.proven(func(c command) bool { return c.id == n.ID && c.kind != interrupt })
 		tell = func() { p.core.CallRequested(n.ID, n.Number, n.Payload) }
@@ -205,7 +205,7 @@
 		if n.Word != "begin" {
 			p.log.Warn("processor_reject", "command", n.Word, "id", n.ID)
 		} else { // nothing ran: neither does the key count as used, nor the run as one that failed
-			tell = func() { p.core.RunCompleted(n.ID, routing.RunNotStarted, 0, routing.Payload{}) }
+			tell = func() { p.core.RunCompleted(n.ID, dispatch.RunNotStarted, 0, dispatch.Payload{}) }
 		}
 	}
 	p.mu.Unlock()
@@ -262,27 +262,27 @@
 	p.pending = append(p.pending, c)
 }
 
-// Start implements routing.Backend.
-func (p *Processor) Start(r routing.Run) {
+// Start implements dispatch.Backend.
+func (p *Processor) Start(r dispatch.Run) {
 	p.command(begin, r.ID, processor.AppendBegin(nil, r.ID, r.Class, r.Payload.Body))
 }
 
-// Cancel implements routing.Backend.
+// Cancel implements dispatch.Backend.
 func (p *Processor) Cancel(id string) {
 	p.command(interrupt, id, processor.AppendInterrupt(nil, id))
 }
 
-// ReplyToCall implements routing.Backend.
+// ReplyToCall implements dispatch.Backend.
 func (p *Processor) ReplyToCall(id string, reply []byte) {
 	p.command(resume, id, processor.AppendAnswer(nil, id, reply))
 }
 
-// SkipCall implements routing.Backend.
+// SkipCall implements dispatch.Backend.
 func (p *Processor) SkipCall(id string, notice uint64) {
 	p.command(resume, id, processor.AppendWithout(nil, id, notice))
 }
 
-// ReadGauges implements routing.Machine. Without a link there is no reply.
+// ReadGauges implements dispatch.Machine. Without a link there is no reply.
 func (p *Processor) ReadGauges(reply func(decision.Gauges)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -300,7 +300,7 @@
 	p.conn.Send(processor.AppendUsage(nil, strconv.FormatUint(p.asked, 10)))
 }
 
-// CheckHealth implements routing.Machine.
+// CheckHealth implements dispatch.Machine.
 func (p *Processor) CheckHealth(reply func(good bool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/program/backend/processor_test.go
+++ b/backend/processor_test.go
@@ -14,18 +14,18 @@
 	"testing/synctest"
 	"time"
 
-	"quincerail.example/quincerail/internal/coretest"
-	"quincerail.example/quincerail/internal/steps"
+	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/internal/dispatchtest"
+	"quincerail.example/quincerail/internal/randomsteps"
 	"quincerail.example/quincerail/protocol/lines"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
-func submit(t *testing.T, core *routing.Core, id, class string, sink routing.Responder) {
+func submit(t *testing.T, core *dispatch.Core, id, class string, sink dispatch.Responder) {
 	t.Helper()
-	err := core.Submit(routing.Request{
+	err := core.Submit(dispatch.Request{
 		ID: id, Class: class, Key: "key of " + id, ArrivedAt: time.Now(), ReservedKB: 1, Responder: sink,
-		Payload: routing.Payload{Body: []byte("body of " + id)},
+		Payload: dispatch.Payload{Body: []byte("body of " + id)},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -105,11 +105,11 @@
 // down. Every run is begun, in order, and its end is told once, however often
 // the link breaks and whatever is lost with it.
 func FuzzProcessor(f *testing.F) {
-	steps.Fuzz(f, func(t *testing.T, s *steps.Source) {
+	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		link := NewProcessor("", nil, slog.Default())
-		link.core = coretest.New(t, routing.Options{Backend: link, Machine: link})
+		link.core = dispatchtest.New(t, dispatch.Options{Backend: link, Machine: link})
 		e := &engine{t: t, link: link}
-		got := make(coretest.Answers, 1000)
+		got := make(dispatchtest.Answers, 1000)
 		var sent, open []string
 		e.open()
 		for s.More() && len(sent) < 20 {
@@ -146,7 +146,7 @@
 			t.Errorf("%d answers to %d requests", len(got), len(sent))
 		}
 		for range sent {
-			if a := <-got; !strings.HasSuffix(a, fmt.Sprint(" ", routing.Served)) {
+			if a := <-got; !strings.HasSuffix(a, fmt.Sprint(" ", dispatch.Served)) {
 				t.Errorf("answer %s", a)
 			}
 		}
@@ -160,10 +160,10 @@
 func TestProcessorMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		link := NewProcessor("", nil, slog.Default())
-		link.core = coretest.New(t, routing.Options{Backend: link, Machine: link})
+		link.core = dispatchtest.New(t, dispatch.Options{Backend: link, Machine: link})
 		e := &engine{t: t, link: link}
 		e.open()
-		got := make(coretest.Answers, 2)
+		got := make(dispatchtest.Answers, 2)
 		submit(t, link.core, "r0", "kampanjsida", got)
 		submit(t, link.core, "r1", "kampanjsida", got)
 		old := e.far
@@ -179,7 +179,7 @@
 		fmt.Fprintf(e.far, "hi old 5\r\n%s", strings.Join(e.notices, ""))
 		synctest.Wait()
 		for range 2 {
-			if a := <-got; !strings.HasSuffix(a, fmt.Sprint(" ", routing.Served)) {
+			if a := <-got; !strings.HasSuffix(a, fmt.Sprint(" ", dispatch.Served)) {
 				t.Errorf("answer %s", a)
 			}
 		}
@@ -191,7 +191,7 @@
 // health remembers what a core last said of itself.
 type health struct{ on atomic.Bool }
 
-// SetAccepting implements routing.Presence.
+// SetAccepting implements dispatch.Presence.
 func (h *health) SetAccepting(on bool) { h.on.Store(on) }
 
 // TestProcessorReject sees that a begin which was not carried out fails its
@@ -201,15 +201,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		link := NewProcessor("", nil, slog.Default())
 		self := &health{}
-		link.core = coretest.New(t, routing.Options{Backend: link, Machine: link, Registrar: self})
+		link.core = dispatchtest.New(t, dispatch.Options{Backend: link, Machine: link, Registrar: self})
 		e := &engine{t: t, link: link}
 		e.open()
-		got := make(coretest.Answers, 1)
+		got := make(dispatchtest.Answers, 1)
 		for i := range 12 {
 			id := fmt.Sprint("r", i)
 			submit(t, link.core, id, "kampanjsida", got)
 			fmt.Fprintf(e.far, "reject begin %s\r\n", id)
-			if a := <-got; a != fmt.Sprint(id, " ", routing.Failed) {
+			if a := <-got; a != fmt.Sprint(id, " ", dispatch.Failed) {
 				t.Errorf("answer %s", a)
 			}
 		}
@@ -227,7 +227,7 @@
 	for _, bytes := range []string{"hi old 5\r\n", "used 1 0\r\nhi new 5\r\n", "sing\r\n", "complete 1 a good 1 99999999\r\n"} {
 		synctest.Test(t, func(t *testing.T) {
 			link := NewProcessor("", nil, slog.Default())
-			link.core = coretest.New(t, routing.Options{Backend: link, Machine: link})
+			link.core = dispatchtest.New(t, dispatch.Options{Backend: link, Machine: link})
 			e := &engine{t: t, link: link}
 			e.open()
 			go e.far.Write([]byte(bytes))
--- a/program/backend/uwsgi.go
+++ b/backend/uwsgi.go
@@ -7,15 +7,15 @@
 	"sync"
 	"time"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/httpresult"
 	"quincerail.example/quincerail/protocol/uwsgi"
-	"quincerail.example/quincerail/routing"
 )
 
 // UWSGI runs requests at a uwsgi application server, a connection each.
 // A run is sent once: after a break nobody knows whether it had its effect.
 type UWSGI struct {
-	core *routing.Core
+	core *dispatch.Core
 
 	mu      sync.Mutex
 	address string
@@ -23,7 +23,7 @@
 }
 
 // NewUWSGI makes one that runs requests at an address.
-func NewUWSGI(core *routing.Core, address string) *UWSGI {
+func NewUWSGI(core *dispatch.Core, address string) *UWSGI {
 	return &UWSGI{core: core, address: address, runs: make(map[string]context.CancelFunc)}
 }
 
@@ -34,8 +34,8 @@
 	b.address = address
 }
 
-// Start implements routing.Backend.
-func (b *UWSGI) Start(r routing.Run) {
+// Start implements dispatch.Backend.
+func (b *UWSGI) Start(r dispatch.Run) {
 	ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
 	b.mu.Lock()
 	b.runs[r.ID] = cancel
@@ -48,7 +48,7 @@
 		delete(b.runs, r.ID)
 		b.mu.Unlock()
 		if ctx.Err() == context.Canceled {
-			end = routing.RunCancelled
+			end = dispatch.RunCancelled
 		}
 		cancel()
 		b.core.RunCompleted(r.ID, end, time.Since(began), result)
@@ -56,7 +56,7 @@
 }
 
 // run does one attempt. A connection that was refused proves that nothing ran.
-func (b *UWSGI) run(ctx context.Context, address string, r routing.Run) (routing.RunEnd, routing.Payload) {
+func (b *UWSGI) run(ctx context.Context, address string, r dispatch.Run) (dispatch.RunEnd, dispatch.Payload) {
 	var vars []uwsgi.Var
 	method := ""
 	for _, f := range r.Payload.Fields {
@@ -67,34 +67,34 @@
 	}
 	packet, err := uwsgi.AppendRequest(nil, vars, r.Payload.Body)
 	if err != nil {
-		return routing.RunNotStarted, routing.Payload{}
+		return dispatch.RunNotStarted, dispatch.Payload{}
 	}
 	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
-		return routing.RunNotStarted, routing.Payload{}
+		return dispatch.RunNotStarted, dispatch.Payload{}
 	}
 	defer nc.Close()
 	nc.SetDeadline(r.Deadline)
 	defer context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)) })()
 	if _, err := nc.Write(packet); err != nil {
-		return routing.RunFailed, routing.Payload{}
+		return dispatch.RunFailed, dispatch.Payload{}
 	}
 	resp, err := uwsgi.ReadResponse(bufio.NewReader(nc), method)
 	if err != nil {
-		return routing.RunFailed, routing.Payload{}
+		return dispatch.RunFailed, dispatch.Payload{}
 	}
-	var headers []routing.Field
+	var headers []dispatch.Field
 	for _, h := range resp.Headers {
-		headers = append(headers, routing.Field(h))
+		headers = append(headers, dispatch.Field(h))
 	}
 	result := httpresult.Encode(resp.Status, headers, resp.Body)
 	if resp.Status >= 500 {
-		return routing.RunFailed, result
+		return dispatch.RunFailed, result
 	}
-	return routing.RunSucceeded, result
+	return dispatch.RunSucceeded, result
 }
 
-// Cancel implements routing.Backend.
+// Cancel implements dispatch.Backend.
 func (b *UWSGI) Cancel(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -103,8 +103,8 @@
 	}
 }
 
-// ReplyToCall implements routing.Backend: these runs make no calls.
+// ReplyToCall implements dispatch.Backend: these runs make no calls.
 func (b *UWSGI) ReplyToCall(string, []byte) {}
 
-// SkipCall implements routing.Backend: these runs make no calls.
+// SkipCall implements dispatch.Backend: these runs make no calls.
 func (b *UWSGI) SkipCall(string, uint64) {}
--- a/cmd/quincerail/deployments_test.go
+++ b/cmd/quincerail/deployments_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"testing"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // TestTwoDeployments loads the settings of one deployment after those of another, by
@@ -31,14 +31,14 @@
 	}
 	one := deployment{"config.json", "kampanjsida", "givarhistorik", "ny-gava", nil}
 	two := deployment{"tenants.json", "status", "free-slots", "book", map[string]string{"team": "coast", "limit": "6000"}}
-	ask := func(d deployment, class, key, body string) *standin.Try {
+	ask := func(d deployment, class, key, body string) *fakes.Try {
 		t.Helper()
-		try, err := standin.ThriftWith(d.fields)(n.thrift, class, key, body)
+		try, err := fakes.ThriftWith(d.fields)(n.thrift, class, key, body)
 		must(t, 0, err)
 		must(t, 0, try.Send())
 		return try
 	}
-	outcome := func(try *standin.Try) standin.Outcome {
+	outcome := func(try *fakes.Try) fakes.Outcome {
 		t.Helper()
 		o, err := try.Outcome()
 		return must(t, o, err)
--- a/cmd/quincerail/main_test.go
+++ b/cmd/quincerail/main_test.go
@@ -19,10 +19,10 @@
 	"testing"
 	"time"
 
-	"quincerail.example/quincerail/internal/coretest"
+	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/internal/dispatchtest"
+	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/internal/fleettest"
-	"quincerail.example/quincerail/internal/standin"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/store"
 )
 
@@ -35,10 +35,10 @@
 	cmd       *exec.Cmd
 	config    string         // path
 	addresses map[string]any // of the configuration
-	work      *standin.Work
-	processor *standin.Processor
-	ledger    *standin.Ledger
-	announce  *standin.Announce
+	work      *fakes.Work
+	processor *fakes.Processor
+	ledger    *fakes.Ledger
+	announce  *fakes.Announce
 	thrift    string // addresses
 	uwsgi     string
 	control   string
@@ -71,7 +71,7 @@
 func writeConfigOf(t *testing.T, example string, changes map[string]any) string {
 	t.Helper()
 	config := make(map[string]any)
-	must(t, 0, json.Unmarshal([]byte(coretest.Example(t, example)), &config))
+	must(t, 0, json.Unmarshal([]byte(dispatchtest.Example(t, example)), &config))
 	delete(config, "control") // a test asks for one if it calls it
 	for key, value := range changes {
 		config[key] = value
@@ -93,7 +93,7 @@
 	must(t, 0, os.WriteFile(path, fmt.Appendf(nil, text, "info"), 0o600))
 	n := startOn(t, nil, "", "--operator", path)
 	for range 2 {
-		if got := n.ask(t, standin.Thrift, n.thrift, "ny-gava", "k", "gift"); got.Kind != "served" {
+		if got := n.ask(t, fakes.Thrift, n.thrift, "ny-gava", "k", "gift"); got.Kind != "served" {
 			t.Fatal(got)
 		}
 	}
@@ -102,8 +102,10 @@
 	defer resp.Body.Close()
 	page, err := io.ReadAll(resp.Body)
 	must(t, 0, err)
-	for _, want := range []string{`quincerail_answers_total{class="ny-gava",kind="served"} 2`, `quincerail_repeats_total{class="ny-gava"} 1`,
-		`quincerail_answer_seconds_count{class="ny-gava",kind="served"} 2`, "quincerail_open_requests 0"} {
+	for _, want := range []string{
+		`quincerail_answers_total{class="ny-gava",kind="served"} 2`, `quincerail_repeats_total{class="ny-gava"} 1`,
+		`quincerail_answer_seconds_count{class="ny-gava",kind="served"} 2`, "quincerail_open_requests 0",
+	} {
 		if !strings.Contains(string(page), want) {
 			t.Errorf("no %s in\n%s", want, page)
 		}
@@ -131,18 +133,20 @@
 // socket and shares a folder with others.
 func startOn(t *testing.T, socket *os.File, shared string, args ...string) *node {
 	t.Helper()
-	n := &node{work: standin.NewWork(0), exited: make(chan error, 1), reloads: make(chan string, 16), metrics: make(chan string, 1)}
+	n := &node{work: fakes.NewWork(0), exited: make(chan error, 1), reloads: make(chan string, 16), metrics: make(chan string, 1)}
 	var err error
-	n.processor, err = standin.NewProcessor(anyPort, n.work)
+	n.processor, err = fakes.NewProcessor(anyPort, n.work)
 	must(t, 0, err)
-	n.ledger, err = standin.NewLedger(anyPort)
+	n.ledger, err = fakes.NewLedger(anyPort)
 	must(t, 0, err)
-	n.announce, err = standin.NewAnnounce(anyPort)
+	n.announce, err = fakes.NewAnnounce(anyPort)
 	must(t, 0, err)
-	app, err := standin.NewApp(anyPort, n.work)
+	app, err := fakes.NewApp(anyPort, n.work)
 	must(t, 0, err)
-	n.addresses = map[string]any{"listen": anyPort, "processor": n.processor.Addr(),
-		"ledger": n.ledger.Addr(), "announce": n.announce.Addr()}
+	n.addresses = map[string]any{
+		"listen": anyPort, "processor": n.processor.Addr(),
+		"ledger": n.ledger.Addr(), "announce": n.announce.Addr(),
+	}
 	if socket != nil {
 		n.addresses["control"] = anyPort
 	}
@@ -209,7 +213,7 @@
 	<-n.processor.Up()
 }
 
-func (n *node) ask(t *testing.T, caller standin.Caller, address, class, key, body string) standin.Outcome {
+func (n *node) ask(t *testing.T, caller fakes.Caller, address, class, key, body string) fakes.Outcome {
 	t.Helper()
 	try, err := caller(address, class, key, body)
 	must(t, 0, err)
@@ -221,19 +225,19 @@
 func TestServes(t *testing.T) {
 	n := start(t)
 	for _, x := range []struct {
-		caller  standin.Caller
+		caller  fakes.Caller
 		address string
 		class   string
 		body    string
-		want    standin.Outcome
+		want    fakes.Outcome
 	}{
-		{standin.Thrift, n.thrift, "kampanjsida", "a page", standin.Outcome{Kind: "served", Body: "done: a page"}},
-		{standin.Thrift, n.thrift, "kampanjsida", "call ok", standin.Outcome{Kind: "served", Body: "done: call ok"}},
-		{standin.Thrift, n.thrift, "kampanjsida", "call error", standin.Outcome{Kind: "served", Body: "without"}},
-		{standin.Thrift, n.thrift, "ny-gava", "call error", standin.Outcome{Kind: "failed"}},
-		{standin.Thrift, n.thrift, "ny-gava", "call break", standin.Outcome{Kind: "failed"}},
-		{standin.UWSGI, n.uwsgi, "kampanjsida", "a page", standin.Outcome{Kind: "served", Body: "done: a page"}},
-		{standin.UWSGI, n.uwsgi, "ny-gava", "break now", standin.Outcome{Kind: "failed"}},
+		{fakes.Thrift, n.thrift, "kampanjsida", "a page", fakes.Outcome{Kind: "served", Body: "done: a page"}},
+		{fakes.Thrift, n.thrift, "kampanjsida", "call ok", fakes.Outcome{Kind: "served", Body: "done: call ok"}},
+		{fakes.Thrift, n.thrift, "kampanjsida", "call error", fakes.Outcome{Kind: "served", Body: "without"}},
+		{fakes.Thrift, n.thrift, "ny-gava", "call error", fakes.Outcome{Kind: "failed"}},
+		{fakes.Thrift, n.thrift, "ny-gava", "call break", fakes.Outcome{Kind: "failed"}},
+		{fakes.UWSGI, n.uwsgi, "kampanjsida", "a page", fakes.Outcome{Kind: "served", Body: "done: a page"}},
+		{fakes.UWSGI, n.uwsgi, "ny-gava", "break now", fakes.Outcome{Kind: "failed"}},
 	} {
 		if got := n.ask(t, x.caller, x.address, x.class, "key of "+x.body, x.body); got != x.want {
 			t.Errorf("%s %q: %v, want %v", x.class, x.body, got, x.want)
@@ -254,11 +258,11 @@
 	}
 	address := n.announce.Addr()
 	n.announce.Close()
-	served := standin.Outcome{Kind: "served", Body: "done: page"}
-	if got := n.ask(t, standin.Thrift, n.thrift, "kampanjsida", "", "page"); got != served {
+	served := fakes.Outcome{Kind: "served", Body: "done: page"}
+	if got := n.ask(t, fakes.Thrift, n.thrift, "kampanjsida", "", "page"); got != served {
 		t.Errorf("in an outage: %v", got)
 	}
-	again, err := standin.NewAnnounce(address)
+	again, err := fakes.NewAnnounce(address)
 	if err != nil {
 		t.Skipf("the port was taken meanwhile: %v", err)
 	}
@@ -269,11 +273,11 @@
 }
 
 // startRun starts a node that is at work on a gift.
-func startRun(t *testing.T) (*node, *standin.Try) {
+func startRun(t *testing.T) (*node, *fakes.Try) {
 	t.Helper()
 	n := start(t)
 	n.work.Took = 300 * time.Millisecond
-	try, err := standin.Thrift(n.thrift, "ny-gava", "k", "gift")
+	try, err := fakes.Thrift(n.thrift, "ny-gava", "k", "gift")
 	must(t, 0, err)
 	must(t, 0, try.Send())
 	<-n.work.Begun()
@@ -289,16 +293,16 @@
 	must(t, 0, err)
 	must(t, 0, os.WriteFile(n.config, []byte("{"), 0o600))
 	must(t, 0, n.cmd.Process.Signal(syscall.SIGHUP))
-	if got := n.ask(t, standin.Thrift, n.thrift, "kampanjsida", "", "call one"); got.Body != "done: call one" {
+	if got := n.ask(t, fakes.Thrift, n.thrift, "kampanjsida", "", "call one"); got.Body != "done: call one" {
 		t.Errorf("after a file that makes no sense: %v", got)
 	}
 	must(t, 0, os.WriteFile(n.config, good, 0o600))
 
 	must(t, 0, n.processor.Move(anyPort))
-	ledger, err := standin.NewLedger(anyPort)
+	ledger, err := fakes.NewLedger(anyPort)
 	must(t, 0, err)
 	defer ledger.Close()
-	announce, err := standin.NewAnnounce(anyPort)
+	announce, err := fakes.NewAnnounce(anyPort)
 	must(t, 0, err)
 	defer announce.Close()
 	n.ledger.Close()
@@ -312,7 +316,7 @@
 	if o, err := try.Outcome(); err != nil || o.Body != "done: gift" || n.work.Runs("gift") != 1 {
 		t.Errorf("what ran: %v, %v, %d runs", o, err, n.work.Runs("gift"))
 	}
-	if got := n.ask(t, standin.Thrift, n.thrift, "kampanjsida", "", "call two"); got.Body != "done: call two" {
+	if got := n.ask(t, fakes.Thrift, n.thrift, "kampanjsida", "", "call two"); got.Body != "done: call two" {
 		t.Errorf("after the move: %v", got)
 	}
 	if call := <-ledger.Calls; call != "call two" {
@@ -400,10 +404,10 @@
 	nc, err := net.Dial("tcp", n.thrift)
 	must(t, 0, err)
 	defer nc.Close()
-	nc.Write(standin.AppendCheck(standin.AppendCheck(nil, 1, false), 2, true))
+	nc.Write(fakes.AppendCheck(fakes.AppendCheck(nil, 1, false), 2, true))
 	r := bufio.NewReader(nc)
 	for seq := range int32(2) {
-		if reply, err := standin.ReadReply(r); err != nil || reply.Seq != seq+1 || !reply.Good {
+		if reply, err := fakes.ReadReply(r); err != nil || reply.Seq != seq+1 || !reply.Good {
 			t.Errorf("%+v, %v", reply, err)
 		}
 	}
@@ -421,8 +425,8 @@
 	defer socket.Close()
 	shared := t.TempDir()
 	old := startOn(t, socket, shared)
-	gift := func(n *node) standin.Outcome { return n.ask(t, standin.Thrift, n.thrift, "ny-gava", "k", "gift") }
-	want := standin.Outcome{Kind: "served", Body: "done: gift"}
+	gift := func(n *node) fakes.Outcome { return n.ask(t, fakes.Thrift, n.thrift, "ny-gava", "k", "gift") }
+	want := fakes.Outcome{Kind: "served", Body: "done: gift"}
 	if got := gift(old); got != want {
 		t.Errorf("the first try: %v", got)
 	}
@@ -464,7 +468,7 @@
 		}
 		nc.Close()
 	}
-	if got := n.ask(t, standin.Thrift, n.thrift, "kampanjsida", "", "page"); got.Kind != "served" {
+	if got := n.ask(t, fakes.Thrift, n.thrift, "kampanjsida", "", "page"); got.Kind != "served" {
 		t.Errorf("afterwards: %v", got)
 	}
 }
@@ -514,7 +518,7 @@
 	n := startOn(t, nil, "", "--rules", path)
 	twice := func(body string) int {
 		for range 2 {
-			if got := n.ask(t, standin.Thrift, n.thrift, "kampanjsida", "", body); got.Body != "done: "+body {
+			if got := n.ask(t, fakes.Thrift, n.thrift, "kampanjsida", "", body); got.Body != "done: "+body {
 				t.Errorf("%s: %v", body, got)
 			}
 		}
@@ -562,14 +566,14 @@
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 				body := fmt.Sprint("gift ", gift)
-				try, err := standin.Thrift(n.thrift, "ny-gava", fmt.Sprint("k", gift), body)
+				try, err := fakes.Thrift(n.thrift, "ny-gava", fmt.Sprint("k", gift), body)
 				if err != nil || try.Send() != nil {
 					return // killed already
 				}
 				if o, err := try.Outcome(); err == nil && o.Kind == "served" {
 					mu.Lock()
 					defer mu.Unlock()
-					if o.Body != standin.Result(body) {
+					if o.Body != fakes.Result(body) {
 						t.Errorf("gift %d served %q", gift, o.Body)
 					}
 					served[gift] = o.Body
@@ -617,7 +621,7 @@
 	keys := filepath.Join(dir, "keys")
 	s, _, err := store.Open(store.Options{Dir: keys})
 	must(t, 0, err)
-	state, _ := json.Marshal(routing.KeyState{Key: "k1", Class: "ny-gava", RanAttemptID: "t1", ExpiresAt: time.Now().Add(time.Hour)})
+	state, _ := json.Marshal(dispatch.KeyState{Key: "k1", Class: "ny-gava", RanAttemptID: "t1", ExpiresAt: time.Now().Add(time.Hour)})
 	done := make(chan error, 1)
 	s.Put("key/k1", state, time.Now().Add(time.Hour), func(err error) { done <- err })
 	must(t, 0, <-done)
--- a/cmd/quincerail/rollout.go
+++ b/cmd/quincerail/rollout.go
@@ -16,7 +16,7 @@
 
 	"quincerail.example/quincerail/fleet"
 	"quincerail.example/quincerail/fleet/rollout"
-	"quincerail.example/quincerail/program"
+	"quincerail.example/quincerail/server"
 )
 
 // rolloutCmd is what operators ask of a fleet's rollouts, at one of its voters.
@@ -95,10 +95,12 @@
 	return c.call(http.MethodPost, changesPath, nil, r, nil)
 }
 
-func (c *rolloutStartCmd) request() (program.ChangeRequest, error) {
-	r := program.ChangeRequest{Plan: rollout.Plan{ID: c.ID, Kind: rollout.Program, From: c.From, To: c.To,
+func (c *rolloutStartCmd) request() (server.ChangeRequest, error) {
+	r := server.ChangeRequest{Plan: rollout.Plan{
+		ID: c.ID, Kind: rollout.Program, From: c.From, To: c.To,
 		Stages: rollout.DefaultStages(), MinWatchWindows: defaultWatch, MaxWatchWindows: defaultWatchMost,
-		WarmUpWindows: defaultWarm, Limits: rollout.DefaultLimits()}}
+		WarmUpWindows: defaultWarm, Limits: rollout.DefaultLimits(),
+	}}
 	if (c.Settings == "") == (c.From == "" || c.To == "") {
 		return r, errors.New("either --settings, or --from and --to wanted")
 	}
--- a/cmd/quincerail/serve.go
+++ b/cmd/quincerail/serve.go
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
+	"quincerail.example/quincerail/config/operator"
 	"quincerail.example/quincerail/logging"
 	"quincerail.example/quincerail/match"
-	"quincerail.example/quincerail/program"
-	"quincerail.example/quincerail/program/operator"
+	"quincerail.example/quincerail/server"
 )
 
 // files are the operator's files beside the platform's configuration; empty
@@ -70,8 +70,8 @@
 	if err != nil {
 		return err
 	}
-	program.Limit(config)
-	server, err := program.Start(config, front)
+	server.Limit(config)
+	server, err := server.Start(config, front)
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 
 // reload takes over the files anew at SIGHUP: the level of the log at once;
 // what else of the operator's file changed needs a restart.
-func reload(f files, server *program.Server, level *slog.LevelVar, logger *slog.Logger) error {
+func reload(f files, server *server.Server, level *slog.LevelVar, logger *slog.Logger) error {
 	o, err := f.operator()
 	if err != nil {
 		return err
@@ -113,8 +113,8 @@
 }
 
 // load reads the configuration, and the operator's files where there are any.
-func load(o *operator.File, logger *slog.Logger) (*program.Config, *program.UWSGIConfig, error) {
-	config, err := program.LoadConfig(os.Getenv("GW_CONFIG"))
+func load(o *operator.File, logger *slog.Logger) (*server.Config, *server.UWSGIConfig, error) {
+	config, err := server.LoadConfig(os.Getenv("GW_CONFIG"))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -134,7 +134,7 @@
 	if o.UWSGI == "" {
 		return config, nil, nil
 	}
-	front, err := program.LoadUWSGI(o.UWSGI, config.Classes)
+	front, err := server.LoadUWSGI(o.UWSGI, config.Classes)
 	if err == nil {
 		err = apart(o, front)
 	}
@@ -142,7 +142,7 @@
 }
 
 // apart refuses two listeners on one address, each of which is right alone.
-func apart(o *operator.File, front *program.UWSGIConfig) error {
+func apart(o *operator.File, front *server.UWSGIConfig) error {
 	if front.Listen == o.Metrics.Listen && !strings.HasSuffix(front.Listen, ":0") {
 		return fmt.Errorf("metrics.listen: %s is the uwsgi front's address too", front.Listen)
 	}
--- a/cmd/quincerail/tools.go
+++ b/cmd/quincerail/tools.go
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
+	"quincerail.example/quincerail/config/operator"
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/describe"
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/idempotency/journal"
 	"quincerail.example/quincerail/match"
-	"quincerail.example/quincerail/program"
-	"quincerail.example/quincerail/program/operator"
-	"quincerail.example/quincerail/routing"
+	"quincerail.example/quincerail/server"
 )
 
 // checkCmd checks what serve would load, and names every problem, one a line.
@@ -33,7 +33,7 @@
 	} else if err != nil {
 		problems = append(problems, err.Error())
 	}
-	config, err := program.LoadConfig(os.Getenv("GW_CONFIG"))
+	config, err := server.LoadConfig(os.Getenv("GW_CONFIG"))
 	if err != nil {
 		problems = append(problems, err.Error())
 	}
@@ -57,7 +57,7 @@
 // prints their warnings.
 func checkFiles(o *operator.File, classes []string) (problems []string) {
 	if o.UWSGI != "" {
-		front, err := program.LoadUWSGI(o.UWSGI, classes)
+		front, err := server.LoadUWSGI(o.UWSGI, classes)
 		if err == nil {
 			err = apart(o, front)
 		}
@@ -101,9 +101,9 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	var settings *program.Config
+	var settings *server.Config
 	if path := os.Getenv("GW_CONFIG"); path != "" {
-		if settings, err = program.LoadConfig(path); err != nil {
+		if settings, err = server.LoadConfig(path); err != nil {
 			return err
 		}
 	}
@@ -195,7 +195,7 @@
 )
 
 // keyOutcome returns what became of a key.
-func keyOutcome(state routing.KeyState) string {
+func keyOutcome(state dispatch.KeyState) string {
 	switch {
 	case state.RanAttemptID == "":
 		return keyNotRun
@@ -209,7 +209,7 @@
 }
 
 // listKeys prints each key and what became of it, in order of the keys.
-func listKeys(states []routing.KeyState) {
+func listKeys(states []dispatch.KeyState) {
 	lines := make([]string, len(states))
 	for i, state := range states {
 		lines[i] = fmt.Sprintf("%s\t%s\t%s\tuntil %s", state.Key, state.Class, keyOutcome(state), state.ExpiresAt.Format(time.RFC3339))
--- a/cmd/quincerail/versions_handover_test.go
+++ b/cmd/quincerail/versions_handover_test.go
@@ -21,7 +21,7 @@
 	"testing"
 	"time"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 const (
@@ -67,9 +67,9 @@
 	folder   string      // for temporary files
 	door     os.FileInfo // the socket where the next process finds the last one
 	settings map[string]any
-	work     *standin.Work // of all processors together
-	ledger   *standin.Ledger
-	announce *standin.Announce
+	work     *fakes.Work // of all processors together
+	ledger   *fakes.Ledger
+	announce *fakes.Announce
 
 	requests       []keyedRequest // all that were sent
 	served, resent atomic.Int64   // tries
@@ -79,7 +79,7 @@
 
 func newHandoverSite(t *testing.T) *handoverSite {
 	t.Helper()
-	s := &handoverSite{t: t, folder: t.TempDir(), settings: exampleSettings(t), work: standin.NewWork(handoverRunTime)}
+	s := &handoverSite{t: t, folder: t.TempDir(), settings: exampleSettings(t), work: fakes.NewWork(handoverRunTime)}
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", anyPort)
 	must(t, 0, err)
 	t.Cleanup(func() { closeQuietly(listener) })
@@ -91,10 +91,10 @@
 	s.socket, err = tcp.File()
 	must(t, 0, err)
 	t.Cleanup(func() { closeQuietly(s.socket) })
-	s.ledger, err = standin.NewLedger(anyPort)
+	s.ledger, err = fakes.NewLedger(anyPort)
 	must(t, 0, err)
 	t.Cleanup(s.ledger.Close)
-	s.announce, err = standin.NewAnnounce(anyPort)
+	s.announce, err = fakes.NewAnnounce(anyPort)
 	must(t, 0, err)
 	t.Cleanup(s.announce.Close)
 	go func() { // Work holds few of those that nobody takes
@@ -121,7 +121,7 @@
 // takes requests.
 func (s *handoverSite) start(program string) *serverProcess {
 	s.t.Helper()
-	processor, err := standin.NewProcessor(anyPort, s.work)
+	processor, err := fakes.NewProcessor(anyPort, s.work)
 	must(s.t, 0, err)
 	s.t.Cleanup(processor.Close)
 	operator := filepath.Join(s.t.TempDir(), "operator.toml")
--- a/cmd/quincerail/versions_test.go
+++ b/cmd/quincerail/versions_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"quincerail.example/quincerail/internal/coretest"
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/dispatchtest"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // The tests of versions side by side start processes of two builds of the
@@ -87,11 +87,11 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		sent++
-		var outcome standin.Outcome
+		var outcome fakes.Outcome
 		outcome, err = r.send(address)
 		switch {
 		case err != nil, outcome.Kind == "refused":
-		case outcome == standin.Outcome{Kind: "served", Body: standin.Result(r.body)}:
+		case outcome == fakes.Outcome{Kind: "served", Body: fakes.Result(r.body)}:
 			return sent, nil
 		default:
 			return sent, fmt.Errorf("%s: %+v", r.key, outcome)
@@ -102,13 +102,13 @@
 }
 
 // send sends the request once and waits for its outcome.
-func (r keyedRequest) send(address string) (standin.Outcome, error) {
-	try, err := standin.Thrift(address, keyedClass, r.key, r.body)
+func (r keyedRequest) send(address string) (fakes.Outcome, error) {
+	try, err := fakes.Thrift(address, keyedClass, r.key, r.body)
 	if err != nil {
-		return standin.Outcome{}, err
+		return fakes.Outcome{}, err
 	}
 	if err := try.Send(); err != nil {
-		return standin.Outcome{}, err
+		return fakes.Outcome{}, err
 	}
 	return try.Outcome()
 }
@@ -118,7 +118,7 @@
 func exampleSettings(t *testing.T) map[string]any {
 	t.Helper()
 	var config map[string]any
-	must(t, 0, json.Unmarshal([]byte(coretest.Example(t, "config.json")), &config))
+	must(t, 0, json.Unmarshal([]byte(dispatchtest.Example(t, "config.json")), &config))
 	adjustSettings(config)
 	return object(config["settings"])
 }
--- a/cmd/quincerail/versions_voters_test.go
+++ b/cmd/quincerail/versions_voters_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/internal/fleettest"
-	"quincerail.example/quincerail/internal/standin"
 )
 
 // What the fleets of these tests call their two versions.
@@ -106,9 +106,9 @@
 	t        *testing.T
 	programs []string // of both versions
 	voters   []string
-	work     *standin.Work // of all members' processors together
-	rollouts int           // that were started
-	window   int           // the last seen of the rollout under way
+	work     *fakes.Work // of all members' processors together
+	rollouts int         // that were started
+	window   int         // the last seen of the rollout under way
 
 	keyed     map[string][]keyedRequest // by the voter that they were sent to
 	replaced  int
@@ -120,7 +120,7 @@
 func startVersionsFleet(t *testing.T, o fleettest.Options) *versionsFleet {
 	t.Helper()
 	f := &versionsFleet{
-		t: t, work: standin.NewWork(keyedRunTime), voters: []string{"v1", "v2", "v3"}, keyed: map[string][]keyedRequest{},
+		t: t, work: fakes.NewWork(keyedRunTime), voters: []string{"v1", "v2", "v3"}, keyed: map[string][]keyedRequest{},
 		programs: []string{o.Binary, o.Versions[currentVersion]},
 	}
 	o.Dir, o.Seed, o.Example = t.TempDir(), 26, filepath.Join("..", "..", "example", "config.json")
@@ -129,7 +129,7 @@
 		adjustSettings(config)
 		config["control"] = anyPort
 	}
-	o.Work = func() *standin.Work { return f.work }
+	o.Work = func() *fakes.Work { return f.work }
 	o.Settings = map[string]any{
 		"election_ms": 500, "lease_ms": 500, "probe_ms": 50, "window_ms": 200, "budget_calls": budgetCalls,
 		"budget_repeats": budgetRepeats, "horizon_ms": 3000, "hold_ms": 600,
@@ -286,7 +286,7 @@
 func (f *versionsFleet) awaitAct(what string) {
 	f.t.Helper()
 	acts, _ := f.Registry.Acts()
-	_, err := f.AwaitAct(what, len(acts), func(a standin.Act) bool { return a.Accepted })
+	_, err := f.AwaitAct(what, len(acts), func(a fakes.Act) bool { return a.Accepted })
 	must(f.t, 0, err)
 }
 
--- a/cmd/quincerail/voters.go
+++ b/cmd/quincerail/voters.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 
 	"quincerail.example/quincerail/fleet"
-	"quincerail.example/quincerail/program"
+	"quincerail.example/quincerail/server"
 )
 
 // votersCmd is what operators ask of a fleet's voters, at one of them.
@@ -48,7 +48,7 @@
 
 // Run implements the sub-command.
 func (c *votersAddCmd) Run() error {
-	return c.call(http.MethodPost, votersPath, nil, program.VoterRequest{Name: c.Name, Address: c.Raft}, nil)
+	return c.call(http.MethodPost, votersPath, nil, server.VoterRequest{Name: c.Name, Address: c.Raft}, nil)
 }
 
 type votersRemoveCmd struct {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"quincerail.example/quincerail/internal/wire"
+	"quincerail.example/quincerail/internal/simwire"
 	"quincerail.example/quincerail/policy"
 )
 
@@ -26,7 +26,7 @@
 // hosted is one instance with the actions it has taken in this batch.
 type hosted struct {
 	module  *policy.Instance
-	reply   wire.Reply
+	reply   simwire.Reply
 	touched bool
 	failed  bool
 }
@@ -57,7 +57,7 @@
 		if line == "" {
 			continue
 		}
-		m, err := wire.Parse(line)
+		m, err := simwire.Parse(line)
 		if err == nil {
 			err = h.take(m, &inBatch)
 		}
@@ -75,7 +75,7 @@
 }
 
 // take passes one message on.
-func (h *host) take(m *wire.Message, inBatch *bool) error {
+func (h *host) take(m *simwire.Message, inBatch *bool) error {
 	switch m.Name {
 	case "CLOCK":
 		if *inBatch {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (h *host) event(m *wire.Message) error {
+func (h *host) event(m *simwire.Message) error {
 	id := m.Need("instanceId")
 	if err := m.Err(); err != nil {
 		return err
@@ -108,14 +108,14 @@
 	switch m.Name {
 	case "HELLO":
 		seed := m.Int("randomSeed")
-		settings, err := wire.Settings(m.Text("profileData"))
+		settings, err := simwire.Settings(m.Text("profileData"))
 		if err = errors.Join(m.Err(), err); err != nil {
 			return fmt.Errorf("HELLO: %w", err)
 		}
 		if i != nil {
 			h.remove(i)
 		}
-		i = &hosted{reply: wire.Reply{Instance: id}}
+		i = &hosted{reply: simwire.Reply{Instance: id}}
 		h.instances[id] = i
 		h.touch(i)
 		i.guard(func() {
@@ -145,7 +145,7 @@
 }
 
 // translate gives the module's call for an event.
-func translate(m *wire.Message, i *hosted, now time.Duration) (func(), error) {
+func translate(m *simwire.Message, i *hosted, now time.Duration) (func(), error) {
 	var f func()
 	switch m.Name {
 	case "REQ":
--- a/routing/core_test.go
+++ b/dispatch/core_test.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
-	"quincerail.example/quincerail/internal/steps"
+	"quincerail.example/quincerail/internal/randomsteps"
 )
 
 const (
@@ -480,7 +480,7 @@
 // FuzzCore walks through a request's states in random order, and then judges
 // the whole by the rules.
 func FuzzCore(f *testing.F) {
-	steps.Fuzz(f, func(t *testing.T, s *steps.Source) {
+	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		p := newParty(t)
 		defer p.end()
 		if s.Pick(2) == 1 {
--- a/routing/keys.go
+++ b/dispatch/keys.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import "time"
 
--- a/routing/routing.go
+++ b/dispatch/routing.go
@@ -1,10 +1,10 @@
-// Package routing is the core of the app server: requests, attempts and
+// Package dispatch is the core of the app server: requests, attempts and
 // outcomes. It knows no wire. One goroutine owns the decision module and the
 // state of all requests; fronts and backends send it events.
 //
 // A request passes the stages take in, admit, route, send, relay and answer,
 // each in a file of its own.
-package routing
+package dispatch
 
 import (
 	"time"
--- a/program/downstream/budget.go
+++ b/downstream/budget.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/fleet"
-	"quincerail.example/quincerail/routing"
 )
 
-// Caller hears how calls ended; *routing.Core is one.
+// Caller hears how calls ended; *dispatch.Core is one.
 type Caller interface {
-	CallCompleted(id string, number int, end routing.CallOutcome, reply []byte)
+	CallCompleted(id string, number int, end dispatch.CallOutcome, reply []byte)
 }
 
 // Budget is the member's part of what the whole fleet may have in hand at
@@ -23,7 +23,7 @@
 	OnRelease(f func())
 }
 
-// Budgeted lets calls go below only within a budget: routing.Dependency
+// Budgeted lets calls go below only within a budget: dispatch.Dependency
 // over another. What has no room waits its turn; the core gives it up in its
 // time, as it does any call. The module decides which calls to make within what
 // it was last told of the budget (Bound); this is what holds at every instant.
@@ -31,7 +31,7 @@
 // A call that was given up, or whose connection broke, may linger below, and is
 // counted for as long.
 type Budgeted struct {
-	next   routing.Dependency
+	next   dispatch.Dependency
 	core   Caller
 	budget Budget
 	linger func() time.Duration
@@ -51,7 +51,7 @@
 
 // NewBudgeted makes one whose calls that were given up count for linger() longer;
 // Attach has to follow.
-func NewBudgeted(next routing.Dependency, budget Budget, linger func() time.Duration) *Budgeted {
+func NewBudgeted(next dispatch.Dependency, budget Budget, linger func() time.Duration) *Budgeted {
 	b := &Budgeted{next: next, budget: budget, linger: linger, out: map[string]budgetedCall{}}
 	budget.OnRelease(b.pump)
 	return b
@@ -60,7 +60,7 @@
 // Attach sets who hears how calls end; it goes before the first.
 func (b *Budgeted) Attach(core Caller) { b.core = core }
 
-// Call implements routing.Dependency.
+// Call implements dispatch.Dependency.
 func (b *Budgeted) Call(id string, number int, wait time.Duration, body []byte) {
 	b.mu.Lock()
 	b.waiting = append(b.waiting, budgetedCall{id: id, number: number, until: time.Now().Add(wait), body: body})
@@ -88,7 +88,7 @@
 	}
 }
 
-// Abandon implements routing.Dependency.
+// Abandon implements dispatch.Dependency.
 func (b *Budgeted) Abandon(id string) {
 	b.mu.Lock()
 	b.waiting = slices.DeleteFunc(b.waiting, func(k budgetedCall) bool { return k.id == id })
@@ -102,7 +102,7 @@
 }
 
 // CallCompleted implements Caller: it stands between the dependency and the core.
-func (b *Budgeted) CallCompleted(id string, number int, end routing.CallOutcome, reply []byte) {
+func (b *Budgeted) CallCompleted(id string, number int, end dispatch.CallOutcome, reply []byte) {
 	b.mu.Lock()
 	k, out := b.out[id]
 	if out = out && k.number == number; out {
@@ -125,7 +125,7 @@
 
 // Bound has the module keep to this member's part of the fleet's budgets, as they
 // move, and tells the fleet what it would have in hand if only it might.
-func Bound(core *routing.Core, member *fleet.Fleet) {
+func Bound(core *dispatch.Core, member *fleet.Fleet) {
 	calls := member.QuotaAgent(fleet.Calls)
 	b := decision.FleetBounds{MaxCalls: math.Inf(1)}
 	if member.QuotaAgent(fleet.Repeats) != nil {
--- a/program/downstream/budget_test.go
+++ b/downstream/budget_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
-	"quincerail.example/quincerail/routing"
+	"quincerail.example/quincerail/dispatch"
 )
 
 // rights is a budget of so many.
@@ -51,16 +51,16 @@
 	b.told = append(b.told, what)
 }
 
-// Call implements routing.Dependency.
+// Call implements dispatch.Dependency.
 func (b *below) Call(id string, number int, wait time.Duration, _ []byte) {
 	b.tell(fmt.Sprint("call ", id, number, " ", wait))
 }
 
-// Abandon implements routing.Dependency.
+// Abandon implements dispatch.Dependency.
 func (b *below) Abandon(id string) { b.tell("abandon " + id) }
 
 // CallCompleted implements Caller.
-func (b *below) CallCompleted(id string, number int, _ routing.CallOutcome, _ []byte) {
+func (b *below) CallCompleted(id string, number int, _ dispatch.CallOutcome, _ []byte) {
 	b.tell(fmt.Sprint("called ", id, number))
 }
 
--- a/program/downstream/cut_test.go
+++ b/downstream/cut_test.go
@@ -8,15 +8,15 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/lines"
-	"quincerail.example/quincerail/routing"
 )
 
 // ends tells how calls ended, each by its number.
 type ends chan string
 
 // CallCompleted implements Caller.
-func (e ends) CallCompleted(_ string, number int, end routing.CallOutcome, reply []byte) {
+func (e ends) CallCompleted(_ string, number int, end dispatch.CallOutcome, reply []byte) {
 	e <- fmt.Sprintf("%d: %d %q", number, end, reply)
 }
 
--- a/program/downstream/pool.go
+++ b/downstream/pool.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/ledger"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
@@ -58,7 +58,7 @@
 // Attach sets who hears how calls end; it goes before the first.
 func (l *Pool) Attach(core Caller) { l.core = core }
 
-// Call implements routing.Dependency.
+// Call implements dispatch.Dependency.
 func (l *Pool) Call(id string, number int, wait time.Duration, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,7 +130,7 @@
 	}
 }
 
-// Abandon implements routing.Dependency. A connection on which a call was given
+// Abandon implements dispatch.Dependency. A connection on which a call was given
 // up may have fallen silent for good, so it is spent.
 func (l *Pool) Abandon(id string) {
 	l.mu.Lock()
@@ -204,14 +204,14 @@
 	if call == nil { // to a call that was given up, a second copy, or to nobody's
 		return
 	}
-	end := map[ledger.Status]routing.CallOutcome{
+	end := map[ledger.Status]dispatch.CallOutcome{
 		ledger.Posted: decision.Succeeded, ledger.QueueFull: decision.Rejected,
 		ledger.Errored: decision.Failed, ledger.Expired: decision.TimedOut, ledger.Moot: decision.NotStarted,
 	}[reply.Status]
 	l.core.CallCompleted(reply.ID, call.number, end, reply.Body)
 }
 
-func (l *Pool) end(k *ledgerConn, end routing.CallOutcome) {
+func (l *Pool) end(k *ledgerConn, end dispatch.CallOutcome) {
 	l.mu.Lock()
 	l.spend(k)
 	calls := k.calls
--- a/program/downstream/pool_test.go
+++ b/downstream/pool_test.go
@@ -12,44 +12,44 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
-	"quincerail.example/quincerail/internal/coretest"
+	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/internal/dispatchtest"
 	"quincerail.example/quincerail/protocol/lines"
-	"quincerail.example/quincerail/routing"
 )
 
 // asking is a backend whose runs stand at a call.
 type asking struct {
-	core    *routing.Core
+	core    *dispatch.Core
 	resumed chan string
 }
 
-// Start implements routing.Backend.
-func (a *asking) Start(r routing.Run) { go a.core.CallRequested(r.ID, 1, r.Payload.Body) }
+// Start implements dispatch.Backend.
+func (a *asking) Start(r dispatch.Run) { go a.core.CallRequested(r.ID, 1, r.Payload.Body) }
 
-// Cancel implements routing.Backend.
+// Cancel implements dispatch.Backend.
 func (a *asking) Cancel(id string) {
-	go a.core.RunCompleted(id, routing.RunCancelled, 0, routing.Payload{})
+	go a.core.RunCompleted(id, dispatch.RunCancelled, 0, dispatch.Payload{})
 }
 
-// ReplyToCall implements routing.Backend.
+// ReplyToCall implements dispatch.Backend.
 func (a *asking) ReplyToCall(id string, reply []byte) {
 	a.resumed <- string(reply)
-	go a.core.RunCompleted(id, routing.RunSucceeded, 0, routing.Payload{})
+	go a.core.RunCompleted(id, dispatch.RunSucceeded, 0, dispatch.Payload{})
 }
 
-// SkipCall implements routing.Backend.
+// SkipCall implements dispatch.Backend.
 func (a *asking) SkipCall(id string, _ uint64) { a.ReplyToCall(id, []byte("without")) }
 
 // TestLedgerOutcomes maps what the ledger says, or does not, to what becomes of
 // a keyed request, which calls once and never again after an unclear end.
 func TestLedgerOutcomes(t *testing.T) {
 	for _, x := range []struct{ says, want string }{
-		{"posted 2\r\nok", fmt.Sprint("r ", routing.Served)},
-		{"error", fmt.Sprint("r ", routing.Failed)},
-		{"expired", fmt.Sprint("r ", routing.Failed)},
-		{"moot", fmt.Sprint("r ", routing.Failed)},
-		{"", fmt.Sprint("r ", routing.Failed)}, // the connection breaks
-		{"sing", fmt.Sprint("r ", routing.Failed)},
+		{"posted 2\r\nok", fmt.Sprint("r ", dispatch.Served)},
+		{"error", fmt.Sprint("r ", dispatch.Failed)},
+		{"expired", fmt.Sprint("r ", dispatch.Failed)},
+		{"moot", fmt.Sprint("r ", dispatch.Failed)},
+		{"", fmt.Sprint("r ", dispatch.Failed)}, // the connection breaks
+		{"sing", fmt.Sprint("r ", dispatch.Failed)},
 	} {
 		t.Run(x.says, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,11 +69,11 @@
 				}
 			}()
 			pool, back := NewPool(l.Addr().String()), &asking{resumed: make(chan string, 1)}
-			core := coretest.New(t, routing.Options{Backend: back, Dependency: pool})
+			core := dispatchtest.New(t, dispatch.Options{Backend: back, Dependency: pool})
 			pool.core, back.core = core, core
 			core.BackendReady(false, 0)
-			got := make(coretest.Answers, 1)
-			if err := core.Submit(routing.Request{ID: "r", Class: "ny-gava", Key: "k", ArrivedAt: time.Now(), ReservedKB: 1, Responder: got}); err != nil {
+			got := make(dispatchtest.Answers, 1)
+			if err := core.Submit(dispatch.Request{ID: "r", Class: "ny-gava", Key: "k", ArrivedAt: time.Now(), ReservedKB: 1, Responder: got}); err != nil {
 				t.Fatal(err)
 			}
 			if a := <-got; a != x.want {
@@ -98,7 +98,7 @@
 
 func newBooks(t *testing.T) *books {
 	b := &books{pool: NewPool(""), posts: make(chan post, 100)}
-	b.pool.core = coretest.New(t, routing.Options{})
+	b.pool.core = dispatchtest.New(t, dispatch.Options{})
 	b.pool.connect = func(string) (net.Conn, error) {
 		near, far := net.Pipe()
 		b.conns++
@@ -233,11 +233,11 @@
 	pool := NewPool(address)
 	called := make(chan decision.Outcome, 1)
 	back := &asking{resumed: make(chan string, 1)}
-	core := coretest.New(t, routing.Options{Backend: back, Dependency: dependency{pool, called}})
+	core := dispatchtest.New(t, dispatch.Options{Backend: back, Dependency: dependency{pool, called}})
 	pool.core, back.core = core, core
 	core.BackendReady(false, 0)
-	got := make(coretest.Answers, 1)
-	if err := core.Submit(routing.Request{ID: "r", Class: "ny-gava", Key: "k", ArrivedAt: time.Now(), ReservedKB: 1, Responder: got}); err != nil {
+	got := make(dispatchtest.Answers, 1)
+	if err := core.Submit(dispatch.Request{ID: "r", Class: "ny-gava", Key: "k", ArrivedAt: time.Now(), ReservedKB: 1, Responder: got}); err != nil {
 		t.Fatal(err)
 	}
 	<-called
@@ -254,7 +254,7 @@
 		words, _, _ := lines.Read(bufio.NewReader(nc), func(w []string) bool { return w[0] == "post" })
 		fmt.Fprintf(nc, "%s posted 2\r\nok\r\n", words[1])
 	}()
-	if a := <-got; a != fmt.Sprint("r ", routing.Served) {
+	if a := <-got; a != fmt.Sprint("r ", dispatch.Served) {
 		t.Errorf("answer %s", a)
 	}
 }
@@ -289,12 +289,12 @@
 	first, second := listen(), listen()
 	defer second.Close()
 	pool, back := NewPool(first.Addr().String()), &asking{resumed: make(chan string, 2)}
-	core := coretest.New(t, routing.Options{Backend: back, Dependency: pool})
+	core := dispatchtest.New(t, dispatch.Options{Backend: back, Dependency: pool})
 	pool.core, back.core = core, core
 	core.BackendReady(false, 0)
-	got := make(coretest.Answers, 2)
+	got := make(dispatchtest.Answers, 2)
 	call := func(id string) post {
-		if err := core.Submit(routing.Request{ID: id, Class: "ny-gava", Key: id, ArrivedAt: time.Now(), ReservedKB: 1, Responder: got}); err != nil {
+		if err := core.Submit(dispatch.Request{ID: id, Class: "ny-gava", Key: id, ArrivedAt: time.Now(), ReservedKB: 1, Responder: got}); err != nil {
 			t.Fatal(err)
 		}
 		return <-posts
@@ -308,7 +308,7 @@
 	}
 	for _, p := range []post{a, b} {
 		fmt.Fprintf(p, "%s posted 2\r\nok\r\n", p.id)
-		if answer := <-got; answer != fmt.Sprint(p.id, " ", routing.Served) {
+		if answer := <-got; answer != fmt.Sprint(p.id, " ", dispatch.Served) {
 			t.Errorf("answer %s", answer)
 		}
 	}
@@ -323,7 +323,7 @@
 	called chan decision.Outcome
 }
 
-// Call implements routing.Dependency.
+// Call implements dispatch.Dependency.
 func (d dependency) Call(id string, number int, wait time.Duration, body []byte) {
 	d.Pool.Call(id, number, wait, body)
 	select {
--- a/example/ask/main.go
+++ b/example/client/main.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 func main() {
@@ -27,9 +27,9 @@
 	if *limit != 0 {
 		further["limit"] = strconv.Itoa(*limit)
 	}
-	caller, address := standin.ThriftWith(further), "127.0.0.1:9090"
+	caller, address := fakes.ThriftWith(further), "127.0.0.1:9090"
 	if *uwsgi {
-		caller, address = standin.UWSGI, "127.0.0.1:3031"
+		caller, address = fakes.UWSGI, "127.0.0.1:3031"
 	}
 	if err := run(caller, address, *class, *key, *body); err != nil {
 		fmt.Fprintln(os.Stderr, "ask:", err)
@@ -37,7 +37,7 @@
 	}
 }
 
-func run(caller standin.Caller, address, class, key, body string) error {
+func run(caller fakes.Caller, address, class, key, body string) error {
 	began := time.Now()
 	try, err := caller(address, class, key, body)
 	if err != nil {
--- a/example/toy/main.go
+++ b/example/dependencies/main.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 func main() {
@@ -19,17 +19,17 @@
 }
 
 func run() error {
-	work := standin.NewWork(100 * time.Millisecond)
-	if _, err := standin.NewProcessor("127.0.0.1:9300", work); err != nil {
+	work := fakes.NewWork(100 * time.Millisecond)
+	if _, err := fakes.NewProcessor("127.0.0.1:9300", work); err != nil {
 		return err
 	}
-	if _, err := standin.NewLedger("127.0.0.1:7700"); err != nil {
+	if _, err := fakes.NewLedger("127.0.0.1:7700"); err != nil {
 		return err
 	}
-	if _, err := standin.NewApp("127.0.0.1:3032", work); err != nil {
+	if _, err := fakes.NewApp("127.0.0.1:3032", work); err != nil {
 		return err
 	}
-	announce, err := standin.NewAnnounce("127.0.0.1:8500")
+	announce, err := fakes.NewAnnounce("127.0.0.1:8500")
 	if err != nil {
 		return err
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"quincerail.example/quincerail/fleet/lease"
+	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/internal/faultproxy"
 	"quincerail.example/quincerail/internal/fleettest"
-	"quincerail.example/quincerail/internal/standin"
 )
 
 var binary string
@@ -81,12 +81,12 @@
 }
 
 // after waits for an act that the registry accepted under a higher token.
-func (r run) after(t lease.Token) standin.Act {
+func (r run) after(t lease.Token) fakes.Act {
 	r.t.Helper()
-	return r.act(fmt.Sprintf("an act above %v", t), func(a standin.Act) bool { return a.Accepted && a.Token.Compare(t) > 0 })
+	return r.act(fmt.Sprintf("an act above %v", t), func(a fakes.Act) bool { return a.Accepted && a.Token.Compare(t) > 0 })
 }
 
-func (r run) act(what string, is func(standin.Act) bool) standin.Act {
+func (r run) act(what string, is func(fakes.Act) bool) fakes.Act {
 	r.t.Helper()
 	a, err := r.AwaitAct(what, 0, is)
 	if err != nil {
@@ -131,7 +131,7 @@
 	r.line(from, old.By, "fleet_publish_failed", nil) // it gave up waiting for an act that is on the way
 	r.signal(old.By, syscall.SIGSTOP)
 	now := r.after(old.Token)
-	r.act("the late act", func(a standin.Act) bool { return a.By == old.By && a.Token == old.Token && !a.Accepted && a.Why != "" })
+	r.act("the late act", func(a fakes.Act) bool { return a.By == old.By && a.Token == old.Token && !a.Accepted && a.Why != "" })
 	r.signal(old.By, syscall.SIGCONT)
 	r.hears(old.By, "lease", now.Token)
 	r.hears("m1", "dependency_health_changed", now.Token)
@@ -168,14 +168,14 @@
 	side := func(name string) bool { return name == old.By || name == other }
 	from := len(r.Lines())
 	r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind != "publish" && side(p.From) != side(p.To) })
-	now := r.act("an act of the others' side", func(a standin.Act) bool {
+	now := r.act("an act of the others' side", func(a fakes.Act) bool {
 		return a.Accepted && !side(a.By) && a.Token.Compare(old.Token) > 0
 	})
 	r.line(from, old.By, "lease_lapsed", nil)
 	acts, _ := r.Registry.Acts()
 	for range 30 { // of the majority's owner
 		n := len(acts)
-		if _, err := r.AwaitAct("more acts", n, func(a standin.Act) bool { return a.Accepted }); err != nil {
+		if _, err := r.AwaitAct("more acts", n, func(a fakes.Act) bool { return a.Accepted }); err != nil {
 			t.Fatal(err)
 		}
 		acts, _ = r.Registry.Acts()
@@ -201,7 +201,7 @@
 		func(p *faultproxy.Link, owner string) bool { return p.To == owner },
 	} {
 		r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind == "raft" && picks(p, old.By) })
-		now := r.act("another owner", func(a standin.Act) bool {
+		now := r.act("another owner", func(a fakes.Act) bool {
 			return a.Accepted && a.By != old.By && a.Token.Compare(old.Token) > 0
 		})
 		r.Net.Heal()
--- a/fleet/quota/state_test.go
+++ b/fleet/quota/state_test.go
@@ -5,7 +5,7 @@
 	"errors"
 	"testing"
 
-	"quincerail.example/quincerail/internal/steps"
+	"quincerail.example/quincerail/internal/randomsteps"
 )
 
 // encode returns a state in a form that compares.
@@ -20,7 +20,7 @@
 
 // randomState returns a state of a few members and accounts with arbitrary
 // fields.
-func randomState(s *steps.Source) State {
+func randomState(s *randomsteps.Source) State {
 	state := NewState()
 	ids := []ID{{Member: "a", Incarnation: 1}, {Member: "a", Incarnation: 2}, {Member: "b", Incarnation: 1}, {Member: "c", Incarnation: 1}}
 	for range 1 + s.Pick(5) {
@@ -63,7 +63,7 @@
 // FuzzJoin checks that Join is commutative, associative and idempotent on
 // arbitrary states, and that it reports as new what was new.
 func FuzzJoin(f *testing.F) {
-	steps.Fuzz(f, func(t *testing.T, s *steps.Source) {
+	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		a, b, c := randomState(s), randomState(s), randomState(s)
 		before := encode(t, a)
 		ab, ba := joinAll(a, b), joinAll(b, a)
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"quincerail.example/quincerail/internal/coretest"
+	"quincerail.example/quincerail/internal/dispatchtest"
+	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/internal/faultproxy"
 	"quincerail.example/quincerail/internal/fleettest"
-	"quincerail.example/quincerail/internal/standin"
 )
 
 const window = 200 * time.Millisecond
@@ -62,8 +62,8 @@
 			lane["goalTimeUs"] = 40000
 		}
 	}
-	o.Work = func() *standin.Work {
-		w := standin.NewWork(2 * time.Millisecond)
+	o.Work = func() *fakes.Work {
+		w := fakes.NewWork(2 * time.Millisecond)
 		w.Thousandths, w.Slow = 400, 60*time.Millisecond
 		return w
 	}
@@ -152,9 +152,9 @@
 // is halted at the first stage, on one server. The way back fails there at first:
 // the server is named until it is back.
 func TestRolloutWorse(t *testing.T) {
-	const tell = "tell = func() { p.core.Completed(n.ID, end, n.Took, routing.Payload{Body: n.Payload}) }"
+	const tell = "tell = func() { p.core.RunCompleted(n.ID, end, n.Took, dispatch.Payload{Body: n.Payload}) }"
 	r := versions(t, fleettest.Options{Word: "page"}, map[string]fleettest.Edit{"late": {
-		File: filepath.Join("..", "program", "backend", "processor.go"), Old: tell,
+		File: filepath.Join("..", "backend", "processor.go"), Old: tell,
 		// Of the three in five that were in time two in fifteen are late now.
 		New: tell + "\nif time.Now().UnixMicro()%1000 < 134 {\ninTime := tell\ntell = func() { time.AfterFunc(60*time.Millisecond, inTime) }\n}",
 	}})
@@ -251,8 +251,8 @@
 func TestRolloutMixed(t *testing.T) {
 	const post = "post := ledger.AppendPost(nil, id, wait, body)"
 	r := versions(t, fleettest.Options{Class: "ny-gava", Took: 5 * time.Millisecond}, map[string]fleettest.Edit{"newform": {
-		File: filepath.Join("..", "program", "downstream", "pool.go"), Old: post,
-		New: fmt.Sprintf("post := ledger.AppendPost(nil, id, wait, append([]byte(%q), body...))", standin.NewForm),
+		File: filepath.Join("..", "downstream", "pool.go"), Old: post,
+		New: fmt.Sprintf("post := ledger.AppendPost(nil, id, wait, append([]byte(%q), body...))", fakes.NewForm),
 	}})
 	r.begin(900, 1.5, "--id", "r3", "--from", "v1", "--to", "newform")
 	starter := r.Starter(nil)
@@ -318,7 +318,7 @@
 			Lanes []map[string]any `json:"lanes"`
 		} `json:"settings"`
 	}
-	if err := json.Unmarshal([]byte(coretest.Example(t, "config.json")), &example); err != nil {
+	if err := json.Unmarshal([]byte(dispatchtest.Example(t, "config.json")), &example); err != nil {
 		t.Fatal(err)
 	}
 	lanes := example.Settings.Lanes
--- a/fleet/voters_test.go
+++ b/fleet/voters_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"quincerail.example/quincerail/fleet/lease"
+	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/internal/fleettest"
-	"quincerail.example/quincerail/internal/standin"
 )
 
 // voters waits until a voter's list of the group satisfies is.
@@ -58,7 +58,7 @@
 	acts, _ := r.Registry.Acts()
 	for range 30 {
 		n := len(acts)
-		if _, err := r.AwaitAct("more acts", n, func(a standin.Act) bool { return a.Accepted && a.By != gone }); err != nil {
+		if _, err := r.AwaitAct("more acts", n, func(a fakes.Act) bool { return a.Accepted && a.By != gone }); err != nil {
 			r.t.Fatal(err)
 		}
 		acts, _ = r.Registry.Acts()
@@ -91,7 +91,7 @@
 	if err := r.Kill(gone); err != nil {
 		t.Fatal(err)
 	}
-	old := r.act("another owner", func(a standin.Act) bool { return a.Accepted && a.By != gone && a.Token.Compare(first.Token) > 0 })
+	old := r.act("another owner", func(a fakes.Act) bool { return a.Accepted && a.By != gone && a.Token.Compare(first.Token) > 0 })
 	if out, err := r.operator(stay[0], "voters remove", "--name", gone); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	acts, _ := r.Registry.Acts()
-	next, err := r.AwaitAct("acts of two of three", len(acts), func(a standin.Act) bool { return a.Accepted && a.By != dead })
+	next, err := r.AwaitAct("acts of two of three", len(acts), func(a fakes.Act) bool { return a.Accepted && a.By != dead })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coretest/coretest.go
+++ b/internal/dispatchtest/coretest.go
@@ -1,6 +1,6 @@
-// Package coretest has what tests of the parties around the core share: a core
+// Package dispatchtest has what tests of the parties around the core share: a core
 // with the example's settings at work, and a sink that collects its answers.
-package coretest
+package dispatchtest
 
 import (
 	"context"
@@ -13,15 +13,15 @@
 
 	"github.com/tidwall/gjson"
 
-	"quincerail.example/quincerail/internal/wire"
-	"quincerail.example/quincerail/routing"
+	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/internal/simwire"
 )
 
 // Answers collects what a core answers, each as the request's id and the kind.
 type Answers chan string
 
-// Respond implements routing.Sink.
-func (a Answers) Respond(id string, o routing.Outcome) { a <- fmt.Sprint(id, " ", o.Kind) }
+// Respond implements dispatch.Sink.
+func (a Answers) Respond(id string, o dispatch.Outcome) { a <- fmt.Sprint(id, " ", o.Kind) }
 
 // Example gives the text of one of the example's files.
 func Example(t testing.TB, name string) string {
@@ -35,7 +35,7 @@
 }
 
 // New starts a core with the example's settings, until the test ends.
-func New(t *testing.T, opt routing.Options) *routing.Core {
+func New(t *testing.T, opt dispatch.Options) *dispatch.Core {
 	t.Helper()
 	var config struct {
 		Settings json.RawMessage `json:"settings"`
@@ -44,14 +44,14 @@
 		t.Fatal(err)
 	}
 	var err error
-	if opt.Settings, err = wire.Settings(string(config.Settings)); err != nil {
+	if opt.Settings, err = simwire.Settings(string(config.Settings)); err != nil {
 		t.Fatal(err)
 	}
 	opt.Settings.CacheTTL = 0
 	for _, lane := range gjson.GetBytes(config.Settings, "lanes").Array() {
 		opt.Classes = append(opt.Classes, lane.Get("name").String())
 	}
-	core, err := routing.New(opt)
+	core, err := dispatch.New(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/shared.go
+++ b/internal/fakes/shared.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
--- a/internal/standin/work.go
+++ b/internal/fakes/work.go
@@ -1,8 +1,8 @@
-// Package standin has stand-ins for the parties around the app server, made
+// Package fakes has stand-ins for the parties around the app server, made
 // from their published protocols: processor, ledger, announce service, uwsgi
 // application server, and callers of both fronts. The tests and the example
 // use them.
-package standin
+package fakes
 
 import (
 	"context"
--- a/internal/faultsoak/badmessages.go
+++ b/internal/faultsoak/badmessages.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // BadMessage is something that makes no sense on a connection of a balancer.
@@ -19,44 +19,44 @@
 	{"no message in a frame", func(int32) []byte { return []byte("\x00\x00\x00\x04spam") }, false},
 	{"an empty frame", func(int32) []byte { return make([]byte, 4) }, false},
 	{"a message that ends inside a value", func(seq int32) []byte {
-		whole := standin.AppendCheck(nil, seq, false)
+		whole := fakes.AppendCheck(nil, seq, false)
 		cut := append([]byte(nil), whole[:len(whole)-3]...)
 		binary.BigEndian.PutUint32(cut, uint32(len(cut)-4))
 		return cut
 	}, true},
 	{"bytes after the arguments", func(seq int32) []byte {
-		long := append(standin.AppendCheck(nil, seq, false), 1, 2, 3)
+		long := append(fakes.AppendCheck(nil, seq, false), 1, 2, 3)
 		binary.BigEndian.PutUint32(long, uint32(len(long)-4))
 		return long
 	}, true},
 	{"a reply", func(seq int32) []byte {
-		reply := standin.AppendCheck(nil, seq, false)
+		reply := fakes.AppendCheck(nil, seq, false)
 		reply[7] = 2
 		return reply
 	}, false},
 	{"another version", func(seq int32) []byte {
-		old := standin.AppendCheck(nil, seq, false)
+		old := fakes.AppendCheck(nil, seq, false)
 		old[4] = 0
 		return old
 	}, true},
 	{"a number that was had before", func(seq int32) []byte {
-		return standin.AppendCheck(standin.AppendCheck(nil, seq, false), seq, false)
+		return fakes.AppendCheck(fakes.AppendCheck(nil, seq, false), seq, false)
 	}, true},
-	{"a number that is far ahead", func(seq int32) []byte { return standin.AppendCheck(nil, seq+1000, false) }, false},
-	{"no number", func(int32) []byte { return standin.AppendCheck(nil, 0, false) }, false},
+	{"a number that is far ahead", func(seq int32) []byte { return fakes.AppendCheck(nil, seq+1000, false) }, false},
+	{"no number", func(int32) []byte { return fakes.AppendCheck(nil, 0, false) }, false},
 	{"an interrupt with a number of its own", func(seq int32) []byte {
-		interrupt := standin.AppendInterrupt(nil, 1000)
+		interrupt := fakes.AppendInterrupt(nil, 1000)
 		binary.BigEndian.PutUint32(interrupt[21:], uint32(seq))
 		return interrupt
 	}, true},
 	{"a frame of 20 kB", func(seq int32) []byte {
 		const size = 20 << 10
-		big := append(standin.AppendCheck(nil, seq, false), make([]byte, size)...)
+		big := append(fakes.AppendCheck(nil, seq, false), make([]byte, size)...)
 		binary.BigEndian.PutUint32(big, uint32(len(big)-4))
 		return big
 	}, true},
 	{"a huge frame", func(int32) []byte { return []byte("\x7f\xff\xff\xf0spam") }, false},
 	{"a frame that claims what follows", func(int32) []byte { return []byte("\x00\x00\x01\x00spam") }, false},
 	{"another's text", func(int32) []byte { return []byte("GET / HTTP/1.1\r\n\r\n") }, false},
-	{"half a message's head", func(seq int32) []byte { return standin.AppendCheck(nil, seq, false)[:10] }, false},
+	{"half a message's head", func(seq int32) []byte { return fakes.AppendCheck(nil, seq, false)[:10] }, false},
 }
--- a/internal/faultsoak/client.go
+++ b/internal/faultsoak/client.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 const clientDialTimeout = time.Second
@@ -78,7 +78,7 @@
 	c.seq++
 	door := time.Now().Add(-a.DoorEarly)
 	r := &Request{
-		Node: c.record.Node, ID: standin.NewID(), Conn: c.record, Seq: c.seq, Class: a.Class, Key: a.Key, Body: a.Body,
+		Node: c.record.Node, ID: fakes.NewID(), Conn: c.record, Seq: c.seq, Class: a.Class, Key: a.Key, Body: a.Body,
 		Deadline: a.Deadline, Door: door,
 	}
 	c.mu.Lock()
@@ -116,7 +116,7 @@
 	}
 	maps.Copy(fields, a.Fields)
 	fields["door"] = strconv.FormatInt(door.UnixMilli(), 10)
-	return standin.AppendExecuteFields(nil, c.seq, fields, []byte(a.Body))
+	return fakes.AppendExecuteFields(nil, c.seq, fields, []byte(a.Body))
 }
 
 // GiveUp tells the node that nobody waits for a request any more.
@@ -131,7 +131,7 @@
 	c.mu.Unlock()
 	c.writing.Lock()
 	defer c.writing.Unlock()
-	_, _ = c.conn.Write(standin.AppendInterrupt(nil, r.Seq)) // the connection may have ended
+	_, _ = c.conn.Write(fakes.AppendInterrupt(nil, r.Seq)) // the connection may have ended
 }
 
 // Leaving reports whether the node has asked that nothing new is sent.
@@ -235,7 +235,7 @@
 	defer close(c.done)
 	r := bufio.NewReader(c.conn)
 	for {
-		reply, err := standin.ReadReply(r)
+		reply, err := fakes.ReadReply(r)
 		if err != nil {
 			c.end(err)
 			return
@@ -249,7 +249,7 @@
 	}
 }
 
-func (c *Client) answer(reply standin.Reply) {
+func (c *Client) answer(reply fakes.Reply) {
 	outcome := reply.Outcome()
 	answer := Answer{Kind: outcome.Kind, Body: outcome.Body, At: time.Now()}
 	c.mu.Lock()
--- a/internal/faultsoak/node.go
+++ b/internal/faultsoak/node.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 const (
@@ -61,9 +61,9 @@
 	NodeConfig
 
 	Address  string
-	Work     *standin.Work
-	Ledger   *standin.Ledger
-	Announce *standin.Announce
+	Work     *fakes.Work
+	Ledger   *fakes.Ledger
+	Announce *fakes.Announce
 	// Relays stand between the processes and the fakes.
 	LedgerRelay, AnnounceRelay *Relay
 
@@ -79,7 +79,7 @@
 
 // StartNode starts the fakes and the process.
 func StartNode(config NodeConfig) (*Node, error) {
-	n := &Node{NodeConfig: config, Work: standin.NewWork(config.Took)}
+	n := &Node{NodeConfig: config, Work: fakes.NewWork(config.Took)}
 	if err := n.start(); err != nil {
 		n.Close()
 		return nil, err
@@ -108,10 +108,10 @@
 
 func (n *Node) startFakes() (err error) {
 	const anyPort = "127.0.0.1:0"
-	if n.Ledger, err = standin.NewLedger(anyPort); err != nil {
+	if n.Ledger, err = fakes.NewLedger(anyPort); err != nil {
 		return err
 	}
-	if n.Announce, err = standin.NewAnnounce(anyPort); err != nil {
+	if n.Announce, err = fakes.NewAnnounce(anyPort); err != nil {
 		return err
 	}
 	if n.LedgerRelay, err = NewRelay(n.Ledger.Addr()); err != nil {
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // Terms are the figures of the rules, as the platform's settings state them.
@@ -92,7 +92,7 @@
 }
 
 func (c *check) answer(r *Request, a Answer) {
-	if want := standin.Result(r.Body); a.Kind == "served" && a.Body != want && a.Body != "without" {
+	if want := fakes.Result(r.Body); a.Kind == "served" && a.Body != want && a.Body != "without" {
 		c.violate("spoilt", r.Node, a.At, "%q was served with %q", r.Body, a.Body)
 	}
 	if r.Written.IsZero() || r.GivenUp {
--- a/internal/faultsoak/process.go
+++ b/internal/faultsoak/process.go
@@ -18,7 +18,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // startTimeout bounds the wait for a process to say that it listens.
@@ -32,7 +32,7 @@
 	faults  string // address of the fault layer; "" without one
 	config  string // path of the configuration
 
-	processor *standin.Processor
+	processor *fakes.Processor
 	relay     *Relay
 
 	mu     sync.Mutex
@@ -43,7 +43,7 @@
 
 // newProcess starts the processor of a process that is still to be launched.
 func (n *Node) newProcess() (*process, error) {
-	processor, err := standin.NewProcessor("127.0.0.1:0", n.Work)
+	processor, err := fakes.NewProcessor("127.0.0.1:0", n.Work)
 	if err != nil {
 		return nil, fmt.Errorf("faultsoak: %w", err)
 	}
--- a/internal/fleettest/callers.go
+++ b/internal/fleettest/callers.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // keyedClass is the example's class whose requests have a key.
@@ -44,7 +44,7 @@
 	if class == keyedClass {
 		key = id
 	}
-	try, err := standin.Thrift(*address, class, key, word+" "+id)
+	try, err := fakes.Thrift(*address, class, key, word+" "+id)
 	if err != nil {
 		return err
 	}
--- a/internal/fleettest/fleettest.go
+++ b/internal/fleettest/fleettest.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/internal/faultproxy"
-	"quincerail.example/quincerail/internal/standin"
 )
 
 const (
@@ -26,8 +26,8 @@
 // Fleet is the processes of a test.
 type Fleet struct {
 	Net      *faultproxy.Network
-	Registry *standin.Registry
-	Ledger   *standin.SharedLedger // nil without load
+	Registry *fakes.Registry
+	Ledger   *fakes.SharedLedger // nil without load
 	Children map[string]*Child
 
 	opt         Options
@@ -48,11 +48,11 @@
 		f.opt.Within = defaultTimeout
 	}
 	var err error
-	if f.Registry, err = standin.NewRegistry(anyPort); err != nil {
+	if f.Registry, err = fakes.NewRegistry(anyPort); err != nil {
 		return nil, fmt.Errorf("fleettest: %w", err)
 	}
 	if opt.Load > 0 {
-		if f.Ledger, err = standin.NewSharedLedger(anyPort, opt.Took, opt.TurnsAway); err != nil {
+		if f.Ledger, err = fakes.NewSharedLedger(anyPort, opt.Took, opt.TurnsAway); err != nil {
 			f.Registry.Close()
 			return nil, fmt.Errorf("fleettest: %w", err)
 		}
--- a/internal/fleettest/logs.go
+++ b/internal/fleettest/logs.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // Line is one line of a child's log.
@@ -74,7 +74,7 @@
 
 // AwaitAct waits for a piece of fleet work that the registry was handed, from a
 // place of its Acts on.
-func (f *Fleet) AwaitAct(what string, from int, is func(standin.Act) bool) (standin.Act, error) {
+func (f *Fleet) AwaitAct(what string, from int, is func(fakes.Act) bool) (fakes.Act, error) {
 	deadline := time.After(f.opt.Within)
 	for {
 		acts, changed := f.Registry.Acts()
@@ -86,7 +86,7 @@
 		select {
 		case <-changed:
 		case <-deadline:
-			return standin.Act{}, fmt.Errorf("fleettest: %s did not come within %v", what, f.opt.Within)
+			return fakes.Act{}, fmt.Errorf("fleettest: %s did not come within %v", what, f.opt.Within)
 		}
 	}
 }
--- a/internal/fleettest/options.go
+++ b/internal/fleettest/options.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // Options are what a fleet is made of.
@@ -15,7 +15,7 @@
 	// Adjust changes a member's configuration, as JSON has it; may be nil.
 	Adjust func(config map[string]any)
 	// Work is what a member's processor does; nil for work that takes no time.
-	Work func() *standin.Work
+	Work func() *fakes.Work
 	// Class and Word are of the callers' requests, and the first word of their
 	// bodies; kampanjsida and call where they are empty.
 	Class, Word string
--- a/internal/fleettest/prepare.go
+++ b/internal/fleettest/prepare.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // prepare writes a member's files, and starts its processor and callers.
@@ -58,11 +58,11 @@
 	if f.Ledger == nil {
 		return config, nil
 	}
-	work := standin.NewWork(0)
+	work := fakes.NewWork(0)
 	if f.opt.Work != nil {
 		work = f.opt.Work()
 	}
-	if c.processor, err = standin.NewProcessor(anyPort, work); err != nil {
+	if c.processor, err = fakes.NewProcessor(anyPort, work); err != nil {
 		return nil, fmt.Errorf("fleettest: %w", err)
 	}
 	go func() { // nobody else receives them
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"syscall"
 
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // Child is one process, or the place of one that has ended.
@@ -26,7 +26,7 @@
 	files  map[string]any
 	binary string
 
-	processor *standin.Processor // where there is load
+	processor *fakes.Processor // where there is load
 	address   atomic.Pointer[string]
 	version   atomic.Pointer[string] // that it runs, or is about to
 }
--- a/internal/fleettest/violations.go
+++ b/internal/fleettest/violations.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"quincerail.example/quincerail/fleet/lease"
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/fakes"
 )
 
 // Violations lists what must not be: an act accepted at the registry under a lower
@@ -15,7 +15,7 @@
 	return append(actViolations(acts), logViolations(f.Lines())...)
 }
 
-func actViolations(acts []standin.Act) (violations []string) {
+func actViolations(acts []fakes.Act) (violations []string) {
 	var highest lease.Token
 	owner := map[lease.Token]string{}
 	for _, a := range acts {
--- a/internal/steps/steps.go
+++ b/internal/randomsteps/steps.go
@@ -1,6 +1,6 @@
-// Package steps drives tests that check a model against random steps, as fuzz
+// Package randomsteps drives tests that check a model against random steps, as fuzz
 // tests whose input chooses the steps.
-package steps
+package randomsteps
 
 import (
 	"bytes"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the lines by which a host process passes
+// Package simwire reads and writes the lines by which a host process passes
 // events to instances and actions back. It only translates.
-package wire
+package simwire
 
 import (
 	"encoding/json"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"strings"
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -163,7 +163,9 @@
 	s := &in.set
 	in.gap = max(s.BatchInterval, min(tickMost, s.DeadlineSlack/4))
 	in.shortest = slices.MinFunc(s.Classes,
-		func(a, b decision.Class) int { return cmp.Compare(a.LatencyObjective, b.LatencyObjective) }).LatencyObjective
+		func(a, b decision.Class) int {
+			return cmp.Compare(a.LatencyObjective, b.LatencyObjective)
+		}).LatencyObjective
 	for i := newFrom; i < len(s.Classes); i++ {
 		if s.Classes[i].CallsDependency {
 			in.calls[i] = 1 // until seen
@@ -183,7 +185,9 @@
 		return fmt.Errorf("classes: %d, want at least the %d that there were", len(s.Classes), old)
 	}
 	in.now = now
-	s.SlowStart, s.SlowStartMinSpeed, s.SlowStartDuration = in.set.SlowStart, in.set.SlowStartMinSpeed, in.set.SlowStartDuration
+	s.SlowStart = in.set.SlowStart
+	s.SlowStartMinSpeed = in.set.SlowStartMinSpeed
+	s.SlowStartDuration = in.set.SlowStartDuration
 	if s.LoadReportMode != in.set.LoadReportMode {
 		in.said = -1 // what was said means another thing
 	}
@@ -236,7 +240,8 @@
 	if q == nil || q.state == over {
 		return
 	}
-	if q.state == calling && in.set.AbandonedCallDuration > 0 { // a call that ends with its request was given up
+	// A call that ends with its request was given up.
+	if q.state == calling && in.set.AbandonedCallDuration > 0 {
 		in.lingering = append(in.lingering, now+in.set.AbandonedCallDuration)
 	}
 	if q.stopping && outcome == decision.Cancelled && !q.answered {
@@ -493,7 +498,8 @@
 func (in *Instance) crowdLimit() float64 {
 	speed := 1.0
 	if age := in.now - in.born; in.set.SlowStart && age < in.set.SlowStartDuration {
-		speed = in.set.SlowStartMinSpeed + (1-in.set.SlowStartMinSpeed)*float64(age)/float64(in.set.SlowStartDuration)
+		slowest := in.set.SlowStartMinSpeed
+		speed = slowest + (1-slowest)*float64(age)/float64(in.set.SlowStartDuration)
 	}
 	cores := float64(in.set.Cores)
 	return max(1, crowdShare*cores*(1+max(0, in.set.OverloadRatio-1)*speed))
@@ -638,7 +644,8 @@
 
 // aim is how long after its arrival a request's answer earns full worth.
 func (in *Instance) aim(q *request) time.Duration {
-	return min(q.due-q.arrived, q.class.LatencyObjective+time.Duration(q.class.ObjectivePerCost*float64(q.CostHint)))
+	ofCost := time.Duration(q.class.ObjectivePerCost * float64(q.CostHint))
+	return min(q.due-q.arrived, q.class.LatencyObjective+ofCost)
 }
 
 // patience is how long a request may wait: the rest of its aim is for its run.
@@ -753,7 +760,8 @@
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(b.worth*(1-b.class.DegradedWeight), a.worth*(1-a.class.DegradedWeight)), before(a, b))
+		gainA, gainB := a.worth*(1-a.class.DegradedWeight), b.worth*(1-b.class.DegradedWeight)
+		return cmp.Or(cmp.Compare(gainB, gainA), before(a, b))
 	})
 	for _, q := range waiting {
 		if in.mayCall() {
@@ -797,7 +805,8 @@
 		in.giveUpCall(q)
 		return
 	}
-	if q.tries > 0 && in.bounds.AcquireRetry != nil && !in.bounds.AcquireRetry() { // others made all there are for now
+	// Others may have made all the retries that there are for now.
+	if q.tries > 0 && in.bounds.AcquireRetry != nil && !in.bounds.AcquireRetry() {
 		if q.notYet = in.now + repeatRest; q.class.DegradedWeight > 0 {
 			in.giveUpCall(q)
 		}
@@ -915,7 +924,8 @@
 	if in.set.Dependency != decision.SharedDependency {
 		return math.MaxInt64
 	}
-	spare := (callShare-callGoal)*in.set.CallQuota*float64(in.set.CallQuotaWindow) - in.callPace()*float64(callSaved)
+	window := float64(in.set.CallQuotaWindow)
+	spare := (callShare-callGoal)*in.set.CallQuota*window - in.callPace()*float64(callSaved)
 	each := time.Duration(spare / math.Ceil(max(1, in.callPace()*callBurst)))
 	return max(in.controller.timeout, each-in.set.AbandonedCallDuration)
 }
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -45,9 +45,11 @@
 }
 func (h *transcript) Fail(id string)                  { h.recorder.Fail(id); h.finish(id) }
 func (h *transcript) Call(id string, d time.Duration) { h.recorder.Call(id, d); h.set(id, "calling") }
-func (h *transcript) SkipCall(id string)              { h.recorder.SkipCall(id); h.set(id, "running") }
-func (h *transcript) ServeCached(id string)           { h.recorder.ServeCached(id); h.set(id, "joined") }
-func (h *transcript) PublishLoad(v float64)           { h.add("say %.17g", v) }
+
+func (h *transcript) SkipCall(id string) { h.recorder.SkipCall(id); h.set(id, "running") }
+
+func (h *transcript) ServeCached(id string) { h.recorder.ServeCached(id); h.set(id, "joined") }
+func (h *transcript) PublishLoad(v float64) { h.add("say %.17g", v) }
 func (h *transcript) SetTimer(d time.Duration, token int64) {
 	h.recorder.SetTimer(d, token)
 	h.wakes = append(h.wakes, h.now+d)
--- a/protocol/announce/announce.go
+++ b/protocol/discovery/announce.go
@@ -1,6 +1,6 @@
-// Package announce is the codec of the reports to the announce service: HTTP/1.1
+// Package discovery is the codec of the reports to the announce service: HTTP/1.1
 // calls with an answer that has no body of interest. It takes no decisions.
-package announce
+package discovery
 
 import (
 	"bufio"
--- a/protocol/announce/announce_test.go
+++ b/protocol/discovery/announce_test.go
@@ -1,4 +1,4 @@
-package announce
+package discovery
 
 import (
 	"bufio"
--- a/protocol/handover/golden_test.go
+++ b/protocol/handover/golden_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/internal/golden"
-	"quincerail.example/quincerail/routing"
 )
 
 // TestGoldenMessages writes and reads a message of each kind.
 func TestGoldenMessages(t *testing.T) {
 	till := time.Unix(1764576000, 123456789)
-	runs := routing.KeyState{Key: "\x00k \r\n", Class: "ny-gåva", BodyHash: 1 << 63, RanAttemptID: "9b1f03aa5c7e2d41", ExpiresAt: till}
+	runs := dispatch.KeyState{Key: "\x00k \r\n", Class: "ny-gåva", BodyHash: 1 << 63, RanAttemptID: "9b1f03aa5c7e2d41", ExpiresAt: till}
 	done, empty, failed, claim := runs, runs, runs, runs
-	done.Completed, done.Result = true, &routing.Payload{Body: []byte("a\r\nb")}
-	empty.Completed, empty.Result = true, &routing.Payload{Body: []byte{}}
+	done.Completed, done.Result = true, &dispatch.Payload{Body: []byte("a\r\nb")}
+	empty.Completed, empty.Result = true, &dispatch.Payload{Body: []byte{}}
 	failed.Completed = true
 	claim.ArrivedAt = till.Add(-time.Second)
-	notRun := routing.KeyState{Key: "k", Class: "c", ExpiresAt: till, Completed: true}
+	notRun := dispatch.KeyState{Key: "k", Class: "c", ExpiresAt: till, Completed: true}
 	for _, x := range []struct {
 		name  string
 		bytes []byte
--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/lines"
-	"quincerail.example/quincerail/routing"
 )
 
 // Kind is the first word of a message.
@@ -30,9 +30,9 @@
 // Message is a message that was read.
 type Message struct {
 	Kind  Kind
-	State routing.KeyState // of key and claim
-	Ran   string           // of grant and deny
-	On    bool             // of part: it was the last; of away: callers are sent away
+	State dispatch.KeyState // of key and claim
+	Ran   string            // of grant and deny
+	On    bool              // of part: it was the last; of away: callers are sent away
 }
 
 // none stands for an id that there is none of.
@@ -71,7 +71,7 @@
 		if e != nil || e2 != nil || e3 != nil {
 			return m, broken
 		}
-		m.State = routing.KeyState{Key: string(key), Class: string(class), BodyHash: hash, RanAttemptID: words[4], ExpiresAt: moment(words[5])}
+		m.State = dispatch.KeyState{Key: string(key), Class: string(class), BodyHash: hash, RanAttemptID: words[4], ExpiresAt: moment(words[5])}
 		if m.State.RanAttemptID == none {
 			m.State.RanAttemptID = ""
 		}
@@ -81,7 +81,7 @@
 			m.State.Completed = truth(words[6])
 		}
 		if body != nil {
-			m.State.Result = &routing.Payload{Body: body}
+			m.State.Result = &dispatch.Payload{Body: body}
 		}
 	case Grant, Deny:
 		m.Ran = words[1]
@@ -94,7 +94,7 @@
 	return m, err
 }
 
-func words(kind Kind, k routing.KeyState, last string) []string {
+func words(kind Kind, k dispatch.KeyState, last string) []string {
 	ran := k.RanAttemptID
 	if ran == "" {
 		ran = none
@@ -107,7 +107,7 @@
 
 // AppendKey appends what has become of a key. A result that the form has no room
 // for is left out; its repeats fail then.
-func AppendKey(to []byte, k routing.KeyState) []byte {
+func AppendKey(to []byte, k dispatch.KeyState) []byte {
 	var body []byte
 	if r := k.Result; r != nil && len(r.Fields) == 0 && len(r.Body) <= lines.MaxBody {
 		body = append([]byte{}, r.Body...)
@@ -116,7 +116,7 @@
 }
 
 // AppendClaim appends the question whether a try may run.
-func AppendClaim(to []byte, k routing.KeyState) []byte {
+func AppendClaim(to []byte, k dispatch.KeyState) []byte {
 	return lines.Append(to, nil, words(Claim, k, strconv.FormatInt(k.ArrivedAt.UnixNano(), 10))...)
 }
 
--- a/protocol/handover/handover_test.go
+++ b/protocol/handover/handover_test.go
@@ -9,26 +9,26 @@
 	"testing/iotest"
 	"time"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/lines"
-	"quincerail.example/quincerail/routing"
 )
 
 // TestRoundTrip reads what was written, in pieces of any size. A result that has
 // fields, or is too large, is left out.
 func TestRoundTrip(t *testing.T) {
 	till := time.Unix(1764576000, 123456789)
-	ran := routing.KeyState{
+	ran := dispatch.KeyState{
 		Key: "\x00k \r\n", Class: "ny-gåva", BodyHash: 1 << 63, RanAttemptID: "9b1f03aa5c7e2d41", ExpiresAt: till, Completed: true,
-		Result: &routing.Payload{Body: []byte("a\r\nb")},
+		Result: &dispatch.Payload{Body: []byte("a\r\nb")},
 	}
-	empty, free, claim := ran, routing.KeyState{Key: "k", Class: "c", ExpiresAt: till, Completed: true}, ran
-	empty.Result = &routing.Payload{Body: []byte{}}
+	empty, free, claim := ran, dispatch.KeyState{Key: "k", Class: "c", ExpiresAt: till, Completed: true}, ran
+	empty.Result = &dispatch.Payload{Body: []byte{}}
 	claim.Result, claim.Completed, claim.ArrivedAt = nil, false, till.Add(-time.Second)
 	unsaid, large := ran, ran
 	unsaid.Result = nil
-	large.Result = &routing.Payload{Body: make([]byte, lines.MaxBody+1)}
+	large.Result = &dispatch.Payload{Body: make([]byte, lines.MaxBody+1)}
 	fields := ran
-	fields.Result = &routing.Payload{Fields: []routing.Field{{Name: ":status", Value: "200"}}}
+	fields.Result = &dispatch.Payload{Fields: []dispatch.Field{{Name: ":status", Value: "200"}}}
 	for _, x := range []struct {
 		bytes []byte
 		want  Message
--- a/protocol/httpresult/golden_test.go
+++ b/protocol/httpresult/golden_test.go
@@ -6,17 +6,17 @@
 	"slices"
 	"testing"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/internal/golden"
-	"quincerail.example/quincerail/routing"
 )
 
 // TestGoldenResult writes and reads the result of a request that came by HTTP, as
 // the key journal holds it, and answers with it.
 func TestGoldenResult(t *testing.T) {
-	headers := []routing.Field{{Name: "Content-Type", Value: "text/plain"}, {Name: "Set-Cookie", Value: "a=b"}, {Name: "Set-Cookie", Value: "c=d"}}
+	headers := []dispatch.Field{{Name: "Content-Type", Value: "text/plain"}, {Name: "Set-Cookie", Value: "a=b"}, {Name: "Set-Cookie", Value: "c=d"}}
 	golden.RoundTrip(t, "result.json", Encode(http.StatusCreated, headers, []byte("tack\x00\xff")), json.Marshal, json.Unmarshal)
 	golden.RoundTrip(t, "result-empty.json", Encode(http.StatusNoContent, nil, nil), json.Marshal, json.Unmarshal)
-	var kept routing.Payload
+	var kept dispatch.Payload
 	if err := json.Unmarshal(golden.Bytes(t, "result.json"), &kept); err != nil {
 		t.Fatal(err)
 	}
--- a/protocol/httpresult/httpresult.go
+++ b/protocol/httpresult/httpresult.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"quincerail.example/quincerail/routing"
+	"quincerail.example/quincerail/dispatch"
 )
 
 // statusField is the field of a result that holds its HTTP status. No header
@@ -15,16 +15,16 @@
 const statusField = ":status"
 
 // Encode makes a result of a response.
-func Encode(status int, headers []routing.Field, body []byte) routing.Payload {
-	fields := append([]routing.Field{{Name: statusField, Value: strconv.Itoa(status)}}, headers...)
-	return routing.Payload{Fields: fields, Body: body}
+func Encode(status int, headers []dispatch.Field, body []byte) dispatch.Payload {
+	fields := append([]dispatch.Field{{Name: statusField, Value: strconv.Itoa(status)}}, headers...)
+	return dispatch.Payload{Fields: fields, Body: body}
 }
 
 // Decode makes a response of a result. One that a backend of another kind made
 // has no status and no headers; it becomes plain bytes.
-func Decode(p routing.Payload) (status int, headers []routing.Field, body []byte) {
+func Decode(p dispatch.Payload) (status int, headers []dispatch.Field, body []byte) {
 	if len(p.Fields) == 0 {
-		return http.StatusOK, []routing.Field{{Name: "Content-Type", Value: "application/octet-stream"}}, p.Body
+		return http.StatusOK, []dispatch.Field{{Name: "Content-Type", Value: "application/octet-stream"}}, p.Body
 	}
 	status = http.StatusOK
 	for _, f := range p.Fields {
@@ -38,13 +38,13 @@
 }
 
 // Status gives the status of an outcome that is no result.
-func Status(k routing.OutcomeKind) int {
+func Status(k dispatch.OutcomeKind) int {
 	switch k {
-	case routing.Shed:
+	case dispatch.Shed:
 		return http.StatusServiceUnavailable
-	case routing.TimedOut:
+	case dispatch.TimedOut:
 		return http.StatusGatewayTimeout
-	case routing.Rejected: // a key that came with another body (draft-ietf-httpapi-idempotency-key-header, 2.7)
+	case dispatch.Rejected: // a key that came with another body (draft-ietf-httpapi-idempotency-key-header, 2.7)
 		return http.StatusUnprocessableEntity
 	}
 	return http.StatusBadGateway
--- a/protocol/lines/lines_test.go
+++ b/protocol/lines/lines_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"quincerail.example/quincerail/internal/steps"
+	"quincerail.example/quincerail/internal/randomsteps"
 	"quincerail.example/quincerail/protocol/lines"
 )
 
@@ -52,13 +52,13 @@
 func FuzzRead(f *testing.F) {
 	whole := lines.Append(nil, []byte("a call's body"), "ask", "1", "abc")
 	whole = lines.Append(whole, nil, "used", "7", "0.5", "1")
-	steps.Fuzz(f, func(t *testing.T, s *steps.Source) {
+	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		data := bytes.Clone(whole)
 		for range s.Pick(3) {
 			data[s.Pick(len(data))] = byte(s.Pick(256))
 		}
 		plain := reader(string(data))
-		broken := bufio.NewReaderSize(steps.Interrupted{Source: s, Data: bytes.NewReader(data)}, 16<<10)
+		broken := bufio.NewReaderSize(randomsteps.Interrupted{Source: s, Data: bytes.NewReader(data)}, 16<<10)
 		for {
 			words, body, wantErr := lines.Read(plain, hasBody)
 			gotWords, gotBody, err := lines.Read(broken, hasBody)
--- a/protocol/thrift/thrift_test.go
+++ b/protocol/thrift/thrift_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"testing/iotest"
 
-	"quincerail.example/quincerail/internal/standin"
-	"quincerail.example/quincerail/internal/steps"
+	"quincerail.example/quincerail/internal/fakes"
+	"quincerail.example/quincerail/internal/randomsteps"
 	"quincerail.example/quincerail/protocol/thrift"
 )
 
@@ -22,18 +22,18 @@
 
 func TestMessages(t *testing.T) {
 	fields := map[string]string{"verb": "ny-gava", "unique": "k"}
-	m, err := read(standin.AppendExecute(nil, 3, fields, []byte("body")))
+	m, err := read(fakes.AppendExecute(nil, 3, fields, []byte("body")))
 	if err != nil || m.Name != "execute" || m.Seq != 3 || m.Fields["verb"] != "ny-gava" || m.Fields["door"] == "" ||
 		string(m.Body) != "body" || m.Err != nil {
 		t.Errorf("execute: %+v, %v", m, err)
 	}
-	if m, err = read(standin.AppendInterrupt(nil, 3)); err != nil || m.Type != thrift.Oneway || m.Target != 3 {
+	if m, err = read(fakes.AppendInterrupt(nil, 3)); err != nil || m.Type != thrift.Oneway || m.Target != 3 {
 		t.Errorf("interrupt: %+v, %v", m, err)
 	}
-	if m, err = read(standin.AppendCheck(nil, 5, true)); err != nil || !m.Probe {
+	if m, err = read(fakes.AppendCheck(nil, 5, true)); err != nil || !m.Probe {
 		t.Errorf("check: %+v, %v", m, err)
 	}
-	if m, err = read(standin.AppendExecute(nil, 1, nil, make([]byte, thrift.MaxBody+1))); err != nil || m.Err == nil {
+	if m, err = read(fakes.AppendExecute(nil, 1, nil, make([]byte, thrift.MaxBody+1))); err != nil || m.Err == nil {
 		t.Errorf("a large body: %+v, %v, want an intact message at fault", m, err)
 	}
 }
@@ -42,27 +42,27 @@
 	fields := map[string]string{"later": "250", "giveup": "1"}
 	for _, x := range []struct {
 		bytes []byte
-		want  standin.Reply
+		want  fakes.Reply
 	}{
 		{
 			thrift.AppendAnswer(nil, "execute", 7, thrift.Answer{Body: []byte("b"), Good: true}),
-			standin.Reply{Type: thrift.Reply, Name: "execute", Seq: 7, Body: "b", Fields: map[string]string{}, Good: true},
+			fakes.Reply{Type: thrift.Reply, Name: "execute", Seq: 7, Body: "b", Fields: map[string]string{}, Good: true},
 		},
 		{
 			thrift.AppendShed(nil, 8, fields),
-			standin.Reply{Type: thrift.Reply, Name: "execute", Seq: 8, Which: 1, Fields: fields},
+			fakes.Reply{Type: thrift.Reply, Name: "execute", Seq: 8, Which: 1, Fields: fields},
 		},
 		{
 			thrift.AppendFault(nil, 9, nil),
-			standin.Reply{Type: thrift.Reply, Name: "execute", Seq: 9, Which: 2, Fields: map[string]string{}},
+			fakes.Reply{Type: thrift.Reply, Name: "execute", Seq: 9, Which: 2, Fields: map[string]string{}},
 		},
 		{
 			thrift.AppendException(nil, "sing", 10, thrift.UnknownMethod, "unknown"),
-			standin.Reply{Type: thrift.Exception, Name: "sing", Seq: 10},
+			fakes.Reply{Type: thrift.Exception, Name: "sing", Seq: 10},
 		},
-		{thrift.AppendLeaving(nil), standin.Reply{Type: thrift.Oneway, Name: "leaving"}},
+		{thrift.AppendLeaving(nil), fakes.Reply{Type: thrift.Oneway, Name: "leaving"}},
 	} {
-		got, err := standin.ReadReply(bufio.NewReader(bytes.NewReader(x.bytes)))
+		got, err := fakes.ReadReply(bufio.NewReader(bytes.NewReader(x.bytes)))
 		if err != nil || !reflect.DeepEqual(got, x.want) {
 			t.Errorf("got %+v, %v, want %+v", got, err, x.want)
 		}
@@ -72,7 +72,7 @@
 // TestBroken sees that a frame is refused by its claimed length, before that
 // much is waited for or allocated, and so are other breaches.
 func TestBroken(t *testing.T) {
-	good := string(standin.AppendCheck(nil, 1, false))
+	good := string(fakes.AppendCheck(nil, 1, false))
 	deep := "\x00\x00\x00\x60\x80\x01\x00\x01\x00\x00\x00\x01x\x00\x00\x00\x01" + strings.Repeat("\x0c\x00\x09", 30)
 	for name, frame := range map[string]string{
 		"length":  "\x7f\xff\xff\xff",
@@ -91,7 +91,7 @@
 // TestMessagesBehindBadOnes: what follows something that is no message is read, also where
 // it comes in single bytes.
 func TestMessagesBehindBadOnes(t *testing.T) {
-	check := standin.AppendCheck(nil, 7, true)
+	check := fakes.AppendCheck(nil, 7, true)
 	claims := func(size byte, rest string) string { return "\x00\x00\x00" + string(size) + rest }
 	for name, noise := range map[string]string{
 		"nothing":               "",
@@ -137,16 +137,16 @@
 // FuzzRead sees that a message is read the same however it arrives, and that
 // no bytes panic the codec.
 func FuzzRead(f *testing.F) {
-	whole := standin.AppendExecute(nil, 1, map[string]string{"verb": "x"}, []byte("some body"))
-	whole = standin.AppendInterrupt(whole, 1)
-	whole = standin.AppendCheck(whole, 3, true)
-	steps.Fuzz(f, func(t *testing.T, s *steps.Source) {
+	whole := fakes.AppendExecute(nil, 1, map[string]string{"verb": "x"}, []byte("some body"))
+	whole = fakes.AppendInterrupt(whole, 1)
+	whole = fakes.AppendCheck(whole, 3, true)
+	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		data := bytes.Clone(whole)
 		for range s.Pick(3) {
 			data[s.Pick(len(data))] = byte(s.Pick(256))
 		}
 		plain := bufio.NewReaderSize(bytes.NewReader(data), 16<<10)
-		broken := bufio.NewReaderSize(steps.Interrupted{Source: s, Data: bytes.NewReader(data)}, 16<<10)
+		broken := bufio.NewReaderSize(randomsteps.Interrupted{Source: s, Data: bytes.NewReader(data)}, 16<<10)
 		var ofPlain, ofBroken thrift.Reader
 		for {
 			want, wantErr := ofPlain.Read(plain)
--- a/protocol/uwsgi/uwsgi_test.go
+++ b/protocol/uwsgi/uwsgi_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"quincerail.example/quincerail/internal/steps"
+	"quincerail.example/quincerail/internal/randomsteps"
 	"quincerail.example/quincerail/protocol/uwsgi"
 )
 
@@ -88,14 +88,14 @@
 // no bytes panic the codec.
 func FuzzDecoder(f *testing.F) {
 	whole := packet(f, "a body of some length")
-	steps.Fuzz(f, func(t *testing.T, s *steps.Source) {
+	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		data := bytes.Clone(whole)
 		for range s.Pick(3) {
 			data[s.Pick(len(data))] = byte(s.Pick(256))
 		}
 		plain, broken := uwsgi.Decoder{MaxBody: 100}, uwsgi.Decoder{MaxBody: 100}
 		want, wantErr := plain.Read(bufio.NewReader(bytes.NewReader(data)))
-		r := bufio.NewReader(steps.Interrupted{Source: s, Data: bytes.NewReader(data)})
+		r := bufio.NewReader(randomsteps.Interrupted{Source: s, Data: bytes.NewReader(data)})
 		got, err := broken.Read(r)
 		for errors.Is(err, os.ErrDeadlineExceeded) {
 			got, err = broken.Read(r)
--- a/program/announce.go
+++ b/server/announce.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"quincerail.example/quincerail/protocol/announce"
+	"quincerail.example/quincerail/protocol/discovery"
 )
 
 const (
@@ -35,10 +35,12 @@
 }
 
 func newAnnouncer(name string, log *slog.Logger) *announcer {
-	return &announcer{name: name, log: log, changes: make(chan bool, 1), moves: make(chan string, 1),
+	return &announcer{
+		name: name, log: log, changes: make(chan bool, 1), moves: make(chan string, 1),
 		connect: func(ctx context.Context, address string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "tcp", address)
-		}}
+		},
+	}
 }
 
 // errOverhauled ends the wait for the answer to a report that has newer to follow.
@@ -89,7 +91,7 @@
 	var err error
 	if !newer {
 		var status int
-		if status, err = announce.ReadStatus(r); err == nil && status != http.StatusNoContent {
+		if status, err = discovery.ReadStatus(r); err == nil && status != http.StatusNoContent {
 			err = fmt.Errorf("%w: status %d", errUncounted, status)
 		}
 	}
@@ -114,7 +116,7 @@
 	a.hurry()
 }
 
-// SetAccepting implements routing.Presence. Only the newest word counts.
+// SetAccepting implements dispatch.Presence. Only the newest word counts.
 func (a *announcer) SetAccepting(on bool) {
 	select {
 	case <-a.changes:
@@ -149,7 +151,7 @@
 				r = bufio.NewReader(nc)
 			}
 			nc.SetDeadline(time.Now().Add(reportWithin))
-			if _, err = nc.Write(announce.AppendReport(nil, address, a.name, accepting)); err != nil {
+			if _, err = nc.Write(discovery.AppendReport(nil, address, a.name, accepting)); err != nil {
 				return err
 			}
 			return a.await(nc, r)
--- a/program/changes.go
+++ b/server/changes.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"context"
@@ -16,16 +16,16 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/fleet"
 	"quincerail.example/quincerail/fleet/rollout"
-	"quincerail.example/quincerail/routing"
 )
 
 // observers tells several.
-type observers []routing.Observer
+type observers []dispatch.Observer
 
-// ObserveResponse implements routing.Observer.
-func (o observers) ObserveResponse(class string, kind routing.OutcomeKind, took time.Duration, repeat bool) {
+// ObserveResponse implements dispatch.Observer.
+func (o observers) ObserveResponse(class string, kind dispatch.OutcomeKind, took time.Duration, repeat bool) {
 	for _, x := range o {
 		x.ObserveResponse(class, kind, took, repeat)
 	}
@@ -49,17 +49,17 @@
 	t.aims = aims
 }
 
-// ObserveResponse implements routing.Observer.
-func (t *tally) ObserveResponse(class string, kind routing.OutcomeKind, took time.Duration, _ bool) {
+// ObserveResponse implements dispatch.Observer.
+func (t *tally) ObserveResponse(class string, kind dispatch.OutcomeKind, took time.Duration, _ bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.totals.Requests++
 	switch kind {
-	case routing.Shed:
+	case dispatch.Shed:
 		t.totals.Rejected++
-	case routing.Failed, routing.TimedOut:
+	case dispatch.Failed, dispatch.TimedOut:
 		t.totals.Failed++
-	case routing.Served:
+	case dispatch.Served:
 		if aim, ok := t.aims[class]; ok && took > aim {
 			t.totals.Late++
 		}
--- a/program/config.go
+++ b/server/config.go
@@ -1,6 +1,6 @@
-// Package program wires the app server together: its configuration, the links
+// Package server wires the app server together: its configuration, the links
 // to the parties around it, the fronts, signals and the way out.
-package program
+package server
 
 import (
 	"cmp"
@@ -17,7 +17,7 @@
 
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/fleet"
-	"quincerail.example/quincerail/internal/wire"
+	"quincerail.example/quincerail/internal/simwire"
 	"quincerail.example/quincerail/match"
 )
 
@@ -146,10 +146,12 @@
 		}
 		return v.Num
 	}
-	c := &Config{Name: str("name"), Listen: str("listen"), Processor: str("processor"),
+	c := &Config{
+		Name: str("name"), Listen: str("listen"), Processor: str("processor"),
 		Announce: str("announce"), Ledger: str("ledger"), Control: gjson.Get(text, "control").String(),
 		Stop: time.Duration(num("stop_ms") * float64(time.Millisecond)),
-		text: text, Cores: num("limits.cores"), MemoryMB: int(num("limits.memory_mb")), Sockets: int(num("limits.sockets"))}
+		text: text, Cores: num("limits.cores"), MemoryMB: int(num("limits.memory_mb")), Sockets: int(num("limits.sockets")),
+	}
 	seed, e := strconv.ParseUint(str("seed"), 16, 64)
 	if e != nil {
 		fault("seed", "a number in hex")
@@ -162,7 +164,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Settings, err = wire.Settings(settings.Raw); err != nil {
+	if c.Settings, err = simwire.Settings(settings.Raw); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	c.Settings.CacheTTL = 0 // reads are not shared here: no site asks for it
--- a/program/config_test.go
+++ b/server/config_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"os"
@@ -9,12 +9,12 @@
 
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/describe"
-	"quincerail.example/quincerail/internal/coretest"
+	"quincerail.example/quincerail/internal/dispatchtest"
 	"quincerail.example/quincerail/match"
 )
 
 func TestConfigFaults(t *testing.T) {
-	text := coretest.Example(t, "config.json")
+	text := dispatchtest.Example(t, "config.json")
 	if _, err := ParseConfig(text); err != nil {
 		t.Fatalf("the example: %v", err)
 	}
@@ -40,7 +40,7 @@
 // TestTenantFaults has what makes no sense of tenants, and of the deployment that has
 // them, named by its key in one line; such a file is turned down whole.
 func TestTenantFaults(t *testing.T) {
-	text := coretest.Example(t, "tenants.json")
+	text := dispatchtest.Example(t, "tenants.json")
 	c, err := ParseConfig(text)
 	if err != nil || !slices.Equal(c.Tenants, []string{"north", "coast", "lake"}) || c.Settings.Tenants[1].Quota != 36 {
 		t.Fatalf("%+v, %v", c, err)
@@ -67,7 +67,7 @@
 // TestConfigsOfTwoDeployments: either example follows the other by SIGHUP, though one
 // leaves out what deployments may.
 func TestConfigsOfTwoDeployments(t *testing.T) {
-	first, second := coretest.Example(t, "config.json"), coretest.Example(t, "tenants.json")
+	first, second := dispatchtest.Example(t, "config.json"), dispatchtest.Example(t, "tenants.json")
 	first = strings.Replace(first, `"gain": 2.0,`, `"gain": 2.0, "aimStretch": 1.5,`, 1)
 	first = strings.Replace(first, `"prices": {`, `"prices": {"fleet": 0.1, `, 1)
 	second = strings.Replace(second, `"passesDeadline": true,`, ``, 1)
@@ -89,7 +89,7 @@
 // TestConfigLacks guards a reload against a file with a key missing that the one
 // in force has, wherever it stands; a further class or key is none missing.
 func TestConfigLacks(t *testing.T) {
-	text := coretest.Example(t, "config.json")
+	text := dispatchtest.Example(t, "config.json")
 	parse := func(text string) *Config {
 		c, err := ParseConfig(text)
 		if err != nil {
@@ -150,7 +150,7 @@
 // and the operator's rules lead to the same classes, and say of these what the
 // platform's settings do.
 func TestDeployDescriptions(t *testing.T) {
-	config, err := ParseConfig(coretest.Example(t, "config.json"))
+	config, err := ParseConfig(dispatchtest.Example(t, "config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/program/control.go
+++ b/server/control.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bufio"
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/control"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
@@ -19,7 +19,7 @@
 
 // controlDoor is where operators call.
 type controlDoor struct {
-	core    *routing.Core
+	core    *dispatch.Core
 	serving *atomic.Bool // whether callers are let in
 }
 
--- a/program/control_test.go
+++ b/server/control_test.go
@@ -1,4 +1,4 @@
-package program_test
+package server_test
 
 import (
 	"bufio"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"quincerail.example/quincerail/internal/coretest"
-	"quincerail.example/quincerail/internal/standin"
-	"quincerail.example/quincerail/program"
+	"quincerail.example/quincerail/internal/dispatchtest"
+	"quincerail.example/quincerail/internal/fakes"
+	"quincerail.example/quincerail/server"
 )
 
 // operate makes a call as operators do, and gives the answer's first word.
@@ -34,15 +34,15 @@
 	t.Helper()
 	nc := must(net.Dial("tcp", w.Addr().String()))(t)
 	defer nc.Close()
-	nc.Write(standin.AppendCheck(nil, 1, false))
-	return must(standin.ReadReply(bufio.NewReader(nc)))(t).Good
+	nc.Write(fakes.AppendCheck(nil, 1, false))
+	return must(fakes.ReadReply(bufio.NewReader(nc)))(t).Good
 }
 
 // TestControl guards the operators' drain: from the call's answer on, checks are
 // bad and reports false, what still comes is served as ever, and all is undone by
 // the opposite call. Callers that say nothing hold up nobody.
 func TestControl(t *testing.T) {
-	w := newWorld(t, func(c *program.Config) { c.Control = "127.0.0.1:0" })
+	w := newWorld(t, func(c *server.Config) { c.Control = "127.0.0.1:0" })
 	address := w.ControlAddr().String()
 	for range 5 {
 		defer must(net.Dial("tcp", address))(t).Close()
@@ -51,8 +51,11 @@
 		call, answer string
 		fit          bool
 	}{
-		{"check", "done", true}, {"drain-on", "done", false}, {"check", "done", false},
-		{"drain", "error", false}, {"drain-off", "done", true},
+		{"check", "done", true},
+		{"drain-on", "done", false},
+		{"check", "done", false},
+		{"drain", "error", false},
+		{"drain-off", "done", true},
 	} {
 		if got := operate(t, address, x.call); got != x.answer {
 			t.Errorf("%s: %s, want %s", x.call, got, x.answer)
@@ -72,11 +75,11 @@
 // TestReloadSettings has classes change under load: a new one is served from then
 // on, one that is gone is not, and a file that lacks a key changes nothing.
 func TestReloadSettings(t *testing.T) {
-	var running *program.Config
-	w := newWorld(t, func(c *program.Config) { running = c })
-	renamed := func(old, new string) *program.Config {
-		text := coretest.Example(t, "config.json")
-		c := must(program.ParseConfig(strings.Replace(text, old, new, 1)))(t)
+	var running *server.Config
+	w := newWorld(t, func(c *server.Config) { running = c })
+	renamed := func(old, new string) *server.Config {
+		text := dispatchtest.Example(t, "config.json")
+		c := must(server.ParseConfig(strings.Replace(text, old, new, 1)))(t)
 		c.Processor, c.Ledger, c.Announce = running.Processor, running.Ledger, running.Announce
 		return c
 	}
@@ -94,7 +97,7 @@
 }
 
 // hold opens a listening socket for servers to inherit.
-func hold(t *testing.T) (held net.Listener, inherit func(*program.Config)) {
+func hold(t *testing.T) (held net.Listener, inherit func(*server.Config)) {
 	folder := filepath.Join(t.TempDir(), strings.Repeat("a folder with a long name ", 4)) // too long for a socket's path
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
@@ -102,7 +105,7 @@
 	t.Setenv("TMPDIR", folder)
 	l := must(net.Listen("tcp", "127.0.0.1:0"))(t).(*net.TCPListener)
 	t.Cleanup(func() { l.Close() })
-	return l, func(c *program.Config) {
+	return l, func(c *server.Config) {
 		file := must(l.File())(t)
 		defer file.Close()
 		c.Listen, c.ListenFD = "held by another", must(syscall.Dup(int(file.Fd())))(t)
@@ -117,8 +120,8 @@
 	_, inherit := hold(t)
 	old := newWorld(t, inherit)
 	old.work.Took = 300 * time.Millisecond
-	gift := func(w *world, key string) *standin.Try { return fronts[0].ask(t, w, "ny-gava", key, "gift "+key) }
-	want := standin.Outcome{Kind: "served", Body: "done: gift ran"}
+	gift := func(w *world, key string) *fakes.Try { return fronts[0].ask(t, w, "ny-gava", key, "gift "+key) }
+	want := fakes.Outcome{Kind: "served", Body: "done: gift ran"}
 	if got := outcome(t, gift(old, "ran")); got != want {
 		t.Fatalf("%v", got)
 	}
@@ -131,7 +134,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	old.start()
-	repeats := []*standin.Try{gift(young, "ran"), gift(young, "runs"), open}
+	repeats := []*fakes.Try{gift(young, "ran"), gift(young, "runs"), open}
 	for i, key := range []string{"ran", "runs", "runs"} {
 		want.Body = "done: gift " + key
 		if got := outcome(t, repeats[i]); got != want {
@@ -166,7 +169,7 @@
 // let in and turned away: unread, it would be lost.
 func TestInherit(t *testing.T) {
 	held, inherit := hold(t)
-	w := newWorld(t, func(c *program.Config) { inherit(c); shortGrace(c) })
+	w := newWorld(t, func(c *server.Config) { inherit(c); shortGrace(c) })
 	if o := outcome(t, fronts[0].ask(t, w, "kampanjsida", "", "page")); o.Kind != "served" {
 		t.Errorf("over the inherited socket: %s", o.Kind)
 	}
--- a/program/crossing_test.go
+++ b/server/crossing_test.go
@@ -1,4 +1,4 @@
-package program_test
+package server_test
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"time"
 
 	"quincerail.example/quincerail/guard"
-	"quincerail.example/quincerail/internal/standin"
-	"quincerail.example/quincerail/program"
+	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/protocol/thrift"
+	"quincerail.example/quincerail/server"
 )
 
 // balancer is a balancer's connection that asks and reads at will.
@@ -35,11 +35,11 @@
 // request gives the next call of execute.
 func (b *balancer) request(class, key, body string) []byte {
 	b.seq++
-	fields := map[string]string{"verb": class, "txn": standin.NewID(), "lb": "1", "ram": "20", "standing": "0.5"}
+	fields := map[string]string{"verb": class, "txn": fakes.NewID(), "lb": "1", "ram": "20", "standing": "0.5"}
 	if key != "" {
 		fields["unique"] = key
 	}
-	return standin.AppendExecute(nil, b.seq, fields, []byte(body))
+	return fakes.AppendExecute(nil, b.seq, fields, []byte(body))
 }
 
 func (b *balancer) write(p []byte) {
@@ -56,7 +56,7 @@
 	b.t.Helper()
 	kinds = make(map[int32]string)
 	for len(kinds) < n {
-		reply, err := standin.ReadReply(b.r)
+		reply, err := fakes.ReadReply(b.r)
 		if err != nil {
 			b.t.Fatalf("%v after %v, %d replies wanted", err, kinds, n)
 		}
@@ -73,7 +73,7 @@
 // leaving reads up to the message of that name.
 func (b *balancer) leaving() {
 	b.t.Helper()
-	if reply, err := standin.ReadReply(b.r); err != nil || reply.Name != "leaving" {
+	if reply, err := fakes.ReadReply(b.r); err != nil || reply.Name != "leaving" {
 		b.t.Errorf("%+v, %v, leaving wanted", reply, err)
 	}
 }
@@ -82,7 +82,7 @@
 func (b *balancer) end() {
 	b.t.Helper()
 	for {
-		reply, err := standin.ReadReply(b.r)
+		reply, err := fakes.ReadReply(b.r)
 		if errors.Is(err, io.EOF) {
 			return
 		}
@@ -93,7 +93,7 @@
 }
 
 // oneAtATime has one run at work, what else comes waits in the queue.
-func oneAtATime(c *program.Config) {
+func oneAtATime(c *server.Config) {
 	c.Settings.Cores, c.Settings.OverloadRatio = 1, 1
 	c.Settings.DrainGrace, c.Stop = 300*time.Millisecond, 1500*time.Millisecond
 }
@@ -117,9 +117,9 @@
 				for range 3 {
 					b.ask("kampanjsida", "", "queued")
 				}
-				b.write(standin.AppendCheck(nil, b.seq+1, false)) // all are read once it is answered
-				for reply := (standin.Reply{}); reply.Name != "check"; {
-					reply = must(standin.ReadReply(b.r))(t)
+				b.write(fakes.AppendCheck(nil, b.seq+1, false)) // all are read once it is answered
+				for reply := (fakes.Reply{}); reply.Name != "check"; {
+					reply = must(fakes.ReadReply(b.r))(t)
 				}
 				began := time.Now()
 				w.start()
@@ -161,7 +161,7 @@
 	}
 	w.waitClosed(t)
 	if _, err := conns["late"].Write(halves["late"]); err == nil {
-		reply, err := standin.ReadReply(conns["late"].r)
+		reply, err := fakes.ReadReply(conns["late"].r)
 		if err == nil && reply.Outcome().Kind != "refused" || err != nil && !errors.Is(err, io.EOF) {
 			t.Errorf("late: %+v, %v", reply, err)
 		}
@@ -200,7 +200,7 @@
 // time.
 func TestFloodInADrain(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(c *program.Config) {
+	w := newWorld(t, func(c *server.Config) {
 		shortGrace(c)
 		c.Sockets = 64
 	})
@@ -219,7 +219,7 @@
 			b.ask("kampanjsida", "", fmt.Sprint("page ", i))
 		}
 	}
-	b.write(standin.AppendInterrupt(nil, hanging))
+	b.write(fakes.AppendInterrupt(nil, hanging))
 	b.replies(20)
 	b.end()
 	for _, nc := range silent {
@@ -235,7 +235,7 @@
 	for name, spoilt := range map[string][]byte{
 		"no message":   append([]byte{0, 0, 0, 8}, "rubbish!"...),
 		"oversized":    {0x7f, 0, 0, 0},
-		"wrong number": standin.AppendCheck(nil, 99, false),
+		"wrong number": fakes.AppendCheck(nil, 99, false),
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, nil)
@@ -260,7 +260,7 @@
 // TestNoiseEndsConnection: a caller that goes on sending what is no message is answered
 // what it has open, and its connection ends.
 func TestNoiseEndsConnection(t *testing.T) {
-	reply := standin.AppendCheck(nil, 1, false)
+	reply := fakes.AppendCheck(nil, 1, false)
 	reply[7] = byte(thrift.Reply)
 	for name, noise := range map[string][]byte{
 		"bytes":    bytes.Repeat([]byte{0x7f}, 2*guard.MaxDropped),
--- a/program/fronts_test.go
+++ b/server/fronts_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bufio"
@@ -10,40 +10,40 @@
 	"testing/synctest"
 	"time"
 
-	"quincerail.example/quincerail/internal/coretest"
-	"quincerail.example/quincerail/internal/standin"
-	"quincerail.example/quincerail/internal/steps"
+	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/internal/dispatchtest"
+	"quincerail.example/quincerail/internal/fakes"
+	"quincerail.example/quincerail/internal/randomsteps"
 	"quincerail.example/quincerail/match"
 	"quincerail.example/quincerail/protocol/thrift"
 	"quincerail.example/quincerail/protocol/uwsgi"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
 // instant is a backend whose runs end at once, but for bodies that say hang.
-type instant struct{ core *routing.Core }
+type instant struct{ core *dispatch.Core }
 
-// Start implements routing.Backend.
-func (b *instant) Start(r routing.Run) {
+// Start implements dispatch.Backend.
+func (b *instant) Start(r dispatch.Run) {
 	if string(r.Payload.Body) != "hang" {
-		go b.core.RunCompleted(r.ID, routing.RunSucceeded, 0, r.Payload)
+		go b.core.RunCompleted(r.ID, dispatch.RunSucceeded, 0, r.Payload)
 	}
 }
 
-// Cancel implements routing.Backend.
+// Cancel implements dispatch.Backend.
 func (b *instant) Cancel(id string) {
-	go b.core.RunCompleted(id, routing.RunCancelled, 0, routing.Payload{})
+	go b.core.RunCompleted(id, dispatch.RunCancelled, 0, dispatch.Payload{})
 }
 
-// ReplyToCall implements routing.Backend.
+// ReplyToCall implements dispatch.Backend.
 func (b *instant) ReplyToCall(string, []byte) {}
 
-// SkipCall implements routing.Backend.
+// SkipCall implements dispatch.Backend.
 func (b *instant) SkipCall(string, uint64) {}
 
 func newInstant(t *testing.T) *instant {
 	b := &instant{}
-	b.core = coretest.New(t, routing.Options{Backend: b})
+	b.core = dispatchtest.New(t, dispatch.Options{Backend: b})
 	b.core.BackendReady(false, 0)
 	return b
 }
@@ -64,7 +64,7 @@
 	fields := func(id int, class string) map[string]string {
 		return map[string]string{"verb": class, "txn": fmt.Sprintf("%016x", id), "lb": "1", "ram": "1", "standing": "0"}
 	}
-	steps.Fuzz(f, func(t *testing.T, s *steps.Source) {
+	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		b := newInstant(t)
 		front := newThriftFront(b.core, &match.Rules{}, slog.Default(), nil, nil)
 		far, ended := dial(front)
@@ -73,7 +73,7 @@
 		go func() {
 			defer close(read)
 			for r := bufio.NewReader(far); ; {
-				reply, err := standin.ReadReply(r)
+				reply, err := fakes.ReadReply(r)
 				if err != nil {
 					return
 				}
@@ -93,21 +93,21 @@
 			switch step {
 			case 0, 1:
 				owed[seq] = true
-				send(standin.AppendExecute(nil, seq, fields(int(seq), "givarhistorik"), nil))
+				send(fakes.AppendExecute(nil, seq, fields(int(seq), "givarhistorik"), nil))
 			case 2:
 				if owed[seq] = true; hanging < 3 {
 					hanging++
-					send(standin.AppendExecute(nil, seq, fields(int(seq), "givarhistorik"), []byte("hang")))
+					send(fakes.AppendExecute(nil, seq, fields(int(seq), "givarhistorik"), []byte("hang")))
 				} else {
-					send(standin.AppendExecute(nil, seq, fields(int(seq), "okänd"), nil))
+					send(fakes.AppendExecute(nil, seq, fields(int(seq), "okänd"), nil))
 				}
 			case 3:
 				target := int32(1 + s.Pick(int(seq)+1))
 				gone[target] = gone[target] || target <= seq
-				send(standin.AppendInterrupt(nil, target))
+				send(fakes.AppendInterrupt(nil, target))
 			case 4:
 				owed[seq] = true
-				send(standin.AppendCheck(nil, seq, s.Pick(2) == 1))
+				send(fakes.AppendCheck(nil, seq, s.Pick(2) == 1))
 			case 5:
 				time.Sleep(time.Duration(s.Pick(30)) * 100 * time.Millisecond)
 				front.notifyDraining()
@@ -126,8 +126,8 @@
 		if !over && !silent {
 			time.Sleep(5 * time.Second) // beyond the class's deadline
 			owed[seq+1] = true
-			send(standin.AppendCheck(nil, seq+1, false))
-			send(standin.AppendCheck(nil, seq+1+int32(2*s.Pick(2)), false)) // a number again, or one left out, ends it
+			send(fakes.AppendCheck(nil, seq+1, false))
+			send(fakes.AppendCheck(nil, seq+1+int32(2*s.Pick(2)), false)) // a number again, or one left out, ends it
 		}
 		<-ended
 		<-read
@@ -145,8 +145,10 @@
 }
 
 func uwsgiTestConfig() *UWSGIConfig {
-	return &UWSGIConfig{KeyVariable: "HTTP_IDEMPOTENCY_KEY", HealthPath: "/health", MaxBody: 64,
-		Routes: []UWSGIRoute{{Method: "POST", Path: "/gavor", Class: "ny-gava"}, {Path: "/k/{id}", Class: "kampanjsida"}}}
+	return &UWSGIConfig{
+		KeyVariable: "HTTP_IDEMPOTENCY_KEY", HealthPath: "/health", MaxBody: 64,
+		Routes: []UWSGIRoute{{Method: "POST", Path: "/gavor", Class: "ny-gava"}, {Path: "/k/{id}", Class: "kampanjsida"}},
+	}
 }
 
 // FuzzUWSGIConn checks a uwsgi connection against a model: nothing read, half
@@ -154,12 +156,15 @@
 // connection, it has one response; half of it has one too when the grace of a
 // drain is over, and none of it has none.
 func FuzzUWSGIConn(f *testing.F) {
-	steps.Fuzz(f, func(t *testing.T, s *steps.Source) {
+	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		b := newInstant(t)
 		front := newUWSGIFront(b.core, b, uwsgiTestConfig(), &match.Rules{})
 		far, ended := dial(front)
-		packet, err := uwsgi.AppendRequest(nil, []uwsgi.Var{{Name: "REQUEST_METHOD", Value: "POST"},
-			{Name: "PATH_INFO", Value: "/gavor"}, {Name: "HTTP_IDEMPOTENCY_KEY", Value: "k"}}, []byte("10 kr"))
+		packet, err := uwsgi.AppendRequest(nil, []uwsgi.Var{
+			{Name: "REQUEST_METHOD", Value: "POST"},
+			{Name: "PATH_INFO", Value: "/gavor"},
+			{Name: "HTTP_IDEMPOTENCY_KEY", Value: "k"},
+		}, []byte("10 kr"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -267,10 +272,10 @@
 func TestThriftLargeResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		c := &thriftConn{core: &routing.Core{}, conn: transport.NewConn(near), open: map[string]int32{"a": 1}, ids: map[int32]string{1: "a"}}
-		c.Respond("a", routing.Outcome{Kind: routing.Served, Result: routing.Payload{Body: make([]byte, thrift.MaxResult+1)}})
+		c := &thriftConn{core: &dispatch.Core{}, conn: transport.NewConn(near), open: map[string]int32{"a": 1}, ids: map[int32]string{1: "a"}}
+		c.Respond("a", dispatch.Outcome{Kind: dispatch.Served, Result: dispatch.Payload{Body: make([]byte, thrift.MaxResult+1)}})
 		go c.conn.Serve(func(r *bufio.Reader) error { _, err := r.ReadByte(); return err })
-		if reply, err := standin.ReadReply(bufio.NewReader(far)); err != nil || reply.Which != 2 {
+		if reply, err := fakes.ReadReply(bufio.NewReader(far)); err != nil || reply.Which != 2 {
 			t.Errorf("%+v, %v, want Fault", reply, err)
 		}
 		far.Close()
@@ -291,7 +296,7 @@
 			said[name] = heard
 			go func() {
 				for r := bufio.NewReader(far); ; {
-					reply, err := standin.ReadReply(r)
+					reply, err := fakes.ReadReply(r)
 					if err != nil {
 						heard <- "ended"
 						far.Close()
@@ -320,10 +325,12 @@
 				t.Errorf("%s: it also hears %s", name, <-said[name])
 			}
 		}
-		open("busy", standin.AppendExecute(nil, 1, map[string]string{"verb": "kampanjsida", "txn": "0000000000000001",
-			"lb": "1", "ram": "1", "standing": "0"}, []byte("hang")))
-		open("idle", standin.AppendCheck(nil, 1, false))
-		open("later", standin.AppendCheck(nil, 1, false))
+		open("busy", fakes.AppendExecute(nil, 1, map[string]string{
+			"verb": "kampanjsida", "txn": "0000000000000001",
+			"lb": "1", "ram": "1", "standing": "0",
+		}, []byte("hang")))
+		open("idle", fakes.AppendCheck(nil, 1, false))
+		open("later", fakes.AppendCheck(nil, 1, false))
 		open("silent", nil)
 		want("idle", "check")
 		want("later", "check")
@@ -371,8 +378,8 @@
 					fields[name] = v
 				}
 			}
-			go far.Write(standin.AppendExecute(nil, seq, fields, nil))
-			if reply, err := standin.ReadReply(r); err != nil || reply.Type != thrift.Exception || reply.Seq != seq {
+			go far.Write(fakes.AppendExecute(nil, seq, fields, nil))
+			if reply, err := fakes.ReadReply(r); err != nil || reply.Type != thrift.Exception || reply.Seq != seq {
 				t.Errorf("%s %q: %+v, %v, want an exception", field, value, reply, err)
 			}
 		}
@@ -380,10 +387,10 @@
 		for range maxOpen + 1 {
 			seq++
 			good["txn"] = fmt.Sprintf("%016x", seq)
-			calls = standin.AppendExecute(calls, seq, good, []byte("hang"))
+			calls = fakes.AppendExecute(calls, seq, good, []byte("hang"))
 		}
 		go far.Write(calls)
-		if reply, err := standin.ReadReply(r); err != nil || reply.Type != thrift.Exception || reply.Seq != seq {
+		if reply, err := fakes.ReadReply(r); err != nil || reply.Type != thrift.Exception || reply.Seq != seq {
 			t.Errorf("one call too many: %+v, %v, want an exception", reply, err)
 		}
 		far.Close()
--- a/program/handover.go
+++ b/server/handover.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bufio"
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/handover"
 	"quincerail.example/quincerail/protocol/lines"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
@@ -29,7 +29,7 @@
 // handoverDoor is where the processes of one app server meet while a new one takes
 // over from the old: a socket in the folder for temporary files, which they share.
 type handoverDoor struct {
-	core         *routing.Core
+	core         *dispatch.Core
 	log          *slog.Logger
 	folder, name string
 	// Where the platform refuses Unix sockets (ENOSYS, EACCES, or a socket that
@@ -48,9 +48,11 @@
 	ended chan struct{} // closed with the connection
 }
 
-func newHandoverDoor(core *routing.Core, name string, log *slog.Logger) *handoverDoor {
-	return &handoverDoor{core: core, log: log, folder: os.TempDir(), name: fmt.Sprintf("quincerail-%s.sock", name),
-		listen: net.Listen, dial: (&net.Dialer{}).DialContext}
+func newHandoverDoor(core *dispatch.Core, name string, log *slog.Logger) *handoverDoor {
+	return &handoverDoor{
+		core: core, log: log, folder: os.TempDir(), name: fmt.Sprintf("quincerail-%s.sock", name),
+		listen: net.Listen, dial: (&net.Dialer{}).DialContext,
+	}
 }
 
 // address gives the address of a socket in the folder, which holds until release.
@@ -201,18 +203,18 @@
 	h.core.PeerDisconnected(p)
 }
 
-// ReplicateKey implements routing.Peer.
-func (p *peer) ReplicateKey(k routing.KeyState) { p.conn.Send(handover.AppendKey(nil, k)) }
+// ReplicateKey implements dispatch.Peer.
+func (p *peer) ReplicateKey(k dispatch.KeyState) { p.conn.Send(handover.AppendKey(nil, k)) }
 
-// RequestClaim implements routing.Peer.
-func (p *peer) RequestClaim(k routing.KeyState) { p.conn.Send(handover.AppendClaim(nil, k)) }
+// RequestClaim implements dispatch.Peer.
+func (p *peer) RequestClaim(k dispatch.KeyState) { p.conn.Send(handover.AppendClaim(nil, k)) }
 
-// DecideClaim implements routing.Peer.
+// DecideClaim implements dispatch.Peer.
 func (p *peer) DecideClaim(ran string, granted bool) {
 	p.conn.Send(handover.AppendSettle(nil, ran, granted))
 }
 
-// EndKeyBatch implements routing.Peer.
+// EndKeyBatch implements dispatch.Peer.
 func (p *peer) EndKeyBatch(last bool) {
 	p.conn.Send(handover.AppendPart(nil, last))
 	if last {
@@ -224,7 +226,7 @@
 	}
 }
 
-// SetTrafficDisabled implements routing.Peer.
+// SetTrafficDisabled implements dispatch.Peer.
 func (p *peer) SetTrafficDisabled(on bool) { p.conn.Send(handover.AppendAway(nil, on)) }
 
 // leave ends the connection once all is said.
--- a/program/handover_refused_test.go
+++ b/server/handover_refused_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
-	"quincerail.example/quincerail/routing"
+	"quincerail.example/quincerail/dispatch"
 )
 
 // TestHandoverRefused plays a platform that refuses Unix sockets, as the fleet
@@ -19,8 +19,10 @@
 // not wait out its time for one, and reports that it can't open, so that the
 // process serves alone.
 func TestHandoverRefused(t *testing.T) {
-	core, err := routing.New(routing.Options{Classes: []string{"page"}, Settings: decision.Settings{Cores: 1,
-		MemoryKB: 1024, RunningMemoryFactor: 1, Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}}})
+	core, err := dispatch.New(dispatch.Options{Classes: []string{"page"}, Settings: decision.Settings{
+		Cores:    1,
+		MemoryKB: 1024, RunningMemoryFactor: 1, Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}},
+	}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/program/metrics.go
+++ b/server/metrics.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"net/http"
@@ -9,14 +9,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/fleet"
 	"quincerail.example/quincerail/guard"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
 // answerKinds are all kinds of answers.
-var answerKinds = []routing.OutcomeKind{routing.Served, routing.Shed, routing.Failed, routing.TimedOut, routing.Rejected}
+var answerKinds = []dispatch.OutcomeKind{dispatch.Served, dispatch.Shed, dispatch.Failed, dispatch.TimedOut, dispatch.Rejected}
 
 // metrics are a server's counts for its operators, in the Prometheus text
 // format on a listener of the operator's own (github.com/prometheus/client_golang):
@@ -41,7 +41,7 @@
 //	quincerail_fleet_answers{kind}          final answers of the whole fleet, as far as this member has heard
 //	quincerail_fleet_stale_total            pieces of fleet work refused for their token
 type metrics struct {
-	core     atomic.Pointer[routing.Core] // whose open requests are counted, once there is one
+	core     atomic.Pointer[dispatch.Core] // whose open requests are counted, once there is one
 	registry *prometheus.Registry
 	answers  *prometheus.CounterVec
 	repeats  *prometheus.CounterVec
@@ -54,7 +54,7 @@
 }
 
 // tune drops what was counted of classes that are no longer in force. It comes after
-// the core's Retune, from which on answers to these go by routing.DroppedClass.
+// the core's Retune, from which on answers to these go by dispatch.DroppedClass.
 func (m *metrics) tune(classes []string) {
 	for _, old := range m.classes {
 		if !slices.Contains(classes, old) {
@@ -68,24 +68,39 @@
 }
 
 func newMetrics() *metrics {
-	m := &metrics{registry: prometheus.NewRegistry(), count: func(string) {},
-		answers: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "quincerail_answers_total",
-			Help: "Final answers, by class and kind."}, []string{"class", "kind"}),
-		repeats: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "quincerail_repeats_total",
-			Help: "Answers served with the result of another try of their key."}, []string{"class"}),
-		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "quincerail_answer_seconds",
+	m := &metrics{
+		registry: prometheus.NewRegistry(), count: func(string) {},
+		answers: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Name: "quincerail_answers_total",
+			Help: "Final answers, by class and kind.",
+		}, []string{"class", "kind"}),
+		repeats: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Name: "quincerail_repeats_total",
+			Help: "Answers served with the result of another try of their key.",
+		}, []string{"class"}),
+		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name:    "quincerail_answer_seconds",
 			Help:    "Time from a request's coming to its final answer.",
-			Buckets: []float64{0.01, 0.05, 0.1, 0.25, 0.5, 1, 1.8, 2.8, 5, 10}}, []string{"class", "kind"}),
+			Buckets: []float64{0.01, 0.05, 0.1, 0.25, 0.5, 1, 1.8, 2.8, 5, 10},
+		}, []string{"class", "kind"}),
 	}
-	m.ended = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "quincerail_connections_ended_total",
-		Help: "Connections of balancers that ended, by reason."}, []string{"reason"})
-	m.open = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "quincerail_unanswered_at_end_total",
-		Help: "Requests without an answer as their connection ended, by the reason of its end."}, []string{"reason"})
-	m.dropped = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "quincerail_discarded_bytes_total",
-		Help: "Bytes that were read and dropped as their connection ended, by the reason of its end."}, []string{"reason"})
+	m.ended = prometheus.NewCounterVec(prometheus.CounterOpts{
+		Name: "quincerail_connections_ended_total",
+		Help: "Connections of balancers that ended, by reason.",
+	}, []string{"reason"})
+	m.open = prometheus.NewCounterVec(prometheus.CounterOpts{
+		Name: "quincerail_unanswered_at_end_total",
+		Help: "Requests without an answer as their connection ended, by the reason of its end.",
+	}, []string{"reason"})
+	m.dropped = prometheus.NewCounterVec(prometheus.CounterOpts{
+		Name: "quincerail_discarded_bytes_total",
+		Help: "Bytes that were read and dropped as their connection ended, by the reason of its end.",
+	}, []string{"reason"})
 	m.registry.MustRegister(m.answers, m.repeats, m.latency, m.ended, m.open, m.dropped,
-		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "quincerail_open_requests",
-			Help: "Requests handed in and not answered yet."}, func() float64 {
+		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+			Name: "quincerail_open_requests",
+			Help: "Requests handed in and not answered yet.",
+		}, func() float64 {
 			if c := m.core.Load(); c != nil {
 				return float64(c.InFlight())
 			}
@@ -128,14 +143,20 @@
 		}
 		labels := prometheus.Labels{"of": of}
 		m.registry.MustRegister(
-			prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "quincerail_fleet_rights", ConstLabels: labels,
-				Help: "What this member may have in hand of the fleet's budget."},
+			prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+				Name: "quincerail_fleet_rights", ConstLabels: labels,
+				Help: "What this member may have in hand of the fleet's budget.",
+			},
 				func() float64 { return float64(f.Stats().Budgets[of].Rights) }),
-			prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "quincerail_fleet_in_hand", ConstLabels: labels,
-				Help: "What this member has in hand of the fleet's budget."},
+			prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+				Name: "quincerail_fleet_in_hand", ConstLabels: labels,
+				Help: "What this member has in hand of the fleet's budget.",
+			},
 				func() float64 { return float64(f.Stats().Budgets[of].InHand) }),
-			prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "quincerail_fleet_free", ConstLabels: labels,
-				Help: "What of the fleet's budget nobody holds, by a voter's log."},
+			prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+				Name: "quincerail_fleet_free", ConstLabels: labels,
+				Help: "What of the fleet's budget nobody holds, by a voter's log.",
+			},
 				func() float64 { return float64(f.Stats().Budgets[of].Free) }))
 	}
 	calls := f.QuotaAgent(fleet.Calls)
@@ -144,14 +165,16 @@
 	}
 	m.count = calls.AddToCounter
 	for _, kind := range answerKinds {
-		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "quincerail_fleet_answers",
-			ConstLabels: prometheus.Labels{"kind": kind.String()}, Help: "Final answers of the whole fleet, as far as this member has heard."},
+		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+			Name:        "quincerail_fleet_answers",
+			ConstLabels: prometheus.Labels{"kind": kind.String()}, Help: "Final answers of the whole fleet, as far as this member has heard.",
+		},
 			func() float64 { return float64(calls.CounterValue(kind.String())) }))
 	}
 }
 
-// ObserveResponse implements routing.Observer.
-func (m *metrics) ObserveResponse(class string, kind routing.OutcomeKind, took time.Duration, repeat bool) {
+// ObserveResponse implements dispatch.Observer.
+func (m *metrics) ObserveResponse(class string, kind dispatch.OutcomeKind, took time.Duration, repeat bool) {
 	name := kind.String()
 	m.answers.WithLabelValues(class, name).Inc()
 	m.count(name)
@@ -166,11 +189,15 @@
 	for _, rule := range guard.Rules {
 		labels := prometheus.Labels{"rule": string(rule)}
 		m.registry.MustRegister(
-			prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "quincerail_rule_violations_total", ConstLabels: labels,
-				Help: "Rules of the platform that were broken, by rule."},
+			prometheus.NewCounterFunc(prometheus.CounterOpts{
+				Name: "quincerail_rule_violations_total", ConstLabels: labels,
+				Help: "Rules of the platform that were broken, by rule.",
+			},
 				func() float64 { return float64(monitor.Violations(rule)) }),
-			prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "quincerail_rule_denials_total", ConstLabels: labels,
-				Help: "What was not done as it would have broken a rule, by rule."},
+			prometheus.NewCounterFunc(prometheus.CounterOpts{
+				Name: "quincerail_rule_denials_total", ConstLabels: labels,
+				Help: "What was not done as it would have broken a rule, by rule.",
+			},
 				func() float64 { return float64(monitor.Denials(rule)) }))
 	}
 }
--- a/program/program.go
+++ b/server/program.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"context"
@@ -13,14 +13,14 @@
 	"sync/atomic"
 	"time"
 
+	"quincerail.example/quincerail/backend"
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/downstream"
 	"quincerail.example/quincerail/fleet"
 	"quincerail.example/quincerail/guard"
 	"quincerail.example/quincerail/idempotency/journal"
 	"quincerail.example/quincerail/match"
-	"quincerail.example/quincerail/program/backend"
-	"quincerail.example/quincerail/program/downstream"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
@@ -44,7 +44,7 @@
 // idleLimit holds how long connections may idle.
 type idleLimit struct{ after atomic.Int64 }
 
-// SetIdleTimeout implements routing.Connections.
+// SetIdleTimeout implements dispatch.Connections.
 func (l *idleLimit) SetIdleTimeout(after time.Duration) { l.after.Store(int64(after)) }
 
 // front is what the drain needs of a front.
@@ -66,7 +66,7 @@
 // Server is a running app server.
 type Server struct {
 	config        atomic.Pointer[Config] // in force
-	core          *routing.Core
+	core          *dispatch.Core
 	link          *backend.Processor
 	pool          *downstream.Pool
 	presence      *announcer
@@ -110,9 +110,11 @@
 	presence, idle := newAnnouncer(c.Name, logger), &idleLimit{}
 	idle.SetIdleTimeout(c.Settings.MaxIdleTime)
 	monitor := guard.NewMonitor(logger)
-	opt := routing.Options{Monitor: monitor, Settings: c.Settings, Classes: c.Classes, Tenants: c.Tenants, Seed: c.Seed, Logger: logger,
+	opt := dispatch.Options{
+		Monitor: monitor, Settings: c.Settings, Classes: c.Classes, Tenants: c.Tenants, Seed: c.Seed, Logger: logger,
 		Backend: link, Machine: link, Dependency: pool, Registrar: presence, Connections: idle,
-		MaxKeyTableBytes: c.MemoryMB << 20 / keysShare}
+		MaxKeyTableBytes: c.MemoryMB << 20 / keysShare,
+	}
 	var watch *metrics
 	var counted *tally
 	var watching observers
@@ -170,7 +172,7 @@
 		budgeted = downstream.NewBudgeted(pool, member.QuotaAgent(fleet.Calls), func() time.Duration { return c.Settings.AbandonedCallDuration })
 		opt.Dependency = budgeted
 	}
-	core, err := routing.New(opt)
+	core, err := dispatch.New(opt)
 	if err != nil {
 		return nil, err
 	}
@@ -190,8 +192,10 @@
 	if c.Rules != nil {
 		rules.Replace(c.Rules)
 	}
-	s = &Server{core: core, link: link, pool: pool, presence: presence, thrift: newThriftFront(core, rules, logger, watch, monitor), idle: idle,
-		rules: rules, keys: keys, log: logger, monitor: monitor, fleet: member, tally: counted, watch: watch, file: c}
+	s = &Server{
+		core: core, link: link, pool: pool, presence: presence, thrift: newThriftFront(core, rules, logger, watch, monitor), idle: idle,
+		rules: rules, keys: keys, log: logger, monitor: monitor, fleet: member, tally: counted, watch: watch, file: c,
+	}
 	s.config.Store(c)
 	if err := s.listen("listen", c.Listen, c.ListenFD, int(float64(c.Sockets)*frontShare), s.thrift); err != nil {
 		return nil, err
--- a/program/reload.go
+++ b/server/reload.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"fmt"
@@ -40,8 +40,10 @@
 	if c.Rules != nil && c.Rules != was.Rules {
 		s.log.Info("rules", "version", s.rules.Replace(c.Rules), "rules", c.Rules.Len())
 	}
-	stays := map[string]bool{"name": c.Name != was.Name, "listen": c.Listen != was.Listen, "control": c.Control != was.Control,
-		"limits.sockets": c.Sockets != was.Sockets, "settings.familyInfo.ownStats": !slices.Equal(c.Gauges, was.Gauges)}
+	stays := map[string]bool{
+		"name": c.Name != was.Name, "listen": c.Listen != was.Listen, "control": c.Control != was.Control,
+		"limits.sockets": c.Sockets != was.Sockets, "settings.familyInfo.ownStats": !slices.Equal(c.Gauges, was.Gauges),
+	}
 	if s.uwsgi != nil && u != nil {
 		s.backend.SetAddress(u.Backend)
 		stays["uwsgi listen"] = s.uwsgi.reload(u)
--- a/program/sequence.go
+++ b/server/sequence.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 // turn says how the number of a call fits those before it.
 type turn int
--- a/program/suite_test.go
+++ b/server/suite_test.go
@@ -1,4 +1,4 @@
-package program_test
+package server_test
 
 import (
 	"context"
@@ -14,21 +14,21 @@
 	"quincerail.example/quincerail/admission"
 	"quincerail.example/quincerail/describe"
 	"quincerail.example/quincerail/example/web/gifts"
-	"quincerail.example/quincerail/internal/coretest"
-	"quincerail.example/quincerail/internal/standin"
+	"quincerail.example/quincerail/internal/dispatchtest"
+	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/match"
-	"quincerail.example/quincerail/program"
+	"quincerail.example/quincerail/server"
 )
 
 // world is an app server among stand-ins, or the library's sample service.
 // Work on any backend is counted together.
 type world struct {
-	*program.Server // nil for the sample service
-	work            *standin.Work
-	processor       *standin.Processor
-	ledger          *standin.Ledger
-	announce        *standin.Announce
-	drained         chan struct{}
+	*server.Server // nil for the sample service
+	work           *fakes.Work
+	processor      *fakes.Processor
+	ledger         *fakes.Ledger
+	announce       *fakes.Announce
+	drained        chan struct{}
 
 	sample  *gifts.Service // nil for the app server
 	web     *http.Server
@@ -37,9 +37,9 @@
 }
 
 // loadConfig gives the example's configuration, listening on any port.
-func loadConfig(t testing.TB) *program.Config {
+func loadConfig(t testing.TB) *server.Config {
 	t.Helper()
-	c := must(program.ParseConfig(coretest.Example(t, "config.json")))(t)
+	c := must(server.ParseConfig(dispatchtest.Example(t, "config.json")))(t)
 	c.Listen, c.Control = "127.0.0.1:0", ""
 	return c
 }
@@ -55,25 +55,27 @@
 	}
 }
 
-func newWorld(t testing.TB, change func(*program.Config)) *world {
+func newWorld(t testing.TB, change func(*server.Config)) *world {
 	t.Helper()
-	w := &world{work: standin.NewWork(0), drained: make(chan struct{})}
+	w := &world{work: fakes.NewWork(0), drained: make(chan struct{})}
 	const anyPort = "127.0.0.1:0"
-	w.processor = must(standin.NewProcessor(anyPort, w.work))(t)
-	w.ledger = must(standin.NewLedger(anyPort))(t)
-	w.announce = must(standin.NewAnnounce(anyPort))(t)
-	app := must(standin.NewApp(anyPort, w.work))(t)
+	w.processor = must(fakes.NewProcessor(anyPort, w.work))(t)
+	w.ledger = must(fakes.NewLedger(anyPort))(t)
+	w.announce = must(fakes.NewAnnounce(anyPort))(t)
+	app := must(fakes.NewApp(anyPort, w.work))(t)
 	c := loadConfig(t)
 	c.Processor, c.Ledger, c.Announce = w.processor.Addr(), w.ledger.Addr(), w.announce.Addr()
 	if change != nil {
 		change(c)
 	}
-	u := &program.UWSGIConfig{Listen: anyPort, Backend: app.Addr(), KeyVariable: "HTTP_IDEMPOTENCY_KEY",
-		HealthPath: "/health", MaxBody: 4096}
+	u := &server.UWSGIConfig{
+		Listen: anyPort, Backend: app.Addr(), KeyVariable: "HTTP_IDEMPOTENCY_KEY",
+		HealthPath: "/health", MaxBody: 4096,
+	}
 	for _, class := range c.Classes {
-		u.Routes = append(u.Routes, program.UWSGIRoute{Path: "/" + class, Class: class})
+		u.Routes = append(u.Routes, server.UWSGIRoute{Path: "/" + class, Class: class})
 	}
-	w.Server = must(program.Start(c, u))(t)
+	w.Server = must(server.Start(c, u))(t)
 	t.Cleanup(func() {
 		w.Kill()
 		w.processor.Close()
@@ -87,15 +89,17 @@
 
 // newSample gives the library's sample service with the classes, memory and
 // grace of the app server's configuration, and a route /CLASS for each class.
-func newSample(t testing.TB, change func(*program.Config)) *world {
+func newSample(t testing.TB, change func(*server.Config)) *world {
 	t.Helper()
 	c := loadConfig(t)
 	if change != nil {
 		change(c)
 	}
-	w := &world{work: standin.NewWork(0), drained: make(chan struct{}), stopIn: c.Stop}
-	cfg := admission.Config{Cores: c.Settings.Cores, Memory: int64(c.Settings.MemoryKB * 1024), MaxBody: 4096,
-		DrainGrace: c.Settings.DrainGrace, Seed: 1}
+	w := &world{work: fakes.NewWork(0), drained: make(chan struct{}), stopIn: c.Stop}
+	cfg := admission.Config{
+		Cores: c.Settings.Cores, Memory: int64(c.Settings.MemoryKB * 1024), MaxBody: 4096,
+		DrainGrace: c.Settings.DrainGrace, Seed: 1,
+	}
 	if c.Rules != nil {
 		cfg.Rules = &match.Rules{}
 		cfg.Rules.Replace(c.Rules)
@@ -141,7 +145,7 @@
 	go func() { w.Drain(); close(w.drained) }()
 }
 
-func outcome(t testing.TB, try *standin.Try) standin.Outcome {
+func outcome(t testing.TB, try *fakes.Try) fakes.Outcome {
 	t.Helper()
 	o, err := try.Outcome()
 	if err != nil {
@@ -196,29 +200,29 @@
 // front is a protocol that the suite runs against.
 type front struct {
 	name    string
-	caller  standin.Caller
+	caller  fakes.Caller
 	address func(*world) string
-	world   func(testing.TB, func(*program.Config)) *world
+	world   func(testing.TB, func(*server.Config)) *world
 }
 
 // daemon's fronts are the app server's own; the last of fronts is the library's
 // sample service.
 var (
 	daemon = []front{
-		{"thrift", standin.Thrift, func(w *world) string { return w.Addr().String() }, newWorld},
-		{"uwsgi", standin.UWSGI, func(w *world) string { return w.UWSGIAddr().String() }, newWorld},
+		{"thrift", fakes.Thrift, func(w *world) string { return w.Addr().String() }, newWorld},
+		{"uwsgi", fakes.UWSGI, func(w *world) string { return w.UWSGIAddr().String() }, newWorld},
 	}
-	fronts = append(slices.Clip(daemon), front{"middleware", standin.HTTP, (*world).door, newSample})
+	fronts = append(slices.Clip(daemon), front{"middleware", fakes.HTTP, (*world).door, newSample})
 )
 
 // open makes a try without sending it.
-func (f front) open(t testing.TB, w *world, class, key, body string) *standin.Try {
+func (f front) open(t testing.TB, w *world, class, key, body string) *fakes.Try {
 	t.Helper()
 	return must(f.caller(f.address(w), class, key, body))(t)
 }
 
 // ask makes a try and sends it.
-func (f front) ask(t testing.TB, w *world, class, key, body string) *standin.Try {
+func (f front) ask(t testing.TB, w *world, class, key, body string) *fakes.Try {
 	t.Helper()
 	try := f.open(t, w, class, key, body)
 	if err := try.Send(); err != nil {
@@ -231,7 +235,7 @@
 // over every protocol.
 var scenarios = []struct {
 	name   string
-	config func(*program.Config)
+	config func(*server.Config)
 	want   string
 	play   func(t *testing.T, w *world, f front) string
 }{
@@ -260,13 +264,15 @@
 		try.GiveUp()
 		return "stopped " + <-w.work.Stopped()
 	}},
-	{"repeat", nil, "served done: gift, served done: gift, served done: gift, 1 run",
+	{
+		"repeat", nil, "served done: gift, served done: gift, served done: gift, 1 run",
 		func(t *testing.T, w *world, f front) string {
 			first, second := f.ask(t, w, "ny-gava", "k3", "gift"), f.ask(t, w, "ny-gava", "k3", "gift")
 			a, b := outcome(t, first), outcome(t, second)
 			c := outcome(t, f.ask(t, w, "ny-gava", "k3", "gift"))
 			return fmt.Sprintf("%s, %s, %s, %d run", say(a), say(b), say(c), w.work.Runs("gift"))
-		}},
+		},
+	},
 	{"repeat of a failure", nil, "failed, failed, 1 run", func(t *testing.T, w *world, f front) string {
 		a := outcome(t, f.ask(t, w, "ny-gava", "k4", "fail gift"))
 		b := outcome(t, f.ask(t, w, "ny-gava", "k4", "fail gift"))
@@ -280,16 +286,19 @@
 		o := outcome(t, f.ask(t, w, "ny-gava", "k7", "gift"))
 		return fmt.Sprintf("%s, %d run", say(o), w.work.Runs("gift"))
 	}},
-	{"key of another request", nil, "served done: gift, rejected, served done: gift, 1 run, 0 others",
+	{
+		"key of another request", nil, "served done: gift, rejected, served done: gift, 1 run, 0 others",
 		func(t *testing.T, w *world, f front) string {
 			a := outcome(t, f.ask(t, w, "ny-gava", "k6", "gift"))
 			b := outcome(t, f.ask(t, w, "ny-gava", "k6", "more"))
 			c := outcome(t, f.ask(t, w, "ny-gava", "k6", "gift"))
 			return fmt.Sprintf("%s, %s, %s, %d run, %d others", say(a), say(b), say(c), w.work.Runs("gift"), w.work.Runs("more"))
-		}},
+		},
+	},
 	// What runs at the notice is served, what comes whole within the grace too;
 	// what was half read at the notice and comes whole after it never runs.
-	{"drain", shortGrace, "served done: running, served done: early, refused, 0 late runs, drained",
+	{
+		"drain", shortGrace, "served done: running, served done: early, refused, 0 late runs, drained",
 		func(t *testing.T, w *world, f front) string {
 			early, late := f.open(t, w, "kampanjsida", "", "early"), f.open(t, w, "ny-gava", "k5", "late")
 			early.SendHalf()
@@ -306,25 +315,26 @@
 			r := outcome(t, running)
 			<-w.drained
 			return fmt.Sprintf("%s, %s, %s, %d late runs, drained", say(r), say(e), say(l), w.work.Runs("late"))
-		}},
+		},
+	},
 }
 
-func say(o standin.Outcome) string {
+func say(o fakes.Outcome) string {
 	if o.Body == "" {
 		return o.Kind
 	}
 	return o.Kind + " " + o.Body
 }
 
-func noRoom(c *program.Config) { c.Settings.MemoryKB = 10 }
+func noRoom(c *server.Config) { c.Settings.MemoryKB = 10 }
 
-func shortDeadline(c *program.Config) {
+func shortDeadline(c *server.Config) {
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].LatencyObjective, c.Settings.Classes[i].Deadline = time.Second, 1500*time.Millisecond
 	}
 }
 
-func shortGrace(c *program.Config) {
+func shortGrace(c *server.Config) {
 	c.Settings.DrainGrace, c.Stop = time.Second, 5*time.Second
 }
 
@@ -416,8 +426,8 @@
 			a := first.ask(t, w, "ny-gava", "k", "gift")
 			<-w.work.Begun()
 			b := second.ask(t, w, "ny-gava", "k", "gift")
-			for _, try := range []*standin.Try{a, b, second.ask(t, w, "ny-gava", "k", "gift")} {
-				if got, want := outcome(t, try), (standin.Outcome{Kind: "served", Body: "done: gift"}); got != want {
+			for _, try := range []*fakes.Try{a, b, second.ask(t, w, "ny-gava", "k", "gift")} {
+				if got, want := outcome(t, try), (fakes.Outcome{Kind: "served", Body: "done: gift"}); got != want {
 					t.Errorf("got %v, want %v", got, want)
 				}
 			}
--- a/program/tenants_test.go
+++ b/server/tenants_test.go
@@ -1,4 +1,4 @@
-package program_test
+package server_test
 
 import (
 	"strconv"
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"quincerail.example/quincerail/internal/coretest"
-	"quincerail.example/quincerail/internal/standin"
-	"quincerail.example/quincerail/program"
+	"quincerail.example/quincerail/internal/dispatchtest"
+	"quincerail.example/quincerail/internal/fakes"
+	"quincerail.example/quincerail/server"
 )
 
 // withTenants gives the settings of the example that has tenants, whose callers tell
 // how long they wait, changed in places. The addresses stay.
-func withTenants(t testing.TB, change ...string) func(*program.Config) {
-	return func(c *program.Config) {
-		text := coretest.Example(t, "tenants.json")
-		next := must(program.ParseConfig(strings.NewReplacer(change...).Replace(text)))(t)
+func withTenants(t testing.TB, change ...string) func(*server.Config) {
+	return func(c *server.Config) {
+		text := dispatchtest.Example(t, "tenants.json")
+		next := must(server.ParseConfig(strings.NewReplacer(change...).Replace(text)))(t)
 		next.Listen, next.Control, next.Processor, next.Ledger, next.Announce =
 			c.Listen, c.Control, c.Processor, c.Ledger, c.Announce
 		*c = *next
@@ -27,21 +27,21 @@
 func (b *balancer) ofTeam(class, team, body string, further ...string) {
 	b.t.Helper()
 	b.seq++
-	fields := map[string]string{"verb": class, "txn": standin.NewID(), "lb": "1", "ram": "20", "standing": "0.5", "unique": body}
+	fields := map[string]string{"verb": class, "txn": fakes.NewID(), "lb": "1", "ram": "20", "standing": "0.5", "unique": body}
 	if team != "" {
 		fields["team"] = team
 	}
 	for i := 0; i < len(further); i += 2 {
 		fields[further[i]] = further[i+1]
 	}
-	b.write(standin.AppendExecute(nil, b.seq, fields, []byte(body)))
+	b.write(fakes.AppendExecute(nil, b.seq, fields, []byte(body)))
 }
 
 // reply reads the next reply of execute or check.
-func (b *balancer) reply() standin.Reply {
+func (b *balancer) reply() fakes.Reply {
 	b.t.Helper()
 	for {
-		reply, err := standin.ReadReply(b.r)
+		reply, err := fakes.ReadReply(b.r)
 		if err != nil {
 			b.t.Fatal(err)
 		}
@@ -105,8 +105,8 @@
 // TestFeedback: every answer and health check carries the free value, a number of 0 or
 // more, while the settings have one, and none once new settings have none.
 func TestFeedback(t *testing.T) {
-	var running program.Config
-	w := newWorld(t, func(c *program.Config) {
+	var running server.Config
+	w := newWorld(t, func(c *server.Config) {
 		withTenants(t)(c)
 		running = *c
 	})
@@ -122,7 +122,7 @@
 		b.ofTeam("status", "north", "a page")
 		b.ofTeam("status", "north", "fail now")
 		b.seq++
-		b.write(standin.AppendCheck(nil, b.seq, false))
+		b.write(fakes.AppendCheck(nil, b.seq, false))
 		for range 3 {
 			reply := b.reply()
 			value, err := strconv.ParseFloat(reply.Fields["feedback"], 64)
--- a/program/thrift.go
+++ b/server/thrift.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/guard"
 	"quincerail.example/quincerail/match"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
@@ -25,7 +25,7 @@
 
 // thriftFront is the front for the balancers' protocol.
 type thriftFront struct {
-	core  *routing.Core
+	core  *dispatch.Core
 	rules *match.Rules
 	log   *slog.Logger
 	conns registry[*thriftConn]
@@ -39,7 +39,7 @@
 	roomMade  time.Time
 }
 
-func newThriftFront(core *routing.Core, rules *match.Rules, log *slog.Logger, observer *metrics, monitor *guard.Monitor) *thriftFront {
+func newThriftFront(core *dispatch.Core, rules *match.Rules, log *slog.Logger, observer *metrics, monitor *guard.Monitor) *thriftFront {
 	return &thriftFront{core: core, rules: rules, log: log, observer: observer, monitor: monitor, conns: newRegistry[*thriftConn]()}
 }
 
--- a/program/thriftconn.go
+++ b/server/thriftconn.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/guard"
 	"quincerail.example/quincerail/match"
 	"quincerail.example/quincerail/protocol/thrift"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
@@ -27,7 +27,7 @@
 
 // thriftConn is one connection of a balancer.
 type thriftConn struct {
-	core    *routing.Core
+	core    *dispatch.Core
 	rules   *match.Rules
 	conn    *transport.Conn
 	monitor *guard.Monitor
@@ -199,7 +199,7 @@
 }
 
 // request reads a message's fields. The error names the one that makes no sense.
-func (t *thriftConn) request(m *thrift.Message) (request routing.Request, err error) {
+func (t *thriftConn) request(m *thrift.Message) (request dispatch.Request, err error) {
 	if m.Err != nil {
 		return request, m.Err
 	}
@@ -212,9 +212,9 @@
 	if arrived-timeline.Now() > doorAhead {
 		return request, fmt.Errorf("door %q", m.Fields["door"])
 	}
-	request = routing.Request{
+	request = dispatch.Request{
 		ID: m.Fields["txn"], CacheKey: m.Fields["item"], Tenant: m.Fields["team"], ArrivedAt: timeline.Time(arrived),
-		ReadAfter: t.conn.ReadAfter(), ReadBy: t.conn.ReadAt(), Payload: routing.Payload{Body: m.Body}, Responder: t,
+		ReadAfter: t.conn.ReadAfter(), ReadBy: t.conn.ReadAt(), Payload: dispatch.Payload{Body: m.Body}, Responder: t,
 	}
 	if request.ReservedKB, err = strconv.ParseFloat(m.Fields["ram"], 64); err != nil || !(request.ReservedKB > 0 && request.ReservedKB < 2000) {
 		return request, fmt.Errorf("ram %q", m.Fields["ram"])
@@ -271,8 +271,8 @@
 	return nil
 }
 
-// Respond implements routing.Sink.
-func (t *thriftConn) Respond(id string, o routing.Outcome) {
+// Respond implements dispatch.Sink.
+func (t *thriftConn) Respond(id string, o dispatch.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	seq, ok := t.open[id]
@@ -281,12 +281,12 @@
 		return
 	}
 	if len(o.Result.Body) > thrift.MaxResult { // of a run for the other front, which allows more
-		o = routing.Outcome{Kind: routing.Failed}
+		o = dispatch.Outcome{Kind: dispatch.Failed}
 	}
 	switch o.Kind {
-	case routing.Served:
+	case dispatch.Served:
 		t.conn.Send(thrift.AppendAnswer(nil, "execute", seq, thrift.Answer{Body: o.Result.Body, Fields: t.fields(), Good: true}))
-	case routing.Shed:
+	case dispatch.Shed:
 		// A refusal always says when to come back, be it at once.
 		fields := map[string]string{"later": strconv.FormatInt(max(1, o.RetryAfter.Milliseconds()), 10)}
 		maps.Copy(fields, t.fields())
@@ -294,7 +294,7 @@
 			fields["giveup"] = "1"
 		}
 		t.conn.Send(thrift.AppendShed(nil, seq, fields))
-	case routing.Rejected:
+	case dispatch.Rejected:
 		t.conn.Send(thrift.AppendException(nil, "execute", seq, thrift.ProtocolError, "id or key of another request"))
 	default:
 		t.conn.Send(thrift.AppendFault(nil, seq, t.fields()))
--- a/program/uwsgi.go
+++ b/server/uwsgi.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bufio"
@@ -11,10 +11,10 @@
 	"time"
 
 	"quincerail.example/quincerail/describe"
+	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/match"
 	"quincerail.example/quincerail/protocol/httpresult"
 	"quincerail.example/quincerail/protocol/uwsgi"
-	"quincerail.example/quincerail/routing"
 	"quincerail.example/quincerail/transport"
 )
 
@@ -26,9 +26,9 @@
 
 // uwsgiFront is the front for the uwsgi protocol: one request a connection.
 type uwsgiFront struct {
-	core    *routing.Core
+	core    *dispatch.Core
 	rules   *match.Rules
-	backend routing.Backend
+	backend dispatch.Backend
 	now     atomic.Pointer[uwsgiSettings]
 	conns   registry[*uwsgiConn]
 }
@@ -39,7 +39,7 @@
 	table *describe.Table
 }
 
-func newUWSGIFront(core *routing.Core, backend routing.Backend, config *UWSGIConfig, rules *match.Rules) *uwsgiFront {
+func newUWSGIFront(core *dispatch.Core, backend dispatch.Backend, config *UWSGIConfig, rules *match.Rules) *uwsgiFront {
 	f := &uwsgiFront{core: core, rules: rules, backend: backend, conns: newRegistry[*uwsgiConn]()}
 	f.reload(config)
 	return f
@@ -122,7 +122,7 @@
 	if path == "" {
 		path, _, _ = strings.Cut(req.Get("REQUEST_URI"), "?")
 	}
-	id := routing.NewID()
+	id := dispatch.NewID()
 	u.mu.Lock()
 	u.id = id
 	u.conn.SetReadDeadline(time.Time{}) // from here on the core answers in time
@@ -142,15 +142,17 @@
 		u.respond(http.StatusNotFound)
 		return
 	}
-	payload := routing.Payload{Body: req.Body}
+	payload := dispatch.Payload{Body: req.Body}
 	size := len(req.Body)
 	for _, v := range req.Vars {
-		payload.Fields = append(payload.Fields, routing.Field(v))
+		payload.Fields = append(payload.Fields, dispatch.Field(v))
 		size += len(v.Name) + len(v.Value)
 	}
-	err := f.core.Submit(routing.Request{ID: id, Class: class, Key: key,
+	err := f.core.Submit(dispatch.Request{
+		ID: id, Class: class, Key: key,
 		ArrivedAt: time.Now(), ReadBy: u.conn.ReadAt(), Caller: -1, ReservedKB: uwsgiBaseKB + float64(size)/1024, Payload: payload,
-		Backend: f.backend, Responder: u})
+		Backend: f.backend, Responder: u,
+	})
 	if err != nil { // a keyed class without its key
 		u.respond(http.StatusBadRequest)
 	}
@@ -160,8 +162,10 @@
 // takes it, else by the routes.
 func (f *uwsgiFront) classify(req *uwsgi.Request, path string) (class, key string, ok bool) {
 	if set := f.rules.Load(); set != nil {
-		r := match.Request{Front: "uwsgi", Method: req.Get("REQUEST_METHOD"), Path: path,
-			Headers: make(map[string]string, len(req.Vars)), Body: req.Body}
+		r := match.Request{
+			Front: "uwsgi", Method: req.Get("REQUEST_METHOD"), Path: path,
+			Headers: make(map[string]string, len(req.Vars)), Body: req.Body,
+		}
 		for _, v := range req.Vars {
 			if name, ok := match.CGIHeader(v.Name); ok {
 				r.Headers[name] = v.Value
@@ -175,17 +179,17 @@
 	return route.Class, req.Get(route.KeyHeader), ok
 }
 
-// Respond implements routing.Sink.
-func (u *uwsgiConn) Respond(_ string, o routing.Outcome) {
+// Respond implements dispatch.Sink.
+func (u *uwsgiConn) Respond(_ string, o dispatch.Outcome) {
 	switch o.Kind {
-	case routing.Served:
+	case dispatch.Served:
 		status, headers, body := httpresult.Decode(o.Result)
 		resp := uwsgi.Response{Status: status, Body: body}
 		for _, h := range headers {
 			resp.Headers = append(resp.Headers, uwsgi.Var(h))
 		}
 		u.send(resp)
-	case routing.Shed:
+	case dispatch.Shed:
 		u.refuse(o.RetryAfter)
 	default:
 		u.respond(httpresult.Status(o.Kind))
@@ -198,8 +202,10 @@
 }
 
 func (u *uwsgiConn) respond(status int, headers ...uwsgi.Var) {
-	u.send(uwsgi.Response{Status: status, Headers: append(headers, uwsgi.Var{Name: "Content-Type", Value: "text/plain"}),
-		Body: []byte(http.StatusText(status) + "\n")})
+	u.send(uwsgi.Response{
+		Status: status, Headers: append(headers, uwsgi.Var{Name: "Content-Type", Value: "text/plain"}),
+		Body: []byte(http.StatusText(status) + "\n"),
+	})
 }
 
 func (u *uwsgiConn) send(r uwsgi.Response) {
--- a/program/uwsgiconfig.go
+++ b/server/uwsgiconfig.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"cmp"
@@ -89,8 +89,10 @@
 func (c *UWSGIConfig) routes() describe.Routes {
 	var routes describe.Routes
 	for _, r := range c.Routes {
-		routes = append(routes, describe.Route{Method: r.Method, Path: r.Path, Class: r.Class,
-			KeyHeader: cmp.Or(r.KeyVariable, c.KeyVariable)})
+		routes = append(routes, describe.Route{
+			Method: r.Method, Path: r.Path, Class: r.Class,
+			KeyHeader: cmp.Or(r.KeyVariable, c.KeyVariable),
+		})
 	}
 	return routes
 }
--- a/program/voters.go
+++ b/server/voters.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"context"
--- a/transport/conn_test.go
+++ b/transport/conn_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"quincerail.example/quincerail/internal/steps"
+	"quincerail.example/quincerail/internal/randomsteps"
 )
 
 const frame = 3 // bytes of a message in these tests
@@ -58,7 +58,7 @@
 // was accepted for sending arrives in order, all that came is taken in order,
 // whatever interrupts what.
 func FuzzConn(f *testing.F) {
-	steps.Fuzz(f, func(t *testing.T, s *steps.Source) {
+	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		p := newPeer()
 		defer p.Close()
 		var got, sent, written []byte
