--- a/internal/fakes/app.go
+++ b/internal/fakes/app.go
@@ -17,7 +17,7 @@
 
 // NewApp starts a uwsgi application server that does some work.
 func NewApp(address string, work *Work) (*App, error) {
-	l, err := net.Listen("tcp", address)
+	l, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("uwsgi app: %w", err)
 	}
@@ -30,10 +30,9 @@
 func (a *App) Addr() string { return a.listener.Addr().String() }
 
 // Close ends it.
-func (a *App) Close() { a.listener.Close() }
+func (a *App) Close() { closeIgnoringError(a.listener) }
 
 func (a *App) serve(nc net.Conn) {
-	defer nc.Close()
 	r := bufio.NewReader(nc)
 	req, err := (&uwsgi.Decoder{MaxBody: 1 << 20}).Read(r)
 	if err != nil {
@@ -41,7 +40,7 @@
 	}
 	body := string(req.Body)
 	answer := func(status int, text string) {
-		nc.Write(uwsgi.AppendResponse(nil, uwsgi.Response{
+		send(nc, "%s", uwsgi.AppendResponse(nil, uwsgi.Response{
 			Status: status, Body: []byte(text),
 			Headers: []uwsgi.Var{{Name: "Content-Type", Value: "text/plain"}},
 		}))
@@ -51,7 +50,7 @@
 		answer(500, "failed")
 	case "break":
 	case "hang":
-		r.Peek(1) // until the app server gives up
+		_, _ = r.Peek(1) // until the app server gives up
 		a.work.stopped(body)
 	default:
 		time.Sleep(a.work.Took)
--- a/internal/fakes/processor.go
+++ b/internal/fakes/processor.go
@@ -12,6 +12,10 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
+// usagesUntilUp is how often the app server asks for the gauges before its module counts
+// as at work.
+const usagesUntilUp = 3
+
 // Processor stands in for the processor.
 type Processor struct {
 	work     *Work
@@ -36,7 +40,7 @@
 
 // NewProcessor starts a processor that does some work.
 func NewProcessor(address string, work *Work) (*Processor, error) {
-	l, err := net.Listen("tcp", address)
+	l, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("processor: %w", err)
 	}
@@ -55,42 +59,33 @@
 // Move has it listen at a new address, and no more at the old one. The link that
 // is open goes on until the app server opens the next.
 func (p *Processor) Move(address string) error {
-	l, err := net.Listen("tcp", address)
+	l, err := listen(address)
 	if err != nil {
 		return fmt.Errorf("processor: %w", err)
 	}
-	p.listener.Close()
+	closeIgnoringError(p.listener)
 	p.listener = l
 	go accept(l, p.serve)
 	return nil
 }
 
 // Close ends it.
-func (p *Processor) Close() { p.listener.Close(); p.Break() }
+func (p *Processor) Close() {
+	closeIgnoringError(p.listener)
+	p.Break()
+}
 
 // Break breaks the link. Runs continue.
 func (p *Processor) Break() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.link != nil {
-		p.link.Close()
+		closeIgnoringError(p.link)
 		p.link = nil
 	}
 }
 
-// accept serves connections, each in a goroutine, until the listener closes.
-func accept(l net.Listener, serve func(net.Conn)) {
-	for {
-		nc, err := l.Accept()
-		if err != nil {
-			return
-		}
-		go serve(nc)
-	}
-}
-
 func (p *Processor) serve(nc net.Conn) {
-	defer nc.Close()
 	r := bufio.NewReaderSize(nc, 16<<10)
 	for {
 		words, body, err := lines.Read(r, func(w []string) bool { return w[0] == "begin" || w[0] == "answer" })
@@ -111,40 +106,56 @@
 	}
 	switch words[0] {
 	case "hello":
-		last, _ := strconv.Atoi(id)
-		p.link = nc
-		fmt.Fprintf(nc, "hi old %d\r\n", time.Since(p.born).Milliseconds())
-		for _, n := range p.notices[min(last, len(p.notices)):] {
-			nc.Write([]byte(n))
-		}
+		p.connect(nc, id)
 	case "begin":
 		p.work.came(body, words[2])
 		p.begin(id, body)
 	case "interrupt":
-		if r := p.runs[id]; r != nil && !r.over {
-			p.work.stopped(r.body)
-			p.complete(id, r, "cut", nil)
-		}
+		p.cancel(id)
 	case "answer":
-		if r := p.runs[id]; r != nil && r.asks {
-			r.asks = false
-			p.complete(id, r, "good", []byte(body))
-			return
+		if !p.endCall(id, body) {
+			send(nc, "reject answer %s\r\n", id)
 		}
-		fmt.Fprintf(nc, "reject answer %s\r\n", id)
 	case "without":
-		if r := p.runs[id]; r != nil && r.asks {
-			r.asks = false
-			p.complete(id, r, "good", []byte("without"))
-		}
+		p.endCall(id, "without")
 	case "usage":
-		if p.usages++; p.usages == 3 {
+		if p.usages++; p.usages == usagesUntilUp {
 			close(p.up)
 		}
-		fmt.Fprintf(nc, "used %s 0.1 %d 0.1 1\r\n", id, p.running)
+		send(nc, "used %s 0.1 %d 0.1 1\r\n", id, p.running)
 	case "trial":
-		fmt.Fprintf(nc, "tried %s good\r\n", id)
+		send(nc, "tried %s good\r\n", id)
+	}
+}
+
+// connect greets the app server, and sends the notices after the last that it has.
+func (p *Processor) connect(nc net.Conn, lastNotice string) {
+	last, _ := strconv.Atoi(lastNotice) // 0 for what is no number
+	p.link = nc
+	send(nc, "hi old %d\r\n", time.Since(p.born).Milliseconds())
+	for _, n := range p.notices[min(last, len(p.notices)):] {
+		send(nc, "%s", n)
+	}
+}
+
+// cancel stops a run.
+func (p *Processor) cancel(id string) {
+	if r := p.runs[id]; r != nil && !r.over {
+		p.work.stopped(r.body)
+		p.complete(id, r, "cut", nil)
+	}
+}
+
+// endCall completes a run that waits for its call, with the call's reply. It returns
+// false if the run does not wait for one.
+func (p *Processor) endCall(id, reply string) bool {
+	r := p.runs[id]
+	if r == nil || !r.asks {
+		return false
 	}
+	r.asks = false
+	p.complete(id, r, "good", []byte(reply))
+	return true
 }
 
 func (p *Processor) begin(id, body string) {
@@ -189,6 +200,6 @@
 	}
 	p.notices = append(p.notices, text)
 	if p.link != nil {
-		p.link.Write([]byte(text))
+		send(p.link, "%s", text)
 	}
 }
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"net"
 	"net/http"
 	"sync"
 	"time"
@@ -35,13 +34,13 @@
 
 // NewRegistry starts a registry.
 func NewRegistry(address string) (*Registry, error) {
-	l, err := net.Listen("tcp", address)
+	l, err := listen(address)
 	if err != nil {
 		return nil, err
 	}
 	r := &Registry{addr: l.Addr().String(), changed: make(chan struct{})}
 	r.server = &http.Server{Handler: r, ReadHeaderTimeout: 10 * time.Second}
-	go r.server.Serve(l)
+	go func() { _ = r.server.Serve(l) }() // it returns http.ErrServerClosed after Close
 	return r, nil
 }
 
@@ -49,7 +48,7 @@
 func (r *Registry) Addr() string { return r.addr }
 
 // Close ends it.
-func (r *Registry) Close() { r.server.Close() }
+func (r *Registry) Close() { closeIgnoringError(r.server) }
 
 // ServeHTTP implements http.Handler.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
--- a/internal/fakes/services.go
+++ b/internal/fakes/services.go
@@ -36,7 +36,7 @@
 
 // NewLedger starts a ledger.
 func NewLedger(address string) (*Ledger, error) {
-	l, err := net.Listen("tcp", address)
+	l, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
@@ -49,10 +49,9 @@
 func (s *Ledger) Addr() string { return s.listener.Addr().String() }
 
 // Close ends it.
-func (s *Ledger) Close() { s.listener.Close() }
+func (s *Ledger) Close() { closeIgnoringError(s.listener) }
 
 func (s *Ledger) serve(nc net.Conn) {
-	defer nc.Close()
 	r := bufio.NewReaderSize(nc, 16<<10)
 	for {
 		words, body, err := lines.Read(r, func(w []string) bool { return w[0] == "post" })
@@ -66,7 +65,7 @@
 		_, how, _ := strings.Cut(string(body), " ")
 		post := func() {
 			result := Result(string(body))
-			fmt.Fprintf(nc, "%s posted %d\r\n%s\r\n", words[1], len(result), result)
+			send(nc, "%s posted %d\r\n%s\r\n", words[1], len(result), result)
 		}
 		if how == "hold" {
 			s.mu.Lock()
@@ -76,9 +75,9 @@
 		s.Calls <- string(body)
 		switch how {
 		case "full":
-			fmt.Fprintf(nc, "%s queue_full\r\n", words[1])
+			send(nc, "%s queue_full\r\n", words[1])
 		case "error", "expired", "moot":
-			fmt.Fprintf(nc, "%s %s\r\n", words[1], how)
+			send(nc, "%s %s\r\n", words[1], how)
 		case "hold":
 		case "break":
 			return
@@ -99,7 +98,7 @@
 
 // NewAnnounce starts an announce service.
 func NewAnnounce(address string) (*Announce, error) {
-	l, err := net.Listen("tcp", address)
+	l, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("announce: %w", err)
 	}
@@ -113,16 +112,15 @@
 
 // Close ends it, with its connections.
 func (s *Announce) Close() {
-	s.listener.Close()
+	closeIgnoringError(s.listener)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
-		c.Close()
+		closeIgnoringError(c)
 	}
 }
 
 func (s *Announce) serve(nc net.Conn) {
-	defer nc.Close()
 	s.mu.Lock()
 	s.conns = append(s.conns, nc)
 	s.mu.Unlock()
@@ -140,6 +138,6 @@
 		case s.Reports <- req.Method + " " + req.URL.Path + " " + string(body):
 		default: // nobody is looking
 		}
-		fmt.Fprint(nc, "HTTP/1.1 204 No Content\r\n\r\n")
+		send(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 	}
 }
--- a/internal/fakes/shared.go
+++ b/internal/fakes/shared.go
@@ -38,7 +38,7 @@
 // NewSharedLedger starts a ledger whose calls take a time each, and which turns
 // the first call of one in turnsAway requests away; of none for 0.
 func NewSharedLedger(address string, took time.Duration, turnsAway int) (*SharedLedger, error) {
-	l, err := net.Listen("tcp", address)
+	l, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
@@ -51,7 +51,7 @@
 func (s *SharedLedger) Addr() string { return s.listener.Addr().String() }
 
 // Close ends it.
-func (s *SharedLedger) Close() { s.listener.Close() }
+func (s *SharedLedger) Close() { closeIgnoringError(s.listener) }
 
 // Count gives the most that was in hand at any instant since the last Count,
 // how many calls have ended, and a channel that is closed when one more does.
@@ -87,7 +87,6 @@
 }
 
 func (s *SharedLedger) serve(nc net.Conn) {
-	defer nc.Close()
 	var mu sync.Mutex // one answer at a time
 	r := bufio.NewReader(nc)
 	for {
@@ -102,7 +101,7 @@
 		if s.repeated(words[1]) {
 			s.mu.Unlock()
 			mu.Lock()
-			fmt.Fprintf(nc, "%s queue_full\r\n", words[1])
+			send(nc, "%s queue_full\r\n", words[1])
 			mu.Unlock()
 			continue
 		}
@@ -126,11 +125,11 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if status != "posted" {
-				fmt.Fprintf(nc, "%s %s\r\n", words[1], status)
+				send(nc, "%s %s\r\n", words[1], status)
 				return
 			}
 			result := Result(string(body))
-			fmt.Fprintf(nc, "%s posted %d\r\n%s\r\n", words[1], len(result), result)
+			send(nc, "%s posted %d\r\n%s\r\n", words[1], len(result), result)
 		})
 	}
 }
--- a/internal/fakes/work.go
+++ b/internal/fakes/work.go
@@ -92,7 +92,7 @@
 // time is how long work on a body takes.
 func (w *Work) time(body string) time.Duration {
 	h := fnv.New64a()
-	io.WriteString(h, body) // never fails
+	_, _ = io.WriteString(h, body) // a hash never fails
 	if h.Sum64()%1000 < w.Thousandths {
 		return w.Slow
 	}
