--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -62,7 +62,7 @@
 		case "panik":
 			panic("panik")
 		case "halv": // a part of the body, then it fails
-			fmt.Fprint(w, "halva sidan")
+			_, _ = fmt.Fprint(w, "halva sidan")
 			panic(http.ErrAbortHandler)
 		case "fel":
 			http.Error(w, "eget fel", http.StatusInternalServerError)
@@ -75,16 +75,16 @@
 		default:
 			w.Header().Set("X-Kampanj", chi.URLParam(r, "kampanj"))
 			w.WriteHeader(http.StatusAccepted)
-			fmt.Fprint(w, "hej")
+			_, _ = fmt.Fprint(w, "hej")
 		}
 	})
 	s.Post("/gavor", func(w http.ResponseWriter, r *http.Request) {
 		s.runs.Add(1)
 		body, _ := io.ReadAll(r.Body)
 		time.Sleep(10 * time.Millisecond)
-		fmt.Fprintf(w, "tack för %s", body)
+		_, _ = fmt.Fprintf(w, "tack för %s", body)
 	})
-	s.Get("/om", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "om oss") })
+	s.Get("/om", func(w http.ResponseWriter, r *http.Request) { _, _ = fmt.Fprint(w, "om oss") })
 	return s
 }
 
@@ -248,7 +248,7 @@
 		ctx := t.Context()
 		health := func() int {
 			w := httptest.NewRecorder()
-			s.a.Health(w, httptest.NewRequest("GET", "/health", nil))
+			s.a.Health(w, httptest.NewRequestWithContext(ctx, http.MethodGet, "/health", nil))
 			return w.Code
 		}
 		if got := health(); got != http.StatusOK {
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -34,11 +34,11 @@
 	return r
 }
 
-func ok(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("ok")) }
+func ok(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }
 
 // loop serves one request after another, each with a key of its own.
 func loop(b *testing.B, h http.Handler, path string) {
-	r := httptest.NewRequest("POST", path, http.NoBody)
+	r := httptest.NewRequestWithContext(b.Context(), http.MethodPost, path, http.NoBody)
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
@@ -67,14 +67,14 @@
 			work := func(w http.ResponseWriter, _ *http.Request) {
 				for until := time.Now().Add(200 * time.Microsecond); time.Now().Before(until); {
 				}
-				w.Write([]byte("ok"))
+				_, _ = w.Write([]byte("ok"))
 			}
 			h := bench(b, bare, work)
 			var served, refused atomic.Int64
 			b.SetParallelism(2)
 			began := time.Now()
 			b.RunParallel(func(pb *testing.PB) {
-				r := httptest.NewRequest("POST", "/sida", http.NoBody)
+				r := httptest.NewRequestWithContext(b.Context(), http.MethodPost, "/sida", http.NoBody)
 				for pb.Next() {
 					w := httptest.NewRecorder()
 					h.ServeHTTP(w, r)
--- a/admission/frameworks_test.go
+++ b/admission/frameworks_test.go
@@ -56,6 +56,21 @@
 
 func same(h http.Handler) http.Handler { return h }
 
+// post sends a request with the key "k", and gives the answer's status and body.
+func post(ctx context.Context, url, body string) (status int, text string, err error) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
+	if err != nil {
+		return 0, "", err
+	}
+	r.Header.Set("Idempotency-Key", "k")
+	resp, err := http.DefaultClient.Do(r)
+	if err != nil {
+		return 0, "", err
+	}
+	read, err := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(read), errors.Join(err, resp.Body.Close())
+}
+
 // TestWriteTimeout has the server's WriteTimeout end before the class's
 // deadline, and the handler hang: the caller still gets a whole answer, in
 // time for it to be written, and the handler's context ends.
@@ -66,13 +81,12 @@
 		stopped <- struct{}{}
 	})
 	_, url := serve(t, func(s *http.Server) { s.WriteTimeout = 800 * time.Millisecond }, same, hang)
-	resp, err := http.Post(url+"/sida", "text/plain", strings.NewReader("x"))
+	status, _, err := post(t.Context(), url+"/sida", "x")
 	if err != nil {
 		t.Fatalf("no whole answer: %v", err)
 	}
-	resp.Body.Close()
-	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusGatewayTimeout {
-		t.Errorf("status %d, want 503 or 504", resp.StatusCode)
+	if status != http.StatusServiceUnavailable && status != http.StatusGatewayTimeout {
+		t.Errorf("status %d, want 503 or 504", status)
 	}
 	<-stopped
 }
@@ -86,7 +100,7 @@
 		body, _ := io.ReadAll(r.Body)
 		if r.URL.Path == "/gava" {
 			<-release
-			io.WriteString(w, "tack för "+string(body))
+			_, _ = io.WriteString(w, "tack för "+string(body))
 			return
 		}
 		<-r.Context().Done()
@@ -95,15 +109,11 @@
 	early := func(h http.Handler) http.Handler { return http.TimeoutHandler(h, 200*time.Millisecond, "for sent") }
 	a, url := serve(t, func(*http.Server) {}, early, h)
 	ask := func(path string) (int, string) {
-		r, _ := http.NewRequest("POST", url+path, strings.NewReader("10 kr"))
-		r.Header.Set("Idempotency-Key", "k")
-		resp, err := http.DefaultClient.Do(r)
+		status, text, err := post(t.Context(), url+path, "10 kr")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer resp.Body.Close()
-		text, _ := io.ReadAll(resp.Body)
-		return resp.StatusCode, string(text)
+		return status, text
 	}
 	if status, _ := ask("/sida"); status != http.StatusServiceUnavailable {
 		t.Errorf("the timeout handler's status: %d", status)
@@ -137,8 +147,7 @@
 	a, url := serve(t, func(*http.Server) {}, same, h)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-begun; cancel() }()
-	r, _ := http.NewRequestWithContext(ctx, "POST", url+"/sida", strings.NewReader("x"))
-	if _, err := http.DefaultClient.Do(r); !errors.Is(err, context.Canceled) {
+	if _, _, err := post(ctx, url+"/sida", "x"); !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
 	<-stopped
@@ -161,13 +170,12 @@
 	})
 	a, url := serve(t, func(*http.Server) {}, same, spin)
 	began := time.Now()
-	resp, err := http.Post(url+"/sida", "text/plain", strings.NewReader("x"))
+	status, _, err := post(t.Context(), url+"/sida", "x")
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
-	if took := time.Since(began); resp.StatusCode != http.StatusServiceUnavailable || took > 3*time.Second+time.Second {
-		t.Errorf("status %d after %v, want 503 within the deadline of 3 s", resp.StatusCode, took)
+	if took := time.Since(began); status != http.StatusServiceUnavailable || took > 3*time.Second+time.Second {
+		t.Errorf("status %d after %v, want 503 within the deadline of 3 s", status, took)
 	}
 	<-begun
 	for a.Stats().Stuck != 1 { // it is told to stop in the batch that answered it
--- a/admission/listener.go
+++ b/admission/listener.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// Why a listener of its own: http.Server.Shutdown closes a connection whose
-// request is read whole after Shutdown began, without an answer (net/http's
-// conn.serve returns once the server is shutting down). A caller whose request
-// was half sent at the notice would then get nothing, although all that was
-// read must be answered. So after the grace the socket is closed here, which
-// refuses new callers and proves to them that nothing ran, while http.Server
-// goes on serving the connections that are open: what comes whole on them is
-// turned away, with Retry-After, until they are closed or the stop is near.
+// Why there is a listener of our own: http.Server.Shutdown closes a connection whose
+// request is complete only after Shutdown began, without an answer (net/http's conn.serve
+// returns once the server is shutting down). A caller that had sent a part of its request
+// when the drain began would get nothing, although all that is read must be answered. So
+// after the grace the socket is closed here, which refuses new callers and proves to them
+// that nothing ran, while http.Server goes on serving the open connections: requests that
+// become complete on them are shed, with Retry-After, until they are closed or the stop is
+// near.
 
-// listener is a net.Listener of which the server knows the connections.
+// listener is a net.Listener whose connections the server counts.
 type listener struct {
 	net.Listener
-	s      *Server
+	server *Server
 	closed chan struct{} // by its Close, as http.Server.Shutdown calls it
 	once   sync.Once
 }
@@ -29,13 +29,13 @@
 // that is read; with ListenAndServe, a request that is read whole after the
 // grace may be dropped unanswered, as net/http does in its Shutdown.
 func (s *Server) Listener(l net.Listener) net.Listener {
-	w := &listener{Listener: l, s: s, closed: make(chan struct{})}
-	s.conns.mu.Lock()
-	s.conns.listeners = append(s.conns.listeners, l)
-	past := s.conns.refusing
-	s.conns.mu.Unlock()
+	w := &listener{Listener: l, server: s, closed: make(chan struct{})}
+	s.connections.mu.Lock()
+	s.connections.listeners = append(s.connections.listeners, l)
+	past := s.connections.listenersClosed
+	s.connections.mu.Unlock()
 	if past {
-		l.Close()
+		closeListener(l)
 	}
 	return w
 }
@@ -45,13 +45,13 @@
 	for {
 		nc, err := w.Listener.Accept()
 		if err != nil {
-			if w.s.conns.refused() { // by the drain, not by the http.Server
+			if w.server.connections.areListenersClosed() { // by the drain, not by the http.Server
 				<-w.closed
 				return nil, net.ErrClosed
 			}
 			return nil, err
 		}
-		if c := w.s.conns.open(nc); c != nil {
+		if c := w.server.connections.open(nc); c != nil {
 			return c, nil
 		}
 	}
@@ -63,42 +63,42 @@
 	return w.Listener.Close()
 }
 
-// conns keeps the connections of a server's listeners.
-type conns struct {
-	mu        sync.Mutex
-	listeners []net.Listener
-	count     int
-	refusing  bool
-	idle      chan struct{} // closed when, after the grace, none is open
+// connections counts the connections of a server's listeners.
+type connections struct {
+	mu              sync.Mutex
+	listeners       []net.Listener
+	count           int
+	listenersClosed bool
+	idle            chan struct{} // closed when, after the grace, none is open
 }
 
 // open counts a connection, or closes it if the grace is over.
-func (c *conns) open(nc net.Conn) net.Conn {
+func (c *connections) open(nc net.Conn) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.refusing {
-		nc.Close()
+	if c.listenersClosed {
+		_ = nc.Close() // nothing was read from it
 		return nil
 	}
 	c.count++
-	return &conn{Conn: nc, c: c}
+	return &countedConn{Conn: nc, connections: c}
 }
 
-func (c *conns) refused() bool {
+func (c *connections) areListenersClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refusing
+	return c.listenersClosed
 }
 
-// refuse closes the sockets, and gives a channel that is closed once all the
+// closeListeners closes the sockets, and gives a channel that is closed once all the
 // connections are, and whether there are listeners at all.
-func (c *conns) refuse() (<-chan struct{}, bool) {
+func (c *connections) closeListeners() (<-chan struct{}, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.refusing {
-		c.refusing, c.idle = true, make(chan struct{})
+	if !c.listenersClosed {
+		c.listenersClosed, c.idle = true, make(chan struct{})
 		for _, l := range c.listeners {
-			l.Close()
+			closeListener(l)
 		}
 		if c.count == 0 {
 			close(c.idle)
@@ -107,23 +107,27 @@
 	return c.idle, len(c.listeners) > 0
 }
 
-func (c *conns) closed() {
+func (c *connections) connectionClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.count--; c.count == 0 && c.refusing {
+	if c.count--; c.count == 0 && c.listenersClosed {
 		close(c.idle)
 	}
 }
 
-// conn is a connection that is counted until it is closed.
-type conn struct {
+// countedConn is a connection that is counted until it is closed.
+type countedConn struct {
 	net.Conn
-	c    *conns
-	once sync.Once
+	connections *connections
+	once        sync.Once
 }
 
 // Close implements net.Conn.
-func (c *conn) Close() error {
-	c.once.Do(c.c.closed)
+func (c *countedConn) Close() error {
+	c.once.Do(c.connections.connectionClosed)
 	return c.Conn.Close()
 }
+
+// closeListener closes a socket. An error leaves nothing to do: the socket is closed, or
+// the http.Server has closed it before.
+func closeListener(l net.Listener) { _ = l.Close() }
--- a/admission/machine.go
+++ b/admission/machine.go
@@ -8,21 +8,18 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// trialWithin is how soon a new goroutine must be scheduled for a deep health
+// healthCheckTimeout is how soon a new goroutine must be scheduled for a deep health
 // check to be good: a process whose cores are taken by handlers that never
 // wait answers late.
-const trialWithin = 100 * time.Millisecond
+const healthCheckTimeout = 100 * time.Millisecond
 
 // process gives the module the gauge of the process it runs in that the
-// processor gives the daemon (dispatch.Machine): CoreUse, the process's CPU time
+// processor gives the daemon (dispatch.Machine): CoreUtilization, the process's CPU time
 // (getrusage(2), user and system) over the wall time since the last reading,
-// for the configured cores. What wants a core is not told (negative), so the
-// module counts its own runs: goroutines that run or wait for a core
-// (runtime/metrics) were tried, and count the service's callers and readers as
-// much as its runs; at twice the capacity the module took them for a storm of
-// reads and served a quarter of what it served without them (TestOverload).
-// Memory and connections are not known to it either. Reading takes a
-// microsecond, once a tick of the module.
+// for the configured cores. RunnableTasks is not given (negative), so the module counts
+// its own runs: the number of runnable goroutines (runtime/metrics) would count the
+// service's callers and readers as much as its runs. Memory and connections are not given
+// either. Reading takes a microsecond, once a tick of the module.
 type process struct {
 	cores float64
 
@@ -63,5 +60,5 @@
 // within trialWithin.
 func (p *process) CheckHealth(reply func(good bool)) {
 	asked := time.Now()
-	go func() { reply(time.Since(asked) < trialWithin) }()
+	go func() { reply(time.Since(asked) < healthCheckTimeout) }()
 }
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -29,27 +29,28 @@
 	pingWork   = time.Millisecond
 	capacity   = 4 / 0.020 // reports a second
 	pingRate   = 10        // a second
+	objective  = time.Second
 )
 
 func newMachine() *fakes.Machine { return &fakes.Machine{Cores: 4, ThrashAt: 2, Thrash: 0.5} }
 
 // outcome is what the callers of an experiment came to.
 type outcome struct {
-	served      int             // reports within their aim
+	served      int             // reports within their objective
 	refused     int             // 503 with Retry-After
 	latencies   []time.Duration // of reports served
-	pings, late int             // pings served within their aim, and pings that were not
+	pings, late int             // pings served within their objective, and pings that were not
 }
 
-// overload plays a load, in reports a second, for a span, against the
-// service with or without pools.
-func overload(t testing.TB, load float64, span time.Duration, pools bool, seed int64) outcome {
-	t.Helper()
-	aim := time.Second
+// overloadConfig is a service of reports and pings, with or without pools.
+func overloadConfig(pools bool, seed int64) admission.Config {
+	class := func(weight float64) decision.Class {
+		return decision.Class{LatencyObjective: objective, Deadline: 2 * objective, Weight: weight}
+	}
 	cfg := admission.Config{
 		Classes: []describe.Class{
-			{Name: "rapport", Class: decision.Class{LatencyObjective: aim, Deadline: 2 * aim, Weight: 1}},
-			{Name: "ping", Class: decision.Class{LatencyObjective: aim, Deadline: 2 * aim, Weight: 2}}, // held before reports
+			{Name: "rapport", Class: class(1)},
+			{Name: "ping", Class: class(2)}, // runs before reports
 		},
 		Routes: describe.Routes{{Path: "/rapport", Class: "rapport"}, {Path: "/ping", Class: "ping"}},
 		Cores:  8, Seed: seed,
@@ -57,13 +58,12 @@
 	if pools {
 		cfg.Pools = &admission.Pools{Cheapest: "ping", Reserve: 2}
 	}
-	a, err := admission.New(cfg)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer a.Close()
-	m := newMachine()
-	work := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	return cfg
+}
+
+// machineHandler does the work of a request on a machine that all requests share.
+func machineHandler(m *fakes.Machine) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		took := reportWork
 		if r.URL.Path == "/ping" {
 			took = pingWork
@@ -72,48 +72,68 @@
 			http.Error(w, "stopped", http.StatusInternalServerError)
 			return
 		}
-		w.Write([]byte("ok"))
+		_, _ = w.Write([]byte("ok"))
 	})
-	ts := httptest.NewServer(a.Wrap(work))
+}
+
+// overloadClient sends requests and counts what becomes of them.
+type overloadClient struct {
+	http *http.Client
+	url  string
+
+	mu sync.Mutex
+	outcome
+}
+
+// send sends one request and counts its outcome.
+func (c *overloadClient) send(t testing.TB, path string) {
+	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, c.url+path, strings.NewReader("x"))
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	r.Header.Set("Content-Type", "text/plain")
+	began := time.Now()
+	resp, err := c.http.Do(r)
+	took := time.Since(began)
+	if err == nil {
+		defer func() { _ = resp.Body.Close() }()
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	inTime := err == nil && resp.StatusCode == http.StatusOK && took <= objective
+	if err == nil && !inTime && resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != "" {
+		c.refused++
+	}
+	switch {
+	case path == "/ping" && inTime:
+		c.pings++
+	case path == "/ping":
+		c.late++
+	case inTime:
+		c.served++
+		c.latencies = append(c.latencies, took)
+	}
+}
+
+// overload plays a load, in reports a second, for a span, against the
+// service with or without pools.
+func overload(t testing.TB, load float64, span time.Duration, pools bool, seed int64) outcome {
+	t.Helper()
+	a, err := admission.New(overloadConfig(pools, seed))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer a.Close()
+	ts := httptest.NewServer(a.Wrap(machineHandler(newMachine())))
 	defer ts.Close()
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}, Timeout: 2 * aim}
-	defer client.CloseIdleConnections()
+	client := &overloadClient{
+		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}, Timeout: 2 * objective},
+		url:  ts.URL,
+	}
+	defer client.http.CloseIdleConnections()
 
-	var mu sync.Mutex
-	var o outcome
 	var wg sync.WaitGroup
-	ask := func(path string) {
-		began := time.Now()
-		resp, err := client.Post(ts.URL+path, "text/plain", strings.NewReader("x"))
-		took := time.Since(began)
-		mu.Lock()
-		defer mu.Unlock()
-		switch {
-		case err != nil:
-			if path == "/ping" {
-				o.late++
-			}
-		case resp.StatusCode == http.StatusOK && took <= aim:
-			if path == "/ping" {
-				o.pings++
-			} else {
-				o.served++
-				o.latencies = append(o.latencies, took)
-			}
-		case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != "":
-			o.refused++
-			if path == "/ping" {
-				o.late++
-			}
-		default:
-			if path == "/ping" {
-				o.late++
-			}
-		}
-		if resp != nil {
-			resp.Body.Close()
-		}
-	}
 	rng := rand.New(rand.NewSource(seed))
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
@@ -125,10 +145,10 @@
 		if rng.Float64() < pingRate/rate {
 			path = "/ping"
 		}
-		wg.Go(func() { ask(path) })
+		wg.Go(func() { client.send(t, path) })
 	}
 	wg.Wait()
-	return o
+	return client.outcome
 }
 
 // p99 is the 99th percentile of the latencies.
--- a/admission/run.go
+++ b/admission/run.go
@@ -13,41 +13,41 @@
 	"quincerail.example/quincerail/protocol/httpresult"
 )
 
-// stuckAfter is how long a handler may take to return once it was told to
-// stop before that is logged.
+// stuckAfter is how long a handler may take to return after its context was
+// cancelled before that is logged.
 const stuckAfter = time.Second
 
-// The states of a run.
+// The states of a run. A run that is not cancelled goes from working to returned.
 const (
-	working  int32 = iota
-	halted         // told to stop, and not returned yet: stuck
-	returned       // its handler has returned
+	working   int32 = iota // its handler runs
+	cancelled              // its context was cancelled and its handler has not returned: stuck
+	returned               // its handler has returned
 )
 
 // run is the backend of one request: the handler behind the middleware, in a
 // goroutine of its own.
 type run struct {
-	s       *Server
-	next    http.Handler
-	request *http.Request
-	cancel  context.CancelFunc
-	state   atomic.Int32
-	halted  atomic.Int64 // when it was told to stop, in Unix nanoseconds
+	server      *Server
+	next        http.Handler
+	request     *http.Request
+	cancel      context.CancelFunc
+	state       atomic.Int32
+	cancelledAt atomic.Int64 // in Unix nanoseconds
 }
 
 func (s *Server) newRun(next http.Handler, r *http.Request) *run {
-	return &run{s: s, next: next, request: r}
+	return &run{server: s, next: next, request: r}
 }
 
-// Start implements dispatch.Backend. The module says when a run is stopped, not
-// the caller's connection: a keyed run goes on after its caller left, so that
-// a repeat gets its result.
+// Start implements dispatch.Backend. The decision module cancels a run, the end of the
+// caller's connection does not: a keyed run goes on after its caller left, so that a
+// retry gets its result.
 func (b *run) Start(r dispatch.Run) {
-	b.s.stats.runs.Add(1)
-	b.s.stats.running.Add(1)
+	b.server.stats.runs.Add(1)
+	b.server.stats.running.Add(1)
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(b.request.Context()), r.Deadline)
-	b.cancel = cancel // before Interrupt can come, on the core's goroutine
-	b.s.workers.start(job{b, ctx, r})
+	b.cancel = cancel // before Cancel can be called, on the core's goroutine
+	b.server.workers.start(job{b, ctx, r})
 }
 
 // workerIdle is how long a goroutine that has run a handler waits for the next
@@ -101,40 +101,55 @@
 	req := b.request.Clone(ctx)
 	req.Body, req.ContentLength = &bodyReader{bytes.NewReader(r.Payload.Body)}, int64(len(r.Payload.Body))
 	panicked := w.serve(b.next, req)
-	b.s.stats.running.Add(-1)
-	stopped := b.state.Swap(returned) == halted
-	if stopped {
-		b.s.stats.stuck.Add(-1)
-		if late := time.Since(time.Unix(0, b.halted.Load())); late > stuckAfter {
-			b.s.cfg.Logger.Warn("handler returned long after it was told to stop", "class", r.Class, "id", r.ID,
-				"late", late.Round(time.Millisecond))
-		}
-	}
+	b.server.stats.running.Add(-1)
+	wasCancelled := b.handlerReturned(r)
 	if panicked != nil {
-		b.s.stats.panics.Add(1)
-		if panicked != http.ErrAbortHandler {
-			b.s.cfg.Logger.Error("handler panicked", "class", r.Class, "id", r.ID, "panic", fmt.Sprint(panicked))
-		}
+		b.recordPanic(r, panicked)
 	}
-	end := dispatch.RunSucceeded
+	end, result := dispatch.RunSucceeded, dispatch.Payload{}
 	switch {
-	case stopped:
-		end = dispatch.RunCancelled
-	case panicked != nil || ctx.Err() != nil: // what a handler says whose time ran out is no result
-		b.s.core.RunCompleted(r.ID, dispatch.RunFailed, time.Since(began), dispatch.Payload{})
-		return
-	case w.status >= http.StatusInternalServerError:
+	case wasCancelled:
+		end, result = dispatch.RunCancelled, w.result()
+	case panicked != nil || ctx.Err() != nil: // the response of a handler whose time ran out is no result
 		end = dispatch.RunFailed
+	case w.status >= http.StatusInternalServerError:
+		end, result = dispatch.RunFailed, w.result()
+	default:
+		result = w.result()
+	}
+	b.server.core.RunCompleted(r.ID, end, time.Since(began), result)
+}
+
+// handlerReturned records that the handler has returned, and reports whether it had been
+// cancelled before.
+func (b *run) handlerReturned(r dispatch.Run) (wasCancelled bool) {
+	if b.state.Swap(returned) != cancelled {
+		return false
+	}
+	b.server.stats.stuck.Add(-1)
+	if late := time.Since(time.Unix(0, b.cancelledAt.Load())); late > stuckAfter {
+		b.server.cfg.Logger.Warn("handler_returned_late", "class", r.Class, "request", r.ID,
+			"after_cancel", late.Round(time.Millisecond))
+	}
+	return true
+}
+
+// recordPanic counts a handler's panic, and logs it unless the handler aborted its
+// response on purpose.
+func (b *run) recordPanic(r dispatch.Run, panicked any) {
+	b.server.stats.panics.Add(1)
+	if panicked == any(http.ErrAbortHandler) {
+		return
 	}
-	b.s.core.RunCompleted(r.ID, end, time.Since(began), w.result())
+	b.server.cfg.Logger.Error("handler_panicked", "class", r.Class, "request", r.ID, "panic", fmt.Sprint(panicked))
 }
 
-// Cancel implements dispatch.Backend: the handler's context ends. Until it
-// returns, it counts as stuck.
+// Cancel implements dispatch.Backend: the handler's context is cancelled. Until the
+// handler returns, it counts as stuck.
 func (b *run) Cancel(string) {
-	b.halted.CompareAndSwap(0, time.Now().UnixNano()) // before the state, which the handler's return reads
-	if b.state.CompareAndSwap(working, halted) {
-		b.s.stats.stuck.Add(1)
+	b.cancelledAt.CompareAndSwap(0, time.Now().UnixNano()) // before the state, which the handler's return reads
+	if b.state.CompareAndSwap(working, cancelled) {
+		b.server.stats.stuck.Add(1)
 	}
 	b.cancel()
 }
@@ -145,10 +160,10 @@
 // Close implements io.Closer.
 func (bodyReader) Close() error { return nil }
 
-// ReplyToCall implements dispatch.Backend: handlers make their calls themselves.
+// ReplyToCall implements dispatch.Backend: handlers make their downstream calls themselves.
 func (b *run) ReplyToCall(string, []byte) {}
 
-// SkipCall implements dispatch.Backend: handlers make their calls themselves.
+// SkipCall implements dispatch.Backend: handlers make their downstream calls themselves.
 func (b *run) SkipCall(string, uint64) {}
 
 // recorder is the http.ResponseWriter that a handler writes to. Nothing of it
--- a/admission/server.go
+++ b/admission/server.go
@@ -1,26 +1,23 @@
-// Package admission puts the app server's decisions inside a Go service: what
-// is let in, in which order it runs, what is turned away, and that a keyed
-// request runs once within its window. It is the daemon's routing core and
-// decision module, with the service's handlers as the backend, and keeps the
-// daemon's rules:
+// Package admission embeds the app server's decisions in a Go service as net/http
+// middleware: which requests are admitted, in which order they run, which are shed, and
+// that a request with an idempotency key runs once within its window. It runs the
+// daemon's core (package dispatch) and decision module (package policy) with the service's
+// handlers as the backend, and keeps the daemon's rules:
 //
-//   - every request that matches a route gets one final answer by its due time:
-//     its class's deadline, or sooner where the http.Server's WriteTimeout ends
-//     first;
-//   - a keyed request (header Idempotency-Key, or the route's own) runs at most
-//     once within its window; its repeats get the first result, including one
-//     that comes while the first still runs;
-//   - a refusal comes at once, 503 with Retry-After: the handler never ran, or
-//     its class is safe to repeat;
-//   - after Drain, what comes later than the grace never runs, and all that was
-//     taken is answered before the stop.
+//   - every request that matches a route gets one final answer by its deadline: its
+//     class's, or sooner where the http.Server's WriteTimeout ends first;
+//   - a keyed request (header Idempotency-Key, or the route's own) runs at most once
+//     within its window; retries get the first result, also while the first still runs;
+//   - a request is shed at once, with 503 and Retry-After: its handler never ran, or its
+//     class is idempotent;
+//   - after Drain, what arrives later than the grace never runs, and all that was read is
+//     answered before the stop.
 //
-// Handlers run in goroutines of their own, with a context that ends when the
-// module stops them or their time is over. A handler that ignores it still
-// holds its place among the runs until it returns (Stats.Stuck), as it still
-// holds a core or a connection below. Responses of classed routes are held in
-// memory, because a response may have to be given again, or not at all: they
-// can't be streamed.
+// Handlers run in goroutines of their own, with a context that is cancelled by the
+// decision module or at the deadline. A handler that ignores it keeps its place among the
+// runs until it returns (Stats.Stuck), as it still uses a core or a connection. Responses
+// of classed routes are held in memory, because a response may have to be sent again, or
+// not at all: they can't be streamed.
 //
 // The daemon's design and rules are in docs/architecture.md; embedding is in
 // docs/library.md.
@@ -41,18 +38,18 @@
 // Server admits requests before a service's handlers. Its methods are safe
 // for concurrent use.
 type Server struct {
-	cfg      Config
-	table    *describe.Table // of cfg.Routes
-	core     *dispatch.Core
-	stop     context.CancelFunc
-	draining atomic.Bool
-	stats    counters
-	conns    conns
-	workers  workers
+	cfg         Config
+	table       *describe.Table // of cfg.Routes
+	core        *dispatch.Core
+	stop        context.CancelFunc
+	draining    atomic.Bool
+	stats       counters
+	connections connections
+	workers     workers
 }
 
-// New makes a server and sets it to work; Close ends it. The error names the
-// field of the configuration that makes no sense.
+// New starts a server; Close ends it. The error names the field of the configuration that
+// makes no sense.
 func New(cfg Config) (*Server, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -61,7 +58,7 @@
 	settings, names := cfg.settings()
 	opt := dispatch.Options{
 		Settings: settings, Classes: names, Seed: cfg.Seed, Machine: newProcess(cfg.Cores),
-		MaxKeyTableBytes: int(cfg.Memory / keysShare),
+		MaxKeyTableBytes: int(cfg.Memory / keyTableFraction),
 	}
 	if cfg.Pools != nil {
 		opt.Pools = &dispatch.PoolOptions{CheapestClass: cfg.Pools.Cheapest, ReservedSlots: cfg.Pools.Reserve}
@@ -79,12 +76,12 @@
 	}, nil
 }
 
-// Config gives the configuration in force, with its defaults filled in.
+// Config returns the configuration in force, with its defaults filled in.
 func (s *Server) Config() Config { return s.cfg }
 
-// Drain takes in that the process ends at stopAt: health checks fail from now
-// on, responses ask for their connection to be closed, what comes later than
-// the grace is turned away, and all is answered 250 ms before stopAt.
+// Drain prepares for the end of the process at stopAt: health checks fail from now on,
+// responses ask for their connection to be closed, what arrives later than the grace is
+// shed, and all is answered 250 ms before stopAt.
 func (s *Server) Drain(stopAt time.Time) {
 	s.draining.Store(true)
 	s.core.Drain(s.core.DrainNoticeTime(), stopAt)
@@ -103,7 +100,7 @@
 		stopAt = time.Now().Add(defaultStop)
 	}
 	s.Drain(stopAt)
-	last, cancel := context.WithDeadline(context.WithoutCancel(ctx), stopAt.Add(-stopMargin))
+	last, cancel := context.WithDeadline(context.WithoutCancel(ctx), stopAt.Add(-answerMargin))
 	defer cancel()
 	grace := time.NewTimer(min(s.cfg.DrainGrace, time.Until(stopAt)/2))
 	select {
@@ -111,7 +108,7 @@
 	case <-ctx.Done():
 		grace.Stop()
 	}
-	if idle, wrapped := s.conns.refuse(); wrapped {
+	if idle, wrapped := s.connections.closeListeners(); wrapped {
 		hs.SetKeepAlivesEnabled(false) // each answer closes its connection
 		select {
 		case <-idle:
@@ -120,31 +117,30 @@
 	}
 	err := hs.Shutdown(last)
 	s.Close()
-	if errors.Is(err, context.DeadlineExceeded) { // connections that said half a request are no one's
+	if errors.Is(err, context.DeadlineExceeded) { // connections with an incomplete request are owed nothing
 		err = nil
 	}
 	return err
 }
 
-// Close ends the server. Requests that come after it are turned away; those
-// whose handlers were begun and had no answer yet fail, as they may have run.
+// Close ends the server. Later requests are shed; those whose handlers were started and
+// have no answer yet fail, as they may have run.
 func (s *Server) Close() {
 	s.stop()
 	<-s.core.Done()
 }
 
-// Health answers health checks: 200 while work is wanted, else 503. With the
-// query parameter deep=1 it is good only if a new goroutine is also scheduled
-// within 100 ms.
+// Health answers health checks: 200 while requests are admitted, else 503. With the query
+// parameter deep=1 a new goroutine must also be scheduled within 100 ms.
 func (s *Server) Health(w http.ResponseWriter, r *http.Request) {
-	good := make(chan bool, 1)
+	healthy := make(chan bool, 1)
 	deep := r.URL.Query().Get("deep") == "1"
-	if s.core.CheckHealth(deep, func(fit bool) { good <- fit }) != nil || !<-good {
-		refuse(w, maxAdvice)
+	if s.core.CheckHealth(deep, func(ok bool) { healthy <- ok }) != nil || !<-healthy {
+		shed(w, maxRetryAfter)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// Stats gives the counts so far.
+// Stats returns the counts so far.
 func (s *Server) Stats() Stats { return s.stats.read() }
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -9,8 +9,8 @@
 // Stats are a server's counts since New. Each request that matched a route
 // is counted once among the answers or as Gone.
 type Stats struct {
-	Served   uint64 // with a handler's result, its own run's or that of an earlier try of its key
-	Refused  uint64 // 503 with Retry-After: its handler never ran, or its class is safe to repeat
+	Served   uint64 // with a handler's response, its own run's or that of an earlier attempt with its key
+	Refused  uint64 // 503 with Retry-After: its handler never ran, or its class is idempotent
 	Failed   uint64 // 502, or the handler's own 5xx: it may have run
 	TimedOut uint64 // 504: its time was over
 	Rejected uint64 // 400 or 413 (no key, a body too large) or 422 (a key that came with another body)
@@ -19,7 +19,7 @@
 
 	Runs    uint64 // handler calls begun
 	Running int64  // of those, calls that have not returned
-	Stuck   int64  // of those, calls that were told to stop and have not returned
+	Stuck   int64  // of those, calls that were cancelled and have not returned
 	Panics  uint64 // handler calls that panicked
 }
 
@@ -28,8 +28,8 @@
 	running, stuck                                                          atomic.Int64
 }
 
-// answered counts a final answer.
-func (c *counters) answered(k dispatch.OutcomeKind) {
+// countOutcome counts a request's final answer.
+func (c *counters) countOutcome(k dispatch.OutcomeKind) {
 	switch k {
 	case dispatch.Served:
 		c.served.Add(1)
--- a/example/web/gifts/gifts.go
+++ b/example/web/gifts/gifts.go
@@ -70,7 +70,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		fmt.Fprintf(w, "%s", result)
+		_, _ = fmt.Fprintf(w, "%s", result)
 	}
 }
 
