--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -14,8 +14,8 @@
 // fill gives an optimizer whose buffer holds the latencies in turn.
 func fill(latencies ...time.Duration) *optimizer {
 	o := &optimizer{}
-	for i := range bufferSize {
-		o.add(latencies[i*len(latencies)/bufferSize])
+	for i := range latencyBufferSize {
+		o.add(latencies[i*len(latencies)/latencyBufferSize])
 	}
 	return o
 }
@@ -23,7 +23,7 @@
 func TestOptimizerNeedsAFullBuffer(t *testing.T) {
 	o := &optimizer{}
 	o.solve()
-	for range bufferSize - 1 {
+	for range latencyBufferSize - 1 {
 		o.add(100 * ms)
 	}
 	if o.solve(); o.sequence != nil {
@@ -63,7 +63,7 @@
 	if top := o.sequence[len(o.sequence)-1]; top != 900*ms {
 		t.Fatalf("t_z %v after a slow call, want 900ms", top)
 	}
-	for range bufferSize {
+	for range latencyBufferSize {
 		o.add(100 * ms)
 	}
 	o.solve()
@@ -138,17 +138,17 @@
 	}
 	now := time.Second
 	for i := range 8 {
-		in.learnCall(&request{class: &in.set.Classes[0], last: true}, decision.ConnectFailed, 0)
+		in.recordCall(&request{class: &in.settings.Classes[0], last: true}, decision.ConnectFailed, 0)
 		in.now = now + time.Duration(i)
 	}
 	if !in.isBroken() || r.count("log below") != 1 {
 		t.Fatalf("not broken after 8 failures: %v", r.acts)
 	}
 	in.safeCalls = 0
-	for i := range diagnostic {
+	for i := range diagnosticInterval {
 		try(now+time.Duration(i), fmt.Sprint("r", i))
 	}
-	if r.count("call") != 1 || r.count("fail") != diagnostic-1 {
+	if r.count("call") != 1 || r.count("fail") != diagnosticInterval-1 {
 		t.Fatalf("want one diagnostic call and the rest failed: %v", r.acts)
 	}
 	in.CallDone(now+100*ms, "r4", decision.Succeeded, 50*ms)
@@ -159,35 +159,35 @@
 
 func TestRefusalChanceRisesLinearly(t *testing.T) {
 	in, _ := start(t, settings())
-	old := &request{class: &in.set.Classes[1], due: time.Hour, worth: 2, state: held}
+	old := &request{class: &in.settings.Classes[1], dueAt: time.Hour, weight: 2, state: queued}
 	in.queue = append(in.queue, old)
-	low := &request{class: &in.set.Classes[0], worth: 1, arrived: time.Hour}
-	aim := in.patience(old)
+	low := &request{class: &in.settings.Classes[0], weight: 1, arrivedAt: time.Hour}
+	aim := in.maxQueueWait(old)
 	for share, want := range map[float64]float64{0.4: 0, 0.5: 0, 0.75: 0.5, 1: 1, 2: 1} {
 		in.now = time.Duration(share * float64(aim))
-		if got := in.chance(low); math.Abs(got-want) > 1e-9 {
+		if got := in.shedProbability(low); math.Abs(got-want) > 1e-9 {
 			t.Errorf("chance %v at %v of the patience, want %v", got, share, want)
 		}
 	}
-	high := &request{class: &in.set.Classes[2], worth: 3, arrived: time.Hour}
-	if got := in.chance(high); got != 0 {
+	high := &request{class: &in.settings.Classes[2], weight: 3, arrivedAt: time.Hour}
+	if got := in.shedProbability(high); got != 0 {
 		t.Errorf("chance %v by work that would run later, want 0", got)
 	}
 }
 
 func TestRunLimitStaysBetweenCoresAndCrowd(t *testing.T) {
 	in, _ := start(t, settings())
-	in.queue = []*request{{class: &in.set.Classes[0]}}
+	in.queue = []*request{{class: &in.settings.Classes[0]}}
 	for range 1000 {
-		in.tuneRunLimit(decision.Gauges{CoreUtilization: 0.3, RunnableTasks: 1})
+		in.adjustConcurrencyLimit(decision.Gauges{CoreUtilization: 0.3, RunnableTasks: 1})
 	}
-	if got, want := in.runLimit, in.crowdLimit(); got != want {
+	if got, want := in.runLimit, in.maxInFlight(); got != want {
 		t.Errorf("limit %v with idle cores and waiting work, want the crowd %v", got, want)
 	}
 	for range 1000 {
-		in.tuneRunLimit(decision.Gauges{CoreUtilization: 1, RunnableTasks: 9})
+		in.adjustConcurrencyLimit(decision.Gauges{CoreUtilization: 1, RunnableTasks: 9})
 	}
-	if got, want := in.runLimit, float64(in.set.Cores); got < want || got > want+0.01 {
+	if got, want := in.runLimit, float64(in.settings.Cores); got < want || got > want+0.01 {
 		t.Errorf("limit %v with busy cores, want the cores %v", got, want)
 	}
 }
@@ -196,9 +196,9 @@
 	s := settings()
 	s.SlowStart = true
 	in, _ := start(t, s)
-	cold := in.crowdLimit()
+	cold := in.maxInFlight()
 	in.now = s.SlowStartDuration
-	if warm := in.crowdLimit(); cold >= warm/2 {
+	if warm := in.maxInFlight(); cold >= warm/2 {
 		t.Errorf("cold crowd %v, warm %v", cold, warm)
 	}
 }
@@ -214,7 +214,7 @@
 	if r.count("run early") != 1 || r.count("refuse late") != 1 {
 		t.Errorf("want early run and late refused: %v", r.acts)
 	}
-	in.Decide(4*time.Second - in.gap)
+	in.Decide(4*time.Second - in.timerInterval)
 	if r.count("fail early") != 1 {
 		t.Errorf("running work without an answer at the stop: %v", r.acts)
 	}
@@ -231,13 +231,13 @@
 	for now := time.Duration(0); now < day; now += took {
 		for _, q := range in.live {
 			switch q.state {
-			case calling:
+			case callInFlight:
 				busy += took
 				in.CallDone(now, q.ID, decision.Succeeded, took)
 				in.RunDone(now, q.ID, decision.Succeeded, took)
 			case running:
 				in.CallNeeded(now, q.ID)
-			case standing:
+			case awaitingCall:
 				if q.answered {
 					in.RunDone(now, q.ID, decision.Cancelled, 0)
 				}
@@ -248,7 +248,7 @@
 		r.acts = nil
 	}
 	mean := float64(busy) / float64(day)
-	if want := in.callPace(); mean > 1.1*want || mean < 0.7*want {
+	if want := in.targetCallConcurrency(); mean > 1.1*want || mean < 0.7*want {
 		t.Errorf("mean of calls in hand %.3f, want about %.3f", mean, want)
 	}
 }
@@ -282,12 +282,12 @@
 		s.CallQuota = share
 		in, r := start(t, s)
 		in.now = 10 * time.Second
-		in.payCalls() // saved as much as it may
+		in.accrueCallCredit() // saved as much as it may
 		held := 0.0
-		for i := 0; i < 20 && in.mayCall(); i++ {
-			q := &request{class: &s.Classes[2], due: time.Hour, state: standing}
+		for i := 0; i < 20 && in.tryAcquireCall(); i++ {
+			q := &request{class: &s.Classes[2], dueAt: time.Hour, state: awaitingCall}
 			q.ID = fmt.Sprint(i)
-			in.count[standing]++
+			in.count[awaitingCall]++
 			in.call(q)
 			d, err := time.ParseDuration(strings.Fields(r.acts[len(r.acts)-1])[2])
 			if err != nil {
@@ -309,13 +309,13 @@
 		s.CallQuota = share
 		in, r := start(t, s)
 		in.credit = -time.Second
-		q := &request{class: &s.Classes[2], due: time.Hour, state: standing}
-		in.live, in.count[standing] = append(in.live, q), 1
+		q := &request{class: &s.Classes[2], dueAt: time.Hour, state: awaitingCall}
+		in.live, in.count[awaitingCall] = append(in.live, q), 1
 		if in.makeCalls(); r.count("call") != 0 {
 			t.Errorf("share %v: a call on an overdrawn account", share)
 		}
 		in.now = 30 * time.Minute
-		in.payCalls()
+		in.accrueCallCredit()
 		if in.makeCalls(); r.count("call") != 1 {
 			t.Errorf("share %v: no call half an hour later, credit %v", share, in.credit)
 		}
@@ -370,13 +370,13 @@
 		t.Helper()
 		want := 0.0
 		for _, q := range in.live {
-			if q.state == standing {
+			if q.state == awaitingCall {
 				want++
 			} else if q.state == running {
-				want += max(0, in.calls[q.Class]-float64(q.calls))
+				want += max(0, in.calls[q.Class]-float64(q.callCount))
 			}
 		}
-		if got := in.callsToCome(); math.Abs(got-want) > 1e-9 {
+		if got := in.expectedCalls(); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%v calls to come, want %v", got, want)
 		}
 	}
@@ -392,7 +392,7 @@
 		check()
 	}
 	in.toCome = 1e6 // only a new count takes it away
-	if in.callsToCome() != 1e6 {
+	if in.expectedCalls() != 1e6 {
 		t.Error("counted again without a move")
 	}
 	in.CallDone(2*ms, "0", decision.Succeeded, ms)
@@ -410,18 +410,18 @@
 	for range 4 {
 		in.lingering = append(in.lingering, time.Hour)
 	}
-	in.credit = time.Duration(in.callPace() * float64(callSaved))
-	if !in.mayCall() {
+	in.credit = time.Duration(in.targetCallConcurrency() * float64(callCreditWindow))
+	if !in.tryAcquireCall() {
 		t.Error("nothing may be called behind four that hang, with all time saved up")
 	}
 	for range 4 {
 		in.lingering = append(in.lingering, time.Hour)
 	}
-	if in.mayCall() {
+	if in.tryAcquireCall() {
 		t.Error("there is no bound to the calls in hand")
 	}
 	in.credit, in.lingering = 0, in.lingering[:4]
-	if in.mayCall() {
+	if in.tryAcquireCall() {
 		t.Error("what is over the pace may be called with no time saved up")
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -21,108 +21,108 @@
 
 // The figures of the mechanism: [page] the design's own, [ours] chosen here.
 const (
-	bufferSize   = 200                   // [page] diagnostic latencies the Optimizer keeps
-	diagnostic   = 5                     // [page] every so many safe calls one is diagnostic
-	solveEvery   = 20                    // [page] calls between two solutions of the sequence
-	costSlope    = 0.4                   // [page] g(t) = costSlope * t
-	refuseFrom   = 0.5                   // [page] share of the patience at which refusals begin
-	bins         = 40                    // [ours] of the histogram: finer than its noise at 200 values
-	binFloor     = 0.001                 // [ours] least share of all weight in a bin, so that f is never 0
-	maxSteps     = 5                     // [ours] longest sequence; deeper steps were never reached in time
-	growth       = 1.5                   // [paper] the Controller's factor after a time-out
-	stepShare    = 0.1                   // [paper] the Controller's share of the distance per success
-	tolerance    = 0.2                   // [paper] how alike latencies of a streak are
-	cushion      = 0.3                   // [measured] share of the recent latency added to each step
-	startShare   = 0.25                  // [ours] the Controller starts at this share of the shortest aim
-	budgetShare  = 0.1                   // [measured] repeats earned by each first call
-	budgetMost   = 10.0                  // [ours] repeats saved up at most
-	repeatRest   = time.Second / 10      // [ours] until a repeat that the fleet had no room for is tried
-	breakAt      = 0.5                   // [page] most recent calls failing: below is marked failed
-	breakFor     = time.Second           // [ours] how long ordinary calls stop
-	callGoal     = 0.4                   // [measured] of the told call share is in hand on average
-	callLeast    = 0.005                 // [ours] least share taken for true: a told 0 is a rounded one
-	callShare    = 0.9                   // [ours] of the told call share that hanging calls may reach
-	callSaved    = time.Second           // [ours] calls that an idle instance may catch up on
-	callBurst    = 2.0                   // [measured] times the pace that may be in hand while such are left
-	memoryShare  = 0.92                  // [ours] of the memory that is planned for; reads come on top
-	crowdShare   = 0.85                  // [ours] of the crowd that the cores survive
-	hurry        = 2                     // [measured] patience is the aim over this
-	learn        = 0.1                   // [ours] weight of the newest run in a mean
-	rateSpan     = 5 * time.Second       // [ours] over which a tenant's arrivals are counted
-	chanceSpread = 2                     // [ours] deviations by which a count exceeds what it should be
-	smooth       = time.Second           // [ours] time constant of what callers are told
-	errorsFrom   = 0.4                   // [measured] of own runs failing or hanging: health is bad
-	errorsSpan   = 8 * time.Second       // [measured] in which it fades, and between two spans out for lag
-	leastShare   = 0.1                   // [ours] of the free value's full size that is always left
-	retryWorth   = 0.75                  // [measured] of a first try's worth: it orders, no more
-	wayWorth     = 0.5                   // [ours] of a newcomer's worth: below, a run makes way for it
-	busyFrom     = 1.5                   // [measured] on the cores for each core: disk waits end in bursts
-	idleBelow    = 0.95                  // [measured] busy share under which cores count as idle
-	stormFrom    = 0.6                   // [measured] share of the cores at reads and handshakes: a storm
-	tickMost     = 25 * time.Millisecond // [ours] between looks at the clock and the gauges
-	idleLeast    = 10 * time.Millisecond // [page] shortest idle time that can be asked for
-	sayStep      = 0.02                  // [ours] least change of the free value that is sent
+	latencyBufferSize        = 200                   // [page] diagnostic latencies the Optimizer keeps
+	diagnosticInterval       = 5                     // [page] every so many safe calls one is diagnostic
+	callsPerSolve            = 20                    // [page] calls between two solutions of the sequence
+	timeoutCostSlope         = 0.4                   // [page] g(t) = costSlope * t
+	shedOnsetFraction        = 0.5                   // [page] share of the patience at which refusals begin
+	histogramBins            = 40                    // [ours] of the histogram: finer than its noise at 200 values
+	minBinProbability        = 0.001                 // [ours] least share of all weight in a bin, so that f is never 0
+	maxSequenceLength        = 5                     // [ours] longest sequence; deeper steps were never reached in time
+	timeoutGrowthFactor      = 1.5                   // [paper] the Controller's factor after a time-out
+	timeoutGain              = 0.1                   // [paper] the Controller's share of the distance per success
+	streakTolerance          = 0.2                   // [paper] how alike latencies of a streak are
+	timeoutHeadroom          = 0.3                   // [measured] share of the recent latency added to each step
+	initialTimeoutFraction   = 0.25                  // [ours] the Controller starts at this share of the shortest aim
+	retryBudgetPerCall       = 0.1                   // [measured] repeats earned by each first call
+	maxRetryBudget           = 10.0                  // [ours] repeats saved up at most
+	fleetRetryBackoff        = time.Second / 10      // [ours] until a repeat that the fleet had no room for is tried
+	breakerFailureRate       = 0.5                   // [page] most recent calls failing: below is marked failed
+	breakerOpenDuration      = time.Second           // [ours] how long ordinary calls stop
+	callUtilizationTarget    = 0.4                   // [measured] of the told call share is in hand on average
+	minCallQuota             = 0.005                 // [ours] least share taken for true: a told 0 is a rounded one
+	hungCallUtilizationLimit = 0.9                   // [ours] of the told call share that hanging calls may reach
+	callCreditWindow         = time.Second           // [ours] calls that an idle instance may catch up on
+	callBurstFactor          = 2.0                   // [measured] times the pace that may be in hand while such are left
+	memoryUtilizationLimit   = 0.92                  // [ours] of the memory that is planned for; reads come on top
+	inFlightUtilizationLimit = 0.85                  // [ours] of the crowd that the cores survive
+	objectivePerQueueWait    = 2                     // [measured] patience is the aim over this
+	ewmaWeight               = 0.1                   // [ours] weight of the newest run in a mean
+	arrivalRateTimeConstant  = 5 * time.Second       // [ours] over which a tenant's arrivals are counted
+	quotaToleranceSigma      = 2                     // [ours] deviations by which a count exceeds what it should be
+	pressureTimeConstant     = time.Second           // [ours] time constant of what callers are told
+	unhealthyErrorRate       = 0.4                   // [measured] of own runs failing or hanging: health is bad
+	errorRateTimeConstant    = 8 * time.Second       // [measured] in which it fades, and between two spans out for lag
+	minAdvertisedFraction    = 0.1                   // [ours] of the free value's full size that is always left
+	retryWeightFactor        = 0.75                  // [measured] of a first try's worth: it orders, no more
+	preemptionWeightRatio    = 0.5                   // [ours] of a newcomer's worth: below, a run makes way for it
+	busyRunnablePerCore      = 1.5                   // [measured] on the cores for each core: disk waits end in bursts
+	idleCoreUtilization      = 0.95                  // [measured] busy share under which cores count as idle
+	handshakeStormOnset      = 0.6                   // [measured] share of the cores at reads and handshakes: a storm
+	maxTimerInterval         = 25 * time.Millisecond // [ours] between looks at the clock and the gauges
+	minIdleTimeout           = 10 * time.Millisecond // [page] shortest idle time that can be asked for
+	minAdvertisedChange      = 0.02                  // [ours] least change of the free value that is sent
 )
 
 type state int
 
 const (
-	fresh    state = iota // read in this batch, undecided
-	held                  // waiting to be run
-	paused                // begun, waiting to be taken up again
-	joining               // waits for the request that it repeats
-	running               // on the cores or at the disk
-	standing              // at a call that has not been made
-	calling               // its call is out
-	over
+	received     state = iota // read in this batch, undecided
+	queued                    // waiting to be run
+	preempted                 // begun, waiting to be taken up again
+	coalesced                 // waits for the request that it repeats
+	running                   // on the cores or at the disk
+	awaitingCall              // at a call that has not been made
+	callInFlight              // its call is out
+	finished
 )
 
 type request struct {
 	decision.Request
-	class        *decision.Class
-	arrived, due time.Duration
-	worth        float64 // by which the hold is ordered
-	state        state
-	answered     bool // it has its answer, whatever still runs
-	ran          bool // it may have had its effect
-	stopping     bool // it was told to make way
-	keptTill     time.Duration
-	onCores      time.Duration // time that it has run; while it runs, less the clock
-	notYet       time.Duration // a repeat of its call waits until then
-	calls        int           // that it has come to
-	step, tries  int           // of its call: place in the sequence of time-outs, times made
-	probe, last  bool          // its call is diagnostic, has the sequence's last time-out
+	class            *decision.Class
+	arrivedAt, dueAt time.Duration
+	weight           float64 // by which the hold is ordered
+	state            state
+	answered         bool // it has its answer, whatever still runs
+	mayHaveRun       bool // it may have had its effect
+	preempting       bool // it was told to make way
+	cachedUntil      time.Duration
+	runTime          time.Duration // time that it has run; while it runs, less the clock
+	notYet           time.Duration // a repeat of its call waits until then
+	callCount        int           // that it has come to
+	step, tries      int           // of its call: place in the sequence of time-outs, times made
+	probe, last      bool          // its call is diagnostic, has the sequence's last time-out
 }
 
-type caller struct {
-	from int
-	at   time.Duration
+type callerSeen struct {
+	caller int
+	at     time.Duration
 }
 
 // Instance decides for one server. It is not safe for concurrent use.
 type Instance struct {
-	set            decision.Settings
-	bounds         decision.FleetBounds
-	host           decision.Host
-	rng            *rand.Rand
-	now, born, gap time.Duration // gap: between two looks at the clock
-	shortest       time.Duration // of the aims
-	fadedAt        time.Duration // when what was seen last lost weight
-	staysTill      time.Duration // lagging reads alone don't count until then
-
-	requests map[string]*request // by id; what is over stays while its key is kept
-	live     []*request          // in order of arrival
-	queue    []*request          // held, most worth first, then oldest
-	kept     []*request          // those with an entry in the table
-	count    [over + 1]int
-	moves    int     // between states, so far
-	toCome   float64 // calls that what is in hand is still to make, as of
-	toComeAt int     // so many moves
-	memory   float64 // kilobytes needed, entries included
-
-	begun, draining, broken, well bool // well: fit for traffic
-	storm                         bool // reads and handshakes take most of the cores
-	drainedAt, stopAt, brokenTill time.Duration
+	settings                      decision.Settings
+	bounds                        decision.FleetBounds
+	host                          decision.Host
+	random                        *rand.Rand
+	now, startedAt, timerInterval time.Duration // gap: between two looks at the clock
+	shortestObjective             time.Duration // of the aims
+	decayedAt                     time.Duration // when what was seen last lost weight
+	staysTill                     time.Duration // lagging reads alone don't count until then
+
+	requests    map[string]*request // by id; what is over stays while its key is kept
+	live        []*request          // in order of arrival
+	queue       []*request          // held, most worth first, then oldest
+	cached      []*request          // those with an entry in the table
+	count       [finished + 1]int
+	transitions int     // between states, so far
+	toCome      float64 // calls that what is in hand is still to make, as of
+	toComeAt    int     // so many moves
+	reservedKB  float64 // kilobytes needed, entries included
+
+	started, draining, broken, well bool // well: fit for traffic
+	storm                           bool // reads and handshakes take most of the cores
+	drainedAt, stopAt, brokenTill   time.Duration
 
 	runTime                    time.Duration // that a run is on the cores, in the mean
 	calls                      []float64     // that runs of a class make, in the mean
@@ -135,7 +135,7 @@
 	budget, failing            float64 // failing: share of recent calls that failed or timed out at t_z
 	safeCalls, reads           int
 	idle                       time.Duration   // connections idle for this long are closed
-	heard                      []caller        // callers of late, the newest last
+	heard                      []callerSeen    // callers of late, the newest last
 	lingering                  []time.Duration // ends of given-up calls' stay below
 	credit, creditAt, callTime time.Duration   // time that calls may still spend below; that one takes
 }
@@ -148,21 +148,21 @@
 		return nil, err
 	}
 	in := &Instance{
-		set: s, host: host, rng: rand.New(rand.NewSource(seed)), requests: make(map[string]*request),
+		settings: s, host: host, random: rand.New(rand.NewSource(seed)), requests: make(map[string]*request),
 		runLimit: float64(s.Cores), calls: make([]float64, len(s.Classes)),
-		rates: make([]float64, max(1, len(s.Tenants))), budget: budgetMost,
+		rates: make([]float64, max(1, len(s.Tenants))), budget: maxRetryBudget,
 		said: -1, well: true, idle: s.MaxIdleTime, bounds: decision.FleetBounds{MaxCalls: math.Inf(1)},
 	}
 	in.tune(0)
-	in.controller.timeout = time.Duration(float64(in.shortest) * startShare)
+	in.controller.timeout = time.Duration(float64(in.shortestObjective) * initialTimeoutFraction)
 	return in, nil
 }
 
 // tune derives what follows from the settings. Classes from the given one on are new.
 func (in *Instance) tune(newFrom int) {
-	s := &in.set
-	in.gap = max(s.BatchInterval, min(tickMost, s.DeadlineSlack/4))
-	in.shortest = slices.MinFunc(s.Classes,
+	s := &in.settings
+	in.timerInterval = max(s.BatchInterval, min(maxTimerInterval, s.DeadlineSlack/4))
+	in.shortestObjective = slices.MinFunc(s.Classes,
 		func(a, b decision.Class) int {
 			return cmp.Compare(a.LatencyObjective, b.LatencyObjective)
 		}).LatencyObjective
@@ -180,24 +180,24 @@
 	if err := s.Validate(); err != nil {
 		return err
 	}
-	old := len(in.set.Classes)
+	old := len(in.settings.Classes)
 	if len(s.Classes) < old {
 		return fmt.Errorf("classes: %d, want at least the %d that there were", len(s.Classes), old)
 	}
 	in.now = now
-	s.SlowStart = in.set.SlowStart
-	s.SlowStartMinSpeed = in.set.SlowStartMinSpeed
-	s.SlowStartDuration = in.set.SlowStartDuration
-	if s.LoadReportMode != in.set.LoadReportMode {
+	s.SlowStart = in.settings.SlowStart
+	s.SlowStartMinSpeed = in.settings.SlowStartMinSpeed
+	s.SlowStartDuration = in.settings.SlowStartDuration
+	if s.LoadReportMode != in.settings.LoadReportMode {
 		in.said = -1 // what was said means another thing
 	}
-	in.set = s
+	in.settings = s
 	in.calls = append(in.calls, make([]float64, len(s.Classes)-old)...)
 	in.rates = append(in.rates, make([]float64, max(0, len(s.Tenants)-len(in.rates)))...)
 	in.tune(old)
-	in.memory = in.set.KeyMemoryKB * float64(len(in.kept))
+	in.reservedKB = in.settings.KeyMemoryKB * float64(len(in.cached))
 	for _, q := range in.live {
-		in.memory += in.weight(q, q.state)
+		in.reservedKB += in.reservedMemory(q, q.state)
 	}
 	return nil
 }
@@ -205,31 +205,31 @@
 // RequestReceived takes in a request that was read. Decide settles what becomes of it.
 func (in *Instance) RequestReceived(now time.Duration, r decision.Request) {
 	in.now = now
-	if r.Class < 0 || r.Class >= len(in.set.Classes) || in.requests[r.ID] != nil {
+	if r.Class < 0 || r.Class >= len(in.settings.Classes) || in.requests[r.ID] != nil {
 		return
 	}
 	if r.Tenant < 0 || r.Tenant >= len(in.rates) {
 		r.Tenant = 0
 	}
-	c := &in.set.Classes[r.Class]
-	q := &request{Request: r, class: c, arrived: now - r.Waited, due: r.Deadline, state: fresh}
-	if q.due <= 0 {
-		q.due = max(now, q.arrived+c.Deadline)
+	c := &in.settings.Classes[r.Class]
+	q := &request{Request: r, class: c, arrivedAt: now - r.Waited, dueAt: r.Deadline, state: received}
+	if q.dueAt <= 0 {
+		q.dueAt = max(now, q.arrivedAt+c.Deadline)
 	}
 	in.requests[r.ID] = q
 	in.live = append(in.live, q)
-	in.count[fresh]++
+	in.count[received]++
 	in.reads++
-	in.lag += learn * (r.Waited.Seconds() - in.lag)
-	in.memory += in.weight(q, fresh)
-	in.heard = slices.DeleteFunc(in.heard, func(c caller) bool { return c.from == r.Caller })
-	in.heard = append(in.heard, caller{r.Caller, now})
+	in.lag += ewmaWeight * (r.Waited.Seconds() - in.lag)
+	in.reservedKB += in.reservedMemory(q, received)
+	in.heard = slices.DeleteFunc(in.heard, func(c callerSeen) bool { return c.caller == r.Caller })
+	in.heard = append(in.heard, callerSeen{r.Caller, now})
 	if !r.Retry {
 		in.rates[r.Tenant]++
 	}
-	q.worth = c.Weight * in.share(r.Tenant)
+	q.weight = c.Weight * in.tenantWeight(r.Tenant)
 	if r.Retry { // part of its aim is gone: where there is not room for all it goes after first tries
-		q.worth *= retryWorth
+		q.weight *= retryWeightFactor
 	}
 }
 
@@ -237,24 +237,24 @@
 func (in *Instance) RunDone(now time.Duration, id string, outcome decision.Outcome, _ time.Duration) {
 	in.now = now
 	q := in.requests[id]
-	if q == nil || q.state == over {
+	if q == nil || q.state == finished {
 		return
 	}
 	// A call that ends with its request was given up.
-	if q.state == calling && in.set.AbandonedCallDuration > 0 {
-		in.lingering = append(in.lingering, now+in.set.AbandonedCallDuration)
+	if q.state == callInFlight && in.settings.AbandonedCallDuration > 0 {
+		in.lingering = append(in.lingering, now+in.settings.AbandonedCallDuration)
 	}
-	if q.stopping && outcome == decision.Cancelled && !q.answered {
-		q.stopping = false
-		in.move(q, paused)
+	if q.preempting && outcome == decision.Cancelled && !q.answered {
+		q.preempting = false
+		in.moveTo(q, preempted)
 		return
 	}
-	joined := q.state == joining
-	in.move(q, over)
+	joined := q.state == coalesced
+	in.moveTo(q, finished)
 	if !joined && (outcome == decision.Succeeded || outcome == decision.Failed) {
-		in.ownRun(outcome == decision.Failed)
-		in.runTime += time.Duration(learn * float64(q.onCores-in.runTime))
-		in.calls[q.Class] += learn * (float64(q.calls) - in.calls[q.Class])
+		in.recordRun(outcome == decision.Failed)
+		in.runTime += time.Duration(ewmaWeight * float64(q.runTime-in.runTime))
+		in.calls[q.Class] += ewmaWeight * (float64(q.callCount) - in.calls[q.Class])
 	}
 	q.answered = q.answered || outcome != decision.Cancelled
 	in.fail(q) // stopped by nobody here, it still owes an answer
@@ -264,8 +264,8 @@
 func (in *Instance) CallNeeded(now time.Duration, id string) {
 	in.now = now
 	if q := in.requests[id]; q != nil && q.state == running {
-		q.notYet, q.step, q.tries, q.calls, q.stopping = 0, 0, 0, q.calls+1, false
-		in.move(q, standing)
+		q.notYet, q.step, q.tries, q.callCount, q.preempting = 0, 0, 0, q.callCount+1, false
+		in.moveTo(q, awaitingCall)
 	}
 }
 
@@ -273,15 +273,15 @@
 func (in *Instance) CallDone(now time.Duration, id string, outcome decision.Outcome, took time.Duration) {
 	in.now = now
 	q := in.requests[id]
-	if q == nil || q.state != calling {
+	if q == nil || q.state != callInFlight {
 		return
 	}
-	in.learnCall(q, outcome, took)
+	in.recordCall(q, outcome, took)
 	if outcome == decision.Succeeded {
-		in.move(q, running)
+		in.moveTo(q, running)
 		return
 	}
-	in.move(q, standing)
+	in.moveTo(q, awaitingCall)
 	if q.answered {
 		return
 	}
@@ -295,18 +295,18 @@
 		}
 		return
 	}
-	in.giveUpCall(q)
+	in.abandonCall(q)
 }
 
 // CallerGone takes in that nobody waits for a request.
 func (in *Instance) CallerGone(now time.Duration, id string) {
 	in.now = now
 	q := in.requests[id]
-	if q == nil || q.state == over {
+	if q == nil || q.state == finished {
 		return
 	}
 	q.answered = true
-	in.settle(q)
+	in.endAnswered(q)
 }
 
 // Drain takes in that the process is stopped at a time.
@@ -320,89 +320,89 @@
 // Tick takes in a timer with the gauges of the moment.
 func (in *Instance) Tick(now time.Duration, _ int64, g decision.Gauges) {
 	in.now = now
-	in.host.SetTimer(in.gap, 0)
+	in.host.SetTimer(in.timerInterval, 0)
 	in.fade()
-	in.tuneRunLimit(g)
-	in.watchSelf()
-	in.speak()
-	in.closeIdle()
-	in.expireKeys()
+	in.adjustConcurrencyLimit(g)
+	in.updateHealth()
+	in.publishLoad()
+	in.adjustIdleTimeout()
+	in.expireCachedResults()
 }
 
 // Decide settles one batch of events.
 func (in *Instance) Decide(now time.Duration) {
 	in.now = now
-	if !in.begun {
-		in.begun, in.born, in.creditAt, in.fadedAt = true, now, now, now
-		in.host.SetTimer(in.gap, 0)
+	if !in.started {
+		in.started, in.startedAt, in.creditAt, in.decayedAt = true, now, now, now
+		in.host.SetTimer(in.timerInterval, 0)
 		in.host.SetHealth(true, true)
 	}
-	in.payCalls()
-	in.guardDue()
+	in.accrueCallCredit()
+	in.expireDeadlines()
 	for _, q := range in.live {
-		if q.state == fresh {
-			in.intake(q)
+		if q.state == received {
+			in.admit(q)
 		}
 	}
 	in.makeCalls()
-	in.startRuns()
-	in.clearOut()
-	in.guardMemory()
+	in.dispatch()
+	in.dropStale()
+	in.shedForMemory()
 	in.live = slices.DeleteFunc(in.live, func(q *request) bool {
-		if q.state == over && q.keptTill == 0 {
+		if q.state == finished && q.cachedUntil == 0 {
 			delete(in.requests, q.ID)
 		}
-		return q.state == over
+		return q.state == finished
 	})
 }
 
 // fade lets what was seen lose weight from tick to tick.
 func (in *Instance) fade() {
-	past := float64(in.now - in.fadedAt)
-	in.fadedAt = in.now
-	in.lag *= math.Exp(-past / float64(smooth))
-	in.errors *= math.Exp(-past / float64(errorsSpan))
+	past := float64(in.now - in.decayedAt)
+	in.decayedAt = in.now
+	in.lag *= math.Exp(-past / float64(pressureTimeConstant))
+	in.errors *= math.Exp(-past / float64(errorRateTimeConstant))
 	for i := range in.rates {
-		in.rates[i] *= math.Exp(-past / float64(rateSpan))
+		in.rates[i] *= math.Exp(-past / float64(arrivalRateTimeConstant))
 	}
 }
 
-// move changes a request's state and keeps the sums that depend on it.
-func (in *Instance) move(q *request, to state) {
-	in.payCalls()
-	in.moves++
-	if q.state == held || q.state == paused {
+// moveTo changes a request's state and keeps the sums that depend on it.
+func (in *Instance) moveTo(q *request, to state) {
+	in.accrueCallCredit()
+	in.transitions++
+	if q.state == queued || q.state == preempted {
 		in.queue = slices.DeleteFunc(in.queue, func(o *request) bool { return o == q })
 	}
 	if q.state == running {
-		q.onCores += in.now
+		q.runTime += in.now
 	} else if to == running {
-		q.onCores -= in.now
+		q.runTime -= in.now
 	}
-	in.memory += in.weight(q, to) - in.weight(q, q.state)
+	in.reservedKB += in.reservedMemory(q, to) - in.reservedMemory(q, q.state)
 	in.count[q.state]--
 	in.count[to]++
 	q.state = to
-	if to == held || to == paused {
-		at, _ := slices.BinarySearchFunc(in.queue, q, before)
+	if to == queued || to == preempted {
+		at, _ := slices.BinarySearchFunc(in.queue, q, comparePriority)
 		in.queue = slices.Insert(in.queue, at, q)
 	}
 }
 
-// weight is the memory that a request needs in a state.
-func (in *Instance) weight(q *request, s state) float64 {
+// reservedMemory is the memory that a request needs in a state.
+func (in *Instance) reservedMemory(q *request, s state) float64 {
 	switch s {
-	case over:
+	case finished:
 		return 0
-	case fresh, held, joining:
+	case received, queued, coalesced:
 		return q.ReservedKB
 	}
-	return q.ReservedKB * in.set.RunningMemoryFactor
+	return q.ReservedKB * in.settings.RunningMemoryFactor
 }
 
-// before orders work: most worth first, then oldest.
-func before(a, b *request) int {
-	return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(a.arrived, b.arrived))
+// comparePriority orders work: most worth first, then oldest.
+func comparePriority(a, b *request) int {
+	return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.arrivedAt, b.arrivedAt))
 }
 
 // --- Answers ---
@@ -413,39 +413,39 @@
 	}
 	q.answered = true
 	in.host.Fail(q.ID)
-	in.settle(q)
+	in.endAnswered(q)
 }
 
-// refuse turns away a request, with advice to stay away as far as reading is
+// shed turns away a request, with advice to stay away as far as reading is
 // the burden. last is the chance of the wish that it is not tried elsewhere.
-func (in *Instance) refuse(q *request, chance, last float64) {
-	if q.ran && q.class.Effect != decision.Idempotent {
+func (in *Instance) shed(q *request, chance, last float64) {
+	if q.mayHaveRun && q.class.Effect != decision.Idempotent {
 		in.fail(q)
 		return
 	}
 	q.answered = true
 	burden := max(in.readsLate(), in.reading) // else advice keeps work from cores that idle a moment later
-	away := time.Duration(chance * burden * (0.5 + in.rng.Float64()) * float64(in.set.MaxRetryAfter))
+	away := time.Duration(chance * burden * (0.5 + in.random.Float64()) * float64(in.settings.MaxRetryAfter))
 	if in.draining {
-		away = in.set.MaxRetryAfter
+		away = in.settings.MaxRetryAfter
 	}
-	slow := in.runTime > in.aim(q)/hurry // then peers are likely quicker
-	stay := !in.draining && (in.rng.Float64() < last && !slow || in.now-q.arrived > in.aim(q)/hurry)
-	in.host.Shed(q.ID, min(away, in.set.MaxRetryAfter), stay)
-	if q.keptTill != 0 && !q.ran {
+	slow := in.runTime > in.latencyObjective(q)/objectivePerQueueWait // then peers are likely quicker
+	stay := !in.draining && (in.random.Float64() < last && !slow || in.now-q.arrivedAt > in.latencyObjective(q)/objectivePerQueueWait)
+	in.host.Shed(q.ID, min(away, in.settings.MaxRetryAfter), stay)
+	if q.cachedUntil != 0 && !q.mayHaveRun {
 		in.host.EvictResult(q.ID)
-		q.keptTill = in.now // the next tick takes it out
+		q.cachedUntil = in.now // the next tick takes it out
 	}
-	in.settle(q)
+	in.endAnswered(q)
 }
 
-// settle ends what an answered request still does, where that is possible.
-func (in *Instance) settle(q *request) {
+// endAnswered ends what an answered request still does, where that is possible.
+func (in *Instance) endAnswered(q *request) {
 	switch q.state {
-	case fresh, held, paused, joining:
-		in.move(q, over)
+	case received, queued, preempted, coalesced:
+		in.moveTo(q, finished)
 	case running:
-		if in.set.CancelMode != decision.CancelNever {
+		if in.settings.CancelMode != decision.CancelNever {
 			in.host.Cancel(q.ID)
 		}
 	}
@@ -453,81 +453,81 @@
 
 // --- Guards ---
 
-// guardDue answers what is due before the clock is looked at again. Work that
+// expireDeadlines answers what is due before the clock is looked at again. Work that
 // can't be stopped goes on and still weighs on the cores and in memory.
-func (in *Instance) guardDue() {
+func (in *Instance) expireDeadlines() {
 	for _, q := range in.live {
-		due := q.due + in.set.DeadlineSlack/2 // an early answer would cut runs short
-		if over := q.arrived + in.aim(q); q.class.LateWeight == 0 && over < q.due && q.state != joining &&
-			q.state != calling && (q.state != running || in.set.CancelMode != decision.CancelNever) {
+		due := q.dueAt + in.settings.DeadlineSlack/2 // an early answer would cut runs short
+		if over := q.arrivedAt + in.latencyObjective(q); q.class.LateWeight == 0 && over < q.dueAt && q.state != coalesced &&
+			q.state != callInFlight && (q.state != running || in.settings.CancelMode != decision.CancelNever) {
 			due = over // the cores are for others
 		}
 		if in.draining {
-			due = min(due, in.stopAt-2*in.gap)
+			due = min(due, in.stopAt-2*in.timerInterval)
 		}
-		if q.answered || due > in.now+in.gap {
+		if q.answered || due > in.now+in.timerInterval {
 			continue
 		}
 		if q.state == running { // it hangs, or the cores are far too slow
-			in.ownRun(true)
+			in.recordRun(true)
 		}
-		if q.state == fresh && q.DuplicateOf == "" || q.state == held ||
-			q.ran && q.class.Effect == decision.Idempotent {
-			in.refuse(q, 1, in.pressure)
+		if q.state == received && q.DuplicateOf == "" || q.state == queued ||
+			q.mayHaveRun && q.class.Effect == decision.Idempotent {
+			in.shed(q, 1, in.pressure)
 		} else {
 			in.fail(q)
 		}
 	}
 }
 
-// guardMemory sheds what only waits, the newest first, when reads, runs and
+// shedForMemory sheds what only waits, the newest first, when reads, runs and
 // keys together outgrow the memory.
-func (in *Instance) guardMemory() {
-	for i := len(in.live) - 1; i >= 0 && in.memory > in.set.MemoryKB*memoryShare; i-- {
+func (in *Instance) shedForMemory() {
+	for i := len(in.live) - 1; i >= 0 && in.reservedKB > in.settings.MemoryKB*memoryUtilizationLimit; i-- {
 		switch q := in.live[i]; q.state {
-		case held, paused:
-			in.refuse(q, 1, in.pressure)
-		case joining:
+		case queued, preempted:
+			in.shed(q, 1, in.pressure)
+		case coalesced:
 			in.fail(q)
 		}
 	}
 }
 
-// crowdLimit is how many requests may be in hand so that, if all came back
+// maxInFlight is how many requests may be in hand so that, if all came back
 // to the cores at once, the instance would survive. A cold one survives less.
-func (in *Instance) crowdLimit() float64 {
+func (in *Instance) maxInFlight() float64 {
 	speed := 1.0
-	if age := in.now - in.born; in.set.SlowStart && age < in.set.SlowStartDuration {
-		slowest := in.set.SlowStartMinSpeed
-		speed = slowest + (1-slowest)*float64(age)/float64(in.set.SlowStartDuration)
+	if age := in.now - in.startedAt; in.settings.SlowStart && age < in.settings.SlowStartDuration {
+		slowest := in.settings.SlowStartMinSpeed
+		speed = slowest + (1-slowest)*float64(age)/float64(in.settings.SlowStartDuration)
 	}
-	cores := float64(in.set.Cores)
-	return max(1, crowdShare*cores*(1+max(0, in.set.OverloadRatio-1)*speed))
+	cores := float64(in.settings.Cores)
+	return max(1, inFlightUtilizationLimit*cores*(1+max(0, in.settings.OverloadRatio-1)*speed))
 }
 
-func (in *Instance) expireKeys() {
-	in.kept = slices.DeleteFunc(in.kept, func(q *request) bool {
-		if q.keptTill > in.now {
+func (in *Instance) expireCachedResults() {
+	in.cached = slices.DeleteFunc(in.cached, func(q *request) bool {
+		if q.cachedUntil > in.now {
 			return false
 		}
-		q.keptTill = 0
-		in.memory -= in.set.KeyMemoryKB
-		if q.state == over {
+		q.cachedUntil = 0
+		in.reservedKB -= in.settings.KeyMemoryKB
+		if q.state == finished {
 			delete(in.requests, q.ID)
 		}
 		return true
 	})
 }
 
-// watchSelf guards against an instance that is the trouble itself: one whose
+// updateHealth guards against an instance that is the trouble itself: one whose
 // runs fail fast looks idle and attracts work, one that hangs or is slow still
 // reads, late. Were all to lag at once, only few would leave the list: each
 // stays in it for a while after it was out.
-func (in *Instance) watchSelf() {
+func (in *Instance) updateHealth() {
 	lags := in.readsLate() > 1 && (!in.well || in.now > in.staysTill)
-	well := in.errors <= errorsFrom && !lags
+	well := in.errors <= unhealthyErrorRate && !lags
 	if well != in.well && !in.draining {
-		in.well, in.staysTill = well, in.now+errorsSpan
+		in.well, in.staysTill = well, in.now+errorRateTimeConstant
 		in.host.SetHealth(well, true)
 		in.host.Log(fmt.Sprintf("well: %v; share of own runs failing or hanging %.2f, reads late by %.1f s",
 			well, in.errors, in.lag))
@@ -535,158 +535,160 @@
 }
 
 // readsLate is how far reads lag, as a part of what makes all that is read useless.
-func (in *Instance) readsLate() float64 { return in.lag / (refuseFrom * in.shortest.Seconds()) }
+func (in *Instance) readsLate() float64 {
+	return in.lag / (shedOnsetFraction * in.shortestObjective.Seconds())
+}
 
-// ownRun counts one of the instance's own runs.
-func (in *Instance) ownRun(bad bool) {
-	in.errors -= learn * in.errors
+// recordRun counts one of the instance's own runs.
+func (in *Instance) recordRun(bad bool) {
+	in.errors -= ewmaWeight * in.errors
 	if bad {
-		in.errors += learn
+		in.errors += ewmaWeight
 	}
 }
 
 // --- Intake refusal ---
 
-func (in *Instance) intake(q *request) {
+func (in *Instance) admit(q *request) {
 	if q.DuplicateOf != "" {
 		prior := in.requests[q.DuplicateOf]
-		if prior == nil || prior.ran || prior.state != over {
+		if prior == nil || prior.mayHaveRun || prior.state != finished {
 			in.host.ServeCached(q.ID)
-			q.ran = q.class.Effect != decision.Idempotent // its effect may have been had
-			in.move(q, joining)
+			q.mayHaveRun = q.class.Effect != decision.Idempotent // its effect may have been had
+			in.moveTo(q, coalesced)
 			return
 		}
 	}
-	if in.draining && q.arrived > in.drainedAt+in.set.DrainGrace {
-		in.refuse(q, 1, in.pressure)
+	if in.draining && q.arrivedAt > in.drainedAt+in.settings.DrainGrace {
+		in.shed(q, 1, in.pressure)
 		return
 	}
-	chance, below := in.chance(q), ramp(in.callWait(q), in.patience(q))
-	in.pressed = max(in.pressed, chance, ramp(in.now-q.arrived, in.patience(q)))
-	if in.rng.Float64() < chance || in.memory > in.set.MemoryKB*memoryShare {
-		in.refuse(q, max(chance, refuseFrom), max(chance, in.pressure))
+	chance, below := in.shedProbability(q), linearRamp(in.expectedCallWait(q), in.maxQueueWait(q))
+	in.pressed = max(in.pressed, chance, linearRamp(in.now-q.arrivedAt, in.maxQueueWait(q)))
+	if in.random.Float64() < chance || in.reservedKB > in.settings.MemoryKB*memoryUtilizationLimit {
+		in.shed(q, max(chance, shedOnsetFraction), max(chance, in.pressure))
 		return
 	}
-	if in.rng.Float64() < below { // others share what it lacks, and here is room for other work
-		in.refuse(q, 0, below)
+	if in.random.Float64() < below { // others share what it lacks, and here is room for other work
+		in.shed(q, 0, below)
 		return
 	}
-	in.move(q, held)
-	ttl := q.class.KeyWindow - (in.now - q.arrived)
-	if q.class.Effect == decision.Idempotent && in.set.CacheTTL > 0 && q.CacheKey != "" && !q.Write {
-		ttl = q.class.LatencyObjective + in.set.CacheTTL
+	in.moveTo(q, queued)
+	ttl := q.class.KeyWindow - (in.now - q.arrivedAt)
+	if q.class.Effect == decision.Idempotent && in.settings.CacheTTL > 0 && q.CacheKey != "" && !q.Write {
+		ttl = q.class.LatencyObjective + in.settings.CacheTTL
 	} else if q.class.Effect != decision.Keyed {
 		return
 	}
 	if ttl > 0 {
-		in.host.CacheResult(q.ID, ttl+in.gap)
-		q.keptTill = in.now + ttl + in.gap
-		in.kept = append(in.kept, q)
-		in.memory += in.set.KeyMemoryKB
+		in.host.CacheResult(q.ID, ttl+in.timerInterval)
+		q.cachedUntil = in.now + ttl + in.timerInterval
+		in.cached = append(in.cached, q)
+		in.reservedKB += in.settings.KeyMemoryKB
 	}
 }
 
-// chance is the chance at which a newcomer is refused. It rises from zero to
+// shedProbability is the chance at which a newcomer is refused. It rises from zero to
 // one with the oldest wait among the work that would run before it, so that
 // aged work of less worth turns nobody away.
-func (in *Instance) chance(q *request) float64 {
+func (in *Instance) shedProbability(q *request) float64 {
 	c := 0.0
 	for _, h := range in.queue {
-		if before(q, h) < 0 {
+		if comparePriority(q, h) < 0 {
 			break
 		}
-		c = max(c, ramp(in.now-h.arrived, in.patience(h)))
+		c = max(c, linearRamp(in.now-h.arrivedAt, in.maxQueueWait(h)))
 	}
 	return c
 }
 
-// callWait is how long a request would wait for a call to the shared
+// expectedCallWait is how long a request would wait for a call to the shared
 // dependency behind the work that calls before it: all in hand, and what is
 // held before it. Work that can't get its call costs cores and memory first.
-func (in *Instance) callWait(q *request) time.Duration {
-	if !q.class.CallsDependency || in.set.Dependency != decision.SharedDependency ||
-		q.class.DegradedWeight > 0 && q.state != standing {
+func (in *Instance) expectedCallWait(q *request) time.Duration {
+	if !q.class.CallsDependency || in.settings.Dependency != decision.SharedDependency ||
+		q.class.DegradedWeight > 0 && q.state != awaitingCall {
 		return 0
 	}
-	calls := in.callsToCome()
+	calls := in.expectedCalls()
 	for _, s := range in.queue {
-		if before(s, q) >= 0 {
+		if comparePriority(s, q) >= 0 {
 			break
 		}
-		if s.state == held {
-			calls += max(0, in.calls[s.Class]-float64(s.calls))
+		if s.state == queued {
+			calls += max(0, in.calls[s.Class]-float64(s.callCount))
 		}
 	}
-	return time.Duration(max(0, calls*float64(in.callTime)-float64(in.credit)) / in.callPace())
+	return time.Duration(max(0, calls*float64(in.callTime)-float64(in.credit)) / in.targetCallConcurrency())
 }
 
-// callsToCome is how many calls what is in hand is still to make. It is the same
+// expectedCalls is how many calls what is in hand is still to make. It is the same
 // for all that ask between two moves, and many do where calls are scarce.
-func (in *Instance) callsToCome() float64 {
-	if in.toComeAt != in.moves {
-		in.toComeAt, in.toCome = in.moves, 0
+func (in *Instance) expectedCalls() float64 {
+	if in.toComeAt != in.transitions {
+		in.toComeAt, in.toCome = in.transitions, 0
 		for _, s := range in.live {
-			if s.state == standing {
+			if s.state == awaitingCall {
 				in.toCome++
 			} else if s.state == running {
-				in.toCome += max(0, in.calls[s.Class]-float64(s.calls))
+				in.toCome += max(0, in.calls[s.Class]-float64(s.callCount))
 			}
 		}
 	}
 	return in.toCome
 }
 
-// ramp is the chance of refusal for a wait.
-func ramp(wait, patience time.Duration) float64 {
+// linearRamp is the chance of refusal for a wait.
+func linearRamp(wait, patience time.Duration) float64 {
 	used := float64(wait) / float64(patience)
-	return min(1, max(0, (used-refuseFrom)/(1-refuseFrom)))
+	return min(1, max(0, (used-shedOnsetFraction)/(1-shedOnsetFraction)))
 }
 
-// aim is how long after its arrival a request's answer earns full worth.
-func (in *Instance) aim(q *request) time.Duration {
+// latencyObjective is how long after its arrival a request's answer earns full worth.
+func (in *Instance) latencyObjective(q *request) time.Duration {
 	ofCost := time.Duration(q.class.ObjectivePerCost * float64(q.CostHint))
-	return min(q.due-q.arrived, q.class.LatencyObjective+ofCost)
+	return min(q.dueAt-q.arrivedAt, q.class.LatencyObjective+ofCost)
 }
 
-// patience is how long a request may wait: the rest of its aim is for its run.
+// maxQueueWait is how long a request may wait: the rest of its aim is for its run.
 // Where runs take most of it, be it that cores are slow or crowded, nothing may.
-func (in *Instance) patience(q *request) time.Duration {
-	return min(in.aim(q)/hurry, max(in.gap, in.aim(q)-in.runTime))
+func (in *Instance) maxQueueWait(q *request) time.Duration {
+	return min(in.latencyObjective(q)/objectivePerQueueWait, max(in.timerInterval, in.latencyObjective(q)-in.runTime))
 }
 
-// clearOut turns away held work that can no longer make its aim, while there
+// dropStale turns away held work that can no longer make its aim, while there
 // is more to do than the cores can: run late it would make others late too.
 // It comes after startRuns: when reads lag, all that is read is old, and an
 // instance that cleared it out first would do nothing but read.
-func (in *Instance) clearOut() {
+func (in *Instance) dropStale() {
 	for i := len(in.queue) - 1; i >= 0; i-- {
-		if q := in.queue[i]; q.state == held && in.now-q.arrived > in.patience(q) {
-			in.refuse(q, 1, in.pressure)
+		if q := in.queue[i]; q.state == queued && in.now-q.arrivedAt > in.maxQueueWait(q) {
+			in.shed(q, 1, in.pressure)
 		}
 	}
 }
 
-// share is what a request of a tenant is worth, by how far its tenant is over
+// tenantWeight is what a request of a tenant is worth, by how far its tenant is over
 // its quota. Only local arrivals are seen: each instance takes an even part, and
 // what a count of that size reaches by chance is no excess.
-func (in *Instance) share(tenant int) float64 {
-	if tenant >= len(in.set.Tenants) || in.set.Tenants[tenant].Quota <= 0 {
+func (in *Instance) tenantWeight(tenant int) float64 {
+	if tenant >= len(in.settings.Tenants) || in.settings.Tenants[tenant].Quota <= 0 {
 		return 1
 	}
-	quota := in.set.Tenants[tenant].Quota / float64(max(1, in.set.Servers)) * rateSpan.Seconds()
-	if in.rates[tenant] <= quota+chanceSpread*math.Sqrt(quota) {
+	quota := in.settings.Tenants[tenant].Quota / float64(max(1, in.settings.Servers)) * arrivalRateTimeConstant.Seconds()
+	if in.rates[tenant] <= quota+quotaToleranceSigma*math.Sqrt(quota) {
 		return 1
 	}
 	in4 := math.Round(4*quota/in.rates[tenant]) / 4 // in quarters: order of arrival within each
-	return max(in.set.OverQuotaWeight, in4)
+	return max(in.settings.OverQuotaWeight, in4)
 }
 
 // --- Run limit ---
 
-// tuneRunLimit lets more run while cores idle and work waits, and falls back
+// adjustConcurrencyLimit lets more run while cores idle and work waits, and falls back
 // toward the cores while they are busy.
-func (in *Instance) tuneRunLimit(g decision.Gauges) {
-	cores := float64(in.set.Cores)
+func (in *Instance) adjustConcurrencyLimit(g decision.Gauges) {
+	cores := float64(in.settings.Cores)
 	on := g.RunnableTasks
 	if on < 0 {
 		on = float64(in.count[running])
@@ -694,57 +696,57 @@
 	youngest := time.Duration(math.MaxInt64) // all runs old: slow, before one has ended
 	for _, q := range in.live {
 		if q.state == running {
-			youngest = min(youngest, q.onCores+in.now)
+			youngest = min(youngest, q.runTime+in.now)
 		}
 	}
-	if in.count[running] >= in.set.Cores {
+	if in.count[running] >= in.settings.Cores {
 		in.runTime = max(in.runTime, youngest)
 	}
 	reading := max(0, on-float64(in.count[running])) / max(1, on)
-	in.reading += (reading - in.reading) * min(1, float64(in.gap)/float64(smooth))
+	in.reading += (reading - in.reading) * min(1, float64(in.timerInterval)/float64(pressureTimeConstant))
 	switch {
-	case on > busyFrom*cores || g.CoreUtilization >= idleBelow:
+	case on > busyRunnablePerCore*cores || g.CoreUtilization >= idleCoreUtilization:
 		in.runLimit -= (in.runLimit - cores) * 0.05
 	case len(in.queue) > 0:
 		in.runLimit += 0.25
 	}
-	in.runLimit = min(max(in.runLimit, cores), max(cores, in.crowdLimit()))
+	in.runLimit = min(max(in.runLimit, cores), max(cores, in.maxInFlight()))
 }
 
-// startRuns runs held work, most worth first, while the run limit, the crowd
+// dispatch runs held work, most worth first, while the run limit, the crowd
 // and the memory allow. Work that would only queue for a call is passed over.
-func (in *Instance) startRuns() {
+func (in *Instance) dispatch() {
 	for i := 0; i < len(in.queue); {
 		q := in.queue[i]
-		inHand := float64(in.count[running] + in.count[standing] + in.count[calling])
+		inHand := float64(in.count[running] + in.count[awaitingCall] + in.count[callInFlight])
 		limit := max(1, in.runLimit/(1+in.readsLate())) // reads share the cores: late ones come first
-		more := in.weight(q, running) - in.weight(q, q.state)
-		if in.memory+more > in.set.MemoryKB*memoryShare || ramp(in.callWait(q), in.patience(q)) > 0 {
+		more := in.reservedMemory(q, running) - in.reservedMemory(q, q.state)
+		if in.reservedKB+more > in.settings.MemoryKB*memoryUtilizationLimit || linearRamp(in.expectedCallWait(q), in.maxQueueWait(q)) > 0 {
 			i++
 			continue
 		}
-		if inHand >= in.crowdLimit() || float64(in.count[running]) >= limit && !in.makeWay(q) {
+		if inHand >= in.maxInFlight() || float64(in.count[running]) >= limit && !in.preemptFor(q) {
 			return
 		}
-		q.ran = true
+		q.mayHaveRun = true
 		in.host.Run(q.ID)
-		in.move(q, running)
+		in.moveTo(q, running)
 	}
 }
 
-// makeWay pauses the run of least worth for one that is worth far more, where
+// preemptFor pauses the run of least worth for one that is worth far more, where
 // nothing done is lost: with few cores a long run holds up all that comes.
-func (in *Instance) makeWay(q *request) bool {
+func (in *Instance) preemptFor(q *request) bool {
 	var least *request
 	for _, r := range in.live {
-		if r.state == running && !r.stopping && !r.answered && (least == nil || before(least, r) < 0) {
+		if r.state == running && !r.preempting && !r.answered && (least == nil || comparePriority(least, r) < 0) {
 			least = r
 		}
 	}
-	if in.set.CancelMode != decision.CancelPause || least == nil || least.worth > q.worth*wayWorth {
+	if in.settings.CancelMode != decision.CancelPause || least == nil || least.weight > q.weight*preemptionWeightRatio {
 		return false
 	}
-	least.stopping = true
+	least.preempting = true
 	in.host.Cancel(least.ID)
 	return true
 }
@@ -755,19 +757,19 @@
 func (in *Instance) makeCalls() {
 	var waiting []*request
 	for _, q := range in.live {
-		if q.state == standing && !q.answered && q.notYet <= in.now {
+		if q.state == awaitingCall && !q.answered && q.notYet <= in.now {
 			waiting = append(waiting, q)
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b *request) int {
-		gainA, gainB := a.worth*(1-a.class.DegradedWeight), b.worth*(1-b.class.DegradedWeight)
-		return cmp.Or(cmp.Compare(gainB, gainA), before(a, b))
+		gainA, gainB := a.weight*(1-a.class.DegradedWeight), b.weight*(1-b.class.DegradedWeight)
+		return cmp.Or(cmp.Compare(gainB, gainA), comparePriority(a, b))
 	})
 	for _, q := range waiting {
-		if in.mayCall() {
+		if in.tryAcquireCall() {
 			in.call(q)
-		} else if q.class.DegradedWeight > 0 && ramp(in.callWait(q), in.patience(q)) > 0 {
-			in.giveUpCall(q)
+		} else if q.class.DegradedWeight > 0 && linearRamp(in.expectedCallWait(q), in.maxQueueWait(q)) > 0 {
+			in.abandonCall(q)
 		}
 	}
 }
@@ -775,19 +777,19 @@
 // call makes one call: a safe one under the Controller's time-out when it is
 // diagnostic, else under the sequence; any other once, for the time left.
 func (in *Instance) call(q *request) {
-	left := q.due - in.now - in.gap
+	left := q.dueAt - in.now - in.timerInterval
 	timeout := left
 	q.probe, q.last = false, false
 	if q.class.Effect == decision.Idempotent {
-		if in.safeCalls++; in.safeCalls%solveEvery == 0 {
+		if in.safeCalls++; in.safeCalls%callsPerSolve == 0 {
 			in.optimizer.solve()
 		}
 		sequence := in.optimizer.sequence
-		q.probe = len(in.optimizer.buffer) < bufferSize || in.safeCalls%diagnostic == 0
+		q.probe = len(in.optimizer.buffer) < latencyBufferSize || in.safeCalls%diagnosticInterval == 0
 		switch {
 		case q.probe:
 			timeout = in.controller.timeout
-			q.last = len(in.optimizer.buffer) < bufferSize
+			q.last = len(in.optimizer.buffer) < latencyBufferSize
 		case q.step >= len(sequence)-1 || in.budget < 1: // a lower step needs a repeat to pay for
 			timeout, q.last = sequence[len(sequence)-1], true
 			if in.budget < 1 && q.class.DegradedWeight == 0 {
@@ -802,43 +804,43 @@
 			q.notYet = in.brokenTill // nobody can run it again: it waits
 			return
 		}
-		in.giveUpCall(q)
+		in.abandonCall(q)
 		return
 	}
 	// Others may have made all the retries that there are for now.
 	if q.tries > 0 && in.bounds.AcquireRetry != nil && !in.bounds.AcquireRetry() {
-		if q.notYet = in.now + repeatRest; q.class.DegradedWeight > 0 {
-			in.giveUpCall(q)
+		if q.notYet = in.now + fleetRetryBackoff; q.class.DegradedWeight > 0 {
+			in.abandonCall(q)
 		}
 		return
 	}
 	if q.tries == 0 {
-		in.budget = min(budgetMost, in.budget+budgetShare)
+		in.budget = min(maxRetryBudget, in.budget+retryBudgetPerCall)
 	}
 	q.tries++
-	in.host.Call(q.ID, max(time.Millisecond, min(timeout, left, in.longestCall())))
-	in.move(q, calling)
+	in.host.Call(q.ID, max(time.Millisecond, min(timeout, left, in.maxCallTimeout())))
+	in.moveTo(q, callInFlight)
 }
 
-// giveUpCall goes on without the call where that still earns something.
-func (in *Instance) giveUpCall(q *request) {
+// abandonCall goes on without the call where that still earns something.
+func (in *Instance) abandonCall(q *request) {
 	if q.class.DegradedWeight > 0 {
 		in.host.SkipCall(q.ID)
-		in.move(q, running)
+		in.moveTo(q, running)
 		return
 	}
 	in.fail(q)
 }
 
-// learnCall feeds what a call showed to the Optimizer, the Controller and
+// recordCall feeds what a call showed to the Optimizer, the Controller and
 // the breaker.
-func (in *Instance) learnCall(q *request, outcome decision.Outcome, took time.Duration) {
+func (in *Instance) recordCall(q *request, outcome decision.Outcome, took time.Duration) {
 	spent := took
-	if outcome == decision.TimedOut && in.set.AbandonedCallDuration > 0 {
-		in.lingering = append(in.lingering, in.now+in.set.AbandonedCallDuration)
-		spent += in.set.AbandonedCallDuration
+	if outcome == decision.TimedOut && in.settings.AbandonedCallDuration > 0 {
+		in.lingering = append(in.lingering, in.now+in.settings.AbandonedCallDuration)
+		spent += in.settings.AbandonedCallDuration
 	}
-	in.callTime += time.Duration(learn * float64(spent-in.callTime))
+	in.callTime += time.Duration(ewmaWeight * float64(spent-in.callTime))
 	if q.class.Effect == decision.Idempotent {
 		if q.probe && (outcome == decision.Succeeded || outcome == decision.TimedOut) {
 			in.controller.update(outcome == decision.Succeeded, took, q.class.Deadline)
@@ -851,15 +853,15 @@
 	if outcome == decision.TimedOut && !q.last && !q.probe {
 		return // a lower step's time-out says little
 	}
-	in.failing -= learn * in.failing
+	in.failing -= ewmaWeight * in.failing
 	if outcome != decision.Succeeded {
-		in.failing += learn
+		in.failing += ewmaWeight
 	}
 	switch {
 	case outcome == decision.Succeeded:
 		in.brokenTill = in.now
-	case in.failing > breakAt:
-		in.brokenTill = in.now + breakFor
+	case in.failing > breakerFailureRate:
+		in.brokenTill = in.now + breakerOpenDuration
 	}
 	in.isBroken()
 }
@@ -872,62 +874,62 @@
 	return in.broken
 }
 
-// callsOut counts calls in hand, with those given up that still linger.
-func (in *Instance) callsOut() int { return in.count[calling] + len(in.lingering) }
+// callsInFlight counts calls in hand, with those given up that still linger.
+func (in *Instance) callsInFlight() int { return in.count[callInFlight] + len(in.lingering) }
 
 // SetFleetBounds takes in this server's part of what its fleet shares, and gives how many
 // calls it has in hand or would make now, if only it might.
 func (in *Instance) SetFleetBounds(b decision.FleetBounds) (wanted int) {
 	in.bounds = b
-	return in.callsOut() + in.count[standing]
+	return in.callsInFlight() + in.count[awaitingCall]
 }
 
-// callPace is how many calls may be in hand on average.
-func (in *Instance) callPace() float64 {
-	return min(callGoal*max(callLeast, in.set.CallQuota), max(callLeast, in.bounds.MaxCalls))
+// targetCallConcurrency is how many calls may be in hand on average.
+func (in *Instance) targetCallConcurrency() float64 {
+	return min(callUtilizationTarget*max(minCallQuota, in.settings.CallQuota), max(minCallQuota, in.bounds.MaxCalls))
 }
 
-// payCalls keeps the account of the time that calls spend below. It earns the
+// accrueCallCredit keeps the account of the time that calls spend below. It earns the
 // pace, saved up for a while, and pays for what is in hand, so that a share of
 // less than one call becomes a rest after each call, the longer the slower it was.
-func (in *Instance) payCalls() {
+func (in *Instance) accrueCallCredit() {
 	past := in.now - in.creditAt
-	earned := time.Duration((in.callPace() - float64(in.callsOut())) * float64(past))
-	in.credit = min(in.credit+earned, time.Duration(in.callPace()*float64(callSaved)))
+	earned := time.Duration((in.targetCallConcurrency() - float64(in.callsInFlight())) * float64(past))
+	in.credit = min(in.credit+earned, time.Duration(in.targetCallConcurrency()*float64(callCreditWindow)))
 	in.creditAt = in.now
 	in.lingering = slices.DeleteFunc(in.lingering, func(t time.Duration) bool { return t <= in.now })
 }
 
-// mayCall says whether the call cap has room for one more.
-func (in *Instance) mayCall() bool {
-	out := float64(in.callsOut())
+// tryAcquireCall says whether the call cap has room for one more.
+func (in *Instance) tryAcquireCall() bool {
+	out := float64(in.callsInFlight())
 	if out >= in.bounds.MaxCalls {
 		return false
-	} else if in.set.Dependency != decision.SharedDependency {
+	} else if in.settings.Dependency != decision.SharedDependency {
 		return out < in.runLimit
 	}
-	return out < max(1, in.callsAtOnce()) && in.credit >= 0
+	return out < max(1, in.burstConcurrency()) && in.credit >= 0
 }
 
-// callsAtOnce is how many calls may be in hand at a time: more than the pace as far
+// burstConcurrency is how many calls may be in hand at a time: more than the pace as far
 // as time is saved up for them, so that a few which hang or linger don't hold up
 // all others while the mean is far from its bound.
-func (in *Instance) callsAtOnce() float64 {
-	saved := float64(in.credit) / (in.callPace() * float64(callSaved))
-	return in.callPace() * (1 + (callBurst-1)*min(1, max(0, saved)))
+func (in *Instance) burstConcurrency() float64 {
+	saved := float64(in.credit) / (in.targetCallConcurrency() * float64(callCreditWindow))
+	return in.targetCallConcurrency() * (1 + (callBurstFactor-1)*min(1, max(0, saved)))
 }
 
-// longestCall bounds a call's time-out so that the shared dependency survives
+// maxCallTimeout bounds a call's time-out so that the shared dependency survives
 // when the calls of all instances hang at once: what they may overdraw then,
 // with what they have saved, stays under the told share in the told span.
-func (in *Instance) longestCall() time.Duration {
-	if in.set.Dependency != decision.SharedDependency {
+func (in *Instance) maxCallTimeout() time.Duration {
+	if in.settings.Dependency != decision.SharedDependency {
 		return math.MaxInt64
 	}
-	window := float64(in.set.CallQuotaWindow)
-	spare := (callShare-callGoal)*in.set.CallQuota*window - in.callPace()*float64(callSaved)
-	each := time.Duration(spare / math.Ceil(max(1, in.callPace()*callBurst)))
-	return max(in.controller.timeout, each-in.set.AbandonedCallDuration)
+	window := float64(in.settings.CallQuotaWindow)
+	spare := (hungCallUtilizationLimit-callUtilizationTarget)*in.settings.CallQuota*window - in.targetCallConcurrency()*float64(callCreditWindow)
+	each := time.Duration(spare / math.Ceil(max(1, in.targetCallConcurrency()*callBurstFactor)))
+	return max(in.controller.timeout, each-in.settings.AbandonedCallDuration)
 }
 
 // controller holds the time-out of diagnostic calls (the paper's 4.4). least is
@@ -943,16 +945,16 @@
 func (c *controller) update(ok bool, took, most time.Duration) {
 	if !ok {
 		c.streak = 0
-		c.timeout = min(time.Duration(float64(c.timeout)*growth), most)
+		c.timeout = min(time.Duration(float64(c.timeout)*timeoutGrowthFactor), most)
 		return
 	}
 	x := float64(took)
-	if c.streak > 0 && math.Abs(x-c.mean) > tolerance*c.mean {
+	if c.streak > 0 && math.Abs(x-c.mean) > streakTolerance*c.mean {
 		c.streak = 0
 	}
 	c.streak++
 	c.mean += (x - c.mean) / float64(c.streak)
-	step := (stepShare*(x-float64(c.timeout)) + cushion*c.mean) / max(1, math.Log(float64(c.streak+1)))
+	step := (timeoutGain*(x-float64(c.timeout)) + timeoutHeadroom*c.mean) / max(1, math.Log(float64(c.streak+1)))
 	c.timeout = min(max(c.timeout+time.Duration(step), c.least, time.Millisecond), most)
 }
 
@@ -965,11 +967,11 @@
 }
 
 func (o *optimizer) add(took time.Duration) {
-	if len(o.buffer) == bufferSize {
+	if len(o.buffer) == latencyBufferSize {
 		o.buffer = o.buffer[1:]
 	}
 	o.buffer = append(o.buffer, max(took, time.Microsecond))
-	if len(o.buffer) == bufferSize && o.sequence == nil {
+	if len(o.buffer) == latencyBufferSize && o.sequence == nil {
 		o.solve()
 	}
 }
@@ -977,49 +979,49 @@
 // solve works back from t_z, the greatest latency seen. Each earlier time-out
 // is a root of the paper's equation (6) where E turns from falling to rising.
 func (o *optimizer) solve() {
-	if len(o.buffer) < bufferSize {
+	if len(o.buffer) < latencyBufferSize {
 		return
 	}
 	top := slices.Max(o.buffer)
-	width := float64(top) / bins
-	var f, tail, mass [bins + 1]float64 // share in a bin, share beyond its start, integral of x f before it
+	width := float64(top) / histogramBins
+	var f, tail, mass [histogramBins + 1]float64 // share in a bin, share beyond its start, integral of x f before it
 	total := 0.0
 	for i, d := range o.buffer {
-		k := min(int(float64(d)/width), bins-1)
+		k := min(int(float64(d)/width), histogramBins-1)
 		f[k] += float64(i + 1)
 		total += float64(i + 1)
 	}
 	floored := 0.0
-	for k := range bins {
-		f[k] = max(f[k]/total, binFloor)
+	for k := range histogramBins {
+		f[k] = max(f[k]/total, minBinProbability)
 		floored += f[k]
 	}
 	tail[0] = 1
-	for k := range bins {
+	for k := range histogramBins {
 		f[k] /= floored
 		tail[k+1] = max(0, tail[k]-f[k])
 		mass[k+1] = mass[k] + f[k]*(float64(k)+0.5)*width
 	}
 	at := func(t float64) (beyond, mean float64) { // P(t) and a(t)
-		k := min(int(t/width), bins-1)
+		k := min(int(t/width), histogramBins-1)
 		part := t/width - float64(k)
 		beyond = max(0, tail[k]-f[k]*part)
-		return beyond, mass[k] + f[k]*part*(float64(k)*width+t)/2 + t*beyond + costSlope*t
+		return beyond, mass[k] + f[k]*part*(float64(k)*width+t)/2 + t*beyond + timeoutCostSlope*t
 	}
 	next := float64(top)
 	p, a := at(next)
 	e := a / (1 - p)
 	o.sequence = []time.Duration{top}
-	for len(o.sequence) < maxSteps {
+	for len(o.sequence) < maxSequenceLength {
 		bestT, bestE := 0.0, e
-		for k := range bins {
+		for k := range histogramBins {
 			start, density := float64(k)*width, f[k]/width
 			// The slope falls inside a bin: E turns to rising where a thinner one begins.
 			if k == 0 || start >= next {
 				continue
 			}
-			left := tail[k] + costSlope - (e+o.lost)*f[k-1]/width
-			right := tail[k] + costSlope - (e+o.lost)*density
+			left := tail[k] + timeoutCostSlope - (e+o.lost)*f[k-1]/width
+			right := tail[k] + timeoutCostSlope - (e+o.lost)*density
 			if left > 0 || right < 0 {
 				continue
 			}
@@ -1038,17 +1040,17 @@
 
 // --- What callers are told ---
 
-// closeIdle keeps idle connections only where their callers come back while
+// adjustIdleTimeout keeps idle connections only where their callers come back while
 // they are open. Among many callers few do: then a full table costs cores and
 // turns callers away, and saves hardly a handshake. In a storm of tries, when
 // reads and handshakes take most of the cores, that is just what is wanted: a
 // full table turns tries away before they cost any work. A full one leaves few
 // reads to be seen, so the storm counts as over only when hardly any are left.
-func (in *Instance) closeIdle() {
-	in.storm = in.reading > stormFrom || in.storm && in.reading > stormFrom/10
-	after := in.set.MaxIdleTime
-	if float64(in.set.Callers)*float64(in.now-in.born) > float64(after)*float64(in.reads) && !in.storm {
-		after = min(after, idleLeast)
+func (in *Instance) adjustIdleTimeout() {
+	in.storm = in.reading > handshakeStormOnset || in.storm && in.reading > handshakeStormOnset/10
+	after := in.settings.MaxIdleTime
+	if float64(in.settings.Callers)*float64(in.now-in.startedAt) > float64(after)*float64(in.reads) && !in.storm {
+		after = min(after, minIdleTimeout)
 	}
 	if after != in.idle {
 		in.idle = after
@@ -1056,22 +1058,22 @@
 	}
 }
 
-// speak sends the free value, from the refusal chance, smoothed.
-func (in *Instance) speak() {
-	in.pressure += (in.pressed - in.pressure) * min(1, float64(in.gap)/float64(smooth))
-	in.pressed = in.chance(&request{arrived: math.MaxInt64}) // of one that would run last
+// publishLoad sends the free value, from the refusal chance, smoothed.
+func (in *Instance) publishLoad() {
+	in.pressure += (in.pressed - in.pressure) * min(1, float64(in.timerInterval)/float64(pressureTimeConstant))
+	in.pressed = in.shedProbability(&request{arrivedAt: math.MaxInt64}) // of one that would run last
 	value, full := in.said, 1.0
-	in.heard = slices.DeleteFunc(in.heard, func(c caller) bool { return c.at < in.now-in.set.LoadReportTTL })
-	switch in.set.LoadReportMode {
+	in.heard = slices.DeleteFunc(in.heard, func(c callerSeen) bool { return c.at < in.now-in.settings.LoadReportTTL })
+	switch in.settings.LoadReportMode {
 	case decision.LoadReportMinRank:
 		value = in.pressure
 	case decision.LoadReportCredit: // heeded by those that heard it of late, each to its own even part
-		full = in.crowdLimit() / float64(max(1, len(in.heard)))
-		value = full * (1 - in.pressure*(1-leastShare))
+		full = in.maxInFlight() / float64(max(1, len(in.heard)))
+		value = full * (1 - in.pressure*(1-minAdvertisedFraction))
 	case decision.LoadReportWeight:
-		value = 1 - in.pressure*(1-leastShare)
+		value = 1 - in.pressure*(1-minAdvertisedFraction)
 	}
-	if math.Abs(value-in.said) >= sayStep*full {
+	if math.Abs(value-in.said) >= minAdvertisedChange*full {
 		in.said = value
 		in.host.PublishLoad(value)
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -275,11 +275,11 @@
 		t.Fatalf("not unhealthy: %v", r.acts)
 	}
 	in.errors = 0
-	tick(time.Second + in.gap)
+	tick(time.Second + in.timerInterval)
 	if r.count("health true") != 1 { // that of the start
 		t.Errorf("good while reads still lag: %v", r.acts)
 	}
-	for now := 2 * time.Second; now < 8*time.Second; now += in.gap {
+	for now := 2 * time.Second; now < 8*time.Second; now += in.timerInterval {
 		tick(now)
 	}
 	if r.count("health true") != 2 {
@@ -342,7 +342,7 @@
 	}
 	in.lag = 0
 	in.Decide(ms)
-	if r.count("run") != in.set.Cores {
+	if r.count("run") != in.settings.Cores {
 		t.Errorf("%d run after reads have caught up", r.count("run"))
 	}
 }
@@ -354,10 +354,10 @@
 	s.Servers, s.Tenants, s.OverQuotaWeight = 300, []decision.Tenant{{Quota: 120}, {Quota: 120}}, 0.1
 	in, _ := start(t, s)
 	in.rates[0], in.rates[1] = 3, 9 // 2 are expected
-	if got := in.share(0); got != 1 {
+	if got := in.tenantWeight(0); got != 1 {
 		t.Errorf("share %v for one arrival more than expected", got)
 	}
-	if got := in.share(1); got > 0.5 {
+	if got := in.tenantWeight(1); got > 0.5 {
 		t.Errorf("share %v at more than four times the quota", got)
 	}
 }
@@ -367,12 +367,12 @@
 func TestOwnFailuresAreForgottenWithoutWork(t *testing.T) {
 	in, r := start(t, settings())
 	in.errors = 1
-	for now := in.gap; now < 2*errorsSpan; now += in.gap {
+	for now := in.timerInterval; now < 2*errorRateTimeConstant; now += in.timerInterval {
 		in.Tick(now, 0, decision.Gauges{})
 		in.Decide(now)
 	}
 	if r.count("health false") != 1 || !in.well {
-		t.Errorf("well %v after %v without work: %v", in.well, 2*errorsSpan, in.errors)
+		t.Errorf("well %v after %v without work: %v", in.well, 2*errorRateTimeConstant, in.errors)
 	}
 }
 
@@ -427,7 +427,7 @@
 		now += 50 * ms
 		in.RunDone(now, fmt.Sprint(i), decision.Succeeded, 50*ms)
 	}
-	if p := in.patience(&request{class: &s.Classes[0], due: time.Hour}); p != time.Second {
+	if p := in.maxQueueWait(&request{class: &s.Classes[0], dueAt: time.Hour}); p != time.Second {
 		t.Errorf("patience %v after quick runs, want half of the aim", p)
 	}
 }
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -328,10 +328,10 @@
 	for seed := int64(1); seed <= recordingSeeds; seed++ {
 		rng := rand.New(rand.NewSource(seed))
 		o := optimizer{lost: float64(time.Duration(rng.Intn(3)) * 100 * ms)}
-		for i := range 4 * bufferSize {
+		for i := range 4 * latencyBufferSize {
 			mode := 3 * ms << (2 * rng.Intn(int(1+seed%4)))
 			o.add(time.Duration(float64(mode) * (1 + rng.ExpFloat64()/4)))
-			if i%solveEvery == 0 {
+			if i%callsPerSolve == 0 {
 				o.solve()
 				fmt.Fprintln(&text, seed, i, o.sequence)
 			}
--- a/policy/told_test.go
+++ b/policy/told_test.go
@@ -20,11 +20,11 @@
 	}
 	in.Decide(0)
 	in.Tick(ms, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
-	if want := in.crowdLimit() / 3; in.said != want {
+	if want := in.maxInFlight() / 3; in.said != want {
 		t.Fatalf("said %v to three callers, want %v each", in.said, want)
 	}
 	said := r.count("say")
-	for now := in.gap; now < 300*ms; now += in.gap {
+	for now := in.timerInterval; now < 300*ms; now += in.timerInterval {
 		in.pressed = 1
 		in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: 4})
 	}
@@ -42,7 +42,7 @@
 func TestCallersAreForgotten(t *testing.T) {
 	in, _ := start(t, settings())
 	for i := range 1000 {
-		now := time.Duration(i) * in.gap
+		now := time.Duration(i) * in.timerInterval
 		in.RequestReceived(now, decision.Request{ID: string(rune('a' + i)), Caller: i, ReservedKB: 1})
 		in.Tick(now, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 	}
@@ -58,7 +58,7 @@
 	s.Callers = 1000
 	in, r := start(t, s)
 	last := func(from, to time.Duration, on float64) string {
-		for now := from; now < to; now += in.gap {
+		for now := from; now < to; now += in.timerInterval {
 			in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: on})
 		}
 		act := ""
@@ -107,8 +107,8 @@
 		now += time.Hour
 		in.Tick(now, 0, decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1})
 	}
-	if in.memory != 0 {
-		t.Errorf("%v KB are taken by nothing", in.memory)
+	if in.reservedKB != 0 {
+		t.Errorf("%v KB are taken by nothing", in.reservedKB)
 	}
 	if s.Classes = s.Classes[:len(s.Classes)-1]; in.UpdateSettings(now, s) == nil {
 		t.Error("a class may lose its place")
@@ -142,8 +142,8 @@
 		t.Errorf("%d wanted of %d", wanted, running)
 	}
 	in.Decide(2 * ms)
-	if n := r.count("call"); n != 2 || in.callPace() > 2 {
-		t.Errorf("%d calls with two rights, at a pace of %v", n, in.callPace())
+	if n := r.count("call"); n != 2 || in.targetCallConcurrency() > 2 {
+		t.Errorf("%d calls with two rights, at a pace of %v", n, in.targetCallConcurrency())
 	}
 	in.SetFleetBounds(decision.FleetBounds{MaxCalls: math.Inf(1)})
 	in.Decide(3 * ms)
@@ -164,7 +164,7 @@
 	in.Decide(0)
 	in.CallDone(ms, "a", decision.Rejected, ms)
 	run := func(from, to time.Duration) {
-		for now := from; now < to; now += in.gap {
+		for now := from; now < to; now += in.timerInterval {
 			in.Tick(now, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 			in.Decide(now)
 		}
