--- a/decision/validate.go
+++ b/decision/validate.go
@@ -5,29 +5,53 @@
 	"fmt"
 )
 
-// Validate names the first setting that makes no sense: a class list that is
-// empty, fewer than one core, a time, amount or share that is negative (or
-// NaN), or a class whose aim or deadline is under a nanosecond.
+// Validate names the first setting that makes no sense: a class list that is empty,
+// fewer than one core, a time, amount or fraction that is negative or NaN, or a class
+// whose objective or deadline is under a nanosecond.
+//
+// The errors name settings as earlier versions of the program did, since operators and
+// the simulator know them by these names.
 func (s Settings) Validate() error {
-	type setting struct {
-		name  string
-		value float64
-	}
-	least := func(limit float64, settings ...setting) error {
-		for _, x := range settings {
-			if !(x.value >= limit) {
-				return fmt.Errorf("%s: %v, want at least %v", x.name, x.value, limit)
-			}
-		}
-		return nil
-	}
 	if len(s.Classes) == 0 {
 		return errors.New("classes: none, at least one is needed")
 	}
-	if err := least(1, setting{"Cores", float64(s.Cores)}); err != nil {
+	if err := checkAtLeast(1, setting{"Cores", float64(s.Cores)}); err != nil {
 		return err
 	}
-	checks := []setting{
+	checks := s.instanceSettings()
+	for i, c := range s.Classes {
+		path := fmt.Sprintf("Classes[%d].", i)
+		times := []setting{{path + "Aim", float64(c.LatencyObjective)}, {path + "Deadline", float64(c.Deadline)}}
+		if err := checkAtLeast(1, times...); err != nil {
+			return err
+		}
+		checks = append(checks, c.amounts(path)...)
+	}
+	for i, t := range s.Tenants {
+		checks = append(checks, setting{fmt.Sprintf("Tenants[%d].Quota", i), t.Quota})
+	}
+	return checkAtLeast(0, checks...)
+}
+
+// setting is a setting's value under the name that errors give it.
+type setting struct {
+	name  string
+	value float64
+}
+
+// checkAtLeast returns an error that names the first setting below a limit, or NaN.
+func checkAtLeast(limit float64, settings ...setting) error {
+	for _, s := range settings {
+		if !(s.value >= limit) {
+			return fmt.Errorf("%s: %v, want at least %v", s.name, s.value, limit)
+		}
+	}
+	return nil
+}
+
+// instanceSettings returns the settings of the whole instance that must not be negative.
+func (s *Settings) instanceSettings() []setting {
+	return []setting{
 		{"CallsOver", float64(s.CallQuotaWindow)},
 		{"Linger", float64(s.AbandonedCallDuration)},
 		{"Fresh", float64(s.CacheTTL)},
@@ -49,17 +73,14 @@
 		{"Servers", float64(s.Servers)},
 		{"Callers", float64(s.Callers)},
 	}
-	for i, c := range s.Classes {
-		at := fmt.Sprintf("Classes[%d].", i)
-		times := []setting{{at + "Aim", float64(c.LatencyObjective)}, {at + "Deadline", float64(c.Deadline)}}
-		if err := least(1, times...); err != nil {
-			return err
-		}
-		checks = append(checks, setting{at + "Window", float64(c.KeyWindow)}, setting{at + "Worth", c.Weight},
-			setting{at + "AimStretch", c.ObjectivePerCost}, setting{at + "SkipWorth", c.DegradedWeight})
-	}
-	for i, t := range s.Tenants {
-		checks = append(checks, setting{fmt.Sprintf("Tenants[%d].Quota", i), t.Quota})
+}
+
+// amounts returns the settings of a class that must not be negative.
+func (c *Class) amounts(path string) []setting {
+	return []setting{
+		{path + "Window", float64(c.KeyWindow)},
+		{path + "Worth", c.Weight},
+		{path + "AimStretch", c.ObjectivePerCost},
+		{path + "SkipWorth", c.DegradedWeight},
 	}
-	return least(0, checks...)
 }
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -1,7 +1,9 @@
 package dispatch
 
 import (
+	"context"
 	"errors"
+	"log/slog"
 	"time"
 
 	"quincerail.example/quincerail/decision"
@@ -150,5 +152,8 @@
 	}
 }
 
-// Log writes the module's remarks.
-func (h host) Log(text string) { h.log.Info("module", "remark", text) }
+// Log writes an event of the module to the log, under the event's name.
+func (h host) Log(event decision.Event) {
+	//nolint:sloglint // the message is the event's name, a constant of package decision
+	h.log.LogAttrs(context.Background(), slog.LevelInfo, event.Name(), event.Attributes()...)
+}
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -4,6 +4,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"quincerail.example/quincerail/decision"
 )
 
 // Reply collects the actions of one instance as lines. It is a decision.Host.
@@ -133,7 +135,7 @@
 }
 
 // Log implements decision.Host.
-func (r *Reply) Log(text string) { r.line("SAY_LOG", text) }
+func (r *Reply) Log(event decision.Event) { r.line("SAY_LOG", LogText(event)) }
 
 // Bail reports that the decision code has failed.
 func (r *Reply) Bail(text string) {
--- /dev/null
+++ b/policy/admission.go
@@ -0,0 +1,141 @@
+package policy
+
+import (
+	"math"
+	"time"
+
+	"quincerail.example/quincerail/decision"
+)
+
+const (
+	shedOnsetFraction       = 0.5 // of the maximum queue wait, from which arrivals are shed
+	retryWeightFactor       = 0.75
+	arrivalRateTimeConstant = 5 * time.Second
+	quotaToleranceSigma     = 2 // standard deviations of a tenant's count that are not excess
+	tenantWeightSteps       = 4 // steps of a tenant's weight from 0 to 1: order of arrival holds within each
+)
+
+// admitReceived decides on the requests that were read since the last batch.
+func (in *Instance) admitReceived() {
+	for _, q := range in.live {
+		if q.state == received {
+			in.admit(q)
+		}
+	}
+}
+
+// admit queues a received request, has it wait for the result of the request that it
+// repeats, or sheds it.
+//
+// It sheds with the probability that grows with the waits in the queue, when memory is
+// short, and with a probability that grows with the wait for a call. In the last case
+// callers get no advice to retry later, but most are told not to retry elsewhere: other
+// instances lack calls too, while this one has room for requests that call nothing.
+func (in *Instance) admit(q *request) {
+	if in.coalesce(q) {
+		return
+	}
+	if in.arrivedAfterDrain(q) {
+		in.shed(q, 1, in.load.pressure)
+		return
+	}
+	probability := in.shedProbability(q)
+	callProbability := linearRamp(in.expectedCallWait(q), in.maxQueueWait(q))
+	in.load.observe(max(probability, linearRamp(in.now-q.arrivedAt, in.maxQueueWait(q))))
+	if in.random.Float64() < probability || in.exceedsMemory(0) {
+		in.shed(q, max(probability, shedOnsetFraction), max(probability, in.load.pressure))
+		return
+	}
+	if in.random.Float64() < callProbability {
+		in.shed(q, 0, callProbability)
+		return
+	}
+	in.moveTo(q, queued)
+	in.cacheResult(q)
+}
+
+// coalesce has a request wait for the result of the request that it repeats, where that
+// one runs, has run, or still may run.
+func (in *Instance) coalesce(q *request) bool {
+	if q.DuplicateOf == "" {
+		return false
+	}
+	original := in.requests[q.DuplicateOf]
+	if original != nil && !original.mayHaveRun && original.state == finished {
+		return false
+	}
+	in.host.ServeCached(q.ID)
+	q.mayHaveRun = q.class.Effect != decision.Idempotent // the original may have had the effect
+	in.moveTo(q, coalesced)
+	return true
+}
+
+// shedProbability returns the probability of shedding an arrival, 0 to 1. It grows with
+// the longest wait among the requests that would run before it, so that old requests of
+// less weight shed nothing.
+func (in *Instance) shedProbability(q *request) float64 {
+	probability := 0.0
+	for _, other := range in.queue {
+		if comparePriority(q, other) < 0 {
+			break
+		}
+		probability = max(probability, linearRamp(in.now-other.arrivedAt, in.maxQueueWait(other)))
+	}
+	return probability
+}
+
+// linearRamp returns the probability of shedding for a wait: 0 up to shedOnsetFraction
+// of the longest wait allowed, 1 from that wait on, linear between.
+func linearRamp(wait, maxWait time.Duration) float64 {
+	used := float64(wait) / float64(maxWait)
+	return min(1, max(0, (used-shedOnsetFraction)/(1-shedOnsetFraction)))
+}
+
+// requestWeight returns the priority weight of an arrival: that of its class, less for a
+// tenant beyond its quota, and less for a retry, which has used part of its objective.
+func (in *Instance) requestWeight(class *decision.Class, tenant int, retry bool) float64 {
+	weight := class.Weight * in.tenantWeight(tenant)
+	if retry {
+		weight *= retryWeightFactor
+	}
+	return weight
+}
+
+// tenantWeight returns the factor on the weight of a tenant's requests: 1 within its
+// quota, the quota's fraction of its arrivals beyond, never less than OverQuotaWeight.
+//
+// The quota is for the fleet, in requests a second. An instance sees its own arrivals
+// alone: it takes an even part of the quota, and counts as excess only what is beyond
+// the chance variation of a count of that size.
+func (in *Instance) tenantWeight(tenant int) float64 {
+	tenants := in.settings.Tenants
+	if tenant >= len(tenants) || tenants[tenant].Quota <= 0 {
+		return 1
+	}
+	instances := float64(max(1, in.settings.Servers))
+	quota := tenants[tenant].Quota / instances * arrivalRateTimeConstant.Seconds()
+	arrivals := in.tenantArrivals[tenant]
+	if arrivals <= quota+quotaToleranceSigma*math.Sqrt(quota) {
+		return 1
+	}
+	inSteps := math.Round(tenantWeightSteps*quota/arrivals) / tenantWeightSteps
+	return max(in.settings.OverQuotaWeight, inSteps)
+}
+
+// tenantArrivals counts the first attempts of each tenant, fading over
+// arrivalRateTimeConstant.
+type tenantArrivals []float64
+
+// record counts an arrival. A retry is no further request of its tenant.
+func (a tenantArrivals) record(tenant int, retry bool) {
+	if !retry {
+		a[tenant]++
+	}
+}
+
+// decay fades the counts after a span.
+func (a tenantArrivals) decay(elapsed time.Duration) {
+	for tenant := range a {
+		a[tenant] *= decay(elapsed, arrivalRateTimeConstant)
+	}
+}
--- /dev/null
+++ b/policy/calls.go
@@ -0,0 +1,131 @@
+package policy
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"quincerail.example/quincerail/decision"
+)
+
+// minCallTimeout is the shortest time-out of a call, where hardly any time is left.
+const minCallTimeout = time.Millisecond
+
+// CallNeeded takes in that the run of a request waits for a call to the dependency.
+func (in *Instance) CallNeeded(now time.Duration, id string) {
+	in.now = now
+	q := in.requests[id]
+	if q == nil || q.state != running {
+		return
+	}
+	q.call = callProgress{}
+	q.callCount++
+	q.preempting = false
+	in.moveTo(q, awaitingCall)
+}
+
+// CallDone takes in how a call ended, and how long it took.
+func (in *Instance) CallDone(now time.Duration, id string, outcome decision.Outcome, took time.Duration) {
+	in.now = now
+	q := in.requests[id]
+	if q == nil || q.state != callInFlight {
+		return
+	}
+	in.recordCall(q, outcome, took)
+	if outcome == decision.Succeeded {
+		in.moveTo(q, running)
+		return
+	}
+	in.moveTo(q, awaitingCall)
+	if !q.answered {
+		in.retryOrAbandon(q, outcome)
+	}
+}
+
+// makeCalls makes the calls that requests wait for, while the call quota has room. Those
+// come first that lose most without their call.
+func (in *Instance) makeCalls() {
+	for _, q := range in.callsWaiting() {
+		if in.canCall() {
+			in.call(q)
+		} else if q.class.DegradedWeight > 0 && linearRamp(in.expectedCallWait(q), in.maxQueueWait(q)) > 0 {
+			in.abandonCall(q)
+		}
+	}
+}
+
+// callsWaiting returns the requests whose calls may be made now, in the order in which
+// they are made.
+func (in *Instance) callsWaiting() []*request {
+	var waiting []*request
+	for _, q := range in.live {
+		if q.state == awaitingCall && !q.answered && q.call.retryAt <= in.now {
+			waiting = append(waiting, q)
+		}
+	}
+	slices.SortStableFunc(waiting, func(a, b *request) int {
+		return cmp.Or(cmp.Compare(weightOfCall(b), weightOfCall(a)), comparePriority(a, b))
+	})
+	return waiting
+}
+
+// weightOfCall returns the weight that a request loses when it skips its call.
+func weightOfCall(q *request) float64 { return q.weight * (1 - q.class.DegradedWeight) }
+
+// call makes one call, unless the circuit breaker or the fleet's retry budget stops it.
+// Its time-out is at most the time left until the request's deadline.
+func (in *Instance) call(q *request) {
+	remaining := q.dueAt - in.now - in.timerInterval
+	q.call.timeout = in.chooseTimeout(q, remaining)
+	if in.breakerOpen() && !q.call.timeout.diagnostic {
+		in.callWhileOpen(q)
+		return
+	}
+	if !in.acquireFleetRetry(q) {
+		return
+	}
+	if q.call.attempts == 0 {
+		in.retries.Deposit()
+	}
+	q.call.attempts++
+	timeout := min(q.call.timeout.duration, remaining, in.maxCallTimeout())
+	in.host.Call(q.ID, max(minCallTimeout, timeout))
+	in.moveTo(q, callInFlight)
+}
+
+// abandonCall goes on without the call where that still earns something, and fails the
+// request otherwise.
+func (in *Instance) abandonCall(q *request) {
+	if q.class.DegradedWeight > 0 {
+		in.host.SkipCall(q.ID)
+		in.moveTo(q, running)
+		return
+	}
+	in.fail(q)
+}
+
+// recordCall takes in what a call's end shows of the dependency. A time-out says little
+// unless it is the longest of the sequence or diagnostic: the breaker ignores it.
+func (in *Instance) recordCall(q *request, outcome decision.Outcome, took time.Duration) {
+	in.recordCallTime(outcome, took)
+	choice := q.call.timeout
+	timedOut := outcome == decision.TimedOut
+	if q.class.Effect == decision.Idempotent && choice.diagnostic {
+		in.timeouts.recordDiagnostic(outcome, took, q.class.Deadline)
+	}
+	if timedOut && !choice.final && !choice.diagnostic {
+		return
+	}
+	in.breaker.record(in.now, outcome == decision.Succeeded)
+	in.breakerOpen()
+}
+
+// recordCallTime takes in how long a call took the dependency. One that timed out is
+// abandoned, and takes it for a while longer.
+func (in *Instance) recordCallTime(outcome decision.Outcome, took time.Duration) {
+	if staysFor := in.settings.AbandonedCallDuration; outcome == decision.TimedOut && staysFor > 0 {
+		in.quota.recordAbandoned(in.now, staysFor)
+		took += staysFor
+	}
+	in.quota.meanCallTime = movingAverageTime(in.quota.meanCallTime, took)
+}
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -74,23 +74,23 @@
 
 func TestControllerGrowsAfterTimeoutsAndSettlesAboveTheLatency(t *testing.T) {
 	c := controller{timeout: 100 * ms}
-	c.update(false, 100*ms, time.Second)
+	c.recordTimeout(time.Second)
 	if c.timeout != 150*ms {
 		t.Fatalf("%v after a time-out, want 150ms", c.timeout)
 	}
 	for range 20 {
-		c.update(false, c.timeout, time.Second)
+		c.recordTimeout(time.Second)
 	}
 	if c.timeout != time.Second {
 		t.Fatalf("%v, want the deadline at most", c.timeout)
 	}
 	before := c.timeout
-	c.update(true, 100*ms, time.Second)
+	c.recordSuccess(100*ms, time.Second)
 	if c.timeout >= before {
 		t.Fatalf("%v does not shrink after a success", c.timeout)
 	}
 	for range 1000 {
-		c.update(true, 100*ms, time.Second)
+		c.recordSuccess(100*ms, time.Second)
 	}
 	if c.timeout < 150*ms || c.timeout > 500*ms {
 		t.Errorf("%v settled, want a cushion above 100ms", c.timeout)
@@ -111,7 +111,7 @@
 		if r.count("call a") != 2 {
 			t.Fatalf("no repeat within the budget: %v", r.acts)
 		}
-		in.budget = 0
+		in.retries.tokens = 0
 		in.CallDone(700*ms, "a", decision.TimedOut, 200*ms)
 		in.Decide(700 * ms)
 		want := "fail a"
@@ -126,7 +126,7 @@
 
 func TestBreakerStopsOrdinaryCallsAndCloses(t *testing.T) {
 	in, r := start(t, settings())
-	in.optimizer = *fill(100 * ms)
+	in.timeouts.optimizer = *fill(100 * ms)
 	try := func(now time.Duration, id string) {
 		in.RequestReceived(now, decision.Request{ID: id, ReservedKB: 1})
 		in.Decide(now)
@@ -138,13 +138,13 @@
 	}
 	now := time.Second
 	for i := range 8 {
-		in.recordCall(&request{class: &in.settings.Classes[0], last: true}, decision.ConnectFailed, 0)
+		in.recordCall(&request{class: &in.settings.Classes[0], call: callProgress{timeout: timeoutChoice{final: true}}}, decision.ConnectFailed, 0)
 		in.now = now + time.Duration(i)
 	}
-	if !in.isBroken() || r.count("log below") != 1 {
+	if !in.breakerOpen() || r.count("log below") != 1 {
 		t.Fatalf("not broken after 8 failures: %v", r.acts)
 	}
-	in.safeCalls = 0
+	in.timeouts.idempotentCalls = 0
 	for i := range diagnosticInterval {
 		try(now+time.Duration(i), fmt.Sprint("r", i))
 	}
@@ -152,7 +152,7 @@
 		t.Fatalf("want one diagnostic call and the rest failed: %v", r.acts)
 	}
 	in.CallDone(now+100*ms, "r4", decision.Succeeded, 50*ms)
-	if in.isBroken() {
+	if in.breakerOpen() {
 		t.Error("still broken after a good diagnostic")
 	}
 }
@@ -181,13 +181,13 @@
 	for range 1000 {
 		in.adjustConcurrencyLimit(decision.Gauges{CoreUtilization: 0.3, RunnableTasks: 1})
 	}
-	if got, want := in.runLimit, in.maxInFlight(); got != want {
+	if got, want := in.concurrency.limit, in.maxInFlight(); got != want {
 		t.Errorf("limit %v with idle cores and waiting work, want the crowd %v", got, want)
 	}
 	for range 1000 {
 		in.adjustConcurrencyLimit(decision.Gauges{CoreUtilization: 1, RunnableTasks: 9})
 	}
-	if got, want := in.runLimit, float64(in.settings.Cores); got < want || got > want+0.01 {
+	if got, want := in.concurrency.limit, float64(in.settings.Cores); got < want || got > want+0.01 {
 		t.Errorf("limit %v with busy cores, want the cores %v", got, want)
 	}
 }
@@ -257,7 +257,7 @@
 // calls nothing lost its cores. Once calls are to be had it is taken again.
 func TestNewcomerThatCannotGetItsCallIsTurnedAwayUntilItCan(t *testing.T) {
 	in, r := start(t, settings())
-	in.credit = -time.Minute
+	in.quota.credit = -time.Minute
 	in.RequestReceived(0, decision.Request{ID: "calls", Class: 0, ReservedKB: 1})
 	in.RequestReceived(0, decision.Request{ID: "plain", Class: 1, ReservedKB: 1})
 	in.Decide(0)
@@ -270,7 +270,7 @@
 	in.RequestReceived(time.Minute, decision.Request{ID: "later", Class: 0, ReservedKB: 1})
 	in.Decide(time.Minute)
 	if r.count("run later") != 1 {
-		t.Errorf("no recovery, credit %v: %v", in.credit, r.acts)
+		t.Errorf("no recovery, credit %v: %v", in.quota.credit, r.acts)
 	}
 }
 
@@ -284,7 +284,7 @@
 		in.now = 10 * time.Second
 		in.accrueCallCredit() // saved as much as it may
 		held := 0.0
-		for i := 0; i < 20 && in.tryAcquireCall(); i++ {
+		for i := 0; i < 20 && in.canCall(); i++ {
 			q := &request{class: &s.Classes[2], dueAt: time.Hour, state: awaitingCall}
 			q.ID = fmt.Sprint(i)
 			in.count[awaitingCall]++
@@ -308,7 +308,7 @@
 		s := settings()
 		s.CallQuota = share
 		in, r := start(t, s)
-		in.credit = -time.Second
+		in.quota.credit = -time.Second
 		q := &request{class: &s.Classes[2], dueAt: time.Hour, state: awaitingCall}
 		in.live, in.count[awaitingCall] = append(in.live, q), 1
 		if in.makeCalls(); r.count("call") != 0 {
@@ -317,7 +317,7 @@
 		in.now = 30 * time.Minute
 		in.accrueCallCredit()
 		if in.makeCalls(); r.count("call") != 1 {
-			t.Errorf("share %v: no call half an hour later, credit %v", share, in.credit)
+			t.Errorf("share %v: no call half an hour later, credit %v", share, in.quota.credit)
 		}
 	}
 }
@@ -330,7 +330,7 @@
 		s := settings()
 		s.Classes[0].DegradedWeight = 0.5
 		in, r := start(t, s)
-		in.credit = credit
+		in.quota.credit = credit
 		in.RequestReceived(0, decision.Request{ID: "a", ReservedKB: 1})
 		in.Decide(0)
 		in.CallNeeded(0, "a")
@@ -348,13 +348,13 @@
 	s := settings()
 	in, _ := start(t, s)
 	for range 1000 {
-		in.controller.update(true, 10*ms, time.Second)
+		in.timeouts.controller.recordSuccess(10*ms, time.Second)
 	}
-	if got := in.controller.timeout; got != s.AbandonedCallDuration {
+	if got := in.timeouts.controller.timeout; got != s.AbandonedCallDuration {
 		t.Errorf("time-out %v after quick calls, want the stay of %v", got, s.AbandonedCallDuration)
 	}
-	in.controller.update(false, s.AbandonedCallDuration, time.Second)
-	if got := in.controller.timeout; got <= s.AbandonedCallDuration {
+	in.timeouts.controller.recordTimeout(time.Second)
+	if got := in.timeouts.controller.timeout; got <= s.AbandonedCallDuration {
 		t.Errorf("time-out %v does not grow after one", got)
 	}
 }
@@ -373,7 +373,7 @@
 			if q.state == awaitingCall {
 				want++
 			} else if q.state == running {
-				want += max(0, in.calls[q.Class]-float64(q.callCount))
+				want += max(0, in.quota.callsPerRun[q.Class]-float64(q.callCount))
 			}
 		}
 		if got := in.expectedCalls(); math.Abs(got-want) > 1e-9 {
@@ -391,7 +391,7 @@
 		in.Decide(ms)
 		check()
 	}
-	in.toCome = 1e6 // only a new count takes it away
+	in.quota.expectedCalls = 1e6 // only a new count takes it away
 	if in.expectedCalls() != 1e6 {
 		t.Error("counted again without a move")
 	}
@@ -408,20 +408,20 @@
 	in, _ := start(t, settings()) // four in hand in the mean
 	in.Decide(0)
 	for range 4 {
-		in.lingering = append(in.lingering, time.Hour)
+		in.quota.abandoned = append(in.quota.abandoned, time.Hour)
 	}
-	in.credit = time.Duration(in.targetCallConcurrency() * float64(callCreditWindow))
-	if !in.tryAcquireCall() {
+	in.quota.credit = time.Duration(in.targetCallConcurrency() * float64(callCreditWindow))
+	if !in.canCall() {
 		t.Error("nothing may be called behind four that hang, with all time saved up")
 	}
 	for range 4 {
-		in.lingering = append(in.lingering, time.Hour)
+		in.quota.abandoned = append(in.quota.abandoned, time.Hour)
 	}
-	if in.tryAcquireCall() {
+	if in.canCall() {
 		t.Error("there is no bound to the calls in hand")
 	}
-	in.credit, in.lingering = 0, in.lingering[:4]
-	if in.tryAcquireCall() {
+	in.quota.credit, in.quota.abandoned = 0, in.quota.abandoned[:4]
+	if in.canCall() {
 		t.Error("what is over the pace may be called with no time saved up")
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -24,7 +24,7 @@
 func (printer) PublishLoad(float64)                        {}
 func (printer) SetIdleTimeout(time.Duration)               {}
 func (printer) SetTimer(time.Duration, int64)              {}
-func (printer) Log(string)                                 {}
+func (printer) Log(decision.Event)                         {}
 
 func Example() {
 	instance, err := policy.New(decision.Settings{
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/internal/simwire"
 )
 
 const ms = time.Millisecond
@@ -33,7 +34,7 @@
 func (r *recorder) PublishLoad(v float64)                    { r.add("say %.3f", v) }
 func (r *recorder) SetIdleTimeout(d time.Duration)           { r.add("idle %v", d) }
 func (r *recorder) SetTimer(d time.Duration, token int64)    { r.add("wake %v %d", d, token) }
-func (r *recorder) Log(text string)                          { r.add("log %s", text) }
+func (r *recorder) Log(event decision.Event)                 { r.add("log %s", simwire.LogText(event)) }
 
 // count tells how many actions start with a prefix.
 func (r *recorder) count(prefix string) int {
@@ -178,8 +179,8 @@
 	if r.count("run") < s.Cores {
 		t.Errorf("cores idle while reads lag: %v", r.acts)
 	}
-	if r.count("refuse") == 0 || in.said > 0.9 {
-		t.Errorf("%d refused, weight said %v: the lag is not told", r.count("refuse"), in.said)
+	if r.count("refuse") == 0 || in.load.published > 0.9 {
+		t.Errorf("%d refused, weight said %v: the lag is not told", r.count("refuse"), in.load.published)
 	}
 }
 
@@ -206,7 +207,7 @@
 	s := settings()
 	s.Classes[1].CallsDependency = true
 	in, r := start(t, s)
-	in.budget = 0
+	in.retries.tokens = 0
 	in.RequestReceived(0, decision.Request{ID: "a", Class: 1, ReservedKB: 1})
 	in.Decide(0)
 	in.CallNeeded(0, "a")
@@ -246,16 +247,16 @@
 			for i := range 20 {
 				serve(fmt.Sprint("bad", i), serveBadly)
 			}
-			if in.well || r.count("health false") != 1 {
-				t.Fatalf("well %v, share %v: %v", in.well, in.errors, r.acts)
+			if in.health.healthy || r.count("health false") != 1 {
+				t.Fatalf("well %v, share %v: %v", in.health.healthy, in.health.errorRate, r.acts)
 			}
 			for i := range 40 {
 				serve(fmt.Sprint("good", i), func(in *Instance, now time.Duration, id string) {
 					in.RunDone(now, id, decision.Succeeded, 100*ms)
 				})
 			}
-			if !in.well || r.count("health true") != 2 {
-				t.Errorf("no recovery: share %v", in.errors)
+			if !in.health.healthy || r.count("health true") != 2 {
+				t.Errorf("no recovery: share %v", in.health.errorRate)
 			}
 		})
 	}
@@ -269,12 +270,12 @@
 		in.Tick(now, 0, decision.Gauges{})
 		in.Decide(now)
 	}
-	in.errors, in.lag = 1, 5
+	in.health.errorRate, in.health.readLag = 1, 5
 	tick(time.Second)
 	if r.count("health false") != 1 {
 		t.Fatalf("not unhealthy: %v", r.acts)
 	}
-	in.errors = 0
+	in.health.errorRate = 0
 	tick(time.Second + in.timerInterval)
 	if r.count("health true") != 1 { // that of the start
 		t.Errorf("good while reads still lag: %v", r.acts)
@@ -331,16 +332,16 @@
 // read stays late. Once reads are prompt the cores are filled again.
 func TestFewerRunWhileReadsLag(t *testing.T) {
 	in, r := start(t, settings())
-	in.lag = 5
+	in.health.readLag = 5
 	for i := range 4 {
 		in.RequestReceived(0, decision.Request{ID: fmt.Sprint(i), ReservedKB: 1})
 	}
-	in.lag = 5
+	in.health.readLag = 5
 	in.Decide(0)
 	if r.count("run") != 1 {
 		t.Fatalf("%d run while reads are 5 s late", r.count("run"))
 	}
-	in.lag = 0
+	in.health.readLag = 0
 	in.Decide(ms)
 	if r.count("run") != in.settings.Cores {
 		t.Errorf("%d run after reads have caught up", r.count("run"))
@@ -353,7 +354,7 @@
 	s := settings()
 	s.Servers, s.Tenants, s.OverQuotaWeight = 300, []decision.Tenant{{Quota: 120}, {Quota: 120}}, 0.1
 	in, _ := start(t, s)
-	in.rates[0], in.rates[1] = 3, 9 // 2 are expected
+	in.tenantArrivals[0], in.tenantArrivals[1] = 3, 9 // 2 are expected
 	if got := in.tenantWeight(0); got != 1 {
 		t.Errorf("share %v for one arrival more than expected", got)
 	}
@@ -366,13 +367,13 @@
 // memory of its failures fades by itself.
 func TestOwnFailuresAreForgottenWithoutWork(t *testing.T) {
 	in, r := start(t, settings())
-	in.errors = 1
+	in.health.errorRate = 1
 	for now := in.timerInterval; now < 2*errorRateTimeConstant; now += in.timerInterval {
 		in.Tick(now, 0, decision.Gauges{})
 		in.Decide(now)
 	}
-	if r.count("health false") != 1 || !in.well {
-		t.Errorf("well %v after %v without work: %v", in.well, 2*errorRateTimeConstant, in.errors)
+	if r.count("health false") != 1 || !in.health.healthy {
+		t.Errorf("well %v after %v without work: %v", in.health.healthy, 2*errorRateTimeConstant, in.health.errorRate)
 	}
 }
 
@@ -413,14 +414,14 @@
 	in.Decide(0)
 	now := 1900 * ms
 	in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: 1})
-	in.pressure = 1
+	in.load.pressure = 1
 	in.RequestReceived(now, decision.Request{ID: "new", ReservedKB: 1, Waited: 150 * ms})
 	in.Decide(now)
 	if r.count("refuse new") != 1 || strings.HasSuffix(r.acts[len(r.acts)-1], "true") {
 		t.Fatalf("want new sent on at once, free to be tried elsewhere: %v", r.acts)
 	}
 	in.RunDone(now, "slow", decision.Succeeded, now)
-	in.pressure = 0
+	in.load.pressure = 0
 	for i := range 40 {
 		in.RequestReceived(now, decision.Request{ID: fmt.Sprint(i), ReservedKB: 1})
 		in.Decide(now)
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -327,7 +327,7 @@
 	var text strings.Builder
 	for seed := int64(1); seed <= recordingSeeds; seed++ {
 		rng := rand.New(rand.NewSource(seed))
-		o := optimizer{lost: float64(time.Duration(rng.Intn(3)) * 100 * ms)}
+		o := optimizer{abandonedCost: float64(time.Duration(rng.Intn(3)) * 100 * ms)}
 		for i := range 4 * latencyBufferSize {
 			mode := 3 * ms << (2 * rng.Intn(int(1+seed%4)))
 			o.add(time.Duration(float64(mode) * (1 + rng.ExpFloat64()/4)))
--- a/policy/told_test.go
+++ b/policy/told_test.go
@@ -20,20 +20,20 @@
 	}
 	in.Decide(0)
 	in.Tick(ms, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
-	if want := in.maxInFlight() / 3; in.said != want {
-		t.Fatalf("said %v to three callers, want %v each", in.said, want)
+	if want := in.maxInFlight() / 3; in.load.published != want {
+		t.Fatalf("said %v to three callers, want %v each", in.load.published, want)
 	}
 	said := r.count("say")
 	for now := in.timerInterval; now < 300*ms; now += in.timerInterval {
-		in.pressed = 1
+		in.load.peak = 1
 		in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: 4})
 	}
 	if r.count("say") < said+5 {
 		t.Errorf("said %d times while the pressure rose", r.count("say")-said)
 	}
 	in.Tick(3*time.Second, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
-	if len(in.heard) != 0 {
-		t.Errorf("%d callers counted long after they were heard", len(in.heard))
+	if len(in.load.recentCallers) != 0 {
+		t.Errorf("%d callers counted long after they were heard", len(in.load.recentCallers))
 	}
 }
 
@@ -46,8 +46,8 @@
 		in.RequestReceived(now, decision.Request{ID: string(rune('a' + i)), Caller: i, ReservedKB: 1})
 		in.Tick(now, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 	}
-	if len(in.heard) > 100 {
-		t.Errorf("%d callers are remembered", len(in.heard))
+	if len(in.load.recentCallers) > 100 {
+		t.Errorf("%d callers are remembered", len(in.load.recentCallers))
 	}
 }
 
@@ -70,7 +70,7 @@
 		return act
 	}
 	in.count[running] = 1
-	in.reads = 1
+	in.idle.requestsRead = 1
 	if got := last(time.Second, 4*time.Second, 1); got != "idle 10ms" {
 		t.Fatalf("no storm: %q", got)
 	}
