--- a/decision/settings.go
+++ b/decision/settings.go
@@ -82,7 +82,7 @@
 
 	// The dependency.
 	Dependency            DependencyKind
-	CallQuota             float64       // this instance's share of the calls in flight that a shared one survives
+	CallQuota             float64       // its share of the calls in flight that a shared one survives
 	CallQuotaWindow       time.Duration // over which those are averaged
 	AbandonedCallDuration time.Duration // how long an abandoned call may keep the dependency busy
 
--- a/decision/validate.go
+++ b/decision/validate.go
@@ -21,8 +21,7 @@
 	checks := s.instanceSettings()
 	for i, c := range s.Classes {
 		path := fmt.Sprintf("Classes[%d].", i)
-		times := []setting{{path + "Aim", float64(c.LatencyObjective)}, {path + "Deadline", float64(c.Deadline)}}
-		if err := checkAtLeast(1, times...); err != nil {
+		if err := checkAtLeast(1, c.times(path)...); err != nil {
 			return err
 		}
 		checks = append(checks, c.amounts(path)...)
@@ -75,6 +74,14 @@
 	}
 }
 
+// times returns the settings of a class that must be a nanosecond at least.
+func (c *Class) times(path string) []setting {
+	return []setting{
+		{path + "Aim", float64(c.LatencyObjective)},
+		{path + "Deadline", float64(c.Deadline)},
+	}
+}
+
 // amounts returns the settings of a class that must not be negative.
 func (c *Class) amounts(path string) []setting {
 	return []setting{
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -45,8 +45,9 @@
 // The random number is drawn while draining too: the draws that follow depend on it.
 func (in *Instance) retryAfter(load float64) time.Duration {
 	readLoad := max(in.readLagFraction(), in.concurrency.readShare)
+	jitter := minRetryAfterJitter + in.random.Float64()
 	maxRetryAfter := in.settings.MaxRetryAfter
-	advice := time.Duration(load * readLoad * (minRetryAfterJitter + in.random.Float64()) * float64(maxRetryAfter))
+	advice := time.Duration(load * readLoad * jitter * float64(maxRetryAfter))
 	if in.drain.started {
 		advice = maxRetryAfter
 	}
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -20,7 +20,7 @@
 type concurrencyLimit struct {
 	limit       float64       // running requests
 	meanRunTime time.Duration // moving average of the time that a run takes the cores
-	readShare   float64       // moving average of the fraction of runnable tasks that only read or shake hands
+	readShare   float64       // moving fraction of the runnable tasks that only read or shake hands
 }
 
 // recordRunTime takes in the time of a run that ended.
--- a/policy/histogram.go
+++ b/policy/histogram.go
@@ -90,8 +90,8 @@
 //
 // The cost is least where its slope turns from falling to rising. Inside a bin the slope
 // falls with t, so that is at the start of a bin that is thinner than the one before.
-func (h *latencyHistogram) earlierTimeout(next, cost, retryCost float64) (timeout, least float64, found bool) {
-	timeout, least = 0, cost
+func (h *latencyHistogram) earlierTimeout(next, cost, retryCost float64) (t, least float64, found bool) {
+	t, least = 0, cost
 	for k := 1; k < histogramBins; k++ {
 		start := h.binStart(k)
 		if start >= next {
@@ -102,10 +102,10 @@
 		}
 		a, b := h.terms(start)
 		if candidate := a + b*retryCost; candidate < least {
-			timeout, least, found = start, candidate, true
+			t, least, found = start, candidate, true
 		}
 	}
-	return timeout, least, found
+	return t, least, found
 }
 
 // costTurns tells whether the expected cost falls before the start of a bin and rises
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -44,8 +44,8 @@
 
 // recordCaller takes in that a caller's request was read.
 func (l *loadReport) recordCaller(caller int, now time.Duration) {
-	l.recentCallers = slices.DeleteFunc(l.recentCallers, func(c callerSeen) bool { return c.caller == caller })
-	l.recentCallers = append(l.recentCallers, callerSeen{caller, now})
+	seenBefore := func(c callerSeen) bool { return c.caller == caller }
+	l.recentCallers = append(slices.DeleteFunc(l.recentCallers, seenBefore), callerSeen{caller, now})
 }
 
 // forgetCallers drops the callers that have not been seen since a time.
