--- a/policy/calls.go
+++ b/policy/calls.go
@@ -8,8 +8,10 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// minCallTimeout is the shortest time-out of a call, where hardly any time is left.
-const minCallTimeout = time.Millisecond
+const (
+	minCallTimeout      = time.Millisecond // where hardly any time is left
+	typicalCallsWaiting = 16               // more need memory of their own
+)
 
 // CallNeeded takes in that the run of a request waits for a call to the dependency.
 func (in *Instance) CallNeeded(now time.Duration, id string) {
@@ -45,7 +47,8 @@
 // makeCalls makes the calls that requests wait for, while the call quota has room. Those
 // come first that lose most without their call.
 func (in *Instance) makeCalls() {
-	for _, q := range in.callsWaiting() {
+	var buffer [typicalCallsWaiting]*request
+	for _, q := range in.callsWaiting(buffer[:0]) {
 		if in.canCall() {
 			in.call(q)
 		} else if q.class.DegradedWeight > 0 && linearRamp(in.expectedCallWait(q), in.maxQueueWait(q)) > 0 {
@@ -54,10 +57,9 @@
 	}
 }
 
-// callsWaiting returns the requests whose calls may be made now, in the order in which
-// they are made.
-func (in *Instance) callsWaiting() []*request {
-	var waiting []*request
+// callsWaiting appends the requests whose calls may be made now to an empty list, in the
+// order in which they are made.
+func (in *Instance) callsWaiting(waiting []*request) []*request {
 	for _, q := range in.live {
 		if q.state == awaitingCall && !q.answered && q.call.retryAt <= in.now {
 			waiting = append(waiting, q)
--- a/policy/request.go
+++ b/policy/request.go
@@ -26,7 +26,7 @@
 //
 // A request that is answered while it runs or calls stays in its state until RunDone,
 // as it still takes cores, memory and calls.
-type state int
+type state uint8
 
 const (
 	received     state = iota // read in this batch, not yet decided on
--- a/policy/timeouts.go
+++ b/policy/timeouts.go
@@ -151,14 +151,17 @@
 	var histogram latencyHistogram
 	histogram.fill(o.buffer)
 	next, cost := histogram.finalTimeout()
-	sequence := append(make([]time.Duration, 0, maxSequenceLength), time.Duration(next))
-	for len(sequence) < maxSequenceLength {
+	var sequence [maxSequenceLength]time.Duration // filled from its end
+	first := maxSequenceLength - 1
+	sequence[first] = time.Duration(next)
+	for first > 0 {
 		earlier, earlierCost, found := histogram.earlierTimeout(next, cost, cost+o.abandonedCost)
 		if !found {
 			break
 		}
-		sequence = slices.Insert(sequence, 0, time.Duration(earlier))
+		first--
+		sequence[first] = time.Duration(earlier)
 		next, cost = earlier, earlierCost
 	}
-	o.sequence = sequence
+	o.sequence = slices.Clone(sequence[first:])
 }
