--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -14,137 +14,145 @@
 	buf      []byte
 }
 
-// TakeLines gives the lines collected so far and starts anew. The bytes are good
+// TakeLines returns the lines collected so far and starts anew. The bytes are valid
 // until the next action.
 func (r *Reply) TakeLines() []byte {
-	b := r.buf
+	lines := r.buf
 	r.buf = r.buf[:0]
-	return b
-}
-
-func (r *Reply) begin(name string) {
-	r.buf = append(r.buf, name...)
-	r.int("instanceId", r.Instance)
-}
-
-func (r *Reply) end() { r.buf = append(r.buf, '\n') }
-
-func (r *Reply) key(k string) {
-	r.buf = append(r.buf, ' ')
-	r.buf = append(r.buf, k...)
-	r.buf = append(r.buf, '=')
-}
-
-func (r *Reply) int(k string, v int64) {
-	r.key(k)
-	r.buf = strconv.AppendInt(r.buf, v, 10)
-}
-
-func (r *Reply) bool(k string, v bool) {
-	n := int64(0)
-	if v {
-		n = 1
-	}
-	r.int(k, n)
-}
-
-func (r *Reply) text(k, v string) {
-	r.key(k)
-	r.buf = append(r.buf, v...)
-}
-
-func (r *Reply) request(name, id string) {
-	r.begin(name)
-	r.text("xid", id)
-}
-
-func (r *Reply) plain(name, id string) {
-	r.request(name, id)
-	r.end()
+	return lines
 }
 
 // Run implements decision.Host.
-func (r *Reply) Run(id string) { r.plain("START", id) }
+func (r *Reply) Run(id string) { r.requestLine(actionRun, id) }
 
 // Cancel implements decision.Host.
-func (r *Reply) Cancel(id string) { r.plain("PREEMPT", id) }
+func (r *Reply) Cancel(id string) { r.requestLine(actionCancel, id) }
 
 // Shed implements decision.Host.
-func (r *Reply) Shed(id string, stayAway time.Duration, last bool) {
-	r.request("BOUNCE", id)
-	r.int("notBeforeForUs", stayAway.Microseconds())
-	r.bool("last", last)
+func (r *Reply) Shed(id string, retryAfter time.Duration, noRetry bool) {
+	r.beginRequest(actionShed, id)
+	r.time(fieldRetryAfter, retryAfter)
+	r.bool(fieldNoRetry, noRetry)
 	r.end()
 }
 
 // Fail implements decision.Host.
-func (r *Reply) Fail(id string) { r.plain("SURRENDER", id) }
+func (r *Reply) Fail(id string) { r.requestLine(actionFail, id) }
 
 // Call implements decision.Host.
 func (r *Reply) Call(id string, timeout time.Duration) {
-	r.request("REACH_OUT", id)
-	r.int("timeoutUs", timeout.Microseconds())
+	r.beginRequest(actionCall, id)
+	r.time(fieldTimeout, timeout)
 	r.end()
 }
 
 // SkipCall implements decision.Host.
-func (r *Reply) SkipCall(id string) { r.plain("BYPASS", id) }
+func (r *Reply) SkipCall(id string) { r.requestLine(actionSkipCall, id) }
 
 // CacheResult implements decision.Host.
 func (r *Reply) CacheResult(id string, ttl time.Duration) {
-	r.request("RECORD_KEY", id)
-	r.int("holdForUs", ttl.Microseconds())
+	r.beginRequest(actionCacheResult, id)
+	r.time(fieldTTL, ttl)
 	r.end()
 }
 
 // EvictResult implements decision.Host.
-func (r *Reply) EvictResult(id string) { r.plain("FORGET", id) }
+func (r *Reply) EvictResult(id string) { r.requestLine(actionEvictResult, id) }
 
 // ServeCached implements decision.Host.
-func (r *Reply) ServeCached(id string) { r.plain("JOIN", id) }
+func (r *Reply) ServeCached(id string) { r.requestLine(actionServeCached, id) }
 
 // SetHealth implements decision.Host.
-func (r *Reply) SetHealth(on, cached bool) {
-	r.begin("FITNESS")
-	r.bool("cached", cached)
-	r.bool("on", on)
+func (r *Reply) SetHealth(healthy, cached bool) {
+	r.begin(actionSetHealth)
+	r.bool(fieldCached, cached)
+	r.bool(fieldHealthy, healthy)
 	r.end()
 }
 
 // PublishLoad implements decision.Host.
 func (r *Reply) PublishLoad(value float64) {
-	r.begin("HINT_OUT")
-	r.key("amount")
+	r.begin(actionPublishLoad)
+	r.key(fieldLoad)
 	r.buf = strconv.AppendFloat(r.buf, value, 'f', -1, 64)
 	r.end()
 }
 
 // SetIdleTimeout implements decision.Host.
 func (r *Reply) SetIdleTimeout(after time.Duration) {
-	r.begin("IDLE")
-	r.int("holdForUs", after.Microseconds())
+	r.begin(actionSetIdleTimeout)
+	r.time(fieldTTL, after)
 	r.end()
 }
 
 // SetTimer implements decision.Host.
 func (r *Reply) SetTimer(after time.Duration, token int64) {
-	r.begin("NOTIFY_ME")
-	r.int("fromNowUs", after.Microseconds())
-	r.int("cookie", token)
+	r.begin(actionSetTimer)
+	r.time(fieldDelay, after)
+	r.int(fieldToken, token)
 	r.end()
 }
 
 // Log implements decision.Host.
-func (r *Reply) Log(event decision.Event) { r.line("SAY_LOG", LogText(event)) }
+func (r *Reply) Log(event decision.Event) { r.textLine(actionLog, LogText(event)) }
 
-// Bail reports that the decision code has failed.
-func (r *Reply) Bail(text string) {
+// ReportFailure replaces the actions collected so far by the report that the instance
+// has failed.
+func (r *Reply) ReportFailure(cause string) {
 	r.buf = r.buf[:0]
-	r.line("BAIL_OUT", text)
+	r.textLine(instanceFailed, cause)
 }
 
-func (r *Reply) line(name, text string) {
+// begin starts a line.
+func (r *Reply) begin(name string) {
+	r.buf = append(r.buf, name...)
+	r.int(fieldInstance, r.Instance)
+}
+
+// beginRequest starts a line about a request.
+func (r *Reply) beginRequest(name, id string) {
+	r.begin(name)
+	r.text(fieldRequest, id)
+}
+
+// requestLine adds a line that names a request alone.
+func (r *Reply) requestLine(name, id string) {
+	r.beginRequest(name, id)
+	r.end()
+}
+
+// textLine adds a line with a text, whose spaces and line ends become single spaces.
+func (r *Reply) textLine(name, text string) {
 	r.begin(name)
-	r.text("line", strings.Join(strings.Fields(text), " "))
+	r.text(fieldText, strings.Join(strings.Fields(text), " "))
 	r.end()
 }
+
+// end ends a line.
+func (r *Reply) end() { r.buf = append(r.buf, '\n') }
+
+func (r *Reply) key(key string) {
+	r.buf = append(r.buf, fieldSeparator...)
+	r.buf = append(r.buf, key...)
+	r.buf = append(r.buf, fieldAssignment...)
+}
+
+func (r *Reply) text(key, value string) {
+	r.key(key)
+	r.buf = append(r.buf, value...)
+}
+
+func (r *Reply) int(key string, value int64) {
+	r.key(key)
+	r.buf = strconv.AppendInt(r.buf, value, 10)
+}
+
+func (r *Reply) bool(key string, value bool) {
+	n := int64(0)
+	if value {
+		n = 1
+	}
+	r.int(key, n)
+}
+
+func (r *Reply) time(key string, value time.Duration) { r.int(key, value.Microseconds()) }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -30,7 +30,7 @@
 func TestParseOddAndBadLines(t *testing.T) {
 	long := strings.Repeat("x", 1<<20)
 	m, err := Parse("HELLO instanceId=1 profileData={\"a\": \"b = " + long + "\"}")
-	if err != nil || len(m.Text("profileData")) < 1<<20 {
+	if err != nil || len(m.fields[fieldSettings]) < 1<<20 {
 		t.Errorf("a long text field: %v", err)
 	}
 	for _, line := range []string{" REQ", "REQ xid", "REQ =5", "a=b"} {
@@ -47,7 +47,7 @@
 			t.Errorf("%q passed", line)
 		}
 	}
-	if m, _ := Parse("RING stats=core_use"); m.Gauges("stats").CoreUtilization >= 0 || m.Err() == nil {
+	if m, _ := Parse("RING stats=core_use"); m.Gauges().CoreUtilization >= 0 || m.Err() == nil {
 		t.Error("a gauge without a value passed")
 	}
 }
