--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -73,7 +73,7 @@
 
 // BenchmarkSolve solves a sequence of time-outs from latencies of two modes.
 func BenchmarkSolve(b *testing.B) {
-	o := fill(2*time.Second, 100*ms)
+	o := filledOptimizer(2*time.Second, 100*ms)
 	b.ReportAllocs()
 	for range b.N {
 		o.solve()
