--- a/policy/call_quota_test.go
+++ b/policy/call_quota_test.go
@@ -127,9 +127,10 @@
 		t.Helper()
 		want := 0.0
 		for _, q := range in.live {
-			if q.state == awaitingCall {
+			switch q.state {
+			case awaitingCall:
 				want++
-			} else if q.state == running {
+			case running:
 				want += max(0, in.quota.callsPerRun[q.Class]-float64(q.callCount))
 			}
 		}
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -12,12 +12,14 @@
 
 const ms = time.Millisecond
 
-// recorder is a Host that remembers the actions, one line each.
+// recorder is a Host that remembers the actions, one line each. The golden files hold
+// hashes of these lines, so their words stay.
 type recorder struct{ acts []string }
 
 func (r *recorder) add(format string, args ...any) {
 	r.acts = append(r.acts, fmt.Sprintf(format, args...))
 }
+
 func (r *recorder) Run(id string)    { r.add("run %s", id) }
 func (r *recorder) Cancel(id string) { r.add("halt %s", id) }
 func (r *recorder) Shed(id string, away time.Duration, last bool) {
@@ -35,7 +37,7 @@
 func (r *recorder) SetTimer(d time.Duration, token int64)    { r.add("wake %v %d", d, token) }
 func (r *recorder) Log(event decision.Event)                 { r.add("log %s", simwire.LogText(event)) }
 
-// count tells how many actions start with a prefix.
+// count returns how many actions start with a prefix.
 func (r *recorder) count(prefix string) int {
 	n := 0
 	for _, a := range r.acts {
@@ -46,6 +48,7 @@
 	return n
 }
 
+// settings returns settings with a class of each effect.
 func settings() decision.Settings {
 	return decision.Settings{
 		Classes: []decision.Class{
@@ -60,6 +63,7 @@
 	}
 }
 
+// start makes an instance that has decided on its first, empty batch.
 func start(t *testing.T, s decision.Settings) (*Instance, *recorder) {
 	t.Helper()
 	r := &recorder{}
