--- /dev/null
+++ b/decision/events_test.go
@@ -0,0 +1,26 @@
+package decision
+
+import (
+	"bytes"
+	"context"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestEventsAsLogLines has each event give its name and attributes.
+func TestEventsAsLogLines(t *testing.T) {
+	for want, event := range map[string]Event{
+		"msg=drain_started stops_in_ms=4500":                                DrainStarted{StopsIn: 4500 * time.Millisecond},
+		"msg=health_changed healthy=true error_rate=0.2 read_lag_seconds=1": HealthChanged{Healthy: true, ErrorRate: 0.2, ReadLagSeconds: 1},
+		"msg=circuit_breaker_changed open=true":                             CircuitBreakerChanged{Open: true},
+	} {
+		var line bytes.Buffer
+		log := slog.New(slog.NewTextHandler(&line, nil))
+		log.LogAttrs(context.Background(), slog.LevelInfo, event.Name(), event.Attributes()...)
+		if got := strings.TrimSpace(line.String()); !strings.HasSuffix(got, want) {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+}
--- a/policy/call_quota_test.go
+++ b/policy/call_quota_test.go
@@ -219,3 +219,44 @@
 		t.Errorf("%d calls of %d without a bound", n, running)
 	}
 }
+
+func TestCallQuotaAccruesCreditForTheTargetLessTheCallsInFlight(t *testing.T) {
+	const target = 2.0
+	q := callQuota{credit: -time.Second, abandoned: []time.Duration{250 * ms}}
+	q.accrue(500*ms, target, 1)
+	if want := -500 * ms; q.credit != want {
+		t.Errorf("credit %v with one call in flight, want %v", q.credit, want)
+	}
+	if len(q.abandoned) != 0 {
+		t.Error("an abandoned call is counted after its time")
+	}
+	q.accrue(time.Hour, target, 0)
+	if want := 2 * callCreditWindow; q.credit != want {
+		t.Errorf("credit %v saved up, want %v", q.credit, want)
+	}
+	for credit, want := range map[time.Duration]float64{
+		-time.Second: target, 0: target, callCreditWindow: 1.5 * target, 2 * callCreditWindow: callBurstFactor * target,
+	} {
+		if q.credit = credit; q.burst(target) != want {
+			t.Errorf("burst %v at credit %v, want %v", q.burst(target), credit, want)
+		}
+	}
+}
+
+func TestCallQuotaExpectedWait(t *testing.T) {
+	for _, c := range []struct {
+		credit time.Duration
+		calls  float64
+		want   time.Duration
+	}{
+		{0, 0, 0},
+		{0, 3, 150 * ms},
+		{time.Second, 3, 0},
+		{-time.Second, 3, 650 * ms},
+	} {
+		q := callQuota{credit: c.credit, meanCallTime: 100 * ms}
+		if got := q.expectedWait(c.calls, 2); got != c.want {
+			t.Errorf("credit %v, %v calls: wait %v, want %v", c.credit, c.calls, got, c.want)
+		}
+	}
+}
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -40,3 +40,30 @@
 		t.Error("still broken after a good diagnostic")
 	}
 }
+
+func TestCircuitBreakerStates(t *testing.T) {
+	var b circuitBreaker
+	now := time.Second
+	failures := 0
+	for ; !b.update(now) && failures < 100; failures++ {
+		b.record(now, false)
+	}
+	if want := 7; failures != want { // 1 - 0.9^7 is the first over a half
+		t.Fatalf("opened after %d failures, want %d", failures, want)
+	}
+	if b.update(now); !b.open {
+		t.Fatal("a second update changed the state")
+	}
+	if b.update(now + breakerOpenDuration - 1); !b.open {
+		t.Error("closed before its time")
+	}
+	if changed := b.update(now + breakerOpenDuration); !changed || b.open {
+		t.Error("open after its time")
+	}
+	b.record(now, false)
+	b.update(now)
+	b.record(now, true)
+	if changed := b.update(now); !changed || b.open {
+		t.Error("open after a success")
+	}
+}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"testing"
 	"time"
 
@@ -123,3 +124,24 @@
 		t.Errorf("work that has room does not run: %v", r.acts)
 	}
 }
+
+func TestConcurrencyLimitAdjusts(t *testing.T) {
+	const cores, maxInFlight = 2.0, 4.0
+	for _, c := range []struct {
+		name          string
+		limit         float64
+		busy, waiting bool
+		want          float64
+	}{
+		{"busy", 4, true, true, 3.9},
+		{"requests wait", 3, false, true, 3.25},
+		{"nothing waits", 3, false, false, 3},
+		{"at the upper bound", 4, false, true, 4},
+		{"at the lower bound", 2, true, false, 2},
+	} {
+		l := concurrencyLimit{limit: c.limit}
+		if l.adjust(c.busy, c.waiting, cores, maxInFlight); math.Abs(l.limit-c.want) > 1e-9 {
+			t.Errorf("%s: limit %v, want %v", c.name, l.limit, c.want)
+		}
+	}
+}
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -23,3 +23,16 @@
 		t.Errorf("running work without an answer at the stop: %v", r.acts)
 	}
 }
+
+func TestDrainMovesAnswersBeforeItsEnd(t *testing.T) {
+	d := drainState{stopAt: time.Second}
+	if got := d.limit(2*time.Second, 20*ms); got != 2*time.Second {
+		t.Errorf("answer by %v without a drain", got)
+	}
+	d.started = true
+	for answerBy, want := range map[time.Duration]time.Duration{2 * time.Second: 960 * ms, 500 * ms: 500 * ms} {
+		if got := d.limit(answerBy, 20*ms); got != want {
+			t.Errorf("answer by %v, want %v", got, want)
+		}
+	}
+}
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -101,3 +101,28 @@
 		t.Errorf("well %v after %v without work: %v", in.health.healthy, 2*errorRateTimeConstant, in.health.errorRate)
 	}
 }
+
+func TestHealthMonitorIgnoresLagSoonAfterAChange(t *testing.T) {
+	const ignoredUntil = 10 * time.Second
+	for _, c := range []struct {
+		name      string
+		healthy   bool
+		errorRate float64
+		now       time.Duration
+		lagging   bool
+		want      bool
+	}{
+		{"all well", true, 0, 0, false, true},
+		{"errors at the limit", true, unhealthyErrorRate, 0, false, true},
+		{"errors", true, 0.41, 0, false, false},
+		{"lag soon after a change", true, 0, ignoredUntil, true, true},
+		{"lag later", true, 0, ignoredUntil + 1, true, false},
+		{"lag goes on", false, 0, 0, true, false},
+		{"errors and ignored lag", true, 0.41, 0, true, false},
+	} {
+		h := healthMonitor{healthy: c.healthy, errorRate: c.errorRate, lagIgnoredUntil: ignoredUntil}
+		if got := h.judge(c.now, c.lagging); got != c.want {
+			t.Errorf("%s: healthy %v, want %v", c.name, got, c.want)
+		}
+	}
+}
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -110,3 +111,35 @@
 		}
 	}
 }
+
+func TestIdleTimeoutStormHasHysteresis(t *testing.T) {
+	var idle idleTimeout
+	for _, c := range []struct {
+		readShare float64
+		want      bool
+	}{
+		{handshakeStormOnset, false},
+		{0.61, true},
+		{0.07, true},
+		{handshakeStormClear, false},
+		{0.07, false},
+	} {
+		if idle.updateStorm(c.readShare); idle.storm != c.want {
+			t.Errorf("storm %v at a share of %v, want %v", idle.storm, c.readShare, c.want)
+		}
+	}
+}
+
+func TestLoadReportRemembersACallerOnceWithItsLatestTime(t *testing.T) {
+	var l loadReport
+	l.recordCaller(1, time.Second)
+	l.recordCaller(2, 2*time.Second)
+	l.recordCaller(1, 3*time.Second)
+	if want := []callerSeen{{2, 2 * time.Second}, {1, 3 * time.Second}}; !slices.Equal(l.recentCallers, want) {
+		t.Errorf("%v, want %v", l.recentCallers, want)
+	}
+	l.forgetCallers(3 * time.Second)
+	if want := []callerSeen{{1, 3 * time.Second}}; !slices.Equal(l.recentCallers, want) {
+		t.Errorf("%v, want %v", l.recentCallers, want)
+	}
+}
