--- a/decision/events_test.go
+++ b/decision/events_test.go
@@ -17,8 +17,11 @@
 		"msg=circuit_breaker_changed open=true":                             CircuitBreakerChanged{Open: true},
 	} {
 		var line bytes.Buffer
-		log := slog.New(slog.NewTextHandler(&line, nil))
-		log.LogAttrs(context.Background(), slog.LevelInfo, event.Name(), event.Attributes()...)
+		record := slog.NewRecord(time.Time{}, slog.LevelInfo, event.Name(), 0)
+		record.AddAttrs(event.Attributes()...)
+		if err := slog.NewTextHandler(&line, nil).Handle(context.Background(), record); err != nil {
+			t.Fatal(err)
+		}
 		if got := strings.TrimSpace(line.String()); !strings.HasSuffix(got, want) {
 			t.Errorf("%q, want %q", got, want)
 		}
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -18,8 +18,8 @@
 // Samanta, "Adaptive Timeout Strategies for Microservice Applications": a sequence of
 // rising time-outs that minimizes the expected latency (sections 3.6 and 4.3, the
 // Optimizer), found from the latencies of diagnostic calls, whose time-out follows the
-// latest latencies (sections 3.7 and 4.4, the Controller). docs/design.md lists what
-// was changed; docs/capacity.md has the origin of each constant.
+// latest latencies (sections 3.7 and 4.4, the Controller); section 4.5 combines both.
+// docs/design.md lists what was changed; docs/capacity.md has the origin of each constant.
 //
 // # Reading order
 //
--- a/policy/histogram.go
+++ b/policy/histogram.go
@@ -22,7 +22,8 @@
 	partialMean [histogramBins + 1]float64 // integral of x f(x) from 0 to the bin's start
 }
 
-// fill counts latencies, the oldest first: the i-th has the weight i.
+// fill counts latencies, the oldest first. The i-th oldest has the weight i, so that
+// newer ones count more (section 4.5).
 func (h *latencyHistogram) fill(latencies []time.Duration) {
 	h.maxLatency = float64(slices.Max(latencies))
 	h.binWidth = h.maxLatency / histogramBins
--- a/policy/timeouts.go
+++ b/policy/timeouts.go
@@ -12,7 +12,7 @@
 	latencyBufferSize      = 200 // diagnostic latencies that the Optimizer keeps
 	diagnosticInterval     = 5   // every so many idempotent calls one is diagnostic
 	callsPerSolve          = 20  // idempotent calls between two solutions of the sequence
-	maxSequenceLength      = 5   // time-outs; longer ones were never reached in time
+	maxSequenceLength      = 5   // time-outs; more were never reached in time
 	minRecordedLatency     = time.Microsecond
 	timeoutGrowthFactor    = 1.5  // of the Controller's time-out, after a time-out
 	timeoutGain            = 0.1  // of the distance to the latency, per success
@@ -29,7 +29,7 @@
 }
 
 // callTimeouts chooses the time-outs of idempotent calls, by the Combined System of the
-// paper: those of the Optimizer's sequence, and now and then a diagnostic call under the
+// paper's section 4.5: those of the Optimizer's sequence, and now and then a diagnostic call under the
 // Controller, so that the Optimizer sees latencies beyond its own time-outs.
 type callTimeouts struct {
 	optimizer       optimizer
