--- a/policy/timeouts.go
+++ b/policy/timeouts.go
@@ -29,8 +29,9 @@
 }
 
 // callTimeouts chooses the time-outs of idempotent calls, by the Combined System of the
-// paper's section 4.5: those of the Optimizer's sequence, and now and then a diagnostic call under the
-// Controller, so that the Optimizer sees latencies beyond its own time-outs.
+// paper's section 4.5: those of the Optimizer's sequence, and now and then the
+// Controller's for a diagnostic call, so that the Optimizer sees latencies beyond its own
+// time-outs.
 type callTimeouts struct {
 	optimizer       optimizer
 	controller      controller
