--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -17,11 +17,11 @@
 	old := &request{class: &in.settings.Classes[1], dueAt: time.Hour, weight: 2, state: queued}
 	in.queue = append(in.queue, old)
 	low := &request{class: &in.settings.Classes[0], weight: 1, arrivedAt: time.Hour}
-	aim := in.maxQueueWait(old)
+	maxWait := in.maxQueueWait(old)
 	for share, want := range map[float64]float64{0.4: 0, 0.5: 0, 0.75: 0.5, 1: 1, 2: 1} {
-		in.now = time.Duration(share * float64(aim))
+		in.now = time.Duration(share * float64(maxWait))
 		if got := in.shedProbability(low); math.Abs(got-want) > 1e-9 {
-			t.Errorf("chance %v at %v of the patience, want %v", got, share, want)
+			t.Errorf("probability %v at %v of the maximum wait, want %v", got, share, want)
 		}
 	}
 	high := &request{class: &in.settings.Classes[2], weight: 3, arrivedAt: time.Hour}
@@ -39,7 +39,7 @@
 	in.RequestReceived(0, decision.Request{ID: "plain", Class: 1, ReservedKB: 1})
 	in.Decide(0)
 	if r.count("refuse calls 0s true") != 1 {
-		t.Errorf("want the one that calls turned away for good and without advice: %v", r.acts)
+		t.Errorf("want the one that calls shed, not to be retried, without a Retry-After: %v", r.acts)
 	}
 	if r.count("run plain") != 1 {
 		t.Errorf("the one that calls nothing does not run: %v", r.acts)
@@ -79,7 +79,7 @@
 	in.RequestReceived(0, decision.Request{ID: "first", ReservedKB: 1})
 	in.Decide(0)
 	if r.count("run first") != 1 || r.count("run again") != 0 {
-		t.Errorf("want the first try to run alone: %v", r.acts)
+		t.Errorf("want the first attempt to run alone: %v", r.acts)
 	}
 }
 
@@ -124,6 +124,6 @@
 		in.RunDone(now, fmt.Sprint(i), decision.Succeeded, 50*ms)
 	}
 	if p := in.maxQueueWait(&request{class: &s.Classes[0], dueAt: time.Hour}); p != time.Second {
-		t.Errorf("patience %v after quick runs, want half of the aim", p)
+		t.Errorf("maximum wait %v after quick runs, want half of the objective", p)
 	}
 }
--- a/policy/call_quota_test.go
+++ b/policy/call_quota_test.go
@@ -26,7 +26,7 @@
 	in.RunDone(10*ms, "a", decision.Cancelled, 0)
 	in.Decide(10 * ms)
 	if r.count("call b") != 0 {
-		t.Errorf("b called while the call of a lingers: %v", r.acts)
+		t.Errorf("b called while the abandoned call of a is at the dependency: %v", r.acts)
 	}
 	in.Decide(10*ms + s.AbandonedCallDuration)
 	in.Decide(time.Second)
@@ -64,7 +64,7 @@
 	}
 	mean := float64(busy) / float64(day)
 	if want := in.targetCallConcurrency(); mean > 1.1*want || mean < 0.7*want {
-		t.Errorf("mean of calls in hand %.3f, want about %.3f", mean, want)
+		t.Errorf("mean of calls in flight %.3f, want about %.3f", mean, want)
 	}
 }
 
@@ -175,7 +175,7 @@
 		in.quota.abandoned = append(in.quota.abandoned, time.Hour)
 	}
 	if in.canCall() {
-		t.Error("there is no bound to the calls in hand")
+		t.Error("there is no bound to the calls in flight")
 	}
 	in.quota.credit, in.quota.abandoned = 0, in.quota.abandoned[:4]
 	if in.canCall() {
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -16,7 +16,7 @@
 		in.adjustConcurrencyLimit(decision.Gauges{CoreUtilization: 0.3, RunnableTasks: 1})
 	}
 	if got, want := in.concurrency.limit, in.maxInFlight(); got != want {
-		t.Errorf("limit %v with idle cores and waiting work, want the crowd %v", got, want)
+		t.Errorf("limit %v with idle cores and queued requests, want %v", got, want)
 	}
 	for range 1000 {
 		in.adjustConcurrencyLimit(decision.Gauges{CoreUtilization: 1, RunnableTasks: 9})
@@ -33,7 +33,7 @@
 	cold := in.maxInFlight()
 	in.now = s.SlowStartDuration
 	if warm := in.maxInFlight(); cold >= warm/2 {
-		t.Errorf("cold crowd %v, warm %v", cold, warm)
+		t.Errorf("%v requests in flight when cold, %v when warm", cold, warm)
 	}
 }
 
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -16,7 +16,7 @@
 	in.RequestReceived(3*time.Second, decision.Request{ID: "late", Class: 1, ReservedKB: 1})
 	in.Decide(3 * time.Second)
 	if r.count("run early") != 1 || r.count("refuse late") != 1 {
-		t.Errorf("want early run and late refused: %v", r.acts)
+		t.Errorf("want early run and late shed: %v", r.acts)
 	}
 	in.Decide(4*time.Second - in.timerInterval)
 	if r.count("fail early") != 1 {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -11,20 +11,20 @@
 // printer is a host that prints the actions on requests.
 type printer struct{}
 
-func (printer) Run(id string)                              { fmt.Println("run", id) }
-func (printer) Shed(id string, _ time.Duration, last bool) { fmt.Println("refuse", id, last) }
-func (printer) Fail(id string)                             { fmt.Println("fail", id) }
-func (printer) Cancel(string)                              {}
-func (printer) Call(string, time.Duration)                 {}
-func (printer) SkipCall(string)                            {}
-func (printer) CacheResult(string, time.Duration)          {}
-func (printer) EvictResult(string)                         {}
-func (printer) ServeCached(string)                         {}
-func (printer) SetHealth(bool, bool)                       {}
-func (printer) PublishLoad(float64)                        {}
-func (printer) SetIdleTimeout(time.Duration)               {}
-func (printer) SetTimer(time.Duration, int64)              {}
-func (printer) Log(decision.Event)                         {}
+func (printer) Run(id string)                                 { fmt.Println("run", id) }
+func (printer) Shed(id string, _ time.Duration, noRetry bool) { fmt.Println("shed", id, noRetry) }
+func (printer) Fail(id string)                                { fmt.Println("fail", id) }
+func (printer) Cancel(string)                                 {}
+func (printer) Call(string, time.Duration)                    {}
+func (printer) SkipCall(string)                               {}
+func (printer) CacheResult(string, time.Duration)             {}
+func (printer) EvictResult(string)                            {}
+func (printer) ServeCached(string)                            {}
+func (printer) SetHealth(bool, bool)                          {}
+func (printer) PublishLoad(float64)                           {}
+func (printer) SetIdleTimeout(time.Duration)                  {}
+func (printer) SetTimer(time.Duration, int64)                 {}
+func (printer) Log(decision.Event)                            {}
 
 func Example() {
 	instance, err := policy.New(decision.Settings{
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -32,7 +32,7 @@
 				serve(fmt.Sprint("bad", i), serveBadly)
 			}
 			if in.health.healthy || r.count("health false") != 1 {
-				t.Fatalf("well %v, share %v: %v", in.health.healthy, in.health.errorRate, r.acts)
+				t.Fatalf("healthy %v, error rate %v: %v", in.health.healthy, in.health.errorRate, r.acts)
 			}
 			for i := range 40 {
 				serve(fmt.Sprint("good", i), func(in *Instance, now time.Duration, id string) {
@@ -98,7 +98,7 @@
 		in.Decide(now)
 	}
 	if r.count("health false") != 1 || !in.health.healthy {
-		t.Errorf("well %v after %v without work: %v", in.health.healthy, 2*errorRateTimeConstant, in.health.errorRate)
+		t.Errorf("healthy %v after %v without requests: error rate %v", in.health.healthy, 2*errorRateTimeConstant, in.health.errorRate)
 	}
 }
 
@@ -112,7 +112,7 @@
 		lagging   bool
 		want      bool
 	}{
-		{"all well", true, 0, 0, false, true},
+		{"no cause", true, 0, 0, false, true},
 		{"errors at the limit", true, unhealthyErrorRate, 0, false, true},
 		{"errors", true, 0.41, 0, false, false},
 		{"lag soon after a change", true, 0, ignoredUntil, true, true},
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -22,7 +22,7 @@
 	in.Decide(0)
 	in.Tick(ms, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 	if want := in.maxInFlight() / 3; in.load.published != want {
-		t.Fatalf("said %v to three callers, want %v each", in.load.published, want)
+		t.Fatalf("published %v to three callers, want %v each", in.load.published, want)
 	}
 	said := r.count("say")
 	for now := in.timerInterval; now < 300*ms; now += in.timerInterval {
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -19,13 +19,13 @@
 	in.Decide(0)
 	in.Decide(s.Classes[0].LatencyObjective)
 	if r.count("refuse a") != 1 || r.count("halt a") != 1 {
-		t.Errorf("safe work past its aim goes on: %v", r.acts)
+		t.Errorf("an idempotent request past its objective goes on: %v", r.acts)
 	}
 	if r.count("fail b")+r.count("halt b")+r.count("refuse b") != 0 {
 		t.Errorf("work that still earns was stopped: %v", r.acts)
 	}
 	if r.count("refuse c") != 0 {
-		t.Errorf("unsafe work refused after it ran: %v", r.acts)
+		t.Errorf("a request that is not idempotent is shed after it ran: %v", r.acts)
 	}
 }
 
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -30,25 +30,25 @@
 // state of each request so that the events which the recording sends make sense.
 type transcript struct {
 	recorder
-	state map[string]string // of each request by its id: what the module last asked for
+	state map[string]attemptState // of each request by its id: what the module last asked for
 	wakes []time.Duration
 	now   time.Duration
 }
 
-func (h *transcript) set(id, state string) { h.state[id] = state }
+func (h *transcript) set(id string, state attemptState) { h.state[id] = state }
 
-func (h *transcript) Run(id string)    { h.recorder.Run(id); h.set(id, "running") }
-func (h *transcript) Cancel(id string) { h.recorder.Cancel(id); h.set(id, "halting") }
+func (h *transcript) Run(id string)    { h.recorder.Run(id); h.set(id, isRunning) }
+func (h *transcript) Cancel(id string) { h.recorder.Cancel(id); h.set(id, isPreempting) }
 func (h *transcript) Shed(id string, away time.Duration, last bool) {
 	h.recorder.Shed(id, away, last)
 	h.finish(id)
 }
 func (h *transcript) Fail(id string)                  { h.recorder.Fail(id); h.finish(id) }
-func (h *transcript) Call(id string, d time.Duration) { h.recorder.Call(id, d); h.set(id, "calling") }
+func (h *transcript) Call(id string, d time.Duration) { h.recorder.Call(id, d); h.set(id, isInCall) }
 
-func (h *transcript) SkipCall(id string) { h.recorder.SkipCall(id); h.set(id, "running") }
+func (h *transcript) SkipCall(id string) { h.recorder.SkipCall(id); h.set(id, isRunning) }
 
-func (h *transcript) ServeCached(id string) { h.recorder.ServeCached(id); h.set(id, "joined") }
+func (h *transcript) ServeCached(id string) { h.recorder.ServeCached(id); h.set(id, isCoalesced) }
 func (h *transcript) PublishLoad(v float64) { h.add("say %.17g", v) }
 func (h *transcript) SetTimer(d time.Duration, token int64) {
 	h.recorder.SetTimer(d, token)
@@ -58,8 +58,8 @@
 // finish notes that a request has its answer: what had not begun is over.
 func (h *transcript) finish(id string) {
 	switch h.state[id] {
-	case "held", "joined", "paused":
-		h.set(id, "over")
+	case isQueued, isCoalesced, isPreempted:
+		h.set(id, isFinished)
 	}
 }
 
@@ -100,7 +100,7 @@
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
 	p := &recording{
-		seed: seed, rng: rng, host: &transcript{state: map[string]string{}}, settings: recordedSettings(seed, rng),
+		seed: seed, rng: rng, host: &transcript{state: map[string]attemptState{}}, settings: recordedSettings(seed, rng),
 		class: map[string]int{},
 	}
 	var err error
@@ -141,7 +141,7 @@
 		}
 		p.open = slices.DeleteFunc(p.open, func(id string) bool {
 			p.progress(now, id)
-			return p.host.state[id] == "over"
+			return p.host.state[id] == isFinished
 		})
 		p.module.Decide(now)
 	}
@@ -213,38 +213,38 @@
 		r.DuplicateOf = p.ids[max(0, len(p.ids)-1-p.rng.Intn(40))]
 	}
 	p.ids, p.open, p.class[id] = append(p.ids, id), append(p.open, id), class
-	p.host.set(id, "held")
+	p.host.set(id, isQueued)
 	p.module.RequestReceived(now, r)
 }
 
 // progress lets the world go on with one request.
 func (p *recording) progress(now time.Duration, id string) {
 	switch p.host.state[id] {
-	case "running":
+	case isRunning:
 		p.progressRun(now, id)
-	case "halting":
-		p.host.set(id, "over")
+	case isPreempting:
+		p.host.set(id, isFinished)
 		if p.settings.CancelMode == decision.CancelPause {
-			p.host.set(id, "paused")
+			p.host.set(id, isPreempted)
 		}
 		p.module.RunDone(now, id, decision.Cancelled, 0)
-	case "standing":
+	case isAwaitingCall:
 		if p.rng.Intn(400) == 0 {
-			p.host.set(id, "over")
+			p.host.set(id, isFinished)
 			p.module.RunDone(now, id, decision.Failed, 0)
 		}
-	case "calling":
+	case isInCall:
 		if p.rng.Intn(8) == 0 {
 			p.endCall(now, id)
 		}
-	case "joined":
+	case isCoalesced:
 		if p.rng.Intn(60) == 0 {
-			p.host.set(id, "over")
+			p.host.set(id, isFinished)
 			p.module.RunDone(now, id, []decision.Outcome{decision.Succeeded, decision.Failed}[p.rng.Intn(2)], 0)
 		}
-	case "held":
+	case isQueued:
 		if p.rng.Intn(3000) == 0 {
-			p.host.set(id, "over")
+			p.host.set(id, isFinished)
 			p.module.CallerGone(now, id)
 		}
 	}
@@ -255,11 +255,11 @@
 	switch p.rng.Intn(30) {
 	case 0, 3, 4, 5:
 		if p.settings.Classes[p.class[id]].CallsDependency {
-			p.host.set(id, "standing")
+			p.host.set(id, isAwaitingCall)
 			p.module.CallNeeded(now, id)
 		}
 	case 1:
-		p.host.set(id, "over")
+		p.host.set(id, isFinished)
 		ends := []decision.Outcome{decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Failed, decision.Cancelled, decision.NotStarted}
 		p.module.RunDone(now, id, ends[p.rng.Intn(len(ends))], 20*ms)
 	case 2:
@@ -276,9 +276,9 @@
 		decision.TimedOut, decision.ConnectFailed, decision.ConnectionReset,
 	}
 	end := ends[p.rng.Intn(len(ends))]
-	p.host.set(id, "standing")
+	p.host.set(id, isAwaitingCall)
 	if end == decision.Succeeded {
-		p.host.set(id, "running")
+		p.host.set(id, isRunning)
 	}
 	took := ms << p.rng.Intn(10) // from 1 ms to 0.5 s, long ones as often as short ones
 	took += time.Duration(p.rng.Int63n(int64(took)))
--- a/policy/result_cache_test.go
+++ b/policy/result_cache_test.go
@@ -19,6 +19,6 @@
 	in.RequestReceived(time.Second, decision.Request{ID: "c", Class: 1, ReservedKB: 1, DuplicateOf: "a"})
 	in.Decide(time.Second)
 	if r.count("run") != 1 || r.count("reuse") != 2 || r.count("refuse") != 0 {
-		t.Errorf("want one run, two reused, none refused; got %v", r.acts)
+		t.Errorf("want one run, two coalesced, none shed; got %v", r.acts)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -20,7 +20,7 @@
 		in.CallDone(500*ms, "a", decision.TimedOut, 500*ms)
 		in.Decide(500 * ms)
 		if r.count("call a") != 2 {
-			t.Fatalf("no repeat within the budget: %v", r.acts)
+			t.Fatalf("no retry within the budget: %v", r.acts)
 		}
 		in.retries.tokens = 0
 		in.CallDone(700*ms, "a", decision.TimedOut, 200*ms)
@@ -55,7 +55,7 @@
 	in.CallDone(1100*ms, "a", decision.TimedOut, 100*ms)
 	in.Decide(2 * time.Second)
 	if r.count("call a") != 2 || r.count("fail a") != 1 {
-		t.Errorf("a call that may have run is repeated: %v", r.acts)
+		t.Errorf("a call that may have had its effect is retried: %v", r.acts)
 	}
 }
 
--- a/policy/walk_test.go
+++ b/policy/walk_test.go
@@ -85,7 +85,7 @@
 	for _, o := range c.order {
 		if o != q && o.ran && o.original == q.original && q.class.Effect != decision.Idempotent &&
 			(q.class.Effect == decision.NonIdempotent || q.arrived <= o.arrived+q.class.KeyWindow) {
-			c.t.Fatalf("%v: %s and %s both run, tries of one request", c.now, o.id, id)
+			c.t.Fatalf("%v: %s and %s both run, attempts of one request", c.now, o.id, id)
 		}
 	}
 	q.at, q.ran = isRunning, true
@@ -93,11 +93,11 @@
 
 func (c *ruleChecker) Shed(id string, away time.Duration, last bool) {
 	c.recorder.Shed(id, away, last)
-	q := c.get(id, "refuse")
-	c.answer(q, "refuse")
+	q := c.get(id, "shed")
+	c.answer(q, "shed")
 	for _, o := range c.order {
 		if o.ran && o.original == q.original && q.class.Effect != decision.Idempotent && (o == q || q.arrived <= o.arrived+q.class.KeyWindow) {
-			c.t.Fatalf("%v: %s refused after a try of it ran", c.now, id)
+			c.t.Fatalf("%v: %s shed after an attempt of it ran", c.now, id)
 		}
 	}
 	if q.at == isQueued || q.at == isCoalesced || q.at == isPreempted {
@@ -118,7 +118,7 @@
 	c.recorder.Call(id, d)
 	q := c.get(id, "call")
 	if q.mayHaveCalled && q.class.Effect != decision.Idempotent {
-		c.t.Fatalf("%v: the call of %s is repeated", c.now, id)
+		c.t.Fatalf("%v: the call of %s is retried", c.now, id)
 	}
 	if q.at == isAwaitingCall {
 		q.at, q.mayHaveCalled, q.callEndsAt = isInCall, true, c.now+d
@@ -129,7 +129,7 @@
 	c.recorder.SkipCall(id)
 	q := c.get(id, "skip")
 	if q.class.DegradedWeight == 0 {
-		c.t.Fatalf("%v: the call of %s may not be left out", c.now, id)
+		c.t.Fatalf("%v: the call of %s may not be skipped", c.now, id)
 	}
 	q.at = isRunning
 }
@@ -146,9 +146,9 @@
 
 func (c *ruleChecker) ServeCached(id string) {
 	c.recorder.ServeCached(id)
-	q := c.get(id, "reuse")
+	q := c.get(id, "coalesce")
 	if q.duplicateOf == "" {
-		c.t.Fatalf("%v: reuse of %s, which repeats nothing", c.now, id)
+		c.t.Fatalf("%v: %s is coalesced, and repeats nothing", c.now, id)
 	}
 	q.at = isCoalesced
 }
@@ -156,9 +156,9 @@
 func (c *ruleChecker) Cancel(id string) {
 	c.recorder.Cancel(id)
 	if c.s.CancelMode == decision.CancelNever {
-		c.t.Fatalf("%v: halt of %s, where work can't be stopped", c.now, id)
+		c.t.Fatalf("%v: %s is cancelled, where runs can't be", c.now, id)
 	}
-	if q := c.get(id, "halt"); q.at == isRunning && !q.answered {
+	if q := c.get(id, "cancel"); q.at == isRunning && !q.answered {
 		if c.s.CancelMode != decision.CancelPause {
 			c.t.Fatalf("%v: what was done of %s is lost", c.now, id)
 		}
@@ -430,7 +430,7 @@
 			t.Run(fmt.Sprintf("settings %d seed %d", i, seed), func(t *testing.T) {
 				acts := walk(t, s, seed, thin)
 				if r := (&recorder{acts: acts}); r.count("run") == 0 || r.count("refuse") == 0 {
-					t.Fatal("nothing was run, or nothing refused")
+					t.Fatal("nothing was run, or nothing shed")
 				}
 				if !reflect.DeepEqual(acts, walk(t, s, seed, thin)) {
 					t.Fatal("the same events and seed gave other actions")
