--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -16,11 +16,11 @@
 	if a.Key != "" {
 		sum := sha256.Sum256(a.Payload.Body) // the same in every process, and none can be made to fit
 		a.body = binary.BigEndian.Uint64(sum[:])
-		if !c.keys.matches(a, c.kin) { // its result is not for this caller
+		if !c.keys.Matches(a.keyAttempt(), c.kin) { // its result is not for this caller
 			c.answer(a, Outcome{Kind: Rejected})
 			return
 		}
-		earlier = c.keys.enter(a)
+		a.entry, earlier = c.keys.Register(a.keyAttempt())
 	}
 	r := decision.Request{
 		ID: a.ID, Class: a.class, Tenant: a.tenant, CacheKey: a.CacheKey, ReservedKB: a.ReservedKB, Rank: a.Rank, Caller: a.Caller,
@@ -83,7 +83,7 @@
 func (h host) Shed(id string, stayAway time.Duration, last bool) {
 	if a := h.attempts[id]; a != nil {
 		if err := guard.MayShed(a.shedFacts()); err != nil { // an effect that may have been had is never denied
-			h.opt.Monitor.Denied(guard.FalsePromise, err, id)
+			h.opt.Monitor.Denied(guard.ShedAfterRun, err, id)
 			h.answer(a, h.failure(a))
 			return
 		}
--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"quincerail.example/quincerail/guard"
+	"quincerail.example/quincerail/idempotency"
 )
 
 // Answer: the final answer is given and remembered.
@@ -22,7 +23,7 @@
 	a.Responder.Respond(a.ID, o)
 	c.open.Add(-1)
 	if c.opt.Observer != nil {
-		repeat := o.Kind == Served && a.entry != nil && a.entry.ran != a.ID
+		repeat := o.Kind == Served && a.entry != nil && a.entry.RanAttemptID() != a.ID
 		class := a.Class
 		if _, taken := c.tuned.Load().classes.taken[class]; !taken {
 			class = RemovedClass
@@ -65,36 +66,33 @@
 	if a.entry == nil {
 		return
 	}
-	e := a.entry
 	if a.paused {
 		c.recordRun(a, RunCancelled, Payload{})
 	}
-	for _, r := range c.keys.leave(a) {
-		c.deferredEvents = append(c.deferredEvents, func() { c.settleRepeat(r, e) })
-	}
+	c.settleRepeats(a.entry, c.keys.Unregister(a.entry, a.ID))
 }
 
 // recordRun remembers what a keyed run came to, for its repeats.
 func (c *Core) recordRun(a *attempt, end RunEnd, result Payload) {
-	if a.entry == nil || a.entry.ran != a.ID {
+	if a.entry == nil || a.entry.RanAttemptID() != a.ID {
 		return
 	}
 	switch end {
 	case RunSucceeded:
-		c.keys.store(a.entry, result)
+		c.keys.StoreResult(a.entry, result)
 	case RunNotStarted:
-		c.keys.unclaim(a)
+		c.keys.ReleaseClaim(a.entry, a.ID)
 	}
-	c.tellPeer(a.entry, true)
+	c.replicateKey(a.entry, true)
 	c.journal(a.entry, true)
 }
 
 // journal records what has become of a key, where there is a journal; nothing
 // waits for it. One that is lost leaves the claim in force, in doubt: its
 // repeats fail, and it never runs again within its window.
-func (c *Core) journal(e *entry, over bool) {
+func (c *Core) journal(e *idempotency.Entry, over bool) {
 	if c.opt.Journal != nil {
-		k := c.state(e)
+		k := c.keyState(e)
 		k.Completed = over
 		c.opt.Journal.Record(k, func(err error) {
 			if err != nil {
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -10,6 +10,7 @@
 	"quincerail.example/quincerail/clock"
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/guard"
+	"quincerail.example/quincerail/idempotency"
 	"quincerail.example/quincerail/limits"
 	"quincerail.example/quincerail/policy"
 )
@@ -80,13 +81,6 @@
 	InitialLimit  float64
 }
 
-// Journal keeps states of keys durably. Its method must not block; done is called
-// once, from any goroutine, when the state is durable, or with the reason why
-// it can't be.
-type Journal interface {
-	Record(k KeyState, done func(error))
-}
-
 // Core carries out the module's decisions. Its methods may be called from any
 // goroutine while Run works; they only leave events.
 type Core struct {
@@ -105,7 +99,7 @@
 	module          *policy.Instance
 	now             time.Duration // of the batch, on the clock's timeline
 	attempts        map[string]*attempt
-	keys            *keyTable
+	keys            *idempotency.Table
 	deferredEvents  []func() // events that the module's own actions bring
 	gauges          decision.Gauges
 	bounds          *decision.FleetBounds   // of a fleet; nil for none
@@ -115,7 +109,7 @@
 	trafficDisabled bool                    // operators have its callers sent away
 	peer            Peer                    // nil where this process is alone
 	predecessor     bool                    // the peer was there first
-	pendingKeys     []*entry                // keys that a peer which has just come has not been told of
+	pendingKeys     []*idempotency.Entry    // keys that a peer which has just come has not been told of
 	idle            chan struct{}           // closed once nothing is open; nil where nobody waits for that
 	draining        bool
 	holdUntil       time.Duration // nothing is begun before: a notice to leave may not have been seen yet
@@ -135,7 +129,7 @@
 func New(opt Options) (*Core, error) {
 	c := &Core{
 		opt: opt, first: make(map[string]bool), events: make(chan func(), mailbox),
-		done: make(chan struct{}), clock: clock.New(), attempts: make(map[string]*attempt), keys: newKeyTable(opt.MaxKeyTableBytes), healthy: true,
+		done: make(chan struct{}), clock: clock.New(), attempts: make(map[string]*attempt), keys: idempotency.NewTable(opt.MaxKeyTableBytes), healthy: true,
 		gauges: decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}, log: opt.Logger,
 	}
 	if c.log == nil {
@@ -148,7 +142,7 @@
 		c.first[name] = true
 	}
 	if p := opt.Pools; p != nil {
-		cfg := limits.Config{Reserve: p.ReservedSlots, Start: p.InitialLimit}
+		cfg := limits.Config{ReservedSlots: p.ReservedSlots, InitialLimit: p.InitialLimit}
 		for _, name := range opt.Classes {
 			cfg.Classes = append(cfg.Classes, limits.Class{Name: name, Cheapest: name == p.CheapestClass})
 		}
@@ -164,7 +158,7 @@
 	for _, k := range opt.RecoveredKeys {
 		if till := c.clock.At(k.ExpiresAt); till > now {
 			k.Completed = true // what ran and was not told to end ended unheard of
-			c.keys.learn(k, till)
+			c.keys.Apply(k, till)
 		}
 	}
 	return c, nil
@@ -210,7 +204,7 @@
 			event()
 		}
 	}
-	c.keys.expire(c.now)
+	c.keys.Expire(c.now)
 	if c.idle != nil && len(c.attempts) == 0 {
 		close(c.idle)
 		c.idle = nil
--- a/dispatch/relay.go
+++ b/dispatch/relay.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/idempotency"
 )
 
 // Relay: what backend and dependency report goes on to the module and back.
@@ -83,14 +84,14 @@
 }
 
 // settleRepeat ends a repeat with what the try that ran came to.
-func (c *Core) settleRepeat(a *attempt, e *entry) {
+func (c *Core) settleRepeat(a *attempt, e *idempotency.Entry) {
 	if a.answered {
 		return
 	}
 	outcome := decision.Failed
-	if e != nil && e.result != nil && e.body == a.body {
+	if e != nil && e.Result() != nil && e.BodyHash() == a.body {
 		outcome = decision.Succeeded
-		c.answer(a, Outcome{Kind: Served, Result: *e.result})
+		c.answer(a, Outcome{Kind: Served, Result: *e.Result()})
 	} else {
 		c.answer(a, c.failure(a))
 	}
--- a/dispatch/route.go
+++ b/dispatch/route.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if a.entry != nil {
-		h.keys.claim(a, a.kind.KeyWindow)
+		h.keys.Claim(a.entry, a.keyAttempt(), a.kind.KeyWindow)
 	}
 	if hold := h.holdUntil - h.now; hold > 0 {
 		a.begun, a.held = true, true
@@ -62,7 +62,7 @@
 func (h host) claim(a *attempt) {
 	if a.entry != nil && h.opt.Journal != nil { // it begins once its claim is durable
 		a.begun, a.claiming = true, true
-		k := h.state(a.entry)
+		k := h.keyState(a.entry)
 		h.opt.Journal.Record(k, func(err error) { h.enqueue(func() { h.journaled(a, err) }) })
 		return
 	}
@@ -79,7 +79,7 @@
 	switch {
 	case err != nil:
 		c.log.Warn("journal_refused", "key", a.Key, "error", err.Error())
-		c.keys.unclaim(a)
+		c.keys.ReleaseClaim(a.entry, a.ID)
 		c.answer(a, Outcome{Kind: Shed, RetryAfter: c.set.MaxRetryAfter})
 		c.completed(a.ID, RunNotStarted, 0, Payload{})
 	case a.answered: // given up meanwhile
@@ -94,13 +94,13 @@
 func (h host) proceed(a *attempt) {
 	if a.entry != nil && h.peer != nil && h.predecessor {
 		a.begun, a.claiming = true, true
-		k := h.state(a.entry)
+		k := h.keyState(a.entry)
 		k.ArrivedAt = h.clock.Unix(a.door)
 		h.peer.RequestClaim(k)
 		return
 	}
 	if a.entry != nil {
-		h.tellPeer(a.entry, false)
+		h.replicateKey(a.entry, false)
 	}
 	h.send(a)
 }
@@ -111,7 +111,7 @@
 	switch {
 	case a == nil || !a.begun || a.claiming || a.held:
 	case a.pooled: // it waits in its pool's line: it never began
-		h.pools.Leave(a.class, id)
+		h.pools.Cancel(a.class, id)
 		h.deferredEvents = append(h.deferredEvents, func() { h.completed(id, RunNotStarted, 0, Payload{}) })
 	default:
 		a.halting = true
@@ -126,8 +126,7 @@
 	if a == nil || a.answered {
 		return
 	}
-	if e := a.entry; e != nil && !e.over && e.holder != a.ID {
-		e.joined = append(e.joined, a)
+	if a.entry != nil && a.entry.Await(a.ID) {
 		return
 	}
 	h.deferredEvents = append(h.deferredEvents, func() { h.settleRepeat(a, a.entry) })
@@ -136,7 +135,7 @@
 // CacheResult enters a request in the table of keys.
 func (h host) CacheResult(id string, _ time.Duration) {
 	if a := h.attempts[id]; a != nil && a.entry != nil {
-		h.keys.keep(a)
+		h.keys.Retain(a.entry, a.keyAttempt())
 	}
 }
 
--- a/dispatch/routing.go
+++ b/dispatch/routing.go
@@ -12,27 +12,6 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// Field is a named part of a payload. It is stored as a part of Payload.
-type Field struct {
-	Name  string `json:"Name"`
-	Value string `json:"Value"`
-}
-
-// Payload is what a request brings, or its result. The core only passes it on.
-// Results are stored with KeyState: the tags are part of that format.
-type Payload struct {
-	Fields []Field `json:"Fields"`
-	Body   []byte  `json:"Body"`
-}
-
-func (p *Payload) size() int {
-	n := len(p.Body)
-	for _, f := range p.Fields {
-		n += len(f.Name) + len(f.Value)
-	}
-	return n
-}
-
 // Request is one try of a request as a front read it.
 type Request struct {
 	ID         string    // new with every try
--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -14,7 +14,7 @@
 func (c *Core) startFacts(a *attempt) guard.Start {
 	return guard.Start{
 		Answered: a.answered, Running: a.begun, Resumed: a.paused,
-		KeyRan: a.entry != nil && a.entry.ranFor(a.door),
+		KeyRan: a.entry != nil && a.entry.RanInWindow(a.door),
 		ReadBy: a.readBy, Draining: c.draining, GraceEnd: c.graceEnd,
 	}
 }
@@ -31,7 +31,7 @@
 func (c *Core) checkStart(a *attempt) {
 	switch {
 	case a.resuming:
-	case a.entry != nil && a.entry.ran != a.ID, a.ran && a.kind.Effect != decision.Idempotent:
+	case a.entry != nil && a.entry.RanAttemptID() != a.ID, a.ran && a.kind.Effect != decision.Idempotent:
 		c.opt.Monitor.Violated(guard.DuplicateRun, "request", a.ID, "key", a.Key)
 	case c.draining && a.readBy > c.graceEnd:
 		c.opt.Monitor.Violated(guard.DrainStart, "request", a.ID, "read_after_grace", (a.readBy - c.graceEnd).String())
@@ -45,13 +45,13 @@
 	if k == nil {
 		return guard.Call{}
 	}
-	return guard.Call{Waiting: true, Out: k.out, Made: k.made, Unseen: k.unseen, Repeatable: a.kind.Effect == decision.Idempotent}
+	return guard.Call{Needed: true, InFlight: k.out, Attempted: k.made, ProvenWithoutEffect: k.unseen, Idempotent: a.kind.Effect == decision.Idempotent}
 }
 
 // shedFacts is what counts for turning a request away.
 func (a *attempt) shedFacts() guard.Shed {
-	keyRan := a.entry != nil && a.entry.ranFor(a.door)
-	return guard.Shed{Repeatable: a.kind.Effect == decision.Idempotent, Ran: keyRan || a.ran}
+	keyRan := a.entry != nil && a.entry.RanInWindow(a.door)
+	return guard.Shed{Idempotent: a.kind.Effect == decision.Idempotent, MayHaveRun: keyRan || a.ran}
 }
 
 // checkAnswer counts an answer against the rules.
@@ -60,6 +60,6 @@
 		c.opt.Monitor.Violated(guard.LateAnswer, "request", a.ID, "late_by", late.Round(time.Millisecond).String())
 	}
 	if err := guard.MayShed(a.shedFacts()); o.Kind == Shed && err != nil {
-		c.opt.Monitor.Violated(guard.FalsePromise, "request", a.ID, "reason", err.Error())
+		c.opt.Monitor.Violated(guard.ShedAfterRun, "request", a.ID, "reason", err.Error())
 	}
 }
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -28,10 +28,10 @@
 func (c *Core) send(a *attempt) {
 	a.begun = true
 	if c.pools != nil {
-		ticket, ok := c.pools.Acquire(a.class, a.CacheKey)
+		ticket, ok := c.pools.TryAcquire(a.class, a.CacheKey)
 		if !ok {
 			patience := a.door + a.kind.LatencyObjective/2 - c.now
-			if c.pools.Wait(a.class, a.ID, c.now, patience) {
+			if c.pools.Enqueue(a.class, a.ID, c.now, patience) {
 				a.pooled = true
 				return
 			}
@@ -62,7 +62,7 @@
 		return
 	}
 	if a.entry != nil {
-		c.keys.unclaim(a)
+		c.keys.ReleaseClaim(a.entry, a.ID)
 	}
 	c.answer(a, Outcome{Kind: Shed, RetryAfter: c.set.MaxRetryAfter})
 	c.completed(a.ID, RunNotStarted, 0, Payload{})
@@ -78,7 +78,7 @@
 	a.slotted = false
 	for _, next := range c.pools.Release(a.ticket, took, good) {
 		if w := c.attempts[next.ID]; w != nil && w.pooled {
-			w.pooled, w.ticket, w.slotted = false, next.Ticket, true
+			w.pooled, w.ticket, w.slotted = false, next.Permit, true
 			c.begin(w)
 		}
 	}
--- a/dispatch/takein.go
+++ b/dispatch/takein.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/idempotency"
 	"quincerail.example/quincerail/limits"
 )
 
@@ -32,13 +33,13 @@
 	paused   bool   // its run stopped where it is, and goes on when it is begun again
 	body     uint64 // keyed: hash of what it brings
 	call     *call
-	calls    int    // made for it so far
-	resuming bool   // its run was paused, and goes on with the next begin
-	ran      bool   // its run was begun, and was not proven to have had no effect
-	entry    *entry // of a keyed request
-	pooled   bool   // begun by the module, it waits in its pool's line
-	slotted  bool   // it holds a slot of a pool, told by its ticket
-	ticket   limits.Ticket
+	calls    int                // made for it so far
+	resuming bool               // its run was paused, and goes on with the next begin
+	ran      bool               // its run was begun, and was not proven to have had no effect
+	entry    *idempotency.Entry // of a keyed request
+	pooled   bool               // begun by the module, it waits in its pool's line
+	slotted  bool               // it holds a slot of a pool, told by its ticket
+	ticket   limits.Permit
 }
 
 // NewID makes an id for a request that has none from its caller.
@@ -116,13 +117,13 @@
 		c.answer(a, Outcome{Kind: TimedOut})
 		return
 	}
-	e := c.keys.entries[a.Key]
+	e := c.keys.Lookup(a.Key)
 	switch {
-	case c.module == nil && e != nil && e.ranFor(a.door): // another process told of its run
+	case c.module == nil && e != nil && e.RanInWindow(a.door): // another process told of its run
 		c.answer(a, c.failure(a))
 		return
 	case c.module == nil, // nothing can run yet, or ever
-		a.Key != "" && e == nil && c.keys.full(): // it could run, but not be kept from running again
+		a.Key != "" && e == nil && c.keys.Full(): // it could run, but not be kept from running again
 		c.answer(a, Outcome{Kind: Shed, RetryAfter: c.set.MaxRetryAfter})
 		return
 	}
--- a/dispatch/tuning.go
+++ b/dispatch/tuning.go
@@ -116,7 +116,7 @@
 	follows := s.ListFollowsHealth != c.set.ListFollowsHealth
 	c.set = s
 	for _, class := range s.Classes {
-		c.keys.late = max(c.keys.late, class.Deadline)
+		c.keys.AllowLateness(class.Deadline)
 	}
 	c.tuned.Store(&t)
 	if follows && c.module != nil {
--- a/guard/connection.go
+++ b/guard/connection.go
@@ -4,49 +4,49 @@
 
 // Connection is what the owner of a connection knows as it would end it.
 type Connection struct {
-	Examined   bool          // its socket was read empty after the wish to end it
-	Owed       bool          // answers are still to go out
-	Partial    bool          // a part of a message has come
-	SilentFor  time.Duration // since its last byte came
-	PartialFor time.Duration // since the first byte of that message came
-	Stalled    time.Duration // a message without a further byte for so long is given up
-	NoticeLeft time.Duration // until its peer has known for long enough that nothing new is wanted
-	Last       bool          // the process ends: there is no later
+	SocketDrained    bool          // its socket was read empty after the wish to end it
+	ResponsesPending bool          // answers are still to go out
+	MessagePartial   bool          // a part of a message has come
+	IdleFor          time.Duration // since its last byte came
+	MessageAge       time.Duration // since the first byte of that message came
+	StallTimeout     time.Duration // a message without a further byte for so long is given up
+	NoticeRemaining  time.Duration // until its peer has known for long enough that nothing new is wanted
+	ProcessEnding    bool          // the process ends: there is no later
 }
 
-// MaxMessage bounds how long one message may take from its first byte to its last:
+// MaxMessageTime bounds how long one message may take from its first byte to its last:
 // no client waits longer for an answer.
-const MaxMessage = 10 * time.Second
+const MaxMessageTime = 10 * time.Second
 
-// KeptFor says why a connection may not be ended yet.
-type KeptFor string
+// HoldReason says why a connection may not be ended yet.
+type HoldReason string
 
 // The reasons.
 const (
-	Nothing        KeptFor = ""
-	Unexamined     KeptFor = "unexamined"
-	OwedAnswers    KeptFor = "owed_answers"
-	PartialMessage KeptFor = "partial_message"
-	NoticePeriod   KeptFor = "notice_period"
+	NotHeld          HoldReason = ""
+	SocketNotDrained HoldReason = "unexamined"
+	PendingResponses HoldReason = "owed_answers"
+	PartialMessage   HoldReason = "partial_message"
+	NoticePeriod     HoldReason = "notice_period"
 )
 
-// lookAgain is when to ask again where nothing tells a time.
-const lookAgain = 20 * time.Millisecond
+// recheckInterval is when to ask again where nothing tells a time.
+const recheckInterval = 20 * time.Millisecond
 
-// MayEnd decides whether a connection may be ended now. Where it may not, it returns
+// MayClose decides whether a connection may be ended now. Where it may not, it returns
 // the reason, and after how long to ask again.
-func MayEnd(c Connection) (reason KeptFor, again time.Duration) {
+func MayClose(c Connection) (reason HoldReason, again time.Duration) {
 	switch {
-	case !c.Examined:
-		return Unexamined, 0
-	case c.Last:
-		return Nothing, 0
-	case c.Owed:
-		return OwedAnswers, lookAgain
-	case c.Partial && c.SilentFor < c.Stalled && c.PartialFor < MaxMessage:
-		return PartialMessage, min(c.Stalled-c.SilentFor, MaxMessage-c.PartialFor)
-	case !c.Partial && c.NoticeLeft > 0:
-		return NoticePeriod, c.NoticeLeft
+	case !c.SocketDrained:
+		return SocketNotDrained, 0
+	case c.ProcessEnding:
+		return NotHeld, 0
+	case c.ResponsesPending:
+		return PendingResponses, recheckInterval
+	case c.MessagePartial && c.IdleFor < c.StallTimeout && c.MessageAge < MaxMessageTime:
+		return PartialMessage, min(c.StallTimeout-c.IdleFor, MaxMessageTime-c.MessageAge)
+	case !c.MessagePartial && c.NoticeRemaining > 0:
+		return NoticePeriod, c.NoticeRemaining
 	}
-	return Nothing, 0
+	return NotHeld, 0
 }
--- a/guard/doc.go
+++ b/guard/doc.go
@@ -10,11 +10,11 @@
 //
 //   - a connection is not ended because a timer fired, but because its socket was read
 //     empty just now, nothing is owed on it, and its peer has known for long enough that
-//     nothing new is wanted ([MayEnd]);
+//     nothing new is wanted ([MayClose]);
 //   - a connection is not given up for a message that makes no sense: the requests before
-//     and behind it are still owed their answers ([MayGoOn]);
+//     and behind it are still owed their answers ([MayContinue]);
 //   - a connection is not taken for dead because one system call failed, but because its
-//     error proves that ([MayTryAgain]);
+//     error proves that ([MayRetry]);
 //   - a process does not end because the moment has come for which that was planned, but
 //     because nothing that it has taken is left ([MayExit]);
 //   - a run is not begun because a request says that it came in time, but because it
--- a/guard/monitor.go
+++ b/guard/monitor.go
@@ -14,13 +14,13 @@
 	DuplicateRun    Rule = "duplicate_run"    // of one key within its window
 	DuplicateAnswer Rule = "duplicate_answer" // to one request
 	DrainStart      Rule = "drain_start"      // of what came after the grace
-	FalsePromise    Rule = "false_promise"    // turned away as never run, after a run
+	ShedAfterRun    Rule = "false_promise"    // turned away as never run, after a run
 	RepeatedCall    Rule = "repeated_call"    // of what must not be had twice
 	LateAnswer      Rule = "late_answer"      // past the deadline and its slack
 )
 
 // Rules lists the rules, for metrics.
-var Rules = []Rule{LostRequest, DuplicateRun, DuplicateAnswer, DrainStart, FalsePromise, RepeatedCall, LateAnswer}
+var Rules = []Rule{LostRequest, DuplicateRun, DuplicateAnswer, DrainStart, ShedAfterRun, RepeatedCall, LateAnswer}
 
 // Monitor counts violations of the rules, and what was denied so that there were none.
 // A nil Monitor counts nothing. Its methods may be called from any goroutine.
--- a/guard/request.go
+++ b/guard/request.go
@@ -7,13 +7,13 @@
 
 // The reasons for which something about a request is denied.
 var (
-	ErrAnswered   = errors.New("guard: the request has its final answer")
-	ErrRunning    = errors.New("guard: the request is running")
-	ErrAfterGrace = errors.New("guard: the request came after the grace of the drain")
-	ErrKeyRan     = errors.New("guard: another try of the key ran within its window")
-	ErrMayHaveRun = errors.New("guard: the request may have had its effect")
-	ErrCallOut    = errors.New("guard: a call of the request is out")
-	ErrNoCall     = errors.New("guard: the request does not wait for a call")
+	ErrAnswered      = errors.New("guard: the request has its final answer")
+	ErrRunning       = errors.New("guard: the request is running")
+	ErrAfterGrace    = errors.New("guard: the request came after the grace of the drain")
+	ErrKeyRan        = errors.New("guard: another try of the key ran within its window")
+	ErrMayHaveRun    = errors.New("guard: the request may have had its effect")
+	ErrCallInFlight  = errors.New("guard: a call of the request is out")
+	ErrCallNotNeeded = errors.New("guard: the request does not wait for a call")
 )
 
 // Start is what the core knows of a request that is to be run. Times are on the
@@ -48,21 +48,21 @@
 
 // Call is what the core knows of a call that is to be made for a run.
 type Call struct {
-	Waiting    bool // the run waits for this call
-	Out        bool // it is out already
-	Repeatable bool // the class's effect may be had twice
-	Made       bool // it was made before
-	Unseen     bool // and its outcome proved that it had no effect
+	Needed              bool // the run waits for this call
+	InFlight            bool // it is out already
+	Idempotent          bool // the class's effect may be had twice
+	Attempted           bool // it was made before
+	ProvenWithoutEffect bool // and its outcome proved that it had no effect
 }
 
 // MayCall decides whether a call may be made.
 func MayCall(c Call) error {
 	switch {
-	case !c.Waiting:
-		return ErrNoCall
-	case c.Out:
-		return ErrCallOut
-	case c.Made && !c.Unseen && !c.Repeatable:
+	case !c.Needed:
+		return ErrCallNotNeeded
+	case c.InFlight:
+		return ErrCallInFlight
+	case c.Attempted && !c.ProvenWithoutEffect && !c.Idempotent:
 		return ErrMayHaveRun
 	}
 	return nil
@@ -70,14 +70,14 @@
 
 // Shed is what the core knows of a request that is to be turned away.
 type Shed struct {
-	Repeatable bool // the class's effect may be had twice
-	Ran        bool // a run of it, or of another try of its key, may have had its effect
+	Idempotent bool // the class's effect may be had twice
+	MayHaveRun bool // a run of it, or of another try of its key, may have had its effect
 }
 
 // MayShed decides whether a request may be turned away with the promise that it never
 // ran.
 func MayShed(s Shed) error {
-	if s.Ran && !s.Repeatable {
+	if s.MayHaveRun && !s.Idempotent {
 		return ErrMayHaveRun
 	}
 	return nil
--- a/idempotency/journal/contents.go
+++ b/idempotency/journal/contents.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/idempotency"
 	"quincerail.example/quincerail/store"
 )
 
@@ -22,10 +22,10 @@
 
 // Contents is what a journal's directory holds.
 type Contents struct {
-	States         []dispatch.KeyState // in no particular order; with those of UnreadableKeys
-	UnreadableKeys []string            // keys whose state could not be decoded: they count as run
-	UnknownRecords []string            // names of records that are not the journal's
-	InDoubtUntil   time.Time           // until when unknown keys are in doubt; zero if they are not
+	States         []idempotency.KeyState // in no particular order; with those of UnreadableKeys
+	UnreadableKeys []string               // keys whose state could not be decoded: they count as run
+	UnknownRecords []string               // names of records that are not the journal's
+	InDoubtUntil   time.Time              // until when unknown keys are in doubt; zero if they are not
 	Losses         []store.Loss
 	TruncatedBytes int64 // of writes that never finished
 }
@@ -53,10 +53,10 @@
 			contents.UnknownRecords = append(contents.UnknownRecords, name)
 			continue
 		}
-		var state dispatch.KeyState
+		var state idempotency.KeyState
 		if err := json.Unmarshal(value.Bytes, &state); err != nil {
 			contents.UnreadableKeys = append(contents.UnreadableKeys, key)
-			state = dispatch.KeyState{RanAttemptID: unreadableAttempt, ExpiresAt: value.ExpiresAt, Completed: true}
+			state = idempotency.KeyState{RanAttemptID: unreadableAttempt, ExpiresAt: value.ExpiresAt, Completed: true}
 			state.Key = key
 			contents.States = append(contents.States, state)
 			continue
--- a/idempotency/journal/doc.go
+++ b/idempotency/journal/doc.go
@@ -1,13 +1,13 @@
 // Package journal keeps the table of idempotency keys on disk, so that a process
 // which starts after a crash knows which requests ran and does not run them
-// again. A Journal is the dispatch.Journal of the core, over a store.Store.
+// again. A Journal is the idempotency.Journal of the core, over a store.Store.
 //
 // # Ownership
 //
 // A Journal owns its directory, which is that of its store, and the forms of the
 // records in it:
 //
-//   - "key/" and the key: the key's dispatch.KeyState in JSON, which expires at
+//   - "key/" and the key: the key's idempotency.KeyState in JSON, which expires at
 //     the end of the key's window;
 //   - "doubt": an empty value, which expires when keys that the journal does not
 //     know stop being in doubt.
--- a/idempotency/journal/journal.go
+++ b/idempotency/journal/journal.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/idempotency"
 	"quincerail.example/quincerail/store"
 )
 
@@ -42,15 +42,15 @@
 
 // Recovered is what Open found.
 type Recovered struct {
-	States         []dispatch.KeyState // in no particular order
-	InDoubtUntil   time.Time           // until when unknown keys are in doubt; zero if they are not
-	TruncatedBytes int64               // of writes that never finished, cut off
+	States         []idempotency.KeyState // in no particular order
+	InDoubtUntil   time.Time              // until when unknown keys are in doubt; zero if they are not
+	TruncatedBytes int64                  // of writes that never finished, cut off
 }
 
 // Journal keeps states of keys durably. Its methods are safe for concurrent use.
 type Journal struct{ store *store.Store }
 
-var _ dispatch.Journal = (*Journal)(nil)
+var _ idempotency.Journal = (*Journal)(nil)
 
 // Open opens the journal in a directory, which it creates if it does not exist,
 // and recovers what it holds. Its errors are of type *OpenError.
@@ -84,9 +84,9 @@
 	}, nil
 }
 
-// Record implements dispatch.Journal. It keeps the state until the key's window
+// Record implements idempotency.Journal. It keeps the state until the key's window
 // ends. The errors that done is given are of type *RecordError.
-func (j *Journal) Record(state dispatch.KeyState, done func(error)) {
+func (j *Journal) Record(state idempotency.KeyState, done func(error)) {
 	value, err := json.Marshal(state)
 	if err != nil {
 		done(&RecordError{Key: state.Key, Err: err})
--- a/server/drain.go
+++ b/server/drain.go
@@ -97,7 +97,7 @@
 	}
 	for looks := 0; ; looks++ {
 		reason, again := guard.MayExit(s.exitFacts(connected, looks))
-		if reason == guard.Nothing {
+		if reason == guard.NotHeld {
 			break
 		}
 		if looks == 0 {
@@ -118,17 +118,17 @@
 
 // exitFacts is what counts for ending the process.
 func (s *Server) exitFacts(connected <-chan struct{}, looks int) guard.Exit {
-	facts := guard.Exit{Looks: looks}
+	facts := guard.Exit{Checks: looks}
 	select {
 	case <-connected:
 	default:
-		facts.Connecting = 1
+		facts.PendingConnections = 1
 	}
 	for _, d := range s.listeners {
-		facts.Open += d.front.unended()
+		facts.OpenConnections += d.front.unended()
 	}
-	if facts.Open == 0 { // else some of them are not read yet
-		facts.Unanswered = s.unanswered()
+	if facts.OpenConnections == 0 { // else some of them are not read yet
+		facts.UnansweredRequests = s.unanswered()
 	}
 	return facts
 }
--- a/server/thriftconn.go
+++ b/server/thriftconn.go
@@ -68,7 +68,7 @@
 		}
 		return t.passOver(bad.Head, turn, err)
 	case err != nil:
-		if guard.MayGoOn(t.input()) != nil {
+		if guard.MayContinue(t.input()) != nil {
 			return fmt.Errorf("%w: %w", guard.ErrNoMessages, thrift.ErrBroken)
 		}
 		return err
@@ -78,7 +78,7 @@
 
 // input is what package guard is asked about.
 func (t *thriftConn) input() guard.Input {
-	return guard.Input{GoodMessages: t.good, BadMessages: t.bad, Dropped: t.reader.Scanned()}
+	return guard.Input{ValidMessages: t.good, InvalidMessages: t.bad, SkippedBytes: t.reader.Scanned()}
 }
 
 // passOver takes in a message that makes no sense. Its call fails, if it is one with a
@@ -88,7 +88,7 @@
 	if turn != outOfTurn || t.good == 0 { // else it is a message, though an earlier one was none
 		t.bad++
 	}
-	if err := guard.MayGoOn(t.input()); err != nil {
+	if err := guard.MayContinue(t.input()); err != nil {
 		return fmt.Errorf("%w: %w", err, why)
 	}
 	t.mu.Lock()
--- a/transport/serve.go
+++ b/transport/serve.go
@@ -86,23 +86,23 @@
 	case requested == mark:
 		c.settle(mark)
 	case requested == closeIfIdle:
-		if reason, _ := guard.MayEnd(facts); reason == guard.Nothing && !facts.Partial {
+		if reason, _ := guard.MayClose(facts); reason == guard.NotHeld && !facts.MessagePartial {
 			return Idle
 		}
 		c.settle(closeIfIdle)
 	case requested == drain:
-		facts.Last = !time.Now().Before(by)
-		reason, again := guard.MayEnd(facts)
-		if reason == guard.Nothing {
+		facts.ProcessEnding = !time.Now().Before(by)
+		reason, again := guard.MayClose(facts)
+		if reason == guard.NotHeld {
 			return Drained
 		}
 		c.lookAgain(min(again, time.Until(by)))
 	case expired:
-		reason, again := guard.MayEnd(facts)
-		if reason == guard.Nothing {
+		reason, again := guard.MayClose(facts)
+		if reason == guard.NotHeld {
 			return ReadTimeout
 		}
-		if reason == guard.OwedAnswers {
+		if reason == guard.PendingResponses {
 			again = owedEvery
 		}
 		c.lookAgain(again)
@@ -112,17 +112,17 @@
 
 // facts collects what counts for the end of the connection.
 func (c *Conn) facts() guard.Connection {
-	facts := guard.Connection{Examined: c.examined, Owed: c.owes(), Partial: c.r.Buffered() > 0, Stalled: c.standsStill}
+	facts := guard.Connection{SocketDrained: c.examined, ResponsesPending: c.owes(), MessagePartial: c.r.Buffered() > 0, StallTimeout: c.standsStill}
 	now := time.Now()
-	if facts.Partial {
-		facts.SilentFor = now.Sub(c.src.byteAt)
-		facts.PartialFor = now.Sub(cmp.Or(c.src.beganAt, c.src.byteAt))
+	if facts.MessagePartial {
+		facts.IdleFor = now.Sub(c.src.byteAt)
+		facts.MessageAge = now.Sub(cmp.Or(c.src.beganAt, c.src.byteAt))
 	}
 	c.mu.Lock()
 	notice, requested := c.noticeLeft, c.requested
 	c.mu.Unlock()
-	if notice != nil && (requested == closeIfIdle || requested == noRequest && !facts.Partial && !facts.Owed) {
-		facts.NoticeLeft = notice()
+	if notice != nil && (requested == closeIfIdle || requested == noRequest && !facts.MessagePartial && !facts.ResponsesPending) {
+		facts.NoticeRemaining = notice()
 	}
 	return facts
 }
--- a/transport/source.go
+++ b/transport/source.go
@@ -45,7 +45,7 @@
 		s.readAt = time.Now()
 		s.byteAt = s.readAt
 	}
-	if err != nil && guard.MayTryAgain(err, s.failures+1) == nil {
+	if err != nil && guard.MayRetry(err, s.failures+1) == nil {
 		s.failures++
 		time.Sleep(failurePause)
 		return n, os.ErrDeadlineExceeded
--- a/transport/write.go
+++ b/transport/write.go
@@ -13,8 +13,8 @@
 // deadline of its own: a process that stood still over one has not tried.
 const (
 	writeAttempt  = 500 * time.Millisecond
-	writeAttempts = int(guard.MaxMessage / writeAttempt) // a client may wait so long, and read then
-	writeTimeout  = guard.MaxMessage
+	writeAttempts = int(guard.MaxMessageTime / writeAttempt) // a client may wait so long, and read then
+	writeTimeout  = guard.MaxMessageTime
 )
 
 // flush writes the queue and sets the deadline of the next read.
@@ -57,7 +57,7 @@
 			if attempts++; attempts == writeAttempts {
 				return len(p), err
 			}
-		case guard.MayTryAgain(err, failures+1) == nil:
+		case guard.MayRetry(err, failures+1) == nil:
 			failures++
 			time.Sleep(failurePause)
 		default:
