--- a/idempotency/journal/contents.go
+++ b/idempotency/journal/contents.go
@@ -12,13 +12,13 @@
 // Names of the store's records. They are on operators' disks: they must not
 // change.
 const (
-	keyPrefix = "key/" // ahead of a key: its state
-	doubtName = "doubt"
+	keyRecordPrefix = "key/"  // followed by the key: its state
+	doubtRecordName = "doubt" // expires when unknown keys are no longer in doubt
 )
 
-// unreadableAttempt stands for the id of the attempt that ran a key whose state can't be
-// decoded.
-const unreadableAttempt = "unreadable"
+// unreadableAttemptID stands for the id of the attempt that ran a key whose state can't
+// be decoded.
+const unreadableAttemptID = "unreadable"
 
 // Contents is what a journal's directory holds.
 type Contents struct {
@@ -26,8 +26,8 @@
 	UnreadableKeys []string               // keys whose state could not be decoded: they count as run
 	UnknownRecords []string               // names of records that are not the journal's
 	InDoubtUntil   time.Time              // until when unknown keys are in doubt; zero if they are not
-	Losses         []store.Loss
-	TruncatedBytes int64 // of writes that never finished
+	Losses         []store.Loss           // of records that could not be read
+	TruncatedBytes int64                  // of writes that never finished
 }
 
 // Inspect reads a journal's directory as Open would, and changes nothing in it.
@@ -40,15 +40,21 @@
 	return decodeContents(stored), nil
 }
 
-// decodeContents sorts a store's records by what they are.
+// unreadableState is the state of a key whose record can't be decoded: it may have run,
+// so it counts as run without a result.
+func unreadableState(key string, expiresAt time.Time) idempotency.KeyState {
+	return idempotency.KeyState{Key: key, RanAttemptID: unreadableAttemptID, ExpiresAt: expiresAt, Completed: true}
+}
+
+// decodeContents decodes a store's records by their names.
 func decodeContents(stored *store.Recovered) *Contents {
 	contents := &Contents{Losses: stored.Losses, TruncatedBytes: stored.TruncatedBytes}
 	for name, value := range stored.Values {
-		if name == doubtName {
+		if name == doubtRecordName {
 			contents.InDoubtUntil = value.ExpiresAt
 			continue
 		}
-		key, ok := strings.CutPrefix(name, keyPrefix)
+		key, ok := strings.CutPrefix(name, keyRecordPrefix)
 		if !ok {
 			contents.UnknownRecords = append(contents.UnknownRecords, name)
 			continue
@@ -56,10 +62,7 @@
 		var state idempotency.KeyState
 		if err := json.Unmarshal(value.Bytes, &state); err != nil {
 			contents.UnreadableKeys = append(contents.UnreadableKeys, key)
-			state = idempotency.KeyState{RanAttemptID: unreadableAttempt, ExpiresAt: value.ExpiresAt, Completed: true}
-			state.Key = key
-			contents.States = append(contents.States, state)
-			continue
+			state = unreadableState(key, value.ExpiresAt)
 		}
 		contents.States = append(contents.States, state)
 	}
--- a/idempotency/journal/doc.go
+++ b/idempotency/journal/doc.go
@@ -1,6 +1,6 @@
-// Package journal keeps the table of idempotency keys on disk, so that a process
+// Package journal keeps the states of idempotency keys on disk, so that a process
 // which starts after a crash knows which requests ran and does not run them
-// again. A Journal is the idempotency.Journal of the core, over a store.Store.
+// again. A Journal implements idempotency.Journal over a store.Store.
 //
 // # Ownership
 //
@@ -14,26 +14,26 @@
 //
 // # States of a key
 //
-// The core records a key's claim before the run begins, and waits until it is
-// durable; it records the end of the run, with the result, without waiting.
-// A process that opens the journal finds a key in one of these states:
+// A key's claim is recorded before the run begins, which waits until the claim is
+// durable; the end of the run, with its result, is recorded without waiting (a
+// write-ahead log of claims). A process that opens the journal finds a key in one
+// of these states:
 //
-//	not run    no record, or one without Ran: it may run
-//	completed  the run ended: its result is served to repeats, or they fail
-//	           where there is none
+//	not run    no record, or one without RanAttemptID: it may run
+//	completed  the run ended: duplicates get its result, or fail without one
 //	in doubt   the run was claimed and its end is not recorded: it may have had
 //	           its effect, so it must not run again in its window, and its
-//	           repeats fail
+//	           duplicates fail
 //
 // # Losses
 //
-// Where the store lost records, nothing is known of the keys in them. Open then
+// If the store lost records, nothing is known of the keys in them. Open then
 // puts every key that the journal does not know in doubt for the longest window,
 // Recovered.InDoubtUntil, and records that before it returns. The store reports
 // a loss once; the record makes the doubt outlive a further crash.
 //
 // # Goroutines
 //
-// A Journal has none of its own; its store has one, which calls the done
-// functions of Record.
+// A Journal starts none; its store has one, which calls the done functions of
+// Record.
 package journal
--- a/idempotency/journal/journal.go
+++ b/idempotency/journal/journal.go
@@ -40,7 +40,7 @@
 	return o
 }
 
-// Recovered is what Open found.
+// Recovered is what Open found in the directory.
 type Recovered struct {
 	States         []idempotency.KeyState // in no particular order
 	InDoubtUntil   time.Time              // until when unknown keys are in doubt; zero if they are not
@@ -92,7 +92,7 @@
 		done(&RecordError{Key: state.Key, Err: err})
 		return
 	}
-	j.store.Put(keyPrefix+state.Key, value, state.ExpiresAt, func(err error) {
+	j.store.Put(keyRecordPrefix+state.Key, value, state.ExpiresAt, func(err error) {
 		if err != nil {
 			err = &RecordError{Key: state.Key, Err: err}
 		}
@@ -104,7 +104,7 @@
 // is durable.
 func (j *Journal) recordDoubt(until time.Time) error {
 	durable := make(chan error, 1)
-	j.store.Put(doubtName, nil, until, func(err error) { durable <- err })
+	j.store.Put(doubtRecordName, nil, until, func(err error) { durable <- err })
 	return <-durable
 }
 
@@ -122,7 +122,7 @@
 
 func logUnreadable(logger *slog.Logger, contents *Contents) {
 	for _, key := range contents.UnreadableKeys {
-		logger.Warn(eventRecordUnreadable, "key", keyPrefix+key)
+		logger.Warn(eventRecordUnreadable, "key", keyRecordPrefix+key)
 	}
 	for _, name := range contents.UnknownRecords {
 		logger.Warn(eventRecordUnreadable, "key", name)
