--- a/guard/connection.go
+++ b/guard/connection.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Connection is what the owner of a connection knows as it would end it.
+// Connection is what the owner of a connection knows when it would close it.
 type Connection struct {
-	SocketDrained    bool          // its socket was read empty after the wish to end it
-	ResponsesPending bool          // answers are still to go out
-	MessagePartial   bool          // a part of a message has come
-	IdleFor          time.Duration // since its last byte came
-	MessageAge       time.Duration // since the first byte of that message came
-	StallTimeout     time.Duration // a message without a further byte for so long is given up
-	NoticeRemaining  time.Duration // until its peer has known for long enough that nothing new is wanted
-	ProcessEnding    bool          // the process ends: there is no later
+	SocketDrained    bool          // the socket was read empty after the decision to close it
+	ResponsesPending bool          // requests were read whose responses are not written
+	MessagePartial   bool          // a part of a message was read
+	IdleFor          time.Duration // since the last byte was read
+	MessageAge       time.Duration // since the first byte of the partial message was read
+	StallTimeout     time.Duration // a partial message without a further byte for so long is given up
+	NoticeRemaining  time.Duration // until the peer was notified long enough ago to send no more requests
+	ProcessEnding    bool          // the process exits: the connection can't be closed later
 }
 
 // MaxMessageTime bounds how long one message may take from its first byte to its last:
-// no client waits longer for an answer.
+// no client waits longer for a response.
 const MaxMessageTime = 10 * time.Second
 
-// HoldReason says why a connection may not be ended yet.
+// HoldReason says why a connection may not be closed yet, or a process may not exit yet.
+// Its values are attributes of log events.
 type HoldReason string
 
 // The reasons.
@@ -30,12 +31,18 @@
 	NoticePeriod     HoldReason = "notice_period"
 )
 
-// recheckInterval is when to ask again where nothing tells a time.
+// recheckInterval is when to ask again where no time is known.
 const recheckInterval = 20 * time.Millisecond
 
-// MayClose decides whether a connection may be ended now. Where it may not, it returns
-// the reason, and after how long to ask again.
-func MayClose(c Connection) (reason HoldReason, again time.Duration) {
+// MayClose decides whether a connection may be closed now. If it may not, it returns the
+// reason, and after how long to ask again.
+//
+// Inputs: what was read from the socket, what is still to be written, and when the peer
+// was notified. Rule: the socket has to be drained; then, unless the process exits, all
+// responses are written first, a partial message gets its time to arrive, and an idle
+// connection stays open for the notice period. Reason: a request whose bytes have arrived
+// must not be lost, and a peer that was just notified may have a request on the way.
+func MayClose(c Connection) (reason HoldReason, retryAfter time.Duration) {
 	switch {
 	case !c.SocketDrained:
 		return SocketNotDrained, 0
--- a/guard/doc.go
+++ b/guard/doc.go
@@ -1,30 +1,30 @@
-// Package guard decides whether something may be started, repeated, answered or closed
+// Package guard decides whether something may be started, retried, answered or closed
 // now, so that the platform's rules hold whatever asked for it. It is the one place of
-// these decisions: the core asks it before a run begins, a call is made, or an answer
-// is given, and transport before a connection is ended.
+// these decisions: the core asks it before a run begins, a downstream call is made, or a
+// response is sent, and transport before a connection is closed.
 //
 // The decisions are pure functions of what their callers know: they do no I/O and read
-// no clock. Each of them guards against one kind of error, that something is concluded
-// from a timer or from what a peer wrote of itself, while the fact that counts has
-// already changed:
+// no clock. Each one prevents a conclusion from a timer, or from what a peer claims, when
+// the fact that counts may have changed since:
 //
-//   - a connection is not ended because a timer fired, but because its socket was read
-//     empty just now, nothing is owed on it, and its peer has known for long enough that
-//     nothing new is wanted ([MayClose]);
-//   - a connection is not given up for a message that makes no sense: the requests before
-//     and behind it are still owed their answers ([MayContinue]);
-//   - a connection is not taken for dead because one system call failed, but because its
-//     error proves that ([MayRetry]);
-//   - a process does not end because the moment has come for which that was planned, but
-//     because nothing that it has taken is left ([MayExit]);
-//   - a run is not begun because a request says that it came in time, but because it
-//     was read before the grace ended, which was counted from the last moment at which
-//     the notice can't have come yet ([MayStart]);
-//   - a request is not turned away with the promise that it never ran once it may have
-//     had its effect ([MayShed]), and gets one answer ([MayAnswer]);
-//   - a call is made again only if its effect may be had twice, or an outcome proved that
-//     it was not had ([MayCall]).
+//   - a connection is closed not because a timer fired, but because its socket was read
+//     empty just now, no response is pending, and its peer was notified long enough ago
+//     ([MayClose]);
+//   - a connection is not closed for one invalid message: the requests before and after
+//     it still get their responses ([MayContinue]);
+//   - a connection is not given up because one system call failed, but because its error
+//     proves that the connection has ended ([MayRetry]);
+//   - a process exits not because the planned moment has come, but because nothing that
+//     it has accepted is left ([MayExit]);
+//   - a run begins not because the request claims to have arrived in time, but because it
+//     was read before the grace period ended, which is counted from the last moment before
+//     which the signal can't have come ([MayStart]);
+//   - a request is not shed, which promises that it never ran, once it may have had its
+//     effect ([MayShed]), and gets one response ([MayAnswer]);
+//   - a downstream call is repeated only if it is idempotent, or an outcome proved that it
+//     had no effect ([MayCall]).
 //
-// A [Monitor] counts what was denied and, where a check after the fact finds a broken
-// rule, counts and logs the violation.
+// A denial is an error of type [*DenialError], or a [HoldReason] where the caller is to
+// ask again later. A [Monitor] counts denials and, where a check after the fact finds a
+// broken rule, counts and logs the violation.
 package guard
--- a/guard/exit.go
+++ b/guard/exit.go
@@ -2,32 +2,35 @@
 
 import "time"
 
-// Exit is what a process that drains knows as it would end.
+// Exit is what a draining process knows when it would exit.
 type Exit struct {
-	PendingConnections int // connections that wait to be accepted, or may
-	OpenConnections    int // connections whose sockets were not read empty, or whose answers are not all written
-	UnansweredRequests int // requests
-	Checks             int // how often this was asked since the end that was planned
+	PendingConnections int // connections that are to be accepted, or may be
+	OpenConnections    int // connections that are not drained, or whose responses are not all written
+	UnansweredRequests int
+	Checks             int // how often this was asked since the planned exit
 }
 
-// While anything is left, the process looks again every exitLook, and maxExitLooks times at
-// most. Looks are counted and not time, which a process that stands still does not notice.
-// It is killed if that takes too long, and loses no more then than by an end of its own.
+// A process checks every exitCheckInterval, and maxExitChecks times at most. Checks are
+// counted, not time, because a process that is paused does not notice time that passes.
+// It is killed if that takes too long, and loses no more then than by its own exit.
 const (
 	exitCheckInterval = 5 * time.Millisecond
 	maxExitChecks     = 400
 )
 
-// The further reasons for which a process may not end yet.
+// The further reasons for which a process may not exit yet.
 const (
 	PendingConnections HoldReason = "connections_wait"
 	OpenConnections    HoldReason = "open_connections"
 )
 
-// MayExit decides whether a process that has reached its planned end may end. It may stand
-// still until then, so nothing follows from the time; what it has taken is answered first.
-// Where it may not, MayExit returns the reason, and after how long to ask again.
-func MayExit(e Exit) (reason HoldReason, again time.Duration) {
+// MayExit decides whether a process that has reached its planned exit may exit. If it may
+// not, it returns the reason, and after how long to ask again.
+//
+// Inputs: the connections and requests that are left, and the number of checks so far.
+// Rule: nothing may be left, up to maxExitChecks. Reason: the process may have been paused
+// until the planned moment, so nothing follows from the time.
+func MayExit(e Exit) (reason HoldReason, retryAfter time.Duration) {
 	switch {
 	case e.Checks >= maxExitChecks:
 		return NotHeld, 0
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -15,20 +15,20 @@
 	for name, x := range map[string]struct {
 		connection Connection
 		reason     HoldReason
-		again      time.Duration
+		retryAfter time.Duration
 	}{
-		"not looked at":               {Connection{ProcessEnding: true}, SocketNotDrained, 0},
-		"rests":                       {Connection{SocketDrained: true}, NotHeld, 0},
-		"owes":                        {Connection{SocketDrained: true, ResponsesPending: true}, PendingResponses, recheckInterval},
-		"peer was told just now":      {Connection{SocketDrained: true, NoticeRemaining: time.Second}, NoticePeriod, time.Second},
-		"message goes on":             {Connection{SocketDrained: true, MessagePartial: true, IdleFor: 1, StallTimeout: 3}, PartialMessage, 2},
-		"message stands still":        {Connection{SocketDrained: true, MessagePartial: true, IdleFor: 3, StallTimeout: 3}, NotHeld, 0},
-		"message takes for ever":      {Connection{SocketDrained: true, MessagePartial: true, StallTimeout: 3, MessageAge: MaxMessageTime}, NotHeld, 0},
-		"process ends, answers owed":  {Connection{SocketDrained: true, ProcessEnding: true, ResponsesPending: true}, NotHeld, 0},
-		"message stands, within note": {Connection{SocketDrained: true, MessagePartial: true, NoticeRemaining: time.Second}, NotHeld, 0},
+		"socket not drained":        {Connection{ProcessEnding: true}, SocketNotDrained, 0},
+		"idle":                      {Connection{SocketDrained: true}, NotHeld, 0},
+		"response pending":          {Connection{SocketDrained: true, ResponsesPending: true}, PendingResponses, recheckInterval},
+		"peer notified just now":    {Connection{SocketDrained: true, NoticeRemaining: time.Second}, NoticePeriod, time.Second},
+		"message still arrives":     {Connection{SocketDrained: true, MessagePartial: true, IdleFor: 1, StallTimeout: 3}, PartialMessage, 2},
+		"message stalls":            {Connection{SocketDrained: true, MessagePartial: true, IdleFor: 3, StallTimeout: 3}, NotHeld, 0},
+		"message takes too long":    {Connection{SocketDrained: true, MessagePartial: true, StallTimeout: 3, MessageAge: MaxMessageTime}, NotHeld, 0},
+		"exit, response pending":    {Connection{SocketDrained: true, ProcessEnding: true, ResponsesPending: true}, NotHeld, 0},
+		"message stalls, in notice": {Connection{SocketDrained: true, MessagePartial: true, NoticeRemaining: time.Second}, NotHeld, 0},
 	} {
-		if reason, again := MayClose(x.connection); reason != x.reason || again != x.again {
-			t.Errorf("%s: %q after %v, want %q after %v", name, reason, again, x.reason, x.again)
+		if reason, retryAfter := MayClose(x.connection); reason != x.reason || retryAfter != x.retryAfter {
+			t.Errorf("%s: %q after %v, want %q after %v", name, reason, retryAfter, x.reason, x.retryAfter)
 		}
 	}
 }
@@ -38,12 +38,12 @@
 		input Input
 		want  error
 	}{
-		"one bad message":   {Input{InvalidMessages: 1}, nil},
-		"as many as may be": {Input{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages, SkippedBytes: MaxSkippedBytes}, nil},
-		"too many":          {Input{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages + 1}, ErrTooManyInvalid},
-		"nothing else":      {Input{InvalidMessages: InitialInvalidMessages + 1}, ErrTooManyInvalid},
-		"no more messages":  {Input{ValidMessages: 1, SkippedBytes: MaxSkippedBytes + 1}, ErrNoMessages},
-		"no messages":       {Input{SkippedBytes: InitialSkippedBytes + 1}, ErrNoMessages},
+		"one invalid":        {Input{InvalidMessages: 1}, nil},
+		"at the bounds":      {Input{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages, SkippedBytes: MaxSkippedBytes}, nil},
+		"too many invalid":   {Input{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages + 1}, ErrTooManyInvalid},
+		"none valid":         {Input{InvalidMessages: InitialInvalidMessages + 1}, ErrTooManyInvalid},
+		"bytes skipped":      {Input{ValidMessages: 1, SkippedBytes: MaxSkippedBytes + 1}, ErrNoMessages},
+		"only bytes skipped": {Input{SkippedBytes: InitialSkippedBytes + 1}, ErrNoMessages},
 	} {
 		if err := MayContinue(x.input); !errors.Is(err, x.want) {
 			t.Errorf("%s: %v, want %v", name, err, x.want)
@@ -56,15 +56,15 @@
 		exit   Exit
 		reason HoldReason
 	}{
-		"all is answered":  {Exit{Checks: 1}, NotHeld},
-		"someone connects": {Exit{PendingConnections: 1, OpenConnections: 1}, PendingConnections},
-		"unread":           {Exit{OpenConnections: 1, UnansweredRequests: 1}, OpenConnections},
-		"unanswered":       {Exit{UnansweredRequests: 1}, PendingResponses},
-		"for ever":         {Exit{PendingConnections: 1, OpenConnections: 1, UnansweredRequests: 1, Checks: maxExitChecks}, NotHeld},
+		"nothing left":    {Exit{Checks: 1}, NotHeld},
+		"new connection":  {Exit{PendingConnections: 1, OpenConnections: 1}, PendingConnections},
+		"open connection": {Exit{OpenConnections: 1, UnansweredRequests: 1}, OpenConnections},
+		"open request":    {Exit{UnansweredRequests: 1}, PendingResponses},
+		"too many checks": {Exit{PendingConnections: 1, OpenConnections: 1, UnansweredRequests: 1, Checks: maxExitChecks}, NotHeld},
 	} {
-		reason, again := MayExit(x.exit)
-		if reason != x.reason || (again > 0) != (reason != NotHeld) {
-			t.Errorf("%s: %q after %v, want %q", name, reason, again, x.reason)
+		reason, retryAfter := MayExit(x.exit)
+		if reason != x.reason || (retryAfter > 0) != (reason != NotHeld) {
+			t.Errorf("%s: %q after %v, want %q", name, reason, retryAfter, x.reason)
 		}
 	}
 }
@@ -75,14 +75,14 @@
 		failures int
 		want     error
 	}{
-		"interrupted":          {syscall.EINTR, 1, nil},
-		"of a packet":          {os.NewSyscallError("write", syscall.EHOSTUNREACH), 1, nil},
-		"not known":            {syscall.EIO, MaxConsecutiveFailures, nil},
-		"again and again":      {syscall.EIO, MaxConsecutiveFailures + 1, ErrTooManyFailures},
-		"reset":                {os.NewSyscallError("read", syscall.ECONNRESET), 1, ErrConnectionEnded},
-		"no longer there":      {syscall.EPIPE, 1, ErrConnectionEnded},
-		"the end":              {io.EOF, 1, ErrConnectionEnded},
-		"no system call's own": {net.ErrClosed, 1, ErrConnectionEnded},
+		"interrupted":         {syscall.EINTR, 1, nil},
+		"one packet":          {os.NewSyscallError("write", syscall.EHOSTUNREACH), 1, nil},
+		"at the bound":        {syscall.EIO, MaxConsecutiveFailures, nil},
+		"beyond the bound":    {syscall.EIO, MaxConsecutiveFailures + 1, ErrTooManyFailures},
+		"reset":               {os.NewSyscallError("read", syscall.ECONNRESET), 1, ErrConnectionEnded},
+		"broken pipe":         {syscall.EPIPE, 1, ErrConnectionEnded},
+		"end of input":        {io.EOF, 1, ErrConnectionEnded},
+		"not a system call's": {net.ErrClosed, 1, ErrConnectionEnded},
 	} {
 		if err := MayRetry(x.err, x.failures); !errors.Is(err, x.want) {
 			t.Errorf("%s: %v, want %v", name, err, x.want)
@@ -95,12 +95,12 @@
 		start Start
 		want  error
 	}{
-		"held":                        {Start{}, nil},
+		"queued":                      {Start{}, nil},
 		"answered":                    {Start{Answered: true}, ErrAnswered},
 		"running":                     {Start{Running: true}, ErrRunning},
-		"read in the grace":           {Start{Draining: true, ReadBy: 5, GraceEnd: 5}, nil},
+		"read within the grace":       {Start{Draining: true, ReadBy: 5, GraceEnd: 5}, nil},
 		"read after the grace":        {Start{Draining: true, ReadBy: 6, GraceEnd: 5}, ErrAfterGrace},
-		"paused before, resumed":      {Start{Draining: true, ReadBy: 6, GraceEnd: 5, Resumed: true}, nil},
+		"resumed after the grace":     {Start{Draining: true, ReadBy: 6, GraceEnd: 5, Resumed: true}, nil},
 		"its key ran in the window":   {Start{KeyRan: true}, ErrKeyRan},
 		"after the grace and key ran": {Start{Draining: true, ReadBy: 6, GraceEnd: 5, KeyRan: true}, ErrKeyRan},
 	} {
@@ -115,12 +115,12 @@
 		call Call
 		want error
 	}{
-		"first":                     {Call{Needed: true}, nil},
-		"nobody waits":              {Call{}, ErrCallNotNeeded},
-		"out":                       {Call{Needed: true, InFlight: true}, ErrCallInFlight},
-		"again, with an effect":     {Call{Needed: true, Attempted: true}, ErrMayHaveRun},
-		"again, as it was not seen": {Call{Needed: true, Attempted: true, ProvenWithoutEffect: true}, nil},
-		"again, without an effect":  {Call{Needed: true, Attempted: true, Idempotent: true}, nil},
+		"first call":              {Call{Needed: true}, nil},
+		"not needed":              {Call{}, ErrCallNotNeeded},
+		"in flight":               {Call{Needed: true, InFlight: true}, ErrCallInFlight},
+		"may have had its effect": {Call{Needed: true, Attempted: true}, ErrMayHaveRun},
+		"proven without effect":   {Call{Needed: true, Attempted: true, ProvenWithoutEffect: true}, nil},
+		"idempotent":              {Call{Needed: true, Attempted: true, Idempotent: true}, nil},
 	} {
 		if err := MayCall(x.call); !errors.Is(err, x.want) {
 			t.Errorf("%s: %v, want %v", name, err, x.want)
@@ -143,6 +143,28 @@
 	}
 }
 
+// TestDenialError compares the texts of the denials, which stand in operators' logs.
+func TestDenialError(t *testing.T) {
+	for err, want := range map[error]string{
+		ErrConnectionEnded: "guard: the connection has ended",
+		ErrTooManyFailures: "guard: the connection fails again and again",
+		ErrTooManyInvalid:  "guard: too many bad messages on the connection",
+		ErrNoMessages:      "guard: what comes on the connection is no messages",
+		ErrAnswered:        "guard: the request has its final answer",
+		ErrRunning:         "guard: the request is running",
+		ErrAfterGrace:      "guard: the request came after the grace of the drain",
+		ErrKeyRan:          "guard: another try of the key ran within its window",
+		ErrMayHaveRun:      "guard: the request may have had its effect",
+		ErrCallInFlight:    "guard: a call of the request is out",
+		ErrCallNotNeeded:   "guard: the request does not wait for a call",
+	} {
+		var denial *DenialError
+		if err.Error() != want || !errors.As(err, &denial) {
+			t.Errorf("%T with the text %q, want a *DenialError with %q", err, err, want)
+		}
+	}
+}
+
 func TestMonitor_CountsByRule(t *testing.T) {
 	m := NewMonitor(slog.New(slog.DiscardHandler))
 	m.Violated(LostRequest, "request", "a")
--- a/guard/input.go
+++ b/guard/input.go
@@ -1,34 +1,34 @@
 package guard
 
-import "errors"
-
-// The reasons for which a connection takes no more messages.
+// The reasons for which a connection is read no further.
 var (
-	ErrTooManyInvalid = errors.New("guard: too many bad messages on the connection")
-	ErrNoMessages     = errors.New("guard: what comes on the connection is no messages")
+	ErrTooManyInvalid error = &DenialError{"too many bad messages on the connection"}
+	ErrNoMessages     error = &DenialError{"what comes on the connection is no messages"}
 )
 
-// A connection takes messages in spite of bad ones up to these bounds, so that a peer
-// which sends nothing else is not read for ever: as many bad ones as good ones came, and
-// some more.
+// Bounds of the invalid input that a connection is read in spite of, so that a peer that
+// sends nothing else is not read for ever: as many invalid messages as valid ones, and
+// InitialInvalidMessages more.
 const (
 	MaxInvalidMessages     = 64
 	InitialInvalidMessages = 2
-	MaxSkippedBytes        = 64 << 10 // bytes in a row in which no message begins
-	InitialSkippedBytes    = 4 << 10  // likewise, where no good message has come
+	MaxSkippedBytes        = 64 << 10 // in a row, in which no message begins
+	InitialSkippedBytes    = 4 << 10  // likewise, before the first valid message
 )
 
-// Input is what the owner of a connection knows of input that is no message it can take.
+// Input is what the owner of a connection knows of the messages that it has read.
 type Input struct {
-	ValidMessages   int // on the connection so far
-	InvalidMessages int // likewise
-	SkippedBytes    int // bytes in a row in which no message began
+	ValidMessages   int // so far
+	InvalidMessages int // so far
+	SkippedBytes    int // in a row, in which no message began
 }
 
-// MayContinue decides whether a connection goes on taking messages after one that it can't
-// take. It does: the requests before it and behind it are owed their answers whatever
-// stands between them. Where it may not, all that is open is answered at once and the
-// connection ends, so that nothing more is written to it.
+// MayContinue decides whether a connection is read further after invalid input. If it may
+// not, the owner answers all open requests and closes the connection.
+//
+// Inputs: the numbers of valid and invalid messages, and of bytes skipped in a row. Rule:
+// it may, within the bounds above. Reason: the requests before and after an invalid message
+// still have to get their responses.
 func MayContinue(input Input) error {
 	switch {
 	case input.InvalidMessages > min(InitialInvalidMessages+input.ValidMessages, MaxInvalidMessages):
--- a/guard/monitor.go
+++ b/guard/monitor.go
@@ -5,32 +5,39 @@
 	"sync/atomic"
 )
 
-// Rule names a rule of the platform. Its values are labels of metrics and logs.
+// Messages of the log events.
+const (
+	eventViolation = "rule_violation"
+	eventDenial    = "denied"
+)
+
+// Rule names a rule of the platform. Its values are labels of metrics and attributes of log
+// events.
 type Rule string
 
-// The rules.
+// The rules, by what breaks them.
 const (
-	LostRequest     Rule = "lost_request"     // taken, and its connection ended without its answer
-	DuplicateRun    Rule = "duplicate_run"    // of one key within its window
-	DuplicateAnswer Rule = "duplicate_answer" // to one request
-	DrainStart      Rule = "drain_start"      // of what came after the grace
-	ShedAfterRun    Rule = "false_promise"    // turned away as never run, after a run
-	RepeatedCall    Rule = "repeated_call"    // of what must not be had twice
-	LateAnswer      Rule = "late_answer"      // past the deadline and its slack
+	LostRequest     Rule = "lost_request"     // a request was read, and its connection closed without a response
+	DuplicateRun    Rule = "duplicate_run"    // a key ran twice in its window
+	DuplicateAnswer Rule = "duplicate_answer" // a request got two responses
+	DrainStart      Rule = "drain_start"      // a request ran that was read after the grace period
+	ShedAfterRun    Rule = "false_promise"    // a request was reported as never run after it may have run
+	RepeatedCall    Rule = "repeated_call"    // a downstream call was repeated that may have had its effect
+	LateAnswer      Rule = "late_answer"      // a response came after the deadline and its slack
 )
 
 // Rules lists the rules, for metrics.
 var Rules = []Rule{LostRequest, DuplicateRun, DuplicateAnswer, DrainStart, ShedAfterRun, RepeatedCall, LateAnswer}
 
-// Monitor counts violations of the rules, and what was denied so that there were none.
-// A nil Monitor counts nothing. Its methods may be called from any goroutine.
+// Monitor counts the violations of each rule, and the denials that prevented one. A nil
+// Monitor counts nothing. Its methods may be called from any goroutine.
 type Monitor struct {
 	log        *slog.Logger
 	violations map[Rule]*atomic.Int64
 	denials    map[Rule]*atomic.Int64
 }
 
-// NewMonitor makes a monitor that logs violations.
+// NewMonitor makes a monitor that logs violations as errors, and denials for debugging.
 func NewMonitor(log *slog.Logger) *Monitor {
 	m := &Monitor{log: log, violations: map[Rule]*atomic.Int64{}, denials: map[Rule]*atomic.Int64{}}
 	for _, rule := range Rules {
@@ -45,19 +52,19 @@
 		return
 	}
 	m.violations[rule].Add(1)
-	m.log.Error("rule_violation", append([]any{"rule", string(rule)}, attributes...)...)
+	m.log.Error(eventViolation, append([]any{"rule", string(rule)}, attributes...)...)
 }
 
-// Denied counts and logs that something was not done as it would have broken a rule.
-func (m *Monitor) Denied(rule Rule, why error, request string) {
+// Denied counts and logs that something was not done because it would have broken a rule.
+func (m *Monitor) Denied(rule Rule, reason error, request string) {
 	if m == nil {
 		return
 	}
 	m.denials[rule].Add(1)
-	m.log.Debug("denied", "rule", string(rule), "reason", why.Error(), "request", request)
+	m.log.Debug(eventDenial, "rule", string(rule), "reason", reason.Error(), "request", request)
 }
 
-// Violations is how often a rule was broken.
+// Violations returns how often a rule was broken.
 func (m *Monitor) Violations(rule Rule) int64 {
 	if m == nil {
 		return 0
@@ -65,7 +72,7 @@
 	return m.violations[rule].Load()
 }
 
-// Denials is how often something was not done for a rule.
+// Denials returns how often something was not done because of a rule.
 func (m *Monitor) Denials(rule Rule) int64 {
 	if m == nil {
 		return 0
--- a/guard/request.go
+++ b/guard/request.go
@@ -1,35 +1,37 @@
 package guard
 
-import (
-	"errors"
-	"time"
-)
+import "time"
 
 // The reasons for which something about a request is denied.
 var (
-	ErrAnswered      = errors.New("guard: the request has its final answer")
-	ErrRunning       = errors.New("guard: the request is running")
-	ErrAfterGrace    = errors.New("guard: the request came after the grace of the drain")
-	ErrKeyRan        = errors.New("guard: another try of the key ran within its window")
-	ErrMayHaveRun    = errors.New("guard: the request may have had its effect")
-	ErrCallInFlight  = errors.New("guard: a call of the request is out")
-	ErrCallNotNeeded = errors.New("guard: the request does not wait for a call")
+	ErrAnswered      error = &DenialError{"the request has its final answer"}
+	ErrRunning       error = &DenialError{"the request is running"}
+	ErrAfterGrace    error = &DenialError{"the request came after the grace of the drain"}
+	ErrKeyRan        error = &DenialError{"another try of the key ran within its window"}
+	ErrMayHaveRun    error = &DenialError{"the request may have had its effect"}
+	ErrCallInFlight  error = &DenialError{"a call of the request is out"}
+	ErrCallNotNeeded error = &DenialError{"the request does not wait for a call"}
 )
 
-// Start is what the core knows of a request that is to be run. Times are on the
-// process's clock.
+// Start is what the core knows of a request that is to be run. Times are on the process's
+// timeline (package clock).
 type Start struct {
 	Answered bool
 	Running  bool
-	Resumed  bool // it was begun before and paused: its place is its own
-	KeyRan   bool // a try of its key ran, and this one came within the window
-	ReadBy   time.Duration
+	Resumed  bool          // it was started before and paused
+	KeyRan   bool          // an attempt of its key ran, and this one arrived in the key's window
+	ReadBy   time.Duration // the latest time at which its last byte may have been read
 	Draining bool
 	GraceEnd time.Duration // of the drain
 }
 
-// MayStart decides whether a run may begin. What came when is judged by when it was
-// read, at the latest moment that is possible, and not by what its caller wrote.
+// MayStart decides whether a run may begin.
+//
+// Inputs: the state of the request, its key and the drain. Rule: a request that is neither
+// answered nor running may start, unless its key ran or, while draining, it was read after
+// the grace period; one that was paused may always continue. Reason: a key runs once in its
+// window, and the process promised to take nothing new after the grace period. What was
+// read when counts, at the latest possible moment, and not what the caller claims.
 func MayStart(s Start) error {
 	switch {
 	case s.Answered:
@@ -46,16 +48,21 @@
 	return nil
 }
 
-// Call is what the core knows of a call that is to be made for a run.
+// Call is what the core knows of a downstream call that is to be made for a run.
 type Call struct {
-	Needed              bool // the run waits for this call
-	InFlight            bool // it is out already
-	Idempotent          bool // the class's effect may be had twice
-	Attempted           bool // it was made before
-	ProvenWithoutEffect bool // and its outcome proved that it had no effect
+	Needed              bool // the run waits for the call
+	InFlight            bool // the call was made and has not ended
+	Idempotent          bool // the request's class is idempotent
+	Attempted           bool // the call was made before
+	ProvenWithoutEffect bool // the last outcome proved that the call had no effect
 }
 
-// MayCall decides whether a call may be made.
+// MayCall decides whether a downstream call may be made.
+//
+// Inputs: the state of the call, and whether its effect may be repeated. Rule: a call that
+// is needed and not in flight is made once; again only if its class is idempotent or the
+// last outcome proved that it had no effect. Reason: a call that ended without a proof may
+// have had its effect.
 func MayCall(c Call) error {
 	switch {
 	case !c.Needed:
@@ -68,14 +75,17 @@
 	return nil
 }
 
-// Shed is what the core knows of a request that is to be turned away.
+// Shed is what the core knows of a request that is to be shed.
 type Shed struct {
-	Idempotent bool // the class's effect may be had twice
-	MayHaveRun bool // a run of it, or of another try of its key, may have had its effect
+	Idempotent bool // the request's class is idempotent
+	MayHaveRun bool // a run of it, or of another attempt of its key, may have had its effect
 }
 
-// MayShed decides whether a request may be turned away with the promise that it never
-// ran.
+// MayShed decides whether a request may be shed.
+//
+// Inputs: whether the request may have run, and whether it is idempotent. Rule: one that
+// may have run is shed only if it is idempotent. Reason: a shed request is reported as
+// never run, and its caller sends it elsewhere.
 func MayShed(s Shed) error {
 	if s.MayHaveRun && !s.Idempotent {
 		return ErrMayHaveRun
@@ -83,7 +93,10 @@
 	return nil
 }
 
-// MayAnswer decides whether a request may be given an answer.
+// MayAnswer decides whether a request may be given a response.
+//
+// Input: whether it has one. Rule: it gets one response. Reason: a second one would be
+// taken for another request's.
 func MayAnswer(answered bool) error {
 	if answered {
 		return ErrAnswered
