--- a/limits/model_test.go
+++ b/limits/pools_test.go
@@ -1,153 +1,14 @@
 package limits
 
 import (
+	"errors"
 	"fmt"
 	"math"
-	"math/rand"
+	"slices"
 	"testing"
 	"time"
 )
 
-// machine is a model of what lies below the pools, in simulated time: cores
-// that share their time among what runs, and that get less done in total once
-// more than thrashAt runs a core are on them.
-type machine struct {
-	cores    float64
-	thrashAt float64 // runs a core past which the machine thrashes
-	thrash   float64 // the share of its speed lost for each further run a core
-}
-
-// speed is each run's share of a core with n on the machine.
-func (m machine) speed(n int) float64 {
-	if n == 0 {
-		return 1
-	}
-	efficiency := 1.0
-	if over := float64(n)/m.cores - m.thrashAt; over > 0 {
-		efficiency = max(0.1, 1-m.thrash*over)
-	}
-	return min(1, m.cores/float64(n)) * efficiency
-}
-
-// job is a run on the machine.
-type job struct {
-	id      string
-	class   int
-	left    float64 // of its work, in core-seconds
-	began   time.Duration
-	arrived time.Duration
-	ticket  Permit
-}
-
-// load is an open stream of requests of a class.
-type load struct {
-	rate float64       // a second
-	work time.Duration // on one core
-	cv   float64       // of the work, lognormal
-}
-
-// result is what a played day came to.
-type result struct {
-	served, refused, late int
-	within                []int // served within the patience, by class
-	perSecond             []int // served within the patience, by second
-	limits                []float64
-}
-
-// play plays loads on a machine for a span, with pools (nil: every run begins
-// at once, as without them), a step of a millisecond at a time. change may
-// alter the machine at a moment.
-func play(seed int64, m machine, loads []load, pools *Pools, patience time.Duration, span time.Duration,
-	change func(now time.Duration, m *machine),
-) result {
-	rng := rand.New(rand.NewSource(seed))
-	const step = time.Millisecond
-	var running []*job
-	waiting := map[string]*job{}
-	r := result{within: make([]int, len(loads))}
-	n := 0
-	begin := func(j *job, t Permit, now time.Duration) {
-		j.ticket, j.began = t, now
-		running = append(running, j)
-	}
-	for now := time.Duration(0); now < span; now += step {
-		if change != nil {
-			change(now, &m)
-		}
-		for c, l := range loads {
-			for k := poisson(rng, l.rate*step.Seconds()); k > 0; k-- {
-				n++
-				work := l.work.Seconds() * math.Exp(l.cv*rng.NormFloat64()-l.cv*l.cv/2)
-				j := &job{id: fmt.Sprint(n), class: c, left: work, arrived: now}
-				if pools == nil {
-					begin(j, Permit{}, now)
-					continue
-				}
-				if t, ok := pools.TryAcquire(c, ""); ok {
-					begin(j, t, now)
-				} else if pools.Enqueue(c, j.id, now, patience/2) { // half the aim, as the module's refusals
-					waiting[j.id] = j
-				} else {
-					r.refused++
-				}
-			}
-		}
-		speed := m.speed(len(running))
-		kept := running[:0]
-		var ended []*job
-		for _, j := range running {
-			if j.left -= speed * step.Seconds(); j.left > 0 {
-				kept = append(kept, j)
-			} else {
-				ended = append(ended, j)
-			}
-		}
-		running = kept
-		for _, j := range ended {
-			took := now + step - j.arrived
-			if took <= patience {
-				r.served++
-				r.within[j.class]++
-				for int(now/time.Second) >= len(r.perSecond) {
-					r.perSecond = append(r.perSecond, 0)
-				}
-				r.perSecond[now/time.Second]++
-			} else {
-				r.late++
-			}
-			if pools == nil {
-				continue
-			}
-			for _, next := range pools.Release(j.ticket, now+step-j.began, true) {
-				w := waiting[next.ID]
-				delete(waiting, next.ID)
-				begin(w, next.Permit, now+step)
-			}
-		}
-		if pools != nil { // what waits past its patience is of no use: it leaves the line
-			for id, j := range waiting {
-				if now-j.arrived > patience {
-					pools.Cancel(j.class, id)
-					delete(waiting, id)
-					r.late++
-				}
-			}
-			if now%(100*time.Millisecond) == 0 {
-				r.limits = append(r.limits, pools.Capacity(0))
-			}
-		}
-	}
-	return r
-}
-
-func poisson(rng *rand.Rand, mean float64) int {
-	n, p := 0, math.Exp(-mean)
-	for q := rng.Float64(); q > p; q *= rng.Float64() {
-		n++
-	}
-	return n
-}
-
 func newPools(t *testing.T, classes int, reserve int) *Pools {
 	t.Helper()
 	cfg := Config{ReservedSlots: reserve}
@@ -167,7 +28,7 @@
 
 // TestTwiceCapacity offers twice what the machine can do: with the pools the
 // served stay within a tenth of the machine's peak, without them the machine
-// thrashes and serves far less in time.
+// thrashes and serves far less within the patience.
 func TestTwiceCapacity(t *testing.T) {
 	const work = 20 * time.Millisecond
 	capacity := eight.cores / work.Seconds() // 400 a second at its best
@@ -175,15 +36,15 @@
 	const span = 15 * time.Second
 	perSecond := func(r result) float64 { return float64(r.served) / span.Seconds() }
 	for _, seed := range []int64{1, 2} {
-		with := play(seed, eight, loads, newPools(t, 1, 0), time.Second, span, nil)
+		with := play(seed, eight, loads, newPools(t, 1, 0), span, nil)
 		if got := perSecond(with); got < 0.9*capacity {
 			t.Errorf("seed %d: with the pools %.0f served a second, want at least 90%% of %.0f", seed, got, capacity)
 		}
-		if with.refused == 0 {
-			t.Errorf("seed %d: nothing was turned away at twice the capacity", seed)
+		if with.shed == 0 {
+			t.Errorf("seed %d: nothing was shed at twice the capacity", seed)
 		}
 	}
-	if r := play(1, eight, loads, nil, time.Second, 5*time.Second, nil); float64(r.served)/5 > 0.6*capacity {
+	if r := play(1, eight, loads, nil, 5*time.Second, nil); float64(r.served)/5 > 0.6*capacity {
 		t.Errorf("without them %.0f a second: the model does not thrash", float64(r.served)/5)
 	}
 }
@@ -199,13 +60,13 @@
 		}
 	}
 	pools := newPools(t, 1, 0)
-	r := play(3, eight, loads, pools, time.Second, 40*time.Second, half)
+	r := play(3, eight, loads, pools, 40*time.Second, half)
 	limitBefore, limitAfter := r.limits[199], r.limits[len(r.limits)-1]
 	if limitAfter >= 4*eight.thrashAt || limitAfter >= limitBefore { // where 4 cores would thrash
 		t.Errorf("limit %.1f with 8 cores, %.1f with 4", limitBefore, limitAfter)
 	}
 	last := 0
-	for _, n := range r.perSecond[30:] {
+	for _, n := range r.servedBySecond[30:] {
 		last += n
 	}
 	if perSecond, capacity := float64(last)/10, 4/work.Seconds(); perSecond < 0.9*capacity {
@@ -224,9 +85,9 @@
 	}{{100, 0.95}, {200, 0.6}} {
 		loads := []load{{rate: c.slow, work: 40 * time.Millisecond, cv: 0.3}, {rate: 400, work: 5 * time.Millisecond, cv: 0.3}}
 		pools := newPools(t, 2, 0)
-		r := play(4, eight, loads, pools, time.Second, 30*time.Second, nil)
-		if float64(r.within[0]) < c.wantSlow*c.slow*30 || float64(r.within[1]) < 0.95*400*30 {
-			t.Errorf("%.0f slow a second: served within the patience %v of %v", c.slow, r.within,
+		r := play(4, eight, loads, pools, 30*time.Second, nil)
+		if float64(r.servedByClass[0]) < c.wantSlow*c.slow*30 || float64(r.servedByClass[1]) < 0.95*400*30 {
+			t.Errorf("%.0f slow a second: served within the patience %v of %v", c.slow, r.servedByClass,
 				[]float64{c.slow * 30, 400 * 30})
 		}
 		if pools.Capacity(0) == pools.Capacity(1) {
@@ -235,16 +96,16 @@
 	}
 }
 
-// TestReserve overloads the dear class four times: the cheapest, with a small
+// TestReserve overloads the expensive class four times: the cheapest, with a small
 // load of its own, is served in time throughout.
 func TestReserve(t *testing.T) {
 	loads := []load{
 		{rate: 4 * eight.cores / 0.02, work: 20 * time.Millisecond, cv: 0.5},
 		{rate: 20, work: 2 * time.Millisecond, cv: 0.3},
 	}
-	r := play(5, eight, loads, newPools(t, 2, 2), time.Second, 30*time.Second, nil)
-	if want := 20 * 30; float64(r.within[1]) < 0.95*float64(want) {
-		t.Errorf("the cheapest class: %d of about %d served in time", r.within[1], want)
+	r := play(5, eight, loads, newPools(t, 2, 2), 30*time.Second, nil)
+	if want := 20 * 30; float64(r.servedByClass[1]) < 0.95*float64(want) {
+		t.Errorf("the cheapest class: %d of about %d served in time", r.servedByClass[1], want)
 	}
 }
 
@@ -252,7 +113,7 @@
 // limit does not swing.
 func TestSteadyLimit(t *testing.T) {
 	loads := []load{{rate: 0.9 * eight.cores / 0.02, work: 20 * time.Millisecond, cv: 0.8}}
-	r := play(6, eight, loads, newPools(t, 1, 0), time.Second, 60*time.Second, nil)
+	r := play(6, eight, loads, newPools(t, 1, 0), 60*time.Second, nil)
 	last := r.limits[len(r.limits)/2:]
 	mean, sq := 0.0, 0.0
 	for _, l := range last {
@@ -266,8 +127,8 @@
 	}
 }
 
-// TestCopies has copies of a read that is in hand: they hold no slot, and the
-// limit does not learn their latency.
+// TestCopies has copies of a read that is in flight: they hold no slot, and the
+// limit does not follow their latency.
 func TestCopies(t *testing.T) {
 	p := newPools(t, 1, 0)
 	first, ok := p.TryAcquire(0, "kampanj-7")
@@ -298,22 +159,22 @@
 		}
 	}
 	if _, ok := p.TryAcquire(0, ""); ok {
-		t.Error("the dear class took a slot beyond all the limits")
+		t.Error("the expensive class took a slot beyond all the limits")
 	}
 	var reserved []Permit
 	for range 2 {
-		tk, ok := p.TryAcquire(1, "")
-		if !ok || !tk.reserved {
+		permit, ok := p.TryAcquire(1, "")
+		if !ok || permit.source != reservedSlot {
 			t.Fatalf("the cheapest class got no reserved slot: %t", ok)
 		}
-		reserved = append(reserved, tk)
+		reserved = append(reserved, permit)
 	}
 	if _, ok := p.TryAcquire(1, ""); ok {
 		t.Error("beyond the reserve")
 	}
 	p.Release(reserved[0], 0, false)
 	if _, ok := p.TryAcquire(1, ""); !ok {
-		t.Error("a reserved slot given back is not there again")
+		t.Error("a released reserved slot is not there again")
 	}
 }
 
@@ -323,13 +184,13 @@
 	p := newPools(t, 2, 0)
 	var taken []Permit
 	for range 8 {
-		tk, ok := p.TryAcquire(0, "")
+		permit, ok := p.TryAcquire(0, "")
 		if !ok {
 			t.Fatalf("after %d: the idle pool's slots are not lent", len(taken))
 		}
-		taken = append(taken, tk)
+		taken = append(taken, permit)
 	}
-	if _, ok := p.TryAcquire(0, ""); ok || !taken[7].borrowed || taken[3].borrowed {
+	if _, ok := p.TryAcquire(0, ""); ok || taken[7].source != borrowedSlot || taken[3].source == borrowedSlot {
 		t.Errorf("borrowed beyond both pools, or the wrong ones: %v", taken)
 	}
 	if _, ok := p.TryAcquire(1, ""); !ok {
@@ -350,3 +211,69 @@
 		t.Errorf("a class that came later: %d in flight, limit %v", p.InUse(3), p.Capacity(3))
 	}
 }
+
+// TestQueueOrder queues runs of two classes: those that were queued first start first,
+// whatever their class, and a cancelled one never.
+func TestQueueOrder(t *testing.T) {
+	p := newPools(t, 2, 0)
+	var permits []Permit
+	for class := range 2 {
+		for range 4 {
+			permit, ok := p.TryAcquire(class, "")
+			if !ok {
+				t.Fatalf("class %d: no slot below its limit", class)
+			}
+			permits = append(permits, permit)
+		}
+	}
+	for i, id := range []string{"first", "cancelled", "second", "third"} {
+		if !p.Enqueue(i%2, id, time.Duration(i), time.Second) {
+			t.Fatalf("%s is not queued", id)
+		}
+	}
+	p.Cancel(1, "cancelled")
+	p.Cancel(1, "unknown")
+	if p.Queued(0) != 2 || p.Queued(1) != 1 {
+		t.Errorf("%d and %d queued", p.Queued(0), p.Queued(1))
+	}
+	var started []string
+	for _, permit := range permits[1:4] { // of class 0: class 1 has no slot of its own free, and borrows
+		for _, admitted := range p.Release(permit, 0, false) {
+			started = append(started, admitted.ID)
+		}
+	}
+	if want := []string{"first", "second", "third"}; !slices.Equal(started, want) {
+		t.Errorf("started %v, want %v", started, want)
+	}
+}
+
+// TestPatience queues runs once a latency is known: only as many as start and end within
+// their patience.
+func TestPatience(t *testing.T) {
+	p := newPools(t, 1, 0)
+	permit, _ := p.TryAcquire(0, "")
+	p.Release(permit, time.Second, true)
+	const patience = 1500 * time.Millisecond // the run itself, and two queued at a limit of 4
+	for i, want := range []bool{true, true, false} {
+		if got := p.Enqueue(0, fmt.Sprint(i), 0, patience); got != want {
+			t.Errorf("with %d queued: %t, want %t", i, got, want)
+		}
+	}
+}
+
+// TestConfigError makes pools of configurations that make no sense.
+func TestConfigError(t *testing.T) {
+	classes := []Class{{Name: "a"}}
+	for want, config := range map[string]Config{
+		"limits: configuration: no classes":                       {},
+		"limits: configuration: start 0.5, most 1000, reserve 0":  {Classes: classes, InitialLimit: 0.5},
+		"limits: configuration: start 2000, most 1000, reserve 0": {Classes: classes, InitialLimit: 2000},
+		"limits: configuration: start 4, most 1000, reserve -1":   {Classes: classes, ReservedSlots: -1},
+	} {
+		_, err := New(config)
+		var configError *ConfigError
+		if !errors.As(err, &configError) || err.Error() != want {
+			t.Errorf("%v, want a *ConfigError %q", err, want)
+		}
+	}
+}
