--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// TestBounded repeats a line 25 times in a second, with 10 let through: 10 are
-// written, and the count of the others before the next one.
-func TestBounded(t *testing.T) {
+// TestRateLimit repeats a line 25 times in a second, at most 10 of which are allowed: 10
+// are written, and the count of the others before the next one.
+func TestRateLimit(t *testing.T) {
 	var out bytes.Buffer
 	level := new(slog.LevelVar)
-	l := New(&out, Text, level, 10)
+	logger := New(&out, Text, level, 10)
 	at := time.Unix(1_800_000_000, 0)
 	write := func(when time.Time, msg string) {
 		r := slog.NewRecord(when, slog.LevelWarn, msg, 0)
 		r.AddAttrs(slog.String("key", "k1"))
-		if err := l.Handler().Handle(context.Background(), r); err != nil {
+		if err := logger.Handler().Handle(context.Background(), r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -35,12 +35,31 @@
 	}
 	out.Reset()
 	level.Set(slog.LevelError)
-	l.Warn("quiet")
+	logger.Warn("quiet")
 	if out.Len() != 0 {
 		t.Errorf("below the level: %q", out.String())
 	}
 }
 
+// TestRateLimitSharesCounts counts a message over all loggers that are made of one.
+func TestRateLimitSharesCounts(t *testing.T) {
+	var out bytes.Buffer
+	logger := New(&out, Text, slog.LevelInfo, 1)
+	at := time.Unix(1_800_000_000, 0)
+	for _, handler := range []slog.Handler{
+		logger.Handler(),
+		logger.Handler().WithAttrs([]slog.Attr{slog.String("part", "a")}),
+		logger.Handler().WithGroup("group"),
+	} {
+		if err := handler.Handle(t.Context(), slog.NewRecord(at, slog.LevelInfo, "drain", 0)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if n := strings.Count(out.String(), "event=drain"); n != 1 {
+		t.Errorf("%d lines, want 1:\n%s", n, out.String())
+	}
+}
+
 func TestJSON(t *testing.T) {
 	var out bytes.Buffer
 	New(&out, JSON, slog.LevelInfo, 0).Info("drain", "stop_in", "3s")
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -7,77 +7,77 @@
 	"time"
 )
 
-// queuedLines is how many lines wait for a sink at most.
-const queuedLines = 2048
+// maxQueuedLines is how many lines are queued for a sink at most.
+const maxQueuedLines = 2048
 
-// Writer passes lines on to a sink from a goroutine of its own, so that whoever logs never
-// waits for one that is slow or stands still, as a full pipe does that nobody reads. Lines
-// for which there is no room are dropped, and counted: a line event=log_lines_dropped
-// count=N tells of them once the sink takes lines again.
+// Writer passes lines on to a sink in a goroutine of its own, so that a logger never blocks
+// on a sink that is slow or blocked, as a full pipe is that nobody reads. Lines that don't
+// fit in its queue are dropped and counted: a line event=log_lines_dropped count=N reports
+// them once the sink accepts lines again.
 type Writer struct {
 	sink    io.Writer
 	format  Format
-	lines   chan line
+	queue   chan queuedItem
 	dropped atomic.Int64
 }
 
-// line is one to write, or a request to be told that those before it are written.
-type line struct {
-	text    []byte
-	written chan<- struct{}
+// queuedItem is a line to write, or a request to report that those before it are written.
+type queuedItem struct {
+	line    []byte
+	written chan<- struct{} // of a request; nil for a line
 }
 
 // NewWriter makes a writer of lines in a format. It works until the process ends.
 func NewWriter(sink io.Writer, format Format) *Writer {
-	w := &Writer{sink: sink, format: format, lines: make(chan line, queuedLines)}
+	w := &Writer{sink: sink, format: format, queue: make(chan queuedItem, maxQueuedLines)}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It never waits and never fails.
+// Write implements io.Writer. It never blocks and never fails.
 func (w *Writer) Write(p []byte) (int, error) {
 	select {
-	case w.lines <- line{text: append([]byte(nil), p...)}:
+	case w.queue <- queuedItem{line: append([]byte(nil), p...)}:
 	default:
 		w.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
-// Flush waits until what was written before is passed on, for a bounded time. It reports
-// whether it is.
-func (w *Writer) Flush(within time.Duration) bool {
+// Flush waits until the lines written before are passed on, for at most a timeout. It
+// reports whether they are.
+func (w *Writer) Flush(timeout time.Duration) bool {
 	written := make(chan struct{})
-	timeout := time.After(within)
+	expired := time.After(timeout)
 	select {
-	case w.lines <- line{written: written}:
-	case <-timeout:
+	case w.queue <- queuedItem{written: written}:
+	case <-expired:
 		return false
 	}
 	select {
 	case <-written:
 		return true
-	case <-timeout:
+	case <-expired:
 		return false
 	}
 }
 
 func (w *Writer) run() {
-	for l := range w.lines {
-		if l.written != nil {
-			close(l.written)
+	for item := range w.queue {
+		if item.written != nil {
+			close(item.written)
 			continue
 		}
-		_, _ = w.sink.Write(l.text) // there is nobody to tell
-		if n := w.dropped.Swap(0); n > 0 {
-			_, _ = io.WriteString(w.sink, w.droppedLine(n)) // likewise
+		_, _ = w.sink.Write(item.line) // an error can't be reported anywhere
+		if dropped := w.dropped.Swap(0); dropped > 0 {
+			_, _ = io.WriteString(w.sink, w.droppedLine(dropped)) // likewise
 		}
 	}
 }
 
-func (w *Writer) droppedLine(n int64) string {
+func (w *Writer) droppedLine(count int64) string {
 	if w.format == JSON {
-		return fmt.Sprintf(`{"level":"WARN","msg":"log_lines_dropped","count":%d}`+"\n", n)
+		return fmt.Sprintf(`{"level":"WARN","msg":"%s","count":%d}`+"\n", eventLinesDropped, count)
 	}
-	return fmt.Sprintf("level=WARN event=log_lines_dropped count=%d\n", n)
+	return fmt.Sprintf("level=WARN event=%s count=%d\n", eventLinesDropped, count)
 }
--- a/logging/writer_test.go
+++ b/logging/writer_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// TestWriterNeverWaits: a sink that stands still holds up nobody who logs. What there was
-// room for is written once it goes on, and then how many lines were dropped.
-func TestWriterNeverWaits(t *testing.T) {
+// TestWriterNeverBlocks: a blocked sink does not block a logger. What there was
+// room for is written once it accepts lines again, and then how many lines were dropped.
+func TestWriterNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader, sink := io.Pipe()
 		w := NewWriter(sink, Text)
 		const excess = 5
-		for range 1 + queuedLines + excess { // one is in the sink's hands
+		for range 1 + maxQueuedLines + excess { // one is being written
 			if _, err := w.Write([]byte("line\n")); err != nil {
 				t.Fatal(err)
 			}
 			synctest.Wait()
 		}
 		if w.Flush(time.Second) {
-			t.Error("it has flushed into a sink that stands still")
+			t.Error("flushed into a blocked sink")
 		}
 		got := make(chan string)
 		go func() {
@@ -30,16 +30,16 @@
 			got <- string(text)
 		}()
 		if !w.Flush(time.Second) {
-			t.Error("it has not flushed though the sink goes on")
+			t.Error("not flushed though the sink accepts lines again")
 		}
-		_ = sink.Close() // a pipe's end never fails to close
+		_ = sink.Close() // closing a pipe never fails
 		text := <-got
-		if n := strings.Count(text, "line\n"); n != 1+queuedLines {
-			t.Errorf("%d lines were written, want %d", n, 1+queuedLines)
+		if n := strings.Count(text, "line\n"); n != 1+maxQueuedLines {
+			t.Errorf("%d lines were written, want %d", n, 1+maxQueuedLines)
 		}
 		if !strings.Contains(text, "event=log_lines_dropped count=5\n") {
-			t.Errorf("no word of what was dropped: %q", text[len(text)-100:])
+			t.Errorf("the dropped lines are not reported: %q", text[len(text)-100:])
 		}
-		close(w.lines)
+		close(w.queue)
 	})
 }
