--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -5,25 +5,30 @@
 	"time"
 )
 
-// stepped gives a clock whose Unix time was stepped just now: the clock was made so
-// much earlier than it says.
+// tolerance bounds how long a test may take between two readings of a clock.
+const tolerance = 100 * time.Millisecond
+
+// stepped returns a clock whose Unix time was stepped just now: its timeline starts that
+// much earlier.
 func stepped(by time.Duration) *Clock {
 	c := New()
-	c.unix -= by
+	c.originUnix -= by
 	return c
 }
 
-func near(a, b time.Duration) bool { return (a - b).Abs() < 10*time.Second/100 }
+func near(a, b time.Duration) bool { return (a - b).Abs() < tolerance }
 
+// TestSteps steps Unix time: the step is observed once, and times of this process and of
+// peers are converted rightly.
 func TestSteps(t *testing.T) {
 	for _, by := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		c := stepped(by)
 		now := c.Now()
 		if step := c.Observe(); !near(step, by) {
-			t.Errorf("%v: noticed %v", by, step)
+			t.Errorf("%v: observed %v", by, step)
 		}
 		if step := c.Observe(); step != 0 {
-			t.Errorf("%v: noticed %v again", by, step)
+			t.Errorf("%v: observed %v again", by, step)
 		}
 		if at := c.At(time.Now()); !near(at, now) {
 			t.Errorf("%v: a time of this process is off by %v", by, at-now)
@@ -52,23 +57,23 @@
 	}
 }
 
-// TestReceived_OffsetsAreForgotten: after a few steps an old offset counts no more, and
-// one that comes back is known once.
+// TestReceived_OffsetsAreForgotten: after a few steps an old offset is forgotten, and one
+// that comes back is remembered once.
 func TestReceived_OffsetsAreForgotten(t *testing.T) {
 	c := New()
-	for step := range 2 * remembered {
-		c.unix -= time.Duration(step+1) * time.Minute
+	for step := range 2 * maxOffsets {
+		c.originUnix -= time.Duration(step+1) * time.Minute
 		c.Observe()
 	}
-	if len(c.offsets) != remembered {
-		t.Errorf("%d offsets are remembered, want %d", len(c.offsets), remembered)
+	if len(c.offsets) != maxOffsets {
+		t.Errorf("%d offsets are remembered, want %d", len(c.offsets), maxOffsets)
 	}
-	c.unix += 2 * remembered * time.Minute
+	c.originUnix += 2 * maxOffsets * time.Minute
 	c.Observe()
-	c.unix -= 2 * remembered * time.Minute
+	c.originUnix -= 2 * maxOffsets * time.Minute
 	c.Observe()
-	if len(c.offsets) != remembered {
-		t.Errorf("%d offsets are remembered, want %d", len(c.offsets), remembered)
+	if len(c.offsets) != maxOffsets {
+		t.Errorf("%d offsets are remembered, want %d", len(c.offsets), maxOffsets)
 	}
 	old := time.Now().Round(0).Add(-10 * time.Hour)
 	if at := c.Received(old); c.Now()-at < 9*time.Hour {
