--- a/match/bench_test.go
+++ b/match/bench_test.go
@@ -8,9 +8,9 @@
 	"quincerail.example/quincerail/describe"
 )
 
-// twenty is a partner's rule set of 20 rules: paths with a method, a prefix and
-// a header, the last one by the body; and the same as routes for the table.
-func twenty() (string, describe.Routes, []Request) {
+// twentyRules is a rule set of 20 rules, as a partner would have it: 19 by method and path,
+// with a key's header, and one by the body; and the same as routes for the table.
+func twentyRules() (string, describe.Routes, []Request) {
 	var b strings.Builder
 	var routes describe.Routes
 	var requests []Request
@@ -34,10 +34,10 @@
 	return b.String(), routes, requests
 }
 
-// BenchmarkClassify compares the rules with today's table of routes and a
-// header's lookup, over requests that each rule takes in turn.
+// BenchmarkClassify compares the rules with the table of routes and a header's lookup, over
+// requests that each rule matches in turn.
 func BenchmarkClassify(b *testing.B) {
-	text, routes, requests := twenty()
+	text, routes, requests := twentyRules()
 	s := mustParse(b, text)
 	b.Run("rules", func(b *testing.B) {
 		b.ReportAllocs()
--- a/match/describe.go
+++ b/match/describe.go
@@ -1,71 +1,91 @@
 package match
 
 import (
+	"cmp"
 	"fmt"
+	"net/http"
 	"strings"
 
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/describe"
 )
 
-// Against names where a description and the rules disagree. For each route of
-// the description it makes a request of the route's method and path (a
-// parameter is "x"; the key's header is "k") and classifies it: the rules come
-// first, so a rule that takes the route's requests with another class, or with
-// no key for a keyed class, overrides the description, and is named; so is a
-// rule that the description says takes a route but does not, or is not there.
-// Nothing is applied; the caller decides what to do with a disagreement.
+// Values in the request that is made of a route.
+const (
+	sampleKey     = "k"
+	sampleSegment = "x" // for a parameter of the path
+)
+
+// Against describes where a service's description and the rules disagree. For each route of
+// the description it makes a request of the route's method and path and classifies it. The
+// rules come before the description's routes, so it reports
+//
+//   - a rule that matches the route's request with another class, or without a key for a
+//     keyed class;
+//   - a rule that the description names for the route and that does not match, or does not
+//     exist.
+//
+// Nothing is applied: the caller decides what to do about a disagreement.
 func (s *Set) Against(d *describe.Document) []string {
 	keyed := map[string]bool{}
-	for _, c := range d.Classes {
-		keyed[c.Name] = c.Effect == decision.Keyed
+	for _, class := range d.Classes {
+		keyed[class.Name] = class.Effect == decision.Keyed
 	}
-	var found []string
+	var disagreements []string
 	for _, route := range d.Routes {
-		r := Request{
-			Front: "http", Method: route.Method, Path: fill(route.Path),
-			Headers: map[string]string{strings.ToLower(route.KeyHeader): "k"},
+		if text := s.compare(route, keyed[route.Class]); text != "" {
+			disagreements = append(disagreements, text)
 		}
-		if r.Method == "" {
-			r.Method = "GET"
-		}
-		at := fmt.Sprintf("%s %s", r.Method, route.Path)
-		res, ok := s.Classify(r)
-		switch {
-		case route.Rule != "" && !s.has(route.Rule):
-			found = append(found, fmt.Sprintf("%s: the description names rule %q, which is not among the rules", at, route.Rule))
-		case route.Rule != "" && (!ok || res.Rule != route.Rule):
-			taker := "no rule"
-			if ok {
-				taker = fmt.Sprintf("rule %q", res.Rule)
-			}
-			found = append(found, fmt.Sprintf("%s: the description names rule %q, but %s takes it", at, route.Rule, taker))
-		case ok && res.Class != route.Class:
-			found = append(found, fmt.Sprintf("%s: rule %q gives class %q, the description %q", at, res.Rule, res.Class,
-				route.Class))
-		case ok && keyed[route.Class] && res.Key == "":
-			found = append(found, fmt.Sprintf("%s: rule %q gives no key to the keyed class %q", at, res.Rule, route.Class))
+	}
+	return disagreements
+}
+
+// compare describes how the rules disagree with a route, or returns "" if they don't.
+func (s *Set) compare(route describe.Route, keyed bool) string {
+	request := sampleRequest(route)
+	at := fmt.Sprintf("%s %s", request.Method, route.Path)
+	result, matched := s.Classify(request)
+	switch {
+	case route.Rule != "" && !s.hasRule(route.Rule):
+		return fmt.Sprintf("%s: the description names rule %q, which is not among the rules", at, route.Rule)
+	case route.Rule != "" && (!matched || result.Rule != route.Rule):
+		taker := "no rule"
+		if matched {
+			taker = fmt.Sprintf("rule %q", result.Rule)
 		}
+		return fmt.Sprintf("%s: the description names rule %q, but %s takes it", at, route.Rule, taker)
+	case matched && result.Class != route.Class:
+		return fmt.Sprintf("%s: rule %q gives class %q, the description %q", at, result.Rule, result.Class, route.Class)
+	case matched && keyed && result.Key == "":
+		return fmt.Sprintf("%s: rule %q gives no key to the keyed class %q", at, result.Rule, route.Class)
 	}
-	return found
+	return ""
 }
 
-func (s *Set) has(name string) bool {
-	for _, c := range s.rules {
-		if c.Name == name {
-			return true
+// sampleRequest makes a request of a route.
+func sampleRequest(route describe.Route) Request {
+	return Request{
+		Front: defaultFront, Method: cmp.Or(route.Method, http.MethodGet), Path: samplePath(route.Path),
+		Headers: map[string]string{strings.ToLower(route.KeyHeader): sampleKey},
+	}
+}
+
+// samplePath makes a path of a pattern.
+func samplePath(pattern string) string {
+	segments := strings.Split(pattern, "/")
+	for i, segment := range segments {
+		if strings.HasPrefix(segment, "{") && strings.HasSuffix(segment, "}") {
+			segments[i] = sampleSegment
 		}
 	}
-	return false
+	return strings.Join(segments, "/")
 }
 
-// fill gives a path of a pattern, with "x" for each parameter.
-func fill(pattern string) string {
-	segs := strings.Split(pattern, "/")
-	for i, seg := range segs {
-		if strings.HasPrefix(seg, "{") && strings.HasSuffix(seg, "}") {
-			segs[i] = "x"
+func (s *Set) hasRule(name string) bool {
+	for _, rule := range s.rules {
+		if rule.Name == name {
+			return true
 		}
 	}
-	return strings.Join(segs, "/")
+	return false
 }
--- a/match/describe_test.go
+++ b/match/describe_test.go
@@ -7,8 +7,8 @@
 	"quincerail.example/quincerail/describe"
 )
 
-// TestAgainst feeds a description that contradicts the rules on purpose: every
-// conflict is named, and nothing else.
+// TestAgainst compares rules with a description that contradicts them: every disagreement is
+// described, and nothing else.
 func TestAgainst(t *testing.T) {
 	doc, err := describe.Load([]byte(`{
   "openapi": "3.0.3", "info": {"title": "t", "version": "1"},
--- a/match/env.go
+++ b/match/env.go
@@ -12,23 +12,41 @@
 	"github.com/tidwall/gjson"
 )
 
-// bodyCost is the cost of one body.json or body.has_json at most: gjson reads
-// the body once, which the estimate counts as a tenth of a unit a byte, as CEL
-// counts its own string functions.
-const bodyCost = maxBody / 10
+// The variables of a rule.
+const (
+	varFront   = "front"
+	varMethod  = "method"
+	varPath    = "path"
+	varHeaders = "headers"
+	varBody    = "body"
+)
+
+// The member functions of the body.
+const (
+	funcJSON    = "json"
+	funcHasJSON = "has_json"
+)
+
+// maxNameBytes bounds the names of frontends and methods, for the cost estimate.
+const maxNameBytes = 16
+
+// maxBodyCost is the cost of one body.json or body.has_json at most: gjson reads the body
+// once, which the estimate counts as a tenth of a unit a byte, as CEL counts its own string
+// functions.
+const maxBodyCost = maxBodyBytes / 10
 
-// newEnv gives the environment of every rule: the request's variables, the
-// body's accessors, and limits on the size and nesting of expressions.
+// newEnv returns the environment of every rule: the request's variables, the body's
+// accessors, and limits on the size and nesting of expressions.
 func newEnv() (*cel.Env, error) {
 	return cel.NewEnv(
-		cel.Variable("front", cel.StringType),
-		cel.Variable("method", cel.StringType),
-		cel.Variable("path", cel.StringType),
-		cel.Variable("headers", cel.MapType(cel.StringType, cel.StringType)),
-		cel.Variable("body", cel.BytesType),
-		cel.Function("json", cel.MemberOverload("bytes_json_string", []*cel.Type{cel.BytesType, cel.StringType},
+		cel.Variable(varFront, cel.StringType),
+		cel.Variable(varMethod, cel.StringType),
+		cel.Variable(varPath, cel.StringType),
+		cel.Variable(varHeaders, cel.MapType(cel.StringType, cel.StringType)),
+		cel.Variable(varBody, cel.BytesType),
+		cel.Function(funcJSON, cel.MemberOverload("bytes_json_string", []*cel.Type{cel.BytesType, cel.StringType},
 			cel.StringType, cel.BinaryBinding(bodyJSON))),
-		cel.Function("has_json", cel.MemberOverload("bytes_has_json_string",
+		cel.Function(funcHasJSON, cel.MemberOverload("bytes_has_json_string",
 			[]*cel.Type{cel.BytesType, cel.StringType}, cel.BoolType, cel.BinaryBinding(bodyHasJSON))),
 		cel.OptionalTypes(),
 		cel.ASTValidators(cel.ValidateComprehensionNestingLimit(maxNesting)),
@@ -37,39 +55,60 @@
 	)
 }
 
-// bodyJSON is body.json(path): the value at path as a string, an error where
-// there is none.
+// bodyJSON implements body.json(path): the value at path as a string, or an error if there
+// is none.
 func bodyJSON(body, path ref.Val) ref.Val {
-	b, p := body.(types.Bytes), path.(types.String)
-	v := gjson.GetBytes([]byte(b), string(p))
-	if !v.Exists() {
-		return types.NewErr("body has no %q", string(p))
+	value, err := lookupJSON(body, path)
+	switch {
+	case err != nil:
+		return err
+	case !value.Exists():
+		return types.NewErr("body has no %q", path.Value())
 	}
-	return types.String(v.String())
+	return types.String(value.String())
 }
 
+// bodyHasJSON implements body.has_json(path): whether there is a value at path.
 func bodyHasJSON(body, path ref.Val) ref.Val {
-	return types.Bool(gjson.GetBytes([]byte(body.(types.Bytes)), string(path.(types.String))).Exists())
+	value, err := lookupJSON(body, path)
+	if err != nil {
+		return err
+	}
+	return types.Bool(value.Exists())
 }
 
-// activation gives a request's variables to a program.
+// lookupJSON returns the value at a path of the body. err is nil unless the arguments are of
+// other types than the overload's, which CEL checks before.
+func lookupJSON(body, path ref.Val) (value gjson.Result, err ref.Val) {
+	bytes, ok := body.(types.Bytes)
+	if !ok {
+		return gjson.Result{}, types.MaybeNoSuchOverloadErr(body)
+	}
+	text, ok := path.(types.String)
+	if !ok {
+		return gjson.Result{}, types.MaybeNoSuchOverloadErr(path)
+	}
+	return gjson.GetBytes(bytes, string(text)), nil
+}
+
+// activation has a request's variables for a program.
 type activation struct{ r Request }
 
 // ResolveName implements interpreter.Activation.
 func (a *activation) ResolveName(name string) (any, bool) {
 	switch name {
-	case "front":
+	case varFront:
 		return a.r.Front, true
-	case "method":
+	case varMethod:
 		return a.r.Method, true
-	case "path":
+	case varPath:
 		return a.r.Path, true
-	case "headers":
+	case varHeaders:
 		if a.r.Headers == nil {
 			return map[string]string{}, true
 		}
 		return a.r.Headers, true
-	case "body":
+	case varBody:
 		return a.r.Body, true
 	}
 	return nil, false
@@ -78,7 +117,7 @@
 // Parent implements interpreter.Activation.
 func (a *activation) Parent() interpreter.Activation { return nil }
 
-// estimator bounds what the cost estimate can't know of the variables.
+// estimator bounds the sizes of the variables, which the cost estimate can't know.
 type estimator struct{}
 
 // EstimateSize implements cost.Estimator.
@@ -87,42 +126,50 @@
 	if len(path) == 0 {
 		return nil
 	}
-	var size cost.SizeEstimate
 	switch strings.Join(path, ".") {
-	case "front", "method":
-		size = cost.RangedSizeEstimate(0, 16)
-	case "path":
-		size = cost.RangedSizeEstimate(0, maxPath)
-	case "headers":
-		size = cost.RangedSizeEstimate(0, maxHeaders)
-	case "headers.@keys", "headers.@values":
-		size = cost.RangedSizeEstimate(0, maxHeaderBytes)
-	case "body":
-		size = cost.RangedSizeEstimate(0, maxBody)
-	default:
-		return nil
+	case varFront, varMethod:
+		return atMost(maxNameBytes)
+	case varPath:
+		return atMost(maxPathBytes)
+	case varHeaders:
+		return atMost(maxHeaders)
+	case varHeaders + ".@keys", varHeaders + ".@values":
+		return atMost(maxHeaderBytes)
+	case varBody:
+		return atMost(maxBodyBytes)
 	}
-	return &size
+	return nil
+}
+
+func atMost(size uint64) *cost.SizeEstimate {
+	estimate := cost.RangedSizeEstimate(0, size)
+	return &estimate
 }
 
 // EstimateCallCost implements cost.Estimator.
 func (estimator) EstimateCallCost(function, _ string, _ *cost.AstNode, _ []cost.AstNode) *cost.CallEstimate {
 	switch function {
-	case "json":
-		size := cost.RangedSizeEstimate(0, maxBody)
-		return &cost.CallEstimate{CostEstimate: cost.RangedCostEstimate(1, bodyCost), ResultSize: &size}
-	case "has_json":
-		return &cost.CallEstimate{CostEstimate: cost.RangedCostEstimate(1, bodyCost)}
+	case funcJSON:
+		return &cost.CallEstimate{CostEstimate: cost.RangedCostEstimate(1, maxBodyCost), ResultSize: atMost(maxBodyBytes)}
+	case funcHasJSON:
+		return &cost.CallEstimate{CostEstimate: cost.RangedCostEstimate(1, maxBodyCost)}
 	}
 	return nil
 }
 
-// constant gives the value of an expression that is one string literal.
-func constant(a *cel.Ast) (string, bool) {
-	e := a.NativeRep().Expr()
+// constant returns the value of an expression that is one string literal.
+func constant(checked *cel.Ast) (string, bool) { return literal(checked.NativeRep().Expr()) }
+
+// literal returns the value of a string literal.
+func literal(e ast.Expr) (string, bool) {
 	if e.Kind() != ast.LiteralKind {
 		return "", false
 	}
 	s, ok := e.AsLiteral().(types.String)
 	return string(s), ok
 }
+
+// isVariable reports whether an expression is a variable of that name.
+func isVariable(e ast.Expr, name string) bool {
+	return e.Kind() == ast.IdentKind && e.AsIdent() == name
+}
--- a/match/file.go
+++ b/match/file.go
@@ -20,19 +20,18 @@
 	Rules   []Rule `toml:"rule"`
 }
 
-// Parse reads the rules of a file's text and compiles them for the classes.
-// A key that the file's form does not know is refused, as a misspelt one
-// would be ignored.
+// Parse reads the rules of a file's text and compiles them for the classes. An unknown key
+// is an error, since a misspelt one would be ignored.
 func Parse(text string, classes []string) (*Set, error) {
-	var f File
-	md, err := toml.Decode(text, &f)
+	var file File
+	metadata, err := toml.Decode(text, &file)
 	if err != nil {
 		return nil, fmt.Errorf("match: %w", err)
 	}
-	if unknown := md.Undecoded(); len(unknown) > 0 {
+	if unknown := metadata.Undecoded(); len(unknown) > 0 {
 		return nil, fmt.Errorf("match: %s: no such key", unknown[0])
 	}
-	return Compile(f.Rules, Options{Classes: classes, MaxCost: f.MaxCost})
+	return Compile(file.Rules, Options{Classes: classes, MaxCost: file.MaxCost})
 }
 
 // Load reads and compiles a rule file.
--- a/match/fronts.go
+++ b/match/fronts.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// The fronts' views of a request, made the same way on each, so that one rule
-// file classifies alike whatever the request came over.
+// The frontends make a Request in the same way, so that one rule file classifies alike
+// whatever protocol the request came over.
 
-// FromHTTP gives the view of an HTTP request with its body read: header names
-// in lower case, the first value of each.
+// FromHTTP makes a Request of an HTTP request whose body is read: with header names in lower
+// case, and the first value of each.
 func FromHTTP(r *http.Request, body []byte) Request {
 	headers := make(map[string]string, len(r.Header))
 	for name, values := range r.Header {
@@ -20,9 +20,9 @@
 	return Request{Front: "http", Method: r.Method, Path: r.URL.Path, Headers: headers, Body: body}
 }
 
-// CGIHeader gives the header name of a CGI variable as uwsgi brings them:
-// HTTP_IDEMPOTENCY_KEY is idempotency-key, and CONTENT_TYPE and CONTENT_LENGTH
-// are headers too; false for the others.
+// CGIHeader returns the header name of a CGI variable, as uwsgi has them:
+// HTTP_IDEMPOTENCY_KEY is idempotency-key, and CONTENT_TYPE and CONTENT_LENGTH are headers
+// too; false for other variables.
 func CGIHeader(variable string) (string, bool) {
 	name, ok := strings.CutPrefix(variable, "HTTP_")
 	if !ok && variable != "CONTENT_TYPE" && variable != "CONTENT_LENGTH" {
@@ -34,7 +34,7 @@
 	return strings.ToLower(strings.ReplaceAll(name, "_", "-")), true
 }
 
-// FromFields gives the view of a Thrift call: its fields are its headers.
+// FromFields makes a Request of a Thrift call: its fields are the headers.
 func FromFields(fields map[string]string, body []byte) Request {
 	return Request{Front: "thrift", Headers: fields, Body: body}
 }
--- a/match/index.go
+++ b/match/index.go
@@ -4,41 +4,42 @@
 	"iter"
 
 	"cel.dev/cel-go/common/ast"
+	"cel.dev/cel-go/common/operators"
 )
 
-// index keeps, for the rules whose match requires one path (path == "..." among
-// the conjunctions at its top), which those are, so that a request is tried
-// against the rules of its own path and those that require none, not all; in
-// their order, so that the first that takes it still wins. BenchmarkClassify
-// measures it.
+// index finds the rules that may match a request by its path: a rule whose match requires
+// one path (path == "..." among its top-level conjunctions) is evaluated for requests of
+// that path alone. Rules keep their order, so that the first that matches still wins.
+// BenchmarkClassify measures it.
 type index struct {
-	byPath map[string][]int // rules that require the path, in order
-	free   []int            // rules that require no path, in order
+	byPath  map[string][]int // rules that require the path, in order
+	anyPath []int            // rules that require none, in order
 }
 
-func newIndex(rules []compiled) index {
+func newIndex(rules []compiledRule) index {
 	x := index{byPath: map[string][]int{}}
-	for i, c := range rules {
-		if path, ok := requiredPath(c.matchAST.NativeRep().Expr()); ok {
+	for i, rule := range rules {
+		if path, ok := requiredPath(rule.matchAST.NativeRep().Expr()); ok {
 			x.byPath[path] = append(x.byPath[path], i)
 		} else {
-			x.free = append(x.free, i)
+			x.anyPath = append(x.anyPath, i)
 		}
 	}
 	return x
 }
 
-// candidates gives the rules that may take a request of the path, in order.
+// candidates yields the rules that may match a request of the path, in order: it merges the
+// two lists.
 func (x index) candidates(path string) iter.Seq[int] {
 	own := x.byPath[path]
 	return func(yield func(int) bool) {
 		i, j := 0, 0
-		for i < len(own) || j < len(x.free) {
+		for i < len(own) || j < len(x.anyPath) {
 			var next int
-			if j == len(x.free) || i < len(own) && own[i] < x.free[j] {
+			if j == len(x.anyPath) || i < len(own) && own[i] < x.anyPath[j] {
 				next, i = own[i], i+1
 			} else {
-				next, j = x.free[j], j+1
+				next, j = x.anyPath[j], j+1
 			}
 			if !yield(next) {
 				return
@@ -47,7 +48,7 @@
 	}
 }
 
-// requiredPath gives the path that an expression can be true for alone.
+// requiredPath returns the only path for which an expression can be true.
 func requiredPath(e ast.Expr) (string, bool) {
 	if e.Kind() != ast.CallKind {
 		return "", false
@@ -55,14 +56,14 @@
 	call := e.AsCall()
 	args := call.Args()
 	switch call.FunctionName() {
-	case "_&&_":
+	case operators.LogicalAnd:
 		if path, ok := requiredPath(args[0]); ok {
 			return path, true
 		}
 		return requiredPath(args[1])
-	case "_==_":
+	case operators.Equals:
 		for side := range 2 {
-			if isIdent(args[side], "path") {
+			if isVariable(args[side], varPath) {
 				return literal(args[1-side])
 			}
 		}
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -9,6 +9,8 @@
 	"testing"
 
 	"cel.dev/cel-go/cel"
+	"cel.dev/cel-go/common/types"
+	"cel.dev/cel-go/common/types/ref"
 )
 
 var classes = []string{"kampanjsida", "givarhistorik", "ny-gava"}
@@ -96,8 +98,8 @@
 	}
 }
 
-// TestRefused has rules that must not be used: each problem is named, with the
-// rule, the field and, where the parser knows it, the place.
+// TestRefused compiles rules that must not be used: each problem is reported with the rule,
+// the field and, if the parser knows it, the position.
 func TestRefused(t *testing.T) {
 	deep := strings.Repeat("(", 60) + "true" + strings.Repeat(")", 60)
 	for _, c := range []struct {
@@ -134,7 +136,7 @@
 			t.Errorf("%s: got %v, want %q", c.rule.Name, err, c.want)
 		}
 	}
-	// One bad rule refuses the file; all problems are named.
+	// One invalid rule rejects the file; all problems are reported.
 	_, err := Compile([]Rule{{Name: "a", Match: "true", Class: `"ny-gava"`}, {Name: "a", Match: "1", Class: "2"}},
 		Options{Classes: classes})
 	if le := (*LoadError)(nil); !errors.As(err, &le) || len(le.Problems) != 3 {
@@ -142,18 +144,18 @@
 	}
 }
 
-// adversarial are requests as large as the estimate takes them to be.
-func adversarial() []Request {
+// largestRequests are requests as large as the cost estimate assumes.
+func largestRequests() []Request {
 	headers := map[string]string{}
 	for i := range maxHeaders {
 		headers[fmt.Sprintf("h%03d", i)] = strings.Repeat("v", maxHeaderBytes)
 	}
 	headers["idempotency-key"], headers["verb"], headers["unique"] = "k", "ny-gava", "u"
-	body := fmt.Appendf(nil, `{"belopp": "5000", "id": "%s"}`, strings.Repeat("i", maxBody-40))
+	body := fmt.Appendf(nil, `{"belopp": "5000", "id": "%s"}`, strings.Repeat("i", maxBodyBytes-40))
 	return []Request{
 		{Front: "http", Method: "POST", Path: "/gavor", Headers: headers, Body: body},
-		{Front: "thrift", Path: "/givare/" + strings.Repeat("p", maxPath-20) + "/historik", Headers: headers},
-		{Front: "uwsgi", Path: "/kampanjer/" + strings.Repeat("p", maxPath-20), Headers: headers, Body: body},
+		{Front: "thrift", Path: "/givare/" + strings.Repeat("p", maxPathBytes-20) + "/historik", Headers: headers},
+		{Front: "uwsgi", Path: "/kampanjer/" + strings.Repeat("p", maxPathBytes-20), Headers: headers, Body: body},
 	}
 }
 
@@ -180,7 +182,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, r := range adversarial() {
+			for _, r := range largestRequests() {
 				_, details, _ := p.Eval(&activation{r})
 				if got := *details.ActualCost(); got > estimate.Max || estimate.Max > s.maxCost {
 					t.Errorf("%s: %q cost %d, estimated %d, bound %d", c.Name, field, got, estimate.Max, s.maxCost)
@@ -215,8 +217,8 @@
 	}
 }
 
-// TestReplace classifies requests while the set is replaced: each is classified
-// by one version, whole, and says which.
+// TestReplace classifies requests while the set is replaced: each is classified by one
+// version, which its result has.
 func TestReplace(t *testing.T) {
 	var rs Rules
 	set := func(class string) *Set {
@@ -254,6 +256,50 @@
 	}
 }
 
+// TestValueError evaluates fields whose values are of another type than checked.
+func TestValueError(t *testing.T) {
+	env, err := newEnv()
+	if err != nil {
+		t.Fatal(err)
+	}
+	checked, issues := env.Compile("size(path)")
+	if issues.Err() != nil {
+		t.Fatal(issues.Err())
+	}
+	program, err := env.Program(checked)
+	if err != nil {
+		t.Fatal(err)
+	}
+	rule := compiledRule{match: program, class: program}
+	_, matchErr := rule.matches(&activation{})
+	_, classErr := evalString(rule.class, &activation{})
+	for _, err := range []error{matchErr, classErr} {
+		var valueError *ValueError
+		if !errors.As(err, &valueError) || err.Error() != "match: a value of type int" {
+			t.Errorf("%v, want a *ValueError of int", err)
+		}
+	}
+}
+
+// TestBodyFunctions calls the body's functions with values that the checker would not let
+// through: the result is an error, and no panic.
+func TestBodyFunctions(t *testing.T) {
+	body, path := types.Bytes(`{"a": 1}`), types.String("a")
+	for _, function := range []func(body, path ref.Val) ref.Val{bodyJSON, bodyHasJSON} {
+		for _, result := range []ref.Val{function(path, path), function(body, body)} {
+			if !types.IsError(result) {
+				t.Errorf("%v, want an error", result)
+			}
+		}
+	}
+	if got := bodyJSON(body, path); got.Equal(types.String("1")) != types.True {
+		t.Errorf("body.json: %v", got)
+	}
+	if got := bodyHasJSON(body, path); got != types.True {
+		t.Errorf("body.has_json: %v", got)
+	}
+}
+
 func TestParse(t *testing.T) {
 	if _, err := Parse("[[rule]]\nname = 'a'\nmatch = 'true'\nclass = '\"ny-gava\"'\nklass = 'x'", classes); err == nil ||
 		!strings.Contains(err.Error(), "rule.klass: no such key") {
@@ -261,10 +307,10 @@
 	}
 }
 
-// linear classifies as Classify would without the index: every rule in order.
-func (s *Set) linear(r Request) (string, bool) {
+// classifyLinearly classifies as Classify would without the index: by every rule in order.
+func (s *Set) classifyLinearly(r Request) (string, bool) {
 	for i := range s.rules {
-		if ok, err := evalBool(s.rules[i].match, &activation{r}); err == nil && ok {
+		if matched, err := s.rules[i].matches(&activation{r}); err == nil && matched {
 			return s.rules[i].Name, true
 		}
 	}
@@ -274,7 +320,7 @@
 // TestIndex has random rule sets, some requiring a path and some not, classify
 // random requests as they would without the index (seeded, the same every time).
 func TestIndex(t *testing.T) {
-	rng := rand.New(rand.NewSource(3))
+	random := rand.New(rand.NewSource(3))
 	paths := []string{"/a", "/b", "/c", "/"}
 	forms := []string{
 		`path == "%s"`, `path == "%s" && method == "POST"`, `method == "POST" && path == "%s"`,
@@ -282,8 +328,8 @@
 	}
 	for range 200 {
 		var rules []Rule
-		for i := range 1 + rng.Intn(8) {
-			match := fmt.Sprintf(forms[rng.Intn(len(forms))], paths[rng.Intn(len(paths))])
+		for i := range 1 + random.Intn(8) {
+			match := fmt.Sprintf(forms[random.Intn(len(forms))], paths[random.Intn(len(paths))])
 			rules = append(rules, Rule{Name: fmt.Sprint("r", i), Match: match, Class: `"ny-gava"`})
 		}
 		s, err := Compile(rules, Options{Classes: classes})
@@ -291,12 +337,12 @@
 			t.Fatal(err)
 		}
 		for range 20 {
-			r := Request{Front: "http", Method: []string{"GET", "POST"}[rng.Intn(2)], Path: paths[rng.Intn(len(paths))]}
-			if rng.Intn(2) == 0 {
+			r := Request{Front: "http", Method: []string{"GET", "POST"}[random.Intn(2)], Path: paths[random.Intn(len(paths))]}
+			if random.Intn(2) == 0 {
 				r.Headers = map[string]string{"x": "1"}
 			}
 			got, gotOK := s.Classify(r)
-			want, wantOK := s.linear(r)
+			want, wantOK := s.classifyLinearly(r)
 			if got.Rule != want || gotOK != wantOK {
 				t.Fatalf("%+v in %v: got %q, want %q", r, rules, got.Rule, want)
 			}
