--- a/describe/asyncapi.go
+++ b/describe/asyncapi.go
@@ -2,52 +2,68 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
+	"net/http"
 	"strings"
 
 	"github.com/tidwall/gjson"
 )
 
-// AsyncAPI reads an AsyncAPI 3 document in JSON. An operation that the service
-// receives and that has a class is a route: its path is its channel's address,
-// its method that of its HTTP binding, POST where it has none.
+// channelPrefix begins the references to a document's channels.
+const channelPrefix = "#/channels/"
+
+// jsonPointer decodes the escapes of a JSON pointer (RFC 6901).
+var jsonPointer = strings.NewReplacer("~1", "/", "~0", "~")
+
+// AsyncAPI reads an AsyncAPI 3 document in JSON. An operation that the service receives and
+// that has a class is a route: its path is its channel's address, its method that of its
+// HTTP binding, or POST if it has none.
 func AsyncAPI(text []byte) (*Document, error) {
 	if !gjson.ValidBytes(text) {
-		return nil, fmt.Errorf("AsyncAPI document: not JSON")
+		return nil, errors.New("AsyncAPI document: not JSON")
 	}
 	root := gjson.ParseBytes(text)
-	if v := root.Get("asyncapi").String(); !strings.HasPrefix(v, "3.") {
-		return nil, fmt.Errorf("AsyncAPI document: version %q, 3 wanted", v)
+	if version := root.Get("asyncapi").String(); !strings.HasPrefix(version, "3.") {
+		return nil, fmt.Errorf("AsyncAPI document: version %q, 3 wanted", version)
+	}
+	classes, err := decodeClasses(root.Get(extClasses))
+	if err != nil {
+		return nil, err
+	}
+	d := &Document{Classes: classes}
+	if d.Routes, err = decodeOperations(root); err != nil {
+		return nil, err
 	}
-	d := &Document{}
-	var err error
-	if d.Classes, err = classes(root.Get(extClasses)); err != nil {
+	if err := d.validate(); err != nil {
 		return nil, err
 	}
-	root.Get("operations").ForEach(func(name, op gjson.Result) bool {
-		class := op.Get(extClass).String()
-		if class == "" || op.Get("action").String() != "receive" {
+	return d, nil
+}
+
+// decodeOperations reads the routes of an AsyncAPI document.
+func decodeOperations(root gjson.Result) (routes Routes, err error) {
+	channels := root.Get("channels").Map()
+	root.Get("operations").ForEach(func(name, operation gjson.Result) bool {
+		class := operation.Get(extClass).String()
+		if class == "" || operation.Get("action").String() != "receive" {
 			return true
 		}
-		ref := op.Get("channel.$ref").String()
-		id, ok := strings.CutPrefix(ref, "#/channels/")
-		id = strings.NewReplacer("~1", "/", "~0", "~").Replace(id) // as a JSON pointer has it
-		channel := root.Get("channels").Map()[id]
+		reference := operation.Get("channel.$ref").String()
+		id, ok := strings.CutPrefix(reference, channelPrefix)
+		channel := channels[jsonPointer.Replace(id)]
 		if !ok || !channel.Exists() {
-			err = fmt.Errorf("AsyncAPI document: operations.%s: channel %q is not there", name, ref)
+			err = fmt.Errorf("AsyncAPI document: operations.%s: channel %q is not there", name, reference)
 			return false
 		}
-		d.Routes = append(d.Routes, Route{
-			Method:    strings.ToUpper(cmp.Or(op.Get("bindings.http.method").String(), "POST")),
+		routes = append(routes, Route{
+			Method:    strings.ToUpper(cmp.Or(operation.Get("bindings.http.method").String(), http.MethodPost)),
 			Path:      channel.Get("address").String(),
 			Class:     class,
-			KeyHeader: cmp.Or(op.Get(extKey).String(), DefaultKeyHeader),
-			Rule:      op.Get(extRule).String(),
+			KeyHeader: cmp.Or(operation.Get(extKey).String(), DefaultKeyHeader),
+			Rule:      operation.Get(extRule).String(),
 		})
 		return true
 	})
-	if err != nil {
-		return nil, err
-	}
-	return d.check()
+	return routes, err
 }
--- a/describe/describe_test.go
+++ b/describe/describe_test.go
@@ -1,6 +1,7 @@
 package describe
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -11,7 +12,8 @@
 	"quincerail.example/quincerail/decision"
 )
 
-func load(t *testing.T, name string) string {
+// readDocument reads a document of testdata.
+func readDocument(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -20,6 +22,7 @@
 	return string(text)
 }
 
+// TestDocuments reads a document of each kind: its routes, and its last class.
 func TestDocuments(t *testing.T) {
 	for name, want := range map[string]Routes{
 		"openapi.json": {
@@ -32,7 +35,7 @@
 			{"PUT", "/kvitton", "ny-gava", "X-Kvitto", ""},
 		},
 	} {
-		d, err := Load([]byte(load(t, name)))
+		d, err := Load([]byte(readDocument(t, name)))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -50,11 +53,13 @@
 	}
 }
 
+// TestMatch finds routes in the list and in the table.
 func TestMatch(t *testing.T) {
-	d, err := Load([]byte(load(t, "openapi.json")))
+	d, err := Load([]byte(readDocument(t, "openapi.json")))
 	if err != nil {
 		t.Fatal(err)
 	}
+	table := d.Routes.Compile()
 	for _, x := range []struct{ method, path, want string }{
 		{"GET", "/kampanjer/jul", "/kampanjer/{kampanj}"},
 		{"GET", "/kampanjer/alla", "/kampanjer/alla"},
@@ -67,9 +72,13 @@
 		if r, ok := d.Routes.Match(x.method, x.path); ok != (x.want != "") || r.Path != x.want {
 			t.Errorf("%s %s: %q, %t, want %q", x.method, x.path, r.Path, ok, x.want)
 		}
+		if r, ok := table.Match(x.method, x.path); ok != (x.want != "") || r.Path != x.want {
+			t.Errorf("%s %s: %q, %t in the table, want %q", x.method, x.path, r.Path, ok, x.want)
+		}
 	}
 }
 
+// TestFaults changes one place of a document: the error names it.
 func TestFaults(t *testing.T) {
 	for _, x := range []struct{ file, old, new, want string }{
 		{"openapi.json", `"x-quincerail-class": "ny-gava"`, `"x-quincerail-class": "gava"`, `class "gava"`},
@@ -77,6 +86,7 @@
 		{"openapi.json", `"deadline_ms": 6900`, `"deadline_ms": 900`, "ny-gava.deadline_ms"},
 		{"openapi.json", `"window_ms": 20706`, `"window_ms": 0`, "ny-gava.window_ms"},
 		{"openapi.json", `"effect": "keyed"`, `"effect": "once"`, "ny-gava.effect"},
+		{"openapi.json", `"aim_ms": 1800`, `"aim_ms": "soon"`, "x-quincerail-classes.ny-gava.aim_ms: a time wanted"},
 		{"openapi.json", `"openapi"`, `"swagger"`, "neither"},
 		{"openapi.json", `"title": "Gåvor", `, ``, "OpenAPI document"},
 		{"openapi.json", `{`, `[`, "not a JSON"},
@@ -84,9 +94,19 @@
 		{"asyncapi.json", `"#/channels/gavor"`, `"#/channels/pengar"`, "operations.taEmotGava"},
 		{"asyncapi.json", `"address": "/gavor"`, `"address": "gavor"`, "begin with /"},
 	} {
-		text := strings.Replace(load(t, x.file), x.old, x.new, 1)
+		text := strings.Replace(readDocument(t, x.file), x.old, x.new, 1)
 		if _, err := Load([]byte(text)); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s with %s: error %v, want %q in it", x.file, x.new, err, x.want)
 		}
 	}
 }
+
+// TestClassError reads a class without a window: the error has the class and the key.
+func TestClassError(t *testing.T) {
+	text := strings.Replace(readDocument(t, "asyncapi.json"), `"window_ms": 20706`, `"window_ms": 0`, 1)
+	_, err := Load([]byte(text))
+	var classError *ClassError
+	if !errors.As(err, &classError) || classError.Class != "ny-gava" || classError.Key != "window_ms" {
+		t.Errorf("%v, want a *ClassError of ny-gava.window_ms", err)
+	}
+}
--- a/describe/openapi.go
+++ b/describe/openapi.go
@@ -9,33 +9,46 @@
 	"github.com/tidwall/gjson"
 )
 
-// OpenAPI reads an OpenAPI 3 document. Operations without a class are no routes.
+// OpenAPI reads an OpenAPI 3 document. An operation that has a class is a route.
 func OpenAPI(text []byte) (*Document, error) {
-	loader := openapi3.NewLoader() // external references stay off
-	doc, err := loader.LoadFromData(text)
+	loader := openapi3.NewLoader() // it follows no external references
+	parsed, err := loader.LoadFromData(text)
 	if err != nil {
 		return nil, fmt.Errorf("OpenAPI document: %w", err)
 	}
-	if err := doc.Validate(loader.Context); err != nil {
+	if err := parsed.Validate(loader.Context); err != nil {
 		return nil, fmt.Errorf("OpenAPI document: %w", err)
 	}
-	d := &Document{}
-	if d.Classes, err = classes(gjson.GetBytes(text, extClasses)); err != nil {
+	classes, err := decodeClasses(gjson.GetBytes(text, extClasses))
+	if err != nil {
+		return nil, err
+	}
+	d := &Document{Classes: classes, Routes: decodePaths(parsed)}
+	if err := d.validate(); err != nil {
 		return nil, err
 	}
-	for path, item := range doc.Paths.Map() {
-		for method, op := range item.Operations() {
-			class, ok := op.Extensions[extClass].(string)
+	return d, nil
+}
+
+// decodePaths reads the routes of an OpenAPI document, sorted by path and method.
+func decodePaths(parsed *openapi3.T) Routes {
+	var routes Routes
+	for path, item := range parsed.Paths.Map() {
+		for method, operation := range item.Operations() {
+			class, ok := operation.Extensions[extClass].(string)
 			if !ok {
 				continue
 			}
-			key, _ := op.Extensions[extKey].(string)
-			rule, _ := op.Extensions[extRule].(string)
-			d.Routes = append(d.Routes, Route{method, path, class, cmp.Or(key, DefaultKeyHeader), rule})
+			keyHeader, _ := operation.Extensions[extKey].(string)
+			rule, _ := operation.Extensions[extRule].(string)
+			routes = append(routes, Route{
+				Method: method, Path: path, Class: class,
+				KeyHeader: cmp.Or(keyHeader, DefaultKeyHeader), Rule: rule,
+			})
 		}
 	}
-	slices.SortFunc(d.Routes, func(a, b Route) int {
+	slices.SortFunc(routes, func(a, b Route) int {
 		return cmp.Or(cmp.Compare(a.Path, b.Path), cmp.Compare(a.Method, b.Method))
 	})
-	return d.check()
+	return routes
 }
--- a/describe/table.go
+++ b/describe/table.go
@@ -2,91 +2,98 @@
 
 import "strings"
 
-// Table finds the route of a request in a trie of path segments that is built
-// once from Routes. It gives what Routes.Match gives (the route with the most
-// fixed segments, the first of them in order where several tie), without
-// allocating and without splitting the path: a lookup costs the path's
-// segments times the branches that they can take, not the number of routes.
-// BenchmarkMatch measures it against Routes.Match. It is safe for concurrent
-// use, as it does not change once built.
+// Table finds the route of a request in a trie of path segments that is built once from
+// Routes. It finds the route that Routes.Match finds, without allocating and without
+// splitting the path: a lookup costs the path's segments times the branches that they can
+// take, not the number of routes. BenchmarkMatch compares the two. A Table does not change,
+// so it is safe for concurrent use.
 type Table struct {
 	routes Routes
 	root   node
 }
 
-// node is what is reached after some segments of a path.
+// node is what some segments of a path lead to.
 type node struct {
-	fixed  map[string]*node // by the next segment's text
-	param  *node            // for any next segment that is not empty
-	leaves []int            // routes whose pattern ends here, in their order
+	fixed     map[string]*node // by the text of the next segment
+	parameter *node            // for any next segment that is not empty
+	routes    []int            // whose pattern ends here, in their order
 }
 
-// Compile builds the table of routes.
+// Compile builds the table of the routes.
 func (rs Routes) Compile() *Table {
 	t := &Table{routes: rs}
-	for i, r := range rs {
+	for i, route := range rs {
 		n := &t.root
-		for seg := range strings.SplitSeq(r.Path, "/") {
-			if strings.HasPrefix(seg, "{") && strings.HasSuffix(seg, "}") {
-				if n.param == nil {
-					n.param = &node{}
-				}
-				n = n.param
-				continue
-			}
-			if n.fixed == nil {
-				n.fixed = map[string]*node{}
-			}
-			if n.fixed[seg] == nil {
-				n.fixed[seg] = &node{}
-			}
-			n = n.fixed[seg]
+		for segment := range strings.SplitSeq(route.Path, "/") {
+			n = n.child(segment)
 		}
-		n.leaves = append(n.leaves, i)
+		n.routes = append(n.routes, i)
 	}
 	return t
 }
 
-// Routes gives the routes that the table was built from.
+// child returns the node that a pattern's segment leads to, which it adds if there is none.
+func (n *node) child(segment string) *node {
+	if isParameter(segment) {
+		if n.parameter == nil {
+			n.parameter = &node{}
+		}
+		return n.parameter
+	}
+	if n.fixed == nil {
+		n.fixed = map[string]*node{}
+	}
+	if n.fixed[segment] == nil {
+		n.fixed[segment] = &node{}
+	}
+	return n.fixed[segment]
+}
+
+// Routes returns the routes that the table was built from.
 func (t *Table) Routes() Routes { return t.routes }
 
-// best is the best route found so far.
-type best struct {
-	route, fixed int
+// lookup is the search for a request's route.
+type lookup struct {
+	table  *Table
+	method string
+	route  int // the best one so far; -1 for none
+	fixed  int // its fixed segments
 }
 
-// Match gives the route of a method and a path.
+// Match returns the route of a method and a path.
 func (t *Table) Match(method, path string) (Route, bool) {
-	found := best{route: -1, fixed: -1}
-	t.walk(&t.root, method, path, 0, &found)
-	if found.route < 0 {
+	l := lookup{table: t, method: method, route: -1, fixed: -1}
+	l.visit(&t.root, path, 0)
+	if l.route < 0 {
 		return Route{}, false
 	}
-	return t.routes[found.route], true
+	return t.routes[l.route], true
 }
 
-// walk follows the segments of path from n, of which fixed were fixed so far.
-func (t *Table) walk(n *node, method, path string, fixed int, found *best) {
-	seg, rest, more := strings.Cut(path, "/")
-	if next := n.fixed[seg]; next != nil {
-		t.follow(next, method, rest, more, fixed+1, found)
+// visit follows the segments of path from a node that fixed fixed segments led to.
+func (l *lookup) visit(n *node, path string, fixed int) {
+	segment, rest, more := strings.Cut(path, "/")
+	if next := n.fixed[segment]; next != nil {
+		l.follow(next, rest, more, fixed+1)
 	}
-	if n.param != nil && seg != "" {
-		t.follow(n.param, method, rest, more, fixed, found)
+	if n.parameter != nil && segment != "" {
+		l.follow(n.parameter, rest, more, fixed)
 	}
 }
 
-func (t *Table) follow(n *node, method, rest string, more bool, fixed int, found *best) {
+// follow visits a node if the path has more segments, else considers the node's routes.
+func (l *lookup) follow(n *node, rest string, more bool, fixed int) {
 	if more {
-		t.walk(n, method, rest, fixed, found)
+		l.visit(n, rest, fixed)
 		return
 	}
-	for _, i := range n.leaves { // the first that takes the method is the earliest here
-		if r := t.routes[i]; r.Method == "" || strings.EqualFold(r.Method, method) {
-			if fixed > found.fixed || fixed == found.fixed && i < found.route {
-				*found = best{i, fixed}
-			}
-			return
+	for _, i := range n.routes {
+		if !l.table.routes[i].acceptsMethod(l.method) {
+			continue
+		}
+		if fixed > l.fixed || fixed == l.fixed && i < l.route {
+			l.route, l.fixed = i, fixed
 		}
+		return // the first route that accepts the method is the earliest of this node
 	}
 }
--- a/describe/table_test.go
+++ b/describe/table_test.go
@@ -9,41 +9,41 @@
 
 // randomRoutes makes routes of few segments from a small alphabet, so that
 // fixed and parameter segments, methods and trailing slashes collide often.
-func randomRoutes(rng *rand.Rand, n int) Routes {
+func randomRoutes(random *rand.Rand, n int) Routes {
 	words := []string{"a", "b", "c", "{x}", "{y}", ""}
 	methods := []string{"", "GET", "POST", "get"}
 	var rs Routes
 	for i := range n {
-		segs := []string{""}
-		for range 1 + rng.Intn(3) {
-			segs = append(segs, words[rng.Intn(len(words))])
+		segments := []string{""}
+		for range 1 + random.Intn(3) {
+			segments = append(segments, words[random.Intn(len(words))])
 		}
 		rs = append(rs, Route{
-			Method: methods[rng.Intn(len(methods))], Path: strings.Join(segs, "/"),
+			Method: methods[random.Intn(len(methods))], Path: strings.Join(segments, "/"),
 			Class: fmt.Sprint("c", i),
 		})
 	}
 	return rs
 }
 
-func randomPath(rng *rand.Rand) string {
+func randomPath(random *rand.Rand) string {
 	words := []string{"a", "b", "c", "d", ""}
-	segs := []string{""}
-	for range rng.Intn(5) {
-		segs = append(segs, words[rng.Intn(len(words))])
+	segments := []string{""}
+	for range random.Intn(5) {
+		segments = append(segments, words[random.Intn(len(words))])
 	}
-	return strings.Join(segs, "/")
+	return strings.Join(segments, "/")
 }
 
-// TestTableAsRoutes has the trie and the plain list find the same route for
-// many random tables and paths (seeded, the same every time).
+// TestTableAsRoutes finds the same routes in the trie and in the list, for many random
+// tables and paths (seeded, the same every time).
 func TestTableAsRoutes(t *testing.T) {
-	rng := rand.New(rand.NewSource(7))
+	random := rand.New(rand.NewSource(7))
 	for range 300 {
-		rs := randomRoutes(rng, 1+rng.Intn(12))
+		rs := randomRoutes(random, 1+random.Intn(12))
 		table := rs.Compile()
 		for range 50 {
-			method, path := []string{"GET", "POST", "PUT"}[rng.Intn(3)], randomPath(rng)
+			method, path := []string{"GET", "POST", "PUT"}[random.Intn(3)], randomPath(random)
 			want, wantOK := rs.Match(method, path)
 			got, gotOK := table.Match(method, path)
 			if got != want || gotOK != wantOK {
@@ -53,7 +53,7 @@
 	}
 }
 
-// benchRoutes is a table of a partner's size: 40 routes, half with a parameter.
+// benchRoutes are as many routes as a partner has: 40, half of them with a parameter.
 func benchRoutes() (Routes, []string) {
 	var rs Routes
 	var paths []string
