--- a/limits/pools_test.go
+++ b/limits/pools_test.go
@@ -22,21 +22,34 @@
 	return p
 }
 
-// eight is a machine of 8 cores that thrashes past 2 runs a core: at 4 runs a
-// core it gets half as much done.
-var eight = machine{cores: 8, thrashAt: 2, thrash: 0.25}
+// mustAcquire acquires slots for runs of a class, which have to be there.
+func mustAcquire(t *testing.T, p *Pools, class, runs int) []Permit {
+	t.Helper()
+	permits := make([]Permit, runs)
+	for i := range permits {
+		var ok bool
+		if permits[i], ok = p.TryAcquire(class, ""); !ok {
+			t.Fatalf("class %d: no slot for run %d of %d", class, i+1, runs)
+		}
+	}
+	return permits
+}
+
+// eightCores is a machine that thrashes beyond 2 runs a core: at 4 runs a core its
+// throughput is half of its best.
+var eightCores = machine{cores: 8, thrashAt: 2, thrash: 0.25}
 
 // TestTwiceCapacity offers twice what the machine can do: with the pools the
 // served stay within a tenth of the machine's peak, without them the machine
 // thrashes and serves far less within the patience.
 func TestTwiceCapacity(t *testing.T) {
 	const work = 20 * time.Millisecond
-	capacity := eight.cores / work.Seconds() // 400 a second at its best
+	capacity := eightCores.cores / work.Seconds() // 400 a second at its best
 	loads := []load{{rate: 2 * capacity, work: work, cv: 0.5}}
 	const span = 15 * time.Second
 	perSecond := func(r result) float64 { return float64(r.served) / span.Seconds() }
 	for _, seed := range []int64{1, 2} {
-		with := play(seed, eight, loads, newPools(t, 1, 0), span, nil)
+		with := play(seed, eightCores, loads, newPools(t, 1, 0), span, nil)
 		if got := perSecond(with); got < 0.9*capacity {
 			t.Errorf("seed %d: with the pools %.0f served a second, want at least 90%% of %.0f", seed, got, capacity)
 		}
@@ -44,7 +57,7 @@
 			t.Errorf("seed %d: nothing was shed at twice the capacity", seed)
 		}
 	}
-	if r := play(1, eight, loads, nil, 5*time.Second, nil); float64(r.served)/5 > 0.6*capacity {
+	if r := play(1, eightCores, loads, nil, 5*time.Second, nil); float64(r.served)/5 > 0.6*capacity {
 		t.Errorf("without them %.0f a second: the model does not thrash", float64(r.served)/5)
 	}
 }
@@ -53,16 +66,16 @@
 // follows, and what is served in time stays near what is left.
 func TestCapacityHalves(t *testing.T) {
 	const work = 20 * time.Millisecond
-	loads := []load{{rate: 1.5 * eight.cores / work.Seconds(), work: work, cv: 0.5}}
+	loads := []load{{rate: 1.5 * eightCores.cores / work.Seconds(), work: work, cv: 0.5}}
 	half := func(now time.Duration, m *machine) {
 		if now >= 20*time.Second {
 			m.cores = 4
 		}
 	}
 	pools := newPools(t, 1, 0)
-	r := play(3, eight, loads, pools, 40*time.Second, half)
+	r := play(3, eightCores, loads, pools, 40*time.Second, half)
 	limitBefore, limitAfter := r.limits[199], r.limits[len(r.limits)-1]
-	if limitAfter >= 4*eight.thrashAt || limitAfter >= limitBefore { // where 4 cores would thrash
+	if limitAfter >= 4*eightCores.thrashAt || limitAfter >= limitBefore { // where 4 cores would thrash
 		t.Errorf("limit %.1f with 8 cores, %.1f with 4", limitBefore, limitAfter)
 	}
 	last := 0
@@ -85,7 +98,7 @@
 	}{{100, 0.95}, {200, 0.6}} {
 		loads := []load{{rate: c.slow, work: 40 * time.Millisecond, cv: 0.3}, {rate: 400, work: 5 * time.Millisecond, cv: 0.3}}
 		pools := newPools(t, 2, 0)
-		r := play(4, eight, loads, pools, 30*time.Second, nil)
+		r := play(4, eightCores, loads, pools, 30*time.Second, nil)
 		if float64(r.servedByClass[0]) < c.wantSlow*c.slow*30 || float64(r.servedByClass[1]) < 0.95*400*30 {
 			t.Errorf("%.0f slow a second: served within the patience %v of %v", c.slow, r.servedByClass,
 				[]float64{c.slow * 30, 400 * 30})
@@ -100,10 +113,10 @@
 // load of its own, is served in time throughout.
 func TestReserve(t *testing.T) {
 	loads := []load{
-		{rate: 4 * eight.cores / 0.02, work: 20 * time.Millisecond, cv: 0.5},
+		{rate: 4 * eightCores.cores / 0.02, work: 20 * time.Millisecond, cv: 0.5},
 		{rate: 20, work: 2 * time.Millisecond, cv: 0.3},
 	}
-	r := play(5, eight, loads, newPools(t, 2, 2), 30*time.Second, nil)
+	r := play(5, eightCores, loads, newPools(t, 2, 2), 30*time.Second, nil)
 	if want := 20 * 30; float64(r.servedByClass[1]) < 0.95*float64(want) {
 		t.Errorf("the cheapest class: %d of about %d served in time", r.servedByClass[1], want)
 	}
@@ -112,8 +125,8 @@
 // TestSteadyLimit plays a steady load near the capacity with noisy work: the
 // limit does not swing.
 func TestSteadyLimit(t *testing.T) {
-	loads := []load{{rate: 0.9 * eight.cores / 0.02, work: 20 * time.Millisecond, cv: 0.8}}
-	r := play(6, eight, loads, newPools(t, 1, 0), 60*time.Second, nil)
+	loads := []load{{rate: 0.9 * eightCores.cores / 0.02, work: 20 * time.Millisecond, cv: 0.8}}
+	r := play(6, eightCores, loads, newPools(t, 1, 0), 60*time.Second, nil)
 	last := r.limits[len(r.limits)/2:]
 	mean, sq := 0.0, 0.0
 	for _, l := range last {
@@ -151,23 +164,16 @@
 // runs as the reserve holds, and no other class takes them.
 func TestReserveSlots(t *testing.T) {
 	p := newPools(t, 2, 2) // class 1 is the cheapest; each pool starts at 4
-	for c := range 2 {
-		for range 4 {
-			if _, ok := p.TryAcquire(c, ""); !ok {
-				t.Fatalf("class %d: no slot below its limit", c)
-			}
-		}
-	}
+	mustAcquire(t, p, 0, 4)
+	mustAcquire(t, p, 1, 4)
 	if _, ok := p.TryAcquire(0, ""); ok {
 		t.Error("the expensive class took a slot beyond all the limits")
 	}
-	var reserved []Permit
-	for range 2 {
-		permit, ok := p.TryAcquire(1, "")
-		if !ok || permit.source != reservedSlot {
-			t.Fatalf("the cheapest class got no reserved slot: %t", ok)
+	reserved := mustAcquire(t, p, 1, 2)
+	for _, permit := range reserved {
+		if permit.source != reservedSlot {
+			t.Fatalf("the cheapest class got no reserved slot: %+v", permit)
 		}
-		reserved = append(reserved, permit)
 	}
 	if _, ok := p.TryAcquire(1, ""); ok {
 		t.Error("beyond the reserve")
@@ -178,29 +184,22 @@
 	}
 }
 
-// TestBorrow has one pool idle: another takes its slots, and gives them back as
-// its own runs end.
+// TestBorrow has one pool idle: runs of another class borrow its slots, and return them as
+// they end.
 func TestBorrow(t *testing.T) {
 	p := newPools(t, 2, 0)
-	var taken []Permit
-	for range 8 {
-		permit, ok := p.TryAcquire(0, "")
-		if !ok {
-			t.Fatalf("after %d: the idle pool's slots are not lent", len(taken))
-		}
-		taken = append(taken, permit)
-	}
-	if _, ok := p.TryAcquire(0, ""); ok || taken[7].source != borrowedSlot || taken[3].source == borrowedSlot {
-		t.Errorf("borrowed beyond both pools, or the wrong ones: %v", taken)
+	permits := mustAcquire(t, p, 0, 8)
+	if _, ok := p.TryAcquire(0, ""); ok || permits[7].source != borrowedSlot || permits[3].source == borrowedSlot {
+		t.Errorf("borrowed beyond both pools, or the wrong ones: %v", permits)
 	}
 	if _, ok := p.TryAcquire(1, ""); !ok {
-		t.Error("the lender's own run waits for its own slot") // it may go over the sum, once
+		t.Error("a run gets no slot of its own pool because of borrowed ones") // the sum is exceeded by one
 	}
 	if !p.Enqueue(1, "later", 0, time.Second) {
-		t.Error("no room in the line")
+		t.Error("the run is not queued")
 	}
-	if next := p.Release(taken[7], time.Millisecond, true); len(next) != 1 || next[0].ID != "later" {
-		t.Errorf("what a borrowed slot's end lets begin: %v", next)
+	if next := p.Release(permits[7], time.Millisecond, true); len(next) != 1 || next[0].ID != "later" {
+		t.Errorf("a released borrowed slot admits %v", next)
 	}
 }
 
@@ -216,16 +215,8 @@
 // whatever their class, and a cancelled one never.
 func TestQueueOrder(t *testing.T) {
 	p := newPools(t, 2, 0)
-	var permits []Permit
-	for class := range 2 {
-		for range 4 {
-			permit, ok := p.TryAcquire(class, "")
-			if !ok {
-				t.Fatalf("class %d: no slot below its limit", class)
-			}
-			permits = append(permits, permit)
-		}
-	}
+	permits := mustAcquire(t, p, 0, 4)
+	mustAcquire(t, p, 1, 4)
 	for i, id := range []string{"first", "cancelled", "second", "third"} {
 		if !p.Enqueue(i%2, id, time.Duration(i), time.Second) {
 			t.Fatalf("%s is not queued", id)
@@ -237,7 +228,7 @@
 		t.Errorf("%d and %d queued", p.Queued(0), p.Queued(1))
 	}
 	var started []string
-	for _, permit := range permits[1:4] { // of class 0: class 1 has no slot of its own free, and borrows
+	for _, permit := range permits[1:] { // of class 0: the run of class 1 borrows its slot
 		for _, admitted := range p.Release(permit, 0, false) {
 			started = append(started, admitted.ID)
 		}
