--- a/idempotency/journal/journal.go
+++ b/idempotency/journal/journal.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/idempotency"
 	"quincerail.example/quincerail/store"
 )
 
@@ -40,17 +40,17 @@
 	return o
 }
 
-// Recovered is what Open found.
+// Recovered is what Open found in the directory.
 type Recovered struct {
-	States         []dispatch.KeyState // in no particular order
-	InDoubtUntil   time.Time           // until when unknown keys are in doubt; zero if they are not
-	TruncatedBytes int64               // of writes that never finished, cut off
+	States         []idempotency.KeyState // in no particular order
+	InDoubtUntil   time.Time              // until when unknown keys are in doubt; zero if they are not
+	TruncatedBytes int64                  // of writes that never finished, cut off
 }
 
 // Journal keeps states of keys durably. Its methods are safe for concurrent use.
 type Journal struct{ store *store.Store }
 
-var _ dispatch.Journal = (*Journal)(nil)
+var _ idempotency.Journal = (*Journal)(nil)
 
 // Open opens the journal in a directory, which it creates if it does not exist,
 // and recovers what it holds. Its errors are of type *OpenError.
@@ -84,15 +84,15 @@
 	}, nil
 }
 
-// Record implements dispatch.Journal. It keeps the state until the key's window
+// Record implements idempotency.Journal. It keeps the state until the key's window
 // ends. The errors that done is given are of type *RecordError.
-func (j *Journal) Record(state dispatch.KeyState, done func(error)) {
+func (j *Journal) Record(state idempotency.KeyState, done func(error)) {
 	value, err := json.Marshal(state)
 	if err != nil {
 		done(&RecordError{Key: state.Key, Err: err})
 		return
 	}
-	j.store.Put(keyPrefix+state.Key, value, state.ExpiresAt, func(err error) {
+	j.store.Put(keyRecordPrefix+state.Key, value, state.ExpiresAt, func(err error) {
 		if err != nil {
 			err = &RecordError{Key: state.Key, Err: err}
 		}
@@ -104,7 +104,7 @@
 // is durable.
 func (j *Journal) recordDoubt(until time.Time) error {
 	durable := make(chan error, 1)
-	j.store.Put(doubtName, nil, until, func(err error) { durable <- err })
+	j.store.Put(doubtRecordName, nil, until, func(err error) { durable <- err })
 	return <-durable
 }
 
@@ -122,7 +122,7 @@
 
 func logUnreadable(logger *slog.Logger, contents *Contents) {
 	for _, key := range contents.UnreadableKeys {
-		logger.Warn(eventRecordUnreadable, "key", keyPrefix+key)
+		logger.Warn(eventRecordUnreadable, "key", keyRecordPrefix+key)
 	}
 	for _, name := range contents.UnknownRecords {
 		logger.Warn(eventRecordUnreadable, "key", name)
