--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -15,19 +15,19 @@
 	earlier := ""
 	if a.Key != "" {
 		sum := sha256.Sum256(a.Payload.Body) // the same in every process, and none can be made to fit
-		a.body = binary.BigEndian.Uint64(sum[:])
-		if !c.keys.matches(a, c.kin) { // its result is not for this caller
-			c.answer(a, Outcome{Kind: Rejected})
+		a.bodyHash = binary.BigEndian.Uint64(sum[:])
+		if !c.keys.matches(a, c.sameRequestClass) { // its result is not for this caller
+			c.respond(a, Outcome{Kind: Rejected})
 			return
 		}
 		earlier = c.keys.enter(a)
 	}
 	r := decision.Request{
-		ID: a.ID, Class: a.class, Tenant: a.tenant, CacheKey: a.CacheKey, ReservedKB: a.ReservedKB, Rank: a.Rank, Caller: a.Caller,
-		Write: a.kind.Effect != decision.Idempotent, Waited: c.now - a.came, DuplicateOf: earlier,
+		ID: a.ID, Class: a.classIndex, Tenant: a.tenantIndex, CacheKey: a.CacheKey, ReservedKB: a.ReservedKB, Rank: a.Rank, Caller: a.Caller,
+		Write: a.classSettings.Effect != decision.Idempotent, Waited: c.now - a.readAfter, DuplicateOf: earlier,
 	}
-	if a.due != a.came+a.kind.Deadline { // the caller said that it waits less, or its time began before
-		r.Deadline = a.due
+	if a.deadline != a.readAfter+a.classSettings.Deadline { // the caller said that it waits less, or its time began before
+		r.Deadline = a.deadline
 	}
 	c.module.RequestReceived(c.now, r)
 }
@@ -36,8 +36,8 @@
 // a sink. No answer is owed. The sink keeps others from taking it back by its id.
 func (c *Core) CancelRequest(id string, s Responder) {
 	c.enqueue(func() {
-		if a := c.waiting(id, s); a != nil {
-			c.gone(a)
+		if a := c.unansweredAttempt(id, s); a != nil {
+			c.abandonAttempt(a)
 		}
 	})
 }
@@ -47,33 +47,33 @@
 // must not run a second time.
 func (c *Core) CallerDisconnected(id string, s Responder) {
 	c.enqueue(func() {
-		a := c.waiting(id, s)
+		a := c.unansweredAttempt(id, s)
 		switch {
 		case a == nil:
 		case a.entry != nil && a.begun:
 			a.answered = true // the module hears of its end as of any run's
-			c.open.Add(-1)
+			c.inFlight.Add(-1)
 		default:
-			c.gone(a)
+			c.abandonAttempt(a)
 		}
 	})
 }
 
-// waiting gives the attempt that was handed in with a sink, if it has no answer.
-func (c *Core) waiting(id string, s Responder) *attempt {
+// unansweredAttempt gives the attempt that was handed in with a sink, if it has no answer.
+func (c *Core) unansweredAttempt(id string, s Responder) *attempt {
 	if a := c.attempts[id]; a != nil && !a.answered && a.Responder == s {
 		return a
 	}
 	return nil
 }
 
-func (c *Core) gone(a *attempt) {
+func (c *Core) abandonAttempt(a *attempt) {
 	a.answered = true
-	c.open.Add(-1)
+	c.inFlight.Add(-1)
 	if c.module != nil {
 		c.module.CallerGone(c.now, a.ID)
 	}
-	c.release(a)
+	c.removeIfDone(a)
 }
 
 // host carries out the module's actions.
@@ -83,23 +83,23 @@
 func (h host) Shed(id string, stayAway time.Duration, last bool) {
 	if a := h.attempts[id]; a != nil {
 		if err := guard.MayShed(a.shedFacts()); err != nil { // an effect that may have been had is never denied
-			h.opt.Monitor.Denied(guard.FalsePromise, err, id)
-			h.answer(a, h.failure(a))
+			h.options.Monitor.Denied(guard.FalsePromise, err, id)
+			h.respond(a, h.failure(a))
 			return
 		}
-		h.answer(a, Outcome{Kind: Shed, RetryAfter: stayAway, NoRetryElsewhere: last})
+		h.respond(a, Outcome{Kind: Shed, RetryAfter: stayAway, NoRetryElsewhere: last})
 	}
 }
 
 // Fail answers a request with an error, at once.
 func (h host) Fail(id string) {
 	if a := h.attempts[id]; a != nil {
-		h.answer(a, h.failure(a))
+		h.respond(a, h.failure(a))
 	}
 }
 
 func (c *Core) failure(a *attempt) Outcome {
-	if c.now+c.set.DeadlineSlack >= a.due {
+	if c.now+c.settings.DeadlineSlack >= a.deadline {
 		return Outcome{Kind: TimedOut}
 	}
 	return Outcome{Kind: Failed}
@@ -110,17 +110,17 @@
 
 // PublishLoad changes the free value.
 func (h host) PublishLoad(value float64) {
-	if h.set.LoadReportMode != decision.LoadReportNone {
+	if h.settings.LoadReportMode != decision.LoadReportNone {
 		h.loadReport.Store(&value)
 	}
 }
 
 // SetIdleTimeout says how long connections may idle.
 func (h host) SetIdleTimeout(after time.Duration) {
-	if h.opt.Connections != nil {
-		h.opt.Connections.SetIdleTimeout(after)
+	if h.options.Connections != nil {
+		h.options.Connections.SetIdleTimeout(after)
 	}
 }
 
 // SetTimer sets a timer.
-func (h host) SetTimer(after time.Duration, token int64) { h.wake(after, token) }
+func (h host) SetTimer(after time.Duration, token int64) { h.scheduleTick(after, token) }
--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -10,54 +10,54 @@
 
 // Answer: the final answer is given and remembered.
 
-// answer gives a request its final answer. All answers go through here, which is
+// respond gives a request its final answer. All answers go through here, which is
 // what guards that there is one and no more.
-func (c *Core) answer(a *attempt, o Outcome) {
+func (c *Core) respond(a *attempt, o Outcome) {
 	if guard.MayAnswer(a.answered) != nil {
 		return
 	}
 	a.answered = true
-	c.logAnswer(a, o)
-	c.checkAnswer(a, o)
+	c.logResponse(a, o)
+	c.checkResponse(a, o)
 	a.Responder.Respond(a.ID, o)
-	c.open.Add(-1)
-	if c.opt.Observer != nil {
+	c.inFlight.Add(-1)
+	if c.options.Observer != nil {
 		repeat := o.Kind == Served && a.entry != nil && a.entry.ran != a.ID
 		class := a.Class
-		if _, taken := c.tuned.Load().classes.taken[class]; !taken {
+		if _, taken := c.currentSettings.Load().classes.indexOf[class]; !taken {
 			class = RemovedClass
 		}
-		c.opt.Observer.ObserveResponse(class, o.Kind, time.Duration(c.now-a.door), repeat)
+		c.options.Observer.ObserveResponse(class, o.Kind, time.Duration(c.now-a.arrivedAt), repeat)
 	}
-	c.release(a)
+	c.removeIfDone(a)
 }
 
-// logAnswer traces a request's final answer, at the level debug.
-func (c *Core) logAnswer(a *attempt, o Outcome) {
+// logResponse traces a request's final answer, at the level debug.
+func (c *Core) logResponse(a *attempt, o Outcome) {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	c.log.Debug("request_answered", "request", a.ID, "class", a.Class, "kind", o.Kind.String(),
-		"after", (c.now - a.door).Round(time.Millisecond).String(), "begun", a.begun, "ran", a.ran, "draining", c.draining)
+		"after", (c.now - a.arrivedAt).Round(time.Millisecond).String(), "begun", a.begun, "ran", a.mayHaveRun, "draining", c.draining)
 }
 
-// answerOverdue answers what the module has let pass its time, so that rule 1
+// respondOverdue answers what the module has let pass its time, so that rule 1
 // holds whatever it does. It hears nothing of a request whose id it still knows
 // from an earlier one, for example: a caller that uses an id again would wait
 // for ever.
-func (c *Core) answerOverdue() {
-	late := c.set.DeadlineSlack * 3 / 4 // the module's own guard comes at half of it
+func (c *Core) respondOverdue() {
+	late := c.settings.DeadlineSlack * 3 / 4 // the module's own guard comes at half of it
 	for id, a := range c.attempts {
-		if !a.answered && (c.now > a.due+late || c.stopAt != 0 && c.now > c.stopAt) {
-			c.answer(a, c.failure(a))
+		if !a.answered && (c.now > a.deadline+late || c.stopAt != 0 && c.now > c.stopAt) {
+			c.respond(a, c.failure(a))
 			c.module.CallerGone(c.now, id)
 		}
 	}
 }
 
-// release drops an attempt of which nothing more is to come. What still runs
+// removeIfDone drops an attempt of which nothing more is to come. What still runs
 // is remembered until its end is told.
-func (c *Core) release(a *attempt) {
+func (c *Core) removeIfDone(a *attempt) {
 	if !a.answered || a.begun || c.attempts[a.ID] != a {
 		return
 	}
@@ -70,7 +70,7 @@
 		c.recordRun(a, RunCancelled, Payload{})
 	}
 	for _, r := range c.keys.leave(a) {
-		c.deferredEvents = append(c.deferredEvents, func() { c.settleRepeat(r, e) })
+		c.deferredEvents = append(c.deferredEvents, func() { c.settleDuplicate(r, e) })
 	}
 }
 
@@ -93,10 +93,10 @@
 // waits for it. One that is lost leaves the claim in force, in doubt: its
 // repeats fail, and it never runs again within its window.
 func (c *Core) journal(e *entry, over bool) {
-	if c.opt.Journal != nil {
+	if c.options.Journal != nil {
 		k := c.state(e)
 		k.Completed = over
-		c.opt.Journal.Record(k, func(err error) {
+		c.options.Journal.Record(k, func(err error) {
 			if err != nil {
 				c.log.Warn("journal_failed", "key", k.Key, "error", err.Error())
 			}
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	mailbox      = 1024                  // events that wait; more hold up the connections that bring them
-	gaugesWithin = 20 * time.Millisecond // a tick does not wait longer for its gauges
-	trialWithin  = time.Second           // nor a deep health check for its work
-	noticeLate   = 30 * time.Millisecond // a crowded core may see the notice to leave so much later
-	stopMargin   = 250 * time.Millisecond
-	stallLogged  = 250 * time.Millisecond // a stall from which on it is logged
+	mailboxCapacity  = 1024                  // events that wait; more hold up the connections that bring them
+	maxGaugeWait     = 20 * time.Millisecond // a tick does not wait longer for its gauges
+	maxDeepCheckWait = time.Second           // nor a deep health check for its work
+	drainNoticeDelay = 30 * time.Millisecond // a crowded core may see the notice to leave so much later
+	stopMargin       = 250 * time.Millisecond
+	minLoggedStall   = 250 * time.Millisecond // a stall from which on it is logged
 )
 
 // ErrStopped is given to what comes after the core has ended.
@@ -90,18 +90,18 @@
 // Core carries out the module's decisions. Its methods may be called from any
 // goroutine while Run works; they only leave events.
 type Core struct {
-	opt    Options
-	first  map[string]bool        // names of the classes that were there from the start
-	tuned  atomic.Pointer[tuning] // for those that hand in; Run's goroutine replaces it
-	events chan func()
-	done   chan struct{}
-	clock  *clock.Clock
-	stalls stallWatch
+	options         Options
+	initialClasses  map[string]bool               // names of the classes that were there from the start
+	currentSettings atomic.Pointer[settingsTable] // for those that hand in; Run's goroutine replaces it
+	events          chan func()
+	done            chan struct{}
+	clock           *clock.Clock
+	stallDetector   stallDetector
 
 	inDoubtUntil time.Duration // Options.InDoubtUntil
 
 	// All below belongs to Run's goroutine.
-	set             decision.Settings // in force
+	settings        decision.Settings // in force
 	module          *policy.Instance
 	now             time.Duration // of the batch, on the clock's timeline
 	attempts        map[string]*attempt
@@ -118,34 +118,34 @@
 	pendingKeys     []*entry                // keys that a peer which has just come has not been told of
 	idle            chan struct{}           // closed once nothing is open; nil where nobody waits for that
 	draining        bool
-	holdUntil       time.Duration // nothing is begun before: a notice to leave may not have been seen yet
-	noticeAt        time.Duration // when the notice to leave came at the earliest
+	stallHoldUntil  time.Duration // nothing is begun before: a notice to leave may not have been seen yet
+	drainNoticeAt   time.Duration // when the notice to leave came at the earliest
 	graceEnd        time.Duration // of the drain
 	stopAt          time.Duration
 	pools           *limits.Pools // nil where runs are bound by the module alone
 	log             *slog.Logger
-	open            atomic.Int64 // requests handed in and not yet answered, for Open
+	inFlight        atomic.Int64 // requests handed in and not yet answered, for Open
 }
 
 // InFlight is the number of requests handed in and not answered yet. It may be
 // called from any goroutine.
-func (c *Core) InFlight() int64 { return c.open.Load() }
+func (c *Core) InFlight() int64 { return c.inFlight.Load() }
 
 // New makes a core. The error names the setting that makes no sense.
 func New(opt Options) (*Core, error) {
 	c := &Core{
-		opt: opt, first: make(map[string]bool), events: make(chan func(), mailbox),
+		options: opt, initialClasses: make(map[string]bool), events: make(chan func(), mailboxCapacity),
 		done: make(chan struct{}), clock: clock.New(), attempts: make(map[string]*attempt), keys: newKeyTable(opt.MaxKeyTableBytes), healthy: true,
 		gauges: decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}, log: opt.Logger,
 	}
 	if c.log == nil {
 		c.log = slog.Default()
 	}
-	if err := c.retune(opt.Settings, opt.Classes, opt.Tenants); err != nil {
+	if err := c.applySettings(opt.Settings, opt.Classes, opt.Tenants); err != nil {
 		return nil, err
 	}
 	for _, name := range opt.Classes {
-		c.first[name] = true
+		c.initialClasses[name] = true
 	}
 	if p := opt.Pools; p != nil {
 		cfg := limits.Config{Reserve: p.ReservedSlots, Start: p.InitialLimit}
@@ -239,21 +239,21 @@
 		if c.module != nil {
 			return
 		}
-		s := c.set
+		s := c.settings
 		s.SlowStart = cold
-		module, err := policy.New(s, c.opt.Seed, host{c})
+		module, err := policy.New(s, c.options.Seed, host{c})
 		if err != nil { // New has tried the same settings
 			c.log.Error("module_failed", "error", err.Error())
 			return
 		}
 		c.module = module
-		c.stalls.start()
+		c.stallDetector.start()
 		if c.bounds != nil {
 			c.module.SetFleetBounds(*c.bounds)
 		}
 		c.module.Decide(c.now - ago)
 		if c.draining {
-			c.module.Drain(c.noticeAt, c.stopAt)
+			c.module.Drain(c.drainNoticeAt, c.stopAt)
 		}
 	})
 }
@@ -270,13 +270,13 @@
 	})
 }
 
-// wake arranges the module's timer; it comes with the gauges of the moment, or
+// scheduleTick arranges the module's timer; it comes with the gauges of the moment, or
 // with the last ones if the machine is slow to tell.
-func (c *Core) wake(after time.Duration, token int64) {
+func (c *Core) scheduleTick(after time.Duration, token int64) {
 	time.AfterFunc(after, func() {
 		c.enqueue(func() {
-			c.answerOverdue()
-			if c.opt.Machine == nil {
+			c.respondOverdue()
+			if c.options.Machine == nil {
 				c.module.Tick(c.now, token, c.gauges)
 				return
 			}
@@ -287,8 +287,8 @@
 					c.module.Tick(c.now, token, c.gauges)
 				}
 			}
-			late := time.AfterFunc(gaugesWithin, func() { c.enqueue(tick) })
-			c.opt.Machine.ReadGauges(func(g decision.Gauges) {
+			late := time.AfterFunc(maxGaugeWait, func() { c.enqueue(tick) })
+			c.options.Machine.ReadGauges(func(g decision.Gauges) {
 				late.Stop()
 				c.enqueue(func() { c.gauges = g; tick() })
 			})
@@ -300,7 +300,7 @@
 // by a trial of the machine where the module has not settled it.
 func (c *Core) CheckHealth(deep bool, reply func(good bool)) error {
 	return c.enqueue(func() {
-		if !deep || c.healthCached || !c.ready() || c.opt.Machine == nil {
+		if !deep || c.healthCached || !c.ready() || c.options.Machine == nil {
 			reply(c.ready())
 			return
 		}
@@ -313,8 +313,8 @@
 				}
 			})
 		}
-		late := time.AfterFunc(trialWithin, func() { once(false) })
-		c.opt.Machine.CheckHealth(func(good bool) { late.Stop(); once(good) })
+		late := time.AfterFunc(maxDeepCheckWait, func() { once(false) })
+		c.options.Machine.CheckHealth(func(good bool) { late.Stop(); once(good) })
 	})
 }
 
@@ -326,19 +326,19 @@
 		if c.draining {
 			return
 		}
-		c.draining, c.noticeAt, c.stopAt = true, c.clock.At(notice), c.clock.At(stopAt.Add(-stopMargin))
-		c.graceEnd = c.noticeAt + c.set.DrainGrace
+		c.draining, c.drainNoticeAt, c.stopAt = true, c.clock.At(notice), c.clock.At(stopAt.Add(-stopMargin))
+		c.graceEnd = c.drainNoticeAt + c.settings.DrainGrace
 		if c.module == nil {
 			c.setHealth(false, true)
 			return
 		}
-		c.module.Drain(c.noticeAt, c.stopAt)
+		c.module.Drain(c.drainNoticeAt, c.stopAt)
 	})
 }
 
 func (c *Core) setHealth(on, stored bool) {
 	c.healthy, c.healthCached = on, stored
-	c.report()
+	c.reportToRegistrar()
 }
 
 // acceptsTraffic tells whether callers are to come whatever this server's health: not before
@@ -348,11 +348,11 @@
 // ready tells whether callers are to come.
 func (c *Core) ready() bool { return c.healthy && c.acceptsTraffic() }
 
-// report tells the list whether callers are to come. Where that does not follow a
+// reportToRegistrar tells the list whether callers are to come. Where that does not follow a
 // server's health, it knows only whether the server runs or drains.
-func (c *Core) report() {
-	if c.opt.Registrar != nil {
-		c.opt.Registrar.SetAccepting(c.acceptsTraffic() && (c.healthy || !c.set.ListFollowsHealth))
+func (c *Core) reportToRegistrar() {
+	if c.options.Registrar != nil {
+		c.options.Registrar.SetAccepting(c.acceptsTraffic() && (c.healthy || !c.settings.ListFollowsHealth))
 	}
 }
 
@@ -382,7 +382,7 @@
 	if c.trafficDisabled != on {
 		c.trafficDisabled = on
 		c.log.Info("away", "on", on)
-		c.report()
+		c.reportToRegistrar()
 	}
 }
 
--- a/dispatch/crossing_test.go
+++ b/dispatch/crossing_test.go
@@ -89,7 +89,7 @@
 	t.Helper()
 	gate, retuned := make(chan struct{}), make(chan error, 1)
 	p.enqueue(func() { <-gate })
-	p.enqueue(func() { retuned <- p.Core.retune(s, classes, tenants) })
+	p.enqueue(func() { retuned <- p.Core.applySettings(s, classes, tenants) })
 	read()
 	close(gate)
 	p.wait()
--- a/dispatch/keys.go
+++ b/dispatch/keys.go
@@ -51,7 +51,7 @@
 // request bring the same.
 func (t *keyTable) matches(a *attempt, kin func(a, b string) bool) bool {
 	e := t.entries[a.Key]
-	return e == nil || e.unused(a.door) || e.body == a.body && kin(e.class, a.Class)
+	return e == nil || e.unused(a.arrivedAt) || e.body == a.bodyHash && kin(e.class, a.Class)
 }
 
 // unused tells whether a try that came at a time may make the key its own.
@@ -61,13 +61,13 @@
 // has run within the window, or one that is still held.
 func (t *keyTable) enter(a *attempt) (earlier string) {
 	e := t.entry(a.Key)
-	if e.unused(a.door) {
+	if e.unused(a.arrivedAt) {
 		e.class = a.Class
 	}
-	e.body = a.body
+	e.body = a.bodyHash
 	a.entry = e
 	e.live++
-	if e.ranFor(a.door) {
+	if e.ranFor(a.arrivedAt) {
 		return e.ran
 	}
 	if !e.over {
@@ -115,7 +115,7 @@
 
 // keep makes a try the one that holds its key, where none that ran does.
 func (t *keyTable) keep(a *attempt) {
-	if e := a.entry; !e.ranFor(a.door) && e.over {
+	if e := a.entry; !e.ranFor(a.arrivedAt) && e.over {
 		e.holder, e.over = a.ID, false
 	}
 }
@@ -126,7 +126,7 @@
 	e := a.entry
 	t.drop(e)
 	e.holder, e.ran, e.over, e.remote = a.ID, a.ID, false, false
-	e.till = a.door + window + windowSlack
+	e.till = a.arrivedAt + window + windowSlack
 }
 
 // unclaim takes back the claim of a try that is proven never to have run.
--- a/dispatch/peer.go
+++ b/dispatch/peer.go
@@ -82,7 +82,7 @@
 		c.journal(e, e.over)
 	}
 	for _, r := range joined {
-		c.deferredEvents = append(c.deferredEvents, func() { c.settleRepeat(r, e) })
+		c.deferredEvents = append(c.deferredEvents, func() { c.settleDuplicate(r, e) })
 	}
 }
 
@@ -116,14 +116,14 @@
 	a.claiming = false
 	switch {
 	case granted && !a.answered:
-		c.send(a)
+		c.startOrWaitForSlot(a)
 	case granted: // given up meanwhile: it is not begun
-		c.completed(a.ID, RunNotStarted, 0, Payload{})
+		c.completeRun(a.ID, RunNotStarted, 0, Payload{})
 	default:
 		c.keys.unclaim(a)
 		a.begun = false
 		host{c}.ServeCached(a.ID)
-		c.release(a)
+		c.removeIfDone(a)
 	}
 }
 
--- a/dispatch/relay.go
+++ b/dispatch/relay.go
@@ -10,38 +10,38 @@
 
 // RunCompleted tells how a run ended.
 func (c *Core) RunCompleted(id string, end RunEnd, took time.Duration, result Payload) {
-	c.enqueue(func() { c.completed(id, end, took, result) })
+	c.enqueue(func() { c.completeRun(id, end, took, result) })
 }
 
-func (c *Core) completed(id string, end RunEnd, took time.Duration, result Payload) {
+func (c *Core) completeRun(id string, end RunEnd, took time.Duration, result Payload) {
 	a := c.attempts[id]
 	if a == nil || !a.begun {
 		return
 	}
-	c.endCall(a)
-	c.released(a, took, end == RunSucceeded)
+	c.dropCall(a)
+	c.releasePoolSlot(a, took, end == RunSucceeded)
 	a.pooled = false
-	if end == RunCancelled && a.halting && !a.answered && c.set.CancelMode == decision.CancelPause {
+	if end == RunCancelled && a.halting && !a.answered && c.settings.CancelMode == decision.CancelPause {
 		a.begun, a.paused = false, true // what it has of its key stays claimed
 		c.module.RunDone(c.now, id, decision.Cancelled, took)
 		return
 	}
 	if end == RunNotStarted {
-		a.ran = false
+		a.mayHaveRun = false
 	}
 	outcome := [...]decision.Outcome{RunSucceeded: decision.Succeeded, RunFailed: decision.Failed, RunCancelled: decision.Cancelled, RunNotStarted: decision.NotStarted}[end]
 	c.recordRun(a, end, result)
 	switch end {
 	case RunSucceeded:
-		c.answer(a, Outcome{Kind: Served, Result: result})
+		c.respond(a, Outcome{Kind: Served, Result: result})
 	case RunFailed, RunNotStarted:
 		o := c.failure(a)
 		o.Result = result
-		c.answer(a, o)
+		c.respond(a, o)
 	}
 	a.begun = false
 	c.module.RunDone(c.now, id, outcome, took)
-	c.release(a)
+	c.removeIfDone(a)
 }
 
 // CallRequested tells that a run waits for a call.
@@ -51,8 +51,8 @@
 		if a == nil || !a.begun || a.call != nil && a.call.notice >= notice {
 			return
 		}
-		c.endCall(a)
-		a.call = &call{notice: notice, body: body}
+		c.dropCall(a)
+		a.call = &downstreamCall{notice: notice, body: body}
 		c.module.CallNeeded(c.now, id)
 	})
 }
@@ -60,18 +60,18 @@
 // CallCompleted tells how the call of that number ended.
 func (c *Core) CallCompleted(id string, number int, end CallOutcome, reply []byte) {
 	c.enqueue(func() {
-		if a := c.attempts[id]; a != nil && a.call != nil && !a.call.givenUp {
-			c.called(a, number, end, reply)
+		if a := c.attempts[id]; a != nil && a.call != nil && !a.call.abandoned {
+			c.finishCall(a, number, end, reply)
 		}
 	})
 }
 
-func (c *Core) called(a *attempt, number int, end CallOutcome, reply []byte) {
+func (c *Core) finishCall(a *attempt, number int, end CallOutcome, reply []byte) {
 	k := a.call
-	if k == nil || !k.out || a.calls != number { // late: it was given up, and another may be out
+	if k == nil || !k.inFlight || a.callsMade != number { // late: it was given up, and another may be out
 		return
 	}
-	k.out, k.unseen = false, end == decision.Rejected || end == decision.ConnectFailed
+	k.inFlight, k.hadNoEffect = false, end == decision.Rejected || end == decision.ConnectFailed
 	if k.timer != nil {
 		k.timer.Stop()
 	}
@@ -79,21 +79,21 @@
 		a.call = nil
 		a.backend.ReplyToCall(a.ID, reply)
 	}
-	c.module.CallDone(c.now, a.ID, end, c.now-k.since)
+	c.module.CallDone(c.now, a.ID, end, c.now-k.startedAt)
 }
 
-// settleRepeat ends a repeat with what the try that ran came to.
-func (c *Core) settleRepeat(a *attempt, e *entry) {
+// settleDuplicate ends a repeat with what the try that ran came to.
+func (c *Core) settleDuplicate(a *attempt, e *entry) {
 	if a.answered {
 		return
 	}
 	outcome := decision.Failed
-	if e != nil && e.result != nil && e.body == a.body {
+	if e != nil && e.result != nil && e.body == a.bodyHash {
 		outcome = decision.Succeeded
-		c.answer(a, Outcome{Kind: Served, Result: *e.result})
+		c.respond(a, Outcome{Kind: Served, Result: *e.result})
 	} else {
-		c.answer(a, c.failure(a))
+		c.respond(a, c.failure(a))
 	}
 	c.module.RunDone(c.now, a.ID, outcome, 0)
-	c.release(a)
+	c.removeIfDone(a)
 }
--- a/dispatch/route.go
+++ b/dispatch/route.go
@@ -17,61 +17,61 @@
 	}
 	switch err := guard.MayStart(h.startFacts(a)); {
 	case errors.Is(err, guard.ErrAfterGrace):
-		h.opt.Monitor.Denied(guard.DrainStart, err, id)
+		h.options.Monitor.Denied(guard.DrainStart, err, id)
 		a.begun = true // so that the module hears that it never began
-		h.deferredEvents = append(h.deferredEvents, func() { h.turnAway(a) })
+		h.deferredEvents = append(h.deferredEvents, func() { h.shedUnstarted(a) })
 		return
 	case errors.Is(err, guard.ErrKeyRan):
-		h.opt.Monitor.Denied(guard.DuplicateRun, err, id)
+		h.options.Monitor.Denied(guard.DuplicateRun, err, id)
 		h.ServeCached(id)
 		return
 	case err != nil:
 		return
 	}
 	if a.paused { // its key is claimed, by itself
-		a.paused, a.halting, a.resuming = false, false, true
-		h.send(a)
+		a.paused, a.halting, a.resumed = false, false, true
+		h.startOrWaitForSlot(a)
 		return
 	}
 	if a.entry != nil {
-		h.keys.claim(a, a.kind.KeyWindow)
+		h.keys.claim(a, a.classSettings.KeyWindow)
 	}
-	if hold := h.holdUntil - h.now; hold > 0 {
+	if hold := h.stallHoldUntil - h.now; hold > 0 {
 		a.begun, a.held = true, true
-		time.AfterFunc(hold, func() { h.enqueue(func() { h.endHold(a) }) })
+		time.AfterFunc(hold, func() { h.enqueue(func() { h.endStallHold(a) }) })
 		return
 	}
-	h.claim(a)
+	h.recordClaim(a)
 }
 
-// endHold goes on with a run that was held back after a stall.
-func (c *Core) endHold(a *attempt) {
+// endStallHold goes on with a run that was held back after a stall.
+func (c *Core) endStallHold(a *attempt) {
 	if !a.held || c.attempts[a.ID] != a {
 		return
 	}
 	a.held = false
 	if a.answered { // given up meanwhile
-		c.completed(a.ID, RunNotStarted, 0, Payload{})
+		c.completeRun(a.ID, RunNotStarted, 0, Payload{})
 		return
 	}
 	a.begun = false
-	host{c}.claim(a)
+	host{c}.recordClaim(a)
 }
 
-// claim makes the claim of a run's key durable, where there is a journal, and begins it.
-func (h host) claim(a *attempt) {
-	if a.entry != nil && h.opt.Journal != nil { // it begins once its claim is durable
+// recordClaim makes the claim of a run's key durable, where there is a journal, and begins it.
+func (h host) recordClaim(a *attempt) {
+	if a.entry != nil && h.options.Journal != nil { // it begins once its claim is durable
 		a.begun, a.claiming = true, true
 		k := h.state(a.entry)
-		h.opt.Journal.Record(k, func(err error) { h.enqueue(func() { h.journaled(a, err) }) })
+		h.options.Journal.Record(k, func(err error) { h.enqueue(func() { h.claimRecorded(a, err) }) })
 		return
 	}
-	h.proceed(a)
+	h.requestPeerClaim(a)
 }
 
-// journaled takes in that a claim is durable, or can't be: then the run must not
+// claimRecorded takes in that a claim is durable, or can't be: then the run must not
 // begin, as a restart would not know of it, and it is turned away, as it never ran.
-func (c *Core) journaled(a *attempt, err error) {
+func (c *Core) claimRecorded(a *attempt, err error) {
 	if !a.claiming || c.attempts[a.ID] != a {
 		return
 	}
@@ -80,29 +80,29 @@
 	case err != nil:
 		c.log.Warn("journal_refused", "key", a.Key, "error", err.Error())
 		c.keys.unclaim(a)
-		c.answer(a, Outcome{Kind: Shed, RetryAfter: c.set.MaxRetryAfter})
-		c.completed(a.ID, RunNotStarted, 0, Payload{})
+		c.respond(a, Outcome{Kind: Shed, RetryAfter: c.settings.MaxRetryAfter})
+		c.completeRun(a.ID, RunNotStarted, 0, Payload{})
 	case a.answered: // given up meanwhile
-		c.completed(a.ID, RunNotStarted, 0, Payload{})
+		c.completeRun(a.ID, RunNotStarted, 0, Payload{})
 	default:
 		a.begun = false
-		host{c}.proceed(a)
+		host{c}.requestPeerClaim(a)
 	}
 }
 
-// proceed begins a run whose key, if it has one, is claimed here.
-func (h host) proceed(a *attempt) {
+// requestPeerClaim begins a run whose key, if it has one, is claimed here.
+func (h host) requestPeerClaim(a *attempt) {
 	if a.entry != nil && h.peer != nil && h.predecessor {
 		a.begun, a.claiming = true, true
 		k := h.state(a.entry)
-		k.ArrivedAt = h.clock.Unix(a.door)
+		k.ArrivedAt = h.clock.Unix(a.arrivedAt)
 		h.peer.RequestClaim(k)
 		return
 	}
 	if a.entry != nil {
 		h.tellPeer(a.entry, false)
 	}
-	h.send(a)
+	h.startOrWaitForSlot(a)
 }
 
 // Cancel has a run stopped.
@@ -111,8 +111,8 @@
 	switch {
 	case a == nil || !a.begun || a.claiming || a.held:
 	case a.pooled: // it waits in its pool's line: it never began
-		h.pools.Leave(a.class, id)
-		h.deferredEvents = append(h.deferredEvents, func() { h.completed(id, RunNotStarted, 0, Payload{}) })
+		h.pools.Leave(a.classIndex, id)
+		h.deferredEvents = append(h.deferredEvents, func() { h.completeRun(id, RunNotStarted, 0, Payload{}) })
 	default:
 		a.halting = true
 		a.backend.Cancel(id)
@@ -130,7 +130,7 @@
 		e.joined = append(e.joined, a)
 		return
 	}
-	h.deferredEvents = append(h.deferredEvents, func() { h.settleRepeat(a, a.entry) })
+	h.deferredEvents = append(h.deferredEvents, func() { h.settleDuplicate(a, a.entry) })
 }
 
 // CacheResult enters a request in the table of keys.
--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -14,29 +14,29 @@
 func (c *Core) startFacts(a *attempt) guard.Start {
 	return guard.Start{
 		Answered: a.answered, Running: a.begun, Resumed: a.paused,
-		KeyRan: a.entry != nil && a.entry.ranFor(a.door),
-		ReadBy: a.readBy, Draining: c.draining, GraceEnd: c.graceEnd,
+		KeyRan: a.entry != nil && a.entry.ranFor(a.arrivedAt),
+		ReadBy: a.readBefore, Draining: c.draining, GraceEnd: c.graceEnd,
 	}
 }
 
-// mayBegin decides once more about a run that the module has begun, right before its
+// recheckStart decides once more about a run that the module has begun, right before its
 // backend hears of it.
-func (c *Core) mayBegin(a *attempt) error {
+func (c *Core) recheckStart(a *attempt) error {
 	return guard.MayStart(guard.Start{
-		Resumed: a.resuming, ReadBy: a.readBy, Draining: c.draining, GraceEnd: c.graceEnd,
+		Resumed: a.resumed, ReadBy: a.readBefore, Draining: c.draining, GraceEnd: c.graceEnd,
 	})
 }
 
 // checkStart counts a run that begins against the rules.
 func (c *Core) checkStart(a *attempt) {
 	switch {
-	case a.resuming:
-	case a.entry != nil && a.entry.ran != a.ID, a.ran && a.kind.Effect != decision.Idempotent:
-		c.opt.Monitor.Violated(guard.DuplicateRun, "request", a.ID, "key", a.Key)
-	case c.draining && a.readBy > c.graceEnd:
-		c.opt.Monitor.Violated(guard.DrainStart, "request", a.ID, "read_after_grace", (a.readBy - c.graceEnd).String())
+	case a.resumed:
+	case a.entry != nil && a.entry.ran != a.ID, a.mayHaveRun && a.classSettings.Effect != decision.Idempotent:
+		c.options.Monitor.Violated(guard.DuplicateRun, "request", a.ID, "key", a.Key)
+	case c.draining && a.readBefore > c.graceEnd:
+		c.options.Monitor.Violated(guard.DrainStart, "request", a.ID, "read_after_grace", (a.readBefore - c.graceEnd).String())
 	}
-	a.resuming, a.ran = false, true
+	a.resumed, a.mayHaveRun = false, true
 }
 
 // callFacts is what counts for making the call that a run stands at.
@@ -45,21 +45,21 @@
 	if k == nil {
 		return guard.Call{}
 	}
-	return guard.Call{Waiting: true, Out: k.out, Made: k.made, Unseen: k.unseen, Repeatable: a.kind.Effect == decision.Idempotent}
+	return guard.Call{Waiting: true, Out: k.inFlight, Made: k.attempted, Unseen: k.hadNoEffect, Repeatable: a.classSettings.Effect == decision.Idempotent}
 }
 
 // shedFacts is what counts for turning a request away.
 func (a *attempt) shedFacts() guard.Shed {
-	keyRan := a.entry != nil && a.entry.ranFor(a.door)
-	return guard.Shed{Repeatable: a.kind.Effect == decision.Idempotent, Ran: keyRan || a.ran}
+	keyRan := a.entry != nil && a.entry.ranFor(a.arrivedAt)
+	return guard.Shed{Repeatable: a.classSettings.Effect == decision.Idempotent, Ran: keyRan || a.mayHaveRun}
 }
 
-// checkAnswer counts an answer against the rules.
-func (c *Core) checkAnswer(a *attempt, o Outcome) {
-	if late := c.now - max(a.due, a.readBy) - c.set.DeadlineSlack; late > 0 {
-		c.opt.Monitor.Violated(guard.LateAnswer, "request", a.ID, "late_by", late.Round(time.Millisecond).String())
+// checkResponse counts an answer against the rules.
+func (c *Core) checkResponse(a *attempt, o Outcome) {
+	if late := c.now - max(a.deadline, a.readBefore) - c.settings.DeadlineSlack; late > 0 {
+		c.options.Monitor.Violated(guard.LateAnswer, "request", a.ID, "late_by", late.Round(time.Millisecond).String())
 	}
 	if err := guard.MayShed(a.shedFacts()); o.Kind == Shed && err != nil {
-		c.opt.Monitor.Violated(guard.FalsePromise, "request", a.ID, "reason", err.Error())
+		c.options.Monitor.Violated(guard.FalsePromise, "request", a.ID, "reason", err.Error())
 	}
 }
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -11,38 +11,38 @@
 // milliseconds, had no batch for stallFrom. A signal that is seen within stallRecent
 // after that may have been sent at any time of it.
 const (
-	stallFrom   = 50 * time.Millisecond
-	stallRecent = 100 * time.Millisecond
+	minStall    = 50 * time.Millisecond
+	recentStall = 100 * time.Millisecond
 )
 
-// stallHold is for how long after a stall that may have outlasted the grace of a drain
+// stallHoldTime is for how long after a stall that may have outlasted the grace of a drain
 // nothing is begun: a notice to leave that came meanwhile is seen within it.
-const stallHold = 50 * time.Millisecond
+const stallHoldTime = 50 * time.Millisecond
 
-// stallWatch knows the spans in which the process stood still. The core's goroutine
+// stallDetector knows the spans in which the process stood still. The core's goroutine
 // notes its batches, others ask.
-type stallWatch struct {
-	mu       sync.Mutex
-	watching bool // batches come regularly
-	last     time.Duration
-	from     time.Duration // of the last stall
-	till     time.Duration
+type stallDetector struct {
+	mu         sync.Mutex
+	watching   bool // batches come regularly
+	lastBatch  time.Duration
+	stallStart time.Duration // of the last stall
+	stallEnd   time.Duration
 }
 
-// batch notes that the core works at a time. It returns how long it had stood still, 0
+// observeBatch notes that the core works at a time. It returns how long it had stood still, 0
 // if it had not.
-func (w *stallWatch) batch(now time.Duration) (stalled time.Duration) {
+func (w *stallDetector) observeBatch(now time.Duration) (stalled time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if gap := now - w.last; w.watching && gap > stallFrom {
-		w.from, w.till, stalled = w.last, now, gap
+	if gap := now - w.lastBatch; w.watching && gap > minStall {
+		w.stallStart, w.stallEnd, stalled = w.lastBatch, now, gap
 	}
-	w.last = now
+	w.lastBatch = now
 	return stalled
 }
 
 // start has gaps between batches count as stalls from now on.
-func (w *stallWatch) start() {
+func (w *stallDetector) start() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.watching = true
@@ -50,16 +50,16 @@
 
 // notBefore gives the last moment before which a signal that is seen now can't have been
 // sent: the process ran then and did not see it.
-func (w *stallWatch) notBefore(now time.Duration) time.Duration {
+func (w *stallDetector) notBefore(now time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case !w.watching:
 		return now
-	case now-w.last > stallFrom:
-		return w.last
-	case w.till > 0 && now-w.till < stallRecent:
-		return w.from
+	case now-w.lastBatch > minStall:
+		return w.lastBatch
+	case w.stallEnd > 0 && now-w.stallEnd < recentStall:
+		return w.stallStart
 	}
 	return now
 }
@@ -67,12 +67,12 @@
 // advanceClock reads the clock, and logs what happened to it and to the process meanwhile.
 func (c *Core) advanceClock() {
 	c.now = c.clock.Now()
-	stalled := c.stalls.batch(c.now)
-	if stalled >= stallLogged {
+	stalled := c.stallDetector.observeBatch(c.now)
+	if stalled >= minLoggedStall {
 		c.log.Info("stalled", "for", stalled.Round(time.Millisecond).String())
 	}
-	if stalled > 0 && stalled >= c.set.DrainGrace && !c.draining {
-		c.holdUntil = c.now + stallHold
+	if stalled > 0 && stalled >= c.settings.DrainGrace && !c.draining {
+		c.stallHoldUntil = c.now + stallHoldTime
 	}
 	if step := c.clock.Observe(); step != 0 {
 		c.log.Warn("clock_stepped", "by", step.Round(time.Millisecond).String())
@@ -84,4 +84,6 @@
 
 // DrainNoticeTime gives the earliest moment at which a signal that is seen now may have been
 // sent: the process may have stood still when it came.
-func (c *Core) DrainNoticeTime() time.Time { return c.clock.Time(c.stalls.notBefore(c.clock.Now())) }
+func (c *Core) DrainNoticeTime() time.Time {
+	return c.clock.Time(c.stallDetector.notBefore(c.clock.Now()))
+}
--- a/dispatch/stall_test.go
+++ b/dispatch/stall_test.go
@@ -26,9 +26,9 @@
 // standStill has the core find that it stood still for longer than a drain's grace.
 func (p *party) standStill() {
 	p.enqueue(func() { // the batch before the next was so long ago
-		p.stalls.mu.Lock()
-		p.stalls.last -= 2 * settings().DrainGrace
-		p.stalls.mu.Unlock()
+		p.stallDetector.mu.Lock()
+		p.stallDetector.lastBatch -= 2 * settings().DrainGrace
+		p.stallDetector.mu.Unlock()
 	})
 	p.wait()
 }
@@ -43,11 +43,11 @@
 				t.Fatal(err)
 			}
 			p.wait()
-			p.sleep(stallHold / 2)
+			p.sleep(stallHoldTime / 2)
 			if noticed {
 				p.Drain(p.DrainNoticeTime(), time.Now().Add(time.Minute))
 			}
-			p.sleep(stallHold)
+			p.sleep(stallHoldTime)
 			p.wait()
 			want := 1
 			if noticed {
@@ -68,7 +68,7 @@
 		p.standStill()
 		p.submit(t, "a", "read", "")
 		p.PeerDisconnected(nil) // as the present peer, of which there is none
-		p.sleep(2 * stallHold)
+		p.sleep(2 * stallHoldTime)
 		if p.runs["a"] != 1 {
 			t.Errorf("it ran %d times, want 1", p.runs["a"])
 		}
--- a/dispatch/takein.go
+++ b/dispatch/takein.go
@@ -10,35 +10,35 @@
 	"quincerail.example/quincerail/limits"
 )
 
-// maxKey bounds a key: the table counts on it, and peers are told of it.
-const maxKey = 256
+// maxKeyBytes bounds a key: the table counts on it, and peers are told of it.
+const maxKeyBytes = 256
 
 // attempt is one try of a request and what became of it.
 type attempt struct {
 	Request
-	class    int
-	tenant   int
-	kind     decision.Class // as it was when the request came
-	door     time.Duration
-	came     time.Duration // its last byte, as far as is known; the door at the earliest
-	readBy   time.Duration // its last byte, at the latest
-	due      time.Duration
-	backend  Backend
-	answered bool   // it has its one answer, or none is owed
-	begun    bool   // its run was begun and has not ended
-	claiming bool   // it is begun once the peer that was there first lets it
-	held     bool   // it is begun once a hold after a stall is over
-	halting  bool   // its run was told to stop
-	paused   bool   // its run stopped where it is, and goes on when it is begun again
-	body     uint64 // keyed: hash of what it brings
-	call     *call
-	calls    int    // made for it so far
-	resuming bool   // its run was paused, and goes on with the next begin
-	ran      bool   // its run was begun, and was not proven to have had no effect
-	entry    *entry // of a keyed request
-	pooled   bool   // begun by the module, it waits in its pool's line
-	slotted  bool   // it holds a slot of a pool, told by its ticket
-	ticket   limits.Ticket
+	classIndex    int
+	tenantIndex   int
+	classSettings decision.Class // as it was when the request came
+	arrivedAt     time.Duration
+	readAfter     time.Duration // its last byte, as far as is known; the door at the earliest
+	readBefore    time.Duration // its last byte, at the latest
+	deadline      time.Duration
+	backend       Backend
+	answered      bool   // it has its one answer, or none is owed
+	begun         bool   // its run was begun and has not ended
+	claiming      bool   // it is begun once the peer that was there first lets it
+	held          bool   // it is begun once a hold after a stall is over
+	halting       bool   // its run was told to stop
+	paused        bool   // its run stopped where it is, and goes on when it is begun again
+	bodyHash      uint64 // keyed: hash of what it brings
+	call          *downstreamCall
+	callsMade     int    // made for it so far
+	resumed       bool   // its run was paused, and goes on with the next begin
+	mayHaveRun    bool   // its run was begun, and was not proven to have had no effect
+	entry         *entry // of a keyed request
+	pooled        bool   // begun by the module, it waits in its pool's line
+	holdsPoolSlot bool   // it holds a slot of a pool, told by its ticket
+	poolTicket    limits.Ticket
 }
 
 // NewID makes an id for a request that has none from its caller.
@@ -53,8 +53,8 @@
 // Submit hands in a request. An error means that it was not taken, and that
 // its sink hears nothing.
 func (c *Core) Submit(r Request) error {
-	tuned := c.tuned.Load()
-	class, ok := tuned.classes.taken[r.Class]
+	tuned := c.currentSettings.Load()
+	class, ok := tuned.classes.indexOf[r.Class]
 	if !ok {
 		return fmt.Errorf("class %q is not known", r.Class)
 	}
@@ -62,8 +62,8 @@
 	if keyed && r.Key == "" {
 		return fmt.Errorf("class %q needs a key", r.Class)
 	}
-	if keyed && len(r.Key) > maxKey {
-		return fmt.Errorf("a key of %d bytes, %d at most", len(r.Key), maxKey)
+	if keyed && len(r.Key) > maxKeyBytes {
+		return fmt.Errorf("a key of %d bytes, %d at most", len(r.Key), maxKeyBytes)
 	}
 	tenant, ok := tuned.tenant(r.Tenant)
 	if !ok {
@@ -72,62 +72,62 @@
 	if r.ID == "" || !(r.ReservedKB > 0) {
 		return fmt.Errorf("id %q, memory %v: both are needed", r.ID, r.ReservedKB)
 	}
-	return c.enqueue(func() { c.takeIn(r, class, tenant) })
+	return c.enqueue(func() { c.receive(r, class, tenant) })
 }
 
-func (c *Core) takeIn(r Request, class, tenant int) {
+func (c *Core) receive(r Request, class, tenant int) {
 	if c.attempts[r.ID] != nil { // ids never return
 		r.Responder.Respond(r.ID, Outcome{Kind: Rejected})
 		return
 	}
 	// New settings may have come since it was handed in: it comes under those in force
 	// now, and under its old ones where its class is there no more.
-	kind := c.set.Classes[class]
+	kind := c.settings.Classes[class]
 	if kind.Effect != decision.Keyed {
 		r.Key = ""
-	} else if r.Key == "" || len(r.Key) > maxKey {
+	} else if r.Key == "" || len(r.Key) > maxKeyBytes {
 		r.Responder.Respond(r.ID, Outcome{Kind: Rejected})
 		return
 	}
 	a := &attempt{
-		Request: r, class: class, tenant: tenant, kind: kind, door: c.clock.Received(r.ArrivedAt), readBy: c.now,
+		Request: r, classIndex: class, tenantIndex: tenant, classSettings: kind, arrivedAt: c.clock.Received(r.ArrivedAt), readBefore: c.now,
 		backend: r.Backend,
 	}
 	// A caller's clock ahead of ours can't have made it come after now.
-	a.door = min(a.door, c.now)
-	if a.came = a.door; !r.ReadAfter.IsZero() { // by its parts it may have come after the grace of a drain
-		a.came = min(max(a.door, c.clock.At(r.ReadAfter)), c.now)
+	a.arrivedAt = min(a.arrivedAt, c.now)
+	if a.readAfter = a.arrivedAt; !r.ReadAfter.IsZero() { // by its parts it may have come after the grace of a drain
+		a.readAfter = min(max(a.arrivedAt, c.clock.At(r.ReadAfter)), c.now)
 	}
 	if !r.ReadBy.IsZero() {
-		a.readBy = min(c.clock.At(r.ReadBy), c.now)
+		a.readBefore = min(c.clock.At(r.ReadBy), c.now)
 	}
-	a.due = a.door + a.kind.Deadline
+	a.deadline = a.arrivedAt + a.classSettings.Deadline
 	if !r.Deadline.IsZero() {
-		a.due = min(a.due, a.door+r.Deadline.Sub(r.ArrivedAt))
+		a.deadline = min(a.deadline, a.arrivedAt+r.Deadline.Sub(r.ArrivedAt))
 	}
 	if a.backend == nil {
-		a.backend = c.opt.Backend
+		a.backend = c.options.Backend
 	}
 	c.attempts[r.ID] = a
-	c.open.Add(1)
+	c.inFlight.Add(1)
 	// The module takes how long a request has waited for how late reads are, and a
 	// server whose reads are late for sick. A door that makes no sense must not.
-	if c.now > a.due {
-		c.answer(a, Outcome{Kind: TimedOut})
+	if c.now > a.deadline {
+		c.respond(a, Outcome{Kind: TimedOut})
 		return
 	}
 	e := c.keys.entries[a.Key]
 	switch {
-	case c.module == nil && e != nil && e.ranFor(a.door): // another process told of its run
-		c.answer(a, c.failure(a))
+	case c.module == nil && e != nil && e.ranFor(a.arrivedAt): // another process told of its run
+		c.respond(a, c.failure(a))
 		return
 	case c.module == nil, // nothing can run yet, or ever
 		a.Key != "" && e == nil && c.keys.full(): // it could run, but not be kept from running again
-		c.answer(a, Outcome{Kind: Shed, RetryAfter: c.set.MaxRetryAfter})
+		c.respond(a, Outcome{Kind: Shed, RetryAfter: c.settings.MaxRetryAfter})
 		return
 	}
 	if a.Key != "" && e == nil && c.now < c.inDoubtUntil {
-		c.answer(a, c.failure(a)) // a lost record may have told of its run
+		c.respond(a, c.failure(a)) // a lost record may have told of its run
 		return
 	}
 	c.admit(a)
--- a/dispatch/tuning_test.go
+++ b/dispatch/tuning_test.go
@@ -90,7 +90,7 @@
 			if err := retune(table...); err != nil {
 				t.Fatal(err)
 			}
-			in := p.tuned.Load()
+			in := p.currentSettings.Load()
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
 				place, ok := in.tenant(name)
 				i := slices.Index(table, name)
@@ -112,7 +112,7 @@
 					}
 				}
 				places[name] = place
-				if quota := p.set.Tenants[place].Quota; quota != float64(i+1) {
+				if quota := p.settings.Tenants[place].Quota; quota != float64(i+1) {
 					t.Errorf("%v: %s has the quota %v", table, name, quota)
 				}
 			}
@@ -122,7 +122,7 @@
 				t.Errorf("%q is taken", table)
 			}
 		}
-		if place, ok := p.tuned.Load().tenant("a"); !ok || place != 0 {
+		if place, ok := p.currentSettings.Load().tenant("a"); !ok || place != 0 {
 			t.Error("a table that was turned down has changed something")
 		}
 	})
@@ -146,7 +146,7 @@
 			}
 		})
 		for place, tenant := range []string{"a", "b"} {
-			if a := p.attempts["of "+tenant]; a == nil || a.tenant != place {
+			if a := p.attempts["of "+tenant]; a == nil || a.tenantIndex != place {
 				t.Errorf("the request of %s is under another: %+v", tenant, a)
 			}
 		}
@@ -177,7 +177,7 @@
 			read(id, "floods")
 			p.complete(id, RunSucceeded, "")
 		}
-		for i := range p.set.Cores {
+		for i := range p.settings.Cores {
 			read(fmt.Sprint("runs ", i), "floods")
 		}
 		read("waits", "floods")
