--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -26,6 +26,7 @@
 		ID: a.ID, Class: a.classIndex, Tenant: a.tenantIndex, CacheKey: a.CacheKey, ReservedKB: a.ReservedKB, Rank: a.Rank, Caller: a.Caller,
 		Write: a.classSettings.Effect != decision.Idempotent, Waited: c.now - a.readAfter, DuplicateOf: earlier,
 	}
+	c.transition(a, stateQueued)
 	if a.deadline != a.readAfter+a.classSettings.Deadline { // the caller said that it waits less, or its time began before
 		r.Deadline = a.deadline
 	}
@@ -50,7 +51,7 @@
 		a := c.unansweredAttempt(id, s)
 		switch {
 		case a == nil:
-		case a.entry != nil && a.begun:
+		case a.entry != nil && a.state.started():
 			a.answered = true // the module hears of its end as of any run's
 			c.inFlight.Add(-1)
 		default:
--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -38,7 +38,7 @@
 		return
 	}
 	c.log.Debug("request_answered", "request", a.ID, "class", a.Class, "kind", o.Kind.String(),
-		"after", (c.now - a.arrivedAt).Round(time.Millisecond).String(), "begun", a.begun, "ran", a.mayHaveRun, "draining", c.draining)
+		"after", (c.now - a.arrivedAt).Round(time.Millisecond).String(), "begun", a.state.started(), "ran", a.mayHaveRun, "draining", c.draining)
 }
 
 // respondOverdue answers what the module has let pass its time, so that rule 1
@@ -58,15 +58,19 @@
 // removeIfDone drops an attempt of which nothing more is to come. What still runs
 // is remembered until its end is told.
 func (c *Core) removeIfDone(a *attempt) {
-	if !a.answered || a.begun || c.attempts[a.ID] != a {
+	if !a.answered || a.state.started() || c.attempts[a.ID] != a {
 		return
 	}
 	delete(c.attempts, a.ID)
+	paused := a.state == statePaused
+	if a.state != stateFinished {
+		c.transition(a, stateFinished)
+	}
 	if a.entry == nil {
 		return
 	}
 	e := a.entry
-	if a.paused {
+	if paused {
 		c.recordRun(a, RunCancelled, Payload{})
 	}
 	for _, r := range c.keys.leave(a) {
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -124,7 +124,8 @@
 	stopAt          time.Duration
 	pools           *limits.Pools // nil where runs are bound by the module alone
 	log             *slog.Logger
-	inFlight        atomic.Int64 // requests handed in and not yet answered, for Open
+	onTransition    func(a *attempt, from, to attemptState) // set by tests only
+	inFlight        atomic.Int64                            // requests handed in and not yet answered, for Open
 }
 
 // InFlight is the number of requests handed in and not answered yet. It may be
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -159,6 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	checkTransitions(t, core)
 	go core.Run(ctx)
 	core.BackendReady(false, 0)
 	return core
--- a/dispatch/peer.go
+++ b/dispatch/peer.go
@@ -106,14 +106,13 @@
 // ClaimDecided takes in the elder's word on a claim.
 func (c *Core) ClaimDecided(p Peer, ran string, granted bool) {
 	c.enqueue(func() {
-		if a := c.attempts[ran]; c.peer == p && a != nil && a.claiming {
+		if a := c.attempts[ran]; c.peer == p && a != nil && a.state.awaitsClaim() {
 			c.settleClaim(a, granted)
 		}
 	})
 }
 
 func (c *Core) settleClaim(a *attempt, granted bool) {
-	a.claiming = false
 	switch {
 	case granted && !a.answered:
 		c.startOrWaitForSlot(a)
@@ -121,7 +120,7 @@
 		c.completeRun(a.ID, RunNotStarted, 0, Payload{})
 	default:
 		c.keys.unclaim(a)
-		a.begun = false
+		c.transition(a, stateQueued)
 		host{c}.ServeCached(a.ID)
 		c.removeIfDone(a)
 	}
@@ -143,7 +142,7 @@
 			}
 		}
 		for _, a := range c.attempts {
-			if a.claiming {
+			if a.state.awaitsClaim() {
 				c.settleClaim(a, a.entry.ran == a.ID)
 			}
 		}
--- a/dispatch/relay.go
+++ b/dispatch/relay.go
@@ -15,14 +15,13 @@
 
 func (c *Core) completeRun(id string, end RunEnd, took time.Duration, result Payload) {
 	a := c.attempts[id]
-	if a == nil || !a.begun {
+	if a == nil || !a.state.started() {
 		return
 	}
 	c.dropCall(a)
 	c.releasePoolSlot(a, took, end == RunSucceeded)
-	a.pooled = false
-	if end == RunCancelled && a.halting && !a.answered && c.settings.CancelMode == decision.CancelPause {
-		a.begun, a.paused = false, true // what it has of its key stays claimed
+	if end == RunCancelled && a.state == stateCancelling && !a.answered && c.settings.CancelMode == decision.CancelPause {
+		c.transition(a, statePaused) // what it has of its key stays claimed
 		c.module.RunDone(c.now, id, decision.Cancelled, took)
 		return
 	}
@@ -39,7 +38,11 @@
 		o.Result = result
 		c.respond(a, o)
 	}
-	a.begun = false
+	if a.answered {
+		c.transition(a, stateFinished)
+	} else {
+		c.transition(a, stateQueued)
+	}
 	c.module.RunDone(c.now, id, outcome, took)
 	c.removeIfDone(a)
 }
@@ -48,7 +51,7 @@
 func (c *Core) CallRequested(id string, notice uint64, body []byte) {
 	c.enqueue(func() {
 		a := c.attempts[id]
-		if a == nil || !a.begun || a.call != nil && a.call.notice >= notice {
+		if a == nil || !a.state.started() || a.call != nil && a.call.notice >= notice {
 			return
 		}
 		c.dropCall(a)
--- a/dispatch/route.go
+++ b/dispatch/route.go
@@ -18,7 +18,7 @@
 	switch err := guard.MayStart(h.startFacts(a)); {
 	case errors.Is(err, guard.ErrAfterGrace):
 		h.options.Monitor.Denied(guard.DrainStart, err, id)
-		a.begun = true // so that the module hears that it never began
+		h.transition(a, stateStartDenied)
 		h.deferredEvents = append(h.deferredEvents, func() { h.shedUnstarted(a) })
 		return
 	case errors.Is(err, guard.ErrKeyRan):
@@ -28,8 +28,8 @@
 	case err != nil:
 		return
 	}
-	if a.paused { // its key is claimed, by itself
-		a.paused, a.halting, a.resumed = false, false, true
+	if a.state == statePaused { // its key is claimed, by itself
+		a.resumed = true
 		h.startOrWaitForSlot(a)
 		return
 	}
@@ -37,7 +37,7 @@
 		h.keys.claim(a, a.classSettings.KeyWindow)
 	}
 	if hold := h.stallHoldUntil - h.now; hold > 0 {
-		a.begun, a.held = true, true
+		h.transition(a, stateHeldAfterStall)
 		time.AfterFunc(hold, func() { h.enqueue(func() { h.endStallHold(a) }) })
 		return
 	}
@@ -46,22 +46,20 @@
 
 // endStallHold goes on with a run that was held back after a stall.
 func (c *Core) endStallHold(a *attempt) {
-	if !a.held || c.attempts[a.ID] != a {
+	if a.state != stateHeldAfterStall || c.attempts[a.ID] != a {
 		return
 	}
-	a.held = false
 	if a.answered { // given up meanwhile
 		c.completeRun(a.ID, RunNotStarted, 0, Payload{})
 		return
 	}
-	a.begun = false
 	host{c}.recordClaim(a)
 }
 
 // recordClaim makes the claim of a run's key durable, where there is a journal, and begins it.
 func (h host) recordClaim(a *attempt) {
 	if a.entry != nil && h.options.Journal != nil { // it begins once its claim is durable
-		a.begun, a.claiming = true, true
+		h.transition(a, stateAwaitingJournal)
 		k := h.state(a.entry)
 		h.options.Journal.Record(k, func(err error) { h.enqueue(func() { h.claimRecorded(a, err) }) })
 		return
@@ -72,10 +70,9 @@
 // claimRecorded takes in that a claim is durable, or can't be: then the run must not
 // begin, as a restart would not know of it, and it is turned away, as it never ran.
 func (c *Core) claimRecorded(a *attempt, err error) {
-	if !a.claiming || c.attempts[a.ID] != a {
+	if a.state != stateAwaitingJournal || c.attempts[a.ID] != a {
 		return
 	}
-	a.claiming = false
 	switch {
 	case err != nil:
 		c.log.Warn("journal_refused", "key", a.Key, "error", err.Error())
@@ -85,7 +82,6 @@
 	case a.answered: // given up meanwhile
 		c.completeRun(a.ID, RunNotStarted, 0, Payload{})
 	default:
-		a.begun = false
 		host{c}.requestPeerClaim(a)
 	}
 }
@@ -93,7 +89,7 @@
 // requestPeerClaim begins a run whose key, if it has one, is claimed here.
 func (h host) requestPeerClaim(a *attempt) {
 	if a.entry != nil && h.peer != nil && h.predecessor {
-		a.begun, a.claiming = true, true
+		h.transition(a, stateAwaitingPeer)
 		k := h.state(a.entry)
 		k.ArrivedAt = h.clock.Unix(a.arrivedAt)
 		h.peer.RequestClaim(k)
@@ -109,12 +105,14 @@
 func (h host) Cancel(id string) {
 	a := h.attempts[id]
 	switch {
-	case a == nil || !a.begun || a.claiming || a.held:
-	case a.pooled: // it waits in its pool's line: it never began
+	case a == nil || !a.state.started() || a.state.awaitsClaim() || a.state == stateHeldAfterStall:
+	case a.state == stateAwaitingPoolSlot: // it waits in its pool's line: it never began
 		h.pools.Leave(a.classIndex, id)
 		h.deferredEvents = append(h.deferredEvents, func() { h.completeRun(id, RunNotStarted, 0, Payload{}) })
 	default:
-		a.halting = true
+		if a.state == stateRunning {
+			h.transition(a, stateCancelling)
+		}
 		a.backend.Cancel(id)
 	}
 }
--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -13,7 +13,7 @@
 // startFacts is what counts for beginning a run.
 func (c *Core) startFacts(a *attempt) guard.Start {
 	return guard.Start{
-		Answered: a.answered, Running: a.begun, Resumed: a.paused,
+		Answered: a.answered, Running: a.state.started(), Resumed: a.state == statePaused,
 		KeyRan: a.entry != nil && a.entry.ranFor(a.arrivedAt),
 		ReadBy: a.readBefore, Draining: c.draining, GraceEnd: c.graceEnd,
 	}
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -26,15 +26,15 @@
 // pool's line, or is turned away at once where it would wait beyond half its
 // aim, as the module's own refusals begin there.
 func (c *Core) startOrWaitForSlot(a *attempt) {
-	a.begun = true
 	if c.pools != nil {
 		ticket, ok := c.pools.Acquire(a.classIndex, a.CacheKey)
 		if !ok {
 			patience := a.arrivedAt + a.classSettings.LatencyObjective/2 - c.now
 			if c.pools.Wait(a.classIndex, a.ID, c.now, patience) {
-				a.pooled = true
+				c.transition(a, stateAwaitingPoolSlot)
 				return
 			}
+			c.transition(a, stateStartDenied)
 			c.deferredEvents = append(c.deferredEvents, func() { c.shedUnstarted(a) })
 			return
 		}
@@ -46,9 +46,11 @@
 func (c *Core) start(a *attempt) {
 	if err := c.recheckStart(a); err != nil { // a drain has overtaken its claim, or its wait for a pool
 		c.options.Monitor.Denied(guard.DrainStart, err, a.ID)
+		c.transition(a, stateStartDenied)
 		c.deferredEvents = append(c.deferredEvents, func() { c.shedUnstarted(a) })
 		return
 	}
+	c.transition(a, stateRunning)
 	c.checkStart(a)
 	a.backend.Start(Run{ID: a.ID, Class: a.Class, Deadline: c.clock.Time(a.deadline), Payload: a.Payload})
 	if c.settings.CancelMode != decision.CancelPause { // else it is begun again with the same, once it was paused
@@ -58,7 +60,7 @@
 
 // shedUnstarted answers a run that its pool has no room for: it never ran.
 func (c *Core) shedUnstarted(a *attempt) {
-	if c.attempts[a.ID] != a || !a.begun {
+	if c.attempts[a.ID] != a || a.state != stateStartDenied {
 		return
 	}
 	if a.entry != nil {
@@ -77,8 +79,8 @@
 	}
 	a.holdsPoolSlot = false
 	for _, next := range c.pools.Release(a.poolTicket, took, good) {
-		if w := c.attempts[next.ID]; w != nil && w.pooled {
-			w.pooled, w.poolTicket, w.holdsPoolSlot = false, next.Ticket, true
+		if w := c.attempts[next.ID]; w != nil && w.state == stateAwaitingPoolSlot {
+			w.poolTicket, w.holdsPoolSlot = next.Ticket, true
 			c.start(w)
 		}
 	}
--- a/dispatch/takein.go
+++ b/dispatch/takein.go
@@ -4,43 +4,13 @@
 	"crypto/rand"
 	"encoding/hex"
 	"fmt"
-	"time"
 
 	"quincerail.example/quincerail/decision"
-	"quincerail.example/quincerail/limits"
 )
 
 // maxKeyBytes bounds a key: the table counts on it, and peers are told of it.
 const maxKeyBytes = 256
 
-// attempt is one try of a request and what became of it.
-type attempt struct {
-	Request
-	classIndex    int
-	tenantIndex   int
-	classSettings decision.Class // as it was when the request came
-	arrivedAt     time.Duration
-	readAfter     time.Duration // its last byte, as far as is known; the door at the earliest
-	readBefore    time.Duration // its last byte, at the latest
-	deadline      time.Duration
-	backend       Backend
-	answered      bool   // it has its one answer, or none is owed
-	begun         bool   // its run was begun and has not ended
-	claiming      bool   // it is begun once the peer that was there first lets it
-	held          bool   // it is begun once a hold after a stall is over
-	halting       bool   // its run was told to stop
-	paused        bool   // its run stopped where it is, and goes on when it is begun again
-	bodyHash      uint64 // keyed: hash of what it brings
-	call          *downstreamCall
-	callsMade     int    // made for it so far
-	resumed       bool   // its run was paused, and goes on with the next begin
-	mayHaveRun    bool   // its run was begun, and was not proven to have had no effect
-	entry         *entry // of a keyed request
-	pooled        bool   // begun by the module, it waits in its pool's line
-	holdsPoolSlot bool   // it holds a slot of a pool, told by its ticket
-	poolTicket    limits.Ticket
-}
-
 // NewID makes an id for a request that has none from its caller.
 func NewID() string {
 	var b [8]byte
