--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/idempotency"
 	"quincerail.example/quincerail/limits"
 )
 
@@ -61,9 +62,9 @@
 	// mayHaveRun is set once the backend was told to begin the run, and unset where
 	// it proves that it did not: the run may have had its effect.
 	mayHaveRun bool
-	// holdsPoolSlot is set while poolTicket is to be given back to the pools.
+	// holdsPoolSlot is set while poolPermit is to be given back to the pools.
 	holdsPoolSlot bool
-	poolTicket    limits.Ticket
+	poolPermit    limits.Permit
 	// resumed is set from the moment at which a paused run is started again until the
 	// backend begins it.
 	resumed bool
@@ -79,7 +80,7 @@
 	bodyHash      uint64 // of keyed requests
 	call          *downstreamCall
 	callsMade     int
-	entry         *entry // of keyed requests
+	entry         *idempotency.Entry // of keyed requests
 }
 
 // attemptState is how far an attempt has come.
--- a/dispatch/relay.go
+++ b/dispatch/relay.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/idempotency"
 )
 
 // Relay: what backend and dependency report goes on to the module and back.
@@ -86,14 +87,14 @@
 }
 
 // settleDuplicate ends a repeat with what the try that ran came to.
-func (c *Core) settleDuplicate(a *attempt, e *entry) {
+func (c *Core) settleDuplicate(a *attempt, e *idempotency.Entry) {
 	if a.answered {
 		return
 	}
 	outcome := decision.Failed
-	if e != nil && e.result != nil && e.body == a.bodyHash {
+	if e != nil && e.Result() != nil && e.BodyHash() == a.bodyHash {
 		outcome = decision.Succeeded
-		c.respond(a, Outcome{Kind: Served, Result: *e.result})
+		c.respond(a, Outcome{Kind: Served, Result: *e.Result()})
 	} else {
 		c.respond(a, c.failure(a))
 	}
--- a/dispatch/route.go
+++ b/dispatch/route.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if a.entry != nil {
-		h.keys.claim(a, a.classSettings.KeyWindow)
+		h.keys.Claim(a.entry, a.keyAttempt(), a.classSettings.KeyWindow)
 	}
 	if hold := h.stallHoldUntil - h.now; hold > 0 {
 		h.transition(a, stateHeldAfterStall)
@@ -60,7 +60,7 @@
 func (h host) recordClaim(a *attempt) {
 	if a.entry != nil && h.options.Journal != nil { // it begins once its claim is durable
 		h.transition(a, stateAwaitingJournal)
-		k := h.state(a.entry)
+		k := h.keyState(a.entry)
 		h.options.Journal.Record(k, func(err error) { h.enqueue(func() { h.claimRecorded(a, err) }) })
 		return
 	}
@@ -76,7 +76,7 @@
 	switch {
 	case err != nil:
 		c.log.Warn("journal_refused", "key", a.Key, "error", err.Error())
-		c.keys.unclaim(a)
+		c.keys.ReleaseClaim(a.entry, a.ID)
 		c.respond(a, Outcome{Kind: Shed, RetryAfter: c.settings.MaxRetryAfter})
 		c.completeRun(a.ID, RunNotStarted, 0, Payload{})
 	case a.answered: // given up meanwhile
@@ -90,13 +90,13 @@
 func (h host) requestPeerClaim(a *attempt) {
 	if a.entry != nil && h.peer != nil && h.predecessor {
 		h.transition(a, stateAwaitingPeer)
-		k := h.state(a.entry)
+		k := h.keyState(a.entry)
 		k.ArrivedAt = h.clock.Unix(a.arrivedAt)
 		h.peer.RequestClaim(k)
 		return
 	}
 	if a.entry != nil {
-		h.tellPeer(a.entry, false)
+		h.replicateKey(a.entry, false)
 	}
 	h.startOrWaitForSlot(a)
 }
@@ -107,7 +107,7 @@
 	switch {
 	case a == nil || !a.state.started() || a.state.awaitsClaim() || a.state == stateHeldAfterStall:
 	case a.state == stateAwaitingPoolSlot: // it waits in its pool's line: it never began
-		h.pools.Leave(a.classIndex, id)
+		h.pools.Cancel(a.classIndex, id)
 		h.deferredEvents = append(h.deferredEvents, func() { h.completeRun(id, RunNotStarted, 0, Payload{}) })
 	default:
 		if a.state == stateRunning {
@@ -124,8 +124,7 @@
 	if a == nil || a.answered {
 		return
 	}
-	if e := a.entry; e != nil && !e.over && e.holder != a.ID {
-		e.joined = append(e.joined, a)
+	if a.entry != nil && a.entry.Await(a.ID) {
 		return
 	}
 	h.deferredEvents = append(h.deferredEvents, func() { h.settleDuplicate(a, a.entry) })
@@ -134,7 +133,7 @@
 // CacheResult enters a request in the table of keys.
 func (h host) CacheResult(id string, _ time.Duration) {
 	if a := h.attempts[id]; a != nil && a.entry != nil {
-		h.keys.keep(a)
+		h.keys.Retain(a.entry, a.keyAttempt())
 	}
 }
 
--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -14,7 +14,7 @@
 func (c *Core) startFacts(a *attempt) guard.Start {
 	return guard.Start{
 		Answered: a.answered, Running: a.state.started(), Resumed: a.state == statePaused,
-		KeyRan: a.entry != nil && a.entry.ranFor(a.arrivedAt),
+		KeyRan: a.entry != nil && a.entry.RanInWindow(a.arrivedAt),
 		ReadBy: a.readBefore, Draining: c.draining, GraceEnd: c.graceEnd,
 	}
 }
@@ -31,7 +31,7 @@
 func (c *Core) checkStart(a *attempt) {
 	switch {
 	case a.resumed:
-	case a.entry != nil && a.entry.ran != a.ID, a.mayHaveRun && a.classSettings.Effect != decision.Idempotent:
+	case a.entry != nil && a.entry.RanAttemptID() != a.ID, a.mayHaveRun && a.classSettings.Effect != decision.Idempotent:
 		c.options.Monitor.Violated(guard.DuplicateRun, "request", a.ID, "key", a.Key)
 	case c.draining && a.readBefore > c.graceEnd:
 		c.options.Monitor.Violated(guard.DrainStart, "request", a.ID, "read_after_grace", (a.readBefore - c.graceEnd).String())
@@ -45,13 +45,13 @@
 	if k == nil {
 		return guard.Call{}
 	}
-	return guard.Call{Waiting: true, Out: k.inFlight, Made: k.attempted, Unseen: k.hadNoEffect, Repeatable: a.classSettings.Effect == decision.Idempotent}
+	return guard.Call{Needed: true, InFlight: k.inFlight, Attempted: k.attempted, ProvenWithoutEffect: k.hadNoEffect, Idempotent: a.classSettings.Effect == decision.Idempotent}
 }
 
 // shedFacts is what counts for turning a request away.
 func (a *attempt) shedFacts() guard.Shed {
-	keyRan := a.entry != nil && a.entry.ranFor(a.arrivedAt)
-	return guard.Shed{Repeatable: a.classSettings.Effect == decision.Idempotent, Ran: keyRan || a.mayHaveRun}
+	keyRan := a.entry != nil && a.entry.RanInWindow(a.arrivedAt)
+	return guard.Shed{Idempotent: a.classSettings.Effect == decision.Idempotent, MayHaveRun: keyRan || a.mayHaveRun}
 }
 
 // checkResponse counts an answer against the rules.
@@ -60,6 +60,6 @@
 		c.options.Monitor.Violated(guard.LateAnswer, "request", a.ID, "late_by", late.Round(time.Millisecond).String())
 	}
 	if err := guard.MayShed(a.shedFacts()); o.Kind == Shed && err != nil {
-		c.options.Monitor.Violated(guard.FalsePromise, "request", a.ID, "reason", err.Error())
+		c.options.Monitor.Violated(guard.ShedAfterRun, "request", a.ID, "reason", err.Error())
 	}
 }
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -27,10 +27,10 @@
 // aim, as the module's own refusals begin there.
 func (c *Core) startOrWaitForSlot(a *attempt) {
 	if c.pools != nil {
-		ticket, ok := c.pools.Acquire(a.classIndex, a.CacheKey)
+		ticket, ok := c.pools.TryAcquire(a.classIndex, a.CacheKey)
 		if !ok {
 			patience := a.arrivedAt + a.classSettings.LatencyObjective/2 - c.now
-			if c.pools.Wait(a.classIndex, a.ID, c.now, patience) {
+			if c.pools.Enqueue(a.classIndex, a.ID, c.now, patience) {
 				c.transition(a, stateAwaitingPoolSlot)
 				return
 			}
@@ -38,7 +38,7 @@
 			c.deferredEvents = append(c.deferredEvents, func() { c.shedUnstarted(a) })
 			return
 		}
-		a.poolTicket, a.holdsPoolSlot = ticket, true
+		a.poolPermit, a.holdsPoolSlot = ticket, true
 	}
 	c.start(a)
 }
@@ -64,7 +64,7 @@
 		return
 	}
 	if a.entry != nil {
-		c.keys.unclaim(a)
+		c.keys.ReleaseClaim(a.entry, a.ID)
 	}
 	c.respond(a, Outcome{Kind: Shed, RetryAfter: c.settings.MaxRetryAfter})
 	c.completeRun(a.ID, RunNotStarted, 0, Payload{})
@@ -78,9 +78,9 @@
 		return
 	}
 	a.holdsPoolSlot = false
-	for _, next := range c.pools.Release(a.poolTicket, took, good) {
+	for _, next := range c.pools.Release(a.poolPermit, took, good) {
 		if w := c.attempts[next.ID]; w != nil && w.state == stateAwaitingPoolSlot {
-			w.poolTicket, w.holdsPoolSlot = next.Ticket, true
+			w.poolPermit, w.holdsPoolSlot = next.Permit, true
 			c.start(w)
 		}
 	}
--- a/dispatch/takein.go
+++ b/dispatch/takein.go
@@ -86,13 +86,13 @@
 		c.respond(a, Outcome{Kind: TimedOut})
 		return
 	}
-	e := c.keys.entries[a.Key]
+	e := c.keys.Lookup(a.Key)
 	switch {
-	case c.module == nil && e != nil && e.ranFor(a.arrivedAt): // another process told of its run
+	case c.module == nil && e != nil && e.RanInWindow(a.arrivedAt): // another process told of its run
 		c.respond(a, c.failure(a))
 		return
 	case c.module == nil, // nothing can run yet, or ever
-		a.Key != "" && e == nil && c.keys.full(): // it could run, but not be kept from running again
+		a.Key != "" && e == nil && c.keys.Full(): // it could run, but not be kept from running again
 		c.respond(a, Outcome{Kind: Shed, RetryAfter: c.settings.MaxRetryAfter})
 		return
 	}
--- a/dispatch/tuning.go
+++ b/dispatch/tuning.go
@@ -118,7 +118,7 @@
 	follows := s.ListFollowsHealth != c.settings.ListFollowsHealth
 	c.settings = s
 	for _, class := range s.Classes {
-		c.keys.late = max(c.keys.late, class.Deadline)
+		c.keys.AllowLateness(class.Deadline)
 	}
 	c.currentSettings.Store(&t)
 	if follows && c.module != nil {
