--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -9,119 +9,76 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// Admit: the module hears of a request, and says if it is turned away.
-
+// admit registers an attempt under its key, and has the module hear of it. The module may
+// start, shed or fail it at any time from here on.
 func (c *Core) admit(a *attempt) {
-	earlier := ""
+	duplicateOf := ""
 	if a.Key != "" {
-		sum := sha256.Sum256(a.Payload.Body) // the same in every process, and none can be made to fit
-		a.bodyHash = binary.BigEndian.Uint64(sum[:])
-		if !c.keys.Matches(a.keyAttempt(), c.sameRequestClass) { // its result is not for this caller
+		a.bodyHash = hashBody(a.Payload.Body)
+		if !c.keys.Matches(a.keyAttempt(), c.mayShareKeys) { // the key's result is not for this caller
 			c.respond(a, Outcome{Kind: Rejected})
 			return
 		}
-		a.entry, earlier = c.keys.Register(a.keyAttempt())
+		a.entry, duplicateOf = c.keys.Register(a.keyAttempt())
 	}
 	r := decision.Request{
 		ID: a.ID, Class: a.classIndex, Tenant: a.tenantIndex, CacheKey: a.CacheKey, ReservedKB: a.ReservedKB, Rank: a.Rank, Caller: a.Caller,
-		Write: a.classSettings.Effect != decision.Idempotent, Waited: c.now - a.readAfter, DuplicateOf: earlier,
+		Write: a.classSettings.Effect != decision.Idempotent, Waited: c.now - a.readAfter, DuplicateOf: duplicateOf,
 	}
-	c.transition(a, stateQueued)
-	if a.deadline != a.readAfter+a.classSettings.Deadline { // the caller said that it waits less, or its time began before
+	if a.deadline != a.readAfter+a.classSettings.Deadline { // it is not the class's, as the module counts that
 		r.Deadline = a.deadline
 	}
+	c.transition(a, stateQueued)
 	c.module.RequestReceived(c.now, r)
 }
 
-// CancelRequest tells that a caller no longer waits for the request that it handed in with
-// a sink. No answer is owed. The sink keeps others from taking it back by its id.
-func (c *Core) CancelRequest(id string, s Responder) {
-	c.enqueue(func() {
-		if a := c.unansweredAttempt(id, s); a != nil {
-			c.abandonAttempt(a)
-		}
-	})
-}
-
-// CallerDisconnected tells that the caller's connection has ended. No answer is owed, but it may
-// ask again: a keyed run goes on, so that there is a result for it then, as it
-// must not run a second time.
-func (c *Core) CallerDisconnected(id string, s Responder) {
-	c.enqueue(func() {
-		a := c.unansweredAttempt(id, s)
-		switch {
-		case a == nil:
-		case a.entry != nil && a.state.started():
-			a.answered = true // the module hears of its end as of any run's
-			c.inFlight.Add(-1)
-		default:
-			c.abandonAttempt(a)
-		}
-	})
-}
-
-// unansweredAttempt gives the attempt that was handed in with a sink, if it has no answer.
-func (c *Core) unansweredAttempt(id string, s Responder) *attempt {
-	if a := c.attempts[id]; a != nil && !a.answered && a.Responder == s {
-		return a
-	}
-	return nil
+// hashBody returns a hash that is the same in every process, and that callers can't find
+// another body for.
+func hashBody(body []byte) uint64 {
+	sum := sha256.Sum256(body)
+	return binary.BigEndian.Uint64(sum[:])
 }
 
-func (c *Core) abandonAttempt(a *attempt) {
-	a.answered = true
-	c.inFlight.Add(-1)
-	if c.module != nil {
-		c.module.CallerGone(c.now, a.ID)
+// Shed has a request answered as shed, at once.
+func (h host) Shed(id string, retryAfter time.Duration, noRetryElsewhere bool) {
+	a := h.attempts[id]
+	if a == nil {
+		return
 	}
-	c.removeIfDone(a)
-}
-
-// host carries out the module's actions.
-type host struct{ *Core }
-
-// Shed turns a request away, at once.
-func (h host) Shed(id string, stayAway time.Duration, last bool) {
-	if a := h.attempts[id]; a != nil {
-		if err := guard.MayShed(a.shedFacts()); err != nil { // an effect that may have been had is never denied
-			h.options.Monitor.Denied(guard.ShedAfterRun, err, id)
-			h.respond(a, h.failure(a))
-			return
-		}
-		h.respond(a, Outcome{Kind: Shed, RetryAfter: stayAway, NoRetryElsewhere: last})
+	if err := guard.MayShed(a.shedFacts()); err != nil { // it may have had its effect
+		h.options.Monitor.Denied(guard.ShedAfterRun, err, id)
+		h.respond(a, h.failure(a))
+		return
 	}
+	h.respond(a, Outcome{Kind: Shed, RetryAfter: retryAfter, NoRetryElsewhere: noRetryElsewhere})
 }
 
-// Fail answers a request with an error, at once.
+// Fail has a request answered with an error, at once.
 func (h host) Fail(id string) {
 	if a := h.attempts[id]; a != nil {
 		h.respond(a, h.failure(a))
 	}
 }
 
-func (c *Core) failure(a *attempt) Outcome {
-	if c.now+c.settings.DeadlineSlack >= a.deadline {
-		return Outcome{Kind: TimedOut}
+// ServeCached has a duplicate answered with the result of the attempt that has its key,
+// once that has ended.
+func (h host) ServeCached(id string) {
+	a := h.attempts[id]
+	if a == nil || a.answered {
+		return
 	}
-	return Outcome{Kind: Failed}
-}
-
-// SetHealth says how checks are answered.
-func (h host) SetHealth(on, cached bool) { h.setHealth(on, cached) }
-
-// PublishLoad changes the free value.
-func (h host) PublishLoad(value float64) {
-	if h.settings.LoadReportMode != decision.LoadReportNone {
-		h.loadReport.Store(&value)
+	if a.entry != nil && a.entry.Await(a.ID) {
+		return
 	}
+	h.deferEvent(duplicateSettled{a, a.entry})
 }
 
-// SetIdleTimeout says how long connections may idle.
-func (h host) SetIdleTimeout(after time.Duration) {
-	if h.options.Connections != nil {
-		h.options.Connections.SetIdleTimeout(after)
+// CacheResult makes an attempt the owner of its key.
+func (h host) CacheResult(id string, _ time.Duration) {
+	if a := h.attempts[id]; a != nil && a.entry != nil {
+		h.keys.Retain(a.entry, a.keyAttempt())
 	}
 }
 
-// SetTimer sets a timer.
-func (h host) SetTimer(after time.Duration, token int64) { h.scheduleTick(after, token) }
+// EvictResult does nothing: the entry of an attempt that never ran goes with the attempt.
+func (h host) EvictResult(string) {}
--- a/dispatch/attempt_test.go
+++ b/dispatch/attempt_test.go
@@ -30,7 +30,7 @@
 // checkAttempts compares the states of all attempts of a core with the facts beside them.
 func (p *party) checkAttempts(t *testing.T, c *Core) {
 	t.Helper()
-	c.enqueue(func() {
+	p.inLoop(c, func() {
 		for id, a := range c.attempts {
 			inProgress := a.state == stateRunning || a.state == stateCancelling
 			switch {
@@ -226,7 +226,7 @@
 		}
 		w.sleep(testDeadline + time.Second)
 		w.checkAttempts(t, w.Core)
-		w.enqueue(func() {
+		w.inLoop(w.Core, func() {
 			for id, a := range w.attempts {
 				if !a.answered {
 					t.Errorf("%s: %s, and not answered after its deadline", id, a.state)
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -172,6 +172,14 @@
 	p.mu.Unlock()
 }
 
+// funcEvent has a core's goroutine call a function.
+type funcEvent func()
+
+func (f funcEvent) apply(*Core) { f() }
+
+// inLoop has a core's goroutine call a function between two events.
+func (p *party) inLoop(c *Core, f func()) { c.notify(funcEvent(f)) }
+
 // each does something with every core. What one does not know of it passes over.
 func (p *party) each(do func(*Core)) {
 	do(p.Core)
--- a/dispatch/crossing_test.go
+++ b/dispatch/crossing_test.go
@@ -62,7 +62,7 @@
 		bubble(t, func(t *testing.T, p *party) {
 			p.try(t, "first", time.Now())
 			gate := make(chan struct{})
-			p.enqueue(func() { <-gate }) // what comes now is one batch
+			p.inLoop(p.Core, func() { <-gate }) // what comes now is one batch
 			complete := func() { p.Core.RunCompleted("first", RunSucceeded, time.Second, Payload{Body: []byte("result")}) }
 			if !before {
 				complete()
@@ -89,8 +89,8 @@
 func (p *party) overtaken(t *testing.T, s decision.Settings, classes, tenants []string, read func()) {
 	t.Helper()
 	gate, retuned := make(chan struct{}), make(chan error, 1)
-	p.enqueue(func() { <-gate })
-	p.enqueue(func() { retuned <- p.Core.applySettings(s, classes, tenants) })
+	p.inLoop(p.Core, func() { <-gate })
+	p.inLoop(p.Core, func() { retuned <- p.Core.applySettings(s, classes, tenants) })
 	read()
 	close(gate)
 	p.wait()
--- a/dispatch/keys.go
+++ b/dispatch/keys.go
@@ -23,12 +23,3 @@
 func (c *Core) keyState(e *idempotency.Entry) KeyState {
 	return e.State(c.clock.Unix(e.ExpiresAt()))
 }
-
-// settleDuplicates has the duplicates that waited for a key settled, each by an event of its
-// own, as the module may be in the midst of a batch.
-func (c *Core) settleDuplicates(e *idempotency.Entry, waiting []string) {
-	for _, id := range waiting {
-		a := c.attempts[id]
-		c.deferredEvents = append(c.deferredEvents, func() { c.settleDuplicate(a, e) })
-	}
-}
--- a/dispatch/replication.go
+++ b/dispatch/replication.go
@@ -21,90 +21,127 @@
 	SetTrafficDisabled(on bool)                    // operators have callers sent away, or not any more
 }
 
+// replicationState is what is known of keys beyond this process.
+type replicationState struct {
+	peer              Peer                 // nil where this process is alone
+	peerIsPredecessor bool                 // else it is the successor
+	pendingKeys       []*idempotency.Entry // still to be replicated to a successor; nil before the first batch
+	inDoubtUntil      time.Duration        // until then, a key that the table does not know may have run
+}
+
 // ConnectPeer connects a peer; predecessor reports whether it was there first. There is
 // at most one at a time: a further one is ignored.
 func (c *Core) ConnectPeer(p Peer, predecessor bool) error {
-	return c.enqueue(func() {
-		if c.peer == nil {
-			c.peer, c.predecessor = p, predecessor
-		}
-	})
+	return c.enqueue(peerConnected{p, predecessor})
+}
+
+type peerConnected struct {
+	peer        Peer
+	predecessor bool
+}
+
+func (e peerConnected) apply(c *Core) {
+	if c.replication.peer == nil {
+		c.replication.peer, c.replication.peerIsPredecessor = e.peer, e.predecessor
+	}
 }
 
 // ReplicateKeys replicates the next batch of keys to a successor that has just connected.
-func (c *Core) ReplicateKeys(p Peer) {
-	c.enqueue(func() {
-		if c.peer != p {
-			return
-		}
-		if c.pendingKeys == nil {
-			c.pendingKeys = c.keys.Entries()
-		}
-		n := min(keyBatchSize, len(c.pendingKeys))
-		for _, e := range c.pendingKeys[:n] {
-			if e.RanAttemptID() != "" && c.keys.Lookup(e.Key()) == e {
-				p.ReplicateKey(c.keyState(e))
-			}
-		}
-		c.pendingKeys = c.pendingKeys[n:]
-		if len(c.pendingKeys) == 0 {
-			p.SetTrafficDisabled(c.trafficDisabled)
+func (c *Core) ReplicateKeys(p Peer) { c.notify(keyBatchRequested{p}) }
+
+type keyBatchRequested struct{ peer Peer }
+
+func (e keyBatchRequested) apply(c *Core) {
+	r := &c.replication
+	if r.peer != e.peer {
+		return
+	}
+	if r.pendingKeys == nil {
+		r.pendingKeys = c.keys.Entries()
+	}
+	n := min(keyBatchSize, len(r.pendingKeys))
+	for _, entry := range r.pendingKeys[:n] {
+		if entry.RanAttemptID() != "" && c.keys.Lookup(entry.Key()) == entry {
+			r.peer.ReplicateKey(c.keyState(entry))
 		}
-		p.EndKeyBatch(len(c.pendingKeys) == 0)
-	})
+	}
+	r.pendingKeys = r.pendingKeys[n:]
+	if len(r.pendingKeys) == 0 {
+		r.peer.SetTrafficDisabled(c.health.trafficDisabled)
+	}
+	r.peer.EndKeyBatch(len(r.pendingKeys) == 0)
 }
 
 // ApplyKey applies the state of a key that a peer replicated.
-func (c *Core) ApplyKey(p Peer, k KeyState) {
-	c.enqueue(func() {
-		if c.peer == p {
-			c.applyKey(k)
-		}
-	})
+func (c *Core) ApplyKey(p Peer, k KeyState) { c.notify(keyReplicated{p, k}) }
+
+type keyReplicated struct {
+	peer  Peer
+	state KeyState
+}
+
+func (e keyReplicated) apply(c *Core) {
+	if c.replication.peer == e.peer {
+		c.applyKey(e.state)
+	}
 }
 
 func (c *Core) applyKey(k KeyState) {
-	e, waiting := c.keys.Apply(k, c.clock.At(k.ExpiresAt))
-	if e.RanAttemptID() != "" {
-		c.journal(e, e.Completed())
+	entry, waiting := c.keys.Apply(k, c.clock.At(k.ExpiresAt))
+	if entry.RanAttemptID() != "" {
+		c.recordKey(entry, entry.Completed())
 	}
-	c.settleDuplicates(e, waiting)
+	c.settleDuplicates(entry, waiting)
 }
 
 // ClaimRequested decides whether a successor may run an attempt: not if its key has run
 // here, and the attempt arrived within the window.
-func (c *Core) ClaimRequested(p Peer, k KeyState) {
-	c.enqueue(func() {
-		if c.peer != p {
-			return
-		}
-		e := c.keys.Lookup(k.Key)
-		granted := e == nil || !e.RanInWindow(c.clock.At(k.ArrivedAt))
-		if granted {
-			c.applyKey(k)
-		} else {
-			p.ReplicateKey(c.keyState(e))
-		}
-		p.DecideClaim(k.RanAttemptID, granted)
-	})
+func (c *Core) ClaimRequested(p Peer, k KeyState) { c.notify(claimRequested{p, k}) }
+
+type claimRequested struct {
+	peer  Peer
+	state KeyState
+}
+
+func (e claimRequested) apply(c *Core) {
+	if c.replication.peer != e.peer {
+		return
+	}
+	entry := c.keys.Lookup(e.state.Key)
+	granted := entry == nil || !entry.RanInWindow(c.clock.At(e.state.ArrivedAt))
+	if granted {
+		c.applyKey(e.state)
+	} else {
+		e.peer.ReplicateKey(c.keyState(entry))
+	}
+	e.peer.DecideClaim(e.state.RanAttemptID, granted)
 }
 
 // ClaimDecided takes in the predecessor's decision on a claim.
 func (c *Core) ClaimDecided(p Peer, ranAttemptID string, granted bool) {
-	c.enqueue(func() {
-		if a := c.attempts[ranAttemptID]; c.peer == p && a != nil && a.state.awaitsClaim() {
-			c.settleClaim(a, granted)
-		}
-	})
+	c.notify(claimDecided{p, ranAttemptID, granted})
 }
 
+type claimDecided struct {
+	peer         Peer
+	ranAttemptID string
+	granted      bool
+}
+
+func (e claimDecided) apply(c *Core) {
+	if a := c.attempts[e.ranAttemptID]; c.replication.peer == e.peer && a != nil && a.state.awaitsClaim() {
+		c.settleClaim(a, e.granted)
+	}
+}
+
+// settleClaim goes on with a start that waited for its claim.
 func (c *Core) settleClaim(a *attempt, granted bool) {
 	switch {
 	case granted && !a.answered:
-		c.startOrWaitForSlot(a)
-	case granted: // cancelled meanwhile: it is not begun
-		c.completeRun(a.ID, RunNotStarted, 0, Payload{})
-	default:
+		c.acquirePoolSlot(a)
+	case granted: // given up meanwhile
+		c.completeNotStarted(a)
+	default: // another attempt has the key: this one gets its result
 		c.keys.ReleaseClaim(a.entry, a.ID)
 		c.transition(a, stateQueued)
 		host{c}.ServeCached(a.ID)
@@ -114,54 +151,51 @@
 
 // PeerDisconnected takes in that the connection to a peer has ended. What it replicated
 // counts; what still ran there has no result that can be served here.
-func (c *Core) PeerDisconnected(p Peer) {
-	c.enqueue(func() {
-		if c.peer != p {
-			return
-		}
-		c.peer, c.pendingKeys = nil, nil
-		for _, e := range c.keys.Entries() {
-			if e.RunsRemotely() {
-				k := c.keyState(e)
-				k.Completed = true
-				c.applyKey(k)
-			}
+func (c *Core) PeerDisconnected(p Peer) { c.notify(peerDisconnected{p}) }
+
+type peerDisconnected struct{ peer Peer }
+
+func (e peerDisconnected) apply(c *Core) {
+	if c.replication.peer != e.peer {
+		return
+	}
+	c.replication.peer, c.replication.pendingKeys = nil, nil
+	for _, entry := range c.keys.Entries() {
+		if entry.RunsRemotely() {
+			k := c.keyState(entry)
+			k.Completed = true
+			c.applyKey(k)
 		}
-		for _, a := range c.attempts {
-			if a.state.awaitsClaim() {
-				c.settleClaim(a, a.entry.RanAttemptID() == a.ID)
-			}
+	}
+	for _, a := range c.attempts {
+		if a.state.awaitsClaim() {
+			c.settleClaim(a, a.entry.RanAttemptID() == a.ID)
 		}
-	})
+	}
 }
 
 // ApplyTrafficDisabled applies what operators have set in a peer.
 func (c *Core) ApplyTrafficDisabled(p Peer, disabled bool) {
-	c.enqueue(func() {
-		if c.peer == p {
-			c.setTrafficDisabled(disabled)
-		}
-	})
+	c.notify(trafficDisabledReplicated{p, disabled})
 }
 
-// HandOver takes in that a successor takes the requests to come: all that is
-// open here goes on, and is answered a margin before the process is stopped. The
-// channel is closed once nothing is open.
-func (c *Core) HandOver(stopAt time.Time) <-chan struct{} {
-	idle := make(chan struct{})
-	c.enqueue(func() {
-		c.log.Info("handover", "open", len(c.attempts))
-		c.stopAt, c.idle = c.clock.At(stopAt.Add(-stopMargin)), idle
-	})
-	return idle
+type trafficDisabledReplicated struct {
+	peer     Peer
+	disabled bool
 }
 
-// replicateKey reports to the peer, if there is one, a key that runs here or has run.
+func (e trafficDisabledReplicated) apply(c *Core) {
+	if c.replication.peer == e.peer {
+		c.setTrafficDisabled(e.disabled)
+	}
+}
+
+// replicateKey replicates to the peer, if there is one, a key that runs here or has run.
 func (c *Core) replicateKey(e *idempotency.Entry, completed bool) {
-	if c.peer != nil {
+	if c.replication.peer != nil {
 		k := c.keyState(e)
 		k.Completed = completed
-		c.peer.ReplicateKey(k)
+		c.replication.peer.ReplicateKey(k)
 	}
 }
 
@@ -169,5 +203,11 @@
 // have run, until a time: their attempts fail, and are never run. It is for a process that
 // could not learn what its predecessor ran.
 func (c *Core) MarkUnknownKeysInDoubt(until time.Time) error {
-	return c.enqueue(func() { c.inDoubtUntil = max(c.inDoubtUntil, c.clock.At(until)) })
+	return c.enqueue(unknownKeysInDoubt{until})
+}
+
+type unknownKeysInDoubt struct{ until time.Time }
+
+func (e unknownKeysInDoubt) apply(c *Core) {
+	c.replication.inDoubtUntil = max(c.replication.inDoubtUntil, c.clock.At(e.until))
 }
--- /dev/null
+++ b/dispatch/respond.go
@@ -0,0 +1,116 @@
+package dispatch
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"quincerail.example/quincerail/guard"
+)
+
+// respond gives a request its final answer. All answers of attempts go through here, so
+// that there is one and no more.
+func (c *Core) respond(a *attempt, o Outcome) {
+	if guard.MayAnswer(a.answered) != nil {
+		return
+	}
+	a.answered = true
+	c.logResponse(a, o)
+	c.checkResponse(a, o)
+	a.Responder.Respond(a.ID, o)
+	c.inFlight.Add(-1)
+	c.observeResponse(a, o)
+	c.removeIfDone(a)
+}
+
+// markAnswered marks an attempt whose caller is owed no answer.
+func (c *Core) markAnswered(a *attempt) {
+	a.answered = true
+	c.inFlight.Add(-1)
+}
+
+func (c *Core) observeResponse(a *attempt, o Outcome) {
+	if c.options.Observer == nil {
+		return
+	}
+	duplicate := o.Kind == Served && a.entry != nil && a.entry.RanAttemptID() != a.ID
+	class := a.Class
+	if _, inForce := c.currentSettings.Load().classes.indexOf[class]; !inForce {
+		class = RemovedClass
+	}
+	c.options.Observer.ObserveResponse(class, o.Kind, c.now-a.arrivedAt, duplicate)
+}
+
+// logResponse logs an answer at level debug.
+func (c *Core) logResponse(a *attempt, o Outcome) {
+	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	c.log.Debug("request_answered", "request", a.ID, "class", a.Class, "kind", o.Kind.String(),
+		"after", (c.now - a.arrivedAt).Round(time.Millisecond).String(),
+		"begun", a.state.started(), "ran", a.mayHaveRun, "draining", c.drain.draining)
+}
+
+// failure is the answer of a request that is to fail.
+func (c *Core) failure(a *attempt) Outcome {
+	if c.now+c.settings.DeadlineSlack >= a.deadline {
+		return Outcome{Kind: TimedOut}
+	}
+	return Outcome{Kind: Failed}
+}
+
+// respondOverdue answers what the module has let pass its deadline, or the end of a drain,
+// so that every request is answered whatever the module does. It ignores a request whose
+// id it still knows from an earlier one, for example.
+func (c *Core) respondOverdue() {
+	late := c.settings.DeadlineSlack * 3 / 4 // the module itself answers at half of the slack
+	for id, a := range c.attempts {
+		overdue := c.now > a.deadline+late || c.drain.stopAt != 0 && c.now > c.drain.stopAt
+		if !a.answered && overdue {
+			c.respond(a, c.failure(a))
+			c.module.CallerGone(c.now, id)
+		}
+	}
+}
+
+// removeIfDone removes an attempt that is answered and not started. One that still runs
+// is kept until the end of its run is reported.
+func (c *Core) removeIfDone(a *attempt) {
+	if !a.answered || a.state.started() || c.attempts[a.ID] != a {
+		return
+	}
+	delete(c.attempts, a.ID)
+	wasPaused := a.state == statePaused
+	if a.state != stateFinished {
+		c.transition(a, stateFinished)
+	}
+	if a.entry == nil {
+		return
+	}
+	if wasPaused {
+		c.recordRun(a, RunCancelled, Payload{})
+	}
+	c.settleDuplicates(a.entry, c.keys.Unregister(a.entry, a.ID))
+}
+
+// InFlight is the number of requests handed in and not answered yet. It may be called from
+// any goroutine.
+func (c *Core) InFlight() int64 { return c.inFlight.Load() }
+
+// Unanswered reports how many requests have no answer and a caller that waits for one,
+// once all that was handed in before is received.
+func (c *Core) Unanswered(reply func(requests int)) error {
+	return c.enqueue(unansweredRequested{reply})
+}
+
+type unansweredRequested struct{ reply func(requests int) }
+
+func (e unansweredRequested) apply(c *Core) {
+	unanswered := 0
+	for _, a := range c.attempts {
+		if !a.answered {
+			unanswered++
+		}
+	}
+	e.reply(unanswered)
+}
--- a/dispatch/tuning_test.go
+++ b/dispatch/settings_test.go
@@ -92,7 +92,7 @@
 			}
 			in := p.currentSettings.Load()
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
-				place, ok := in.tenant(name)
+				place, ok := in.tenantIndex(name)
 				i := slices.Index(table, name)
 				if ok != (i >= 0 || len(table) == 0) {
 					t.Errorf("%v: %s is taken: %t", table, name, ok)
@@ -122,7 +122,7 @@
 				t.Errorf("%q is taken", table)
 			}
 		}
-		if place, ok := p.currentSettings.Load().tenant("a"); !ok || place != 0 {
+		if place, ok := p.currentSettings.Load().tenantIndex("a"); !ok || place != 0 {
 			t.Error("a table that was turned down has changed something")
 		}
 	})
@@ -201,7 +201,7 @@
 			p := newPartyWith(t, func(o *Options) { o.Settings.ListFollowsHealth = follows })
 			defer p.end()
 			last := func() bool { return p.present[len(p.present)-1] }
-			p.enqueue(func() { host{p.Core}.SetHealth(false, true) })
+			p.inLoop(p.Core, func() { host{p.Core}.SetHealth(false, true) })
 			p.wait()
 			if last() == follows {
 				t.Errorf("follows %t: the list says %t of an unfit server", follows, last())
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -7,79 +7,82 @@
 	"quincerail.example/quincerail/clock"
 )
 
-// A process is taken to have stood still where the core, which is woken every few
-// milliseconds, had no batch for stallFrom. A signal that is seen within stallRecent
-// after that may have been sent at any time of it.
+// Bounds of stalls. The core is woken every few milliseconds: a longer gap between two
+// batches means that the process stood still.
 const (
-	minStall    = 50 * time.Millisecond
+	// minStall is the shortest gap between batches that counts as a stall.
+	minStall = 50 * time.Millisecond
+	// recentStall is how long after a stall a signal that is seen may have been sent during
+	// the stall.
 	recentStall = 100 * time.Millisecond
+	// minLoggedStall is the shortest stall that is logged.
+	minLoggedStall = 250 * time.Millisecond
+	// stallHoldTime is how long nothing is begun after a stall that may have outlasted the
+	// grace of a drain: a drain notice that came during the stall is seen within it.
+	stallHoldTime = 50 * time.Millisecond
 )
 
-// stallHoldTime is for how long after a stall that may have outlasted the grace of a drain
-// nothing is begun: a notice to leave that came meanwhile is seen within it.
-const stallHoldTime = 50 * time.Millisecond
-
-// stallDetector knows the spans in which the process stood still. The core's goroutine
-// notes its batches, others ask.
+// stallDetector knows when the process last stood still. The core's goroutine reports its
+// batches; any goroutine may ask.
 type stallDetector struct {
 	mu         sync.Mutex
 	watching   bool // batches come regularly
 	lastBatch  time.Duration
 	stallStart time.Duration // of the last stall
-	stallEnd   time.Duration
+	stallEnd   time.Duration // 0 where there was none
 }
 
-// observeBatch notes that the core works at a time. It returns how long it had stood still, 0
-// if it had not.
-func (w *stallDetector) observeBatch(now time.Duration) (stalled time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if gap := now - w.lastBatch; w.watching && gap > minStall {
-		w.stallStart, w.stallEnd, stalled = w.lastBatch, now, gap
+// observeBatch reports a batch. It returns how long the process stood still before it, 0 if
+// it did not.
+func (d *stallDetector) observeBatch(now time.Duration) (stalled time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if gap := now - d.lastBatch; d.watching && gap > minStall {
+		d.stallStart, d.stallEnd, stalled = d.lastBatch, now, gap
 	}
-	w.lastBatch = now
+	d.lastBatch = now
 	return stalled
 }
 
-// start has gaps between batches count as stalls from now on.
-func (w *stallDetector) start() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.watching = true
+// start has gaps between batches count as stalls from the next batch on.
+func (d *stallDetector) start() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watching = true
 }
 
-// notBefore gives the last moment before which a signal that is seen now can't have been
-// sent: the process ran then and did not see it.
-func (w *stallDetector) notBefore(now time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// notBefore returns the earliest time at which a signal that is seen now may have been sent:
+// before that, the process ran and would have seen it.
+func (d *stallDetector) notBefore(now time.Duration) time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	switch {
-	case !w.watching:
+	case !d.watching:
 		return now
-	case now-w.lastBatch > minStall:
-		return w.lastBatch
-	case w.stallEnd > 0 && now-w.stallEnd < recentStall:
-		return w.stallStart
+	case now-d.lastBatch > minStall:
+		return d.lastBatch
+	case d.stallEnd > 0 && now-d.stallEnd < recentStall:
+		return d.stallStart
 	}
 	return now
 }
 
-// advanceClock reads the clock, and logs what happened to it and to the process meanwhile.
+// advanceClock reads the clock for a batch, and logs stalls and steps of the Unix time.
 func (c *Core) advanceClock() {
 	c.now = c.clock.Now()
 	stalled := c.stallDetector.observeBatch(c.now)
 	if stalled >= minLoggedStall {
 		c.log.Info("stalled", "for", stalled.Round(time.Millisecond).String())
 	}
-	if stalled > 0 && stalled >= c.settings.DrainGrace && !c.draining {
-		c.stallHoldUntil = c.now + stallHoldTime
+	if stalled > 0 && stalled >= c.settings.DrainGrace && !c.drain.draining {
+		c.drain.stallHoldUntil = c.now + stallHoldTime
 	}
 	if step := c.clock.Observe(); step != 0 {
 		c.log.Warn("clock_stepped", "by", step.Round(time.Millisecond).String())
 	}
 }
 
-// Clock is the clock that the core goes by.
+// Clock returns the core's clock.
 func (c *Core) Clock() *clock.Clock { return c.clock }
 
 // DrainNoticeTime gives the earliest moment at which a signal that is seen now may have been
--- a/dispatch/stall_test.go
+++ b/dispatch/stall_test.go
@@ -25,7 +25,7 @@
 
 // standStill has the core find that it stood still for longer than a drain's grace.
 func (p *party) standStill() {
-	p.enqueue(func() { // the batch before the next was so long ago
+	p.inLoop(p.Core, func() { // the batch before the next was so long ago
 		p.stallDetector.mu.Lock()
 		p.stallDetector.lastBatch -= 2 * settings().DrainGrace
 		p.stallDetector.mu.Unlock()
