--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -24,43 +24,43 @@
 //	                 awaitingPoolSlot            started; its class's pool is full
 //	                 startDenied                 started after the drain's grace, or no room in the pool's queue
 //	                 running                     started; the backend begins it
-//	                 finished                    answered or given up before it was started
+//	                 finished                    answered, or its caller gave up, before it was started
 //	heldAfterStall   as queued                   the hold is over
-//	                 finished                    given up during the hold
+//	                 finished                    its caller gave up during the hold
 //	awaitingJournal  awaitingPeer                claim durable; it is claimed from the predecessor as well
 //	                 awaitingPoolSlot,
 //	                 startDenied, running        claim durable, or the predecessor has disconnected
 //	                 queued                      the predecessor has disconnected, and another attempt has the key
-//	                 finished                    claim can't be made durable, or given up
+//	                 finished                    claim can't be made durable, or its caller gave up
 //	awaitingPeer     awaitingPoolSlot,
 //	                 startDenied, running        claim granted, or the predecessor has disconnected
 //	                 queued                      claim denied: it waits for the result of the attempt that has it
-//	                 finished                    given up
+//	                 finished                    its caller gave up
 //	awaitingPoolSlot running                     a slot is free
 //	                 startDenied                 a slot is free, but the drain's grace is over
 //	                 finished                    cancelled in the queue
 //	startDenied      finished                    shed, and its run reported as not started
 //	running          cancelling                  the module cancels the run
-//	                 queued                      the backend stopped the run; no answer is due yet
+//	                 queued                      the backend cancelled the run, and no answer was given
 //	                 finished                    the run has ended
 //	cancelling       paused                      the backend paused the run (decision.CancelPause)
-//	                 queued                      the backend stopped the run; no answer is due yet
+//	                 queued                      the backend cancelled the run, and no answer was given
 //	                 finished                    the run has ended
 //	paused           running, awaitingPoolSlot,
 //	                 startDenied                 started again; its key's claim still holds
-//	                 finished                    answered or given up
+//	                 finished                    answered, or its caller gave up
 //
-// An attempt is in Core.attempts from received to finished. Three facts do not follow
-// from the state, and are kept beside it: answered, mayHaveRun and holdsPoolSlot.
+// An attempt is in Core.attempts from received to finished. Four facts do not follow
+// from the state, and are kept beside it: answered, mayHaveRun, holdsPoolSlot and resumed.
 type attempt struct {
 	Request
 	state attemptState
 
-	// answered is set with the one answer, or where none is owed any more as the
-	// caller has given up. A run may go on after that.
+	// answered is set with the one answer, or when the caller gives up. A run may go on
+	// after that.
 	answered bool
-	// mayHaveRun is set once the backend was told to begin the run, and unset where
-	// it proves that it did not: the run may have had its effect.
+	// mayHaveRun is set once the backend gets the run, and unset if the backend proves
+	// that it did not begin. While it is set, the run may have had its effect.
 	mayHaveRun bool
 	// holdsPoolSlot is set while poolPermit is to be given back to the pools.
 	holdsPoolSlot bool
@@ -104,9 +104,9 @@
 	// stateStartDenied: started by the module, but it may not begin. It is shed, and
 	// its run reported as not started, as soon as the module's decision is over.
 	stateStartDenied
-	// stateRunning: its backend was told to begin it.
+	// stateRunning: its backend has the run.
 	stateRunning
-	// stateCancelling: its backend was told to cancel it, and has not reported its end.
+	// stateCancelling: its backend has the run and the order to cancel it.
 	stateCancelling
 	// statePaused: its run is paused at the backend, and the module may start it again.
 	statePaused
--- a/dispatch/attempt_test.go
+++ b/dispatch/attempt_test.go
@@ -28,9 +28,9 @@
 }
 
 // checkAttempts compares the states of all attempts of a core with the facts beside them.
-func (p *party) checkAttempts(t *testing.T, c *Core) {
+func (h *harness) checkAttempts(t *testing.T, c *Core) {
 	t.Helper()
-	p.inLoop(c, func() {
+	h.inLoop(c, func() {
 		for id, a := range c.attempts {
 			inProgress := a.state == stateRunning || a.state == stateCancelling
 			switch {
@@ -45,7 +45,7 @@
 			}
 		}
 	})
-	p.wait()
+	h.wait()
 }
 
 // slowPredecessor is a peer that leaves claims for the test to decide.
@@ -86,7 +86,7 @@
 // stateWalk plays all that can happen to attempts, in random order, to a core with some
 // of the parts that a start may have to wait for.
 type stateWalk struct {
-	*party
+	*harness
 	journal     *journal // nil for none
 	predecessor *slowPredecessor
 	submitted   int
@@ -96,7 +96,7 @@
 func newStateWalk(t *testing.T, s *randomsteps.Source) *stateWalk {
 	w := &stateWalk{}
 	withJournal, withPools, withPause, withPeer := s.Pick(2) == 1, s.Pick(2) == 1, s.Pick(2) == 1, s.Pick(2) == 1
-	w.party = newPartyWith(t, func(o *Options) {
+	w.harness = newHarnessWith(t, func(o *Options) {
 		o.Settings.Classes = append([]decision.Class(nil), o.Settings.Classes...)
 		o.Settings.Classes[2].Weight = 10 // so that it displaces others
 		if withPools {
@@ -112,7 +112,7 @@
 	})
 	if withPeer {
 		w.predecessor = &slowPredecessor{}
-		w.ConnectPeer(w.predecessor, true)
+		must(t, w.ConnectPeer(w.predecessor, true))
 	}
 	return w
 }
@@ -120,7 +120,7 @@
 // step does one thing that a caller, a backend or another party may do.
 func (w *stateWalk) step(t *testing.T, s *randomsteps.Source) {
 	id := fmt.Sprint("r", s.Pick(w.submitted+1))
-	_, runs := w.begun[id]
+	_, runs := w.running[id]
 	switch s.Pick(10) {
 	case 0, 1, 2, 3:
 		w.submitNext(t, s)
@@ -130,9 +130,9 @@
 		}
 	case 5:
 		if s.Pick(2) == 0 {
-			w.CancelRequest(id, sink{w.party})
+			w.CancelRequest(id, responder{w.harness})
 		} else {
-			w.CallerDisconnected(id, sink{w.party})
+			w.CallerDisconnected(id, responder{w.harness})
 		}
 	case 6:
 		w.settleJournal(s)
@@ -141,7 +141,7 @@
 	case 8:
 		w.sleep(time.Duration(1+s.Pick(40)) * 2 * time.Millisecond)
 	case 9:
-		w.disturb(s)
+		w.disturb(t, s)
 	}
 	w.wait()
 }
@@ -153,13 +153,8 @@
 	}
 	id := fmt.Sprint("r", w.submitted)
 	w.submitted++
-	err := w.Submit(Request{
-		ID: id, Class: class, Key: key, ArrivedAt: time.Now().Add(-time.Duration(s.Pick(8)) * time.Second),
-		ReservedKB: 20, Responder: sink{w.party},
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
+	arrivedAt := time.Now().Add(-time.Duration(s.Pick(8)) * time.Second)
+	w.mustSubmit(t, w.Core, Request{ID: id, Class: class, Key: key, ArrivedAt: arrivedAt})
 }
 
 func (w *stateWalk) settleJournal(s *randomsteps.Source) {
@@ -184,7 +179,7 @@
 
 // disturb does what seldom happens: the peer goes or comes, the process stands still,
 // or it is to drain.
-func (w *stateWalk) disturb(s *randomsteps.Source) {
+func (w *stateWalk) disturb(t *testing.T, s *randomsteps.Source) {
 	switch s.Pick(6) {
 	case 0:
 		if w.predecessor != nil {
@@ -194,7 +189,7 @@
 	case 1, 2:
 		if w.predecessor == nil {
 			w.predecessor = &slowPredecessor{}
-			w.ConnectPeer(w.predecessor, true)
+			must(t, w.ConnectPeer(w.predecessor, true))
 		}
 	case 3, 4:
 		w.standStill()
--- /dev/null
+++ b/dispatch/cancel_test.go
@@ -0,0 +1,43 @@
+package dispatch
+
+import (
+	"testing"
+
+	"quincerail.example/quincerail/decision"
+)
+
+// TestPausedRunGoesOn: where cancelled runs are paused, one of far less weight is paused for
+// another and begun again later, with the body that it came with and its own claim.
+func TestPausedRunGoesOn(t *testing.T) {
+	for _, class := range []string{"read", "gift"} {
+		t.Run(class, func(t *testing.T) {
+			runTestWith(t, func(o *Options) {
+				o.Settings.CancelMode, o.Settings.Cores = decision.CancelPause, 1
+				o.Settings.Classes = append([]decision.Class(nil), o.Settings.Classes...)
+				o.Settings.Classes[2].Weight = 10
+			}, func(t *testing.T, h *harness) {
+				submit := func(id string) {
+					h.mustSubmit(t, h.Core, Request{ID: id, Class: class, Key: "k", Payload: Payload{Body: []byte("as it came")}})
+					h.wait()
+				}
+				submit("paused")
+				h.submit(t, "heavy", "receipt", "other")
+				if h.starts["heavy"] != 1 || len(h.cancelled) != 1 {
+					t.Fatalf("runs %v, cancelled %v", h.starts, h.cancelled)
+				}
+				h.complete("heavy", RunSucceeded, "first")
+				h.sleep(settings().BatchInterval * 10)
+				if h.starts["paused"] != 2 || h.bodies["paused"] != "as it came" {
+					t.Fatalf("runs %v, begun again with %q", h.starts, h.bodies["paused"])
+				}
+				submit("repeat") // of a gift: it waits for the run
+				h.complete("paused", RunSucceeded, "second")
+				h.wantAnswer(t, "heavy", Served, "first")
+				h.wantAnswer(t, "paused", Served, "second")
+				if class == "gift" {
+					h.wantAnswer(t, "repeat", Served, "second")
+				}
+			})
+		})
+	}
+}
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -52,7 +52,7 @@
 	a := e.attempt
 	switch {
 	case a.state != stateHeldAfterStall || c.attempts[a.ID] != a:
-	case a.answered: // given up during the hold
+	case a.answered: // its caller gave up during the hold
 		c.completeNotStarted(a)
 	default:
 		c.recordClaim(a)
@@ -84,7 +84,7 @@
 	case e.err != nil:
 		c.log.Warn("journal_refused", "key", a.Key, "error", e.err.Error())
 		c.shedNotStarted(a)
-	case a.answered: // given up meanwhile
+	case a.answered: // its caller gave up meanwhile
 		c.completeNotStarted(a)
 	default:
 		c.claimFromPredecessor(a)
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -40,7 +40,7 @@
 	Pools *PoolOptions
 	// Logger takes the log events; nil for slog.Default().
 	Logger *slog.Logger
-	// Observer is told of each final answer; may be nil.
+	// Observer gets each final answer; may be nil.
 	Observer Observer
 	// Monitor counts violations of the rules, and what was denied to keep them; may be nil.
 	Monitor *guard.Monitor
--- a/dispatch/downstream_calls.go
+++ b/dispatch/downstream_calls.go
@@ -93,9 +93,9 @@
 	})
 }
 
-// abandonedCallDelay is how long after a call was abandoned the module hears of its end.
-// The other parties take in that it was abandoned once a batch: a call that the module made
-// again before that would be abandoned with the first one.
+// abandonedCallDelay is how long after a call was abandoned the module hears of its end. The
+// other parties process an abandonment once a batch: a call that is made again before that
+// would be abandoned together with the first one.
 func (c *Core) abandonedCallDelay() time.Duration { return 2 * c.settings.BatchInterval }
 
 // callEnded reports the end of a call that the core knows by itself.
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -25,20 +25,16 @@
 	}
 }
 
-// TestGoldenJournal runs a keyed request, whose body is hashed: what the journal
-// is given is the same, so that a repeat that comes to another version of the
-// program is known by its key and body.
+// TestGoldenJournal: the states that the journal gets for a keyed request, with the hash of
+// its body, stay the same, so that another version of the program recognises a retry.
 func TestGoldenJournal(t *testing.T) {
 	j := &journal{}
-	playJournal(t, func(o *Options) { o.Journal = j }, func(t *testing.T, p *party) {
-		err := p.Submit(Request{ID: "a", Class: "gift", Key: "k", ArrivedAt: time.Now(), ReservedKB: 20, Payload: Payload{Body: []byte("10 kr")}, Responder: sink{p}})
-		if err != nil {
-			t.Fatal(err)
-		}
-		p.wait()
+	runTestWith(t, func(o *Options) { o.Journal = j }, func(t *testing.T, h *harness) {
+		h.mustSubmit(t, h.Core, Request{ID: "a", Class: "gift", Key: "k", Payload: Payload{Body: []byte("10 kr")}})
+		h.wait()
 		j.settle(nil)
-		p.wait()
-		p.complete("a", RunSucceeded, "tack")
+		h.wait()
+		h.complete("a", RunSucceeded, "tack")
 		j.mu.Lock()
 		defer j.mu.Unlock()
 		if len(j.states) != 2 {
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -9,7 +9,7 @@
 // maxDeepCheckWait bounds how long a deep health check waits for the machine.
 const maxDeepCheckWait = time.Second
 
-// healthState is what callers and the discovery service are told of this server.
+// healthState decides what health checks and the discovery service report of this server.
 type healthState struct {
 	healthy bool // as the module sees it
 	// cached is set where the module has settled it: deep checks don't try the machine.
--- a/dispatch/journal_test.go
+++ b/dispatch/journal_test.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// journal is a stand-in journal: it holds each claim until the test lets it be
-// durable, or fails it.
+// journal is a fake Journal: a claim is durable once the test settles it.
 type journal struct {
 	mu      sync.Mutex
 	states  []KeyState
@@ -40,30 +39,22 @@
 	}
 }
 
-func playJournal(t *testing.T, change func(*Options), play func(t *testing.T, p *party)) {
-	synctest.Test(t, func(t *testing.T) {
-		p := newPartyWith(t, change)
-		defer p.end()
-		play(t, p)
-	})
-}
-
-// TestJournalBeforeRun sees that a keyed run begins only once its claim is
-// durable, and that its end is recorded with its result.
+// TestJournalBeforeRun: a keyed run begins once its claim is durable, and its end is recorded
+// with its result.
 func TestJournalBeforeRun(t *testing.T) {
 	j := &journal{}
-	playJournal(t, func(o *Options) { o.Journal = j }, func(t *testing.T, p *party) {
-		p.submit(t, "a", "gift", "k")
-		if p.runs["a"] != 0 {
+	runTestWith(t, func(o *Options) { o.Journal = j }, func(t *testing.T, h *harness) {
+		h.submit(t, "a", "gift", "k")
+		if h.starts["a"] != 0 {
 			t.Fatal("it began before its claim was durable")
 		}
 		j.settle(nil)
-		p.wait()
-		if p.runs["a"] != 1 {
-			t.Fatalf("%d runs once the claim was durable", p.runs["a"])
+		h.wait()
+		if h.starts["a"] != 1 {
+			t.Fatalf("%d runs once the claim was durable", h.starts["a"])
 		}
-		p.complete("a", RunSucceeded, "tack")
-		p.wantAnswer(t, "a", Served, "tack")
+		h.complete("a", RunSucceeded, "tack")
+		h.wantAnswer(t, "a", Served, "tack")
 		j.mu.Lock()
 		defer j.mu.Unlock()
 		if n := len(j.states); n != 2 || j.states[0].RanAttemptID != "a" || j.states[0].Completed ||
@@ -73,60 +64,59 @@
 	})
 }
 
-// TestJournalRefused has the journal refuse a claim (the store is full): the
-// run never begins, and the caller is turned away, as it never ran.
+// TestJournalRefused: where the journal can't make a claim durable (the store is full), the
+// run never begins, and its request is shed.
 func TestJournalRefused(t *testing.T) {
 	j := &journal{}
-	playJournal(t, func(o *Options) { o.Journal = j }, func(t *testing.T, p *party) {
-		p.submit(t, "a", "gift", "k")
+	runTestWith(t, func(o *Options) { o.Journal = j }, func(t *testing.T, h *harness) {
+		h.submit(t, "a", "gift", "k")
 		j.settle(errors.New("full"))
-		p.wait()
-		p.wantAnswer(t, "a", Shed, "")
-		if p.runs["a"] != 0 {
-			t.Errorf("%d runs", p.runs["a"])
+		h.wait()
+		h.wantAnswer(t, "a", Shed, "")
+		if h.starts["a"] != 0 {
+			t.Errorf("%d runs", h.starts["a"])
 		}
 		j.settle(nil)
-		p.submit(t, "b", "gift", "k") // the key is free again
+		h.submit(t, "b", "gift", "k") // the key is free again
 		j.settle(nil)
-		p.wait()
-		if p.runs["b"] != 1 {
-			t.Errorf("a later try of the key: %d runs", p.runs["b"])
+		h.wait()
+		if h.starts["b"] != 1 {
+			t.Errorf("a later attempt of the key: %d runs", h.starts["b"])
 		}
 	})
 }
 
-// TestRecoveredInDoubt starts a core with what a journal held: a run that was
-// not told to end is never run again, and its repeat fails; one that ended has
-// its result served; a key that a lost record may have told of fails until the
-// doubt is over.
+// TestRecoveredInDoubt: a core starts with what a journal held. A run without a recorded end
+// is never run again, and its retry fails; the result of one that ended is served; a key
+// that a lost record may have held fails until InDoubtUntil.
 func TestRecoveredInDoubt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		till := time.Now().Add(testWindow)
 		done := &Payload{Body: []byte("tack")}
-		sum := sha256.Sum256(nil) // of what the tries bring
+		sum := sha256.Sum256(nil) // of an empty body
 		body := binary.BigEndian.Uint64(sum[:])
-		p := newPartyWith(t, func(o *Options) {
+		h := newHarnessWith(t, func(o *Options) {
 			o.RecoveredKeys = []KeyState{
 				{Key: "doubt", Class: "gift", BodyHash: body, RanAttemptID: "old1", ExpiresAt: till},
 				{Key: "done", Class: "gift", BodyHash: body, RanAttemptID: "old2", ExpiresAt: till, Completed: true, Result: done},
 			}
 			o.InDoubtUntil = time.Now().Add(time.Second)
 		})
-		defer p.end()
+		defer h.end()
 		for _, id := range []string{"a", "b", "c"} {
-			p.submit(t, id, "gift", map[string]string{"a": "doubt", "b": "done", "c": "unknown"}[id])
+			h.submit(t, id, "gift", map[string]string{"a": "doubt", "b": "done", "c": "unknown"}[id])
 		}
-		p.sleep(10 * time.Millisecond)
-		p.wantAnswer(t, "a", Failed, "")
-		p.wantAnswer(t, "b", Served, "tack")
-		p.wantAnswer(t, "c", Failed, "")
-		if len(p.runs) != 0 {
-			t.Errorf("runs %v", p.runs)
+		h.sleep(10 * time.Millisecond)
+		h.wantAnswer(t, "a", Failed, "")
+		h.wantAnswer(t, "b", Served, "tack")
+		h.wantAnswer(t, "c", Failed, "")
+		if len(h.starts) != 0 {
+			t.Errorf("runs %v", h.starts)
 		}
-		p.sleep(time.Second)
-		p.submit(t, "d", "gift", "unknown")
-		if p.runs["d"] != 1 {
-			t.Errorf("after the doubt: %d runs", p.runs["d"])
+		h.sleep(time.Second)
+		h.submit(t, "d", "gift", "unknown")
+		if h.starts["d"] != 1 {
+			t.Errorf("after the doubt: %d runs", h.starts["d"])
 		}
 	})
 }
--- a/dispatch/observer_test.go
+++ b/dispatch/observer_test.go
@@ -4,43 +4,40 @@
 	"fmt"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 )
 
-// observer keeps what it is told.
+// observer records what is reported to it.
 type observer struct {
-	mu   sync.Mutex
-	told []string
+	mu        sync.Mutex
+	responses []string
 }
 
 // ObserveResponse implements Observer.
-func (o *observer) ObserveResponse(class string, kind OutcomeKind, _ time.Duration, repeat bool) {
+func (o *observer) ObserveResponse(class string, kind OutcomeKind, _ time.Duration, duplicate bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.told = append(o.told, fmt.Sprintf("%s %d %t", class, kind, repeat))
+	o.responses = append(o.responses, fmt.Sprintf("%s %d %t", class, kind, duplicate))
 }
 
-// TestObserver has each final answer told once, a repeat's as such, and the
-// count of open requests come back to none.
+// TestObserver: each final answer is reported once, a duplicate's as such, and the number of
+// open requests returns to 0.
 func TestObserver(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		o := &observer{}
-		p := newPartyWith(t, func(opt *Options) { opt.Observer = o })
-		defer p.end()
-		p.submit(t, "a", "gift", "k")
-		p.submit(t, "b", "gift", "k")
-		if n := p.InFlight(); n != 2 {
+	o := &observer{}
+	runTestWith(t, func(opt *Options) { opt.Observer = o }, func(t *testing.T, h *harness) {
+		h.submit(t, "a", "gift", "k")
+		h.submit(t, "b", "gift", "k")
+		if n := h.InFlight(); n != 2 {
 			t.Errorf("%d open", n)
 		}
-		p.complete("a", RunSucceeded, "tack")
-		p.submit(t, "c", "read", "")
-		p.each(func(c *Core) { c.CancelRequest("c", sink{p}) })
-		p.wait()
+		h.complete("a", RunSucceeded, "tack")
+		h.submit(t, "c", "read", "")
+		h.each(func(c *Core) { c.CancelRequest("c", responder{h}) })
+		h.wait()
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		if got := fmt.Sprint(o.told); got != "[gift 0 false gift 0 true]" || p.InFlight() != 0 {
-			t.Errorf("told %s, %d open", got, p.InFlight())
+		if got := fmt.Sprint(o.responses); got != "[gift 0 false gift 0 true]" || h.InFlight() != 0 {
+			t.Errorf("reported %s, %d open", got, h.InFlight())
 		}
 	})
 }
--- a/dispatch/pools_test.go
+++ b/dispatch/pools_test.go
@@ -2,40 +2,36 @@
 
 import (
 	"testing"
-	"testing/synctest"
 )
 
-// TestPools bounds runs below the module (of 8 cores): with pools of one slot
-// for each of three classes, three reads run (one their own, two borrowed from
-// the idle pools); a fourth waits in the line, and one whose caller leaves
-// while it waits never begins. Once a run has taken a second, a read that would
-// wait longer than half its aim is turned away at once, as it never ran, and
-// holds no slot to give back.
+// TestPools: pools bound runs below the module, which has 8 cores. With one slot for each of
+// three classes, three reads run: one in its own slot, two in borrowed ones. A fourth waits
+// in the queue, and one whose caller cancels it there never begins. Once a run has taken a
+// second, a read that would wait for more than half its latency objective is shed at once,
+// and holds no slot to release.
 func TestPools(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		p := newPartyWith(t, func(o *Options) { o.Pools, o.Settings.Cores = &PoolOptions{InitialLimit: 1}, 8 })
-		defer p.end()
+	runTestWith(t, func(o *Options) { o.Pools, o.Settings.Cores = &PoolOptions{InitialLimit: 1}, 8 }, func(t *testing.T, h *harness) {
 		for _, id := range []string{"a", "b", "c", "d", "e"} {
-			p.submit(t, id, "read", "")
+			h.submit(t, id, "read", "")
 		}
-		if len(p.runs) != 3 || p.runs["d"] != 0 {
-			t.Fatalf("runs %v with three slots", p.runs)
+		if len(h.starts) != 3 || h.starts["d"] != 0 {
+			t.Fatalf("runs %v with three slots", h.starts)
 		}
-		p.each(func(c *Core) { c.CancelRequest("d", sink{p}) }) // its caller leaves while it waits
-		p.wait()
-		p.complete("a", RunSucceeded, "one")
-		if p.runs["d"] != 0 || p.runs["e"] != 1 {
-			t.Fatalf("runs %v once the first ended", p.runs)
+		h.each(func(c *Core) { c.CancelRequest("d", responder{h}) }) // its caller leaves while it waits
+		h.wait()
+		h.complete("a", RunSucceeded, "one")
+		if h.starts["d"] != 0 || h.starts["e"] != 1 {
+			t.Fatalf("runs %v once the first ended", h.starts)
 		}
-		p.submit(t, "f", "read", "") // a run takes a second now, and all slots are taken
-		p.wantAnswer(t, "f", Shed, "")
-		if p.runs["f"] != 0 {
-			t.Error("the turned-away read ran")
+		h.submit(t, "f", "read", "") // a run takes a second now, and all slots are taken
+		h.wantAnswer(t, "f", Shed, "")
+		if h.starts["f"] != 0 {
+			t.Error("the read that was shed ran")
 		}
-		p.submit(t, "g", "read", "") // it held no slot, so it gave none back
-		if p.runs["g"] != 0 {
-			t.Errorf("runs %v: a read that was turned away freed a slot", p.runs)
+		h.submit(t, "g", "read", "") // it held no slot, so it gave none back
+		if h.starts["g"] != 0 {
+			t.Errorf("runs %v: a read that was shed freed a slot", h.starts)
 		}
-		p.wantAnswer(t, "a", Served, "one")
+		h.wantAnswer(t, "a", Served, "one")
 	})
 }
--- a/dispatch/replication.go
+++ b/dispatch/replication.go
@@ -117,7 +117,7 @@
 	e.peer.DecideClaim(e.state.RanAttemptID, granted)
 }
 
-// ClaimDecided takes in the predecessor's decision on a claim.
+// ClaimDecided reports the predecessor's decision on a claim.
 func (c *Core) ClaimDecided(p Peer, ranAttemptID string, granted bool) {
 	c.notify(claimDecided{p, ranAttemptID, granted})
 }
@@ -139,7 +139,7 @@
 	switch {
 	case granted && !a.answered:
 		c.acquirePoolSlot(a)
-	case granted: // given up meanwhile
+	case granted: // its caller gave up meanwhile
 		c.completeNotStarted(a)
 	default: // another attempt has the key: this one gets its result
 		c.keys.ReleaseClaim(a.entry, a.ID)
@@ -149,7 +149,7 @@
 	}
 }
 
-// PeerDisconnected takes in that the connection to a peer has ended. What it replicated
+// PeerDisconnected reports that the connection to a peer has ended. What it replicated
 // counts; what still ran there has no result that can be served here.
 func (c *Core) PeerDisconnected(p Peer) { c.notify(peerDisconnected{p}) }
 
--- a/dispatch/respond.go
+++ b/dispatch/respond.go
@@ -97,8 +97,8 @@
 // any goroutine.
 func (c *Core) InFlight() int64 { return c.inFlight.Load() }
 
-// Unanswered reports how many requests have no answer and a caller that waits for one,
-// once all that was handed in before is received.
+// Unanswered reports how many requests have no answer and a caller that waits for one, once
+// those that were handed in before are received.
 func (c *Core) Unanswered(reply func(requests int)) error {
 	return c.enqueue(unansweredRequested{reply})
 }
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// updateModule has the module take other settings, or tries them if there is none yet.
+// updateModule has the module take other settings, or validates them if there is none yet.
 func (c *Core) updateModule(s decision.Settings) (err error) {
 	if c.module != nil {
 		return c.module.UpdateSettings(c.now, s)
--- a/dispatch/settings_test.go
+++ b/dispatch/settings_test.go
@@ -4,239 +4,242 @@
 	"fmt"
 	"slices"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"quincerail.example/quincerail/decision"
 )
 
-// retune has a core take over other settings, without tenants.
-func (p *party) retune(s decision.Settings, names ...string) error {
-	return p.retuneBoth(s, names, nil)
+// updateSettings puts other settings in force, without tenants.
+func (h *harness) updateSettings(s decision.Settings, names ...string) error {
+	return h.updateSettingsAndTenants(s, names, nil)
 }
 
-func (p *party) retuneBoth(s decision.Settings, classes, tenants []string) error {
+func (h *harness) updateSettingsAndTenants(s decision.Settings, classes, tenants []string) error {
 	result := make(chan error, 1)
-	go func() { result <- p.UpdateSettings(s, classes, tenants) }()
-	p.wait()
+	go func() { result <- h.UpdateSettings(s, classes, tenants) }()
+	h.wait()
 	return <-result
 }
 
-// read hands in a tenant's request of the class read.
-func (p *party) read(id, tenant string) error {
-	return p.Submit(Request{ID: id, Class: "read", Tenant: tenant, ArrivedAt: time.Now(), ReservedKB: 20, Responder: sink{p}})
+// submitRead hands in a tenant's request of the class read.
+func (h *harness) submitRead(id, tenant string) error {
+	return h.Submit(h.withDefaults(Request{ID: id, Class: "read", Tenant: tenant}))
 }
 
-// TestRetune guards what is open against settings that change around it: it
-// keeps its class's time though the class is dropped. From then on requests may
-// have the new classes and not the dropped one, and one that comes back goes on.
-func TestRetune(t *testing.T) {
-	bubble(t, func(t *testing.T, p *party) {
-		retune := p.retune
+// TestUpdateSettings: an open request keeps its class's deadline though the class is removed.
+// From then on the new classes are accepted and the removed one is not; a key's window goes
+// on where its class returns. Invalid settings change nothing.
+func TestUpdateSettings(t *testing.T) {
+	runTest(t, func(t *testing.T, h *harness) {
+		update := h.updateSettings
 		refused := func(class string) bool {
-			return p.Submit(Request{ID: "no " + class, Class: class, Key: "k", ArrivedAt: time.Now(), ReservedKB: 20, Responder: sink{p}}) != nil
+			return h.Submit(h.withDefaults(Request{ID: "no " + class, Class: class, Key: "k"})) != nil
 		}
-		p.submit(t, "open", "gift", "k")
+		h.submit(t, "open", "gift", "k")
 		s := settings()
 		s.Classes = slices.Clone(s.Classes)
 		s.Classes[1].Deadline = time.Second + testSlack // of what stands at gift's place in this list
-		if err := retune(s, "read", "pledge", "receipt"); err != nil {
+		if err := update(s, "read", "pledge", "receipt"); err != nil {
 			t.Fatal(err)
 		}
 		if !refused("gift") {
-			t.Error("a class that was dropped is taken")
+			t.Error("a removed class is accepted")
 		}
-		p.submit(t, "new", "pledge", "k")
-		p.sleep(testDeadline - time.Second)
-		p.wantAnswer(t, "new", TimedOut, "")
-		p.complete("open", RunSucceeded, "thanks")
-		p.wantAnswer(t, "open", Served, "thanks")
+		h.submit(t, "new", "pledge", "k")
+		h.sleep(testDeadline - time.Second)
+		h.wantAnswer(t, "new", TimedOut, "")
+		h.complete("open", RunSucceeded, "thanks")
+		h.wantAnswer(t, "open", Served, "thanks")
 
 		wrong := settings()
 		wrong.Classes = slices.Clone(wrong.Classes)
 		wrong.Classes[2].Deadline = 0
 		none := settings()
 		none.Classes = nil
-		for _, err := range []error{retune(wrong, "read", "gift", "receipt"), retune(s, "read", "read", "receipt"), retune(s, "read"), retune(none)} {
+		for _, err := range []error{update(wrong, "read", "gift", "receipt"), update(s, "read", "read", "receipt"), update(s, "read"), update(none)} {
 			if err == nil {
-				t.Error("settings that make no sense are taken")
+				t.Error("invalid settings are accepted")
 			}
 		}
 		if !refused("gift") {
-			t.Error("settings that were turned down have changed something")
+			t.Error("settings that were rejected have changed something")
 		}
-		if err := retune(settings(), "read", "gift", "receipt"); err != nil {
+		if err := update(settings(), "read", "gift", "receipt"); err != nil {
 			t.Fatal(err)
 		}
-		p.submit(t, "again", "gift", "k")
-		p.wantAnswer(t, "again", Served, "thanks") // the key's window goes on
+		h.submit(t, "again", "gift", "k")
+		h.wantAnswer(t, "again", Served, "thanks") // the key's window goes on
 	})
 }
 
-// TestRetuneTenants: a tenant keeps its place whatever tables come, those without
-// tenants included, so that nobody is counted as another; names that are gone, empty
-// or there twice are not taken.
-func TestRetuneTenants(t *testing.T) {
-	bubble(t, func(t *testing.T, p *party) {
-		retune := func(names ...string) error {
-			s := settings()
-			for i := range names {
-				s.Tenants = append(s.Tenants, decision.Tenant{Quota: float64(i + 1)})
-			}
-			return p.retuneBoth(s, []string{"read", "gift", "receipt"}, names)
+// tenantIndexes checks the indexes of tenants across several sets of settings.
+type tenantIndexes struct {
+	*harness
+	byName map[string]int // of the tenants that have been in force
+}
+
+// update puts settings with other tenants in force; the quota of each tells its place in
+// the list.
+func (x *tenantIndexes) update(names ...string) error {
+	s := settings()
+	for i := range names {
+		s.Tenants = append(s.Tenants, decision.Tenant{Quota: float64(i + 1)})
+	}
+	return x.updateSettingsAndTenants(s, []string{"read", "gift", "receipt"}, names)
+}
+
+// check looks a tenant up, and compares its index with those of before.
+func (x *tenantIndexes) check(t *testing.T, inForce []string, name string) {
+	t.Helper()
+	index, ok := x.currentSettings.Load().tenantIndex(name)
+	i := slices.Index(inForce, name)
+	if ok != (i >= 0 || len(inForce) == 0) {
+		t.Errorf("%v: %s is accepted: %t", inForce, name, ok)
+	}
+	if !ok {
+		return
+	}
+	if len(inForce) == 0 {
+		name = ""
+	}
+	if former, known := x.byName[name]; known && former != index {
+		t.Errorf("%v: %q moves from index %d to %d", inForce, name, former, index)
+	}
+	for other, taken := range x.byName {
+		if other != name && taken == index {
+			t.Errorf("%v: %q and %q share index %d", inForce, name, other, index)
 		}
-		places := map[string]int{"": 0} // of the tenants that have been, and of none
-		for _, table := range [][]string{{"a", "b"}, {"b", "c", "a"}, {}, {"c"}, {"d", "b"}, {}} {
-			if err := retune(table...); err != nil {
-				t.Fatal(err)
-			}
-			in := p.currentSettings.Load()
+	}
+	x.byName[name] = index
+	if quota := x.settings.Tenants[index].Quota; quota != float64(i+1) {
+		t.Errorf("%v: %s has the quota %v", inForce, name, quota)
+	}
+}
+
+// TestUpdateTenants: a tenant keeps its index whatever settings come, those without tenants
+// included, so that none is counted as another; names that are removed, empty or there
+// twice are rejected.
+func TestUpdateTenants(t *testing.T) {
+	runTest(t, func(t *testing.T, h *harness) {
+		x := &tenantIndexes{harness: h, byName: map[string]int{"": 0}}
+		for _, names := range [][]string{{"a", "b"}, {"b", "c", "a"}, {}, {"c"}, {"d", "b"}, {}} {
+			must(t, x.update(names...))
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
-				place, ok := in.tenantIndex(name)
-				i := slices.Index(table, name)
-				if ok != (i >= 0 || len(table) == 0) {
-					t.Errorf("%v: %s is taken: %t", table, name, ok)
-				}
-				if !ok {
-					continue
-				}
-				if len(table) == 0 {
-					name = ""
-				}
-				if was, known := places[name]; known && was != place {
-					t.Errorf("%v: %q moves from place %d to %d", table, name, was, place)
-				}
-				for other, taken := range places {
-					if other != name && taken == place {
-						t.Errorf("%v: %q and %q share place %d", table, name, other, place)
-					}
-				}
-				places[name] = place
-				if quota := p.settings.Tenants[place].Quota; quota != float64(i+1) {
-					t.Errorf("%v: %s has the quota %v", table, name, quota)
-				}
+				x.check(t, names, name)
 			}
 		}
-		for _, table := range [][]string{{"a", "a"}, {"a", ""}, {""}} {
-			if retune(table...) == nil {
-				t.Errorf("%q is taken", table)
+		for _, names := range [][]string{{"a", "a"}, {"a", ""}, {""}} {
+			if x.update(names...) == nil {
+				t.Errorf("%q is accepted", names)
 			}
 		}
-		if place, ok := p.currentSettings.Load().tenantIndex("a"); !ok || place != 0 {
-			t.Error("a table that was turned down has changed something")
+		if index, ok := h.currentSettings.Load().tenantIndex("a"); !ok || index != 0 {
+			t.Error("settings that were rejected have changed something")
 		}
 	})
 }
 
-// TestTenantOfRequest: a request keeps its own tenant, though another table comes
-// between reading and taking it in.
+// TestTenantOfRequest: a request keeps its tenant, though the settings change before it is
+// received.
 func TestTenantOfRequest(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		p := newPartyWith(t, func(o *Options) {
-			o.Settings.Tenants, o.Tenants = []decision.Tenant{{Quota: 1}, {Quota: 2}}, []string{"a", "b"}
-		})
-		defer p.end()
+	runTestWith(t, func(o *Options) {
+		o.Settings.Tenants, o.Tenants = []decision.Tenant{{Quota: 1}, {Quota: 2}}, []string{"a", "b"}
+	}, func(t *testing.T, h *harness) {
 		next := settings()
 		next.Tenants = []decision.Tenant{{Quota: 2}, {Quota: 1}}
-		p.overtaken(t, next, []string{"read", "gift", "receipt"}, []string{"c", "b"}, func() {
+		h.applySettingsBefore(t, next, []string{"read", "gift", "receipt"}, []string{"c", "b"}, func() {
 			for _, tenant := range []string{"a", "b"} {
-				if err := p.read("of "+tenant, tenant); err != nil {
+				if err := h.submitRead("of "+tenant, tenant); err != nil {
 					t.Fatal(err)
 				}
 			}
 		})
 		for place, tenant := range []string{"a", "b"} {
-			if a := p.attempts["of "+tenant]; a == nil || a.tenantIndex != place {
+			if a := h.attempts["of "+tenant]; a == nil || a.tenantIndex != place {
 				t.Errorf("the request of %s is under another: %+v", tenant, a)
 			}
 		}
-		if p.read("late", "a") == nil {
-			t.Error("a tenant that is gone is taken")
+		if h.submitRead("late", "a") == nil {
+			t.Error("a removed tenant is accepted")
 		}
 	})
 }
 
-// TestTenantsShare: the module hears whose a request is. One that is far over its
-// quota waits behind others of the same class, in whatever order they came.
+// TestTenantsShare: the module hears of each request's tenant. Requests of a tenant that is
+// far over its quota wait behind others of the same class, in whatever order they came.
 func TestTenantsShare(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		p := newPartyWith(t, func(o *Options) {
-			o.Settings.Tenants, o.Tenants = []decision.Tenant{{Quota: 1}, {Quota: 1000}}, []string{"floods", "sparing"}
-			o.Settings.OverQuotaWeight = 0.05
-		})
-		defer p.end()
+	runTestWith(t, func(o *Options) {
+		o.Settings.Tenants, o.Tenants = []decision.Tenant{{Quota: 1}, {Quota: 1000}}, []string{"floods", "sparing"}
+		o.Settings.OverQuotaWeight = 0.05
+	}, func(t *testing.T, h *harness) {
 		read := func(id, tenant string) {
 			t.Helper()
-			if err := p.read(id, tenant); err != nil {
+			if err := h.submitRead(id, tenant); err != nil {
 				t.Fatal(err)
 			}
-			p.wait()
+			h.wait()
 		}
 		for i := range 40 {
 			id := fmt.Sprint("early ", i)
 			read(id, "floods")
-			p.complete(id, RunSucceeded, "")
+			h.complete(id, RunSucceeded, "")
 		}
-		for i := range p.settings.Cores {
+		for i := range h.settings.Cores {
 			read(fmt.Sprint("runs ", i), "floods")
 		}
 		read("waits", "floods")
-		p.sleep(time.Millisecond)
+		h.sleep(time.Millisecond)
 		read("of another", "sparing")
-		if p.runs["waits"]+p.runs["of another"] > 0 {
+		if h.starts["waits"]+h.starts["of another"] > 0 {
 			t.Fatal("the cores are not full")
 		}
-		p.complete("runs 0", RunSucceeded, "")
-		if p.runs["of another"] != 1 || p.runs["waits"] != 0 {
-			t.Errorf("runs %v", p.runs)
+		h.complete("runs 0", RunSucceeded, "")
+		if h.starts["of another"] != 1 || h.starts["waits"] != 0 {
+			t.Errorf("runs %v", h.starts)
 		}
 	})
 }
 
-// TestListFollowsHealth: the list hears of a server's health where the settings say so,
-// and else only whether it runs or drains.
+// TestListFollowsHealth: the registrar hears of a server's health where the settings have
+// that, and else only whether it runs or drains.
 func TestListFollowsHealth(t *testing.T) {
 	for _, follows := range []bool{true, false} {
-		synctest.Test(t, func(t *testing.T) {
-			p := newPartyWith(t, func(o *Options) { o.Settings.ListFollowsHealth = follows })
-			defer p.end()
-			last := func() bool { return p.present[len(p.present)-1] }
-			p.inLoop(p.Core, func() { host{p.Core}.SetHealth(false, true) })
-			p.wait()
+		runTestWith(t, func(o *Options) { o.Settings.ListFollowsHealth = follows }, func(t *testing.T, h *harness) {
+			last := func() bool { return h.accepting[len(h.accepting)-1] }
+			h.inLoop(h.Core, func() { host{h.Core}.SetHealth(false, true) })
+			h.wait()
 			if last() == follows {
-				t.Errorf("follows %t: the list says %t of an unfit server", follows, last())
+				t.Errorf("follows %t: the registrar hears %t of an unhealthy server", follows, last())
 			}
 			other := settings()
 			other.ListFollowsHealth = !follows
-			if err := p.retune(other, "read", "gift", "receipt"); err != nil {
+			if err := h.updateSettings(other, "read", "gift", "receipt"); err != nil {
 				t.Fatal(err)
 			}
 			if last() != follows {
-				t.Errorf("follows %t no more: the list says %t", follows, last())
+				t.Errorf("no longer follows %t: the registrar hears %t", follows, last())
 			}
-			p.Drain(time.Now(), time.Now().Add(time.Minute))
-			p.wait()
+			h.Drain(time.Now(), time.Now().Add(time.Minute))
+			h.wait()
 			if last() {
-				t.Error("the list is not told of a drain")
+				t.Error("the registrar does not hear of a drain")
 			}
 		})
 	}
 }
 
-// TestSaidAcrossSettings: the free value is told while the settings give it a meaning,
-// and told anew where they give it another.
-func TestSaidAcrossSettings(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		p := newPartyWith(t, func(o *Options) { o.Settings.LoadReportMode = decision.LoadReportMinRank })
-		defer p.end()
+// TestLoadReportAcrossSettings: the load value is published while the settings give it a
+// meaning, and computed anew where they give it another.
+func TestLoadReportAcrossSettings(t *testing.T) {
+	runTestWith(t, func(o *Options) { o.Settings.LoadReportMode = decision.LoadReportMinRank }, func(t *testing.T, h *harness) {
 		for _, say := range []decision.LoadReportMode{decision.LoadReportMinRank, decision.LoadReportNone, decision.LoadReportMinRank, decision.LoadReportCredit, decision.LoadReportNone} {
 			s := settings()
 			s.LoadReportMode = say
-			if err := p.retune(s, "read", "gift", "receipt"); err != nil {
+			if err := h.updateSettings(s, "read", "gift", "receipt"); err != nil {
 				t.Fatal(err)
 			}
-			p.sleep(time.Second)
-			value, ok := p.LoadReport()
+			h.sleep(time.Second)
+			value, ok := h.LoadReport()
 			if ok != (say != decision.LoadReportNone) || say == decision.LoadReportCredit && value < 1 {
 				t.Errorf("say %d: %v, %t", say, value, ok)
 			}
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -62,7 +62,7 @@
 const (
 	RunSucceeded  RunEnd = iota // with a result
 	RunFailed                   // it may have had its effect
-	RunCancelled                // it was stopped, and may have had its effect
+	RunCancelled                // it was cancelled, and may have had its effect
 	RunNotStarted               // it is proven to have had no effect
 )
 
@@ -109,7 +109,7 @@
 	SetIdleTimeout(after time.Duration)
 }
 
-// Observer is told of each final answer, for metrics: the class by its name, or
+// Observer gets each final answer, for metrics: the class by its name, or
 // [RemovedClass], the kind, and the time since the request arrived. duplicate is set where
 // the answer is the result of another attempt. Its method must not block.
 type Observer interface {
