--- a/internal/dispatchtest/coretest.go
+++ b/internal/dispatchtest/coretest.go
@@ -1,5 +1,5 @@
 // Package dispatchtest has what tests of the parties around the core share: a core
-// with the example's settings at work, and a sink that collects its answers.
+// with the example's settings at work, and a Responder that collects its answers.
 package dispatchtest
 
 import (
@@ -20,7 +20,7 @@
 // Answers collects what a core answers, each as the request's id and the kind.
 type Answers chan string
 
-// Respond implements dispatch.Sink.
+// Respond implements dispatch.Responder.
 func (a Answers) Respond(id string, o dispatch.Outcome) { a <- fmt.Sprint(id, " ", o.Kind) }
 
 // Example gives the text of one of the example's files.
