--- a/dispatch/keys.go
+++ b/dispatch/keys.go
@@ -16,19 +16,10 @@
 
 // keyAttempt is the attempt as the key table knows it.
 func (a *attempt) keyAttempt() idempotency.Attempt {
-	return idempotency.Attempt{ID: a.ID, Key: a.Key, Class: a.Class, BodyHash: a.body, ArrivedAt: a.door}
+	return idempotency.Attempt{ID: a.ID, Key: a.Key, Class: a.Class, BodyHash: a.bodyHash, ArrivedAt: a.arrivedAt}
 }
 
 // keyState is an entry as the peer and the journal get it.
 func (c *Core) keyState(e *idempotency.Entry) KeyState {
 	return e.State(c.clock.Unix(e.ExpiresAt()))
 }
-
-// settleRepeats has the duplicates that waited for a key settled, each by an event of its
-// own, as the module may be in the midst of a batch.
-func (c *Core) settleRepeats(e *idempotency.Entry, waiting []string) {
-	for _, id := range waiting {
-		a := c.attempts[id]
-		c.deferredEvents = append(c.deferredEvents, func() { c.settleRepeat(a, e) })
-	}
-}
