--- a/backend/processor.go
+++ b/backend/processor.go
@@ -153,7 +153,7 @@
 	}
 	p.silent = 0
 	switch n.Kind {
-	case processor.Complete, processor.Ask, processor.Remark:
+	case processor.RunCompleted, processor.CallRequested, processor.Remark:
 		if n.Number <= p.last { // sent again after a break
 			p.mu.Unlock()
 			return nil
@@ -162,17 +162,17 @@
 	}
 	tell := func() {}
 	switch n.Kind {
-	case processor.Hi:
+	case processor.Greeting:
 		if p.greeting == nil || p.marker != 0 {
 			p.mu.Unlock()
-			return fmt.Errorf("%w: hi without hello", lines.ErrBroken)
+			return fmt.Errorf("%w: hi without hello", lines.ErrMalformed)
 		}
 		p.asked++
 		p.greeted = true
 		p.marker = p.asked
-		p.greeting.Send(processor.AppendUsage(nil, strconv.FormatUint(p.marker, 10)))
+		p.greeting.Send(processor.AppendReadGauges(nil, strconv.FormatUint(p.marker, 10)))
 		tell = func() { p.core.BackendReady(n.Word == "new", n.Took) }
-	case processor.Complete:
+	case processor.RunCompleted:
 		p.proven(func(c command) bool { return c.id == n.ID })
 		end, known := map[string]dispatch.RunEnd{
 			"good": dispatch.RunSucceeded, "bad": dispatch.RunFailed,
@@ -182,10 +182,10 @@
 			end = dispatch.RunFailed
 		}
 		tell = func() { p.core.RunCompleted(n.ID, end, n.Took, dispatch.Payload{Body: n.Payload}) }
-	case processor.Ask:
+	case processor.CallRequested:
 		p.proven(func(c command) bool { return c.id == n.ID && c.kind != interrupt })
 		tell = func() { p.core.CallRequested(n.ID, n.Number, n.Payload) }
-	case processor.Used:
+	case processor.GaugesRead:
 		tag, _ := strconv.ParseUint(n.Tag, 10, 64)
 		p.proven(func(c command) bool { return c.sent && c.after < tag })
 		if p.greeting != nil && tag == p.marker {
@@ -196,12 +196,12 @@
 			delete(p.usages, tag)
 			tell = func() { reply(p.reading(n.Gauges)) }
 		}
-	case processor.Tried:
+	case processor.HealthChecked:
 		if reply := p.trials[n.Tag]; reply != nil {
 			delete(p.trials, n.Tag)
 			tell = func() { reply(n.Word == "good") }
 		}
-	case processor.Reject:
+	case processor.CommandRejected:
 		if n.Word != "begin" {
 			p.log.Warn("processor_reject", "command", n.Word, "id", n.ID)
 		} else { // nothing ran: neither does the key count as used, nor the run as one that failed
@@ -264,22 +264,22 @@
 
 // Start implements dispatch.Backend.
 func (p *Processor) Start(r dispatch.Run) {
-	p.command(begin, r.ID, processor.AppendBegin(nil, r.ID, r.Class, r.Payload.Body))
+	p.command(begin, r.ID, processor.AppendStart(nil, r.ID, r.Class, r.Payload.Body))
 }
 
 // Cancel implements dispatch.Backend.
 func (p *Processor) Cancel(id string) {
-	p.command(interrupt, id, processor.AppendInterrupt(nil, id))
+	p.command(interrupt, id, processor.AppendCancel(nil, id))
 }
 
 // ReplyToCall implements dispatch.Backend.
 func (p *Processor) ReplyToCall(id string, reply []byte) {
-	p.command(resume, id, processor.AppendAnswer(nil, id, reply))
+	p.command(resume, id, processor.AppendCallReply(nil, id, reply))
 }
 
 // SkipCall implements dispatch.Backend.
 func (p *Processor) SkipCall(id string, notice uint64) {
-	p.command(resume, id, processor.AppendWithout(nil, id, notice))
+	p.command(resume, id, processor.AppendSkipCall(nil, id, notice))
 }
 
 // ReadGauges implements dispatch.Machine. Without a link there is no reply.
@@ -297,7 +297,7 @@
 	}
 	p.asked++
 	p.usages[p.asked] = reply
-	p.conn.Send(processor.AppendUsage(nil, strconv.FormatUint(p.asked, 10)))
+	p.conn.Send(processor.AppendReadGauges(nil, strconv.FormatUint(p.asked, 10)))
 }
 
 // CheckHealth implements dispatch.Machine.
@@ -311,5 +311,5 @@
 	p.asked++
 	tag := strconv.FormatUint(p.asked, 10)
 	p.trials[tag] = reply
-	p.conn.Send(processor.AppendTrial(nil, tag))
+	p.conn.Send(processor.AppendHealthCheck(nil, tag))
 }
--- a/downstream/budget.go
+++ b/downstream/budget.go
@@ -11,29 +11,29 @@
 	"quincerail.example/quincerail/fleet"
 )
 
-// Caller hears how calls ended; *dispatch.Core is one.
-type Caller interface {
+// CallObserver hears how calls ended; *dispatch.Core is one.
+type CallObserver interface {
 	CallCompleted(id string, number int, end dispatch.CallOutcome, reply []byte)
 }
 
-// Budget is the member's part of what the whole fleet may have in hand at
+// Quota is the member's part of what the whole fleet may have in hand at
 // the shared dependency; *fleet.QuotaAgent is one.
-type Budget interface {
+type Quota interface {
 	TryAcquire() (put func(), ok bool)
 	OnRelease(f func())
 }
 
-// Budgeted lets calls go below only within a budget: dispatch.Dependency
+// QuotaLimiter lets calls go below only within a budget: dispatch.Dependency
 // over another. What has no room waits its turn; the core gives it up in its
 // time, as it does any call. The module decides which calls to make within what
 // it was last told of the budget (Bound); this is what holds at every instant.
 //
 // A call that was given up, or whose connection broke, may linger below, and is
 // counted for as long.
-type Budgeted struct {
+type QuotaLimiter struct {
 	next   dispatch.Dependency
-	core   Caller
-	budget Budget
+	core   CallObserver
+	budget Quota
 	linger func() time.Duration
 
 	mu      sync.Mutex
@@ -49,19 +49,19 @@
 	put    func() // of one that is out
 }
 
-// NewBudgeted makes one whose calls that were given up count for linger() longer;
+// NewQuotaLimiter makes one whose calls that were given up count for linger() longer;
 // Attach has to follow.
-func NewBudgeted(next dispatch.Dependency, budget Budget, linger func() time.Duration) *Budgeted {
-	b := &Budgeted{next: next, budget: budget, linger: linger, out: map[string]budgetedCall{}}
+func NewQuotaLimiter(next dispatch.Dependency, budget Quota, linger func() time.Duration) *QuotaLimiter {
+	b := &QuotaLimiter{next: next, budget: budget, linger: linger, out: map[string]budgetedCall{}}
 	budget.OnRelease(b.pump)
 	return b
 }
 
 // Attach sets who hears how calls end; it goes before the first.
-func (b *Budgeted) Attach(core Caller) { b.core = core }
+func (b *QuotaLimiter) Attach(core CallObserver) { b.core = core }
 
 // Call implements dispatch.Dependency.
-func (b *Budgeted) Call(id string, number int, wait time.Duration, body []byte) {
+func (b *QuotaLimiter) Call(id string, number int, wait time.Duration, body []byte) {
 	b.mu.Lock()
 	b.waiting = append(b.waiting, budgetedCall{id: id, number: number, until: time.Now().Add(wait), body: body})
 	b.mu.Unlock()
@@ -69,7 +69,7 @@
 }
 
 // pump lets those go that there is room for.
-func (b *Budgeted) pump() {
+func (b *QuotaLimiter) pump() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for len(b.waiting) > 0 {
@@ -89,7 +89,7 @@
 }
 
 // Abandon implements dispatch.Dependency.
-func (b *Budgeted) Abandon(id string) {
+func (b *QuotaLimiter) Abandon(id string) {
 	b.mu.Lock()
 	b.waiting = slices.DeleteFunc(b.waiting, func(k budgetedCall) bool { return k.id == id })
 	k, out := b.out[id]
@@ -102,7 +102,7 @@
 }
 
 // CallCompleted implements Caller: it stands between the dependency and the core.
-func (b *Budgeted) CallCompleted(id string, number int, end dispatch.CallOutcome, reply []byte) {
+func (b *QuotaLimiter) CallCompleted(id string, number int, end dispatch.CallOutcome, reply []byte) {
 	b.mu.Lock()
 	k, out := b.out[id]
 	if out = out && k.number == number; out {
@@ -118,14 +118,14 @@
 	}
 }
 
-func (b *Budgeted) back(k budgetedCall) {
+func (b *QuotaLimiter) back(k budgetedCall) {
 	k.put()
 	b.pump()
 }
 
-// Bound has the module keep to this member's part of the fleet's budgets, as they
+// ApplyFleetBounds has the module keep to this member's part of the fleet's budgets, as they
 // move, and tells the fleet what it would have in hand if only it might.
-func Bound(core *dispatch.Core, member *fleet.Fleet) {
+func ApplyFleetBounds(core *dispatch.Core, member *fleet.Fleet) {
 	calls := member.QuotaAgent(fleet.Calls)
 	b := decision.FleetBounds{MaxCalls: math.Inf(1)}
 	if member.QuotaAgent(fleet.Repeats) != nil {
--- a/downstream/budget_test.go
+++ b/downstream/budget_test.go
@@ -70,7 +70,7 @@
 func TestBudgetedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, r := &below{}, &rights{left: 2}
-		b := NewBudgeted(d, r, func() time.Duration { return 200 * time.Millisecond })
+		b := NewQuotaLimiter(d, r, func() time.Duration { return 200 * time.Millisecond })
 		b.Attach(d)
 		check := func(want ...string) {
 			t.Helper()
--- a/downstream/pool.go
+++ b/downstream/pool.go
@@ -25,7 +25,7 @@
 // not too many, because one that breaks or falls silent takes all calls on it
 // along, and nobody knows what became of them.
 type Pool struct {
-	core    Caller
+	core    CallObserver
 	connect func(address string) (net.Conn, error)
 
 	mu      sync.Mutex
@@ -56,7 +56,7 @@
 }
 
 // Attach sets who hears how calls end; it goes before the first.
-func (l *Pool) Attach(core Caller) { l.core = core }
+func (l *Pool) Attach(core CallObserver) { l.core = core }
 
 // Call implements dispatch.Dependency.
 func (l *Pool) Call(id string, number int, wait time.Duration, body []byte) {
@@ -205,8 +205,8 @@
 		return
 	}
 	end := map[ledger.Status]dispatch.CallOutcome{
-		ledger.Posted: decision.Succeeded, ledger.QueueFull: decision.Rejected,
-		ledger.Errored: decision.Failed, ledger.Expired: decision.TimedOut, ledger.Moot: decision.NotStarted,
+		ledger.Succeeded: decision.Succeeded, ledger.Rejected: decision.Rejected,
+		ledger.Failed: decision.Failed, ledger.TimedOut: decision.TimedOut, ledger.NotStarted: decision.NotStarted,
 	}[reply.Status]
 	l.core.CallCompleted(reply.ID, call.number, end, reply.Body)
 }
--- a/protocol/control/control.go
+++ b/protocol/control/control.go
@@ -12,8 +12,8 @@
 
 const maxLine = 256
 
-// ErrBroken marks bytes that are no call.
-var ErrBroken = errors.New("broken call")
+// ErrMalformed marks bytes that are no call.
+var ErrMalformed = errors.New("broken call")
 
 // Read reads a call. Nothing is consumed until its line has ended, so it may be
 // called again after an interrupted read.
@@ -26,7 +26,7 @@
 			return call, nil
 		}
 		if len(b) > maxLine {
-			return "", fmt.Errorf("%w: a line of over %d bytes", ErrBroken, maxLine)
+			return "", fmt.Errorf("%w: a line of over %d bytes", ErrMalformed, maxLine)
 		}
 		if _, err := r.Peek(len(b) + 1); err != nil {
 			return "", err
--- a/protocol/control/control_test.go
+++ b/protocol/control/control_test.go
@@ -18,7 +18,7 @@
 		{"check\r\n", "check", nil},
 		{"drain-on\nmore", "drain-on", nil},
 		{"drain-on", "", io.EOF},
-		{strings.Repeat("x", maxLine+2), "", ErrBroken},
+		{strings.Repeat("x", maxLine+2), "", ErrMalformed},
 	} {
 		r := bufio.NewReader(iotest.OneByteReader(strings.NewReader(x.text)))
 		if got, err := Read(r); got != x.want || !errors.Is(err, x.err) {
--- a/protocol/discovery/announce.go
+++ b/protocol/discovery/announce.go
@@ -18,8 +18,8 @@
 	maxBody    = 64 << 10
 )
 
-// ErrBroken marks bytes that are no answer; the connection can't go on.
-var ErrBroken = errors.New("broken answer")
+// ErrMalformed marks bytes that are no answer; the connection can't go on.
+var ErrMalformed = errors.New("broken answer")
 
 // AppendReport appends a report of whether an app server takes work.
 func AppendReport(to []byte, host, name string, accepting bool) []byte {
@@ -39,7 +39,7 @@
 	word, _, _ := strings.Cut(rest, " ")
 	code, err := strconv.Atoi(word)
 	if !strings.HasPrefix(version, "HTTP/1.") || err != nil || code < 100 || code > 599 {
-		return 0, fmt.Errorf("%w: %q", ErrBroken, line)
+		return 0, fmt.Errorf("%w: %q", ErrMalformed, line)
 	}
 	length := 0
 	for range maxHeaders {
@@ -57,19 +57,19 @@
 		case "content-length":
 			length, err = strconv.Atoi(strings.TrimSpace(value))
 			if err != nil || length < 0 || length > maxBody {
-				return 0, fmt.Errorf("%w: content length %q", ErrBroken, value)
+				return 0, fmt.Errorf("%w: content length %q", ErrMalformed, value)
 			}
 		case "transfer-encoding":
-			return 0, fmt.Errorf("%w: transfer encoding %q", ErrBroken, value)
+			return 0, fmt.Errorf("%w: transfer encoding %q", ErrMalformed, value)
 		}
 	}
-	return 0, fmt.Errorf("%w: over %d headers", ErrBroken, maxHeaders)
+	return 0, fmt.Errorf("%w: over %d headers", ErrMalformed, maxHeaders)
 }
 
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return "", fmt.Errorf("%w: a long line", ErrBroken)
+		return "", fmt.Errorf("%w: a long line", ErrMalformed)
 	}
 	if err != nil && errors.Is(err, io.EOF) && len(line) > 0 {
 		err = io.ErrUnexpectedEOF
--- a/protocol/discovery/announce_test.go
+++ b/protocol/discovery/announce_test.go
@@ -33,7 +33,7 @@
 		"headers": "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 65) + "\r\n",
 		"long":    "HTTP/1.1 200 " + strings.Repeat("x", 5000) + "\r\n\r\n",
 	} {
-		if _, err := ReadStatus(bufio.NewReader(strings.NewReader(text))); !errors.Is(err, ErrBroken) {
+		if _, err := ReadStatus(bufio.NewReader(strings.NewReader(text))); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
--- a/protocol/handover/golden_test.go
+++ b/protocol/handover/golden_test.go
@@ -32,13 +32,13 @@
 		{"key-failed", AppendKey(nil, failed), Message{Kind: Key, State: failed}},
 		{"key-not-run", AppendKey(nil, notRun), Message{Kind: Key, State: notRun}},
 		{"claim", AppendClaim(nil, claim), Message{Kind: Claim, State: claim}},
-		{"grant", AppendSettle(nil, "9b1f03aa5c7e2d41", true), Message{Kind: Grant, Ran: "9b1f03aa5c7e2d41"}},
-		{"deny", AppendSettle(nil, "9b1f03aa5c7e2d41", false), Message{Kind: Deny, Ran: "9b1f03aa5c7e2d41"}},
+		{"grant", AppendClaimReply(nil, "9b1f03aa5c7e2d41", true), Message{Kind: Grant, RanAttemptID: "9b1f03aa5c7e2d41"}},
+		{"deny", AppendClaimReply(nil, "9b1f03aa5c7e2d41", false), Message{Kind: Deny, RanAttemptID: "9b1f03aa5c7e2d41"}},
 		{"next", AppendNext(nil), Message{Kind: Next}},
 		{"part", AppendPart(nil, false), Message{Kind: Part}},
 		{"part-last", AppendPart(nil, true), Message{Kind: Part, On: true}},
-		{"away-on", AppendAway(nil, true), Message{Kind: Away, On: true}},
-		{"away-off", AppendAway(nil, false), Message{Kind: Away}},
+		{"away-on", AppendTrafficDisabled(nil, true), Message{Kind: TrafficDisabled, On: true}},
+		{"away-off", AppendTrafficDisabled(nil, false), Message{Kind: TrafficDisabled}},
 	} {
 		golden.Equal(t, x.name, x.bytes)
 		got, err := Read(bufio.NewReader(bytes.NewReader(golden.Bytes(t, x.name))))
--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -24,14 +24,14 @@
 	Deny  Kind = "deny"  // the elder: it may not
 	Next  Kind = "next"  // the younger: the next part of the keys, please
 	Part  Kind = "part"  // the elder: a part has been told
-	Away  Kind = "away"  // both: what operators have said
+	TrafficDisabled  Kind = "away"  // both: what operators have said
 )
 
 // Message is a message that was read.
 type Message struct {
 	Kind  Kind
 	State dispatch.KeyState // of key and claim
-	Ran   string            // of grant and deny
+	RanAttemptID   string            // of grant and deny
 	On    bool              // of part: it was the last; of away: callers are sent away
 }
 
@@ -45,8 +45,8 @@
 		return Message{}, err
 	}
 	m := Message{Kind: Kind(words[0])}
-	broken := fmt.Errorf("%w: message %q", lines.ErrBroken, words)
-	if len(words) < map[Kind]int{Key: 7, Claim: 7, Grant: 2, Deny: 2, Next: 1, Part: 2, Away: 2}[m.Kind] {
+	broken := fmt.Errorf("%w: message %q", lines.ErrMalformed, words)
+	if len(words) < map[Kind]int{Key: 7, Claim: 7, Grant: 2, Deny: 2, Next: 1, Part: 2, TrafficDisabled: 2}[m.Kind] {
 		return m, broken
 	}
 	moment := func(word string) time.Time {
@@ -84,8 +84,8 @@
 			m.State.Result = &dispatch.Payload{Body: body}
 		}
 	case Grant, Deny:
-		m.Ran = words[1]
-	case Part, Away:
+		m.RanAttemptID = words[1]
+	case Part, TrafficDisabled:
 		m.On = truth(words[1])
 	case Next:
 	default:
@@ -120,8 +120,8 @@
 	return lines.Append(to, nil, words(Claim, k, strconv.FormatInt(k.ArrivedAt.UnixNano(), 10))...)
 }
 
-// AppendSettle appends the answer to that.
-func AppendSettle(to []byte, ran string, granted bool) []byte {
+// AppendClaimReply appends the answer to that.
+func AppendClaimReply(to []byte, ran string, granted bool) []byte {
 	kind := Deny
 	if granted {
 		kind = Grant
@@ -137,7 +137,7 @@
 	return lines.Append(to, nil, string(Part), strconv.FormatBool(last))
 }
 
-// AppendAway appends whether operators have callers sent away.
-func AppendAway(to []byte, on bool) []byte {
-	return lines.Append(to, nil, string(Away), strconv.FormatBool(on))
+// AppendTrafficDisabled appends whether operators have callers sent away.
+func AppendTrafficDisabled(to []byte, on bool) []byte {
+	return lines.Append(to, nil, string(TrafficDisabled), strconv.FormatBool(on))
 }
--- a/protocol/handover/handover_test.go
+++ b/protocol/handover/handover_test.go
@@ -39,12 +39,12 @@
 		{AppendKey(nil, large), Message{Kind: Key, State: unsaid}},
 		{AppendKey(nil, fields), Message{Kind: Key, State: unsaid}},
 		{AppendClaim(nil, claim), Message{Kind: Claim, State: claim}},
-		{AppendSettle(nil, "r", true), Message{Kind: Grant, Ran: "r"}},
-		{AppendSettle(nil, "r", false), Message{Kind: Deny, Ran: "r"}},
+		{AppendClaimReply(nil, "r", true), Message{Kind: Grant, RanAttemptID: "r"}},
+		{AppendClaimReply(nil, "r", false), Message{Kind: Deny, RanAttemptID: "r"}},
 		{AppendNext(nil), Message{Kind: Next}},
 		{AppendPart(nil, true), Message{Kind: Part, On: true}},
 		{AppendPart(nil, false), Message{Kind: Part}},
-		{AppendAway(nil, true), Message{Kind: Away, On: true}},
+		{AppendTrafficDisabled(nil, true), Message{Kind: TrafficDisabled, On: true}},
 	} {
 		r := bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(x.bytes)), 16<<10)
 		if got, err := Read(r); err != nil || !reflect.DeepEqual(got, x.want) {
--- a/protocol/ledger/ledger.go
+++ b/protocol/ledger/ledger.go
@@ -15,11 +15,11 @@
 
 // The replies.
 const (
-	Posted    Status = "posted"
-	QueueFull Status = "queue_full"
-	Errored   Status = "error"
-	Expired   Status = "expired"
-	Moot      Status = "moot"
+	Succeeded    Status = "posted"
+	Rejected Status = "queue_full"
+	Failed   Status = "error"
+	TimedOut   Status = "expired"
+	NotStarted      Status = "moot"
 )
 
 // Reply is a call's reply.
@@ -32,24 +32,24 @@
 // Read reads the next reply. It may be called again after an interrupted read.
 func Read(r *bufio.Reader) (Reply, error) {
 	words, body, err := lines.Read(r, func(w []string) bool {
-		return len(w) == 3 && Status(w[1]) == Posted
+		return len(w) == 3 && Status(w[1]) == Succeeded
 	})
 	if err != nil {
 		return Reply{}, err
 	}
 	if len(words) < 2 {
-		return Reply{}, fmt.Errorf("%w: reply %q", lines.ErrBroken, words)
+		return Reply{}, fmt.Errorf("%w: reply %q", lines.ErrMalformed, words)
 	}
 	reply := Reply{ID: words[0], Status: Status(words[1]), Body: body}
 	switch reply.Status {
-	case QueueFull, Errored, Expired, Moot:
+	case Rejected, Failed, TimedOut, NotStarted:
 		return reply, nil
-	case Posted:
+	case Succeeded:
 		if body != nil {
 			return reply, nil
 		}
 	}
-	return Reply{}, fmt.Errorf("%w: reply %q", lines.ErrBroken, words)
+	return Reply{}, fmt.Errorf("%w: reply %q", lines.ErrMalformed, words)
 }
 
 // AppendPost appends a call, with how long its caller will wait.
--- a/protocol/ledger/ledger_test.go
+++ b/protocol/ledger/ledger_test.go
@@ -13,12 +13,12 @@
 
 func TestReplies(t *testing.T) {
 	r := bufio.NewReaderSize(strings.NewReader("a posted 2\r\nok\r\nb queue_full\r\nc error\r\nd expired\r\ne moot\r\nf paid\r\n"), 16<<10)
-	for _, want := range []Reply{{"a", Posted, []byte("ok")}, {"b", QueueFull, nil}, {"c", Errored, nil}, {"d", Expired, nil}, {"e", Moot, nil}} {
+	for _, want := range []Reply{{"a", Succeeded, []byte("ok")}, {"b", Rejected, nil}, {"c", Failed, nil}, {"d", TimedOut, nil}, {"e", NotStarted, nil}} {
 		if got, err := Read(r); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("got %+v, %v, want %+v", got, err, want)
 		}
 	}
-	if _, err := Read(r); !errors.Is(err, lines.ErrBroken) {
+	if _, err := Read(r); !errors.Is(err, lines.ErrMalformed) {
 		t.Errorf("an unknown reply: error %v", err)
 	}
 }
--- a/protocol/lines/lines.go
+++ b/protocol/lines/lines.go
@@ -17,8 +17,8 @@
 	MaxBody = 8 << 10
 )
 
-// ErrBroken marks bytes that are no message; the connection can't go on.
-var ErrBroken = errors.New("broken message")
+// ErrMalformed marks bytes that are no message; the connection can't go on.
+var ErrMalformed = errors.New("broken message")
 
 // Read reads a line, and the body if hasBody says that one follows it.
 // Nothing is consumed until all has come, so it may be called again after an
@@ -31,19 +31,19 @@
 	size := len(line)
 	words = strings.Fields(string(line))
 	if len(words) == 0 {
-		return nil, nil, fmt.Errorf("%w: an empty line", ErrBroken)
+		return nil, nil, fmt.Errorf("%w: an empty line", ErrMalformed)
 	}
 	if hasBody(words) {
 		n, err := strconv.ParseUint(words[len(words)-1], 10, 31)
 		if err != nil || n > MaxBody {
-			return nil, nil, fmt.Errorf("%w: length %q", ErrBroken, words[len(words)-1])
+			return nil, nil, fmt.Errorf("%w: length %q", ErrMalformed, words[len(words)-1])
 		}
 		all, err := r.Peek(size + int(n) + 2)
 		if err != nil {
 			return nil, nil, err
 		}
 		if !bytes.HasSuffix(all, []byte("\r\n")) {
-			return nil, nil, fmt.Errorf("%w: no line end after a body", ErrBroken)
+			return nil, nil, fmt.Errorf("%w: no line end after a body", ErrMalformed)
 		}
 		body = append([]byte{}, all[size:size+int(n)]...)
 		size = len(all)
@@ -58,12 +58,12 @@
 		b, _ := r.Peek(r.Buffered())
 		if i := bytes.IndexByte(b, '\n'); i >= 0 {
 			if i == 0 || b[i-1] != '\r' {
-				return nil, fmt.Errorf("%w: a line without CR", ErrBroken)
+				return nil, fmt.Errorf("%w: a line without CR", ErrMalformed)
 			}
 			return b[:i+1], nil
 		}
 		if len(b) > maxLine {
-			return nil, fmt.Errorf("%w: a line of over %d bytes", ErrBroken, maxLine)
+			return nil, fmt.Errorf("%w: a line of over %d bytes", ErrMalformed, maxLine)
 		}
 		if _, err := r.Peek(len(b) + 1); err != nil {
 			return nil, err
--- a/protocol/lines/lines_test.go
+++ b/protocol/lines/lines_test.go
@@ -42,7 +42,7 @@
 		"claimed":     "ask 1 x 2000000000\r\n",
 		"no line end": "ask 1 x 2\r\nabcd",
 	} {
-		if _, _, err := lines.Read(reader(text), hasBody); !errors.Is(err, lines.ErrBroken) {
+		if _, _, err := lines.Read(reader(text), hasBody); !errors.Is(err, lines.ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
--- a/protocol/processor/processor.go
+++ b/protocol/processor/processor.go
@@ -16,12 +16,12 @@
 
 // The notices.
 const (
-	Hi       Kind = "hi"
-	Complete Kind = "complete"
-	Ask      Kind = "ask"
-	Used     Kind = "used"
-	Tried    Kind = "tried"
-	Reject   Kind = "reject"
+	Greeting       Kind = "hi"
+	RunCompleted Kind = "complete"
+	CallRequested      Kind = "ask"
+	GaugesRead     Kind = "used"
+	HealthChecked    Kind = "tried"
+	CommandRejected   Kind = "reject"
 	Remark   Kind = "remark"
 )
 
@@ -40,14 +40,14 @@
 // Read reads the next notice. It may be called again after an interrupted read.
 func Read(r *bufio.Reader) (Notice, error) {
 	words, body, err := lines.Read(r, func(w []string) bool {
-		return Kind(w[0]) == Complete && len(w) == 6 || Kind(w[0]) == Ask && len(w) == 4
+		return Kind(w[0]) == RunCompleted && len(w) == 6 || Kind(w[0]) == CallRequested && len(w) == 4
 	})
 	if err != nil {
 		return Notice{}, err
 	}
 	n := Notice{Kind: Kind(words[0]), Payload: body}
-	broken := func() error { return fmt.Errorf("%w: notice %q", lines.ErrBroken, words) }
-	need := map[Kind]int{Hi: 3, Complete: 5, Ask: 4, Used: 2, Tried: 3, Reject: 3, Remark: 2}[n.Kind]
+	broken := func() error { return fmt.Errorf("%w: notice %q", lines.ErrMalformed, words) }
+	need := map[Kind]int{Greeting: 3, RunCompleted: 5, CallRequested: 4, GaugesRead: 2, HealthChecked: 3, CommandRejected: 3, Remark: 2}[n.Kind]
 	if need == 0 || len(words) < need {
 		return n, broken()
 	}
@@ -66,13 +66,13 @@
 		return time.Duration(v * float64(time.Millisecond))
 	}
 	switch n.Kind {
-	case Hi:
+	case Greeting:
 		n.Word, n.Took = words[1], millis(words[2])
-	case Complete:
+	case RunCompleted:
 		n.Number, n.ID, n.Word, n.Took = number(words[1]), words[2], words[3], millis(words[4])
-	case Ask:
+	case CallRequested:
 		n.Number, n.ID = number(words[1]), words[2]
-	case Used:
+	case GaugesRead:
 		n.Tag = words[1]
 		for _, w := range words[2:] {
 			v, e := strconv.ParseFloat(w, 64)
@@ -81,9 +81,9 @@
 			}
 			n.Gauges = append(n.Gauges, v)
 		}
-	case Tried:
+	case HealthChecked:
 		n.Tag, n.Word = words[1], words[2]
-	case Reject:
+	case CommandRejected:
 		n.Word, n.ID = words[1], words[2]
 	case Remark:
 		n.Number = number(words[1])
@@ -96,26 +96,26 @@
 	return lines.Append(to, nil, "hello", strconv.FormatUint(last, 10))
 }
 
-// AppendBegin appends the command to run a request.
-func AppendBegin(to []byte, id, class string, body []byte) []byte {
+// AppendStart appends the command to run a request.
+func AppendStart(to []byte, id, class string, body []byte) []byte {
 	return lines.Append(to, append([]byte{}, body...), "begin", id, class)
 }
 
-// AppendInterrupt appends the command to stop a run.
-func AppendInterrupt(to []byte, id string) []byte { return lines.Append(to, nil, "interrupt", id) }
+// AppendCancel appends the command to stop a run.
+func AppendCancel(to []byte, id string) []byte { return lines.Append(to, nil, "interrupt", id) }
 
-// AppendAnswer appends the reply to the call that a run waits for.
-func AppendAnswer(to []byte, id string, reply []byte) []byte {
+// AppendCallReply appends the reply to the call that a run waits for.
+func AppendCallReply(to []byte, id string, reply []byte) []byte {
 	return lines.Append(to, append([]byte{}, reply...), "answer", id)
 }
 
-// AppendWithout appends the command to go on without the call of a notice.
-func AppendWithout(to []byte, id string, notice uint64) []byte {
+// AppendSkipCall appends the command to go on without the call of a notice.
+func AppendSkipCall(to []byte, id string, notice uint64) []byte {
 	return lines.Append(to, nil, "without", id, strconv.FormatUint(notice, 10))
 }
 
-// AppendUsage appends the question for the gauges.
-func AppendUsage(to []byte, tag string) []byte { return lines.Append(to, nil, "usage", tag) }
+// AppendReadGauges appends the question for the gauges.
+func AppendReadGauges(to []byte, tag string) []byte { return lines.Append(to, nil, "usage", tag) }
 
-// AppendTrial appends the command to do the work of a deep health check.
-func AppendTrial(to []byte, tag string) []byte { return lines.Append(to, nil, "trial", tag) }
+// AppendHealthCheck appends the command to do the work of a deep health check.
+func AppendHealthCheck(to []byte, tag string) []byte { return lines.Append(to, nil, "trial", tag) }
--- a/protocol/thrift/reader.go
+++ b/protocol/thrift/reader.go
@@ -60,9 +60,9 @@
 	}
 	size := binary.BigEndian.Uint32(head)
 	if size > maxSkip { // before anything of that size is waited for
-		return nil, r.lose(fmt.Errorf("%w: a frame of %d bytes, %d at most", ErrBroken, size, maxFrame))
+		return nil, r.lose(fmt.Errorf("%w: a frame of %d bytes, %d at most", ErrMalformed, size, maxFrame))
 	}
-	if err := checkVersion(b, int(size)); errors.Is(err, ErrBroken) {
+	if err := checkVersion(b, int(size)); errors.Is(err, ErrMalformed) {
 		return nil, r.lose(err)
 	} else if err != nil {
 		return nil, err
@@ -102,14 +102,14 @@
 // checkVersion sees that a frame begins as a message does, before the rest is waited for.
 func checkVersion(b *bufio.Reader, size int) error {
 	if size < versionEnd-4 {
-		return fmt.Errorf("%w: a frame of %d bytes", ErrBroken, size)
+		return fmt.Errorf("%w: a frame of %d bytes", ErrMalformed, size)
 	}
 	start, err := b.Peek(versionEnd)
 	if err != nil {
 		return err
 	}
 	if version := binary.BigEndian.Uint32(start[4:]); version&versionMask != strictVersion {
-		return fmt.Errorf("%w: version %#x", ErrBroken, version)
+		return fmt.Errorf("%w: version %#x", ErrMalformed, version)
 	}
 	return nil
 }
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	bad := &BadMessageError{Err: fmt.Errorf("%w: a frame of %d bytes, %d at most", ErrBroken, size, maxFrame)}
+	bad := &BadMessageError{Err: fmt.Errorf("%w: a frame of %d bytes, %d at most", ErrMalformed, size, maxFrame)}
 	d := &decoder{rest: start[4:]}
 	if head, err := d.head(); err == nil {
 		bad.Head = &head
@@ -238,14 +238,14 @@
 		return m, false, err
 	}
 	if m.Type != Call && m.Type != Oneway {
-		return m, true, fmt.Errorf("%w: message type %d", ErrBroken, m.Type)
+		return m, true, fmt.Errorf("%w: message type %d", ErrMalformed, m.Type)
 	}
 	d.structure(m.argument(d), 0)
 	if d.err != nil {
 		return m, true, d.err
 	}
 	if len(d.rest) > 0 {
-		return m, true, fmt.Errorf("%w: %d bytes after the arguments", ErrBroken, len(d.rest))
+		return m, true, fmt.Errorf("%w: %d bytes after the arguments", ErrMalformed, len(d.rest))
 	}
 	switch {
 	case m.Name == "execute" && m.Fields == nil && m.Err == nil:
@@ -266,7 +266,7 @@
 		case m.Name == "execute" && id == 2 && kind == typeString:
 			m.Body = d.bytes()
 		case m.Name == "interrupt" && id == 1 && kind == typeI32:
-			m.Target = int32(d.u32())
+			m.CanceledSeq = int32(d.u32())
 		case m.Name == "check" && id == 1 && kind == typeBool:
 			m.Probe = d.u8() != 0
 		default:
--- a/protocol/thrift/thrift.go
+++ b/protocol/thrift/thrift.go
@@ -52,8 +52,8 @@
 	ProtocolError = 7
 )
 
-// ErrBroken marks bytes that are no message.
-var ErrBroken = errors.New("broken message")
+// ErrMalformed marks bytes that are no message.
+var ErrMalformed = errors.New("broken message")
 
 // Message is a message that was read: a call's header and its arguments.
 type Message struct {
@@ -61,7 +61,7 @@
 
 	Fields map[string]string // execute's first argument
 	Body   []byte            // execute's second argument
-	Target int32             // interrupt's argument
+	CanceledSeq int32             // interrupt's argument
 	Probe  bool              // check's argument
 	Err    error             // an intact message with arguments that are not the method's
 }
@@ -82,7 +82,7 @@
 func (d *decoder) head() (Head, error) {
 	version := d.u32()
 	if d.err == nil && version&versionMask != strictVersion {
-		d.err = fmt.Errorf("%w: version %#x", ErrBroken, version)
+		d.err = fmt.Errorf("%w: version %#x", ErrMalformed, version)
 	}
 	head := Head{Type: MessageType(version & 0xff), Name: string(d.bytes()), Seq: int32(d.u32())}
 	return head, d.err
@@ -90,7 +90,7 @@
 
 func (d *decoder) take(n int) []byte {
 	if d.err == nil && (n < 0 || n > len(d.rest)) {
-		d.err = fmt.Errorf("%w: it ends inside a value", ErrBroken)
+		d.err = fmt.Errorf("%w: it ends inside a value", ErrMalformed)
 	}
 	if d.err != nil {
 		return nil
@@ -150,7 +150,7 @@
 		fields[string(k)] = string(d.bytes())
 	}
 	if n < 0 && d.err == nil {
-		d.err = fmt.Errorf("%w: a map of %d", ErrBroken, n)
+		d.err = fmt.Errorf("%w: a map of %d", ErrMalformed, n)
 	}
 	return fields
 }
@@ -159,7 +159,7 @@
 
 func (d *decoder) skip(kind byte, depth int) {
 	if depth > maxDepth && d.err == nil {
-		d.err = fmt.Errorf("%w: nested deeper than %d", ErrBroken, maxDepth)
+		d.err = fmt.Errorf("%w: nested deeper than %d", ErrMalformed, maxDepth)
 	}
 	if d.err != nil {
 		return
@@ -184,14 +184,14 @@
 		kind := d.u8()
 		d.items(int(int32(d.u32())), depth, kind)
 	default:
-		d.err = fmt.Errorf("%w: type %d", ErrBroken, kind)
+		d.err = fmt.Errorf("%w: type %d", ErrMalformed, kind)
 	}
 }
 
 // items passes over n items. Each takes a byte at least, which bounds a claimed n.
 func (d *decoder) items(n, depth int, kinds ...byte) {
 	if d.err == nil && (n < 0 || n > len(d.rest)) {
-		d.err = fmt.Errorf("%w: %d items in %d bytes", ErrBroken, n, len(d.rest))
+		d.err = fmt.Errorf("%w: %d items in %d bytes", ErrMalformed, n, len(d.rest))
 	}
 	for i := 0; i < n && d.err == nil; i++ {
 		for _, kind := range kinds {
@@ -204,7 +204,7 @@
 type Answer struct {
 	Body   []byte
 	Fields map[string]string
-	Good   bool
+	OK   bool
 }
 
 // AppendAnswer appends the reply of execute or check.
@@ -215,7 +215,7 @@
 		b = appendBytes(b, a.Body)
 		b = appendFields(b, 2, a.Fields)
 		good := byte(0)
-		if a.Good {
+		if a.OK {
 			good = 1
 		}
 		b = append(b, typeBool, 0, 3, good)
--- a/protocol/thrift/thrift_test.go
+++ b/protocol/thrift/thrift_test.go
@@ -27,7 +27,7 @@
 		string(m.Body) != "body" || m.Err != nil {
 		t.Errorf("execute: %+v, %v", m, err)
 	}
-	if m, err = read(fakes.AppendInterrupt(nil, 3)); err != nil || m.Type != thrift.Oneway || m.Target != 3 {
+	if m, err = read(fakes.AppendInterrupt(nil, 3)); err != nil || m.Type != thrift.Oneway || m.CanceledSeq != 3 {
 		t.Errorf("interrupt: %+v, %v", m, err)
 	}
 	if m, err = read(fakes.AppendCheck(nil, 5, true)); err != nil || !m.Probe {
@@ -45,7 +45,7 @@
 		want  fakes.Reply
 	}{
 		{
-			thrift.AppendAnswer(nil, "execute", 7, thrift.Answer{Body: []byte("b"), Good: true}),
+			thrift.AppendAnswer(nil, "execute", 7, thrift.Answer{Body: []byte("b"), OK: true}),
 			fakes.Reply{Type: thrift.Reply, Name: "execute", Seq: 7, Body: "b", Fields: map[string]string{}, Good: true},
 		},
 		{
@@ -82,7 +82,7 @@
 		"depth":   deep + strings.Repeat("\x00", 200),
 		"tail":    strings.Replace(good, "\x00\x00\x00\x16", "\x00\x00\x00\x17", 1) + "x",
 	} {
-		if _, err := read([]byte(frame)); !errors.Is(err, thrift.ErrBroken) {
+		if _, err := read([]byte(frame)); !errors.Is(err, thrift.ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
@@ -113,7 +113,7 @@
 			var reader thrift.Reader
 			for {
 				m, err := reader.Read(b)
-				if err != nil && !errors.Is(err, thrift.ErrBroken) {
+				if err != nil && !errors.Is(err, thrift.ErrMalformed) {
 					break
 				}
 				if err == nil && m.Name == "check" && m.Seq == 7 && m.Probe {
@@ -157,7 +157,7 @@
 			if !reflect.DeepEqual(got, want) || (err == nil) != (wantErr == nil) {
 				t.Fatalf("got %+v, %v, want %+v, %v", got, err, want, wantErr)
 			}
-			if err != nil && !errors.Is(err, thrift.ErrBroken) {
+			if err != nil && !errors.Is(err, thrift.ErrMalformed) {
 				if !errors.Is(err, io.EOF) {
 					t.Fatalf("error %v", err)
 				}
--- a/server/control.go
+++ b/server/control.go
@@ -37,7 +37,7 @@
 		case err == nil:
 			answered = true
 			d.take(call, func(err error) { c.Send(control.AppendAnswer(nil, err)); c.Close() })
-		case errors.Is(err, control.ErrBroken):
+		case errors.Is(err, control.ErrMalformed):
 			answered = true
 			c.Send(control.AppendAnswer(nil, err))
 			c.Close()
--- a/server/drain.go
+++ b/server/drain.go
@@ -70,7 +70,7 @@
 	var closing sync.WaitGroup
 	for i, d := range s.listeners {
 		if i > 0 || s.handover == nil {
-			closing.Go(d.server.Shut)
+			closing.Go(d.server.Shutdown)
 		}
 	}
 	done := make(chan struct{})
--- a/server/handover.go
+++ b/server/handover.go
@@ -185,7 +185,7 @@
 			h.core.ClaimRequested(p, m.State)
 		case m.Kind == handover.Next && !elder:
 			h.core.ReplicateKeys(p)
-		case m.Kind == handover.Away:
+		case m.Kind == handover.TrafficDisabled:
 			h.core.ApplyTrafficDisabled(p, m.On)
 		case m.Kind == handover.Part && elder && !m.On:
 			p.conn.Send(handover.AppendNext(nil))
@@ -193,9 +193,9 @@
 			met = true
 			close(p.met)
 		case (m.Kind == handover.Grant || m.Kind == handover.Deny) && elder:
-			h.core.ClaimDecided(p, m.Ran, m.Kind == handover.Grant)
+			h.core.ClaimDecided(p, m.RanAttemptID, m.Kind == handover.Grant)
 		default:
-			return fmt.Errorf("%w: %s: %w", lines.ErrBroken, m.Kind, errOutOfTurn)
+			return fmt.Errorf("%w: %s: %w", lines.ErrMalformed, m.Kind, errOutOfTurn)
 		}
 		return nil
 	})
@@ -211,7 +211,7 @@
 
 // DecideClaim implements dispatch.Peer.
 func (p *peer) DecideClaim(ran string, granted bool) {
-	p.conn.Send(handover.AppendSettle(nil, ran, granted))
+	p.conn.Send(handover.AppendClaimReply(nil, ran, granted))
 }
 
 // EndKeyBatch implements dispatch.Peer.
@@ -227,7 +227,7 @@
 }
 
 // SetTrafficDisabled implements dispatch.Peer.
-func (p *peer) SetTrafficDisabled(on bool) { p.conn.Send(handover.AppendAway(nil, on)) }
+func (p *peer) SetTrafficDisabled(on bool) { p.conn.Send(handover.AppendTrafficDisabled(nil, on)) }
 
 // leave ends the connection once all is said.
 func (p *peer) leave() {
--- a/server/metrics.go
+++ b/server/metrics.go
@@ -211,7 +211,7 @@
 	reason := string(end.Reason)
 	m.ended.WithLabelValues(reason).Inc()
 	m.open.WithLabelValues(reason).Add(float64(unanswered))
-	m.dropped.WithLabelValues(reason).Add(float64(end.Discarded) + float64(end.Partial))
+	m.dropped.WithLabelValues(reason).Add(float64(end.DiscardedBytes) + float64(end.PartialBytes))
 }
 
 // handler offers /metrics.
--- a/server/program.go
+++ b/server/program.go
@@ -167,9 +167,9 @@
 			watch.watchFleet(member)
 		}
 	}
-	var budgeted *downstream.Budgeted
+	var budgeted *downstream.QuotaLimiter
 	if member != nil && member.QuotaAgent(fleet.Calls) != nil {
-		budgeted = downstream.NewBudgeted(pool, member.QuotaAgent(fleet.Calls), func() time.Duration { return c.Settings.AbandonedCallDuration })
+		budgeted = downstream.NewQuotaLimiter(pool, member.QuotaAgent(fleet.Calls), func() time.Duration { return c.Settings.AbandonedCallDuration })
 		opt.Dependency = budgeted
 	}
 	core, err := dispatch.New(opt)
@@ -183,7 +183,7 @@
 		pool.Attach(budgeted)
 	}
 	if member != nil {
-		downstream.Bound(core, member)
+		downstream.ApplyFleetBounds(core, member)
 	}
 	if watch != nil {
 		watch.core.Store(core)
@@ -324,7 +324,7 @@
 	var l net.Listener
 	var err error
 	if fd != 0 {
-		l, err = transport.Inherit(fd)
+		l, err = transport.InheritListener(fd)
 	} else {
 		l, err = net.Listen("tcp", address)
 	}
--- a/server/thrift.go
+++ b/server/thrift.go
@@ -74,7 +74,7 @@
 func (f *thriftFront) ended(c *transport.Conn, lost []string) {
 	end := c.End()
 	f.observer.connectionEnded(end, len(lost))
-	if end.Reason != transport.PeerFailed && len(lost) > 0 && end.Unsent > 0 {
+	if end.Reason != transport.PeerFailed && len(lost) > 0 && end.UnsentBytes > 0 {
 		f.monitor.Violated(guard.LostRequest, "peer", c.PeerAddr(), "reason", string(end.Reason))
 	}
 	level := endLevel(end, len(lost))
@@ -85,13 +85,13 @@
 		"peer", c.PeerAddr(), "open_for", c.Age().Round(time.Millisecond).String(),
 		"since_active", end.SinceActive.Round(time.Millisecond).String(), "messages", end.Messages,
 		"unanswered", len(lost), "requests", strings.Join(lost[:min(len(lost), maxLoggedRequests)], ","),
-		"unsent_bytes", end.Unsent, "partial_bytes", end.Partial, "discarded_bytes", end.Discarded)
+		"unsent_bytes", end.UnsentBytes, "partial_bytes", end.PartialBytes, "discarded_bytes", end.DiscardedBytes)
 }
 
 // endLevel is the level at which a connection's end is logged.
 func endLevel(end transport.Ending, lost int) slog.Level {
 	switch {
-	case lost == 0 && end.Partial == 0 && end.Discarded == 0 && end.Unsent == 0,
+	case lost == 0 && end.PartialBytes == 0 && end.DiscardedBytes == 0 && end.UnsentBytes == 0,
 		end.Reason == transport.BadMessage && end.Messages == 0: // there never was one
 		return slog.LevelDebug
 	case end.Reason == transport.PeerClosed, end.Reason == transport.PeerFailed:
--- a/server/thriftconn.go
+++ b/server/thriftconn.go
@@ -69,7 +69,7 @@
 		return t.passOver(bad.Head, turn, err)
 	case err != nil:
 		if guard.MayGoOn(t.input()) != nil {
-			return fmt.Errorf("%w: %w", guard.ErrNoMessages, thrift.ErrBroken)
+			return fmt.Errorf("%w: %w", guard.ErrNoMessages, thrift.ErrMalformed)
 		}
 		return err
 	}
@@ -129,7 +129,7 @@
 	if m.Type == thrift.Oneway {
 		t.sequence.oneway(m.Seq)
 	} else if turn := t.sequence.call(m.Seq); turn != inTurn {
-		return t.passOver(&m.Head, turn, fmt.Errorf("%w: sequence number %d after %d", thrift.ErrBroken, m.Seq, t.sequence.highest))
+		return t.passOver(&m.Head, turn, fmt.Errorf("%w: sequence number %d after %d", thrift.ErrMalformed, m.Seq, t.sequence.highest))
 	}
 	t.good++
 	switch {
@@ -145,16 +145,16 @@
 			t.mu.Lock()
 			defer t.mu.Unlock()
 			t.checks--
-			t.conn.Send(thrift.AppendAnswer(nil, m.Name, m.Seq, thrift.Answer{Good: good, Fields: t.fields()}))
+			t.conn.Send(thrift.AppendAnswer(nil, m.Name, m.Seq, thrift.Answer{OK: good, Fields: t.fields()}))
 		}
 		if t.core.CheckHealth(m.Probe, answer) != nil { // it has stopped
 			answer(false)
 		}
 	case m.Name == "interrupt" && m.Type == thrift.Oneway:
 		t.mu.Lock()
-		id, ok := t.ids[m.Target]
+		id, ok := t.ids[m.CanceledSeq]
 		if ok {
-			t.close(id, m.Target)
+			t.close(id, m.CanceledSeq)
 		}
 		t.mu.Unlock()
 		if ok {
@@ -214,7 +214,7 @@
 	}
 	request = dispatch.Request{
 		ID: m.Fields["txn"], CacheKey: m.Fields["item"], Tenant: m.Fields["team"], ArrivedAt: timeline.Time(arrived),
-		ReadAfter: t.conn.ReadAfter(), ReadBy: t.conn.ReadAt(), Payload: dispatch.Payload{Body: m.Body}, Responder: t,
+		ReadAfter: t.conn.ReadAfter(), ReadBy: t.conn.ReadBy(), Payload: dispatch.Payload{Body: m.Body}, Responder: t,
 	}
 	if request.ReservedKB, err = strconv.ParseFloat(m.Fields["ram"], 64); err != nil || !(request.ReservedKB > 0 && request.ReservedKB < 2000) {
 		return request, fmt.Errorf("ram %q", m.Fields["ram"])
@@ -285,7 +285,7 @@
 	}
 	switch o.Kind {
 	case dispatch.Served:
-		t.conn.Send(thrift.AppendAnswer(nil, "execute", seq, thrift.Answer{Body: o.Result.Body, Fields: t.fields(), Good: true}))
+		t.conn.Send(thrift.AppendAnswer(nil, "execute", seq, thrift.Answer{Body: o.Result.Body, Fields: t.fields(), OK: true}))
 	case dispatch.Shed:
 		// A refusal always says when to come back, be it at once.
 		fields := map[string]string{"later": strconv.FormatInt(max(1, o.RetryAfter.Milliseconds()), 10)}
--- a/server/uwsgi.go
+++ b/server/uwsgi.go
@@ -150,7 +150,7 @@
 	}
 	err := f.core.Submit(dispatch.Request{
 		ID: id, Class: class, Key: key,
-		ArrivedAt: time.Now(), ReadBy: u.conn.ReadAt(), Caller: -1, ReservedKB: uwsgiBaseKB + float64(size)/1024, Payload: payload,
+		ArrivedAt: time.Now(), ReadBy: u.conn.ReadBy(), Caller: -1, ReservedKB: uwsgiBaseKB + float64(size)/1024, Payload: payload,
 		Backend: f.backend, Responder: u,
 	})
 	if err != nil { // a keyed class without its key
--- a/transport/conn_test.go
+++ b/transport/conn_test.go
@@ -114,12 +114,12 @@
 		p := newPeer()
 		defer p.Close()
 		accepted := 0
-		for range 2 * queueLimit / 1024 {
+		for range 2 * maxQueuedBytes / 1024 {
 			if p.conn.Send(make([]byte, 1024)) {
 				accepted++
 			}
 		}
-		if most := queueLimit / 1024; accepted > 2*most { // one part may be on its way out
+		if most := maxQueuedBytes / 1024; accepted > 2*most { // one part may be on its way out
 			t.Errorf("%d kB were queued, %d at most", accepted, 2*most)
 		}
 		if err := <-p.ended; err == nil {
--- a/transport/crossing_test.go
+++ b/transport/crossing_test.go
@@ -61,7 +61,7 @@
 	far = nc.(*net.TCPConn)
 	g = &gated{TCPConn: near.(*net.TCPConn), leave: make(chan struct{}), seen: make(chan struct{}, 1), closed: make(chan struct{})}
 	c = NewConn(g)
-	c.drainPeriod = time.Minute // the tests end it
+	c.lingerTimeout = time.Minute // the tests end it
 	t.Cleanup(func() { far.Close(); near.Close() })
 	return g, c, far, func() chan error {
 		ended := make(chan error, 1)
@@ -338,7 +338,7 @@
 		conns = append(conns, nc)
 	}
 	<-room.open
-	s.Shut()
+	s.Shutdown()
 	<-running
 	for _, nc := range conns {
 		read(t, nc, "re one", false)
@@ -356,7 +356,7 @@
 	}
 	s := NewServer(l, 1, echo, func() {})
 	go s.Serve()
-	const waiting = 2 * shutExcess
+	const waiting = 2 * maxExcessOnClose
 	var conns []net.Conn
 	for range waiting {
 		nc, err := net.Dial("tcp", l.Addr().String())
@@ -369,7 +369,7 @@
 	}
 	read(t, conns[0], "re one", false) // the others wait
 	shut := make(chan struct{})
-	go func() { s.Shut(); close(shut) }()
+	go func() { s.Shutdown(); close(shut) }()
 	for _, nc := range conns[1:] {
 		conns[0].Close()
 		read(t, nc, "re one", false)
@@ -413,8 +413,8 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	s.running = make(chan struct{}) // as if Run had been called
-	s.extend()
+	s.serving = make(chan struct{}) // as if Run had been called
+	s.extendDeadline()
 	go func() { s.Serve(); close(shut) }()
 	<-served
 	<-shut
--- a/transport/ending.go
+++ b/transport/ending.go
@@ -21,12 +21,12 @@
 	Drained     EndReason = "drained"      // it was asked to drain, and nothing was open on it or its time was over
 	Closed      EndReason = "closed"       // it was asked to end whatever comes
 	WriteFailed EndReason = "write_failed" // what was queued could not be written
-	CutOff      EndReason = "cut_off"      // it was ended at once, or its peer left too much unread
+	Aborted     EndReason = "cut_off"      // it was ended at once, or its peer left too much unread
 )
 
-// Own reports whether the connection ended by a decision of this process, and not by
+// IsLocal reports whether the connection ended by a decision of this process, and not by
 // what its peer did.
-func (r EndReason) Own() bool {
+func (r EndReason) IsLocal() bool {
 	switch r {
 	case PeerClosed, PeerFailed, BadMessage:
 		return false
@@ -37,25 +37,25 @@
 // Ending is how a connection ended. Bytes that were not taken are what a request may
 // have been lost with.
 type Ending struct {
-	Reason      EndReason
-	Err         error         // that ended the reading or writing; nil where it was asked to end
-	Owed        bool          // answers were owed when it began to end
-	Partial     int           // bytes of a message that was not whole when reading ended
-	Discarded   int64         // bytes that came later and were dropped
-	Unsent      int           // bytes of answers that were queued and not written
-	Messages    int           // whole messages that were read
-	SinceActive time.Duration // from the last message read or queued to the end
+	Reason           EndReason
+	Err              error         // that ended the reading or writing; nil where it was asked to end
+	ResponsesPending bool          // answers were owed when it began to end
+	PartialBytes     int           // bytes of a message that was not whole when reading ended
+	DiscardedBytes   int64         // bytes that came later and were dropped
+	UnsentBytes      int           // bytes of answers that were queued and not written
+	Messages         int           // whole messages that were read
+	SinceActive      time.Duration // from the last message read or queued to the end
 }
 
 // End reports how the connection ended. It holds once Serve has returned.
-func (c *Conn) End() Ending { return c.end }
+func (c *Conn) End() Ending { return c.ending }
 
-// reason classifies the error that ended the reading.
-func (c *Conn) reason(err error) EndReason {
+// readEndReason classifies the error that ended the reading.
+func (c *Conn) readEndReason(err error) EndReason {
 	switch {
 	case errors.Is(err, io.EOF):
 		return PeerClosed
-	case c.src.err != nil:
+	case c.source.streamErr != nil:
 		return PeerFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return ReadTimeout
@@ -63,26 +63,26 @@
 	return BadMessage
 }
 
-// abort records that the connection ends because a flush failed. It returns the
+// recordWriteFailure records that the connection ends because a flush failed. It returns the
 // error that it is called with.
-func (c *Conn) abort(err error) error {
-	c.end.Reason, c.end.Err = WriteFailed, err
+func (c *Conn) recordWriteFailure(err error) error {
+	c.ending.Reason, c.ending.Err = WriteFailed, err
 	switch {
 	case errors.Is(err, ErrPeerNotReading):
-		c.end.Reason = CutOff
+		c.ending.Reason = Aborted
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		c.end.Reason = PeerFailed
+		c.ending.Reason = PeerFailed
 	}
 	return err
 }
 
 // PeerAddr is the peer's address.
 func (c *Conn) PeerAddr() string {
-	if addr := c.nc.RemoteAddr(); addr != nil {
+	if addr := c.netConn.RemoteAddr(); addr != nil {
 		return addr.String()
 	}
 	return ""
 }
 
 // Age is how long ago the connection was taken in.
-func (c *Conn) Age() time.Duration { return time.Since(c.opened) }
+func (c *Conn) Age() time.Duration { return time.Since(c.createdAt) }
--- a/transport/redial.go
+++ b/transport/redial.go
@@ -10,9 +10,9 @@
 
 // The pace at which a link is dialled again.
 const (
-	dialTimeout = time.Second
-	redialFirst = 10 * time.Millisecond
-	redialMost  = 250 * time.Millisecond
+	dialTimeout    = time.Second
+	minRedialPause = 10 * time.Millisecond
+	maxRedialPause = 250 * time.Millisecond
 )
 
 // Redialer holds one connection to an address, and opens it anew after every break.
@@ -51,13 +51,13 @@
 
 // Run keeps the link until ctx ends.
 func (l *Redialer) Run(ctx context.Context) {
-	pause := redialFirst
+	pause := minRedialPause
 	var present *Conn
 	for ctx.Err() == nil {
 		address, moved := l.target()
 		nc, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 		if err == nil {
-			pause = redialFirst
+			pause = minRedialPause
 			if present != nil {
 				present.Close()
 			}
@@ -75,7 +75,7 @@
 		case <-moved:
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, redialMost)
+		pause = min(2*pause, maxRedialPause)
 	}
 	if present != nil {
 		present.Close()
--- a/transport/serve.go
+++ b/transport/serve.go
@@ -25,29 +25,29 @@
 	defer c.close()
 	for {
 		if err := c.flush(); err != nil {
-			return c.abort(err)
+			return c.recordWriteFailure(err)
 		}
-		if c.prepare() {
+		if c.prepareRead() {
 			return c.halfClose(Closed, nil)
 		}
-		err := c.expect()
+		err := c.awaitMessage()
 		if err == nil {
-			err = step(c.r)
+			err = step(c.reader)
 		}
-		nowait := c.src.nowait
-		c.src.nowait = false
+		nowait := c.source.nonBlocking
+		c.source.nonBlocking = false
 		switch {
 		case err == nil:
-			c.taken()
+			c.messageReceived()
 		case errors.Is(err, ErrMessageSkipped):
-			c.skipped()
+			c.messageSkipped()
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.examined = nowait && !c.src.failed()
-			if reason := c.decide(); reason != "" {
+			c.examined = nowait && !c.source.lastReadFailed()
+			if reason := c.decideEnd(); reason != "" {
 				return c.halfClose(reason, endError(reason))
 			}
 		default:
-			return c.halfClose(c.reason(err), err)
+			return c.halfClose(c.readEndReason(err), err)
 		}
 	}
 }
@@ -60,134 +60,134 @@
 	return nil
 }
 
-// prepare sets whether the next read only examines the socket: where something was
+// prepareRead sets whether the next read only examines the socket: where something was
 // asked for, or the deadline has passed, and no look has followed yet. It tells
 // whether the connection is to be closed whatever comes.
-func (c *Conn) prepare() (done bool) {
+func (c *Conn) prepareRead() (done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	due := c.requested != noRequest || c.expiredLocked()
-	c.src.nowait = due && !c.examined
+	due := c.request != requestNone || c.expiredLocked()
+	c.source.nonBlocking = due && !c.examined
 	c.examined = false
-	return c.requested == closeNow
+	return c.request == requestClose
 }
 
-// decide settles what was asked for, or a deadline that has passed, after a read that
+// decideEnd settles what was asked for, or a deadline that has passed, after a read that
 // gave no whole message. It returns why the connection is to end; "" if it goes on.
-func (c *Conn) decide() EndReason {
+func (c *Conn) decideEnd() EndReason {
 	if !c.examined { // the read was interrupted: the next one examines the socket if need be
 		return ""
 	}
-	facts := c.facts()
+	facts := c.connectionFacts()
 	c.mu.Lock()
-	requested, by, expired := c.requested, c.drainBy, c.expiredLocked()
+	requested, by, expired := c.request, c.drainDeadline, c.expiredLocked()
 	c.mu.Unlock()
 	switch {
-	case requested == mark:
-		c.settle(mark)
-	case requested == closeIfIdle:
+	case requested == requestMark:
+		c.clearRequest(requestMark)
+	case requested == requestCloseIfIdle:
 		if reason, _ := guard.MayEnd(facts); reason == guard.Nothing && !facts.Partial {
 			return Idle
 		}
-		c.settle(closeIfIdle)
-	case requested == drain:
+		c.clearRequest(requestCloseIfIdle)
+	case requested == requestDrain:
 		facts.Last = !time.Now().Before(by)
 		reason, again := guard.MayEnd(facts)
 		if reason == guard.Nothing {
 			return Drained
 		}
-		c.lookAgain(min(again, time.Until(by)))
+		c.examineAfter(min(again, time.Until(by)))
 	case expired:
 		reason, again := guard.MayEnd(facts)
 		if reason == guard.Nothing {
 			return ReadTimeout
 		}
 		if reason == guard.OwedAnswers {
-			again = owedEvery
+			again = pendingCheckInterval
 		}
-		c.lookAgain(again)
+		c.examineAfter(again)
 	}
 	return ""
 }
 
-// facts collects what counts for the end of the connection.
-func (c *Conn) facts() guard.Connection {
-	facts := guard.Connection{Examined: c.examined, Owed: c.owes(), Partial: c.r.Buffered() > 0, Stalled: c.standsStill}
+// connectionFacts collects what counts for the end of the connection.
+func (c *Conn) connectionFacts() guard.Connection {
+	facts := guard.Connection{Examined: c.examined, Owed: c.hasResponsesPending(), Partial: c.reader.Buffered() > 0, Stalled: c.stallTimeout}
 	now := time.Now()
 	if facts.Partial {
-		facts.SilentFor = now.Sub(c.src.byteAt)
-		facts.PartialFor = now.Sub(cmp.Or(c.src.beganAt, c.src.byteAt))
+		facts.SilentFor = now.Sub(c.source.lastByteAt)
+		facts.PartialFor = now.Sub(cmp.Or(c.source.messageBeganAt, c.source.lastByteAt))
 	}
 	c.mu.Lock()
-	notice, requested := c.noticeLeft, c.requested
+	notice, requested := c.notifyPeer, c.request
 	c.mu.Unlock()
-	if notice != nil && (requested == closeIfIdle || requested == noRequest && !facts.Partial && !facts.Owed) {
+	if notice != nil && (requested == requestCloseIfIdle || requested == requestNone && !facts.Partial && !facts.Owed) {
 		facts.NoticeLeft = notice()
 	}
 	return facts
 }
 
-// settle forgets a request that was carried out, unless a greater one has come.
-func (c *Conn) settle(done request) {
+// clearRequest forgets a request that was carried out, unless a greater one has come.
+func (c *Conn) clearRequest(done connRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.requested == done {
-		c.requested = noRequest
+	if c.request == done {
+		c.request = requestNone
 	}
 }
 
-// lookAgain has the socket examined again after a time.
-func (c *Conn) lookAgain(after time.Duration) {
+// examineAfter has the socket examined again after a time.
+func (c *Conn) examineAfter(after time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = time.Now().Add(after)
+	c.readDeadline = time.Now().Add(after)
 }
 
-func (c *Conn) owes() bool { return c.owed != nil && c.owed() }
+func (c *Conn) hasResponsesPending() bool { return c.responsesPending != nil && c.responsesPending() }
 
-// expect waits for a message's first byte, from which on its time counts.
-func (c *Conn) expect() error {
-	if c.standsStill == 0 {
+// awaitMessage waits for a message's first byte, from which on its time counts.
+func (c *Conn) awaitMessage() error {
+	if c.stallTimeout == 0 {
 		return nil
 	}
-	if _, err := c.r.Peek(1); err != nil {
+	if _, err := c.reader.Peek(1); err != nil {
 		return err
 	}
-	if c.src.beganAt.IsZero() {
-		c.src.beganAt = c.src.byteAt
+	if c.source.messageBeganAt.IsZero() {
+		c.source.messageBeganAt = c.source.lastByteAt
 	}
 	c.mu.Lock()
-	waiting := !c.deadline.IsZero()
+	waiting := !c.readDeadline.IsZero()
 	c.mu.Unlock()
 	if !waiting {
-		c.SetReadDeadline(time.Now().Add(c.standsStill))
+		c.SetReadDeadline(time.Now().Add(c.stallTimeout))
 	}
 	return nil
 }
 
-// taken takes in that a whole message has come. A connection that was to end if idle
+// messageReceived takes in that a whole message has come. A connection that was to end if idle
 // goes on with it.
-func (c *Conn) taken() {
-	c.end.Messages++
+func (c *Conn) messageReceived() {
+	c.ending.Messages++
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last, c.spoken = time.Now(), true
-	c.src.partAt, c.src.beganAt = time.Time{}, time.Time{}
-	if c.requested == closeIfIdle {
-		c.requested = noRequest
+	c.lastActive, c.receivedMessage = time.Now(), true
+	c.source.partReadAt, c.source.messageBeganAt = time.Time{}, time.Time{}
+	if c.request == requestCloseIfIdle {
+		c.request = requestNone
 	}
-	if c.standsStill > 0 && c.requested != drain {
-		c.deadline = time.Time{} // the next flush has the reads go by it
+	if c.stallTimeout > 0 && c.request != requestDrain {
+		c.readDeadline = time.Time{} // the next flush has the reads go by it
 	}
 }
 
-// skipped takes in that something was passed over which is no message.
-func (c *Conn) skipped() {
+// messageSkipped takes in that something was passed over which is no message.
+func (c *Conn) messageSkipped() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.src.partAt, c.src.beganAt = time.Time{}, time.Time{}
-	if c.requested != drain {
-		c.deadline = time.Now().Add(skipNotice) // the next flush has the reads go by it
+	c.source.partReadAt, c.source.messageBeganAt = time.Time{}, time.Time{}
+	if c.request != requestDrain {
+		c.readDeadline = time.Now().Add(skippedMessageGrace) // the next flush has the reads go by it
 	}
 }
 
@@ -195,27 +195,27 @@
 // end, for a bounded time: a close over unread bytes would reset the connection
 // and could take the last answers away. It gives the error that it is called with.
 func (c *Conn) halfClose(reason EndReason, why error) error {
-	c.src.nowait = false
-	c.end.Reason, c.end.Err, c.end.Partial, c.end.Owed = reason, why, c.r.Buffered(), c.owes()
-	if c.ending != nil {
-		c.ending(why)
+	c.source.nonBlocking = false
+	c.ending.Reason, c.ending.Err, c.ending.PartialBytes, c.ending.ResponsesPending = reason, why, c.reader.Buffered(), c.hasResponsesPending()
+	if c.onClose != nil {
+		c.onClose(why)
 	}
 	c.mu.Lock()
-	c.state = closing // what comes to be sent from here on is told so
+	c.state = stateClosing // what comes to be sent from here on is told so
 	c.mu.Unlock()
 	if err := c.flush(); err != nil {
-		return cmp.Or(why, c.abort(err))
+		return cmp.Or(why, c.recordWriteFailure(err))
 	}
 	c.mu.Lock()
-	c.state = halfClosed
+	c.state = stateHalfClosed
 	if c.aborted {
 		c.mu.Unlock()
 		return why
 	}
-	until := time.Now().Add(c.drainPeriod)
-	c.nc.SetReadDeadline(until)
+	until := time.Now().Add(c.lingerTimeout)
+	c.netConn.SetReadDeadline(until)
 	c.mu.Unlock()
-	if half, ok := c.nc.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+	if half, ok := c.netConn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		c.discardUntil(until)
 	}
 	return why
@@ -224,8 +224,8 @@
 // discardUntil reads and drops what comes until the peer's end, or a time.
 func (c *Conn) discardUntil(until time.Time) {
 	for {
-		n, err := io.Copy(io.Discard, c.src)
-		c.end.Discarded += n
+		n, err := io.Copy(io.Discard, c.source)
+		c.ending.DiscardedBytes += n
 		if !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(until) {
 			return
 		}
@@ -235,10 +235,10 @@
 func (c *Conn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state, c.aborted = closed, true
-	c.end.Unsent += len(c.queue)
-	c.end.SinceActive = time.Since(c.last)
-	c.nc.Close()
+	c.state, c.aborted = stateClosed, true
+	c.ending.UnsentBytes += len(c.sendQueue)
+	c.ending.SinceActive = time.Since(c.lastActive)
+	c.netConn.Close()
 }
 
 // Expired tells whether a read's time-out was the connection's own deadline, and the
@@ -246,10 +246,10 @@
 func (c *Conn) Expired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return (c.src.nowait || c.examined) && c.expiredLocked()
+	return (c.source.nonBlocking || c.examined) && c.expiredLocked()
 }
 
 // expiredLocked tells whether the deadline has passed. The lock is held.
 func (c *Conn) expiredLocked() bool {
-	return !c.deadline.IsZero() && !time.Now().Before(c.deadline)
+	return !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline)
 }
--- a/transport/source.go
+++ b/transport/source.go
@@ -13,53 +13,53 @@
 
 // source is where a connection's bytes come from. It belongs to its goroutine.
 type source struct {
-	nc       net.Conn
-	nowait   bool  // only what has come is read
-	err      error // by which the stream ended
-	failures int   // reads in a row that failed and are tried again
+	netConn             net.Conn
+	nonBlocking         bool  // only what has come is read
+	streamErr           error // by which the stream ended
+	consecutiveFailures int   // reads in a row that failed and are tried again
 
-	partial func() bool // a part of a message was read before
-	byteAt  time.Time   // when bytes last came; zero for never
-	beganAt time.Time   // when the first byte of the present message was seen; zero between messages
-	readAt  time.Time   // when the last read gave something, or found nothing
-	partAt  time.Time   // the part that was there then was no whole message; zero for a message that came in one
+	hasPartialMessage func() bool // a part of a message was read before
+	lastByteAt        time.Time   // when bytes last came; zero for never
+	messageBeganAt    time.Time   // when the first byte of the present message was seen; zero between messages
+	lastReadAt        time.Time   // when the last read gave something, or found nothing
+	partReadAt        time.Time   // the part that was there then was no whole message; zero for a message that came in one
 }
 
 // Read implements io.Reader. Without waiting, a read that finds nothing fails with
 // os.ErrDeadlineExceeded, as an interrupted one does, and as one does whose error may
 // pass; failed tells the latter.
 func (s *source) Read(p []byte) (n int, err error) {
-	part := s.partial()
-	if s.nowait {
-		n, err = readNow(s.nc, p)
+	part := s.hasPartialMessage()
+	if s.nonBlocking {
+		n, err = readNow(s.netConn, p)
 	} else {
-		n, err = s.nc.Read(p)
+		n, err = s.netConn.Read(p)
 	}
-	if n == 0 && s.nowait && errors.Is(err, os.ErrDeadlineExceeded) { // all was read that had come
-		s.readAt = time.Now()
+	if n == 0 && s.nonBlocking && errors.Is(err, os.ErrDeadlineExceeded) { // all was read that had come
+		s.lastReadAt = time.Now()
 	}
 	if n > 0 {
 		if part {
-			s.partAt = s.readAt
+			s.partReadAt = s.lastReadAt
 		}
-		s.readAt = time.Now()
-		s.byteAt = s.readAt
+		s.lastReadAt = time.Now()
+		s.lastByteAt = s.lastReadAt
 	}
-	if err != nil && guard.MayTryAgain(err, s.failures+1) == nil {
-		s.failures++
-		time.Sleep(failurePause)
+	if err != nil && guard.MayTryAgain(err, s.consecutiveFailures+1) == nil {
+		s.consecutiveFailures++
+		time.Sleep(retryPause)
 		return n, os.ErrDeadlineExceeded
 	}
-	s.failures = 0
+	s.consecutiveFailures = 0
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		s.err = err
+		s.streamErr = err
 	}
 	return n, err
 }
 
-// failed tells whether the last read failed with an error that may pass: it says nothing
+// lastReadFailed tells whether the last read failed with an error that may pass: it says nothing
 // of what has come.
-func (s *source) failed() bool { return s.failures > 0 }
+func (s *source) lastReadFailed() bool { return s.consecutiveFailures > 0 }
 
 // readNow reads what has come on a socket whatever its deadline; a connection that
 // is no socket has none.
--- a/transport/write.go
+++ b/transport/write.go
@@ -12,9 +12,9 @@
 // A flush is given up after so many attempts in a row that write nothing. Each has a
 // deadline of its own: a process that stood still over one has not tried.
 const (
-	writeAttempt  = 500 * time.Millisecond
-	writeAttempts = int(guard.MaxMessage / writeAttempt) // a client may wait so long, and read then
-	writeTimeout  = guard.MaxMessage
+	writeAttemptTimeout  = 500 * time.Millisecond
+	maxIdleWriteAttempts = int(guard.MaxMessage / writeAttemptTimeout) // a client may wait so long, and read then
+	writeTimeout         = guard.MaxMessage
 )
 
 // flush writes the queue and sets the deadline of the next read.
@@ -25,17 +25,17 @@
 			c.mu.Unlock()
 			return ErrPeerNotReading
 		}
-		if len(c.queue) == 0 {
+		if len(c.sendQueue) == 0 {
 			c.woken = false
-			c.nc.SetReadDeadline(c.deadline)
+			c.netConn.SetReadDeadline(c.readDeadline)
 			c.mu.Unlock()
 			return nil
 		}
-		out := c.queue
-		c.queue = nil
+		out := c.sendQueue
+		c.sendQueue = nil
 		c.mu.Unlock()
 		if unsent, err := c.write(out); err != nil {
-			c.end.Unsent += unsent
+			c.ending.UnsentBytes += unsent
 			return fmt.Errorf("writing: %w", err)
 		}
 	}
@@ -45,8 +45,8 @@
 // the byte on that was not written. It returns how many bytes were not written.
 func (c *Conn) write(p []byte) (unsent int, err error) {
 	for attempts, failures := 0, 0; len(p) > 0; {
-		c.nc.SetWriteDeadline(time.Now().Add(writeAttempt))
-		n, err := c.nc.Write(p)
+		c.netConn.SetWriteDeadline(time.Now().Add(writeAttemptTimeout))
+		n, err := c.netConn.Write(p)
 		p = p[n:]
 		if n > 0 {
 			attempts, failures = 0, 0
@@ -54,12 +54,12 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if attempts++; attempts == writeAttempts {
+			if attempts++; attempts == maxIdleWriteAttempts {
 				return len(p), err
 			}
 		case guard.MayTryAgain(err, failures+1) == nil:
 			failures++
-			time.Sleep(failurePause)
+			time.Sleep(retryPause)
 		default:
 			return len(p), err
 		}
