--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -18,21 +18,21 @@
 
 // The messages.
 const (
-	Key   Kind = "key"   // both: what has become of a key
-	Claim Kind = "claim" // the younger: may this try run?
-	Grant Kind = "grant" // the elder: it may
-	Deny  Kind = "deny"  // the elder: it may not
-	Next  Kind = "next"  // the younger: the next part of the keys, please
-	Part  Kind = "part"  // the elder: a part has been told
-	TrafficDisabled  Kind = "away"  // both: what operators have said
+	Key             Kind = "key"   // both: what has become of a key
+	Claim           Kind = "claim" // the younger: may this try run?
+	Grant           Kind = "grant" // the elder: it may
+	Deny            Kind = "deny"  // the elder: it may not
+	Next            Kind = "next"  // the younger: the next part of the keys, please
+	Part            Kind = "part"  // the elder: a part has been told
+	TrafficDisabled Kind = "away"  // both: what operators have said
 )
 
 // Message is a message that was read.
 type Message struct {
-	Kind  Kind
-	State dispatch.KeyState // of key and claim
-	RanAttemptID   string            // of grant and deny
-	On    bool              // of part: it was the last; of away: callers are sent away
+	Kind         Kind
+	State        dispatch.KeyState // of key and claim
+	RanAttemptID string            // of grant and deny
+	On           bool              // of part: it was the last; of away: callers are sent away
 }
 
 // none stands for an id that there is none of.
--- a/protocol/ledger/ledger.go
+++ b/protocol/ledger/ledger.go
@@ -15,11 +15,11 @@
 
 // The replies.
 const (
-	Succeeded    Status = "posted"
-	Rejected Status = "queue_full"
-	Failed   Status = "error"
+	Succeeded  Status = "posted"
+	Rejected   Status = "queue_full"
+	Failed     Status = "error"
 	TimedOut   Status = "expired"
-	NotStarted      Status = "moot"
+	NotStarted Status = "moot"
 )
 
 // Reply is a call's reply.
--- a/protocol/processor/processor.go
+++ b/protocol/processor/processor.go
@@ -16,13 +16,13 @@
 
 // The notices.
 const (
-	Greeting       Kind = "hi"
-	RunCompleted Kind = "complete"
-	CallRequested      Kind = "ask"
-	GaugesRead     Kind = "used"
-	HealthChecked    Kind = "tried"
-	CommandRejected   Kind = "reject"
-	Remark   Kind = "remark"
+	Greeting        Kind = "hi"
+	RunCompleted    Kind = "complete"
+	CallRequested   Kind = "ask"
+	GaugesRead      Kind = "used"
+	HealthChecked   Kind = "tried"
+	CommandRejected Kind = "reject"
+	Remark          Kind = "remark"
 )
 
 // Notice is what the processor says.
--- a/protocol/thrift/thrift.go
+++ b/protocol/thrift/thrift.go
@@ -59,11 +59,11 @@
 type Message struct {
 	Head
 
-	Fields map[string]string // execute's first argument
-	Body   []byte            // execute's second argument
+	Fields      map[string]string // execute's first argument
+	Body        []byte            // execute's second argument
 	CanceledSeq int32             // interrupt's argument
-	Probe  bool              // check's argument
-	Err    error             // an intact message with arguments that are not the method's
+	Probe       bool              // check's argument
+	Err         error             // an intact message with arguments that are not the method's
 }
 
 // What the first word of a message is in the strict binary protocol, but for the type.
@@ -204,7 +204,7 @@
 type Answer struct {
 	Body   []byte
 	Fields map[string]string
-	OK   bool
+	OK     bool
 }
 
 // AppendAnswer appends the reply of execute or check.
--- a/transport/conn_test.go
+++ b/transport/conn_test.go
@@ -8,7 +8,6 @@
 	"io"
 	"net"
 	"os"
-	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -16,14 +15,12 @@
 	"quincerail.example/quincerail/internal/randomsteps"
 )
 
-const frame = 3 // bytes of a message in these tests
-
 // peer is the other end of a connection, with what passed over it.
 type peer struct {
 	net.Conn
-	conn  *Conn
-	taken []byte // by the connection's steps
-	ended chan error
+	conn     *Conn
+	received []byte // by the connection's steps
+	ended    chan error
 
 	endedAt time.Time
 }
@@ -42,11 +39,8 @@
 func (p *peer) serve() {
 	go func() {
 		err := p.conn.Serve(func(r *bufio.Reader) error {
-			b, err := r.Peek(frame)
-			if err == nil {
-				p.taken = append(p.taken, b...)
-				r.Discard(frame)
-			}
+			m, err := readFrame(r)
+			p.received = append(p.received, m...)
 			return err
 		})
 		p.endedAt = time.Now()
@@ -55,12 +49,12 @@
 }
 
 // FuzzConn checks a connection against a model: open, closing, closed. All that
-// was accepted for sending arrives in order, all that came is taken in order,
+// was accepted for sending arrives in order, and all that arrived is read in order,
 // whatever interrupts what.
 func FuzzConn(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		p := newPeer()
-		defer p.Close()
+		closeLater(t, p)
 		var got, sent, written []byte
 		received := make(chan []byte)
 		go func() { b, _ := io.ReadAll(p); received <- b }()
@@ -75,7 +69,9 @@
 				sent = append(sent, m...)
 			case 1:
 				m := bytes.Repeat([]byte{n}, 1+s.Pick(5))
-				p.SetWriteDeadline(time.Now().Add(time.Second))
+				if err := p.SetWriteDeadline(time.Now().Add(time.Second)); err != nil {
+					t.Fatal(err)
+				}
 				if _, err := p.Write(m); err != nil {
 					t.Fatalf("the peer can't write: %v", err)
 				}
@@ -85,9 +81,7 @@
 			case 3:
 				synctest.Wait()
 			case 4:
-				if s.Pick(20) == 0 {
-					closing = true
-				}
+				closing = s.Pick(20) == 0
 			}
 		}
 		synctest.Wait()
@@ -101,18 +95,18 @@
 		if got = <-received; !bytes.Equal(got, sent) {
 			t.Errorf("arrived %v, sent %v", got, sent)
 		}
-		if whole := written[:len(written)/frame*frame]; !bytes.Equal(p.taken, whole) {
-			t.Errorf("taken %v, written %v", p.taken, whole)
+		if whole := written[:len(written)/frameSize*frameSize]; !bytes.Equal(p.received, whole) {
+			t.Errorf("taken %v, written %v", p.received, whole)
 		}
 	})
 }
 
-// TestCutOff guards the sender's memory, and its time, against a peer that
+// TestPeerNotReadingAborts guards the sender's memory, and its time, against a peer that
 // stops reading.
-func TestCutOff(t *testing.T) {
+func TestPeerNotReadingAborts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
-		defer p.Close()
+		closeLater(t, p)
 		accepted := 0
 		for range 2 * maxQueuedBytes / 1024 {
 			if p.conn.Send(make([]byte, 1024)) {
@@ -132,7 +126,7 @@
 func TestSlowWriteEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
-		defer p.Close()
+		closeLater(t, p)
 		began := time.Now()
 		p.conn.Send([]byte("unread"))
 		if err := <-p.ended; err == nil || time.Since(began) > writeTimeout {
@@ -146,14 +140,14 @@
 func TestCloseIfIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
-		defer p.Close()
-		p.Write([]byte("ha"))
+		closeLater(t, p)
+		write(t, p, "ha")
 		p.conn.CloseIfIdle()
 		synctest.Wait()
-		p.Write([]byte("l"))
+		write(t, p, "l")
 		synctest.Wait()
-		if string(p.taken) != "hal" {
-			t.Fatalf("taken %q", p.taken)
+		if string(p.received) != "hal" {
+			t.Fatalf("taken %q", p.received)
 		}
 		select {
 		case err := <-p.ended:
@@ -170,7 +164,7 @@
 func TestReadDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
-		defer p.Close()
+		closeLater(t, p)
 		p.conn.SetReadDeadline(time.Now().Add(time.Second))
 		p.conn.Wake() // must not put the deadline off
 		err := <-p.ended
@@ -180,10 +174,10 @@
 	})
 }
 
-// TestExpectWithin guards the table of connections against peers that say
+// TestReceiveTimeouts guards the table of connections against peers that say
 // nothing, and against messages that never end; one that has spoken may idle, and
 // what is owed to a peer still goes out.
-func TestExpectWithin(t *testing.T) {
+func TestReceiveTimeouts(t *testing.T) {
 	for _, x := range []struct {
 		says string
 		owed time.Duration // until then, an answer is
@@ -198,16 +192,16 @@
 		t.Run(fmt.Sprint(x.says, x.owed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newIdlePeer()
-				defer p.Close()
+				closeLater(t, p)
 				began := time.Now()
 				p.conn.SetReceiveTimeouts(time.Second, time.Second, func() bool { return time.Since(began) < x.owed })
 				p.serve()
-				whole := min(len(x.says), frame)
-				p.Write([]byte(x.says[:whole]))
+				whole := min(len(x.says), frameSize)
+				write(t, p, x.says[:whole])
 				synctest.Wait()
-				if whole == frame { // idle for longer than a message may take
+				if whole == frameSize { // idle for longer than a message may take
 					time.Sleep(3 * time.Second)
-					p.Write([]byte(x.says[whole:]))
+					write(t, p, x.says[whole:])
 				}
 				time.Sleep(10 * time.Second)
 				select {
@@ -224,83 +218,3 @@
 		})
 	}
 }
-
-// TestServer sees that a connection over the limit waits until another ends, and is
-// served then with what it wrote; that the one that waits as the server closes is let
-// in; and that Empty tells when a closed server's last one has ended.
-func TestServer(t *testing.T) {
-	serving, crowded := make(chan *Conn), make(chan struct{}, 1)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var open, most atomic.Int32
-	s := NewServer(l, 1, func(c *Conn) {
-		most.Store(max(most.Load(), open.Add(1)))
-		defer open.Add(-1)
-		serving <- c
-		c.Serve(func(r *bufio.Reader) error {
-			b, err := r.Peek(frame)
-			if err == nil {
-				r.Discard(frame)
-				c.Send(append([]byte("re "), b...))
-			}
-			return err
-		})
-	}, func() {
-		select {
-		case crowded <- struct{}{}:
-		default:
-		}
-	})
-	go s.Serve()
-	dial := func() net.Conn {
-		nc, err := net.Dial("tcp", s.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { nc.Close() })
-		write(t, nc, "one")
-		return nc
-	}
-	first := dial()
-	<-serving
-	read(t, first, "re one", false)
-	<-crowded // by the first, as it takes the whole limit
-	second := dial()
-	<-crowded // by the second, which waits
-	if n := open.Load(); n != 1 {
-		t.Errorf("%d are served, the limit is 1", n)
-	}
-	first.Close()
-	c := <-serving
-	read(t, second, "re one", false)
-	if most.Load() != 1 {
-		t.Errorf("%d were served at a time, the limit is 1", most.Load())
-	}
-	s.SetLimit(2)
-	third := dial()
-	d := <-serving
-	read(t, third, "re one", false)
-	waits := dial()
-	<-crowded
-	s.Close()
-	e := <-serving
-	read(t, waits, "re one", false)
-	if nc, err := net.Dial("tcp", s.Addr().String()); err == nil {
-		nc.Close()
-		t.Error("a closed server takes connections")
-	}
-	d.Close()
-	e.Close()
-	select {
-	case <-s.Done():
-		t.Error("empty with a connection open")
-	default:
-	}
-	c.Close()
-	<-s.Done()
-	if c.Send([]byte("x")) {
-		t.Error("a connection that has ended takes more")
-	}
-}
--- a/transport/ending.go
+++ b/transport/ending.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"cmp"
 	"errors"
 	"io"
 	"os"
@@ -13,19 +14,18 @@
 
 // The reasons.
 const (
-	PeerClosed  EndReason = "peer_closed"  // the peer shut its writing end
+	PeerClosed  EndReason = "peer_closed"  // the peer shut its writing side
 	PeerFailed  EndReason = "peer_failed"  // the connection was reset, or a read failed
-	BadMessage  EndReason = "bad_message"  // the peer sent what is no message
-	ReadTimeout EndReason = "read_timeout" // no whole message came in time
-	Idle        EndReason = "idle"         // it was asked to end, and nothing was open on it
-	Drained     EndReason = "drained"      // it was asked to drain, and nothing was open on it or its time was over
-	Closed      EndReason = "closed"       // it was asked to end whatever comes
+	BadMessage  EndReason = "bad_message"  // the peer sent what is not a message: a step failed
+	ReadTimeout EndReason = "read_timeout" // no whole message arrived in time
+	Idle        EndReason = "idle"         // CloseIfIdle, and nothing was open on it
+	Drained     EndReason = "drained"      // Drain, and nothing was open on it or its deadline had passed
+	Closed      EndReason = "closed"       // Close
 	WriteFailed EndReason = "write_failed" // what was queued could not be written
-	Aborted     EndReason = "cut_off"      // it was ended at once, or its peer left too much unread
+	Aborted     EndReason = "cut_off"      // Abort, or the peer left too much unread
 )
 
-// IsLocal reports whether the connection ended by a decision of this process, and not by
-// what its peer did.
+// IsLocal reports whether this process ended the connection, and not what its peer did.
 func (r EndReason) IsLocal() bool {
 	switch r {
 	case PeerClosed, PeerFailed, BadMessage:
@@ -34,20 +34,20 @@
 	return true
 }
 
-// Ending is how a connection ended. Bytes that were not taken are what a request may
-// have been lost with.
+// Ending describes how a connection ended. Where bytes were discarded or not sent, a
+// request may have been lost with them.
 type Ending struct {
 	Reason           EndReason
-	Err              error         // that ended the reading or writing; nil where it was asked to end
-	ResponsesPending bool          // answers were owed when it began to end
-	PartialBytes     int           // bytes of a message that was not whole when reading ended
-	DiscardedBytes   int64         // bytes that came later and were dropped
-	UnsentBytes      int           // bytes of answers that were queued and not written
+	Err              error         // what ended the reading or writing; nil where the connection was asked to end
+	ResponsesPending bool          // when reading ended
+	PartialBytes     int           // of an incomplete message that was buffered when reading ended
+	DiscardedBytes   int64         // that arrived later
+	UnsentBytes      int           // that were queued and not written
 	Messages         int           // whole messages that were read
 	SinceActive      time.Duration // from the last message read or queued to the end
 }
 
-// End reports how the connection ended. It holds once Serve has returned.
+// End returns how the connection ended. It may only be called once Serve has returned.
 func (c *Conn) End() Ending { return c.ending }
 
 // readEndReason classifies the error that ended the reading.
@@ -63,8 +63,16 @@
 	return BadMessage
 }
 
-// recordWriteFailure records that the connection ends because a flush failed. It returns the
-// error that it is called with.
+// endError is what Serve returns for a connection that this process ends.
+func endError(reason EndReason) error {
+	if reason == ReadTimeout {
+		return os.ErrDeadlineExceeded
+	}
+	return nil
+}
+
+// recordWriteFailure records that the connection ends because a flush failed. It returns
+// the error that it is called with.
 func (c *Conn) recordWriteFailure(err error) error {
 	c.ending.Reason, c.ending.Err = WriteFailed, err
 	switch {
@@ -76,13 +84,55 @@
 	return err
 }
 
-// PeerAddr is the peer's address.
-func (c *Conn) PeerAddr() string {
-	if addr := c.netConn.RemoteAddr(); addr != nil {
-		return addr.String()
+// halfClose writes what is queued, shuts the writing side, and reads until the peer closes
+// or the linger time-out has passed: a close over unread bytes would reset the connection
+// and could destroy the last responses. It returns the error that it is called with.
+func (c *Conn) halfClose(reason EndReason, why error) error {
+	c.source.nonBlocking = false
+	c.ending.Reason, c.ending.Err, c.ending.PartialBytes = reason, why, c.reader.Buffered()
+	c.ending.ResponsesPending = c.hasResponsesPending()
+	if c.onClose != nil {
+		c.onClose(why)
+	}
+	c.mu.Lock()
+	c.moveState(readingEnded) // Send refuses from here on
+	c.mu.Unlock()
+	if err := c.flush(); err != nil {
+		return cmp.Or(why, c.recordWriteFailure(err))
+	}
+	c.mu.Lock()
+	c.moveState(queueFlushed)
+	if c.aborted {
+		c.mu.Unlock()
+		return why
+	}
+	deadline := time.Now().Add(c.lingerTimeout)
+	c.applyReadDeadline(deadline)
+	c.mu.Unlock()
+	if half, ok := c.netConn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+		c.discardUntil(deadline)
+	}
+	return why
+}
+
+// discardUntil reads and drops what arrives until the peer closes, or the deadline.
+func (c *Conn) discardUntil(deadline time.Time) {
+	for {
+		n, err := io.Copy(io.Discard, c.source)
+		c.ending.DiscardedBytes += n
+		if !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(deadline) {
+			return
+		}
 	}
-	return ""
 }
 
-// Age is how long ago the connection was taken in.
-func (c *Conn) Age() time.Duration { return time.Since(c.createdAt) }
+// close closes the socket and completes the Ending. Serve calls it as it returns.
+func (c *Conn) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.moveState(serveReturned)
+	c.aborted = true
+	c.ending.UnsentBytes += len(c.sendQueue)
+	c.ending.SinceActive = time.Since(c.lastActive)
+	c.closeSocket()
+}
--- a/transport/redial.go
+++ b/transport/redial.go
@@ -8,61 +8,57 @@
 	"time"
 )
 
-// The pace at which a link is dialled again.
+// The limits of dialling. The pause between two attempts doubles from the first to the
+// longest.
 const (
 	dialTimeout    = time.Second
 	minRedialPause = 10 * time.Millisecond
 	maxRedialPause = 250 * time.Millisecond
 )
 
-// Redialer holds one connection to an address, and opens it anew after every break.
-// The address may change: the present connection goes on until the next is open.
+// Redialer keeps one connection to an address, and dials again after every break. If the
+// address changes, the current connection stays open until the next one is.
 type Redialer struct {
-	opened func(*Conn) (step func(*bufio.Reader) error)
-	closed func(*Conn, error)
+	onOpen  func(*Conn) (step func(*bufio.Reader) error)
+	onClose func(*Conn, error)
 
 	mu      sync.Mutex
 	address string
 	moved   chan struct{} // closed when the address changes
 }
 
-// NewRedialer makes a link; Run works it. opened gives the step that reads from a
-// new connection, closed is told of each one's end.
-func NewRedialer(address string, opened func(*Conn) (step func(*bufio.Reader) error), closed func(*Conn, error)) *Redialer {
-	return &Redialer{opened: opened, closed: closed, address: address, moved: make(chan struct{})}
+// NewRedialer makes a redialer, which the caller starts with Run. onOpen is called with
+// each new connection and returns the step to serve it with (see Conn.Serve); onClose is
+// called when that connection has ended, with the error of Conn.Serve.
+func NewRedialer(address string, onOpen func(*Conn) (step func(*bufio.Reader) error), onClose func(*Conn, error)) *Redialer {
+	return &Redialer{onOpen: onOpen, onClose: onClose, address: address, moved: make(chan struct{})}
 }
 
-// SetAddress changes the address.
-func (l *Redialer) SetAddress(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if address != l.address {
-		l.address = address
-		close(l.moved)
-		l.moved = make(chan struct{})
+// SetAddress changes the address. It is dialled at once.
+func (r *Redialer) SetAddress(address string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if address != r.address {
+		r.address = address
+		close(r.moved)
+		r.moved = make(chan struct{})
 	}
 }
 
-func (l *Redialer) target() (address string, moved <-chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.address, l.moved
-}
-
-// Run keeps the link until ctx ends.
-func (l *Redialer) Run(ctx context.Context) {
+// Run keeps a connection open until ctx is done, and closes it then.
+func (r *Redialer) Run(ctx context.Context) {
 	pause := minRedialPause
-	var present *Conn
+	var current *Conn
 	for ctx.Err() == nil {
-		address, moved := l.target()
+		address, moved := r.target()
 		nc, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 		if err == nil {
 			pause = minRedialPause
-			if present != nil {
-				present.Close()
+			if current != nil {
+				current.Close()
 			}
-			present = NewConn(nc)
-			ended := l.serve(present)
+			current = NewConn(nc)
+			ended := r.serve(current)
 			select {
 			case <-ctx.Done():
 			case <-moved:
@@ -77,18 +73,25 @@
 		}
 		pause = min(2*pause, maxRedialPause)
 	}
-	if present != nil {
-		present.Close()
+	if current != nil {
+		current.Close()
 	}
 }
 
-// serve works a connection in a goroutine of its own. The channel that it gives
-// is closed with the connection's end.
-func (l *Redialer) serve(c *Conn) <-chan struct{} {
-	ended, step := make(chan struct{}), l.opened(c)
+// target returns the address to dial, and a channel that is closed when it changes.
+func (r *Redialer) target() (address string, moved <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.address, r.moved
+}
+
+// serve serves a connection in a goroutine of its own. The channel is closed when it has
+// ended.
+func (r *Redialer) serve(c *Conn) (ended <-chan struct{}) {
+	done, step := make(chan struct{}), r.onOpen(c)
 	go func() {
-		defer close(ended)
-		l.closed(c, c.Serve(step))
+		defer close(done)
+		r.onClose(c, c.Serve(step))
 	}()
-	return ended
+	return done
 }
--- a/transport/serve.go
+++ b/transport/serve.go
@@ -4,23 +4,23 @@
 	"bufio"
 	"cmp"
 	"errors"
-	"io"
 	"os"
 	"time"
 
 	"quincerail.example/quincerail/guard"
 )
 
-// Serve calls step for each message until it fails, and writes what is queued
-// in between. A read that was interrupted for that fails with
-// os.ErrDeadlineExceeded, and the step is called again. So a step must be
-// resumable: it peeks, and discards once whole. What it can't take it passes over,
-// with ErrSkipped; any other error ends the connection. The connection is
-// half-closed, drained and closed when Serve returns.
+// Serve calls step for each message until the connection ends, and writes what is queued in
+// between. It returns nil where the connection was asked to end, else the error that ended
+// it: that of step (io.EOF where the peer closed), os.ErrDeadlineExceeded after a time-out,
+// or the error of a write. The connection is closed when Serve returns.
 //
-// A deadline that has passed ends nothing by itself, as the process may have stood
-// still while a message came: the socket is read empty first, and package guard
-// decides.
+// A read that was interrupted fails with os.ErrDeadlineExceeded, and step is called again.
+// So step must be resumable: it peeks, and discards only once a whole message is there. It
+// returns ErrMessageSkipped after it has discarded bytes that are not a message; any other
+// error ends the connection.
+//
+// A deadline that has passed ends nothing by itself: see connState.
 func (c *Conn) Serve(step func(r *bufio.Reader) error) error {
 	defer c.close()
 	for {
@@ -34,7 +34,7 @@
 		if err == nil {
 			err = step(c.reader)
 		}
-		nowait := c.source.nonBlocking
+		nonBlocking := c.source.nonBlocking
 		c.source.nonBlocking = false
 		switch {
 		case err == nil:
@@ -42,7 +42,7 @@
 		case errors.Is(err, ErrMessageSkipped):
 			c.messageSkipped()
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.examined = nowait && !c.source.lastReadFailed()
+			c.examined = nonBlocking && !c.source.lastReadFailed()
 			if reason := c.decideEnd(); reason != "" {
 				return c.halfClose(reason, endError(reason))
 			}
@@ -52,18 +52,10 @@
 	}
 }
 
-// endError is what Serve returns for a connection that was ended here.
-func endError(reason EndReason) error {
-	if reason == ReadTimeout {
-		return os.ErrDeadlineExceeded
-	}
-	return nil
-}
-
-// prepareRead sets whether the next read only examines the socket: where something was
-// asked for, or the deadline has passed, and no look has followed yet. It tells
-// whether the connection is to be closed whatever comes.
-func (c *Conn) prepareRead() (done bool) {
+// prepareRead sets whether the next read only examines the socket without blocking: where
+// there is a request, or the deadline has passed, and the socket was not examined since. It
+// reports whether requestClose ends the connection.
+func (c *Conn) prepareRead() (closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	due := c.request != requestNone || c.expiredLocked()
@@ -72,80 +64,7 @@
 	return c.request == requestClose
 }
 
-// decideEnd settles what was asked for, or a deadline that has passed, after a read that
-// gave no whole message. It returns why the connection is to end; "" if it goes on.
-func (c *Conn) decideEnd() EndReason {
-	if !c.examined { // the read was interrupted: the next one examines the socket if need be
-		return ""
-	}
-	facts := c.connectionFacts()
-	c.mu.Lock()
-	requested, by, expired := c.request, c.drainDeadline, c.expiredLocked()
-	c.mu.Unlock()
-	switch {
-	case requested == requestMark:
-		c.clearRequest(requestMark)
-	case requested == requestCloseIfIdle:
-		if reason, _ := guard.MayEnd(facts); reason == guard.Nothing && !facts.Partial {
-			return Idle
-		}
-		c.clearRequest(requestCloseIfIdle)
-	case requested == requestDrain:
-		facts.Last = !time.Now().Before(by)
-		reason, again := guard.MayEnd(facts)
-		if reason == guard.Nothing {
-			return Drained
-		}
-		c.examineAfter(min(again, time.Until(by)))
-	case expired:
-		reason, again := guard.MayEnd(facts)
-		if reason == guard.Nothing {
-			return ReadTimeout
-		}
-		if reason == guard.OwedAnswers {
-			again = pendingCheckInterval
-		}
-		c.examineAfter(again)
-	}
-	return ""
-}
-
-// connectionFacts collects what counts for the end of the connection.
-func (c *Conn) connectionFacts() guard.Connection {
-	facts := guard.Connection{Examined: c.examined, Owed: c.hasResponsesPending(), Partial: c.reader.Buffered() > 0, Stalled: c.stallTimeout}
-	now := time.Now()
-	if facts.Partial {
-		facts.SilentFor = now.Sub(c.source.lastByteAt)
-		facts.PartialFor = now.Sub(cmp.Or(c.source.messageBeganAt, c.source.lastByteAt))
-	}
-	c.mu.Lock()
-	notice, requested := c.notifyPeer, c.request
-	c.mu.Unlock()
-	if notice != nil && (requested == requestCloseIfIdle || requested == requestNone && !facts.Partial && !facts.Owed) {
-		facts.NoticeLeft = notice()
-	}
-	return facts
-}
-
-// clearRequest forgets a request that was carried out, unless a greater one has come.
-func (c *Conn) clearRequest(done connRequest) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.request == done {
-		c.request = requestNone
-	}
-}
-
-// examineAfter has the socket examined again after a time.
-func (c *Conn) examineAfter(after time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.readDeadline = time.Now().Add(after)
-}
-
-func (c *Conn) hasResponsesPending() bool { return c.responsesPending != nil && c.responsesPending() }
-
-// awaitMessage waits for a message's first byte, from which on its time counts.
+// awaitMessage waits for the first byte of a message and starts the message's time-out.
 func (c *Conn) awaitMessage() error {
 	if c.stallTimeout == 0 {
 		return nil
@@ -157,99 +76,95 @@
 		c.source.messageBeganAt = c.source.lastByteAt
 	}
 	c.mu.Lock()
-	waiting := !c.readDeadline.IsZero()
+	hasDeadline := !c.readDeadline.IsZero()
 	c.mu.Unlock()
-	if !waiting {
+	if !hasDeadline {
 		c.SetReadDeadline(time.Now().Add(c.stallTimeout))
 	}
 	return nil
 }
 
-// messageReceived takes in that a whole message has come. A connection that was to end if idle
-// goes on with it.
+// messageReceived records that a step has read a whole message. That cancels
+// requestCloseIfIdle and the message's time-out.
 func (c *Conn) messageReceived() {
 	c.ending.Messages++
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastActive, c.receivedMessage = time.Now(), true
-	c.source.partReadAt, c.source.messageBeganAt = time.Time{}, time.Time{}
+	c.source.resetMessageTimes()
 	if c.request == requestCloseIfIdle {
 		c.request = requestNone
 	}
 	if c.stallTimeout > 0 && c.request != requestDrain {
-		c.readDeadline = time.Time{} // the next flush has the reads go by it
+		c.readDeadline = time.Time{} // applied by the next flush
 	}
 }
 
-// messageSkipped takes in that something was passed over which is no message.
+// messageSkipped records that a step has discarded bytes that are not a message.
 func (c *Conn) messageSkipped() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.source.partReadAt, c.source.messageBeganAt = time.Time{}, time.Time{}
+	c.source.resetMessageTimes()
 	if c.request != requestDrain {
-		c.readDeadline = time.Now().Add(skippedMessageGrace) // the next flush has the reads go by it
+		c.readDeadline = time.Now().Add(skippedMessageGrace) // applied by the next flush
 	}
 }
 
-// halfClose writes what is queued, shuts the writing end and reads to the peer's
-// end, for a bounded time: a close over unread bytes would reset the connection
-// and could take the last answers away. It gives the error that it is called with.
-func (c *Conn) halfClose(reason EndReason, why error) error {
-	c.source.nonBlocking = false
-	c.ending.Reason, c.ending.Err, c.ending.PartialBytes, c.ending.ResponsesPending = reason, why, c.reader.Buffered(), c.hasResponsesPending()
-	if c.onClose != nil {
-		c.onClose(why)
+// decideEnd carries out what was asked for, or what a passed deadline demands, after a read
+// that returned no whole message. It returns why the connection is to end, or "".
+func (c *Conn) decideEnd() EndReason {
+	if !c.examined { // the read was interrupted: the next one examines the socket if need be
+		return ""
 	}
+	x := examination{facts: c.connectionFacts()}
 	c.mu.Lock()
-	c.state = stateClosing // what comes to be sent from here on is told so
+	x.request, x.untilDrain, x.deadlinePassed = c.request, time.Until(c.drainDeadline), c.expiredLocked()
 	c.mu.Unlock()
-	if err := c.flush(); err != nil {
-		return cmp.Or(why, c.recordWriteFailure(err))
+	v := x.decide()
+	if v.requestDone {
+		c.clearRequest(x.request)
 	}
-	c.mu.Lock()
-	c.state = stateHalfClosed
-	if c.aborted {
-		c.mu.Unlock()
-		return why
+	if v.examineAgain {
+		c.examineAfter(v.examineAfter)
 	}
-	until := time.Now().Add(c.lingerTimeout)
-	c.netConn.SetReadDeadline(until)
-	c.mu.Unlock()
-	if half, ok := c.netConn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		c.discardUntil(until)
-	}
-	return why
+	return v.end
 }
 
-// discardUntil reads and drops what comes until the peer's end, or a time.
-func (c *Conn) discardUntil(until time.Time) {
-	for {
-		n, err := io.Copy(io.Discard, c.source)
-		c.ending.DiscardedBytes += n
-		if !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(until) {
-			return
-		}
+// connectionFacts collects what guard.MayEnd decides by. It may notify the peer.
+func (c *Conn) connectionFacts() guard.Connection {
+	facts := guard.Connection{
+		Examined: c.examined, Owed: c.hasResponsesPending(), Partial: c.reader.Buffered() > 0, Stalled: c.stallTimeout,
+	}
+	now := time.Now()
+	if facts.Partial {
+		facts.SilentFor = now.Sub(c.source.lastByteAt)
+		facts.PartialFor = now.Sub(cmp.Or(c.source.messageBeganAt, c.source.lastByteAt))
+	}
+	c.mu.Lock()
+	request := c.request
+	c.mu.Unlock()
+	idle := request == requestNone && !facts.Partial && !facts.Owed
+	if c.notifyPeer != nil && (request == requestCloseIfIdle || idle) {
+		facts.NoticeLeft = c.notifyPeer()
 	}
+	return facts
 }
 
-func (c *Conn) close() {
+// clearRequest forgets a request that was carried out, unless a later one has replaced it.
+func (c *Conn) clearRequest(done connRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state, c.aborted = stateClosed, true
-	c.ending.UnsentBytes += len(c.sendQueue)
-	c.ending.SinceActive = time.Since(c.lastActive)
-	c.netConn.Close()
+	if c.request == done {
+		c.request = requestNone
+	}
 }
 
-// Expired tells whether a read's time-out was the connection's own deadline, and the
-// socket was found empty after it had passed. It is asked within a step.
-func (c *Conn) Expired() bool {
+// examineAfter has the socket examined again after a time.
+func (c *Conn) examineAfter(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return (c.source.nonBlocking || c.examined) && c.expiredLocked()
+	c.readDeadline = time.Now().Add(d)
 }
 
-// expiredLocked tells whether the deadline has passed. The lock is held.
-func (c *Conn) expiredLocked() bool {
-	return !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline)
-}
+// hasResponsesPending reports whether responses are still to be sent.
+func (c *Conn) hasResponsesPending() bool { return c.responsesPending != nil && c.responsesPending() }
--- a/transport/server.go
+++ b/transport/server.go
@@ -2,109 +2,88 @@
 
 import (
 	"errors"
-	"fmt"
 	"net"
 	"os"
 	"sync"
 	"time"
 )
 
-// Server accepts connections up to a limit and counts those that are open.
-type Server struct {
-	listener     net.Listener
-	limit        int
-	serve        func(*Conn)
-	nearCapacity func()
-
-	mu               sync.Mutex
-	open             int           // connections, with one that waits for room
-	slotFreed        chan struct{} // holds one word that a connection has ended
-	closing          chan struct{} // closed by Close: none waits for room any more
-	done             chan struct{} // closed when no connection is open after Close
-	closed           bool
-	onAcceptFailures func(last error, failures int)
-
-	serving chan struct{} // closed when Run returns; nil before it runs
-}
-
-// shutdownAcceptTimeout is how long a server that shuts takes in what the system has accepted
-// already: a caller that finds its connection reset there does not know what became
-// of its request.
-const shutdownAcceptTimeout = 20 * time.Millisecond
-
-// Accepting rests for acceptPauseFirst after each of the first errors in a row, so that
-// a short trouble costs little time, and for up to acceptPauseMost after further ones.
-// shutExcess is how many connections over the limit are still taken in by a server that
-// closes.
+// The pause after an accept that failed. It is short after the first failures in a row, so
+// that a brief shortage costs little time, and doubles after each further one.
 const (
 	minAcceptPause          = 100 * time.Microsecond
 	maxAcceptPause          = 5 * time.Millisecond
-	briefAcceptFailures     = 8 // errors in a row that count as a short trouble
+	briefAcceptFailures     = 8 // failures in a row with the shortest pause
 	maxAcceptPauseDoublings = 6
-	maxExcessOnClose        = 16
+	shutdownAcceptTimeout   = 20 * time.Millisecond // how long Shutdown goes on accepting
+	maxExcessOnClose        = 16                    // connections over the limit that Close still admits
+	nearCapacityShare       = 0.75                  // part of the limit from which on the server is near capacity
+	nearCapacityInterval    = 10 * time.Millisecond // between two calls of nearCapacity while a connection waits
 )
 
-// acceptPause is how long accepting rests after so many errors in a row.
-func acceptPause(failures int) time.Duration {
-	return min(minAcceptPause<<min(max(0, failures-briefAcceptFailures), maxAcceptPauseDoublings), maxAcceptPause)
-}
+// Server accepts connections from a listener up to a limit, and counts those that are open.
+//
+// It has the verbs of http.Server, with one difference: neither Shutdown nor Close ends
+// connections that are open. Done tells when the last of them has ended.
+type Server struct {
+	listener         net.Listener
+	serveConn        func(*Conn)
+	nearCapacity     func()
+	onAcceptFailures func(last error, failures int)
 
-// crowdedShare is the part of the limit from which on room is asked for, and
-// crowdedAgain how often that is done while one waits for it.
-const (
-	nearCapacityShare    = 0.75
-	nearCapacityInterval = 10 * time.Millisecond
-)
+	mu      sync.Mutex
+	limit   int
+	open    int           // connections, including one that waits for a slot
+	serving chan struct{} // closed when Serve returns; nil before it is called
+	closed  bool
 
-// InheritListener takes over the listening socket that a descriptor is. Closing the
-// listener leaves those that others hold of the socket open.
-func InheritListener(fd int) (net.Listener, error) {
-	f := os.NewFile(uintptr(fd), "listener")
-	if f == nil {
-		return nil, fmt.Errorf("descriptor %d is none", fd)
-	}
-	defer f.Close()
-	l, err := net.FileListener(f)
-	if err != nil {
-		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
-	}
-	return l, nil
+	slotFreed chan struct{} // holds an element after a connection has ended
+	closing   chan struct{} // closed by Close: no connection waits for a slot any more
+	done      chan struct{} // closed when no connection is open after Close
 }
 
-// NewServer makes a server of a listener; Run works it. Each connection gets a
-// goroutine that calls serve, at most limit at a time. One more is accepted, and
-// waits until another ends, while those behind it wait in the system's queue: closed
-// unread, each would take along a request that its caller has written already.
-// crowded is called for each that comes when not much room is left, and again
-// while one waits, so as to make some.
-func NewServer(l net.Listener, limit int, serve func(*Conn), crowded func()) *Server {
+// NewServer makes a server of a listener, which the caller starts with Serve. Each
+// connection gets a goroutine that calls serve; at most limit run at a time. One more
+// connection is accepted and waits until another ends, while those behind it wait in the
+// system's accept queue: if they were closed unread, each would lose a request that its
+// peer has written already.
+//
+// nearCapacity is called for each new connection while more than three quarters of the
+// limit are open, and again while one waits, so that the caller can close some.
+func NewServer(l net.Listener, limit int, serve func(*Conn), nearCapacity func()) *Server {
 	return &Server{
-		listener: l, limit: limit, serve: serve, nearCapacity: crowded, done: make(chan struct{}),
-		slotFreed: make(chan struct{}, 1), closing: make(chan struct{}),
+		listener: l, limit: limit, serveConn: serve, nearCapacity: nearCapacity,
+		slotFreed: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{}),
 	}
 }
 
-// SetLimit changes the limit for the connections to come.
+// OnAcceptFailures has f called with the last error and the number of failures when
+// accepting succeeds again after failures in a row, or when the server ends after such. It
+// must be called before Serve.
+func (s *Server) OnAcceptFailures(f func(last error, failures int)) { s.onAcceptFailures = f }
+
+// SetLimit changes the limit for future connections.
 func (s *Server) SetLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
 }
 
-// Addr is the address that is listened on.
+// Addr returns the listener's address.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// OnAcceptFailures has f called when accepting works again after failures in a row, or
-// when the server ends, with the last of them. It must be called before Run.
-func (s *Server) OnAcceptFailures(f func(last error, failures int)) { s.onAcceptFailures = f }
+// Done returns a channel that is closed once the server is closed and its last connection
+// has ended.
+func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Serve accepts until Close or Shut. Accepting that fails (descriptors ran out, say) is
-// tried again after a pause that grows: it neither ends the listener nor takes a core.
+// Serve accepts connections until Shutdown or Close, and returns nil then. An accept that
+// fails, for want of descriptors say, is retried after a pause that grows: it neither ends
+// the server nor keeps a core busy.
 func (s *Server) Serve() error {
-	done := make(chan struct{})
-	defer close(done)
+	serving := make(chan struct{})
+	defer close(serving)
 	s.mu.Lock()
-	s.serving = done
+	s.serving = serving
 	s.mu.Unlock()
 	var last error
 	failures := 0
@@ -126,21 +105,32 @@
 		if err != nil {
 			return nil
 		}
-		if !s.waitForSlot() {
-			nc.Close()
-			continue
-		}
-		go func() {
-			s.serve(NewConn(nc))
-			s.connectionEnded()
-		}()
+		s.start(nc)
+	}
+}
+
+// start serves a connection in a goroutine of its own once there is a slot for it.
+func (s *Server) start(nc net.Conn) {
+	if !s.waitForSlot() {
+		_ = nc.Close() // it is refused whatever the close returns
+		return
 	}
+	go func() {
+		s.serveConn(NewConn(nc))
+		s.connectionEnded()
+	}()
 }
 
-// isFinalAcceptError tells whether an error of accepting is the end: the listener has closed, or the
-// deadline of a server that shuts has passed and nothing waits to be accepted. The
-// process may have stood still over the deadline, or accepting may have failed until
-// then: in that case the deadline is put off.
+// acceptPause returns how long accepting pauses after so many failures in a row.
+func acceptPause(failures int) time.Duration {
+	doublings := min(max(0, failures-briefAcceptFailures), maxAcceptPauseDoublings)
+	return min(minAcceptPause<<doublings, maxAcceptPause)
+}
+
+// isFinalAcceptError reports whether an error of Accept ends the server: the listener is
+// closed, or the deadline set by Shutdown has passed and no connection waits. If one does,
+// the process may have been suspended past the deadline, or accepting may have failed until
+// then, and the deadline is extended.
 func (s *Server) isFinalAcceptError(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return true
@@ -151,14 +141,16 @@
 	return !hasWaiting(s.listener) || !s.extendDeadline()
 }
 
-// extendDeadline puts off the deadline of a server that shuts.
+// extendDeadline sets the deadline until which a server that shuts down accepts. It reports
+// false if the listener has no deadlines.
 func (s *Server) extendDeadline() bool {
 	l, ok := s.listener.(interface{ SetDeadline(time.Time) error })
 	return ok && l.SetDeadline(time.Now().Add(shutdownAcceptTimeout)) == nil
 }
 
-// waitForSlot counts a connection in, and returns once there is room for it. A server
-// that closes does not wait for that: it takes some more, and closes the others.
+// waitForSlot counts a connection, and reports true once there is a slot for it. Close ends
+// the wait: a few connections over the limit are admitted then, and false is reported for
+// further ones, which are not counted.
 func (s *Server) waitForSlot() bool {
 	s.mu.Lock()
 	s.open++
@@ -176,16 +168,17 @@
 		select {
 		case <-s.slotFreed:
 		case <-s.closing:
-			if open > limit+maxExcessOnClose {
+			admitted := open <= limit+maxExcessOnClose
+			if !admitted {
 				s.connectionEnded()
 			}
-			return open <= limit+maxExcessOnClose
+			return admitted
 		case <-time.After(nearCapacityInterval):
 		}
 	}
 }
 
-// connectionEnded takes in that a connection has ended.
+// connectionEnded frees a connection's slot.
 func (s *Server) connectionEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,50 +190,44 @@
 	}
 }
 
-// checkDoneLocked closes empty when the time has come. The lock is held.
+// checkDoneLocked closes done if the server is closed and no connection is open. The lock
+// is held.
 func (s *Server) checkDoneLocked() {
 	if s.closed && s.open == 0 {
-		select {
-		case <-s.done:
-		default:
-			close(s.done)
-		}
+		closeOnce(s.done)
 	}
 }
 
-// Shutdown stops accepting once all is taken in that had connected before, and
-// returns then, or when Close is called. Those that have connected wait for room
-// until then, as ever. Open connections go on. Where others hold the socket too, Close
-// leaves to them what waits there.
+// Shutdown accepts all connections that were made before, then closes the server and
+// returns. Those over the limit wait for a slot as before, until Close is called. Open
+// connections are not ended. Where other processes hold the socket too, Close leaves them
+// what waits in its accept queue; Shutdown takes it first.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
-	running := s.serving
+	serving := s.serving
 	s.mu.Unlock()
-	if running != nil && s.extendDeadline() {
-		<-running
+	if serving != nil && s.extendDeadline() {
+		<-serving
 	}
 	s.Close()
 }
 
-// Close stops accepting at once: what has connected and waits for room is let in as far
-// as some more than the limit allow, and reset else. Open connections go on.
+// Close stops accepting at once. Of the connections that wait for a slot a few over the
+// limit are admitted, and the others reset. Open connections are not ended.
 func (s *Server) Close() {
-	s.listener.Close()
+	_ = s.listener.Close() // it may be closed already
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.stopWaitingLocked()
+	closeOnce(s.closing)
 	s.checkDoneLocked()
 }
 
-// stopWaitingLocked ends the wait for room. The lock is held.
-func (s *Server) stopWaitingLocked() {
+// closeOnce closes a channel that may be closed already; the caller's lock is held.
+func closeOnce(c chan struct{}) {
 	select {
-	case <-s.closing:
+	case <-c:
 	default:
-		close(s.closing)
+		close(c)
 	}
 }
-
-// Done is closed once the server is closed and its last connection has ended.
-func (s *Server) Done() <-chan struct{} { return s.done }
--- a/transport/source.go
+++ b/transport/source.go
@@ -11,35 +11,39 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// source is where a connection's bytes come from. It belongs to its goroutine.
+// source is a connection's stream of bytes, with the times at which they were read. It
+// belongs to the goroutine of Serve.
 type source struct {
 	netConn             net.Conn
-	nonBlocking         bool  // only what has come is read
-	streamErr           error // by which the stream ended
-	consecutiveFailures int   // reads in a row that failed and are tried again
+	nonBlocking         bool  // Read returns only what has arrived already
+	streamErr           error // what ended the stream
+	consecutiveFailures int   // reads in a row that failed and are retried
 
 	hasPartialMessage func() bool // a part of a message was read before
-	lastByteAt        time.Time   // when bytes last came; zero for never
-	messageBeganAt    time.Time   // when the first byte of the present message was seen; zero between messages
-	lastReadAt        time.Time   // when the last read gave something, or found nothing
-	partReadAt        time.Time   // the part that was there then was no whole message; zero for a message that came in one
+	lastByteAt        time.Time   // when bytes were last read; zero for never
+	messageBeganAt    time.Time   // when the first byte of the current message was seen; zero between messages
+	lastReadAt        time.Time   // when a read last returned bytes or found the socket empty
+	partReadAt        time.Time   // what was read by then was an incomplete message; zero for a message read in one piece
 }
 
-// Read implements io.Reader. Without waiting, a read that finds nothing fails with
-// os.ErrDeadlineExceeded, as an interrupted one does, and as one does whose error may
-// pass; failed tells the latter.
+// resetMessageTimes prepares for the next message.
+func (s *source) resetMessageTimes() { s.partReadAt, s.messageBeganAt = time.Time{}, time.Time{} }
+
+// Read implements io.Reader. It fails with os.ErrDeadlineExceeded where it was interrupted,
+// where it must not block and nothing has arrived, and after a failure that is to be
+// retried; lastReadFailed tells the last case from the others.
 func (s *source) Read(p []byte) (n int, err error) {
-	part := s.hasPartialMessage()
+	partial := s.hasPartialMessage()
 	if s.nonBlocking {
 		n, err = readNow(s.netConn, p)
 	} else {
 		n, err = s.netConn.Read(p)
 	}
-	if n == 0 && s.nonBlocking && errors.Is(err, os.ErrDeadlineExceeded) { // all was read that had come
+	if n == 0 && s.nonBlocking && errors.Is(err, os.ErrDeadlineExceeded) { // everything was read that had arrived
 		s.lastReadAt = time.Now()
 	}
 	if n > 0 {
-		if part {
+		if partial {
 			s.partReadAt = s.lastReadAt
 		}
 		s.lastReadAt = time.Now()
@@ -57,12 +61,12 @@
 	return n, err
 }
 
-// lastReadFailed tells whether the last read failed with an error that may pass: it says nothing
-// of what has come.
+// lastReadFailed reports whether the last read failed with an error that is retried: such a
+// read says nothing about what has arrived.
 func (s *source) lastReadFailed() bool { return s.consecutiveFailures > 0 }
 
-// readNow reads what has come on a socket whatever its deadline; a connection that
-// is no socket has none.
+// readNow reads what has arrived on a socket, whatever its deadline. On a connection that is
+// not a socket it finds nothing.
 func readNow(nc net.Conn, p []byte) (n int, err error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -73,7 +77,7 @@
 		return 0, err
 	}
 	var readErr error
-	err = raw.Control(func(fd uintptr) { // the socket does not block
+	err = raw.Control(func(fd uintptr) { // the runtime has made the socket non-blocking
 		for {
 			if n, readErr = syscall.Read(int(fd), p); readErr != syscall.EINTR {
 				return
--- a/transport/write.go
+++ b/transport/write.go
@@ -9,15 +9,26 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// A flush is given up after so many attempts in a row that write nothing. Each has a
-// deadline of its own: a process that stood still over one has not tried.
+// The limits of writing to a peer that does not read. Attempts are counted, each with a
+// deadline of its own: a process that is suspended past a single deadline has not tried.
 const (
-	writeAttemptTimeout  = 500 * time.Millisecond
-	maxIdleWriteAttempts = int(guard.MaxMessage / writeAttemptTimeout) // a client may wait so long, and read then
-	writeTimeout         = guard.MaxMessage
+	// writeAttemptTimeout is the deadline of one attempt.
+	writeAttemptTimeout = 500 * time.Millisecond
+
+	// writeTimeout is how long a flush waits in all while nothing is written. A client may
+	// wait as long before it reads.
+	writeTimeout = guard.MaxMessage
+
+	// maxIdleWriteAttempts is after how many attempts in a row that write nothing a flush
+	// fails.
+	maxIdleWriteAttempts = int(writeTimeout / writeAttemptTimeout)
+
+	// retryPause is how long a connection rests after a failed read or write that is
+	// retried.
+	retryPause = 2 * time.Millisecond
 )
 
-// flush writes the queue and sets the deadline of the next read.
+// flush writes what is queued and sets the deadline of the next read.
 func (c *Conn) flush() error {
 	for {
 		c.mu.Lock()
@@ -27,7 +38,7 @@
 		}
 		if len(c.sendQueue) == 0 {
 			c.woken = false
-			c.netConn.SetReadDeadline(c.readDeadline)
+			c.applyReadDeadline(c.readDeadline)
 			c.mu.Unlock()
 			return nil
 		}
@@ -41,11 +52,11 @@
 	}
 }
 
-// write writes all of p. What the system refuses for a moment is tried again, from
-// the byte on that was not written. It returns how many bytes were not written.
+// write writes all of p, and retries what the system refuses temporarily from the first byte
+// that was not written. It returns how many bytes were not written.
 func (c *Conn) write(p []byte) (unsent int, err error) {
 	for attempts, failures := 0, 0; len(p) > 0; {
-		c.netConn.SetWriteDeadline(time.Now().Add(writeAttemptTimeout))
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(writeAttemptTimeout)) // where it fails, so does the write
 		n, err := c.netConn.Write(p)
 		p = p[n:]
 		if n > 0 {
