--- a/backend/processor.go
+++ b/backend/processor.go
@@ -1,5 +1,3 @@
-// Package backend runs requests: on the processor, over a link that may break, and
-// at a uwsgi application server.
 package backend
 
 import (
@@ -8,7 +6,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"slices"
 	"strconv"
 	"sync"
 	"time"
@@ -20,296 +17,310 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// command is one that the processor may not have read yet.
-type command struct {
-	text  []byte
-	id    string
-	kind  commandKind
-	after uint64 // number of the usage question that was sent before it
-	sent  bool   // on the present link
-}
-
-type commandKind int
-
-const (
-	begin commandKind = iota
-	interrupt
-	resume // answer or without
-)
-
-// maxUnanswered is how many questions in a row the processor may leave unanswered, with
-// nothing else said either, before its link is taken for dead and dialled anew: about two
-// seconds of the module's ticks. Each new link replaces the one before it, and runs go on,
-// so it costs little where the processor is only slow. Questions are counted and not
-// time, which a process that stands still does not notice.
+// maxUnanswered is how many questions for the gauges in a row may stay without any notice
+// before the connection is taken for dead and dialled again: about two seconds of the
+// module's ticks. A new connection replaces the old one and runs go on, so it costs little
+// where the processor is only slow. Questions are counted and not time, because a process
+// that is suspended does not notice time.
 const maxUnanswered = 80
 
-// Processor is the backend that the processor is. A link that breaks may
-// have lost what was written last, so commands are kept until the answer to a
-// later question, or a notice of their run, proves that they were read. On a
-// new link what is not proven is sent again, once all missed notices are in.
+// errReplaced ends a connection that a newer one has replaced.
+var errReplaced = errors.New("replaced by a newer link")
+
+// Processor is the backend that runs requests at the processor. A connection that breaks
+// may have lost what was written last, so commands are kept until the processor has proved
+// that it read them; see pendingCommand. On a new connection the processor first sends all
+// notices that were missed; then unproven commands are sent again.
 //
-// The link may move to another address. What the connection before still says
-// is passed over then: the processor says it again on the new one.
+// The address may change while the old connection is open. Notices on it are ignored then:
+// the processor sends them again on the new one.
 type Processor struct {
-	core   *dispatch.Core
-	log    *slog.Logger
-	gauges []string
-	link   *transport.Redialer
-
-	mu       sync.Mutex
-	present  *transport.Conn // the newest, in order or not; nil between a break and the next
-	conn     *transport.Conn // nil while there is no link in order
-	last     uint64          // number of the last notice read
-	asked    uint64          // number of the last question
-	pending  []command
-	usages   map[uint64]func(decision.Gauges)
-	trials   map[string]func(bool)
-	marker   uint64 // the question whose answer shows that all missed notices are in; 0 for none
-	greeting *transport.Conn
-	greeted  bool // the processor has been up on some link
-	inOrder  bool // a link has been in order before
-	silent   int  // questions asked, or not asked for want of a greeting, since it last said anything
+	core     *dispatch.Core
+	log      *slog.Logger
+	gauges   []string
+	redialer *transport.Redialer
+
+	mu         sync.Mutex
+	current    *transport.Conn // the newest connection, ready or not; nil between a break and the next
+	ready      *transport.Conn // the same, once all missed notices are in; else nil
+	greeting   *transport.Conn // the same, until then; else nil
+	marker     uint64          // the question whose answer proves that all missed notices are in; 0 for none
+	lastNotice uint64          // number of the last notice read
+	questions  uint64          // number of the last question; questions are tagged with their numbers
+	unanswered int             // questions for gauges since the last notice, including those that could not be sent
+	greeted    bool            // the processor has answered on some connection
+	wasReady   bool            // a connection has been ready
+
+	pending       []pendingCommand
+	gaugeReaders  map[uint64]func(decision.Gauges) // by question
+	healthWaiters map[string]func(healthy bool)    // by tag
 }
 
-// NewProcessor makes one that links to an address, and is told the gauges of these
-// names, in order; Attach has to follow.
+// NewProcessor makes a backend that connects to an address. gauges names the processor's
+// gauges in their order. Attach and Run must be called.
 func NewProcessor(address string, gauges []string, log *slog.Logger) *Processor {
-	p := &Processor{log: log, gauges: gauges, usages: make(map[uint64]func(decision.Gauges)), trials: make(map[string]func(bool))}
-	p.link = transport.NewRedialer(address, p.opened, p.closed)
+	p := &Processor{
+		log: log, gauges: gauges,
+		gaugeReaders: make(map[uint64]func(decision.Gauges)), healthWaiters: make(map[string]func(bool)),
+	}
+	p.redialer = transport.NewRedialer(address, p.opened, p.closed)
 	return p
 }
 
-// Attach sets the core that is told what comes of runs; it goes before Run.
+// Attach sets the core that runs are reported to. It must be called before Run.
 func (p *Processor) Attach(core *dispatch.Core) { p.core = core }
 
-// Run keeps the link until ctx ends.
-func (p *Processor) Run(ctx context.Context) { p.link.Run(ctx) }
+// Run keeps the connection until ctx is done.
+func (p *Processor) Run(ctx context.Context) { p.redialer.Run(ctx) }
 
-// SetAddress has the link go to another address.
-func (p *Processor) SetAddress(address string) { p.link.SetAddress(address) }
+// SetAddress changes the address, which is dialled at once.
+func (p *Processor) SetAddress(address string) { p.redialer.SetAddress(address) }
 
-// errReplaced ends a connection that a newer one has replaced.
-var errReplaced = errors.New("replaced by a newer link")
+// opened starts a new connection. It returns the step that reads it.
+func (p *Processor) opened(c *transport.Conn) func(*bufio.Reader) error {
+	p.mu.Lock()
+	waiters := p.disconnectLocked() // where the address has changed, the old connection is still open
+	p.current, p.greeting, p.unanswered = c, c, 0
+	c.Send(processor.AppendHello(nil, p.lastNotice))
+	p.mu.Unlock()
+	reportUnhealthy(waiters)
+	return func(r *bufio.Reader) error {
+		n, err := processor.Read(r)
+		if err != nil {
+			return err
+		}
+		return p.receive(c, n)
+	}
+}
 
-// closed takes in that a connection has ended. One that was replaced before
-// leaves nothing behind.
+// closed records that a connection has ended. One that was replaced before leaves nothing
+// behind.
 func (p *Processor) closed(c *transport.Conn, err error) {
 	p.mu.Lock()
-	if p.present != c {
+	if p.current != c {
 		p.mu.Unlock()
 		return
 	}
-	trials := p.lost()
+	waiters := p.disconnectLocked()
 	p.mu.Unlock()
 	if err != nil { // else it was closed here
 		p.log.Warn("processor_link_lost", "error", err.Error())
 	}
-	fail(trials)
+	reportUnhealthy(waiters)
 }
 
-// lost takes in that the present connection is of no more use. The trials that
-// it gives have no result. The lock is held.
-func (p *Processor) lost() (trials map[string]func(bool)) {
-	p.present, p.conn, p.greeting, p.marker = nil, nil, nil, 0
-	for i := range p.pending { // an answer on the next link proves nothing of what was sent on this one
+// disconnectLocked forgets the current connection. It returns the health checks that stay
+// without a result. The lock is held.
+func (p *Processor) disconnectLocked() (waiters map[string]func(healthy bool)) {
+	p.current, p.ready, p.greeting, p.marker = nil, nil, nil, 0
+	for i := range p.pending { // an answer on the next connection proves nothing of what was sent on this one
 		p.pending[i].sent = false
 	}
-	clear(p.usages)
-	trials = p.trials
-	p.trials = make(map[string]func(bool))
-	return trials
+	clear(p.gaugeReaders)
+	waiters = p.healthWaiters
+	p.healthWaiters = make(map[string]func(bool))
+	return waiters
 }
 
-func fail(trials map[string]func(bool)) {
-	for _, reply := range trials {
+// reportUnhealthy fails the health checks of a connection that has ended.
+func reportUnhealthy(waiters map[string]func(healthy bool)) {
+	for _, reply := range waiters {
 		reply(false)
 	}
 }
 
-func (p *Processor) opened(c *transport.Conn) func(*bufio.Reader) error {
-	p.mu.Lock()
-	trials := p.lost() // where it moves, the connection before is still open
-	p.present, p.greeting, p.silent = c, c, 0
-	c.Send(processor.AppendHello(nil, p.last))
-	p.mu.Unlock()
-	fail(trials)
-	return func(r *bufio.Reader) error {
-		n, err := processor.Read(r)
-		if err != nil {
-			return err
-		}
-		return p.take(c, n)
+// receive handles a notice. The core is told outside of the lock, because it may be waiting
+// for it.
+func (p *Processor) receive(c *transport.Conn, n processor.Notice) error {
+	event, err := p.handle(c, n)
+	if err != nil {
+		return err
 	}
+	if event != nil {
+		event.report(p.core)
+	}
+	return nil
 }
 
-// take passes a notice on. The core is told outside the lock: it may be waiting
-// for it.
-func (p *Processor) take(c *transport.Conn, n processor.Notice) error {
+// handle updates what is known of the connection by a notice. It returns what the core is
+// to be told, or nil.
+func (p *Processor) handle(c *transport.Conn, n processor.Notice) (coreEvent, error) {
 	p.mu.Lock()
-	if p.present != c { // taken in now, its number would hide those that the new link has yet to bring
-		p.mu.Unlock()
-		return errReplaced
+	defer p.mu.Unlock()
+	if p.current != c { // its number would hide the notices that the new connection has yet to bring
+		return nil, errReplaced
 	}
-	p.silent = 0
+	p.unanswered = 0
 	switch n.Kind {
 	case processor.RunCompleted, processor.CallRequested, processor.Remark:
-		if n.Number <= p.last { // sent again after a break
-			p.mu.Unlock()
-			return nil
+		if n.Number <= p.lastNotice { // sent again after a break
+			return nil, nil
 		}
-		p.last = n.Number
+		p.lastNotice = n.Number
 	}
-	tell := func() {}
 	switch n.Kind {
 	case processor.Greeting:
-		if p.greeting == nil || p.marker != 0 {
-			p.mu.Unlock()
-			return fmt.Errorf("%w: hi without hello", lines.ErrMalformed)
-		}
-		p.asked++
-		p.greeted = true
-		p.marker = p.asked
-		p.greeting.Send(processor.AppendReadGauges(nil, strconv.FormatUint(p.marker, 10)))
-		tell = func() { p.core.BackendReady(n.Word == "new", n.Took) }
+		return p.handleGreetingLocked(n)
 	case processor.RunCompleted:
-		p.proven(func(c command) bool { return c.id == n.ID })
-		end, known := map[string]dispatch.RunEnd{
-			"good": dispatch.RunSucceeded, "bad": dispatch.RunFailed,
-			"cut": dispatch.RunCancelled, "gone": dispatch.RunNotStarted,
-		}[n.Word]
-		if !known {
-			end = dispatch.RunFailed
-		}
-		tell = func() { p.core.RunCompleted(n.ID, end, n.Took, dispatch.Payload{Body: n.Payload}) }
+		p.dropPendingLocked(func(c pendingCommand) bool { return c.runID == n.RunID })
+		return runCompleted{n.RunID, runEnd(n.End), n.Took, dispatch.Payload{Body: n.Payload}}, nil
 	case processor.CallRequested:
-		p.proven(func(c command) bool { return c.id == n.ID && c.kind != interrupt })
-		tell = func() { p.core.CallRequested(n.ID, n.Number, n.Payload) }
+		p.dropPendingLocked(func(c pendingCommand) bool { return c.runID == n.RunID && c.kind != cancelRun })
+		return callRequested{n.RunID, n.Number, n.Payload}, nil
 	case processor.GaugesRead:
-		tag, _ := strconv.ParseUint(n.Tag, 10, 64)
-		p.proven(func(c command) bool { return c.sent && c.after < tag })
-		if p.greeting != nil && tag == p.marker {
-			p.conn, p.greeting, p.marker = p.greeting, nil, 0
-			p.resend()
-		}
-		if reply := p.usages[tag]; reply != nil {
-			delete(p.usages, tag)
-			tell = func() { reply(p.reading(n.Gauges)) }
-		}
+		return p.handleGaugesLocked(n), nil
 	case processor.HealthChecked:
-		if reply := p.trials[n.Tag]; reply != nil {
-			delete(p.trials, n.Tag)
-			tell = func() { reply(n.Word == "good") }
-		}
+		return p.handleHealthLocked(n), nil
 	case processor.CommandRejected:
-		if n.Word != "begin" {
-			p.log.Warn("processor_reject", "command", n.Word, "id", n.ID)
-		} else { // nothing ran: neither does the key count as used, nor the run as one that failed
-			tell = func() { p.core.RunCompleted(n.ID, dispatch.RunNotStarted, 0, dispatch.Payload{}) }
-		}
+		return p.handleRejectedLocked(n), nil
 	}
-	p.mu.Unlock()
-	tell()
-	return nil
+	return nil, nil
+}
+
+// handleGreetingLocked handles the answer to the hello. The missed notices follow it; the
+// question that is sent now is answered after them. The lock is held.
+func (p *Processor) handleGreetingLocked(n processor.Notice) (coreEvent, error) {
+	if p.greeting == nil || p.marker != 0 {
+		return nil, fmt.Errorf("%w: hi without hello", lines.ErrMalformed)
+	}
+	p.questions++
+	p.greeted = true
+	p.marker = p.questions
+	p.greeting.Send(processor.AppendReadGauges(nil, strconv.FormatUint(p.marker, 10)))
+	return backendReady{n.Cold, n.Took}, nil
+}
+
+// handleGaugesLocked handles the answer to a question, which proves that all commands sent
+// before the question were read. The lock is held.
+func (p *Processor) handleGaugesLocked(n processor.Notice) coreEvent {
+	question, _ := strconv.ParseUint(n.Tag, 10, 64) // 0 for a tag that is not a number
+	p.dropPendingLocked(func(c pendingCommand) bool { return c.sent && c.after < question })
+	if p.greeting != nil && question == p.marker {
+		p.ready, p.greeting, p.marker = p.greeting, nil, 0
+		p.resendLocked()
+	}
+	reply := p.gaugeReaders[question]
+	if reply == nil {
+		return nil
+	}
+	delete(p.gaugeReaders, question)
+	return gaugesRead{reply, p.namedGauges(n.Gauges)}
 }
 
-// proven drops the commands that the processor has read, or that a later notice
-// of their run makes void.
-func (p *Processor) proven(read func(command) bool) {
-	p.pending = slices.DeleteFunc(p.pending, read)
+// handleHealthLocked handles the result of a health check. The lock is held.
+func (p *Processor) handleHealthLocked(n processor.Notice) coreEvent {
+	reply := p.healthWaiters[n.Tag]
+	if reply == nil {
+		return nil
+	}
+	delete(p.healthWaiters, n.Tag)
+	return healthChecked{reply, n.Healthy}
 }
 
-// resend sends what may have been lost, and what came while there was no link.
-func (p *Processor) resend() {
-	if p.inOrder {
-		p.log.Info("processor_link_restored", "commands_sent_again", len(p.pending))
+// handleRejectedLocked handles a command that was not carried out. After a rejected start
+// nothing ran: neither does the idempotency key count as used, nor the run as failed. The
+// lock is held.
+func (p *Processor) handleRejectedLocked(n processor.Notice) coreEvent {
+	if n.Command != processor.Start {
+		p.log.Warn("processor_reject", "command", string(n.Command), "id", n.RunID)
+		return nil
 	}
-	p.inOrder = true
-	for i := range p.pending {
-		p.pending[i].sent, p.pending[i].after = true, p.asked
-		p.conn.Send(p.pending[i].text)
+	return startRejected{n.RunID}
+}
+
+// runEnd translates how a run ended.
+func runEnd(end processor.RunEnd) dispatch.RunEnd {
+	switch end {
+	case processor.RunSucceeded:
+		return dispatch.RunSucceeded
+	case processor.RunCancelled:
+		return dispatch.RunCancelled
+	case processor.RunNotStarted:
+		return dispatch.RunNotStarted
 	}
+	return dispatch.RunFailed
 }
 
-func (p *Processor) reading(values []float64) decision.Gauges {
+// The names of the processor's gauges, as the settings have them.
+const (
+	gaugeCoreUtilization   = "core_use"
+	gaugeRunnableTasks     = "on_cores"
+	gaugeMemoryUtilization = "heap_share"
+	gaugeConnections       = "links"
+)
+
+// namedGauges assigns the values of gauges by their names; -1 stands for one that is not
+// there.
+func (p *Processor) namedGauges(values []float64) decision.Gauges {
 	g := decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
-	for i, name := range p.gauges {
-		if i >= len(values) {
-			break
-		}
+	for i, name := range p.gauges[:min(len(p.gauges), len(values))] {
 		switch name {
-		case "core_use":
+		case gaugeCoreUtilization:
 			g.CoreUtilization = values[i]
-		case "on_cores":
+		case gaugeRunnableTasks:
 			g.RunnableTasks = values[i]
-		case "heap_share":
+		case gaugeMemoryUtilization:
 			g.MemoryUtilization = values[i]
-		case "links":
+		case gaugeConnections:
 			g.Connections = values[i]
 		}
 	}
 	return g
 }
 
-func (p *Processor) command(kind commandKind, id string, text []byte) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c := command{text: text, id: id, kind: kind, after: p.asked}
-	if p.conn != nil {
-		c.sent = true
-		p.conn.Send(text)
-	}
-	p.pending = append(p.pending, c)
+// coreEvent is what the core is to be told of a notice.
+type coreEvent interface {
+	report(core *dispatch.Core)
 }
 
-// Start implements dispatch.Backend.
-func (p *Processor) Start(r dispatch.Run) {
-	p.command(begin, r.ID, processor.AppendStart(nil, r.ID, r.Class, r.Payload.Body))
+// backendReady: the processor has answered on a new connection.
+type backendReady struct {
+	cold       bool
+	sinceStart time.Duration
 }
 
-// Cancel implements dispatch.Backend.
-func (p *Processor) Cancel(id string) {
-	p.command(interrupt, id, processor.AppendCancel(nil, id))
+func (e backendReady) report(core *dispatch.Core) { core.BackendReady(e.cold, e.sinceStart) }
+
+// runCompleted: a run is over.
+type runCompleted struct {
+	id     string
+	end    dispatch.RunEnd
+	took   time.Duration
+	result dispatch.Payload
 }
 
-// ReplyToCall implements dispatch.Backend.
-func (p *Processor) ReplyToCall(id string, reply []byte) {
-	p.command(resume, id, processor.AppendCallReply(nil, id, reply))
+func (e runCompleted) report(core *dispatch.Core) {
+	core.RunCompleted(e.id, e.end, e.took, e.result)
 }
 
-// SkipCall implements dispatch.Backend.
-func (p *Processor) SkipCall(id string, notice uint64) {
-	p.command(resume, id, processor.AppendSkipCall(nil, id, notice))
+// startRejected: a run was not started.
+type startRejected struct{ id string }
+
+func (e startRejected) report(core *dispatch.Core) {
+	core.RunCompleted(e.id, dispatch.RunNotStarted, 0, dispatch.Payload{})
 }
 
-// ReadGauges implements dispatch.Machine. Without a link there is no reply.
-func (p *Processor) ReadGauges(reply func(decision.Gauges)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.silent++; p.silent > maxUnanswered && p.greeted && p.present != nil {
-		p.log.Warn("processor_link_silent", "unanswered", p.silent)
-		p.silent = 0
-		p.present.Abort() // the link is dialled again
-		return
-	}
-	if p.conn == nil {
-		return
-	}
-	p.asked++
-	p.usages[p.asked] = reply
-	p.conn.Send(processor.AppendReadGauges(nil, strconv.FormatUint(p.asked, 10)))
+// callRequested: a run waits for a call.
+type callRequested struct {
+	runID  string
+	notice uint64
+	body   []byte
 }
 
-// CheckHealth implements dispatch.Machine.
-func (p *Processor) CheckHealth(reply func(good bool)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.conn == nil {
-		time.AfterFunc(0, func() { reply(false) }) // the caller must not be called back from within
-		return
-	}
-	p.asked++
-	tag := strconv.FormatUint(p.asked, 10)
-	p.trials[tag] = reply
-	p.conn.Send(processor.AppendHealthCheck(nil, tag))
+func (e callRequested) report(core *dispatch.Core) { core.CallRequested(e.runID, e.notice, e.body) }
+
+// gaugesRead: a question for the gauges is answered.
+type gaugesRead struct {
+	reply  func(decision.Gauges)
+	gauges decision.Gauges
 }
+
+func (e gaugesRead) report(*dispatch.Core) { e.reply(e.gauges) }
+
+// healthChecked: a health check is done.
+type healthChecked struct {
+	reply   func(healthy bool)
+	healthy bool
+}
+
+func (e healthChecked) report(*dispatch.Core) { e.reply(e.healthy) }
--- a/backend/uwsgi.go
+++ b/backend/uwsgi.go
@@ -3,7 +3,9 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"net"
+	"net/http"
 	"sync"
 	"time"
 
@@ -12,22 +14,25 @@
 	"quincerail.example/quincerail/protocol/uwsgi"
 )
 
-// UWSGI runs requests at a uwsgi application server, a connection each.
-// A run is sent once: after a break nobody knows whether it had its effect.
+// methodVar is the variable that holds a request's HTTP method.
+const methodVar = "REQUEST_METHOD"
+
+// UWSGI is the backend that runs requests at a uwsgi application server, with a connection
+// for each. A run is sent once: after a break nobody knows whether it had its effect.
 type UWSGI struct {
 	core *dispatch.Core
 
 	mu      sync.Mutex
 	address string
-	runs    map[string]context.CancelFunc
+	cancels map[string]context.CancelFunc // by run
 }
 
-// NewUWSGI makes one that runs requests at an address.
+// NewUWSGI makes a backend that runs requests at an address and reports to the core.
 func NewUWSGI(core *dispatch.Core, address string) *UWSGI {
-	return &UWSGI{core: core, address: address, runs: make(map[string]context.CancelFunc)}
+	return &UWSGI{core: core, address: address, cancels: make(map[string]context.CancelFunc)}
 }
 
-// SetAddress has the runs to come go to another address.
+// SetAddress changes the address for future runs.
 func (b *UWSGI) SetAddress(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,16 +43,16 @@
 func (b *UWSGI) Start(r dispatch.Run) {
 	ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
 	b.mu.Lock()
-	b.runs[r.ID] = cancel
+	b.cancels[r.ID] = cancel
 	address := b.address
 	b.mu.Unlock()
 	go func() {
 		began := time.Now()
-		end, result := b.run(ctx, address, r)
+		end, result := run(ctx, address, r)
 		b.mu.Lock()
-		delete(b.runs, r.ID)
+		delete(b.cancels, r.ID)
 		b.mu.Unlock()
-		if ctx.Err() == context.Canceled {
+		if errors.Is(ctx.Err(), context.Canceled) {
 			end = dispatch.RunCancelled
 		}
 		cancel()
@@ -55,17 +60,10 @@
 	}()
 }
 
-// run does one attempt. A connection that was refused proves that nothing ran.
-func (b *UWSGI) run(ctx context.Context, address string, r dispatch.Run) (dispatch.RunEnd, dispatch.Payload) {
-	var vars []uwsgi.Var
-	method := ""
-	for _, f := range r.Payload.Fields {
-		if f.Name == "REQUEST_METHOD" {
-			method = f.Value
-		}
-		vars = append(vars, uwsgi.Var(f))
-	}
-	packet, err := uwsgi.AppendRequest(nil, vars, r.Payload.Body)
+// run sends a request and reads the response. Where the request can't be encoded, or no
+// connection be made, nothing ran.
+func run(ctx context.Context, address string, r dispatch.Run) (dispatch.RunEnd, dispatch.Payload) {
+	packet, method, err := encodeRequest(r.Payload)
 	if err != nil {
 		return dispatch.RunNotStarted, dispatch.Payload{}
 	}
@@ -73,32 +71,52 @@
 	if err != nil {
 		return dispatch.RunNotStarted, dispatch.Payload{}
 	}
-	defer nc.Close()
-	nc.SetDeadline(r.Deadline)
-	defer context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)) })()
-	if _, err := nc.Write(packet); err != nil {
-		return dispatch.RunFailed, dispatch.Payload{}
-	}
-	resp, err := uwsgi.ReadResponse(bufio.NewReader(nc), method)
+	defer func() { _ = nc.Close() }() // everything wanted has been read
+	response, err := roundTrip(ctx, nc, r.Deadline, packet, method)
 	if err != nil {
 		return dispatch.RunFailed, dispatch.Payload{}
 	}
 	var headers []dispatch.Field
-	for _, h := range resp.Headers {
+	for _, h := range response.Headers {
 		headers = append(headers, dispatch.Field(h))
 	}
-	result := httpresult.Encode(resp.Status, headers, resp.Body)
-	if resp.Status >= 500 {
+	result := httpresult.Encode(response.Status, headers, response.Body)
+	if response.Status >= http.StatusInternalServerError {
 		return dispatch.RunFailed, result
 	}
 	return dispatch.RunSucceeded, result
 }
 
+// encodeRequest returns the packet for a request, and its HTTP method.
+func encodeRequest(p dispatch.Payload) (packet []byte, method string, err error) {
+	var vars []uwsgi.Var
+	for _, f := range p.Fields {
+		if f.Name == methodVar {
+			method = f.Value
+		}
+		vars = append(vars, uwsgi.Var(f))
+	}
+	packet, err = uwsgi.AppendRequest(nil, vars, p.Body)
+	return packet, method, err
+}
+
+// roundTrip writes a packet and reads the response, until the deadline or until ctx is
+// done.
+func roundTrip(ctx context.Context, nc net.Conn, deadline time.Time, packet []byte, method string) (*uwsgi.Response, error) {
+	setDeadline := func(t time.Time) { _ = nc.SetDeadline(t) } // it fails on a closed connection, as does its use
+	setDeadline(deadline)
+	defer context.AfterFunc(ctx, func() { setDeadline(time.Unix(1, 0)) })()
+	if _, err := nc.Write(packet); err != nil {
+		return nil, err
+	}
+	return uwsgi.ReadResponse(bufio.NewReader(nc), method)
+}
+
 // Cancel implements dispatch.Backend.
 func (b *UWSGI) Cancel(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if cancel := b.runs[id]; cancel != nil {
+	if cancel := b.cancels[id]; cancel != nil {
 		cancel()
 	}
 }
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -152,11 +152,11 @@
 // is halted at the first stage, on one server. The way back fails there at first:
 // the server is named until it is back.
 func TestRolloutWorse(t *testing.T) {
-	const tell = "tell = func() { p.core.RunCompleted(n.ID, end, n.Took, dispatch.Payload{Body: n.Payload}) }"
+	const report = "core.RunCompleted(e.id, e.end, e.took, e.result)"
 	r := versions(t, fleettest.Options{Word: "page"}, map[string]fleettest.Edit{"late": {
-		File: filepath.Join("..", "backend", "processor.go"), Old: tell,
+		File: filepath.Join("..", "backend", "processor.go"), Old: report,
 		// Of the three in five that were in time two in fifteen are late now.
-		New: tell + "\nif time.Now().UnixMicro()%1000 < 134 {\ninTime := tell\ntell = func() { time.AfterFunc(60*time.Millisecond, inTime) }\n}",
+		New: "report := func() { " + report + " }\nif time.Now().UnixMicro()%1000 < 134 {\ntime.AfterFunc(60*time.Millisecond, report)\nreturn\n}\nreport()",
 	}})
 	r.begin(900, 1.2, "--id", "r1", "--from", "v1", "--to", "late")
 	stuck := make(chan struct{})
--- a/protocol/control/control.go
+++ b/protocol/control/control.go
@@ -1,40 +1,39 @@
-// Package control is the codec of the operators' calls: one line a connection,
-// answered by one that starts with done or error. It takes no decisions.
+// Package control is the codec of the operators' calls: one line for each connection,
+// answered by a line that starts with done or error. It takes no decisions.
 package control
 
 import (
 	"bufio"
-	"bytes"
 	"errors"
 	"fmt"
 	"strings"
+
+	"quincerail.example/quincerail/protocol/lines"
 )
 
+// maxLine bounds a call, in bytes.
 const maxLine = 256
 
-// ErrMalformed marks bytes that are no call.
+// ErrMalformed marks bytes that are not a call.
 var ErrMalformed = errors.New("broken call")
 
-// Read reads a call. Nothing is consumed until its line has ended, so it may be
-// called again after an interrupted read.
+// Read reads a call. Nothing is consumed before its line has ended, so Read may be called
+// again after a read that was interrupted. The error wraps ErrMalformed where the line is
+// too long.
 func Read(r *bufio.Reader) (string, error) {
-	for {
-		b, _ := r.Peek(r.Buffered())
-		if i := bytes.IndexByte(b, '\n'); i >= 0 {
-			call := strings.TrimSpace(string(b[:i]))
-			r.Discard(i + 1)
-			return call, nil
-		}
-		if len(b) > maxLine {
-			return "", fmt.Errorf("%w: a line of over %d bytes", ErrMalformed, maxLine)
-		}
-		if _, err := r.Peek(len(b) + 1); err != nil {
-			return "", err
-		}
+	line, err := lines.PeekLine(r, maxLine)
+	switch {
+	case errors.Is(err, lines.ErrLineTooLong):
+		return "", fmt.Errorf("%w: a line of over %d bytes", ErrMalformed, maxLine)
+	case err != nil:
+		return "", err
 	}
+	call := strings.TrimSpace(string(line))
+	_, err = r.Discard(len(line)) // it is buffered
+	return call, err
 }
 
-// AppendAnswer appends the answer to a call: done, or what was wrong with it.
+// AppendAnswer appends the answer to a call: done, or error with what was wrong with it.
 func AppendAnswer(to []byte, err error) []byte {
 	if err == nil {
 		return append(to, "done\r\n"...)
--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -1,5 +1,6 @@
-// Package handover is the codec between two processes of one app server while
-// the younger takes over from the elder. It takes no decisions.
+// Package handover is the codec between two processes of one server while one takes over
+// from the other. The predecessor is the process that serves already, the successor the one
+// that takes over. It takes no decisions.
 package handover
 
 import (
@@ -7,94 +8,94 @@
 	"encoding/hex"
 	"fmt"
 	"strconv"
-	"time"
 
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// Kind is the first word of a message.
+// Kind is the first word of a message. Versions of the program that run side by side must
+// understand each other, so the words never change.
 type Kind string
 
 // The messages.
 const (
-	Key             Kind = "key"   // both: what has become of a key
-	Claim           Kind = "claim" // the younger: may this try run?
-	Grant           Kind = "grant" // the elder: it may
-	Deny            Kind = "deny"  // the elder: it may not
-	Next            Kind = "next"  // the younger: the next part of the keys, please
-	Part            Kind = "part"  // the elder: a part has been told
-	TrafficDisabled Kind = "away"  // both: what operators have said
+	Key             Kind = "key"   // both: the state of an idempotency key
+	Claim           Kind = "claim" // the successor asks whether it may run an attempt
+	Grant           Kind = "grant" // the predecessor: it may
+	Deny            Kind = "deny"  // the predecessor: it may not
+	Next            Kind = "next"  // the successor asks for the next part of the keys
+	Part            Kind = "part"  // the predecessor: all keys of a part were sent
+	TrafficDisabled Kind = "away"  // both: whether operators have disabled traffic
 )
 
-// Message is a message that was read.
+// Message is a message that was read. Which fields are set depends on its kind.
 type Message struct {
 	Kind         Kind
-	State        dispatch.KeyState // of key and claim
-	RanAttemptID string            // of grant and deny
-	On           bool              // of part: it was the last; of away: callers are sent away
+	State        dispatch.KeyState // Key, Claim
+	RanAttemptID string            // Grant, Deny
+	On           bool              // Part: it was the last; TrafficDisabled: traffic is disabled
 }
 
-// none stands for an id that there is none of.
+// none stands for an attempt id where there is none.
 const none = "-"
 
-// Read reads the next message. It may be called again after an interrupted read.
+// minWords is how many words a message has at least.
+var minWords = map[Kind]int{Key: 7, Claim: 7, Grant: 2, Deny: 2, Next: 1, Part: 2, TrafficDisabled: 2}
+
+// Read reads the next message. It may be called again after a read that was interrupted.
+// The error wraps lines.ErrMalformed where the bytes are not a message.
 func Read(r *bufio.Reader) (Message, error) {
 	words, body, err := lines.Read(r, func(w []string) bool { return Kind(w[0]) == Key && len(w) == 8 })
 	if err != nil {
 		return Message{}, err
 	}
 	m := Message{Kind: Kind(words[0])}
-	broken := fmt.Errorf("%w: message %q", lines.ErrMalformed, words)
-	if len(words) < map[Kind]int{Key: 7, Claim: 7, Grant: 2, Deny: 2, Next: 1, Part: 2, TrafficDisabled: 2}[m.Kind] {
-		return m, broken
-	}
-	moment := func(word string) time.Time {
-		ns, e := strconv.ParseInt(word, 10, 64)
-		if e != nil {
-			err = broken
-		}
-		return time.Unix(0, ns)
+	if !m.parse(words, body) {
+		return Message{}, fmt.Errorf("%w: message %q", lines.ErrMalformed, words)
 	}
-	truth := func(word string) bool {
-		b, e := strconv.ParseBool(word)
-		if e != nil {
-			err = broken
-		}
-		return b
+	return m, nil
+}
+
+// parse sets the fields of a message. It reports false if the words are not those of its
+// kind.
+func (m *Message) parse(words []string, body []byte) bool {
+	fewest, known := minWords[m.Kind]
+	if !known || len(words) < fewest {
+		return false
 	}
+	var p lines.WordParser
 	switch m.Kind {
-	case Key, Claim:
-		key, e := hex.DecodeString(words[1])
-		class, e2 := hex.DecodeString(words[2])
-		hash, e3 := strconv.ParseUint(words[3], 16, 64)
-		if e != nil || e2 != nil || e3 != nil {
-			return m, broken
-		}
-		m.State = dispatch.KeyState{Key: string(key), Class: string(class), BodyHash: hash, RanAttemptID: words[4], ExpiresAt: moment(words[5])}
-		if m.State.RanAttemptID == none {
-			m.State.RanAttemptID = ""
-		}
-		if m.Kind == Claim {
-			m.State.ArrivedAt = moment(words[6])
-		} else {
-			m.State.Completed = truth(words[6])
-		}
+	case Key:
+		m.State = parseState(&p, words)
+		m.State.Completed = p.Bool(words[6])
 		if body != nil {
 			m.State.Result = &dispatch.Payload{Body: body}
 		}
+	case Claim:
+		m.State = parseState(&p, words)
+		m.State.ArrivedAt = p.UnixNano(words[6])
 	case Grant, Deny:
 		m.RanAttemptID = words[1]
 	case Part, TrafficDisabled:
-		m.On = truth(words[1])
-	case Next:
-	default:
-		err = broken
+		m.On = p.Bool(words[1])
+	}
+	return !p.Failed
+}
+
+// parseState reads what Key and Claim have in common.
+func parseState(p *lines.WordParser, words []string) dispatch.KeyState {
+	state := dispatch.KeyState{
+		Key: p.HexString(words[1]), Class: p.HexString(words[2]), BodyHash: p.HexUint(words[3]),
+		RanAttemptID: words[4], ExpiresAt: p.UnixNano(words[5]),
+	}
+	if state.RanAttemptID == none {
+		state.RanAttemptID = ""
 	}
-	return m, err
+	return state
 }
 
-func words(kind Kind, k dispatch.KeyState, last string) []string {
+// stateWords returns the words of Key or Claim; last is the one that differs.
+func stateWords(kind Kind, k dispatch.KeyState, last string) []string {
 	ran := k.RanAttemptID
 	if ran == "" {
 		ran = none
@@ -105,22 +106,22 @@
 	}
 }
 
-// AppendKey appends what has become of a key. A result that the form has no room
-// for is left out; its repeats fail then.
+// AppendKey appends the state of a key. A result that has fields, or is too large, is left
+// out; retries of its request fail then.
 func AppendKey(to []byte, k dispatch.KeyState) []byte {
 	var body []byte
 	if r := k.Result; r != nil && len(r.Fields) == 0 && len(r.Body) <= lines.MaxBody {
 		body = append([]byte{}, r.Body...)
 	}
-	return lines.Append(to, body, words(Key, k, strconv.FormatBool(k.Completed))...)
+	return lines.Append(to, body, stateWords(Key, k, strconv.FormatBool(k.Completed))...)
 }
 
-// AppendClaim appends the question whether a try may run.
+// AppendClaim appends the question whether an attempt may run.
 func AppendClaim(to []byte, k dispatch.KeyState) []byte {
-	return lines.Append(to, nil, words(Claim, k, strconv.FormatInt(k.ArrivedAt.UnixNano(), 10))...)
+	return lines.Append(to, nil, stateWords(Claim, k, strconv.FormatInt(k.ArrivedAt.UnixNano(), 10))...)
 }
 
-// AppendClaimReply appends the answer to that.
+// AppendClaimReply appends the answer to AppendClaim.
 func AppendClaimReply(to []byte, ran string, granted bool) []byte {
 	kind := Deny
 	if granted {
@@ -129,15 +130,15 @@
 	return lines.Append(to, nil, string(kind), ran)
 }
 
-// AppendNext appends the wish for the next part of the keys.
+// AppendNext asks for the next part of the keys.
 func AppendNext(to []byte) []byte { return lines.Append(to, nil, string(Next)) }
 
-// AppendPart appends that a part of the keys has been told, and whether it was the last.
+// AppendPart appends that all keys of a part were sent, and whether it was the last part.
 func AppendPart(to []byte, last bool) []byte {
 	return lines.Append(to, nil, string(Part), strconv.FormatBool(last))
 }
 
-// AppendTrafficDisabled appends whether operators have callers sent away.
+// AppendTrafficDisabled appends whether operators have disabled traffic.
 func AppendTrafficDisabled(to []byte, on bool) []byte {
 	return lines.Append(to, nil, string(TrafficDisabled), strconv.FormatBool(on))
 }
--- a/protocol/httpresult/httpresult.go
+++ b/protocol/httpresult/httpresult.go
@@ -1,5 +1,5 @@
-// Package httpresult is the codec between HTTP responses and the results that
-// the core keeps and passes on.
+// Package httpresult converts between HTTP responses and the results that the core caches
+// and passes on.
 package httpresult
 
 import (
@@ -10,18 +10,18 @@
 	"quincerail.example/quincerail/dispatch"
 )
 
-// statusField is the field of a result that holds its HTTP status. No header
-// can have that name.
+// statusField is the field of a result that holds its HTTP status. No header can have that
+// name.
 const statusField = ":status"
 
-// Encode makes a result of a response.
+// Encode returns the result for a response.
 func Encode(status int, headers []dispatch.Field, body []byte) dispatch.Payload {
 	fields := append([]dispatch.Field{{Name: statusField, Value: strconv.Itoa(status)}}, headers...)
 	return dispatch.Payload{Fields: fields, Body: body}
 }
 
-// Decode makes a response of a result. One that a backend of another kind made
-// has no status and no headers; it becomes plain bytes.
+// Decode returns the response for a result. A result of a backend that does not speak HTTP
+// has no status and no headers: it becomes a response of plain bytes.
 func Decode(p dispatch.Payload) (status int, headers []dispatch.Field, body []byte) {
 	if len(p.Fields) == 0 {
 		return http.StatusOK, []dispatch.Field{{Name: "Content-Type", Value: "application/octet-stream"}}, p.Body
@@ -37,20 +37,20 @@
 	return status, headers, p.Body
 }
 
-// Status gives the status of an outcome that is no result.
+// Status returns the status code for an outcome without a result.
 func Status(k dispatch.OutcomeKind) int {
 	switch k {
 	case dispatch.Shed:
 		return http.StatusServiceUnavailable
 	case dispatch.TimedOut:
 		return http.StatusGatewayTimeout
-	case dispatch.Rejected: // a key that came with another body (draft-ietf-httpapi-idempotency-key-header, 2.7)
+	case dispatch.Rejected: // a key that was used with another body (draft-ietf-httpapi-idempotency-key-header, 2.7)
 		return http.StatusUnprocessableEntity
 	}
 	return http.StatusBadGateway
 }
 
-// RetryAfter is the value of that header: whole seconds, and never at once.
+// RetryAfter returns the value of the header Retry-After: whole seconds, at least one.
 func RetryAfter(later time.Duration) string {
 	return strconv.Itoa(max(1, int((later+time.Second-1)/time.Second)))
 }
--- a/protocol/ledger/ledger.go
+++ b/protocol/ledger/ledger.go
@@ -1,4 +1,5 @@
-// Package ledger is the codec of the calls to the ledger. It takes no decisions.
+// Package ledger is the codec of the calls to the shared dependency, which the platform
+// calls the ledger. It takes no decisions.
 package ledger
 
 import (
@@ -10,26 +11,33 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// Status is the word of a reply.
+// Status is how a call ended, as a reply's second word has it.
 type Status string
 
-// The replies.
+// The statuses, with the platform's words for them.
 const (
-	Succeeded  Status = "posted"
-	Rejected   Status = "queue_full"
-	Failed     Status = "error"
-	TimedOut   Status = "expired"
-	NotStarted Status = "moot"
+	Succeeded  Status = "posted"     // the reply's body follows
+	Rejected   Status = "queue_full" // it never ran
+	Failed     Status = "error"      // it may have had its effect
+	TimedOut   Status = "expired"    // it may have had its effect
+	NotStarted Status = "moot"       // nobody waits for it: it never ran
 )
 
-// Reply is a call's reply.
+// The platform's words for the calls.
+const (
+	wordCall    = "post"
+	wordAbandon = "abandon"
+)
+
+// Reply is the reply to a call.
 type Reply struct {
 	ID     string
 	Status Status
-	Body   []byte // of posted
+	Body   []byte // of a call that succeeded; else nil
 }
 
-// Read reads the next reply. It may be called again after an interrupted read.
+// Read reads the next reply. It may be called again after a read that was interrupted. The
+// error wraps lines.ErrMalformed where the bytes are not a reply.
 func Read(r *bufio.Reader) (Reply, error) {
 	words, body, err := lines.Read(r, func(w []string) bool {
 		return len(w) == 3 && Status(w[1]) == Succeeded
@@ -37,26 +45,28 @@
 	if err != nil {
 		return Reply{}, err
 	}
-	if len(words) < 2 {
+	if len(words) < 2 || !validStatus(Status(words[1]), body != nil) {
 		return Reply{}, fmt.Errorf("%w: reply %q", lines.ErrMalformed, words)
 	}
-	reply := Reply{ID: words[0], Status: Status(words[1]), Body: body}
-	switch reply.Status {
-	case Rejected, Failed, TimedOut, NotStarted:
-		return reply, nil
+	return Reply{ID: words[0], Status: Status(words[1]), Body: body}, nil
+}
+
+// validStatus reports whether a status is known, and has a body if it needs one.
+func validStatus(s Status, hasBody bool) bool {
+	switch s {
 	case Succeeded:
-		if body != nil {
-			return reply, nil
-		}
+		return hasBody
+	case Rejected, Failed, TimedOut, NotStarted:
+		return true
 	}
-	return Reply{}, fmt.Errorf("%w: reply %q", lines.ErrMalformed, words)
+	return false
 }
 
 // AppendPost appends a call, with how long its caller will wait.
 func AppendPost(to []byte, id string, wait time.Duration, body []byte) []byte {
 	ms := max(1, wait.Milliseconds())
-	return lines.Append(to, append([]byte{}, body...), "post", id, strconv.FormatInt(ms, 10))
+	return lines.Append(to, append([]byte{}, body...), wordCall, id, strconv.FormatInt(ms, 10))
 }
 
 // AppendAbandon appends that a call is given up.
-func AppendAbandon(to []byte, id string) []byte { return lines.Append(to, nil, "abandon", id) }
+func AppendAbandon(to []byte, id string) []byte { return lines.Append(to, nil, wordAbandon, id) }
--- a/protocol/processor/processor.go
+++ b/protocol/processor/processor.go
@@ -1,5 +1,5 @@
-// Package processor is the codec of the link to the processor, which does the
-// work. It takes no decisions.
+// Package processor is the codec of the connection to the processor, the process on the
+// same machine that runs requests. It takes no decisions.
 package processor
 
 import (
@@ -11,111 +11,158 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// Kind is the first word of a notice.
-type Kind string
+// NoticeKind is the first word of a notice.
+type NoticeKind string
 
-// The notices.
+// The notices, with the platform's words for them.
 const (
-	Greeting        Kind = "hi"
-	RunCompleted    Kind = "complete"
-	CallRequested   Kind = "ask"
-	GaugesRead      Kind = "used"
-	HealthChecked   Kind = "tried"
-	CommandRejected Kind = "reject"
-	Remark          Kind = "remark"
+	Greeting        NoticeKind = "hi"       // the answer to AppendHello
+	RunCompleted    NoticeKind = "complete" // a run is over
+	CallRequested   NoticeKind = "ask"      // a run waits for a call
+	GaugesRead      NoticeKind = "used"     // the answer to AppendReadGauges
+	HealthChecked   NoticeKind = "tried"    // the answer to AppendHealthCheck
+	CommandRejected NoticeKind = "reject"   // a command was not carried out
+	Remark          NoticeKind = "remark"   // a numbered notice without meaning
 )
 
-// Notice is what the processor says.
+// RunEnd is how a run ended.
+type RunEnd string
+
+// The ends of a run, with the platform's words for them.
+const (
+	RunSucceeded  RunEnd = "good" // with a result
+	RunFailed     RunEnd = "bad"
+	RunCancelled  RunEnd = "cut"  // it was stopped, or ended at a call as its request is over
+	RunNotStarted RunEnd = "gone" // nothing was started, as the request is over
+)
+
+// Command is the first word of a command.
+type Command string
+
+// The commands, with the platform's words for them.
+const (
+	Hello       Command = "hello"
+	Start       Command = "begin"
+	Cancel      Command = "interrupt"
+	ReplyToCall Command = "answer"
+	SkipCall    Command = "without"
+	ReadGauges  Command = "usage"
+	CheckHealth Command = "trial"
+)
+
+// The platform's words for states.
+const (
+	wordCold    = "new"
+	wordHealthy = "good"
+)
+
+// Notice is a message from the processor. Which fields are set depends on its kind.
 type Notice struct {
-	Kind    Kind
-	Number  uint64        // of complete, ask and remark
-	ID      string        // of complete, ask and reject
-	Word    string        // hi: new or old; complete and tried: how it ended; reject: the command
-	Took    time.Duration // hi: since the start; complete: of the run
-	Tag     string        // of used and tried
-	Gauges  []float64     // of used
-	Payload []byte        // complete: the result; ask: the call's body
+	Kind    NoticeKind
+	Number  uint64        // RunCompleted, CallRequested and Remark are numbered in the order of sending
+	RunID   string        // RunCompleted, CallRequested, CommandRejected
+	Cold    bool          // Greeting: the processor has started anew
+	Took    time.Duration // Greeting: since its start; RunCompleted: of the run
+	End     RunEnd        // RunCompleted; any word, of which the constants are known
+	Tag     string        // GaugesRead, HealthChecked: of the question
+	Gauges  []float64     // GaugesRead
+	Healthy bool          // HealthChecked
+	Command Command       // CommandRejected
+	Payload []byte        // RunCompleted: the result; CallRequested: the call's body
 }
 
-// Read reads the next notice. It may be called again after an interrupted read.
+// minWords is how many words a notice has at least.
+var minWords = map[NoticeKind]int{
+	Greeting: 3, RunCompleted: 5, CallRequested: 4, GaugesRead: 2, HealthChecked: 3, CommandRejected: 3, Remark: 2,
+}
+
+// Read reads the next notice. It may be called again after a read that was interrupted. The
+// error wraps lines.ErrMalformed where the bytes are not a notice.
 func Read(r *bufio.Reader) (Notice, error) {
-	words, body, err := lines.Read(r, func(w []string) bool {
-		return Kind(w[0]) == RunCompleted && len(w) == 6 || Kind(w[0]) == CallRequested && len(w) == 4
-	})
+	words, body, err := lines.Read(r, hasPayload)
 	if err != nil {
 		return Notice{}, err
 	}
-	n := Notice{Kind: Kind(words[0]), Payload: body}
-	broken := func() error { return fmt.Errorf("%w: notice %q", lines.ErrMalformed, words) }
-	need := map[Kind]int{Greeting: 3, RunCompleted: 5, CallRequested: 4, GaugesRead: 2, HealthChecked: 3, CommandRejected: 3, Remark: 2}[n.Kind]
-	if need == 0 || len(words) < need {
-		return n, broken()
+	n := Notice{Kind: NoticeKind(words[0]), Payload: body}
+	if !n.parse(words) {
+		return Notice{}, fmt.Errorf("%w: notice %q", lines.ErrMalformed, words)
 	}
-	number := func(word string) uint64 {
-		v, e := strconv.ParseUint(word, 10, 63)
-		if e != nil {
-			err = broken()
-		}
-		return v
+	return n, nil
+}
+
+// hasPayload reports whether a payload follows a line: its last word is the length then.
+func hasPayload(words []string) bool {
+	switch NoticeKind(words[0]) {
+	case RunCompleted:
+		return len(words) == 6
+	case CallRequested:
+		return len(words) == 4
 	}
-	millis := func(word string) time.Duration {
-		v, e := strconv.ParseFloat(word, 64)
-		if e != nil || !(v >= 0 && v < 1e12) {
-			err = broken()
-		}
-		return time.Duration(v * float64(time.Millisecond))
+	return false
+}
+
+// parse sets the fields of a notice from its words. It reports false if they are not those
+// of its kind.
+func (n *Notice) parse(words []string) bool {
+	fewest, known := minWords[n.Kind]
+	if !known || len(words) < fewest {
+		return false
 	}
+	var p lines.WordParser
 	switch n.Kind {
 	case Greeting:
-		n.Word, n.Took = words[1], millis(words[2])
+		n.Cold, n.Took = words[1] == wordCold, p.Milliseconds(words[2])
 	case RunCompleted:
-		n.Number, n.ID, n.Word, n.Took = number(words[1]), words[2], words[3], millis(words[4])
+		n.Number, n.RunID, n.End, n.Took = p.Uint(words[1]), words[2], RunEnd(words[3]), p.Milliseconds(words[4])
 	case CallRequested:
-		n.Number, n.ID = number(words[1]), words[2]
+		n.Number, n.RunID = p.Uint(words[1]), words[2]
 	case GaugesRead:
 		n.Tag = words[1]
-		for _, w := range words[2:] {
-			v, e := strconv.ParseFloat(w, 64)
-			if e != nil {
-				err = broken()
-			}
-			n.Gauges = append(n.Gauges, v)
+		for _, word := range words[2:] {
+			n.Gauges = append(n.Gauges, p.Float(word))
 		}
 	case HealthChecked:
-		n.Tag, n.Word = words[1], words[2]
+		n.Tag, n.Healthy = words[1], words[2] == wordHealthy
 	case CommandRejected:
-		n.Word, n.ID = words[1], words[2]
+		n.Command, n.RunID = Command(words[1]), words[2]
 	case Remark:
-		n.Number = number(words[1])
+		n.Number = p.Uint(words[1])
 	}
-	return n, err
+	return !p.Failed
 }
 
-// AppendHello appends the first message on a link: the number of the last notice read.
-func AppendHello(to []byte, last uint64) []byte {
-	return lines.Append(to, nil, "hello", strconv.FormatUint(last, 10))
+// AppendHello appends the first message on a connection: the number of the last notice
+// that was read. The processor sends all later ones again.
+func AppendHello(to []byte, lastNotice uint64) []byte {
+	return lines.Append(to, nil, string(Hello), strconv.FormatUint(lastNotice, 10))
 }
 
-// AppendStart appends the command to run a request.
+// AppendStart appends the command to run a request. For one that runs already nothing
+// happens.
 func AppendStart(to []byte, id, class string, body []byte) []byte {
-	return lines.Append(to, append([]byte{}, body...), "begin", id, class)
+	return lines.Append(to, append([]byte{}, body...), string(Start), id, class)
 }
 
 // AppendCancel appends the command to stop a run.
-func AppendCancel(to []byte, id string) []byte { return lines.Append(to, nil, "interrupt", id) }
+func AppendCancel(to []byte, id string) []byte { return lines.Append(to, nil, string(Cancel), id) }
 
 // AppendCallReply appends the reply to the call that a run waits for.
 func AppendCallReply(to []byte, id string, reply []byte) []byte {
-	return lines.Append(to, append([]byte{}, reply...), "answer", id)
+	return lines.Append(to, append([]byte{}, reply...), string(ReplyToCall), id)
 }
 
-// AppendSkipCall appends the command to go on without the call of a notice.
+// AppendSkipCall appends the command to go on without the call that a notice asked for.
 func AppendSkipCall(to []byte, id string, notice uint64) []byte {
-	return lines.Append(to, nil, "without", id, strconv.FormatUint(notice, 10))
+	return lines.Append(to, nil, string(SkipCall), id, strconv.FormatUint(notice, 10))
 }
 
-// AppendReadGauges appends the question for the gauges.
-func AppendReadGauges(to []byte, tag string) []byte { return lines.Append(to, nil, "usage", tag) }
+// AppendReadGauges appends the question for the gauges. The answer has the same tag.
+func AppendReadGauges(to []byte, tag string) []byte {
+	return lines.Append(to, nil, string(ReadGauges), tag)
+}
 
-// AppendHealthCheck appends the command to do the work of a deep health check.
-func AppendHealthCheck(to []byte, tag string) []byte { return lines.Append(to, nil, "trial", tag) }
+// AppendHealthCheck appends the command to do the work of a deep health check. The answer
+// has the same tag.
+func AppendHealthCheck(to []byte, tag string) []byte {
+	return lines.Append(to, nil, string(CheckHealth), tag)
+}
--- a/protocol/processor/processor_test.go
+++ b/protocol/processor/processor_test.go
@@ -17,14 +17,18 @@
 
 func TestNotices(t *testing.T) {
 	for text, want := range map[string]Notice{
-		"hi new 1500\r\n":                       {Kind: Greeting, Word: "new", Took: 1500 * time.Millisecond},
-		"complete 4 ab good 12 3\r\nxyz\r\n":    {Kind: RunCompleted, Number: 4, ID: "ab", Word: "good", Took: 12 * time.Millisecond, Payload: []byte("xyz")},
-		"complete 5 ab cut 12 0\r\n\r\n":        {Kind: RunCompleted, Number: 5, ID: "ab", Word: "cut", Took: 12 * time.Millisecond, Payload: []byte{}},
-		"complete 5 ab bad 1\r\n":               {Kind: RunCompleted, Number: 5, ID: "ab", Word: "bad", Took: time.Millisecond},
-		"ask 6 ab 2\r\nhi\r\n":                  {Kind: CallRequested, Number: 6, ID: "ab", Payload: []byte("hi")},
+		"hi new 1500\r\n":                       {Kind: Greeting, Cold: true, Took: 1500 * time.Millisecond},
+		"complete 4 ab good 12 3\r\nxyz\r\n":    {Kind: RunCompleted, Number: 4, RunID: "ab", End: RunSucceeded, Took: 12 * time.Millisecond, Payload: []byte("xyz")},
+		"hi old 1\r\n":                          {Kind: Greeting, Took: time.Millisecond},
+		"tried t bad\r\n":                       {Kind: HealthChecked, Tag: "t"},
+		"complete 5 ab gone 0 0\r\n\r\n":        {Kind: RunCompleted, Number: 5, RunID: "ab", End: RunNotStarted, Payload: []byte{}},
+		"complete 5 ab sung 0 0\r\n\r\n":        {Kind: RunCompleted, Number: 5, RunID: "ab", End: "sung", Payload: []byte{}},
+		"complete 5 ab cut 12 0\r\n\r\n":        {Kind: RunCompleted, Number: 5, RunID: "ab", End: RunCancelled, Took: 12 * time.Millisecond, Payload: []byte{}},
+		"complete 5 ab bad 1\r\n":               {Kind: RunCompleted, Number: 5, RunID: "ab", End: RunFailed, Took: time.Millisecond},
+		"ask 6 ab 2\r\nhi\r\n":                  {Kind: CallRequested, Number: 6, RunID: "ab", Payload: []byte("hi")},
 		"used 9 0.25 3 0.5 12\r\n":              {Kind: GaugesRead, Tag: "9", Gauges: []float64{0.25, 3, 0.5, 12}},
-		"tried t good\r\n":                      {Kind: HealthChecked, Tag: "t", Word: "good"},
-		"reject begin ab\r\n":                   {Kind: CommandRejected, Word: "begin", ID: "ab"},
+		"tried t good\r\n":                      {Kind: HealthChecked, Tag: "t", Healthy: true},
+		"reject begin ab\r\n":                   {Kind: CommandRejected, Command: Start, RunID: "ab"},
 		"remark 7 some words of no meaning\r\n": {Kind: Remark, Number: 7},
 	} {
 		if got, err := read(text); err != nil || !reflect.DeepEqual(got, want) {
