--- a/downstream/pool.go
+++ b/downstream/pool.go
@@ -1,9 +1,7 @@
-// Package downstream makes the calls that runs ask for: over connections to the shared
-// ledger, and within what the whole fleet may have in hand there.
 package downstream
 
 import (
-	"bufio"
+	"context"
 	"net"
 	"slices"
 	"sync"
@@ -12,215 +10,193 @@
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/protocol/ledger"
-	"quincerail.example/quincerail/transport"
 )
 
+// The limits of the pool.
 const (
-	ledgerConns  = 24                    // that a call has to itself; with more in hand they are shared
-	ledgerIdle   = 50 * time.Millisecond // the ledger was seen to forget a connection after 108 ms
-	ledgerDialIn = time.Second
+	// maxExclusiveConns is up to how many connections a call gets one to itself; with more
+	// calls in flight they are shared.
+	maxExclusiveConns = 24
+
+	// maxIdle is how long an unused connection may still get a call: the dependency was
+	// seen to forget a connection after 108 ms.
+	maxIdle = 50 * time.Millisecond
+
+	dialTimeout = time.Second
 )
 
-// Pool makes the calls. Each has a connection to itself while there are
-// not too many, because one that breaks or falls silent takes all calls on it
-// along, and nobody knows what became of them.
+// CallObserver is told how calls ended; *dispatch.Core is one.
+type CallObserver interface {
+	CallCompleted(id string, number int, end dispatch.CallOutcome, reply []byte)
+}
+
+// Pool makes calls to the shared dependency. It implements dispatch.Dependency, and reports
+// every call that was not abandoned exactly once. While there are few, each call has a
+// connection to itself: one that breaks or falls silent takes all calls on it along, and
+// nobody knows what became of them.
 type Pool struct {
 	core    CallObserver
 	connect func(address string) (net.Conn, error)
 
 	mu      sync.Mutex
 	address string
-	conns   []*ledgerConn          // that calls may go over, the last used last
-	where   map[string]*ledgerConn // of the call that is out
-}
-
-// ledgerConn is one connection, which may still be dialled.
-type ledgerConn struct {
-	conn  *transport.Conn // nil until it is open
-	calls map[string]*ledgerCall
-	last  string // whose call it had last: a second copy of its reply may still come
-	spent bool   // it ends with its last call
+	conns   []*poolConn          // that may get calls; the last used last
+	connOf  map[string]*poolConn // by the id of a call in flight
 }
 
-type ledgerCall struct {
-	number int
-	post   []byte
+// poolCall is a call in flight.
+type poolCall struct {
+	number int    // tells the calls of one run apart
+	post   []byte // as it is sent
 }
 
-// NewPool makes one that calls a ledger at an address; Attach has to follow.
+// NewPool makes a pool of connections to an address. Attach must be called before the first
+// call.
 func NewPool(address string) *Pool {
-	return &Pool{
-		address: address, where: make(map[string]*ledgerConn),
-		connect: func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, ledgerDialIn) },
-	}
+	return &Pool{address: address, connOf: make(map[string]*poolConn), connect: connect}
 }
 
-// Attach sets who hears how calls end; it goes before the first.
-func (l *Pool) Attach(core CallObserver) { l.core = core }
-
-// Call implements dispatch.Dependency.
-func (l *Pool) Call(id string, number int, wait time.Duration, body []byte) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	post := ledger.AppendPost(nil, id, wait, body)
-	k := l.pick(id)
-	for k != nil && k.conn != nil && !k.conn.Send(post) { // it has just ended
-		l.spend(k)
-		k = l.pick(id)
-	}
-	if k == nil {
-		k = &ledgerConn{calls: make(map[string]*ledgerCall)}
-		l.conns = append(l.conns, k)
-		go l.open(k)
-	}
-	k.last = id
-	k.calls[id] = &ledgerCall{number, post}
-	l.where[id] = k
+// connect opens a connection to an address.
+func connect(address string) (net.Conn, error) {
+	return (&net.Dialer{Timeout: dialTimeout}).DialContext(context.Background(), "tcp", address)
 }
 
-// pick chooses a connection for a call, nil for a new one. It passes over the
-// one that the run called over before, so that a late or second reply can't be
-// taken for that to this call. The lock is held.
-func (l *Pool) pick(id string) *ledgerConn {
-	l.conns = slices.DeleteFunc(l.conns, func(k *ledgerConn) bool {
-		stale := len(k.calls) == 0 && time.Since(k.conn.IdleSince()) > ledgerIdle
-		if stale { // the ledger may have forgotten it: a call would be lost
-			k.conn.Close()
-		}
-		return stale
-	})
-	var least *ledgerConn
-	for _, k := range slices.Backward(l.conns) {
-		if k.last != id && (least == nil || len(k.calls) < len(least.calls)) {
-			least = k
-		}
+// Attach sets who is told how calls end. It must be called before the first call.
+func (p *Pool) Attach(core CallObserver) { p.core = core }
+
+// SetAddress changes the address for future calls. Those in flight are waited for on their
+// connections.
+func (p *Pool) SetAddress(address string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if address == p.address {
+		return
 	}
-	if least != nil && len(least.calls) > 0 && len(l.conns) < ledgerConns {
-		return nil
+	p.address = address
+	for _, c := range slices.Clone(p.conns) {
+		p.retireLocked(c)
 	}
-	return least
 }
 
-// spend has a connection take no more calls, and end with its last one. The lock
-// is held.
-func (l *Pool) spend(k *ledgerConn) {
-	k.spent = true
-	l.conns = slices.DeleteFunc(l.conns, func(o *ledgerConn) bool { return o == k })
-	k.settle()
-}
-
-// settle ends a spent connection once nothing is out on it. The lock is held.
-func (k *ledgerConn) settle() {
-	if k.spent && k.conn != nil && len(k.calls) == 0 {
-		k.conn.Close()
-	}
+// Call implements dispatch.Dependency.
+func (p *Pool) Call(id string, number int, wait time.Duration, body []byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	post := ledger.AppendPost(nil, id, wait, body)
+	c := p.pickLocked(id)
+	for c != nil && c.conn != nil && !c.conn.Send(post) { // it has just ended
+		p.retireLocked(c)
+		c = p.pickLocked(id)
+	}
+	if c == nil {
+		c = &poolConn{calls: make(map[string]poolCall)}
+		p.conns = append(p.conns, c)
+		go p.open(c)
+	}
+	c.lastID = id
+	c.calls[id] = poolCall{number, post}
+	p.connOf[id] = c
 }
 
-// SetAddress has calls go to another address. Those that are out are waited for where
-// they were made.
-func (l *Pool) SetAddress(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if address == l.address {
+// Abandon implements dispatch.Dependency. A connection on which a call was abandoned may
+// have fallen silent for good, so it is retired.
+func (p *Pool) Abandon(id string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c := p.connOf[id]
+	if c == nil {
 		return
 	}
-	l.address = address
-	for _, k := range slices.Clone(l.conns) {
-		l.spend(k)
+	delete(c.calls, id)
+	delete(p.connOf, id)
+	if c.conn != nil {
+		c.conn.Send(ledger.AppendAbandon(nil, id))
 	}
+	p.retireLocked(c)
 }
 
-// Abandon implements dispatch.Dependency. A connection on which a call was given
-// up may have fallen silent for good, so it is spent.
-func (l *Pool) Abandon(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	k := l.where[id]
-	if k == nil {
-		return
+// pickLocked chooses a connection for a call, or nil for a new one. It excludes the one that
+// the run's last call went over, so that a late or duplicate reply can't be taken for the
+// reply to this call. The lock is held.
+func (p *Pool) pickLocked(id string) *poolConn {
+	p.closeIdleLocked()
+	var least *poolConn
+	for _, c := range slices.Backward(p.conns) {
+		if c.lastID != id && (least == nil || len(c.calls) < len(least.calls)) {
+			least = c
+		}
 	}
-	delete(k.calls, id)
-	delete(l.where, id)
-	if k.conn != nil {
-		k.conn.Send(ledger.AppendAbandon(nil, id))
+	if least != nil && len(least.calls) > 0 && len(p.conns) < maxExclusiveConns {
+		return nil
 	}
-	l.spend(k)
+	return least
 }
 
-// open dials a connection and works it until it ends. Calls that never left
-// for a refused connection never ran; of those on one that broke nothing is known.
-func (l *Pool) open(k *ledgerConn) {
-	nc, err := l.dial()
-	if err != nil {
-		l.end(k, decision.ConnectFailed)
-		return
-	}
-	l.mu.Lock()
-	k.conn = transport.NewConn(nc)
-	for _, call := range k.calls {
-		k.conn.Send(call.post)
-	}
-	k.settle()
-	l.mu.Unlock()
-	k.conn.Serve(func(r *bufio.Reader) error {
-		reply, err := ledger.Read(r)
-		if err != nil {
-			return err
+// closeIdleLocked closes the connections that have idled for so long that the dependency
+// may have forgotten them: a call would be lost. The lock is held.
+func (p *Pool) closeIdleLocked() {
+	p.conns = slices.DeleteFunc(p.conns, func(c *poolConn) bool {
+		stale := len(c.calls) == 0 && time.Since(c.conn.IdleSince()) > maxIdle
+		if stale {
+			c.conn.Close()
 		}
-		l.take(k, reply)
-		return nil
+		return stale
 	})
-	l.end(k, decision.ConnectionReset)
 }
 
-// dial opens a connection to the ledger, wherever it moves meanwhile.
-func (l *Pool) dial() (net.Conn, error) {
-	for {
-		l.mu.Lock()
-		address := l.address
-		l.mu.Unlock()
-		nc, err := l.connect(address)
-		l.mu.Lock()
-		moved := address != l.address
-		l.mu.Unlock()
-		if err == nil || !moved {
-			return nc, err
-		}
-	}
+// retireLocked excludes a connection from future calls, and closes it after its last one.
+// The lock is held.
+func (p *Pool) retireLocked(c *poolConn) {
+	c.retired = true
+	p.conns = slices.DeleteFunc(p.conns, func(o *poolConn) bool { return o == c })
+	c.closeIfUnused()
 }
 
-func (l *Pool) take(k *ledgerConn, reply ledger.Reply) {
-	l.mu.Lock()
-	call := k.calls[reply.ID]
-	if call != nil {
-		delete(k.calls, reply.ID)
-		delete(l.where, reply.ID)
-		k.settle()
-		if i := slices.Index(l.conns, k); i >= 0 {
-			l.conns = append(slices.Delete(l.conns, i, i+1), k)
+// receive handles a reply. One to a call that was abandoned, a duplicate, or one to an
+// unknown call is ignored.
+func (p *Pool) receive(c *poolConn, reply ledger.Reply) {
+	p.mu.Lock()
+	call, ok := c.calls[reply.ID]
+	if ok {
+		delete(c.calls, reply.ID)
+		delete(p.connOf, reply.ID)
+		c.closeIfUnused()
+		if i := slices.Index(p.conns, c); i >= 0 {
+			p.conns = append(slices.Delete(p.conns, i, i+1), c)
 		}
 	}
-	l.mu.Unlock()
-	if call == nil { // to a call that was given up, a second copy, or to nobody's
-		return
+	p.mu.Unlock()
+	if ok {
+		p.core.CallCompleted(reply.ID, call.number, outcome(reply.Status), reply.Body)
 	}
-	end := map[ledger.Status]dispatch.CallOutcome{
-		ledger.Succeeded: decision.Succeeded, ledger.Rejected: decision.Rejected,
-		ledger.Failed: decision.Failed, ledger.TimedOut: decision.TimedOut, ledger.NotStarted: decision.NotStarted,
-	}[reply.Status]
-	l.core.CallCompleted(reply.ID, call.number, end, reply.Body)
 }
 
-func (l *Pool) end(k *ledgerConn, end dispatch.CallOutcome) {
-	l.mu.Lock()
-	l.spend(k)
-	calls := k.calls
-	k.calls = make(map[string]*ledgerCall)
+// connEnded reports the calls on a connection that has ended.
+func (p *Pool) connEnded(c *poolConn, end dispatch.CallOutcome) {
+	p.mu.Lock()
+	p.retireLocked(c)
+	calls := c.calls
+	c.calls = make(map[string]poolCall)
 	for id := range calls {
-		delete(l.where, id)
+		delete(p.connOf, id)
 	}
-	l.mu.Unlock()
+	p.mu.Unlock()
 	for id, call := range calls {
-		l.core.CallCompleted(id, call.number, end, nil)
+		p.core.CallCompleted(id, call.number, end, nil)
 	}
 }
+
+// outcome translates the status of a reply.
+func outcome(s ledger.Status) dispatch.CallOutcome {
+	switch s {
+	case ledger.Succeeded:
+		return decision.Succeeded
+	case ledger.Rejected:
+		return decision.Rejected
+	case ledger.TimedOut:
+		return decision.TimedOut
+	case ledger.NotStarted:
+		return decision.NotStarted
+	}
+	return decision.Failed
+}
