--- a/protocol/thrift/reader.go
+++ b/protocol/thrift/reader.go
@@ -2,237 +2,140 @@
 
 import (
 	"bufio"
-	"bytes"
 	"encoding/binary"
 	"errors"
 	"fmt"
 )
 
-// versionEnd is where the version of a message ends, from the beginning of its frame.
-const versionEnd = 8
-
-// BadMessageError is given for bytes that are no message, and were passed over. The
-// messages behind them can be read: they begin at the next frame, or where one is found.
+// BadMessageError is returned for bytes that are not a message, and that were skipped or
+// are about to be. The messages that follow can be read.
 type BadMessageError struct {
-	Head *Head // of the message, as far as it has one; nil if not
-	Err  error // wraps ErrBroken
+	Head *Head // of the message, if it has one that can be read; else nil
+	Err  error // wraps ErrMalformed
 }
 
 // Error implements error.
 func (e *BadMessageError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *BadMessageError) Unwrap() error { return e.Err }
 
-// Head is what every message begins with.
-type Head struct {
-	Type MessageType
-	Name string
-	Seq  int32
-}
-
-// Reader reads the messages of one connection. Its zero value is ready. What is no message
-// is passed over by its frame; where the frame makes no sense either, bytes are passed over
-// until something begins as a message does.
+// Reader reads the messages of one connection. Its zero value is ready. What is not a
+// message is skipped as a whole frame; where the frame makes no sense either, bytes are
+// skipped until some are found with which a message begins.
 type Reader struct {
-	skip     int  // bytes to come of a frame that is passed over
-	scanning bool // it is unknown where the next message begins
-	scanned  int  // bytes passed over since then
+	bytesToSkip  int  // of a frame that is skipped
+	scanning     bool // it is unknown where the next message begins
+	bytesScanned int  // skipped since then
 }
 
-// Scanned gives how many bytes were passed over since it is unknown where the next message
+// Scanned returns how many bytes were skipped since it is unknown where the next message
 // begins; 0 while that is known.
-func (r *Reader) Scanned() int { return r.scanned }
+func (r *Reader) Scanned() int { return r.bytesScanned }
 
-// Read reads the next message. It consumes nothing of a message until the whole frame has
-// come, so it may be called again after an interrupted read. After a *BadMessageError it
-// may be called again too.
+// Read reads the next message. Nothing of a message is consumed before its whole frame has
+// arrived, so Read may be called again after a read that was interrupted. It may also be
+// called again after a *BadMessageError; any other error is the connection's.
 func (r *Reader) Read(b *bufio.Reader) (*Message, error) {
-	if err := r.passOver(b); err != nil {
+	if err := r.skipRest(b); err != nil {
 		return nil, err
 	}
 	if err := r.scan(b); err != nil {
 		return nil, err
 	}
-	head, err := b.Peek(4)
+	sizeBytes, err := b.Peek(frameSizeLength)
 	if err != nil {
 		return nil, err
 	}
-	size := binary.BigEndian.Uint32(head)
-	if size > maxSkip { // before anything of that size is waited for
-		return nil, r.lose(fmt.Errorf("%w: a frame of %d bytes, %d at most", ErrMalformed, size, maxFrame))
+	size := binary.BigEndian.Uint32(sizeBytes)
+	if size > maxPlausibleFrame { // before anything of that size is waited for
+		return nil, r.startScanning(tooLarge(int(size)))
 	}
-	if err := checkVersion(b, int(size)); errors.Is(err, ErrMalformed) {
-		return nil, r.lose(err)
+	if err := checkPrefix(b, int(size)); errors.Is(err, ErrMalformed) {
+		return nil, r.startScanning(err)
 	} else if err != nil {
 		return nil, err
 	}
 	if size > maxFrame {
 		return nil, r.skipFrame(b, int(size))
 	}
-	frame, err := b.Peek(4 + int(size))
+	return r.readFrame(b, int(size))
+}
+
+// readFrame reads a frame of a size. If it can't be parsed, it is skipped.
+func (r *Reader) readFrame(b *bufio.Reader, size int) (*Message, error) {
+	frame, err := b.Peek(frameSizeLength + size)
 	if err != nil {
 		return nil, err
 	}
-	m, headRead, err := parse(append([]byte(nil), frame[4:]...))
-	if err != nil {
-		bad := &BadMessageError{Err: err}
-		end := cutAt(frame)
-		r.scanning = end < len(frame)
-		if headRead && !r.scanning {
-			bad.Head = &m.Head
-		}
-		_, _ = b.Discard(end) // it is buffered
-		return nil, bad
+	m, headRead, err := parse(append([]byte(nil), frame[frameSizeLength:]...))
+	if err == nil {
+		_, _ = b.Discard(len(frame)) // it is buffered
+		return m, nil
 	}
-	_, _ = b.Discard(len(frame)) // likewise
-	return m, nil
-}
-
-// cutAt tells where a frame that can't be read ends: where bytes in it begin as a message
-// does, as far as to its version, it was cut off there.
-func cutAt(frame []byte) (end int) {
-	after, _ := findMessage(frame[1:])
-	if end = 1 + after; len(frame)-end < versionEnd {
-		return len(frame)
+	bad := &BadMessageError{Err: err}
+	end := frameEnd(frame)
+	r.scanning = end < len(frame)
+	if headRead && !r.scanning {
+		bad.Head = &m.Head
 	}
-	return end
+	_, _ = b.Discard(end) // it is buffered
+	return nil, bad
 }
 
-// checkVersion sees that a frame begins as a message does, before the rest is waited for.
-func checkVersion(b *bufio.Reader, size int) error {
-	if size < versionEnd-4 {
+// checkPrefix checks that a frame begins as a message does, before the rest is waited for.
+func checkPrefix(b *bufio.Reader, size int) error {
+	if size < prefixSize-frameSizeLength {
 		return fmt.Errorf("%w: a frame of %d bytes", ErrMalformed, size)
 	}
-	start, err := b.Peek(versionEnd)
+	start, err := b.Peek(prefixSize)
 	if err != nil {
 		return err
 	}
-	if version := binary.BigEndian.Uint32(start[4:]); version&versionMask != strictVersion {
+	if version := binary.BigEndian.Uint32(start[frameSizeLength:]); version&versionMask != strictVersion {
 		return fmt.Errorf("%w: version %#x", ErrMalformed, version)
 	}
 	return nil
 }
 
-// lose takes in that it is unknown where the next message begins.
-func (r *Reader) lose(why error) error {
-	r.scanning = true
-	return &BadMessageError{Err: why}
+// tooLarge is the error for a frame of a size.
+func tooLarge(size int) error {
+	return fmt.Errorf("%w: a frame of %d bytes, %d at most", ErrMalformed, size, maxFrame)
 }
 
-// skipFrame passes over a frame that is too large. Its head is read if it is there.
+// skipFrame starts to skip a frame that is too large. Its head is read if it is there.
 func (r *Reader) skipFrame(b *bufio.Reader, size int) error {
 	const enough = 64 // for the head of any method
-	start, err := b.Peek(4 + min(size, enough))
+	start, err := b.Peek(frameSizeLength + min(size, enough))
 	if err != nil {
 		return err
 	}
-	bad := &BadMessageError{Err: fmt.Errorf("%w: a frame of %d bytes, %d at most", ErrMalformed, size, maxFrame)}
-	d := &decoder{rest: start[4:]}
-	if head, err := d.head(); err == nil {
+	bad := &BadMessageError{Err: tooLarge(size)}
+	d := &decoder{rest: start[frameSizeLength:]}
+	if head, err := d.readHead(); err == nil {
 		bad.Head = &head
 	}
-	r.skip = 4 + size
+	r.bytesToSkip = frameSizeLength + size
 	return bad
 }
 
-// passOver drops what has come of a frame that is passed over, until its end.
-func (r *Reader) passOver(b *bufio.Reader) error {
-	for r.skip > 0 {
+// skipRest skips what has arrived of a frame that is skipped, until its end.
+func (r *Reader) skipRest(b *bufio.Reader) error {
+	for r.bytesToSkip > 0 {
 		if _, err := b.Peek(1); err != nil {
 			return err
 		}
-		n, _ := b.Discard(min(r.skip, b.Buffered())) // it is buffered
-		r.skip -= n
-	}
-	return nil
-}
-
-// scan drops bytes until something begins as a message does.
-func (r *Reader) scan(b *bufio.Reader) error {
-	for r.scanning {
-		if _, err := b.Peek(1); err != nil {
-			return err
-		}
-		buffered, _ := b.Peek(b.Buffered()) // they are there
-		drop, found := findMessage(buffered)
-		_, _ = b.Discard(drop) // likewise
-		r.scanned += drop
-		if found {
-			r.scanning, r.scanned = false, 0
-			return nil
-		}
-		if left := len(buffered) - drop; left > 0 { // more must come to tell
-			if _, err := b.Peek(left + 1); err != nil {
-				return err
-			}
-		}
+		n, _ := b.Discard(min(r.bytesToSkip, b.Buffered())) // it is buffered
+		r.bytesToSkip -= n
 	}
 	return nil
 }
 
-// beginnings are the first bytes of messages behind the frame's size, up to the version's
-// type of message and the method's name.
-var beginnings = func() (all [][]byte) {
-	for _, name := range []string{"execute", "check", "interrupt"} {
-		for _, kind := range []MessageType{Call, Oneway} {
-			all = append(all, appendBytes([]byte{strictVersion >> 24, strictVersion >> 16 & 0xff, 0, byte(kind)}, []byte(name)))
-		}
-	}
-	return all
-}()
-
-// sizeBytes is how many bytes a frame's size has.
-const sizeBytes = 4
-
-// findMessage looks for the first bytes that begin as a message does. It returns how many
-// bytes before them can be dropped, and whether all of that beginning is there.
-func findMessage(p []byte) (drop int, found bool) {
-	version := beginnings[0][:3] // the same for all
-	for from := sizeBytes; from < len(p); {
-		i := bytes.Index(p[from:], version)
-		if i < 0 {
-			break
-		}
-		at := from + i - sizeBytes
-		if whole, begins := beginsMessage(p[at:]); begins {
-			return at, whole
-		}
-		from += i + 1
-	}
-	for at := max(0, len(p)-sizeBytes-len(version)+1); at < len(p); at++ { // the version may be yet to come
-		if whole, begins := beginsMessage(p[at:]); begins {
-			return at, whole
-		}
-	}
-	return len(p), false
-}
-
-// beginsMessage tells whether bytes begin as a message does, as far as they go, and whether
-// they go far enough to tell.
-func beginsMessage(p []byte) (whole, begins bool) {
-	var size [sizeBytes]byte
-	copy(size[:], p)
-	if binary.BigEndian.Uint32(size[:]) > maxFrame {
-		return false, false
-	}
-	behind := p[min(sizeBytes, len(p)):]
-	for _, beginning := range beginnings {
-		if bytes.HasPrefix(behind, beginning) {
-			return true, true
-		}
-		if bytes.HasPrefix(beginning, behind) {
-			return false, true
-		}
-	}
-	return false, false
-}
-
-// parse reads a frame. headRead tells whether the message's head was there, whatever the
-// error.
+// parse parses a frame. headRead reports whether the message's head could be read, whatever
+// the error.
 func parse(frame []byte) (m *Message, headRead bool, err error) {
 	d := &decoder{rest: frame}
-	head, err := d.head()
+	head, err := d.readHead()
 	m = &Message{Head: head}
 	if err != nil {
 		return m, false, err
@@ -240,7 +143,7 @@
 	if m.Type != Call && m.Type != Oneway {
 		return m, true, fmt.Errorf("%w: message type %d", ErrMalformed, m.Type)
 	}
-	d.structure(m.argument(d), 0)
+	d.readStruct(m.argumentReader(d), 0)
 	if d.err != nil {
 		return m, true, d.err
 	}
@@ -248,26 +151,26 @@
 		return m, true, fmt.Errorf("%w: %d bytes after the arguments", ErrMalformed, len(d.rest))
 	}
 	switch {
-	case m.Name == "execute" && m.Fields == nil && m.Err == nil:
+	case m.Name == methodExecute && m.Fields == nil && m.Err == nil:
 		m.Err = errors.New("execute without fields")
-	case m.Name == "execute" && len(m.Body) > MaxBody:
+	case m.Name == methodExecute && len(m.Body) > MaxBody:
 		m.Err = fmt.Errorf("a body of %d bytes, %d at most", len(m.Body), MaxBody)
 	}
 	return m, true, nil
 }
 
-// argument gives a function that reads an argument of the message's method, and tells
-// whether it is one.
-func (m *Message) argument(d *decoder) func(id int16, kind byte) bool {
+// argumentReader returns a function that reads an argument of the message's method, and
+// reports whether it is one.
+func (m *Message) argumentReader(d *decoder) func(id int16, kind byte) bool {
 	return func(id int16, kind byte) bool {
 		switch {
-		case m.Name == "execute" && id == 1 && kind == typeMap:
-			m.Fields = d.stringMap(m)
-		case m.Name == "execute" && id == 2 && kind == typeString:
+		case m.Name == methodExecute && id == 1 && kind == typeMap:
+			m.Fields = d.readStringMap(m)
+		case m.Name == methodExecute && id == 2 && kind == typeString:
 			m.Body = d.bytes()
-		case m.Name == "interrupt" && id == 1 && kind == typeI32:
+		case m.Name == methodInterrupt && id == 1 && kind == typeI32:
 			m.CanceledSeq = int32(d.u32())
-		case m.Name == "check" && id == 1 && kind == typeBool:
+		case m.Name == methodCheck && id == 1 && kind == typeBool:
 			m.Probe = d.u8() != 0
 		default:
 			return false
