--- a/transport/conn.go
+++ b/transport/conn.go
@@ -9,7 +9,7 @@
 
 // The limits of one connection.
 const (
-	// readBufferSize bounds a message: a step peeks at a whole one.
+	// readBufferSize bounds a message: a step peeks at a complete one.
 	readBufferSize = 16 << 10
 
 	// maxQueuedBytes bounds what a peer may leave unread before its connection is aborted.
@@ -58,7 +58,7 @@
 	readDeadline    time.Time // zero for none
 	woken           bool      // the next read is interrupted
 	lastActive      time.Time // when a message was last read or queued
-	receivedMessage bool      // a whole message was read
+	receivedMessage bool      // a complete message was read
 }
 
 // NewConn makes a Conn of a network connection. The caller must call Serve, which closes it.
@@ -161,7 +161,7 @@
 	c.interruptReadLocked()
 }
 
-// SetReadDeadline sets when the connection is ended with ReadTimeout if no whole message
+// SetReadDeadline sets when the connection is ended with ReadTimeout if no complete message
 // was read and nothing forbids that; zero for never.
 func (c *Conn) SetReadDeadline(t time.Time) {
 	c.mu.Lock()
@@ -172,7 +172,7 @@
 	}
 }
 
-// ReceivedMessage reports whether a whole message was ever read.
+// ReceivedMessage reports whether a complete message was ever read.
 func (c *Conn) ReceivedMessage() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/transport/conn_test.go
+++ b/transport/conn_test.go
@@ -15,7 +15,7 @@
 	"quincerail.example/quincerail/internal/randomsteps"
 )
 
-// peer is the other end of a connection, with what passed over it.
+// peer is the other side of a connection, with what was received from it.
 type peer struct {
 	net.Conn
 	conn     *Conn
@@ -64,7 +64,7 @@
 			case 0:
 				m := bytes.Repeat([]byte{n}, 1+s.Pick(5))
 				if !p.conn.Send(m) {
-					t.Fatal("an open connection takes nothing")
+					t.Fatal("an open connection refuses to send")
 				}
 				sent = append(sent, m...)
 			case 1:
@@ -87,7 +87,7 @@
 		synctest.Wait()
 		p.conn.Close()
 		if p.conn.Send([]byte("late")) {
-			t.Error("a closing connection takes more")
+			t.Error("a closing connection accepts more")
 		}
 		if err := <-p.ended; err != nil {
 			t.Errorf("it ends with %v", err)
@@ -95,14 +95,14 @@
 		if got = <-received; !bytes.Equal(got, sent) {
 			t.Errorf("arrived %v, sent %v", got, sent)
 		}
-		if whole := written[:len(written)/frameSize*frameSize]; !bytes.Equal(p.received, whole) {
-			t.Errorf("taken %v, written %v", p.received, whole)
+		if complete := written[:len(written)/frameSize*frameSize]; !bytes.Equal(p.received, complete) {
+			t.Errorf("received %v, written %v", p.received, complete)
 		}
 	})
 }
 
-// TestPeerNotReadingAborts guards the sender's memory, and its time, against a peer that
-// stops reading.
+// TestPeerNotReadingAborts guards the sender's memory and time against a peer that stops
+// reading.
 func TestPeerNotReadingAborts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
@@ -117,7 +117,7 @@
 			t.Errorf("%d kB were queued, %d at most", accepted, 2*most)
 		}
 		if err := <-p.ended; err == nil {
-			t.Error("it ends as if all were well")
+			t.Error("it ends without an error")
 		}
 	})
 }
@@ -135,8 +135,8 @@
 	})
 }
 
-// TestCloseIfIdle guards against an end that loses half a message: it may be a
-// request, which is owed an answer once it is whole.
+// TestCloseIfIdle guards against an end that loses a part of a message: it may be a request,
+// which must get a response once it is complete.
 func TestCloseIfIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
@@ -147,7 +147,7 @@
 		write(t, p, "l")
 		synctest.Wait()
 		if string(p.received) != "hal" {
-			t.Fatalf("taken %q", p.received)
+			t.Fatalf("received %q", p.received)
 		}
 		select {
 		case err := <-p.ended:
@@ -161,12 +161,14 @@
 	})
 }
 
+// TestReadDeadline: the deadline ends a connection without messages, and Wake does not
+// extend it.
 func TestReadDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
 		closeLater(t, p)
 		p.conn.SetReadDeadline(time.Now().Add(time.Second))
-		p.conn.Wake() // must not put the deadline off
+		p.conn.Wake() // must not extend the deadline
 		err := <-p.ended
 		if !errors.Is(err, os.ErrDeadlineExceeded) || !p.conn.Expired() {
 			t.Errorf("it ends with %v", err)
@@ -174,14 +176,14 @@
 	})
 }
 
-// TestReceiveTimeouts guards the table of connections against peers that say
-// nothing, and against messages that never end; one that has spoken may idle, and
-// what is owed to a peer still goes out.
+// TestReceiveTimeouts guards the limit on connections against peers that send nothing, and
+// against messages that never end. A connection that has received a message may idle, and
+// pending responses still go out.
 func TestReceiveTimeouts(t *testing.T) {
 	for _, x := range []struct {
-		says string
-		owed time.Duration // until then, an answer is
-		want time.Duration // 0: it goes on
+		sends   string
+		pending time.Duration // how long a response is
+		want    time.Duration // when it ends; 0: it stays open
 	}{
 		{"", 0, time.Second},
 		{"ha", 0, time.Second},
@@ -189,19 +191,19 @@
 		{"hal", 0, 0},
 		{"halha", 0, 4 * time.Second},
 	} {
-		t.Run(fmt.Sprint(x.says, x.owed), func(t *testing.T) {
+		t.Run(fmt.Sprint(x.sends, x.pending), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newIdlePeer()
 				closeLater(t, p)
 				began := time.Now()
-				p.conn.SetReceiveTimeouts(time.Second, time.Second, func() bool { return time.Since(began) < x.owed })
+				p.conn.SetReceiveTimeouts(time.Second, time.Second, func() bool { return time.Since(began) < x.pending })
 				p.serve()
-				whole := min(len(x.says), frameSize)
-				write(t, p, x.says[:whole])
+				complete := min(len(x.sends), frameSize)
+				write(t, p, x.sends[:complete])
 				synctest.Wait()
-				if whole == frameSize { // idle for longer than a message may take
+				if complete == frameSize { // idle for longer than a message may take
 					time.Sleep(3 * time.Second)
-					write(t, p, x.says[whole:])
+					write(t, p, x.sends[complete:])
 				}
 				time.Sleep(10 * time.Second)
 				select {
@@ -211,7 +213,7 @@
 					}
 				default:
 					if x.want != 0 {
-						t.Error("it goes on")
+						t.Error("it stays open")
 					}
 				}
 			})
--- a/transport/crossing_test.go
+++ b/transport/crossing_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// TestEndCrossesMessage: a message arrives on a resting connection at the moment
-// at which that is to end, before it is read. It is taken and answered. CloseIfIdle goes
-// on with the connection then, Drain ends it.
+// TestEndCrossesMessage: a message arrives on an idle connection just as it is asked to end,
+// before the message is read. It is read and answered. After CloseIfIdle the connection
+// stays open then, after Drain it ends.
 func TestEndCrossesMessage(t *testing.T) {
 	for name, end := range map[string]func(*Conn){"CloseIfIdle": (*Conn).CloseIfIdle, "Drain": drainNow} {
 		t.Run(name, func(t *testing.T) {
 			g, c, far, serve := socketPair(t, func(c *Conn, m string) { c.Send([]byte("re " + m)) })
-			ended := serve() // its read stands at the gate
+			ended := serve() // its read waits at the gate
 			write(t, far, "one")
 			end(c)
 			close(g.gate)
@@ -25,7 +25,7 @@
 			if name == "CloseIfIdle" {
 				write(t, far, "two")
 				read(t, far, "re two", false)
-				c.CloseIfIdle() // now it rests
+				c.CloseIfIdle() // now it is idle
 				read(t, far, "", true)
 			}
 			closeNow(t, far)
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestEndCrossesHalfMessage: half a message has come. CloseIfIdle leaves it its time;
-// Drain does not, and a close over the rest of it takes no answer along.
+// TestEndCrossesHalfMessage: half a message has arrived. CloseIfIdle gives it its time;
+// Drain at once does not, and the close over the rest of it destroys no response.
 func TestEndCrossesHalfMessage(t *testing.T) {
 	g, c, far, serve := socketPair(t, func(c *Conn, m string) { c.Send([]byte("re " + m)) })
 	ended := serve()
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestDrainIsNotCutShort: what the peer still sends after the half-close is read to
-// its end, whoever wakes or ends the connection once more meanwhile. A close over
-// what is unread would reset it, and the last answer with it.
+// TestDrainIsNotCutShort: what the peer still sends after the half-close is read until it
+// closes, whoever wakes or ends the connection meanwhile. A close over unread bytes would
+// reset the connection, and destroy the last response.
 func TestDrainIsNotCutShort(t *testing.T) {
 	g, c, far, serve := socketPair(t, nil)
 	close(g.gate)
@@ -85,15 +85,15 @@
 	read(t, far, "", true)
 }
 
-// TestSkippedMessageKeepsOthers: what is before and behind bytes that make no sense is
-// taken and answered, and then the connection ends.
+// TestSkippedMessageKeepsOthers: messages before and after skipped bytes are read and
+// answered, and then the connection ends.
 func TestSkippedMessageKeepsOthers(t *testing.T) {
 	var mu sync.Mutex
-	var taken []string
+	var received []string
 	g, c, far, serve := socketPair(t, func(c *Conn, m string) {
 		mu.Lock()
 		defer mu.Unlock()
-		taken = append(taken, m)
+		received = append(received, m)
 		c.Send([]byte("re " + m))
 	})
 	c.SetReceiveTimeouts(time.Minute, time.Minute, func() bool { return false })
@@ -107,13 +107,13 @@
 	if err := <-ended; err != nil {
 		t.Errorf("it ends with %v", err)
 	}
-	if !slices.Equal(taken, []string{"one", "two"}) {
-		t.Errorf("taken %v", taken)
+	if !slices.Equal(received, []string{"one", "two"}) {
+		t.Errorf("received %v", received)
 	}
 }
 
-// TestSkippedMessageEnds: a connection on which nothing but bytes came that make no sense
-// ends by itself, with no word of its peer.
+// TestSkippedMessageEnds: a connection on which nothing but skipped bytes arrived ends by
+// itself, without anything from its peer.
 func TestSkippedMessageEnds(t *testing.T) {
 	g, c, far, serve := socketPair(t, nil)
 	c.SetReceiveTimeouts(time.Minute, time.Minute, func() bool { return false })
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestUnreadableEndsAtOnce: where no message can be taken any more, what is open is given
-// up and the connection ends at once, whatever is owed, so that no more is written to it.
+// TestUnreadableEndsAtOnce: where no message can be read any more, the connection ends at
+// once, whatever responses are pending. What OnClose sends still goes out.
 func TestUnreadableEndsAtOnce(t *testing.T) {
 	g, c, far, serve := socketPair(t, nil)
 	c.SetReceiveTimeouts(time.Minute, time.Minute, func() bool { return true })
@@ -148,8 +148,7 @@
 	}
 }
 
-// TestPeerHalfCloses: a peer that shuts its writing end has what it is owed sent by
-// OnClose, in answer to nothing that came later.
+// TestPeerHalfCloses: a peer that shuts its writing side still gets what OnClose sends.
 func TestPeerHalfCloses(t *testing.T) {
 	g, c, far, serve := socketPair(t, nil)
 	c.OnClose(func(why error) {
@@ -167,6 +166,6 @@
 		t.Errorf("it ends with %v", err)
 	}
 	if c.Send([]byte("late")) {
-		t.Error("a connection that has ended takes more")
+		t.Error("a connection that has ended accepts more")
 	}
 }
--- a/transport/ending.go
+++ b/transport/ending.go
@@ -17,7 +17,7 @@
 	PeerClosed  EndReason = "peer_closed"  // the peer shut its writing side
 	PeerFailed  EndReason = "peer_failed"  // the connection was reset, or a read failed
 	BadMessage  EndReason = "bad_message"  // the peer sent what is not a message: a step failed
-	ReadTimeout EndReason = "read_timeout" // no whole message arrived in time
+	ReadTimeout EndReason = "read_timeout" // no complete message arrived in time
 	Idle        EndReason = "idle"         // CloseIfIdle, and nothing was open on it
 	Drained     EndReason = "drained"      // Drain, and nothing was open on it or its deadline had passed
 	Closed      EndReason = "closed"       // Close
@@ -43,7 +43,7 @@
 	PartialBytes     int           // of an incomplete message that was buffered when reading ended
 	DiscardedBytes   int64         // that arrived later
 	UnsentBytes      int           // that were queued and not written
-	Messages         int           // whole messages that were read
+	Messages         int           // complete messages that were read
 	SinceActive      time.Duration // from the last message read or queued to the end
 }
 
--- a/transport/helpers_test.go
+++ b/transport/helpers_test.go
@@ -130,7 +130,7 @@
 	})
 }
 
-// drainNow ends a connection at once, but for messages that have arrived whole.
+// drainNow ends a connection at once, but for messages that have arrived completely.
 func drainNow(c *Conn) { c.Drain(time.Now()) }
 
 // gatedConn is a socket at which the test stands between a connection and the system:
--- a/transport/serve.go
+++ b/transport/serve.go
@@ -16,7 +16,7 @@
 // or the error of a write. The connection is closed when Serve returns.
 //
 // A read that was interrupted fails with os.ErrDeadlineExceeded, and step is called again.
-// So step must be resumable: it peeks, and discards only once a whole message is there. It
+// So step must be resumable: it peeks, and discards only once a complete message is there. It
 // returns ErrMessageSkipped after it has discarded bytes that are not a message; any other
 // error ends the connection.
 //
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// messageReceived records that a step has read a whole message. That cancels
+// messageReceived records that a step has read a complete message. That cancels
 // requestCloseIfIdle and the message's time-out.
 func (c *Conn) messageReceived() {
 	c.ending.Messages++
@@ -111,7 +111,7 @@
 }
 
 // decideEnd carries out what was asked for, or what a passed deadline demands, after a read
-// that returned no whole message. It returns why the connection is to end, or "".
+// that returned no complete message. It returns why the connection is to end, or "".
 func (c *Conn) decideEnd() EndReason {
 	if !c.examined { // the read was interrupted: the next one examines the socket if need be
 		return ""
--- a/transport/state_test.go
+++ b/transport/state_test.go
@@ -156,7 +156,7 @@
 			t.Errorf("it ends with %v", err)
 		}
 	default:
-		t.Fatal("it goes on")
+		t.Fatal("it stays open")
 	}
 	if end := p.conn.End(); end.Reason != want || end.ResponsesPending != pending || (end.PartialBytes > 0) != partial {
 		t.Errorf("it ends with %+v, want %q", end, want)
