--- a/transport/state_test.go
+++ b/transport/state_test.go
@@ -143,6 +143,9 @@
 		if p.conn.state != stateOpen {
 			t.Fatalf("state %d, want %d", p.conn.state, stateOpen)
 		}
+		if p.conn.request != requestNone && p.conn.request != requestDrain {
+			t.Errorf("request %d is still there", p.conn.request)
+		}
 		isPending.Store(false)
 		drainNow(p.conn)
 		if err := <-p.ended; err != nil {
