--- a/transport/state_test.go
+++ b/transport/state_test.go
@@ -140,12 +140,7 @@
 	ask(p.conn)
 	synctest.Wait()
 	if want == "" {
-		if p.conn.state != stateOpen {
-			t.Fatalf("state %d, want %d", p.conn.state, stateOpen)
-		}
-		if p.conn.request != requestNone && p.conn.request != requestDrain {
-			t.Errorf("request %d is still there", p.conn.request)
-		}
+		checkOpen(t, p)
 		isPending.Store(false)
 		drainNow(p.conn)
 		if err := <-p.ended; err != nil {
@@ -168,3 +163,14 @@
 		t.Errorf("state %d, want %d", p.conn.state, stateClosed)
 	}
 }
+
+// checkOpen sees that a connection is open, and that no request but Drain is left on it.
+func checkOpen(t *testing.T, p *peer) {
+	t.Helper()
+	if p.conn.state != stateOpen {
+		t.Fatalf("state %d, want %d", p.conn.state, stateOpen)
+	}
+	if p.conn.request != requestNone && p.conn.request != requestDrain {
+		t.Errorf("request %d is still there", p.conn.request)
+	}
+}
