--- a/transport/write.go
+++ b/transport/write.go
@@ -9,15 +9,26 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// A flush is given up after so many attempts in a row that write nothing. Each has a
-// deadline of its own: a process that stood still over one has not tried.
+// The limits of writing to a peer that does not read. Attempts are counted, each with a
+// deadline of its own: a process that is suspended past a single deadline has not tried.
 const (
-	writeAttempt  = 500 * time.Millisecond
-	writeAttempts = int(guard.MaxMessageTime / writeAttempt) // a client may wait so long, and read then
-	writeTimeout  = guard.MaxMessageTime
+	// writeAttemptTimeout is the deadline of one attempt.
+	writeAttemptTimeout = 500 * time.Millisecond
+
+	// writeTimeout is how long a flush waits in all while nothing is written. A client may
+	// wait as long before it reads.
+	writeTimeout = guard.MaxMessageTime
+
+	// maxIdleWriteAttempts is after how many attempts in a row that write nothing a flush
+	// fails.
+	maxIdleWriteAttempts = int(writeTimeout / writeAttemptTimeout)
+
+	// retryPause is how long a connection rests after a failed read or write that is
+	// retried.
+	retryPause = 2 * time.Millisecond
 )
 
-// flush writes the queue and sets the deadline of the next read.
+// flush writes what is queued and sets the deadline of the next read.
 func (c *Conn) flush() error {
 	for {
 		c.mu.Lock()
@@ -25,28 +36,28 @@
 			c.mu.Unlock()
 			return ErrPeerNotReading
 		}
-		if len(c.queue) == 0 {
+		if len(c.sendQueue) == 0 {
 			c.woken = false
-			c.nc.SetReadDeadline(c.deadline)
+			c.applyReadDeadline(c.readDeadline)
 			c.mu.Unlock()
 			return nil
 		}
-		out := c.queue
-		c.queue = nil
+		out := c.sendQueue
+		c.sendQueue = nil
 		c.mu.Unlock()
 		if unsent, err := c.write(out); err != nil {
-			c.end.Unsent += unsent
+			c.ending.UnsentBytes += unsent
 			return fmt.Errorf("writing: %w", err)
 		}
 	}
 }
 
-// write writes all of p. What the system refuses for a moment is tried again, from
-// the byte on that was not written. It returns how many bytes were not written.
+// write writes all of p, and retries what the system refuses temporarily from the first byte
+// that was not written. It returns how many bytes were not written.
 func (c *Conn) write(p []byte) (unsent int, err error) {
 	for attempts, failures := 0, 0; len(p) > 0; {
-		c.nc.SetWriteDeadline(time.Now().Add(writeAttempt))
-		n, err := c.nc.Write(p)
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(writeAttemptTimeout)) // where it fails, so does the write
+		n, err := c.netConn.Write(p)
 		p = p[n:]
 		if n > 0 {
 			attempts, failures = 0, 0
@@ -54,12 +65,12 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if attempts++; attempts == writeAttempts {
+			if attempts++; attempts == maxIdleWriteAttempts {
 				return len(p), err
 			}
 		case guard.MayRetry(err, failures+1) == nil:
 			failures++
-			time.Sleep(failurePause)
+			time.Sleep(retryPause)
 		default:
 			return len(p), err
 		}
