--- a/dispatch/attempt_test.go
+++ b/dispatch/attempt_test.go
@@ -89,6 +89,7 @@
 	*harness
 	journal     *journal // nil for none
 	predecessor *slowPredecessor
+	inForce     decision.Settings
 	submitted   int
 	draining    bool
 }
@@ -109,6 +110,7 @@
 			w.journal = &journal{}
 			o.Journal = w.journal
 		}
+		w.inForce = o.Settings
 	})
 	if withPeer {
 		w.predecessor = &slowPredecessor{}
@@ -147,9 +149,9 @@
 }
 
 func (w *stateWalk) submitNext(t *testing.T, s *randomsteps.Source) {
-	class, key := [...]string{"read", "gift", "receipt"}[s.Pick(3)], ""
-	if class != "read" {
-		key = fmt.Sprint(class, s.Pick(12))
+	class, key := "read", ""
+	if n := s.Pick(3); n > 0 {
+		class, key = pickKey(s)
 	}
 	id := fmt.Sprint("r", w.submitted)
 	w.submitted++
@@ -157,6 +159,11 @@
 	w.mustSubmit(t, w.Core, Request{ID: id, Class: class, Key: key, ArrivedAt: arrivedAt})
 }
 
+func pickKey(s *randomsteps.Source) (class, key string) {
+	class = [...]string{"gift", "receipt"}[s.Pick(2)]
+	return class, fmt.Sprint(class, s.Pick(12))
+}
+
 func (w *stateWalk) settleJournal(s *randomsteps.Source) {
 	if w.journal == nil {
 		return
@@ -177,10 +184,32 @@
 	}
 }
 
-// disturb does what seldom happens: the peer goes or comes, the process stands still,
-// or it is to drain.
+// runInPeer has a predecessor run a key, or end its run.
+func (w *stateWalk) runInPeer(s *randomsteps.Source) {
+	if w.predecessor == nil {
+		return
+	}
+	class, key := pickKey(s)
+	w.ApplyKey(w.predecessor, KeyState{
+		Key: key, Class: class, BodyHash: hashBody(nil), RanAttemptID: "predecessor's " + key,
+		ExpiresAt: time.Now().Add(testWindow), Completed: s.Pick(2) == 0,
+	})
+}
+
+// changeCancelMode changes what becomes of runs that are cancelled.
+func (w *stateWalk) changeCancelMode(t *testing.T) {
+	if w.inForce.CancelMode == decision.CancelPause {
+		w.inForce.CancelMode = decision.CancelDiscard
+	} else {
+		w.inForce.CancelMode = decision.CancelPause
+	}
+	must(t, w.updateSettings(w.inForce, "read", "gift", "receipt"))
+}
+
+// disturb does what seldom happens: the peer goes or comes or runs a key, the process
+// stands still or is to drain, the settings change.
 func (w *stateWalk) disturb(t *testing.T, s *randomsteps.Source) {
-	switch s.Pick(6) {
+	switch s.Pick(9) {
 	case 0:
 		if w.predecessor != nil {
 			w.PeerDisconnected(w.predecessor)
@@ -199,6 +228,10 @@
 			notice := time.Now().Add(-time.Duration(s.Pick(4)) * time.Second)
 			w.Drain(notice, time.Now().Add(30*time.Second))
 		}
+	case 6, 7:
+		w.runInPeer(s)
+	case 8:
+		w.changeCancelMode(t)
 	}
 }
 
