--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -63,14 +63,18 @@
 // ServeCached has a duplicate answered with the result of the attempt that has its key,
 // once that has ended.
 func (h host) ServeCached(id string) {
-	a := h.attempts[id]
-	if a == nil || a.answered {
-		return
+	if a := h.attempts[id]; a != nil {
+		h.awaitResult(a)
 	}
-	if a.entry != nil && a.entry.Await(a.ID) {
+}
+
+// awaitResult has an attempt wait for the one that has its key, or answers it if that has
+// ended.
+func (c *Core) awaitResult(a *attempt) {
+	if a.answered || a.entry != nil && a.entry.Await(a.ID) {
 		return
 	}
-	h.deferEvent(duplicateSettled{a, a.entry})
+	c.deferEvent(duplicateSettled{a, a.entry})
 }
 
 // CacheResult makes an attempt the owner of its key.
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -20,7 +20,7 @@
 		return
 	case errors.Is(err, guard.ErrKeyRan):
 		h.options.Monitor.Denied(guard.DuplicateRun, err, id)
-		h.ServeCached(id)
+		h.awaitResult(a)
 		return
 	case err != nil:
 		return
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -118,15 +118,25 @@
 	r.answeredAt[id] = time.Now()
 }
 
+// settings are those of a server with two cores and three classes: read, which may go on
+// without its downstream call, and the keyed classes gift and receipt.
 func settings() decision.Settings {
-	class := decision.Class{LatencyObjective: 2 * time.Second, Deadline: testDeadline, Weight: 1, KeyWindow: testWindow, CallsDependency: true, LateWeight: 0.2}
-	keyed, skips := class, class
-	keyed.Effect, skips.DegradedWeight = decision.Keyed, 0.6
+	class := decision.Class{
+		LatencyObjective: 2 * time.Second, Deadline: testDeadline, Weight: 1, KeyWindow: testWindow,
+		CallsDependency: true, LateWeight: 0.2,
+	}
+	keyed, degradable := class, class
+	keyed.Effect, degradable.DegradedWeight = decision.Keyed, 0.6
 	return decision.Settings{
-		Classes: []decision.Class{skips, keyed, keyed}, Servers: 1, Callers: 1, Cores: 2, MemoryKB: 10000,
-		KeyMemoryKB: 1, RunningMemoryFactor: 4, Dependency: decision.SharedDependency, CallQuota: 10, CallQuotaWindow: 5 * time.Second, AbandonedCallDuration: 200 * time.Millisecond,
-		CancelMode: decision.CancelDiscard, MaxRetryAfter: time.Second, DeadlineSlack: testSlack, DrainGrace: testGrace,
-		OverloadRatio: 8, OverloadWindow: 1500 * time.Millisecond, SlowStartMinSpeed: 0.3, SlowStartDuration: 10 * time.Second, BatchInterval: 4 * time.Millisecond, ListFollowsHealth: true,
+		Classes: []decision.Class{degradable, keyed, keyed}, Servers: 1, Callers: 1, Cores: 2, MemoryKB: 10000,
+		KeyMemoryKB: 1, RunningMemoryFactor: 4,
+		Dependency: decision.SharedDependency, CallQuota: 10, CallQuotaWindow: 5 * time.Second,
+		AbandonedCallDuration: 200 * time.Millisecond,
+		CancelMode:            decision.CancelDiscard, MaxRetryAfter: time.Second,
+		DeadlineSlack: testSlack, DrainGrace: testGrace,
+		OverloadRatio: 8, OverloadWindow: 1500 * time.Millisecond,
+		SlowStartMinSpeed: 0.3, SlowStartDuration: 10 * time.Second,
+		BatchInterval: 4 * time.Millisecond, ListFollowsHealth: true,
 	}
 }
 
@@ -136,9 +146,10 @@
 func newHarnessWith(t *testing.T, change func(*Options)) *harness {
 	t.Helper()
 	h := &harness{
-		changeOptions: change, running: make(map[string]time.Time), starts: make(map[string]int), bodies: make(map[string]string), answers: make(map[string][]Outcome),
-		answeredAt: make(map[string]time.Time), callInFlight: make(map[string]int), callReplies: make(map[string]string),
-		callAbandonedAt: make(map[string]time.Time),
+		changeOptions: change,
+		running:       make(map[string]time.Time), starts: make(map[string]int), bodies: make(map[string]string),
+		answers: make(map[string][]Outcome), answeredAt: make(map[string]time.Time),
+		callInFlight: make(map[string]int), callReplies: make(map[string]string), callAbandonedAt: make(map[string]time.Time),
 	}
 	var ctx context.Context
 	ctx, h.cancel = context.WithCancel(t.Context())
--- a/dispatch/replication.go
+++ b/dispatch/replication.go
@@ -144,7 +144,7 @@
 	default: // another attempt has the key: this one gets its result
 		c.keys.ReleaseClaim(a.entry, a.ID)
 		c.transition(a, stateQueued)
-		host{c}.ServeCached(a.ID)
+		c.awaitResult(a)
 		c.removeIfDone(a)
 	}
 }
