--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"context"
 	"log/slog"
 	"sync/atomic"
 	"time"
@@ -197,5 +198,8 @@
 	}
 }
 
-// Log writes a remark of the module.
-func (h host) Log(text string) { h.log.Info("module", "remark", text) }
+// Log writes an event of the module to the log, under the event's name.
+func (h host) Log(event decision.Event) {
+	//nolint:sloglint // the message is the event's name, a constant of package decision
+	h.log.LogAttrs(context.Background(), slog.LevelInfo, event.Name(), event.Attributes()...)
+}
