--- a/cmd/quincerail/serve.go
+++ b/cmd/quincerail/serve.go
@@ -11,6 +11,7 @@
 	"syscall"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/config/operator"
 	"quincerail.example/quincerail/logging"
 	"quincerail.example/quincerail/match"
@@ -66,12 +67,12 @@
 	lines := logging.NewWriter(os.Stderr, logging.Format(o.Log.Format))
 	defer lines.Flush(flushLogWithin)
 	logger := logging.New(lines, logging.Format(o.Log.Format), level, o.Log.Repeats)
-	config, front, err := load(o, logger)
+	settings, front, err := load(o, logger)
 	if err != nil {
 		return err
 	}
-	server.Limit(config)
-	server, err := server.Start(config, front)
+	server.Limit(settings)
+	server, err := server.Start(settings, front)
 	if err != nil {
 		return err
 	}
@@ -94,11 +95,11 @@
 	if err != nil {
 		return err
 	}
-	config, front, err := load(o, logger)
+	settings, front, err := load(o, logger)
 	if err != nil {
 		return err
 	}
-	if err := server.Reload(config, front); err != nil {
+	if err := server.Reload(settings, front); err != nil {
 		return err
 	}
 	return setLevel(level, o)
@@ -113,36 +114,36 @@
 }
 
 // load reads the configuration, and the operator's files where there are any.
-func load(o *operator.File, logger *slog.Logger) (*server.Config, *server.UWSGIConfig, error) {
-	config, err := server.LoadConfig(os.Getenv("GW_CONFIG"))
+func load(o *operator.File, logger *slog.Logger) (*config.Config, *config.UWSGI, error) {
+	settings, err := config.Load(os.Getenv("GW_CONFIG"))
 	if err != nil {
 		return nil, nil, err
 	}
-	config.KeysDir, config.KeysSync, config.MetricsListen, config.OperatorsListen, config.Logger =
+	settings.KeysDir, settings.KeysSync, settings.MetricsListen, settings.OperatorsListen, settings.Logger =
 		o.Keys.Dir, o.Keys.Sync, o.Metrics.Listen, o.Fleet.Operators, logger
-	if config.Fleet, err = o.FleetOf(config.Name, config.Ledger, logger); err != nil {
+	if settings.Fleet, err = o.FleetOf(settings.Name, settings.Ledger, logger); err != nil {
 		return nil, nil, err
 	}
 	if o.Rules != "" {
-		if config.Rules, err = match.Load(o.Rules, config.Classes); err != nil {
+		if settings.Rules, err = match.Load(o.Rules, settings.Classes); err != nil {
 			return nil, nil, err
 		}
-		for _, w := range config.Rules.Warnings() {
+		for _, w := range settings.Rules.Warnings() {
 			logger.Warn("rules_overlap", "warning", w)
 		}
 	}
 	if o.UWSGI == "" {
-		return config, nil, nil
+		return settings, nil, nil
 	}
-	front, err := server.LoadUWSGI(o.UWSGI, config.Classes)
+	front, err := config.LoadUWSGI(o.UWSGI, settings.Classes)
 	if err == nil {
 		err = apart(o, front)
 	}
-	return config, front, err
+	return settings, front, err
 }
 
 // apart refuses two listeners on one address, each of which is right alone.
-func apart(o *operator.File, front *server.UWSGIConfig) error {
+func apart(o *operator.File, front *config.UWSGI) error {
 	if front.Listen == o.Metrics.Listen && !strings.HasSuffix(front.Listen, ":0") {
 		return fmt.Errorf("metrics.listen: %s is the uwsgi front's address too", front.Listen)
 	}
--- a/cmd/quincerail/tools.go
+++ b/cmd/quincerail/tools.go
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/config/operator"
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/describe"
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/idempotency/journal"
 	"quincerail.example/quincerail/match"
-	"quincerail.example/quincerail/server"
 )
 
 // checkCmd checks what serve would load, and names every problem, one a line.
@@ -33,15 +33,15 @@
 	} else if err != nil {
 		problems = append(problems, err.Error())
 	}
-	config, err := server.LoadConfig(os.Getenv("GW_CONFIG"))
+	settings, err := config.Load(os.Getenv("GW_CONFIG"))
 	if err != nil {
 		problems = append(problems, err.Error())
 	}
-	if config != nil && o != nil {
-		if _, err := o.FleetOf(config.Name, config.Ledger, config.Logger); err != nil {
+	if settings != nil && o != nil {
+		if _, err := o.FleetOf(settings.Name, settings.Ledger, settings.Logger); err != nil {
 			problems = append(problems, err.Error())
 		}
-		problems = append(problems, checkFiles(o, config.Classes)...)
+		problems = append(problems, checkFiles(o, settings.Classes)...)
 	}
 	for _, p := range problems {
 		fmt.Println(p)
@@ -57,7 +57,7 @@
 // prints their warnings.
 func checkFiles(o *operator.File, classes []string) (problems []string) {
 	if o.UWSGI != "" {
-		front, err := server.LoadUWSGI(o.UWSGI, classes)
+		front, err := config.LoadUWSGI(o.UWSGI, classes)
 		if err == nil {
 			err = apart(o, front)
 		}
@@ -101,9 +101,9 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	var settings *server.Config
+	var settings *config.Config
 	if path := os.Getenv("GW_CONFIG"); path != "" {
-		if settings, err = server.LoadConfig(path); err != nil {
+		if settings, err = config.Load(path); err != nil {
 			return err
 		}
 	}
--- /dev/null
+++ b/config/config.go
@@ -0,0 +1,192 @@
+// Package config reads and validates what the server is told at its start and at
+// a reload: the platform's configuration (JSON) and the uwsgi front's file (TOML).
+package config
+
+import (
+	"cmp"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	jsonpatch "github.com/evanphx/json-patch/v5"
+	"github.com/tidwall/gjson"
+
+	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/fleet"
+	"quincerail.example/quincerail/match"
+)
+
+// Environment variables that the platform sets for a process.
+const (
+	envFile         = "GW_CONFIG"  // path of the configuration
+	envAdminAddress = "GW_CONTROL" // address for operators' calls, new with each start
+	envListenFD     = "GW_FD"      // descriptor of an inherited listening socket
+)
+
+// Config is what a server needs to know to start. Load and Parse fill in what
+// comes from the platform; the caller adds the operator's choices.
+type Config struct {
+	Name            string // of this process in load reports
+	Listen          string // address for balancers
+	Control         string // address for operators' calls; "" for none
+	ListenFD        int    // the inherited listening socket; 0 to open one at Listen
+	Processor       string // address of the processor
+	Announce        string // address of the discovery service
+	Ledger          string // address of the shared dependency
+	Seed            int64
+	StopTimeout     time.Duration // from SIGTERM to SIGKILL
+	Cores           float64
+	MemoryMB        int
+	Sockets         int // limit of file descriptors
+	Classes         []string
+	Tenants         []string
+	Settings        decision.Settings
+	Gauges          []string      // names, in the order in which the processor sends them
+	Rules           *match.Set    // the operator's classification rules; nil for none
+	KeysDir         string        // directory of the idempotency journal; "" keeps keys in memory
+	KeysSync        string        // always or never, as store.SyncPolicy; "" for always
+	Logger          *slog.Logger  // nil for slog.Default()
+	MetricsListen   string        // address for /metrics; "" for none
+	OperatorsListen string        // address for operators' calls about the fleet; "" for none
+	Fleet           *fleet.Config // what this process does in its fleet; nil for nothing
+
+	text string // the JSON that it was parsed from
+}
+
+// The process may be killed earlier than the configuration's stop_ms says: after the
+// longest deadline, counted as maxKillDeadline where it is longer, and a margin.
+const (
+	maxKillDeadline = 3 * time.Second
+	killMargin      = 700 * time.Millisecond
+)
+
+// KillDelay is how long after SIGTERM the process may be killed at the earliest.
+func (c *Config) KillDelay() time.Duration {
+	var longest time.Duration
+	for _, class := range c.Settings.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return min(c.StopTimeout, min(longest, maxKillDeadline)+killMargin)
+}
+
+// Load reads the configuration file and the environment variables of this start.
+// The error is a *KeyError.
+func Load(path string) (*Config, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, &KeyError{envFile, err}
+	}
+	c, err := Parse(string(text))
+	if err != nil {
+		return nil, err
+	}
+	c.Control = cmp.Or(os.Getenv(envAdminAddress), c.Control)
+	if fd := os.Getenv(envListenFD); fd != "" {
+		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < 3 {
+			return nil, keyErrorf(envListenFD, "%q, a descriptor's number wanted", fd)
+		}
+	}
+	return c, nil
+}
+
+// WithPatch returns a copy whose settings are changed by a JSON merge patch
+// (RFC 7396), with what the operator chose as it was. An empty patch changes
+// nothing. The error is a *KeyError.
+func (c *Config) WithPatch(patch json.RawMessage) (*Config, error) {
+	if len(patch) == 0 {
+		return c, nil
+	}
+	wrapped, err := json.Marshal(map[string]json.RawMessage{keySettings: patch})
+	if err != nil {
+		return nil, &KeyError{keySettings, err}
+	}
+	text, err := jsonpatch.MergePatch([]byte(c.text), wrapped)
+	if err != nil {
+		return nil, &KeyError{keySettings, err}
+	}
+	patched, err := Parse(string(text))
+	if err != nil {
+		return nil, err
+	}
+	if err := patched.CheckComplete(c); err != nil {
+		return nil, err
+	}
+	patched.Control, patched.ListenFD = c.Control, c.ListenFD
+	patched.Rules, patched.Logger, patched.Fleet = c.Rules, c.Logger, c.Fleet
+	patched.KeysDir, patched.KeysSync = c.KeysDir, c.KeysSync
+	patched.MetricsListen, patched.OperatorsListen = c.MetricsListen, c.OperatorsListen
+	return patched, nil
+}
+
+// errKeyMissing is the problem of a key that the configuration in force has.
+var errKeyMissing = errors.New("it is missing")
+
+// CheckComplete returns a *KeyError if a key is missing that the configuration in
+// force has, in a part of the file that both have.
+func (c *Config) CheckComplete(inForce *Config) error {
+	if key := c.missingKey(inForce); key != "" {
+		return &KeyError{key, errKeyMissing}
+	}
+	return nil
+}
+
+// CheckClasses returns a *KeyError if a class of the other configuration is missing,
+// which the rules or the uwsgi front may give to requests.
+func (c *Config) CheckClasses(other *Config) error {
+	for _, name := range other.Classes {
+		if !slices.Contains(c.Classes, name) {
+			return keyErrorf(keySettings+"."+keyClasses, "%s is missing, and the rules or the uwsgi front may lead to it", name)
+		}
+	}
+	return nil
+}
+
+// missingKey names the first key that the other configuration has and this one
+// lacks, "" for none.
+func (c *Config) missingKey(other *Config) string {
+	key := missingIn(gjson.Parse(c.text), gjson.Parse(other.text), "")
+	return strings.TrimPrefix(key, ".")
+}
+
+// missingIn returns the path of the first key that reference has and value lacks.
+// Both stand at the given path.
+func missingIn(value, reference gjson.Result, path string) string {
+	if reference.IsArray() && value.IsArray() && reference.Get("0").IsObject() {
+		return missingInItems(value, reference.Get("0"), path)
+	}
+	if !reference.IsObject() {
+		return ""
+	}
+	missing := ""
+	members := value.Map()
+	reference.ForEach(func(name, wanted gjson.Result) bool {
+		memberPath := path + "." + name.String()
+		if isOptional(memberPath) {
+			return true
+		}
+		member, ok := members[name.String()]
+		if !ok || member.Type == gjson.Null && wanted.Type != gjson.Null {
+			missing = memberPath
+		} else {
+			missing = missingIn(member, wanted, memberPath)
+		}
+		return missing == ""
+	})
+	return missing
+}
+
+// missingInItems is missingIn for each item of a list, whose items are alike.
+func missingInItems(list, reference gjson.Result, path string) string {
+	for i, item := range list.Array() {
+		if missing := missingIn(item, reference, fmt.Sprintf("%s.%d", path, i)); missing != "" {
+			return missing
+		}
+	}
+	return ""
+}
--- a/server/config_test.go
+++ b/config/config_test.go
@@ -1,6 +1,7 @@
-package server
+package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"slices"
@@ -15,7 +16,7 @@
 
 func TestConfigFaults(t *testing.T) {
 	text := dispatchtest.Example(t, "config.json")
-	if _, err := ParseConfig(text); err != nil {
+	if _, err := Parse(text); err != nil {
 		t.Fatalf("the example: %v", err)
 	}
 	for _, x := range []struct{ old, new, key string }{
@@ -30,10 +31,14 @@
 		{`"ledger": "127.0.0.1:7700",`, ``, "ledger"},
 		{`{`, `[`, "GW_CONFIG"},
 	} {
-		_, err := ParseConfig(strings.Replace(text, x.old, x.new, 1))
+		_, err := Parse(strings.Replace(text, x.old, x.new, 1))
 		if err == nil || !strings.Contains(err.Error(), x.key) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line that names %s", x.new, err, x.key)
 		}
+		var keyError *KeyError
+		if !errors.As(err, &keyError) || keyError.Key == "" || err.Error() != keyError.Key+": "+keyError.Err.Error() {
+			t.Errorf("%s: error %#v, want a KeyError", x.new, err)
+		}
 	}
 }
 
@@ -41,7 +46,7 @@
 // them, named by its key in one line; such a file is turned down whole.
 func TestTenantFaults(t *testing.T) {
 	text := dispatchtest.Example(t, "tenants.json")
-	c, err := ParseConfig(text)
+	c, err := Parse(text)
 	if err != nil || !slices.Equal(c.Tenants, []string{"north", "coast", "lake"}) || c.Settings.Tenants[1].Quota != 36 {
 		t.Fatalf("%+v, %v", c, err)
 	}
@@ -58,7 +63,7 @@
 		{`"say": "min_rank"`, `"say": "loud"`, "say"},
 	} {
 		changed := strings.Replace(text, x.old, x.new, 1)
-		if _, err := ParseConfig(changed); changed == text || err == nil || !strings.Contains(err.Error(), x.key) || strings.Contains(err.Error(), "\n") {
+		if _, err := Parse(changed); changed == text || err == nil || !strings.Contains(err.Error(), x.key) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: error %v, want one line that names %s", x.new, x.old, err, x.key)
 		}
 	}
@@ -73,14 +78,14 @@
 	second = strings.Replace(second, `"passesDeadline": true,`, ``, 1)
 	var configs []*Config
 	for _, text := range []string{first, second} {
-		c, err := ParseConfig(text)
+		c, err := Parse(text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		configs = append(configs, c)
 	}
 	for i, c := range configs {
-		if key := c.lacks(configs[1-i]); key != "" {
+		if key := c.missingKey(configs[1-i]); key != "" {
 			t.Errorf("file %d lacks %s of the other", i, key)
 		}
 	}
@@ -91,7 +96,7 @@
 func TestConfigLacks(t *testing.T) {
 	text := dispatchtest.Example(t, "config.json")
 	parse := func(text string) *Config {
-		c, err := ParseConfig(text)
+		c, err := Parse(text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -105,7 +110,7 @@
 		{`"name": "n1",`, `"name": "n1", "motto": "ge",`, ""},
 		{`"control": "127.0.0.1:9600",`, ``, "control"},
 	} {
-		if got := parse(strings.Replace(text, x.old, x.new, 1)).lacks(parse(text)); got != x.key {
+		if got := parse(strings.Replace(text, x.old, x.new, 1)).missingKey(parse(text)); got != x.key {
 			t.Errorf("%s for %s: it lacks %q, want %q", x.new, x.old, got, x.key)
 		}
 	}
@@ -115,7 +120,7 @@
 	const good = "listen = \"127.0.0.1:1\"\nbackend = \"127.0.0.1:2\"\n[[route]]\npath = \"/g\"\nclass = \"ny-gava\"\n"
 	classes := []string{"kampanjsida", "givarhistorik", "ny-gava"}
 	path := filepath.Join(t.TempDir(), "uwsgi.toml")
-	load := func(text string) (*UWSGIConfig, error) {
+	load := func(text string) (*UWSGI, error) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -150,7 +155,7 @@
 // and the operator's rules lead to the same classes, and say of these what the
 // platform's settings do.
 func TestDeployDescriptions(t *testing.T) {
-	config, err := ParseConfig(dispatchtest.Example(t, "config.json"))
+	config, err := Parse(dispatchtest.Example(t, "config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +177,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		for _, r := range doc.Routes {
-			if got, ok := front.routes().Match(r.Method, r.Path); !ok || got.Class != r.Class || got.KeyHeader != variable(r.KeyHeader) {
+			if got, ok := front.routes().Match(r.Method, r.Path); !ok || got.Class != r.Class || got.KeyHeader != headerVariable(r.KeyHeader) {
 				t.Errorf("%s: %+v, but uwsgi.toml has %+v", name, r, got)
 			}
 		}
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads the operator's file: what the program switches on beside
-// the platform's configuration.
+// Package operator reads the operator's file, which turns on what the platform's
+// configuration does not know of.
 package operator
 
 import (
@@ -20,14 +20,16 @@
 	"quincerail.example/quincerail/fleet"
 )
 
+// schemaFile is the name under which CUE reports positions in the schema.
+const schemaFile = "operator.cue"
+
 // operatorSchema is the CUE schema of the operator's file.
 //
 //go:embed operator.cue
 var operatorSchema string
 
 // File is the operator's file, in TOML or CUE, checked against
-// operator.cue: what the program switches on beside the platform's
-// configuration.
+// operator.cue. Its zero value is not valid: Load fills in the defaults.
 type File struct {
 	UWSGI string `json:"uwsgi"`
 	Rules string `json:"rules"`
@@ -70,8 +72,9 @@
 	} `json:"fleet"`
 }
 
-// FleetOf gives what a process of a name, with a shared dependency at an address, is to do in its fleet;
-// nil where the operator's file leaves it off. The error names the key at fault.
+// FleetOf returns the fleet's configuration of the process with a name, whose shared
+// dependency is at the address ledger; nil where the operator's file leaves the fleet
+// off. The error names the key at fault.
 func (o *File) FleetOf(name, ledger string, logger *slog.Logger) (*fleet.Config, error) {
 	x := &o.Fleet
 	if fleet.Role(x.Role) == fleet.Off {
@@ -87,13 +90,14 @@
 	return f, f.Validate()
 }
 
-// Error names every problem of an operator's file: a path and why, and
-// a place where the file is CUE.
+// Error lists every problem of an operator's file: the key's path, the reason, and the
+// line where the file is CUE.
 type Error struct {
 	File     string
 	Problems []string
 }
 
+// Error returns all problems in one line.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s", e.File, strings.Join(e.Problems, "; "))
 }
@@ -102,29 +106,13 @@
 // *Error where the file makes no sense.
 func Load(path string) (*File, error) {
 	ctx := cuecontext.New()
-	schema := ctx.CompileString(operatorSchema, cue.Filename("operator.cue")).LookupPath(cue.ParsePath("#Operator"))
+	schema := ctx.CompileString(operatorSchema, cue.Filename(schemaFile)).LookupPath(cue.ParsePath("#Operator"))
 	if schema.Err() != nil {
-		return nil, fmt.Errorf("operator.cue: %w", schema.Err())
+		return nil, fmt.Errorf("%s: %w", schemaFile, schema.Err())
 	}
-	data := ctx.CompileString("{}")
-	if path != "" {
-		text, err := os.ReadFile(path)
-		if err != nil {
-			return nil, fmt.Errorf("operator: %w", err)
-		}
-		if filepath.Ext(path) == ".cue" {
-			data = ctx.CompileBytes(text, cue.Filename(path))
-		} else {
-			var m map[string]any
-			if _, err := toml.Decode(string(text), &m); err != nil {
-				return nil, &Error{path, []string{err.Error()}}
-			}
-			b, err := json.Marshal(m)
-			if err != nil {
-				return nil, fmt.Errorf("operator: %w", err)
-			}
-			data = ctx.CompileBytes(b, cue.Filename(path))
-		}
+	data, err := compile(ctx, path)
+	if err != nil {
+		return nil, err
 	}
 	v := schema.Unify(data)
 	if err := v.Validate(cue.Concrete(true)); err != nil {
@@ -137,46 +125,86 @@
 	return &o, nil
 }
 
-// problems gives one line a path: the most telling reason that CUE gives for
-// it (a value out of its bounds before a default that it conflicts with), and
-// the line in the file where it has one.
+// compile reads a file, in CUE or else in TOML, as a CUE value; "" gives an empty one.
+func compile(ctx *cue.Context, path string) (cue.Value, error) {
+	if path == "" {
+		return ctx.CompileString("{}"), nil
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return cue.Value{}, fmt.Errorf("operator: %w", err)
+	}
+	if filepath.Ext(path) == ".cue" {
+		return ctx.CompileBytes(text, cue.Filename(path)), nil
+	}
+	var values map[string]any
+	if _, err := toml.Decode(string(text), &values); err != nil {
+		return cue.Value{}, &Error{path, []string{err.Error()}}
+	}
+	encoded, err := json.Marshal(values)
+	if err != nil {
+		return cue.Value{}, fmt.Errorf("operator: %w", err)
+	}
+	return ctx.CompileBytes(encoded, cue.Filename(path)), nil
+}
+
+// Ranks of the reasons that CUE gives for one path. The highest is reported: a value out
+// of its bounds says more than the default that it conflicts with.
+const (
+	rankEmptyDisjunction = iota
+	rankConflict
+	rankInvalidValue
+	rankSchemaReason // a reason that the schema itself states
+)
+
+// problems returns a line for each path at fault: the most telling of CUE's reasons, with
+// the line in the file where there is one.
 func problems(err error) []string {
 	type problem struct {
 		line string
 		rank int
 	}
-	var order []string
+	var paths []string
 	best := map[string]problem{}
 	for _, e := range cueerrors.Errors(err) {
 		path := strings.TrimPrefix(strings.Join(e.Path(), "."), "#Operator.")
 		format, args := e.Msg()
-		msg := fmt.Sprintf(format, args...)
-		rank := 1
-		switch {
-		case strings.HasSuffix(msg, "empty disjunction:"):
-			rank = 0
-		case strings.HasPrefix(msg, "invalid value"):
-			rank = 2
-		case !strings.HasPrefix(msg, "conflicting values"):
-			rank = 3 // the schema's own reason
-		}
-		line := path + ": " + msg
-		for _, p := range e.InputPositions() {
-			if p.Filename() != "operator.cue" && p.Line() > 0 {
-				line = fmt.Sprintf("%s (line %d)", line, p.Line())
-				break
-			}
+		reason := fmt.Sprintf(format, args...)
+		rank := reasonRank(reason)
+		known, ok := best[path]
+		if !ok {
+			paths = append(paths, path)
 		}
-		if was, ok := best[path]; !ok || rank > was.rank {
-			if !ok {
-				order = append(order, path)
-			}
-			best[path] = problem{line, rank}
+		if !ok || rank > known.rank {
+			best[path] = problem{path + ": " + reason + filePosition(e), rank}
 		}
 	}
-	lines := make([]string, len(order))
-	for i, path := range order {
+	lines := make([]string, len(paths))
+	for i, path := range paths {
 		lines[i] = best[path].line
 	}
 	return lines
 }
+
+func reasonRank(reason string) int {
+	switch {
+	case strings.HasSuffix(reason, "empty disjunction:"):
+		return rankEmptyDisjunction
+	case strings.HasPrefix(reason, "invalid value"):
+		return rankInvalidValue
+	case strings.HasPrefix(reason, "conflicting values"):
+		return rankConflict
+	}
+	return rankSchemaReason
+}
+
+// filePosition returns the line of the operator's file that an error refers to, in
+// parentheses; "" where it refers to none.
+func filePosition(e cueerrors.Error) string {
+	for _, p := range e.InputPositions() {
+		if p.Filename() != schemaFile && p.Line() > 0 {
+			return fmt.Sprintf(" (line %d)", p.Line())
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/config/uwsgi.go
@@ -0,0 +1,142 @@
+package config
+
+import (
+	"cmp"
+	"errors"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"github.com/BurntSushi/toml"
+
+	"quincerail.example/quincerail/describe"
+)
+
+// UWSGI is the file that turns the uwsgi front on.
+type UWSGI struct {
+	Listen      string       `toml:"listen"`
+	Backend     string       `toml:"backend"`      // where the requests of this front run
+	KeyVariable string       `toml:"key_variable"` // holds a request's idempotency key, where its route names none
+	HealthPath  string       `toml:"health_path"`  // answered by the front itself; "" for none
+	MaxBody     int          `toml:"max_body"`     // bytes
+	Describe    string       `toml:"describe"`     // an OpenAPI or AsyncAPI document with further routes
+	Routes      []UWSGIRoute `toml:"route"`
+}
+
+// UWSGIRoute gives the requests of a path a class.
+type UWSGIRoute struct {
+	Method      string `toml:"method"` // "" for every method
+	Path        string `toml:"path"`   // with {name} for one segment
+	Class       string `toml:"class"`
+	KeyVariable string `toml:"key_variable"` // "" for that of all routes
+}
+
+const (
+	flagUWSGI          = "--uwsgi" // names the file
+	defaultKeyVariable = "HTTP_IDEMPOTENCY_KEY"
+	defaultMaxBody     = 64 << 10 // bytes
+	maxMaxBody         = 1 << 20  // bytes; what all connections hold together must fit the memory
+)
+
+var errNoRoute = errors.New("at least one wanted")
+
+// LoadUWSGI reads the uwsgi front's file, whose routes may lead to the given
+// classes alone. The error is a *KeyError.
+func LoadUWSGI(path string, classes []string) (*UWSGI, error) {
+	c := &UWSGI{}
+	meta, err := toml.DecodeFile(path, c)
+	if err != nil {
+		return nil, &KeyError{flagUWSGI, err}
+	}
+	if unknown := meta.Undecoded(); len(unknown) > 0 {
+		return nil, keyErrorf(unknown[0].String(), "not known in %s", path)
+	}
+	if err := checkAddress("listen", c.Listen); err != nil {
+		return nil, err
+	}
+	if err := checkAddress("backend", c.Backend); err != nil {
+		return nil, err
+	}
+	c.KeyVariable = cmp.Or(c.KeyVariable, defaultKeyVariable)
+	c.MaxBody = cmp.Or(c.MaxBody, defaultMaxBody)
+	if c.MaxBody < 0 || c.MaxBody > maxMaxBody {
+		return nil, keyErrorf("max_body", "from 1 to %d wanted", maxMaxBody)
+	}
+	if err := c.addDescribedRoutes(filepath.Dir(path)); err != nil {
+		return nil, err
+	}
+	if err := c.checkRoutes(classes); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+func checkAddress(key, address string) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return keyErrorf(key, "an address with a port wanted: %w", err)
+	}
+	return nil
+}
+
+// addDescribedRoutes adds the routes of the document that the file in dir names.
+func (c *UWSGI) addDescribedRoutes(dir string) error {
+	if c.Describe == "" {
+		return nil
+	}
+	text, err := os.ReadFile(filepath.Join(dir, c.Describe))
+	if err != nil {
+		return &KeyError{"describe", err}
+	}
+	doc, err := describe.Load(text)
+	if err != nil {
+		return &KeyError{"describe", err}
+	}
+	for _, r := range doc.Routes {
+		c.Routes = append(c.Routes, UWSGIRoute{
+			Method:      r.Method,
+			Path:        r.Path,
+			Class:       r.Class,
+			KeyVariable: headerVariable(r.KeyHeader),
+		})
+	}
+	return nil
+}
+
+func (c *UWSGI) checkRoutes(classes []string) error {
+	if len(c.Routes) == 0 {
+		return &KeyError{"route", errNoRoute}
+	}
+	for _, r := range c.Routes {
+		if !slices.Contains(classes, r.Class) {
+			return keyErrorf("route.class", "%q is not in the settings", r.Class)
+		}
+		if !strings.HasPrefix(r.Path, "/") {
+			return keyErrorf("route.path", "%q does not begin with /", r.Path)
+		}
+	}
+	return nil
+}
+
+// RouteTable returns the routes, each with the variable that holds its key, compiled
+// for lookups.
+func (c *UWSGI) RouteTable() *describe.Table { return c.routes().Compile() }
+
+func (c *UWSGI) routes() describe.Routes {
+	var routes describe.Routes
+	for _, r := range c.Routes {
+		routes = append(routes, describe.Route{
+			Method:    r.Method,
+			Path:      r.Path,
+			Class:     r.Class,
+			KeyHeader: cmp.Or(r.KeyVariable, c.KeyVariable),
+		})
+	}
+	return routes
+}
+
+// headerVariable is the name of the CGI variable that holds a header.
+func headerVariable(header string) string {
+	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(header, "-", "_"))
+}
--- a/server/changes.go
+++ b/server/changes.go
@@ -9,12 +9,10 @@
 	"net"
 	"net/http"
 	"net/url"
-	"slices"
 	"sync"
 	"time"
 
-	jsonpatch "github.com/evanphx/json-patch/v5"
-
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/fleet"
@@ -87,7 +85,7 @@
 	s := c.server
 	s.reloading.Lock()
 	defer s.reloading.Unlock()
-	next, err := s.file.with(patch)
+	next, err := s.file.WithPatch(patch)
 	if err != nil {
 		return err
 	}
@@ -101,45 +99,13 @@
 	return nil
 }
 
-// with gives a configuration whose settings are changed by a JSON merge patch
-// (RFC 7396); nil changes nothing. An error names the key at fault.
-func (c *Config) with(patch json.RawMessage) (*Config, error) {
-	if len(patch) == 0 {
-		return c, nil
-	}
-	whole, err := json.Marshal(map[string]json.RawMessage{"settings": patch})
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	text, err := jsonpatch.MergePatch([]byte(c.text), whole)
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	n, err := ParseConfig(string(text))
-	if err != nil {
-		return nil, err
-	}
-	if key := n.lacks(c); key != "" {
-		return nil, fmt.Errorf("%s: it is missing", key)
-	}
-	n.Control, n.ListenFD = c.Control, c.ListenFD
-	n.Rules, n.KeysDir, n.KeysSync, n.Logger, n.MetricsListen, n.OperatorsListen, n.Fleet =
-		c.Rules, c.KeysDir, c.KeysSync, c.Logger, c.MetricsListen, c.OperatorsListen, c.Fleet
-	return n, nil
-}
-
-// keepsClasses refuses settings without a class that the rules, or the uwsgi
+// keepsClasses rejects settings without a class that the rules, or the uwsgi
 // front, lead to: valid alone, they would have requests of no class.
-func (s *Server) keepsClasses(c *Config) error {
+func (s *Server) keepsClasses(c *config.Config) error {
 	if s.uwsgi == nil && s.file.Rules == nil {
 		return nil
 	}
-	for _, name := range s.file.Classes {
-		if !slices.Contains(c.Classes, name) {
-			return fmt.Errorf("settings.lanes: %s is missing, and the rules or the uwsgi front may lead to it", name)
-		}
-	}
-	return nil
+	return c.CheckClasses(s.file)
 }
 
 // askWithin is how long the fleet's log may take to take an operator's order.
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/internal/dispatchtest"
 	"quincerail.example/quincerail/internal/fakes"
-	"quincerail.example/quincerail/server"
 )
 
 // operate makes a call as operators do, and gives the answer's first word.
@@ -42,7 +42,7 @@
 // bad and reports false, what still comes is served as ever, and all is undone by
 // the opposite call. Callers that say nothing hold up nobody.
 func TestControl(t *testing.T) {
-	w := newWorld(t, func(c *server.Config) { c.Control = "127.0.0.1:0" })
+	w := newWorld(t, func(c *config.Config) { c.Control = "127.0.0.1:0" })
 	address := w.ControlAddr().String()
 	for range 5 {
 		defer must(net.Dial("tcp", address))(t).Close()
@@ -75,11 +75,11 @@
 // TestReloadSettings has classes change under load: a new one is served from then
 // on, one that is gone is not, and a file that lacks a key changes nothing.
 func TestReloadSettings(t *testing.T) {
-	var running *server.Config
-	w := newWorld(t, func(c *server.Config) { running = c })
-	renamed := func(old, new string) *server.Config {
+	var running *config.Config
+	w := newWorld(t, func(c *config.Config) { running = c })
+	renamed := func(old, new string) *config.Config {
 		text := dispatchtest.Example(t, "config.json")
-		c := must(server.ParseConfig(strings.Replace(text, old, new, 1)))(t)
+		c := must(config.Parse(strings.Replace(text, old, new, 1)))(t)
 		c.Processor, c.Ledger, c.Announce = running.Processor, running.Ledger, running.Announce
 		return c
 	}
@@ -97,7 +97,7 @@
 }
 
 // hold opens a listening socket for servers to inherit.
-func hold(t *testing.T) (held net.Listener, inherit func(*server.Config)) {
+func hold(t *testing.T) (held net.Listener, inherit func(*config.Config)) {
 	folder := filepath.Join(t.TempDir(), strings.Repeat("a folder with a long name ", 4)) // too long for a socket's path
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 	t.Setenv("TMPDIR", folder)
 	l := must(net.Listen("tcp", "127.0.0.1:0"))(t).(*net.TCPListener)
 	t.Cleanup(func() { l.Close() })
-	return l, func(c *server.Config) {
+	return l, func(c *config.Config) {
 		file := must(l.File())(t)
 		defer file.Close()
 		c.Listen, c.ListenFD = "held by another", must(syscall.Dup(int(file.Fd())))(t)
@@ -169,7 +169,7 @@
 // let in and turned away: unread, it would be lost.
 func TestInherit(t *testing.T) {
 	held, inherit := hold(t)
-	w := newWorld(t, func(c *server.Config) { inherit(c); shortGrace(c) })
+	w := newWorld(t, func(c *config.Config) { inherit(c); shortGrace(c) })
 	if o := outcome(t, fronts[0].ask(t, w, "kampanjsida", "", "page")); o.Kind != "served" {
 		t.Errorf("over the inherited socket: %s", o.Kind)
 	}
--- a/server/crossing_test.go
+++ b/server/crossing_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/guard"
 	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/protocol/thrift"
-	"quincerail.example/quincerail/server"
 )
 
 // balancer is a balancer's connection that asks and reads at will.
@@ -93,9 +93,9 @@
 }
 
 // oneAtATime has one run at work, what else comes waits in the queue.
-func oneAtATime(c *server.Config) {
+func oneAtATime(c *config.Config) {
 	c.Settings.Cores, c.Settings.OverloadRatio = 1, 1
-	c.Settings.DrainGrace, c.Stop = 300*time.Millisecond, 1500*time.Millisecond
+	c.Settings.DrainGrace, c.StopTimeout = 300*time.Millisecond, 1500*time.Millisecond
 }
 
 // TestDrainAnswersAllThatIsRead: at SIGTERM one request runs or waits on its call,
@@ -200,7 +200,7 @@
 // time.
 func TestFloodInADrain(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(c *server.Config) {
+	w := newWorld(t, func(c *config.Config) {
 		shortGrace(c)
 		c.Sockets = 64
 	})
--- a/server/drain.go
+++ b/server/drain.go
@@ -31,9 +31,9 @@
 			return
 		}
 	}
-	config := s.config.Load()
+	inForce := s.config.Load()
 	notice := s.core.DrainNoticeTime()
-	stopAt := notice.Add(config.stopAfter())
+	stopAt := notice.Add(inForce.KillDelay())
 	s.log.Info("drain", "stop_in", time.Until(stopAt).Round(time.Millisecond).String(),
 		"notice_ago", time.Since(notice).Round(time.Millisecond).String())
 	s.core.Drain(notice, stopAt)
@@ -43,7 +43,7 @@
 	}
 	answered := time.After(time.Until(stopAt.Add(-closeMargin)))
 	select {
-	case <-time.After(time.Until(notice.Add(config.Settings.DrainGrace))):
+	case <-time.After(time.Until(notice.Add(inForce.Settings.DrainGrace))):
 	case <-answered:
 		answered = time.After(0) // the next phase is over at once
 	}
@@ -203,8 +203,8 @@
 // their connections, or just before this process is killed. It says nothing of
 // leaving to the announce service: the other one's word holds.
 func (s *Server) handOver(p *peer) {
-	config := s.config.Load()
-	stopAt := s.core.DrainNoticeTime().Add(config.stopAfter())
+	inForce := s.config.Load()
+	stopAt := s.core.DrainNoticeTime().Add(inForce.KillDelay())
 	settled := s.core.HandOver(stopAt)
 	s.stopReporting()
 	for _, d := range s.listeners {
--- a/server/fronts_test.go
+++ b/server/fronts_test.go
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/internal/dispatchtest"
 	"quincerail.example/quincerail/internal/fakes"
@@ -144,10 +145,10 @@
 	})
 }
 
-func uwsgiTestConfig() *UWSGIConfig {
-	return &UWSGIConfig{
+func uwsgiTestConfig() *config.UWSGI {
+	return &config.UWSGI{
 		KeyVariable: "HTTP_IDEMPOTENCY_KEY", HealthPath: "/health", MaxBody: 64,
-		Routes: []UWSGIRoute{{Method: "POST", Path: "/gavor", Class: "ny-gava"}, {Path: "/k/{id}", Class: "kampanjsida"}},
+		Routes: []config.UWSGIRoute{{Method: "POST", Path: "/gavor", Class: "ny-gava"}, {Path: "/k/{id}", Class: "kampanjsida"}},
 	}
 }
 
--- a/server/keys.go
+++ b/server/keys.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/idempotency/journal"
 	"quincerail.example/quincerail/store"
@@ -14,7 +15,7 @@
 
 // openJournal opens the journal of idempotency keys in the configuration's
 // directory, and has the core start with what it recovered and record in it.
-func openJournal(c *Config, options *dispatch.Options, logger *slog.Logger) (*journal.Journal, error) {
+func openJournal(c *config.Config, options *dispatch.Options, logger *slog.Logger) (*journal.Journal, error) {
 	policy := store.SyncAlways
 	if c.KeysSync == keysSyncNever {
 		policy = store.SyncNever
--- a/server/program.go
+++ b/server/program.go
@@ -1,3 +1,4 @@
+// Package server assembles the app server from its parts and runs it: start, reload, drain.
 package server
 
 import (
@@ -14,6 +15,7 @@
 	"time"
 
 	"quincerail.example/quincerail/backend"
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/downstream"
@@ -65,7 +67,7 @@
 
 // Server is a running app server.
 type Server struct {
-	config        atomic.Pointer[Config] // in force
+	config        atomic.Pointer[config.Config] // in force
 	core          *dispatch.Core
 	link          *backend.Processor
 	pool          *downstream.Pool
@@ -87,7 +89,7 @@
 	tally         *tally          // nil without a fleet
 	watch         *metrics        // nil without the operator's listener for them
 	reloading     sync.Mutex      // one at a time
-	file          *Config         // the configuration as its file says
+	file          *config.Config  // the configuration as its file says
 	patch         json.RawMessage // what the fleet changes of its settings
 	serving       atomic.Bool
 	stopReporting context.CancelFunc // ends the reports
@@ -95,13 +97,13 @@
 }
 
 // Limit sets the process's memory limit and threads from the configuration.
-func Limit(c *Config) {
+func Limit(c *config.Config) {
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * heapShare * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
 }
 
 // Start brings an app server up. The uwsgi front is off where u is nil.
-func Start(c *Config, u *UWSGIConfig) (*Server, error) {
+func Start(c *config.Config, u *config.UWSGI) (*Server, error) {
 	logger := c.Logger
 	if logger == nil {
 		logger = slog.Default()
@@ -240,7 +242,7 @@
 }
 
 // listenHTTP opens the operator's own listeners, as far as there are any.
-func (s *Server) listenHTTP(c *Config, watch *metrics) error {
+func (s *Server) listenHTTP(c *config.Config, watch *metrics) error {
 	if watch != nil {
 		hs, addr, err := serveHTTP("metrics", c.MetricsListen, watch.handler(), s.log)
 		if err != nil {
@@ -279,7 +281,7 @@
 }
 
 // open lets callers in.
-func (s *Server) open(ctx context.Context, c *Config) {
+func (s *Server) open(ctx context.Context, c *config.Config) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -296,9 +298,9 @@
 // the same socket, if there is one. When that has ended, the next may find this one.
 // Where that process does not tell its keys, any key that is not known here may have run
 // there, and may run there as long as it lives: such keys fail for a window.
-func (s *Server) takeOver(ctx context.Context, c *Config) {
+func (s *Server) takeOver(ctx context.Context, c *config.Config) {
 	elder, err := s.handover.meet(ctx)
-	if err != nil && s.core.MarkUnknownKeysInDoubt(time.Now().Add(c.stopAfter()+longestWindow(c.Settings))) != nil {
+	if err != nil && s.core.MarkUnknownKeysInDoubt(time.Now().Add(c.KillDelay()+longestWindow(c.Settings))) != nil {
 		return // it has stopped
 	}
 	if elder != nil { // its connections count with those here
--- a/server/reload.go
+++ b/server/reload.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"slices"
+
+	"quincerail.example/quincerail/config"
 )
 
 // Reload takes over a new configuration while all goes on: where the other
@@ -10,13 +12,13 @@
 // to leave. An error names what makes no sense, or is missing, and nothing has
 // changed then. What can't change in a running process is named in the log, and
 // stays. u may be nil. What the fleet changed of the settings stays changed.
-func (s *Server) Reload(c *Config, u *UWSGIConfig) error {
+func (s *Server) Reload(c *config.Config, u *config.UWSGI) error {
 	s.reloading.Lock()
 	defer s.reloading.Unlock()
-	if key := c.lacks(s.file); key != "" {
-		return fmt.Errorf("%s: it is missing", key)
+	if err := c.CheckComplete(s.file); err != nil {
+		return err
 	}
-	next, err := c.with(s.patch)
+	next, err := c.WithPatch(s.patch)
 	if err != nil {
 		return fmt.Errorf("with what the fleet changed: %w", err)
 	}
@@ -28,7 +30,7 @@
 }
 
 // reload puts a configuration in force.
-func (s *Server) reload(c *Config, u *UWSGIConfig) error {
+func (s *Server) reload(c *config.Config, u *config.UWSGI) error {
 	was := s.config.Load()
 	if err := s.core.UpdateSettings(c.Settings, c.Classes, c.Tenants); err != nil {
 		return err
--- a/server/rules_test.go
+++ b/server/rules_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/match"
-	"quincerail.example/quincerail/server"
 )
 
 // rulesForAll is one rule file for every front: a request whose body names a
@@ -32,7 +32,7 @@
 	for _, f := range fronts {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
-			w := f.world(t, func(c *server.Config) {
+			w := f.world(t, func(c *config.Config) {
 				set, err := match.Parse(rulesForAll, c.Classes)
 				if err != nil {
 					t.Fatal(err)
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"quincerail.example/quincerail/admission"
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/describe"
 	"quincerail.example/quincerail/example/web/gifts"
 	"quincerail.example/quincerail/internal/dispatchtest"
@@ -37,9 +38,9 @@
 }
 
 // loadConfig gives the example's configuration, listening on any port.
-func loadConfig(t testing.TB) *server.Config {
+func loadConfig(t testing.TB) *config.Config {
 	t.Helper()
-	c := must(server.ParseConfig(dispatchtest.Example(t, "config.json")))(t)
+	c := must(config.Parse(dispatchtest.Example(t, "config.json")))(t)
 	c.Listen, c.Control = "127.0.0.1:0", ""
 	return c
 }
@@ -55,7 +56,7 @@
 	}
 }
 
-func newWorld(t testing.TB, change func(*server.Config)) *world {
+func newWorld(t testing.TB, change func(*config.Config)) *world {
 	t.Helper()
 	w := &world{work: fakes.NewWork(0), drained: make(chan struct{})}
 	const anyPort = "127.0.0.1:0"
@@ -68,12 +69,12 @@
 	if change != nil {
 		change(c)
 	}
-	u := &server.UWSGIConfig{
+	u := &config.UWSGI{
 		Listen: anyPort, Backend: app.Addr(), KeyVariable: "HTTP_IDEMPOTENCY_KEY",
 		HealthPath: "/health", MaxBody: 4096,
 	}
 	for _, class := range c.Classes {
-		u.Routes = append(u.Routes, server.UWSGIRoute{Path: "/" + class, Class: class})
+		u.Routes = append(u.Routes, config.UWSGIRoute{Path: "/" + class, Class: class})
 	}
 	w.Server = must(server.Start(c, u))(t)
 	t.Cleanup(func() {
@@ -89,13 +90,13 @@
 
 // newSample gives the library's sample service with the classes, memory and
 // grace of the app server's configuration, and a route /CLASS for each class.
-func newSample(t testing.TB, change func(*server.Config)) *world {
+func newSample(t testing.TB, change func(*config.Config)) *world {
 	t.Helper()
 	c := loadConfig(t)
 	if change != nil {
 		change(c)
 	}
-	w := &world{work: fakes.NewWork(0), drained: make(chan struct{}), stopIn: c.Stop}
+	w := &world{work: fakes.NewWork(0), drained: make(chan struct{}), stopIn: c.StopTimeout}
 	cfg := admission.Config{
 		Cores: c.Settings.Cores, Memory: int64(c.Settings.MemoryKB * 1024), MaxBody: 4096,
 		DrainGrace: c.Settings.DrainGrace, Seed: 1,
@@ -202,7 +203,7 @@
 	name    string
 	caller  fakes.Caller
 	address func(*world) string
-	world   func(testing.TB, func(*server.Config)) *world
+	world   func(testing.TB, func(*config.Config)) *world
 }
 
 // daemon's fronts are the app server's own; the last of fronts is the library's
@@ -235,7 +236,7 @@
 // over every protocol.
 var scenarios = []struct {
 	name   string
-	config func(*server.Config)
+	config func(*config.Config)
 	want   string
 	play   func(t *testing.T, w *world, f front) string
 }{
@@ -326,16 +327,16 @@
 	return o.Kind + " " + o.Body
 }
 
-func noRoom(c *server.Config) { c.Settings.MemoryKB = 10 }
+func noRoom(c *config.Config) { c.Settings.MemoryKB = 10 }
 
-func shortDeadline(c *server.Config) {
+func shortDeadline(c *config.Config) {
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].LatencyObjective, c.Settings.Classes[i].Deadline = time.Second, 1500*time.Millisecond
 	}
 }
 
-func shortGrace(c *server.Config) {
-	c.Settings.DrainGrace, c.Stop = time.Second, 5*time.Second
+func shortGrace(c *config.Config) {
+	c.Settings.DrainGrace, c.StopTimeout = time.Second, 5*time.Second
 }
 
 // waitReport waits until the announce service has heard of a change, or the
--- a/server/tenants_test.go
+++ b/server/tenants_test.go
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/internal/dispatchtest"
 	"quincerail.example/quincerail/internal/fakes"
-	"quincerail.example/quincerail/server"
 )
 
 // withTenants gives the settings of the example that has tenants, whose callers tell
 // how long they wait, changed in places. The addresses stay.
-func withTenants(t testing.TB, change ...string) func(*server.Config) {
-	return func(c *server.Config) {
+func withTenants(t testing.TB, change ...string) func(*config.Config) {
+	return func(c *config.Config) {
 		text := dispatchtest.Example(t, "tenants.json")
-		next := must(server.ParseConfig(strings.NewReplacer(change...).Replace(text)))(t)
+		next := must(config.Parse(strings.NewReplacer(change...).Replace(text)))(t)
 		next.Listen, next.Control, next.Processor, next.Ledger, next.Announce =
 			c.Listen, c.Control, c.Processor, c.Ledger, c.Announce
 		*c = *next
@@ -105,8 +105,8 @@
 // TestFeedback: every answer and health check carries the free value, a number of 0 or
 // more, while the settings have one, and none once new settings have none.
 func TestFeedback(t *testing.T) {
-	var running server.Config
-	w := newWorld(t, func(c *server.Config) {
+	var running config.Config
+	w := newWorld(t, func(c *config.Config) {
 		withTenants(t)(c)
 		running = *c
 	})
--- a/server/uwsgi.go
+++ b/server/uwsgi.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/describe"
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/match"
@@ -35,21 +36,21 @@
 
 // uwsgiSettings is the configuration in force, which a reload replaces.
 type uwsgiSettings struct {
-	*UWSGIConfig
+	*config.UWSGI
 	table *describe.Table
 }
 
-func newUWSGIFront(core *dispatch.Core, backend dispatch.Backend, config *UWSGIConfig, rules *match.Rules) *uwsgiFront {
+func newUWSGIFront(core *dispatch.Core, backend dispatch.Backend, settings *config.UWSGI, rules *match.Rules) *uwsgiFront {
 	f := &uwsgiFront{core: core, rules: rules, backend: backend, conns: newRegistry[*uwsgiConn]()}
-	f.reload(config)
+	f.reload(settings)
 	return f
 }
 
 // reload takes over a configuration for the requests to come. It tells whether
 // another address to listen on was asked for, which needs a restart.
-func (f *uwsgiFront) reload(config *UWSGIConfig) (listenChanged bool) {
-	was := f.now.Swap(&uwsgiSettings{config, config.routes().Compile()})
-	return was != nil && was.Listen != config.Listen
+func (f *uwsgiFront) reload(settings *config.UWSGI) (listenChanged bool) {
+	was := f.now.Swap(&uwsgiSettings{settings, settings.RouteTable()})
+	return was != nil && was.Listen != settings.Listen
 }
 
 // uwsgiConn is one connection and its request.
