--- a/server/program.go
+++ b/server/program.go
@@ -169,9 +169,9 @@
 			watch.watchFleet(member)
 		}
 	}
-	var budgeted *downstream.Budgeted
+	var budgeted *downstream.QuotaLimiter
 	if member != nil && member.QuotaAgent(fleet.Calls) != nil {
-		budgeted = downstream.NewBudgeted(pool, member.QuotaAgent(fleet.Calls), func() time.Duration { return c.Settings.AbandonedCallDuration })
+		budgeted = downstream.NewQuotaLimiter(pool, member.QuotaAgent(fleet.Calls), func() time.Duration { return c.Settings.AbandonedCallDuration })
 		opt.Dependency = budgeted
 	}
 	core, err := dispatch.New(opt)
@@ -185,7 +185,7 @@
 		pool.Attach(budgeted)
 	}
 	if member != nil {
-		downstream.Bound(core, member)
+		downstream.ApplyFleetBounds(core, member)
 	}
 	if watch != nil {
 		watch.core.Store(core)
@@ -326,7 +326,7 @@
 	var l net.Listener
 	var err error
 	if fd != 0 {
-		l, err = transport.Inherit(fd)
+		l, err = transport.InheritListener(fd)
 	} else {
 		l, err = net.Listen("tcp", address)
 	}
