--- a/server/announce_test.go
+++ b/discovery/registrar_test.go
@@ -1,4 +1,4 @@
-package server
+package discovery
 
 import (
 	"bufio"
@@ -15,21 +15,21 @@
 	"time"
 )
 
-// registryPeer plays the announce service for an announcer: at addresses that
+// discoveryService plays the discovery service for a Registrar: at addresses that
 // begin with "silent" it takes no connection, elsewhere each report is answered
 // with the status, or not at all for 0.
-type registryPeer struct {
-	*announcer
+type discoveryService struct {
+	*Registrar
 	reports chan string // address and body
 	status  func(n int) int
 	n       atomic.Int64 // reports answered
 }
 
-func playAnnounce(t *testing.T, play func(t *testing.T, p *registryPeer)) {
+func playReports(t *testing.T, play func(t *testing.T, p *discoveryService)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		p := &registryPeer{newAnnouncer("n1", slog.Default()), make(chan string, 99), func(int) int { return http.StatusNoContent }, atomic.Int64{}}
-		p.connect = func(ctx context.Context, address string) (net.Conn, error) {
+		p := &discoveryService{NewRegistrar("n1", slog.Default()), make(chan string, 99), func(int) int { return http.StatusNoContent }, atomic.Int64{}}
+		p.dial = func(ctx context.Context, address string) (net.Conn, error) {
 			if strings.HasPrefix(address, "silent") {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -39,15 +39,15 @@
 			return near, nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		go p.run(ctx, "here")
+		go p.Run(ctx, "here")
 		play(t, p)
 		cancel()
 		time.Sleep(time.Minute)
 	})
 }
 
-func (p *registryPeer) serve(far net.Conn, address string) {
-	defer far.Close()
+func (p *discoveryService) serve(far net.Conn, address string) {
+	defer func() { _ = far.Close() }()
 	for r := bufio.NewReader(far); ; {
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -56,13 +56,15 @@
 		body, _ := io.ReadAll(req.Body)
 		p.reports <- address + " " + string(body)
 		if status := p.status(int(p.n.Add(1) - 1)); status != 0 {
-			fmt.Fprintf(far, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status)
+			if _, err := fmt.Fprintf(far, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status); err != nil {
+				return
+			}
 		}
 	}
 }
 
 // want checks the next report, and that it comes within a time.
-func (p *registryPeer) want(t *testing.T, address, word string, within time.Duration) {
+func (p *discoveryService) want(t *testing.T, address, word string, within time.Duration) {
 	t.Helper()
 	began := time.Now()
 	if got := <-p.reports; !strings.HasPrefix(got, address) || !strings.Contains(got, word) {
@@ -78,15 +80,15 @@
 // against a service that falls silent: the next report goes out at once, and to
 // where the service is by then.
 func TestAnnounceHurries(t *testing.T) {
-	playAnnounce(t, func(t *testing.T, p *registryPeer) {
+	playReports(t, func(t *testing.T, p *discoveryService) {
 		p.status = func(int) int { return 0 }
 		p.SetAccepting(true)
 		p.want(t, "here", "true", 0)
 		p.SetAccepting(false)
 		p.want(t, "here", "false", 0)
-		p.move("silent")
+		p.SetAddress("silent")
 		synctest.Wait()
-		p.move("there")
+		p.SetAddress("there")
 		p.want(t, "there", "false", 0)
 	})
 }
@@ -94,9 +96,9 @@
 // TestAnnounceSaysNothingAtFirst: a server is not called ready, nor is it taken
 // off the list, before it knows that it can serve.
 func TestAnnounceSaysNothingAtFirst(t *testing.T) {
-	playAnnounce(t, func(t *testing.T, p *registryPeer) {
+	playReports(t, func(t *testing.T, p *discoveryService) {
 		time.Sleep(5 * time.Second)
-		p.move("there")
+		p.SetAddress("there")
 		time.Sleep(5 * time.Second)
 		if len(p.reports) > 0 {
 			t.Errorf("a report before it can serve: %s", <-p.reports)
@@ -109,7 +111,7 @@
 // TestAnnounceRepeatsWhatDidNotCount: a report that is answered with anything but
 // 204 is made again soon, the sooner the newer the trouble.
 func TestAnnounceRepeatsWhatDidNotCount(t *testing.T) {
-	playAnnounce(t, func(t *testing.T, p *registryPeer) {
+	playReports(t, func(t *testing.T, p *discoveryService) {
 		p.status = func(n int) int {
 			if n < 3 {
 				return http.StatusServiceUnavailable
@@ -118,9 +120,9 @@
 		}
 		p.SetAccepting(false)
 		p.want(t, "here", "false", 0)
-		for wait := retryFirst; wait <= 4*retryFirst; wait *= 2 {
+		for wait := firstRetryBackoff; wait <= 4*firstRetryBackoff; wait *= 2 {
 			p.want(t, "here", "false", wait)
 		}
-		p.want(t, "here", "false", reportEvery) // the last one counted
+		p.want(t, "here", "false", reportInterval) // the last one counted
 	})
 }
--- /dev/null
+++ b/metrics/fleet.go
@@ -0,0 +1,74 @@
+package metrics
+
+import (
+	"github.com/prometheus/client_golang/prometheus"
+
+	"quincerail.example/quincerail/fleet"
+)
+
+// dependencyStates are the values of quincerail_fleet_dependency; 0 stands for unknown.
+var dependencyStates = map[fleet.State]float64{fleet.Good: 1, fleet.Slow: 2, fleet.Down: 3}
+
+// ObserveFleet adds the counts of a member of a fleet.
+func (r *Recorder) ObserveFleet(member *fleet.Fleet) {
+	gauge := func(name, help string, value func(fleet.Stats) float64) prometheus.Collector {
+		return newGauge(name, help, nil, func() float64 { return value(member.Stats()) })
+	}
+	counter := func(name, help string, value func(fleet.Stats) float64) prometheus.Collector {
+		return newCounter(name, help, nil, func() float64 { return value(member.Stats()) })
+	}
+	r.registry.MustRegister(
+		gauge("quincerail_fleet_alive", "Members of the fleet that are thought to be alive.",
+			func(s fleet.Stats) float64 { return float64(s.Alive) }),
+		gauge("quincerail_fleet_owner", "1 while this process owns the lease on the registry's judgement.",
+			func(s fleet.Stats) float64 { return oneIf(s.Owner) }),
+		gauge("quincerail_fleet_dependency", "How the shared dependency stands: 0 unknown, 1 good, 2 slow, 3 down.",
+			func(s fleet.Stats) float64 { return dependencyStates[s.State] }),
+		counter("quincerail_fleet_messages_total", "Messages sent to other members.",
+			func(s fleet.Stats) float64 { return float64(s.Messages) }),
+		counter("quincerail_fleet_bytes_total", "Bytes sent to other members.",
+			func(s fleet.Stats) float64 { return float64(s.Bytes) }),
+		counter("quincerail_fleet_stale_total", "Pieces of fleet work refused for their token.",
+			func(s fleet.Stats) float64 { return float64(s.Stale) }),
+	)
+	for _, budget := range []string{fleet.Calls, fleet.Repeats} {
+		if member.QuotaAgent(budget) != nil {
+			r.observeBudget(member, budget)
+		}
+	}
+	if calls := member.QuotaAgent(fleet.Calls); calls != nil {
+		r.observeFleetAnswers(calls)
+	}
+}
+
+func oneIf(on bool) float64 {
+	if on {
+		return 1
+	}
+	return 0
+}
+
+// observeBudget adds what a member holds of one of the fleet's budgets.
+func (r *Recorder) observeBudget(member *fleet.Fleet, budget string) {
+	labels := prometheus.Labels{labelBudget: budget}
+	r.registry.MustRegister(
+		newGauge("quincerail_fleet_rights", "What this member may have in hand of the fleet's budget.",
+			labels, func() float64 { return float64(member.Stats().Budgets[budget].Rights) }),
+		newGauge("quincerail_fleet_in_hand", "What this member has in hand of the fleet's budget.",
+			labels, func() float64 { return float64(member.Stats().Budgets[budget].InHand) }),
+		newGauge("quincerail_fleet_free", "What of the fleet's budget nobody holds, by a voter's log.",
+			labels, func() float64 { return float64(member.Stats().Budgets[budget].Free) }),
+	)
+}
+
+// observeFleetAnswers counts this process's answers for the whole fleet, and adds the
+// fleet's sums.
+func (r *Recorder) observeFleetAnswers(counters *fleet.QuotaAgent) {
+	r.countFleetAnswer = counters.AddToCounter
+	for _, kind := range answerKinds {
+		labels := prometheus.Labels{labelKind: kind.String()}
+		r.registry.MustRegister(
+			newGauge("quincerail_fleet_answers", "Final answers of the whole fleet, as far as this member has heard.",
+				labels, func() float64 { return float64(counters.CounterValue(kind.String())) }))
+	}
+}
--- /dev/null
+++ b/metrics/metrics_test.go
@@ -0,0 +1,70 @@
+package metrics
+
+import (
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/guard"
+	"quincerail.example/quincerail/logging"
+	"quincerail.example/quincerail/transport"
+)
+
+// scrape returns the lines of /metrics that are no comments.
+func scrape(t *testing.T, r *Recorder) string {
+	t.Helper()
+	w := httptest.NewRecorder()
+	r.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
+	if w.Code != http.StatusOK {
+		t.Fatalf("status %d", w.Code)
+	}
+	return w.Body.String()
+}
+
+// TestNames keeps the names, labels and values of the collectors, on which the
+// operators' dashboards rely.
+func TestNames(t *testing.T) {
+	r := NewRecorder()
+	monitor := guard.NewMonitor(logging.Discard())
+	r.ObserveRules(monitor)
+	r.SetClasses([]string{"page", "gift"})
+	r.ObserveResponse("page", dispatch.Served, 200*time.Millisecond, true)
+	r.ObserveResponse("gift", dispatch.Shed, 0, false)
+	monitor.Denied(guard.LateAnswer, errors.New("late"), "")
+	r.ConnectionEnded(transport.Ending{Reason: transport.Idle, PartialBytes: 2, DiscardedBytes: 3}, 4)
+	got := scrape(t, r)
+	for _, line := range []string{
+		`quincerail_answers_total{class="page",kind="served"} 1`,
+		`quincerail_answers_total{class="gift",kind="refused"} 1`,
+		`quincerail_repeats_total{class="page"} 1`,
+		`quincerail_answer_seconds_bucket{class="page",kind="served",le="0.1"} 0`,
+		`quincerail_answer_seconds_bucket{class="page",kind="served",le="0.25"} 1`,
+		`quincerail_answer_seconds_sum{class="page",kind="served"} 0.2`,
+		`quincerail_connections_ended_total{reason="idle"} 1`,
+		`quincerail_unanswered_at_end_total{reason="idle"} 4`,
+		`quincerail_discarded_bytes_total{reason="idle"} 5`,
+		`quincerail_rule_violations_total{rule="late_answer"} 0`,
+		`quincerail_rule_denials_total{rule="late_answer"} 1`,
+		`quincerail_open_requests 0`,
+	} {
+		if !strings.Contains(got, line+"\n") {
+			t.Errorf("no line %s in\n%s", line, got)
+		}
+	}
+}
+
+// TestSetClasses drops the counts of a class that is gone, and keeps the others.
+func TestSetClasses(t *testing.T) {
+	r := NewRecorder()
+	r.SetClasses([]string{"page", "gift"})
+	r.ObserveResponse("page", dispatch.Served, 0, true)
+	r.ObserveResponse("gift", dispatch.Served, 0, false)
+	r.SetClasses([]string{"gift", "book"})
+	if got := scrape(t, r); strings.Contains(got, `class="page"`) || !strings.Contains(got, `class="gift"`) {
+		t.Errorf("after page is gone:\n%s", got)
+	}
+}
--- a/server/program.go
+++ b/server/program.go
@@ -17,12 +17,14 @@
 	"quincerail.example/quincerail/backend"
 	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/decision"
+	"quincerail.example/quincerail/discovery"
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/downstream"
 	"quincerail.example/quincerail/fleet"
 	"quincerail.example/quincerail/guard"
 	"quincerail.example/quincerail/idempotency/journal"
 	"quincerail.example/quincerail/match"
+	"quincerail.example/quincerail/metrics"
 	"quincerail.example/quincerail/transport"
 )
 
@@ -71,7 +73,7 @@
 	core          *dispatch.Core
 	link          *backend.Processor
 	pool          *downstream.Pool
-	presence      *announcer
+	registrar     *discovery.Registrar
 	thrift        *thriftFront
 	uwsgi         *uwsgiFront // nil where it is off, like its backend
 	backend       *backend.UWSGI
@@ -84,13 +86,13 @@
 	log           *slog.Logger
 	monitor       *guard.Monitor // of the platform's rules
 	metricsAddr   net.Addr
-	operators     []*http.Server  // the operator's own listeners
-	fleet         *fleet.Fleet    // nil where there is none
-	tally         *tally          // nil without a fleet
-	watch         *metrics        // nil without the operator's listener for them
-	reloading     sync.Mutex      // one at a time
-	file          *config.Config  // the configuration as its file says
-	patch         json.RawMessage // what the fleet changes of its settings
+	operators     []*http.Server    // the operator's own listeners
+	fleet         *fleet.Fleet      // nil where there is none
+	tally         *tally            // nil without a fleet
+	recorder      *metrics.Recorder // nil without the operator's listener for them
+	reloading     sync.Mutex        // one at a time
+	file          *config.Config    // the configuration as its file says
+	patch         json.RawMessage   // what the fleet changes of its settings
 	serving       atomic.Bool
 	stopReporting context.CancelFunc // ends the reports
 	stop          context.CancelFunc
@@ -109,22 +111,23 @@
 		logger = slog.Default()
 	}
 	link, pool := backend.NewProcessor(c.Processor, c.Gauges, logger), downstream.NewPool(c.Ledger)
-	presence, idle := newAnnouncer(c.Name, logger), &idleLimit{}
+	registrar, idle := discovery.NewRegistrar(c.Name, logger), &idleLimit{}
 	idle.SetIdleTimeout(c.Settings.MaxIdleTime)
 	monitor := guard.NewMonitor(logger)
 	opt := dispatch.Options{
 		Monitor: monitor, Settings: c.Settings, Classes: c.Classes, Tenants: c.Tenants, Seed: c.Seed, Logger: logger,
-		Backend: link, Machine: link, Dependency: pool, Registrar: presence, Connections: idle,
+		Backend: link, Machine: link, Dependency: pool, Registrar: registrar, Connections: idle,
 		MaxKeyTableBytes: c.MemoryMB << 20 / keysShare,
 	}
-	var watch *metrics
+	var recorder *metrics.Recorder
+	var connections connectionObserver
 	var counted *tally
 	var watching observers
 	if c.MetricsListen != "" {
-		watch = newMetrics()
-		watch.tune(c.Classes)
-		watch.watchRules(monitor)
-		watching = append(watching, watch)
+		recorder = metrics.NewRecorder()
+		recorder.SetClasses(c.Classes)
+		recorder.ObserveRules(monitor)
+		watching, connections = append(watching, recorder), recorder
 	}
 	if c.Fleet != nil && c.Fleet.Window > 0 {
 		counted = &tally{}
@@ -165,8 +168,8 @@
 		if member, err = fleet.Start(*c.Fleet); err != nil {
 			return nil, err
 		}
-		if watch != nil {
-			watch.watchFleet(member)
+		if recorder != nil {
+			recorder.ObserveFleet(member)
 		}
 	}
 	var budgeted *downstream.QuotaLimiter
@@ -187,16 +190,16 @@
 	if member != nil {
 		downstream.ApplyFleetBounds(core, member)
 	}
-	if watch != nil {
-		watch.core.Store(core)
+	if recorder != nil {
+		recorder.SetCore(core)
 	}
 	rules := &match.Rules{}
 	if c.Rules != nil {
 		rules.Replace(c.Rules)
 	}
 	s = &Server{
-		core: core, link: link, pool: pool, presence: presence, thrift: newThriftFront(core, rules, logger, watch, monitor), idle: idle,
-		rules: rules, keys: keys, log: logger, monitor: monitor, fleet: member, tally: counted, watch: watch, file: c,
+		core: core, link: link, pool: pool, registrar: registrar, thrift: newThriftFront(core, rules, logger, connections, monitor), idle: idle,
+		rules: rules, keys: keys, log: logger, monitor: monitor, fleet: member, tally: counted, recorder: recorder, file: c,
 	}
 	s.config.Store(c)
 	if err := s.listen("listen", c.Listen, c.ListenFD, int(float64(c.Sockets)*frontShare), s.thrift); err != nil {
@@ -217,7 +220,7 @@
 			return nil, err
 		}
 	}
-	if err := s.listenHTTP(c, watch); err != nil {
+	if err := s.listenHTTP(c, recorder); err != nil {
 		return nil, err
 	}
 	if s.control != nil {
@@ -242,9 +245,9 @@
 }
 
 // listenHTTP opens the operator's own listeners, as far as there are any.
-func (s *Server) listenHTTP(c *config.Config, watch *metrics) error {
-	if watch != nil {
-		hs, addr, err := serveHTTP("metrics", c.MetricsListen, watch.handler(), s.log)
+func (s *Server) listenHTTP(c *config.Config, recorder *metrics.Recorder) error {
+	if recorder != nil {
+		hs, addr, err := serveHTTP("metrics", c.MetricsListen, recorder.Handler(), s.log)
 		if err != nil {
 			return err
 		}
@@ -286,7 +289,7 @@
 		return
 	}
 	ctx, s.stopReporting = context.WithCancel(ctx)
-	go s.presence.run(ctx, c.Announce)
+	go s.registrar.Run(ctx, c.Announce)
 	for _, d := range s.listeners {
 		go d.server.Serve()
 		s.log.Info("listening", "name", c.Name, "address", d.server.Addr().String())
--- a/server/reload.go
+++ b/server/reload.go
@@ -38,7 +38,7 @@
 	Limit(c)
 	s.link.SetAddress(c.Processor)
 	s.pool.SetAddress(c.Ledger)
-	s.presence.move(c.Announce)
+	s.registrar.SetAddress(c.Announce)
 	if c.Rules != nil && c.Rules != was.Rules {
 		s.log.Info("rules", "version", s.rules.Replace(c.Rules), "rules", c.Rules.Len())
 	}
@@ -58,8 +58,8 @@
 	if s.tally != nil {
 		s.tally.tune(c.Classes, c.Settings)
 	}
-	if s.watch != nil {
-		s.watch.tune(c.Classes)
+	if s.recorder != nil {
+		s.recorder.SetClasses(c.Classes)
 	}
 	s.config.Store(c)
 	s.log.Info("reloaded", "processor", c.Processor, "ledger", c.Ledger, "announce", c.Announce, "classes", fmt.Sprintf("%q", c.Classes))
--- a/server/thrift.go
+++ b/server/thrift.go
@@ -23,6 +23,12 @@
 	crowdedLeave = 100 * time.Millisecond  // and one that was asked to is ended after so long
 )
 
+// connectionObserver is told of each end of a connection, with the number of requests on
+// it that had no answer then.
+type connectionObserver interface {
+	ConnectionEnded(end transport.Ending, unanswered int)
+}
+
 // thriftFront is the front for the balancers' protocol.
 type thriftFront struct {
 	core  *dispatch.Core
@@ -30,7 +36,7 @@
 	log   *slog.Logger
 	conns registry[*thriftConn]
 
-	observer *metrics // nil where there is no listener for them
+	observer connectionObserver // nil for none
 	monitor  *guard.Monitor
 
 	leaving   atomic.Bool               // leave is taken of all, also of those that come now
@@ -39,7 +45,7 @@
 	roomMade  time.Time
 }
 
-func newThriftFront(core *dispatch.Core, rules *match.Rules, log *slog.Logger, observer *metrics, monitor *guard.Monitor) *thriftFront {
+func newThriftFront(core *dispatch.Core, rules *match.Rules, log *slog.Logger, observer connectionObserver, monitor *guard.Monitor) *thriftFront {
 	return &thriftFront{core: core, rules: rules, log: log, observer: observer, monitor: monitor, conns: newRegistry[*thriftConn]()}
 }
 
@@ -73,7 +79,9 @@
 // connection, requests are lost.
 func (f *thriftFront) ended(c *transport.Conn, lost []string) {
 	end := c.End()
-	f.observer.connectionEnded(end, len(lost))
+	if f.observer != nil {
+		f.observer.ConnectionEnded(end, len(lost))
+	}
 	if end.Reason != transport.PeerFailed && len(lost) > 0 && end.UnsentBytes > 0 {
 		f.monitor.Violated(guard.LostRequest, "peer", c.PeerAddr(), "reason", string(end.Reason))
 	}
@@ -164,3 +172,10 @@
 	}
 	f.newcomers, f.roomMade = 0, time.Now()
 }
+
+func errorText(err error) string {
+	if err == nil {
+		return ""
+	}
+	return err.Error()
+}
