--- a/server/golden_test.go
+++ b/admin/golden_test.go
@@ -1,4 +1,4 @@
-package server
+package admin
 
 import (
 	"bytes"
@@ -12,16 +12,8 @@
 	"quincerail.example/quincerail/fleet/lease"
 	"quincerail.example/quincerail/fleet/rollout"
 	"quincerail.example/quincerail/internal/golden"
-	"quincerail.example/quincerail/logging"
 )
 
-// TestHandoverSocketName keeps the name by which a process finds the one before it.
-func TestHandoverSocketName(t *testing.T) {
-	if d := newHandoverDoor(nil, "app-1", logging.Discard()); d.name != "quincerail-app-1.sock" {
-		t.Errorf("the socket is named %s", d.name)
-	}
-}
-
 // goldenChange is what operators are told of a rollout.
 func goldenChange() fleet.ChangeStatus {
 	plan := &rollout.Plan{
@@ -50,9 +42,9 @@
 		{Voter: consensus.Voter{Name: "v4", Address: "10.0.0.4:7000", Learner: true}},
 	}
 	for name, v := range map[string]any{"changes.json": goldenChange(), "changes-none.json": fleet.ChangeStatus{}, "voters.json": voters} {
-		door := &fleetDoor{tell: func() (any, error) { return v, nil }}
+		endpoint := &resource{get: func() (any, error) { return v, nil }}
 		w := httptest.NewRecorder()
-		door.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", nil))
+		endpoint.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", nil))
 		if kind := w.Header().Get("Content-Type"); w.Code != http.StatusOK || kind != "application/json" {
 			t.Errorf("%s: %d, %s", name, w.Code, kind)
 		}
@@ -75,12 +67,12 @@
 		json.Marshal, json.Unmarshal)
 	golden.RoundTrip(t, "add-voter.json", VoterRequest{Name: "v4", Address: "10.0.0.4:7000"}, json.Marshal, json.Unmarshal)
 	noVoter := &fleet.Fleet{}
-	for name, door := range map[string]http.Handler{
-		"start-program.json": newChangesDoor(noVoter), "start-settings.json": newChangesDoor(noVoter),
-		"add-voter.json": newVotersDoor(noVoter),
+	for name, handler := range map[string]http.Handler{
+		"start-program.json": NewRolloutHandler(noVoter), "start-settings.json": NewRolloutHandler(noVoter),
+		"add-voter.json": NewVoterHandler(noVoter),
 	} {
 		w := httptest.NewRecorder()
-		door.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", bytes.NewReader(golden.Bytes(t, name))))
+		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", bytes.NewReader(golden.Bytes(t, name))))
 		if w.Code != http.StatusMisdirectedRequest {
 			t.Errorf("%s: %d: %s", name, w.Code, w.Body)
 		}
--- a/cmd/quincerail/rollout.go
+++ b/cmd/quincerail/rollout.go
@@ -14,9 +14,9 @@
 
 	"github.com/BurntSushi/toml"
 
+	"quincerail.example/quincerail/admin"
 	"quincerail.example/quincerail/fleet"
 	"quincerail.example/quincerail/fleet/rollout"
-	"quincerail.example/quincerail/server"
 )
 
 // rolloutCmd is what operators ask of a fleet's rollouts, at one of its voters.
@@ -26,8 +26,6 @@
 	Halt   rolloutHaltCmd   `cmd:"" help:"Halt the rollout under way: its servers go back."`
 }
 
-const changesPath = "/changes"
-
 type rolloutStatusCmd struct {
 	voter
 	JSON bool `name:"json" help:"As JSON, for programs that start others."`
@@ -36,7 +34,7 @@
 // Run implements the sub-command.
 func (c *rolloutStatusCmd) Run() error {
 	var s fleet.ChangeStatus
-	if err := c.call(http.MethodGet, changesPath, nil, nil, &s); err != nil {
+	if err := c.call(http.MethodGet, admin.PathRollouts, nil, nil, &s); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -92,11 +90,11 @@
 	if err != nil {
 		return err
 	}
-	return c.call(http.MethodPost, changesPath, nil, r, nil)
+	return c.call(http.MethodPost, admin.PathRollouts, nil, r, nil)
 }
 
-func (c *rolloutStartCmd) request() (server.ChangeRequest, error) {
-	r := server.ChangeRequest{Plan: rollout.Plan{
+func (c *rolloutStartCmd) request() (admin.ChangeRequest, error) {
+	r := admin.ChangeRequest{Plan: rollout.Plan{
 		ID: c.ID, Kind: rollout.Program, From: c.From, To: c.To,
 		Stages: rollout.DefaultStages(), MinWatchWindows: defaultWatch, MaxWatchWindows: defaultWatchMost,
 		WarmUpWindows: defaultWarm, Limits: rollout.DefaultLimits(),
@@ -149,5 +147,5 @@
 
 // Run implements the sub-command.
 func (c *rolloutHaltCmd) Run() error {
-	return c.call(http.MethodDelete, changesPath, url.Values{"id": {c.ID}, "reason": {c.Reason}}, nil, nil)
+	return c.call(http.MethodDelete, admin.PathRollouts, url.Values{"id": {c.ID}, "reason": {c.Reason}}, nil, nil)
 }
--- a/cmd/quincerail/voters.go
+++ b/cmd/quincerail/voters.go
@@ -7,8 +7,8 @@
 	"os"
 	"text/tabwriter"
 
+	"quincerail.example/quincerail/admin"
 	"quincerail.example/quincerail/fleet"
-	"quincerail.example/quincerail/server"
 )
 
 // votersCmd is what operators ask of a fleet's voters, at one of them.
@@ -18,14 +18,12 @@
 	Remove votersRemoveCmd `cmd:"" help:"Remove a voter for good: it may come back under another name only."`
 }
 
-const votersPath = "/voters"
-
 type votersListCmd struct{ voter }
 
 // Run implements the sub-command.
 func (c *votersListCmd) Run() error {
 	var voters []fleet.VoterStatus
-	if err := c.call(http.MethodGet, votersPath, nil, nil, &voters); err != nil {
+	if err := c.call(http.MethodGet, admin.PathVoters, nil, nil, &voters); err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
@@ -48,7 +46,7 @@
 
 // Run implements the sub-command.
 func (c *votersAddCmd) Run() error {
-	return c.call(http.MethodPost, votersPath, nil, server.VoterRequest{Name: c.Name, Address: c.Raft}, nil)
+	return c.call(http.MethodPost, admin.PathVoters, nil, admin.VoterRequest{Name: c.Name, Address: c.Raft}, nil)
 }
 
 type votersRemoveCmd struct {
@@ -58,5 +56,5 @@
 
 // Run implements the sub-command.
 func (c *votersRemoveCmd) Run() error {
-	return c.call(http.MethodDelete, votersPath, url.Values{"name": {c.Name}}, nil, nil)
+	return c.call(http.MethodDelete, admin.PathVoters, url.Values{"name": {c.Name}}, nil, nil)
 }
--- a/server/changes.go
+++ b/server/changes.go
@@ -1,21 +1,18 @@
 package server
 
 import (
-	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
 	"net"
 	"net/http"
-	"net/url"
 	"sync"
 	"time"
 
 	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/dispatch"
-	"quincerail.example/quincerail/fleet"
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
@@ -108,92 +105,6 @@
 	return c.CheckClasses(s.file)
 }
 
-// askWithin is how long the fleet's log may take to take an operator's order.
-const askWithin = 5 * time.Second
-
-// ChangeRequest is what operators send to start a rollout: a plan, with the
-// settings for one of settings.
-type ChangeRequest struct {
-	Plan     rollout.Plan    `json:"plan"`
-	Settings json.RawMessage `json:"settings,omitempty"`
-}
-
-// newChangesDoor is where operators call about rollouts, at the path /changes: GET
-// a fleet.ChangeStatus, POST a ChangeRequest, DELETE halts the plan of the query's
-// id, with its reason.
-func newChangesDoor(f *fleet.Fleet) *fleetDoor {
-	return &fleetDoor{
-		tell:     func() (any, error) { return f.Change() },
-		mostBody: 4 << 20,
-		begin: func(ctx context.Context, body *json.Decoder) error {
-			var c ChangeRequest
-			body.DisallowUnknownFields()
-			if err := body.Decode(&c); err != nil {
-				return badBody{err}
-			}
-			return f.StartChange(ctx, c.Plan, c.Settings)
-		},
-		end: func(ctx context.Context, query url.Values) error {
-			return f.StopChange(ctx, query.Get("id"), query.Get("reason"))
-		},
-	}
-}
-
-// fleetDoor is where operators call about something of the fleet, over HTTP: GET tells
-// how it stands, in JSON, POST begins something, DELETE ends it. 409 and a line say why
-// an order was turned down; 400 that it makes no sense; 421 that this process is no
-// voter; 503 that the fleet's log does not take orders now.
-type fleetDoor struct {
-	tell     func() (any, error)
-	mostBody int64 // bytes that POST brings
-	begin    func(ctx context.Context, body *json.Decoder) error
-	end      func(ctx context.Context, query url.Values) error
-}
-
-// badBody is why an order makes no sense.
-type badBody struct{ error }
-
-// ServeHTTP implements http.Handler.
-func (d *fleetDoor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), askWithin)
-	defer cancel()
-	var err error
-	switch r.Method {
-	case http.MethodGet:
-		var v any
-		if v, err = d.tell(); err == nil {
-			w.Header().Set("Content-Type", "application/json")
-			json.NewEncoder(w).Encode(v) // to one who has left, if it fails
-			return
-		}
-	case http.MethodPost:
-		err = d.begin(ctx, json.NewDecoder(http.MaxBytesReader(w, r.Body, d.mostBody)))
-	case http.MethodDelete:
-		err = d.end(ctx, r.URL.Query())
-	default:
-		w.Header().Set("Allow", "GET, POST, DELETE")
-		http.Error(w, r.Method, http.StatusMethodNotAllowed)
-		return
-	}
-	answer(w, err)
-}
-
-// answer tells what came of an operator's order.
-func answer(w http.ResponseWriter, err error) {
-	switch {
-	case err == nil:
-		w.WriteHeader(http.StatusNoContent)
-	case errors.As(err, &badBody{}):
-		http.Error(w, err.Error(), http.StatusBadRequest)
-	case errors.Is(err, fleet.ErrNoVoter):
-		http.Error(w, err.Error(), http.StatusMisdirectedRequest)
-	case errors.Is(err, context.DeadlineExceeded):
-		http.Error(w, err.Error(), http.StatusServiceUnavailable)
-	default:
-		http.Error(w, err.Error(), http.StatusConflict)
-	}
-}
-
 // serveHTTP serves an operators' listener until the server is closed; event names
 // it in the log.
 func serveHTTP(event, address string, h http.Handler, log *slog.Logger) (*http.Server, net.Addr, error) {
--- a/server/drain.go
+++ b/server/drain.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"quincerail.example/quincerail/guard"
+	"quincerail.example/quincerail/handover"
 )
 
 // Drain follows the notice to leave, and returns when the process may end. It
@@ -26,7 +27,7 @@
 	defer s.closeKeys() // once the core has stopped
 	defer s.stop()
 	if s.handover != nil {
-		if p := s.handover.takenOver(); p != nil {
+		if p := s.handover.Successor(); p != nil {
 			s.handOver(p)
 			return
 		}
@@ -202,7 +203,7 @@
 // and returns when all that is open here is answered and the callers have closed
 // their connections, or just before this process is killed. It says nothing of
 // leaving to the announce service: the other one's word holds.
-func (s *Server) handOver(p *peer) {
+func (s *Server) handOver(p *handover.Peer) {
 	inForce := s.config.Load()
 	stopAt := s.core.DrainNoticeTime().Add(inForce.KillDelay())
 	settled := s.core.HandOver(stopAt)
@@ -232,7 +233,7 @@
 		}
 		break
 	}
-	p.leave()
+	p.Close()
 }
 
 func closedChannel() <-chan struct{} {
--- a/server/program.go
+++ b/server/program.go
@@ -14,6 +14,7 @@
 	"sync/atomic"
 	"time"
 
+	"quincerail.example/quincerail/admin"
 	"quincerail.example/quincerail/backend"
 	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/decision"
@@ -22,6 +23,7 @@
 	"quincerail.example/quincerail/downstream"
 	"quincerail.example/quincerail/fleet"
 	"quincerail.example/quincerail/guard"
+	"quincerail.example/quincerail/handover"
 	"quincerail.example/quincerail/idempotency/journal"
 	"quincerail.example/quincerail/match"
 	"quincerail.example/quincerail/metrics"
@@ -78,11 +80,11 @@
 	uwsgi         *uwsgiFront // nil where it is off, like its backend
 	backend       *backend.UWSGI
 	idle          *idleLimit
-	listeners     []listener        // the first is the platform's
-	control       *transport.Server // where operators call; may be nil
-	handover      *handoverDoor     // nil where the listening socket is not inherited
-	rules         *match.Rules      // the operator's rules, that the fronts ask first
-	keys          *journal.Journal  // where the keys that ran outlive the process; nil where they don't
+	listeners     []listener         // the first is the platform's
+	control       *transport.Server  // where operators call; may be nil
+	handover      *handover.Endpoint // nil where the listening socket is not inherited
+	rules         *match.Rules       // the operator's rules, that the fronts ask first
+	keys          *journal.Journal   // where the keys that ran outlive the process; nil where they don't
 	log           *slog.Logger
 	monitor       *guard.Monitor // of the platform's rules
 	metricsAddr   net.Addr
@@ -211,7 +213,7 @@
 			return nil, fmt.Errorf("control: %w", err)
 		}
 		s.log.Info("control", "address", l.Addr().String())
-		s.control = transport.NewServer(l, controlConns, (&controlDoor{core, &s.serving}).serve, func() {})
+		s.control = transport.NewServer(l, admin.MaxCommandConnections, (&admin.CommandHandler{Core: core, Serving: s.serving.Load}).Serve, func() {})
 	}
 	if u != nil {
 		s.backend = backend.NewUWSGI(core, u.Backend)
@@ -234,7 +236,7 @@
 	if c.ListenFD == 0 {
 		s.open(working, c)
 	} else {
-		s.handover = newHandoverDoor(core, c.Name, logger)
+		s.handover = handover.NewEndpoint(core, c.Name, logger)
 		go s.takeOver(working, c)
 	}
 	if counted != nil {
@@ -254,10 +256,7 @@
 		s.operators, s.metricsAddr = append(s.operators, hs), addr
 	}
 	if c.OperatorsListen != "" && s.fleet != nil {
-		mux := http.NewServeMux()
-		mux.Handle("/changes", newChangesDoor(s.fleet))
-		mux.Handle("/voters", newVotersDoor(s.fleet))
-		hs, _, err := serveHTTP("operators", c.OperatorsListen, mux, s.log)
+		hs, _, err := serveHTTP("operators", c.OperatorsListen, admin.NewHandler(s.fleet), s.log)
 		if err != nil {
 			return err
 		}
@@ -302,19 +301,19 @@
 // Where that process does not tell its keys, any key that is not known here may have run
 // there, and may run there as long as it lives: such keys fail for a window.
 func (s *Server) takeOver(ctx context.Context, c *config.Config) {
-	elder, err := s.handover.meet(ctx)
+	elder, err := s.handover.Connect(ctx)
 	if err != nil && s.core.MarkUnknownKeysInDoubt(time.Now().Add(c.KillDelay()+longestWindow(c.Settings))) != nil {
 		return // it has stopped
 	}
 	if elder != nil { // its connections count with those here
 		s.listeners[0].server.SetLimit(int(float64(c.Sockets) * besideShare))
 		s.open(ctx, c)
-		<-elder.ended
+		<-elder.Ended()
 		s.listeners[0].server.SetLimit(int(float64(c.Sockets) * frontShare))
 	} else {
 		s.open(ctx, c)
 	}
-	server, err := s.handover.open()
+	server, err := s.handover.Listen(ctx)
 	if err != nil { // it serves, but its successor won't know its keys
 		s.log.Warn("handover_failed", "error", err.Error())
 		return
