--- /dev/null
+++ b/frontend/uwsgi/connection_test.go
@@ -0,0 +1,151 @@
+package uwsgi
+
+import (
+	"bufio"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"quincerail.example/quincerail/describe"
+	"quincerail.example/quincerail/internal/frontendtest"
+	"quincerail.example/quincerail/internal/randomsteps"
+	"quincerail.example/quincerail/match"
+	protocol "quincerail.example/quincerail/protocol/uwsgi"
+)
+
+func newFrontend(b *frontendtest.Backend) *Frontend {
+	const keyVariable = "HTTP_IDEMPOTENCY_KEY"
+	routes := describe.Routes{
+		{Method: "POST", Path: "/gavor", Class: "ny-gava", KeyHeader: keyVariable},
+		{Path: "/k/{id}", Class: "kampanjsida", KeyHeader: keyVariable},
+	}
+	return New(Options{
+		Core: b.Core, Backend: b, Rules: &match.Rules{},
+		Config: Config{Routes: routes.Compile(), HealthPath: "/health", MaxBodyBytes: 64},
+	})
+}
+
+// FuzzConnection checks a uwsgi connection against a model: nothing read, half
+// read, whole, answered. However a request is cut up, and whatever wakes the
+// connection, it has one response; half of it has one too when the grace of a
+// drain is over, and none of it has none.
+func FuzzConnection(f *testing.F) {
+	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
+		b := frontendtest.NewBackend(t)
+		front := newFrontend(b)
+		caller, ended := frontendtest.Dial(front.Serve)
+		packet, err := protocol.AppendRequest(nil, []protocol.Var{
+			{Name: "REQUEST_METHOD", Value: "POST"},
+			{Name: "PATH_INFO", Value: "/gavor"},
+			{Name: "HTTP_IDEMPOTENCY_KEY", Value: "k"},
+		}, []byte("10 kr"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		status := make(chan int, 1)
+		go func() {
+			resp, err := protocol.ReadResponse(bufio.NewReader(caller), "POST")
+			if err != nil {
+				resp = &protocol.Response{}
+			}
+			status <- resp.Status
+		}()
+		sent, graceOver := 0, false
+		for s.More() && sent < len(packet) && !graceOver {
+			switch s.Pick(4) {
+			case 0, 1:
+				n := min(len(packet)-sent, 1+s.Pick(40))
+				caller.Send(packet[sent : sent+n])
+				sent += n
+			case 2:
+				front.connections.Each(func(c *connection) { c.conn.Wake() })
+			case 3:
+				graceOver = s.Pick(12) == 0
+			}
+			synctest.Wait()
+		}
+		if graceOver {
+			front.EndGrace()
+		} else if sent < len(packet) {
+			time.Sleep(requestTimeout)
+		}
+		if got, want := <-status, wantStatus(sent, len(packet), graceOver); got != want {
+			t.Errorf("status %d with %d of %d bytes sent, grace over %t, want %d", got, sent, len(packet), graceOver, want)
+		}
+		caller.Disconnect()
+		<-ended
+	})
+}
+
+// wantStatus is the status that a request gets, 0 for none.
+func wantStatus(sentBytes, allBytes int, graceOver bool) int {
+	switch {
+	case sentBytes == 0:
+		return 0
+	case graceOver:
+		return http.StatusServiceUnavailable
+	case sentBytes < allBytes:
+		return http.StatusRequestTimeout
+	}
+	return http.StatusOK
+}
+
+// TestStatuses has requests end in each way.
+func TestStatuses(t *testing.T) {
+	vars := func(method, path, key string) []protocol.Var {
+		v := []protocol.Var{{Name: "REQUEST_METHOD", Value: method}, {Name: "PATH_INFO", Value: path}}
+		if key != "" {
+			v = append(v, protocol.Var{Name: "HTTP_IDEMPOTENCY_KEY", Value: key})
+		}
+		return v
+	}
+	for _, x := range []struct {
+		name   string
+		vars   []protocol.Var
+		body   string
+		status int
+	}{
+		{"served", vars("GET", "/k/jul", ""), "", 200},
+		{"served by URI", []protocol.Var{{Name: "REQUEST_METHOD", Value: "GET"}, {Name: "REQUEST_URI", Value: "/k/jul?x=1"}}, "", 200},
+		{"healthy", vars("GET", "/health", ""), "", 200},
+		{"no route", vars("GET", "/om", ""), "", 404},
+		{"no key", vars("POST", "/gavor", ""), "10 kr", 400},
+		{"too large", vars("POST", "/gavor", "k"), strings.Repeat("x", 65), 413},
+		{"out of time", vars("GET", "/k/jul", ""), frontendtest.HangingBody, 503}, // the module turns safe work away when its time is over
+		{"out of time", vars("POST", "/gavor", "k"), frontendtest.HangingBody, 504},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				b := frontendtest.NewBackend(t)
+				caller, ended := frontendtest.Dial(newFrontend(b).Serve)
+				packet, err := protocol.AppendRequest(nil, x.vars, []byte(x.body))
+				if err != nil {
+					t.Fatal(err)
+				}
+				go caller.Send(packet)
+				resp, err := protocol.ReadResponse(bufio.NewReader(caller), "POST")
+				if err != nil || resp.Status != x.status {
+					t.Errorf("%+v, %v, want status %d", resp, err, x.status)
+				}
+				caller.Disconnect()
+				<-ended
+			})
+		})
+	}
+}
+
+func TestPing(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		b := frontendtest.NewBackend(t)
+		caller, ended := frontendtest.Dial(newFrontend(b).Serve)
+		go caller.Send([]byte{protocol.ModifierPing, 0, 0, 0})
+		pong := make([]byte, 4)
+		if _, err := caller.Read(pong); err != nil || string(pong) != string(protocol.AppendPong(nil)) {
+			t.Errorf("%v, %v", pong, err)
+		}
+		caller.Disconnect()
+		<-ended
+	})
+}
--- a/server/drain.go
+++ b/server/drain.go
@@ -40,7 +40,7 @@
 	s.core.Drain(notice, stopAt)
 	s.phase("leaving")
 	for _, d := range s.listeners {
-		d.front.notifyDraining()
+		d.front.NotifyDraining()
 	}
 	answered := time.After(time.Until(stopAt.Add(-closeMargin)))
 	select {
@@ -51,7 +51,7 @@
 	s.phase("refusing")
 	shut := s.shut()
 	for _, d := range s.listeners {
-		d.front.refuseLate()
+		d.front.EndGrace()
 	}
 	empty := s.empty()
 	select {
@@ -87,7 +87,7 @@
 // once nothing is open any more.
 func (s *Server) endConnections(stopAt time.Time, connected, done <-chan struct{}) {
 	for _, d := range s.listeners {
-		d.front.drain(stopAt.Add(-lastMargin))
+		d.front.Drain(stopAt.Add(-lastMargin))
 	}
 	planned := time.After(time.Until(stopAt.Add(-exitMargin)))
 	select {
@@ -126,7 +126,7 @@
 		facts.Connecting = 1
 	}
 	for _, d := range s.listeners {
-		facts.Open += d.front.unended()
+		facts.Open += d.front.PendingConns()
 	}
 	if facts.Open == 0 { // else some of them are not read yet
 		facts.Unanswered = s.unanswered()
@@ -221,7 +221,7 @@
 	answered := time.After(time.Until(stopAt.Add(-closeMargin)))
 	for again := time.Tick(leaveAgain); ; {
 		for _, d := range s.listeners {
-			d.front.notifyDraining() // also of connections that were let in last
+			d.front.NotifyDraining() // also of connections that were let in last
 		}
 		select {
 		case <-again:
--- a/server/program.go
+++ b/server/program.go
@@ -22,6 +22,8 @@
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/downstream"
 	"quincerail.example/quincerail/fleet"
+	"quincerail.example/quincerail/frontend/thrift"
+	"quincerail.example/quincerail/frontend/uwsgi"
 	"quincerail.example/quincerail/guard"
 	"quincerail.example/quincerail/handover"
 	"quincerail.example/quincerail/idempotency/journal"
@@ -31,7 +33,6 @@
 )
 
 const (
-	leaveWithin      = time.Second            // after leaving was said, until an idle connection is closed
 	sweepLeast       = 20 * time.Millisecond  // between two looks for idle connections
 	sweepMost        = 500 * time.Millisecond // likewise
 	leaveAgain       = 100 * time.Millisecond // between two looks whom to take leave of, when another takes over
@@ -53,14 +54,14 @@
 // SetIdleTimeout implements dispatch.Connections.
 func (l *idleLimit) SetIdleTimeout(after time.Duration) { l.after.Store(int64(after)) }
 
-// front is what the drain needs of a front.
+// front is what the server needs of a front.
 type front interface {
-	serve(*transport.Conn)
-	crowded()           // connections are getting scarce
-	notifyDraining()    // the notice has come: callers are told
-	refuseLate()        // the grace is over
-	drain(by time.Time) // all is answered: connections end, at the latest at a time
-	unended() int       // connections that have not ended since
+	Serve(c *transport.Conn)
+	MakeRoom()          // has connections end near the limit
+	NotifyDraining()    // has callers use other servers
+	EndGrace()          // rejects what is not read by now
+	Drain(by time.Time) // ends connections, at the latest at a time
+	PendingConns() int  // connections that may still have a request, or owe an answer
 }
 
 // listener is a front with its listener.
@@ -76,9 +77,10 @@
 	link          *backend.Processor
 	pool          *downstream.Pool
 	registrar     *discovery.Registrar
-	thrift        *thriftFront
-	uwsgi         *uwsgiFront // nil where it is off, like its backend
+	thrift        *thrift.Frontend
+	uwsgi         *uwsgi.Frontend // nil where it is off, like its backend
 	backend       *backend.UWSGI
+	uwsgiListen   string
 	idle          *idleLimit
 	listeners     []listener         // the first is the platform's
 	control       *transport.Server  // where operators call; may be nil
@@ -122,7 +124,7 @@
 		MaxKeyTableBytes: c.MemoryMB << 20 / keysShare,
 	}
 	var recorder *metrics.Recorder
-	var connections connectionObserver
+	var connections thrift.ConnectionObserver
 	var counted *tally
 	var watching observers
 	if c.MetricsListen != "" {
@@ -200,7 +202,7 @@
 		rules.Replace(c.Rules)
 	}
 	s = &Server{
-		core: core, link: link, pool: pool, registrar: registrar, thrift: newThriftFront(core, rules, logger, connections, monitor), idle: idle,
+		core: core, link: link, pool: pool, registrar: registrar, thrift: thrift.New(thrift.Options{Core: core, Rules: rules, Log: logger, Observer: connections, Monitor: monitor}), idle: idle,
 		rules: rules, keys: keys, log: logger, monitor: monitor, fleet: member, tally: counted, recorder: recorder, file: c,
 	}
 	s.config.Store(c)
@@ -217,7 +219,8 @@
 	}
 	if u != nil {
 		s.backend = backend.NewUWSGI(core, u.Backend)
-		s.uwsgi = newUWSGIFront(core, s.backend, u, rules)
+		s.uwsgi = uwsgi.New(uwsgi.Options{Core: core, Backend: s.backend, Rules: rules, Config: uwsgiConfig(u)})
+		s.uwsgiListen = u.Listen
 		if err := s.listen("uwsgi listen", u.Listen, 0, int(float64(c.Sockets)*uwsgiShare), s.uwsgi); err != nil {
 			return nil, err
 		}
@@ -335,7 +338,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", key, err)
 	}
-	server := transport.NewServer(l, limit, f.serve, f.crowded)
+	server := transport.NewServer(l, limit, f.Serve, f.MakeRoom)
 	server.OnAcceptFailures(func(last error, failures int) {
 		s.log.Warn("accept_failed", "listener", key, "failures", failures, "error", last.Error())
 	})
@@ -383,6 +386,11 @@
 			return
 		case <-time.After(min(max(after/4, sweepLeast), sweepMost)):
 		}
-		s.thrift.leaveIdle(after)
+		s.thrift.CloseIdle(after)
 	}
 }
+
+// uwsgiConfig is what the uwsgi front is told of its file.
+func uwsgiConfig(u *config.UWSGI) uwsgi.Config {
+	return uwsgi.Config{Routes: u.RouteTable(), HealthPath: u.HealthPath, MaxBodyBytes: u.MaxBody}
+}
--- a/server/reload.go
+++ b/server/reload.go
@@ -48,7 +48,9 @@
 	}
 	if s.uwsgi != nil && u != nil {
 		s.backend.SetAddress(u.Backend)
-		stays["uwsgi listen"] = s.uwsgi.reload(u)
+		s.uwsgi.SetConfig(uwsgiConfig(u))
+		stays["uwsgi listen"] = u.Listen != s.uwsgiListen
+		s.uwsgiListen = u.Listen
 	}
 	for key, changed := range stays {
 		if changed {
