--- a/cmd/quincerail/serve.go
+++ b/cmd/quincerail/serve.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	server.Limit(settings)
+	server.ApplyResourceLimits(settings)
 	server, err := server.Start(settings, front)
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 		}
 	}()
 	<-ctx.Done()
-	server.Drain()
+	server.Shutdown()
 	return nil
 }
 
--- a/config/config.go
+++ b/config/config.go
@@ -147,6 +147,27 @@
 	return nil
 }
 
+// RestartKeys names the keys that differ from the configuration in force and take effect
+// only after a restart.
+func (c *Config) RestartKeys(inForce *Config) []string {
+	var keys []string
+	for _, k := range []struct {
+		key     string
+		changed bool
+	}{
+		{keyName, c.Name != inForce.Name},
+		{keyListen, c.Listen != inForce.Listen},
+		{keyAdminAddress, c.Control != inForce.Control},
+		{keyDescriptors, c.Sockets != inForce.Sockets},
+		{keySettings + "." + keyGaugeNames, !slices.Equal(c.Gauges, inForce.Gauges)},
+	} {
+		if k.changed {
+			keys = append(keys, k.key)
+		}
+	}
+	return keys
+}
+
 // missingKey names the first key that the other configuration has and this one
 // lacks, "" for none.
 func (c *Config) missingKey(other *Config) string {
--- a/server/reload.go
+++ b/server/reload.go
@@ -2,68 +2,100 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"quincerail.example/quincerail/config"
 )
 
-// Reload takes over a new configuration while all goes on: where the other
-// parties are, the settings, the limits, and how soon the kill follows the notice
-// to leave. An error names what makes no sense, or is missing, and nothing has
-// changed then. What can't change in a running process is named in the log, and
-// stays. u may be nil. What the fleet changed of the settings stays changed.
+// Reload puts a new configuration in force while requests are served: the addresses of the
+// other parties, the settings, the limits, and how soon the kill follows SIGTERM. What the
+// fleet changed of the settings stays changed. Without u the uwsgi front keeps its file.
+//
+// With an error, which names the key at fault, nothing has changed. What needs a restart
+// to change is logged and stays.
 func (s *Server) Reload(c *config.Config, u *config.UWSGI) error {
 	s.reloading.Lock()
 	defer s.reloading.Unlock()
-	if err := c.CheckComplete(s.file); err != nil {
-		return err
-	}
-	next, err := c.WithPatch(s.patch)
+	next, err := s.validate(c)
 	if err != nil {
-		return fmt.Errorf("with what the fleet changed: %w", err)
+		return err
 	}
-	if err := s.reload(next, u); err != nil {
+	if err := s.apply(next, u); err != nil {
 		return err
 	}
-	s.file = c
+	s.fromFile = c
 	return nil
 }
 
-// reload puts a configuration in force.
-func (s *Server) reload(c *config.Config, u *config.UWSGI) error {
-	was := s.config.Load()
-	if err := s.core.UpdateSettings(c.Settings, c.Classes, c.Tenants); err != nil {
+// validate returns a configuration with what the fleet changed. It must have all keys that
+// the file in force has.
+func (s *Server) validate(c *config.Config) (*config.Config, error) {
+	if err := c.CheckComplete(s.fromFile); err != nil {
+		return nil, err
+	}
+	next, err := c.WithPatch(s.fleetPatch)
+	if err != nil {
+		return nil, fmt.Errorf("with what the fleet changed: %w", err)
+	}
+	return next, nil
+}
+
+// apply puts a configuration in force. The core checks the settings before anything has
+// changed.
+func (s *Server) apply(next *config.Config, u *config.UWSGI) error {
+	if err := s.core.UpdateSettings(next.Settings, next.Classes, next.Tenants); err != nil {
 		return err
 	}
-	Limit(c)
-	s.link.SetAddress(c.Processor)
-	s.pool.SetAddress(c.Ledger)
-	s.registrar.SetAddress(c.Announce)
-	if c.Rules != nil && c.Rules != was.Rules {
-		s.log.Info("rules", "version", s.rules.Replace(c.Rules), "rules", c.Rules.Len())
+	current := s.inForce.Load()
+	ignored := s.ignoredKeys(current, next, u)
+	ApplyResourceLimits(next)
+	s.applyAddresses(next)
+	s.applyRules(current, next)
+	s.applyUWSGI(u)
+	for _, key := range ignored {
+		s.log.Warn("reload_ignored", "key", key, "reason", "needs a restart")
 	}
-	stays := map[string]bool{
-		"name": c.Name != was.Name, "listen": c.Listen != was.Listen, "control": c.Control != was.Control,
-		"limits.sockets": c.Sockets != was.Sockets, "settings.familyInfo.ownStats": !slices.Equal(c.Gauges, was.Gauges),
+	s.applyToObservers(next)
+	s.inForce.Store(next)
+	s.log.Info("reloaded", "processor", next.Processor, "ledger", next.Ledger, "announce", next.Announce,
+		"classes", fmt.Sprintf("%q", next.Classes))
+	return nil
+}
+
+// ignoredKeys names what has changed and needs a restart.
+func (s *Server) ignoredKeys(current, next *config.Config, u *config.UWSGI) []string {
+	keys := next.RestartKeys(current)
+	if s.uwsgi != nil && u != nil && u.Listen != s.uwsgiListen {
+		keys = append(keys, uwsgiListenKey)
 	}
-	if s.uwsgi != nil && u != nil {
-		s.backend.SetAddress(u.Backend)
-		s.uwsgi.SetConfig(uwsgiConfig(u))
-		stays["uwsgi listen"] = u.Listen != s.uwsgiListen
-		s.uwsgiListen = u.Listen
+	return keys
+}
+
+func (s *Server) applyAddresses(next *config.Config) {
+	s.processor.SetAddress(next.Processor)
+	s.dependency.SetAddress(next.Ledger)
+	s.registrar.SetAddress(next.Announce)
+}
+
+func (s *Server) applyRules(current, next *config.Config) {
+	if next.Rules != nil && next.Rules != current.Rules {
+		s.log.Info("rules", "version", s.rules.Replace(next.Rules), "rules", next.Rules.Len())
 	}
-	for key, changed := range stays {
-		if changed {
-			s.log.Warn("reload_ignored", "key", key, "reason", "needs a restart")
-		}
+}
+
+func (s *Server) applyUWSGI(u *config.UWSGI) {
+	if s.uwsgi == nil || u == nil {
+		return
 	}
-	if s.tally != nil {
-		s.tally.tune(c.Classes, c.Settings)
+	s.uwsgiBackend.SetAddress(u.Backend)
+	s.uwsgi.SetConfig(uwsgiConfig(u))
+	s.uwsgiListen = u.Listen
+}
+
+func (s *Server) applyToObservers(next *config.Config) {
+	if s.outcomes != nil {
+		s.outcomes.setObjectives(next.Classes, next.Settings)
 	}
 	if s.recorder != nil {
-		s.recorder.SetClasses(c.Classes)
+		s.recorder.SetClasses(next.Classes)
 	}
-	s.config.Store(c)
-	s.log.Info("reloaded", "processor", c.Processor, "ledger", c.Ledger, "announce", c.Announce, "classes", fmt.Sprintf("%q", c.Classes))
-	return nil
 }
--- /dev/null
+++ b/server/server.go
@@ -0,0 +1,145 @@
+// Package server assembles the app server from its parts and runs them: it starts and
+// stops them in order, opens the listeners, and puts new configurations in force.
+package server
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"net"
+	"net/http"
+	"runtime"
+	"runtime/debug"
+	"sync"
+	"sync/atomic"
+
+	"quincerail.example/quincerail/backend"
+	"quincerail.example/quincerail/config"
+	"quincerail.example/quincerail/discovery"
+	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/downstream"
+	"quincerail.example/quincerail/fleet"
+	"quincerail.example/quincerail/frontend/thrift"
+	"quincerail.example/quincerail/frontend/uwsgi"
+	"quincerail.example/quincerail/guard"
+	"quincerail.example/quincerail/handover"
+	"quincerail.example/quincerail/idempotency/journal"
+	"quincerail.example/quincerail/match"
+	"quincerail.example/quincerail/metrics"
+	"quincerail.example/quincerail/transport"
+)
+
+// state is a step of a server's life. A server only moves forward in this table; it may
+// skip states.
+//
+//	state        entered               callers                                next
+//	starting     by Start              none are let in                        takingOver, serving
+//	takingOver   by Start, where the   none are let in until the              serving
+//	             socket is inherited   predecessor's keys are known
+//	serving      by openToCallers      are served                             notifying, handingOver
+//	handingOver  by Shutdown, where a  use the successor; what is open here   stopped
+//	             successor is ready    is answered
+//	notifying    by Shutdown           are told to use other servers, and     rejecting
+//	                                   served until the grace is over
+//	rejecting    after the grace       can't connect; what comes over open    closing, stopped
+//	                                   connections is shed
+//	closing      when all is answered  their connections are closed           stopped
+//	stopped      at the end            none are left, or the process is       -
+//	                                   about to be killed
+type state int32
+
+const (
+	stateStarting state = iota
+	stateTakingOver
+	stateServing
+	stateHandingOver
+	stateNotifying
+	stateRejecting
+	stateClosing
+	stateStopped
+)
+
+// Server is a running app server. Start makes one; Reload and Shutdown may be called from
+// any goroutine, Shutdown once.
+type Server struct {
+	log     *slog.Logger
+	state   atomic.Int32                  // a state
+	inForce atomic.Pointer[config.Config] // the configuration, with what the fleet changed
+
+	// The parts. Those that the configuration leaves out are nil.
+	core       *dispatch.Core
+	monitor    *guard.Monitor // counts broken rules of the platform
+	processor  *backend.Processor
+	dependency *downstream.Pool
+	registrar  *discovery.Registrar
+	journal    *journal.Journal // of idempotency keys
+	fleet      *fleet.Fleet
+	handover   *handover.Endpoint // where the listening socket is inherited
+	rules      *match.Rules       // the operator's, which the fronts ask first
+	recorder   *metrics.Recorder
+	outcomes   *outcomeCounter // for the fleet's rollouts
+
+	// The fronts and their listeners.
+	idleTimeout  *idleTimeout
+	thrift       *thrift.Frontend
+	uwsgi        *uwsgi.Frontend
+	uwsgiBackend *backend.UWSGI
+	listeners    []listener        // of the fronts; the first is the platform's
+	commands     *transport.Server // where operators send commands
+	httpServers  []*http.Server    // the operators' other listeners
+	metricsAddr  net.Addr
+
+	reloading   sync.Mutex      // protects what follows
+	fromFile    *config.Config  // the configuration as its file has it
+	fleetPatch  json.RawMessage // what the fleet changed of its settings
+	uwsgiListen string          // as the uwsgi front's file has it
+
+	lifetime      context.Context // of the parts' goroutines
+	stop          context.CancelFunc
+	reporting     context.Context // of the reports to the discovery service
+	stopReporting context.CancelFunc
+}
+
+// heapMemoryShare is the share of the memory that the heap may take.
+const heapMemoryShare = 0.75
+
+// ApplyResourceLimits sets the process's memory limit and threads by the configuration.
+func ApplyResourceLimits(c *config.Config) {
+	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * heapMemoryShare * (1 << 20)))
+	runtime.GOMAXPROCS(max(1, int(c.Cores)))
+}
+
+// enter moves on to a state. A state that was left behind is not entered again.
+func (s *Server) enter(next state) {
+	for {
+		current := s.state.Load()
+		if current >= int32(next) || s.state.CompareAndSwap(current, int32(next)) {
+			return
+		}
+	}
+}
+
+// isOpen reports whether callers have been let in.
+func (s *Server) isOpen() bool { return state(s.state.Load()) >= stateServing }
+
+// Addr is the address that balancers connect to.
+func (s *Server) Addr() net.Addr { return s.listeners[0].server.Addr() }
+
+// UWSGIAddr is the address of the uwsgi front, nil where it is off.
+func (s *Server) UWSGIAddr() net.Addr {
+	if len(s.listeners) < 2 {
+		return nil
+	}
+	return s.listeners[1].server.Addr()
+}
+
+// ControlAddr is the address for operators' commands, nil where there is none.
+func (s *Server) ControlAddr() net.Addr {
+	if s.commands == nil {
+		return nil
+	}
+	return s.commands.Addr()
+}
+
+// MetricsAddr is the address of /metrics, nil where there is none.
+func (s *Server) MetricsAddr() net.Addr { return s.metricsAddr }
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -143,7 +143,7 @@
 		}()
 		return
 	}
-	go func() { w.Drain(); close(w.drained) }()
+	go func() { w.Shutdown(); close(w.drained) }()
 }
 
 func outcome(t testing.TB, try *fakes.Try) fakes.Outcome {
