--- a/server/control_test.go
+++ b/server/control_test.go
@@ -18,10 +18,10 @@
 // operate makes a call as operators do, and gives the answer's first word.
 func operate(t testing.TB, address, call string) string {
 	t.Helper()
-	nc := must(net.Dial("tcp", address))(t)
-	defer nc.Close()
-	nc.Write([]byte(call + "\r\n"))
-	line, err := bufio.NewReader(nc).ReadString('\n')
+	conn := dial(t, address)
+	defer closeConn(conn)
+	must(conn.Write([]byte(call + "\r\n")))(t)
+	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
 		t.Fatalf("%s: %v", call, err)
 	}
@@ -30,26 +30,26 @@
 }
 
 // healthy makes a health check over Thrift.
-func (w *world) healthy(t testing.TB) bool {
+func (w *harness) healthy(t testing.TB) bool {
 	t.Helper()
-	nc := must(net.Dial("tcp", w.Addr().String()))(t)
-	defer nc.Close()
-	nc.Write(fakes.AppendCheck(nil, 1, false))
-	return must(fakes.ReadReply(bufio.NewReader(nc)))(t).Good
+	conn := dial(t, w.Addr().String())
+	defer closeConn(conn)
+	must(conn.Write(fakes.AppendCheck(nil, 1, false)))(t)
+	return must(fakes.ReadReply(bufio.NewReader(conn)))(t).Good
 }
 
 // TestControl guards the operators' drain: from the call's answer on, checks are
 // bad and reports false, what still comes is served as ever, and all is undone by
 // the opposite call. Callers that say nothing hold up nobody.
 func TestControl(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) { c.Control = "127.0.0.1:0" })
+	w := newHarness(t, func(c *config.Config) { c.Control = "127.0.0.1:0" })
 	address := w.ControlAddr().String()
 	for range 5 {
-		defer must(net.Dial("tcp", address))(t).Close()
+		dial(t, address)
 	}
 	for _, x := range []struct {
 		call, answer string
-		fit          bool
+		ready        bool
 	}{
 		{"check", "done", true},
 		{"drain-on", "done", false},
@@ -60,11 +60,11 @@
 		if got := operate(t, address, x.call); got != x.answer {
 			t.Errorf("%s: %s, want %s", x.call, got, x.answer)
 		}
-		if w.healthy(t) != x.fit {
-			t.Errorf("after %s: checks don't say %t", x.call, x.fit)
+		if w.healthy(t) != x.ready {
+			t.Errorf("after %s: checks don't say %t", x.call, x.ready)
 		}
 		if strings.HasPrefix(x.call, "drain-") {
-			w.waitReport(t, x.fit)
+			w.waitReport(t, x.ready)
 		}
 		if o := outcome(t, fronts[0].ask(t, w, "kampanjsida", "", "page")); o.Kind != "served" {
 			t.Errorf("after %s: %s", x.call, o.Kind)
@@ -76,7 +76,7 @@
 // on, one that is gone is not, and a file that lacks a key changes nothing.
 func TestReloadSettings(t *testing.T) {
 	var running *config.Config
-	w := newWorld(t, func(c *config.Config) { running = c })
+	w := newHarness(t, func(c *config.Config) { running = c })
 	renamed := func(old, new string) *config.Config {
 		text := dispatchtest.Example(t, "config.json")
 		c := must(config.Parse(strings.Replace(text, old, new, 1)))(t)
@@ -103,61 +103,60 @@
 		t.Fatal(err)
 	}
 	t.Setenv("TMPDIR", folder)
-	l := must(net.Listen("tcp", "127.0.0.1:0"))(t).(*net.TCPListener)
-	t.Cleanup(func() { l.Close() })
+	l := listen(t)
 	return l, func(c *config.Config) {
 		file := must(l.File())(t)
-		defer file.Close()
+		defer func() { mustDo(t, file.Close()) }()
 		c.Listen, c.ListenFD = "held by another", must(syscall.Dup(int(file.Fd())))(t)
 		c.Control = "127.0.0.1:0"
 	}
 }
 
-// TestTakeOver has a new process take over from an old one on the same socket:
-// what is open is answered where it is, a gift that runs or ran in the old one never
-// runs in the new one, and nobody is sent away.
+// TestTakeOver has a successor take over from a predecessor on the same socket: what is
+// open is answered where it is, a gift that runs or ran in the predecessor never runs in
+// the successor, and nobody is sent away.
 func TestTakeOver(t *testing.T) {
 	_, inherit := hold(t)
-	old := newWorld(t, inherit)
-	old.work.Took = 300 * time.Millisecond
-	gift := func(w *world, key string) *fakes.Try { return fronts[0].ask(t, w, "ny-gava", key, "gift "+key) }
+	predecessor := newHarness(t, inherit)
+	predecessor.work.Took = 300 * time.Millisecond
+	gift := func(w *harness, key string) *fakes.Try { return fronts[0].ask(t, w, "ny-gava", key, "gift "+key) }
 	want := fakes.Outcome{Kind: "served", Body: "done: gift ran"}
-	if got := outcome(t, gift(old, "ran")); got != want {
+	if got := outcome(t, gift(predecessor, "ran")); got != want {
 		t.Fatalf("%v", got)
 	}
-	open := gift(old, "runs")
-	<-old.work.Begun()
-	<-old.work.Begun()
+	open := gift(predecessor, "runs")
+	<-predecessor.work.Begun()
+	<-predecessor.work.Begun()
 
-	young := newWorld(t, inherit)
-	for operate(t, young.ControlAddr().String(), "check") != "done" {
+	successor := newHarness(t, inherit)
+	for operate(t, successor.ControlAddr().String(), "check") != "done" {
 		time.Sleep(time.Millisecond)
 	}
-	old.start()
-	repeats := []*fakes.Try{gift(young, "ran"), gift(young, "runs"), open}
+	predecessor.startShutdown()
+	repeats := []*fakes.Try{gift(successor, "ran"), gift(successor, "runs"), open}
 	for i, key := range []string{"ran", "runs", "runs"} {
 		want.Body = "done: gift " + key
 		if got := outcome(t, repeats[i]); got != want {
 			t.Errorf("%s: %v", key, got)
 		}
 	}
-	<-old.drained
+	<-predecessor.drained
 	want.Body = "done: gift new"
-	if got := outcome(t, gift(young, "new")); got != want {
-		t.Errorf("after the old one's end: %v", got)
+	if got := outcome(t, gift(successor, "new")); got != want {
+		t.Errorf("after the predecessor's end: %v", got)
 	}
-	if got := outcome(t, gift(young, "runs")); got.Body != "done: gift runs" {
-		t.Errorf("after the old one's end: %v", got)
+	if got := outcome(t, gift(successor, "runs")); got.Body != "done: gift runs" {
+		t.Errorf("after the predecessor's end: %v", got)
 	}
-	for key, where := range map[string]*world{"ran": old, "runs": old, "new": young} {
+	for key, where := range map[string]*harness{"ran": predecessor, "runs": predecessor, "new": successor} {
 		body := "gift " + key
-		if a, b := old.work.Runs(body), young.work.Runs(body); a+b != 1 || where.work.Runs(body) != 1 {
-			t.Errorf("%s: %d runs in the old process, %d in the new", body, a, b)
+		if a, b := predecessor.work.Runs(body), successor.work.Runs(body); a+b != 1 || where.work.Runs(body) != 1 {
+			t.Errorf("%s: %d runs in the predecessor, %d in the successor", body, a, b)
 		}
 	}
-	for len(old.announce.Reports) > 0 {
-		if report := <-old.announce.Reports; strings.Contains(report, "false") {
-			t.Errorf("the old one reports %s", report)
+	for len(predecessor.announce.Reports) > 0 {
+		if report := <-predecessor.announce.Reports; strings.Contains(report, "false") {
+			t.Errorf("the predecessor reports %s", report)
 		}
 	}
 }
@@ -169,14 +168,14 @@
 // let in and turned away: unread, it would be lost.
 func TestInherit(t *testing.T) {
 	held, inherit := hold(t)
-	w := newWorld(t, func(c *config.Config) { inherit(c); shortGrace(c) })
+	w := newHarness(t, func(c *config.Config) { inherit(c); shortGrace(c) })
 	if o := outcome(t, fronts[0].ask(t, w, "kampanjsida", "", "page")); o.Kind != "served" {
 		t.Errorf("over the inherited socket: %s", o.Kind)
 	}
 	if w.Addr().String() != held.Addr().String() {
 		t.Errorf("it listens on %s", w.Addr())
 	}
-	w.start()
+	w.startShutdown()
 	w.waitReport(t, false)
 	kind := ""
 	for began := time.Now(); time.Since(began) < graceEnds; { // until well after the grace, and well before the end
--- a/server/crossing_test.go
+++ b/server/crossing_test.go
@@ -24,12 +24,11 @@
 	seq int32
 }
 
-func (w *world) balancer(t testing.TB) *balancer {
+func (w *harness) balancer(t testing.TB) *balancer {
 	t.Helper()
-	nc := must(net.Dial("tcp", w.Addr().String()))(t)
-	t.Cleanup(func() { nc.Close() })
-	nc.SetReadDeadline(time.Now().Add(20 * time.Second))
-	return &balancer{t, nc.(*net.TCPConn), bufio.NewReader(nc), 0}
+	conn := dial(t, w.Addr().String())
+	mustDo(t, conn.SetReadDeadline(time.Now().Add(20*time.Second)))
+	return &balancer{t, conn, bufio.NewReader(conn), 0}
 }
 
 // request gives the next call of execute.
@@ -107,7 +106,7 @@
 		for _, class := range []string{"kampanjsida", "ny-gava"} {
 			t.Run(body+" "+class, func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(t, oneAtATime)
+				w := newHarness(t, oneAtATime)
 				b := w.balancer(t)
 				b.ask(class, "k", body)
 				<-w.work.Begun()
@@ -122,7 +121,7 @@
 					reply = must(fakes.ReadReply(b.r))(t)
 				}
 				began := time.Now()
-				w.start()
+				w.startShutdown()
 				got := b.replies(4)
 				if took := time.Since(began); took > 1500*time.Millisecond { // the stop; answers are due 250 ms before it
 					t.Errorf("answered after %v", took)
@@ -142,7 +141,7 @@
 // and one whose rest never comes is ended.
 func TestHalfMessagesInADrain(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, shortGrace)
+	w := newHarness(t, shortGrace)
 	halves := make(map[string][]byte)
 	conns := make(map[string]*balancer)
 	for _, name := range []string{"early", "late", "never"} {
@@ -151,7 +150,7 @@
 		b.write(m[:len(m)/2])
 		conns[name], halves[name] = b, m[len(m)/2:]
 	}
-	w.start()
+	w.startShutdown()
 	for _, b := range conns {
 		b.leaving()
 	}
@@ -178,11 +177,11 @@
 // itself.
 func TestLateConnection(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, shortGrace)
+	w := newHarness(t, shortGrace)
 	resting := w.balancer(t)
 	resting.ask("kampanjsida", "", "before")
 	resting.replies(1)
-	w.start()
+	w.startShutdown()
 	resting.leaving()
 	late := w.balancer(t)
 	late.leaving()
@@ -200,11 +199,11 @@
 // time.
 func TestFloodInADrain(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(c *config.Config) {
+	w := newHarness(t, func(c *config.Config) {
 		shortGrace(c)
 		c.Sockets = 64
 	})
-	w.start()
+	w.startShutdown()
 	b := w.balancer(t)
 	b.leaving()
 	b.ask("kampanjsida", "", "hang on") // while it is owed an answer, its connection is not taken leave of
@@ -212,8 +211,8 @@
 	hanging := b.seq
 	var silent []net.Conn
 	for i := range 100 {
-		if nc, err := net.Dial("tcp", w.Addr().String()); err == nil {
-			silent = append(silent, nc)
+		if conn, err := tryDial(w.Addr().String()); err == nil {
+			silent = append(silent, conn)
 		}
 		if i%5 == 0 {
 			b.ask("kampanjsida", "", fmt.Sprint("page ", i))
@@ -222,8 +221,8 @@
 	b.write(fakes.AppendInterrupt(nil, hanging))
 	b.replies(20)
 	b.end()
-	for _, nc := range silent {
-		nc.Close()
+	for _, conn := range silent {
+		closeConn(conn)
 	}
 	<-w.drained
 }
@@ -238,7 +237,7 @@
 		"wrong number": fakes.AppendCheck(nil, 99, false),
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newHarness(t, nil)
 			w.work.Took = 100 * time.Millisecond
 			b, other := w.balancer(t), w.balancer(t)
 			b.ask("kampanjsida", "", "one")
@@ -267,7 +266,7 @@
 		"messages": bytes.Repeat(reply, 2*guard.MaxBadMessages),
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newHarness(t, nil)
 			b := w.balancer(t)
 			b.ask("kampanjsida", "", "hang on")
 			<-w.work.Begun()
@@ -283,11 +282,11 @@
 // TestCallerHalfCloses: a balancer that shuts its writing end with requests open
 // still gets one answer to each.
 func TestCallerHalfCloses(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newHarness(t, nil)
 	b := w.balancer(t)
 	b.ask("kampanjsida", "", "hang on")
 	<-w.work.Begun()
-	b.CloseWrite()
+	mustDo(t, b.CloseWrite())
 	if got := b.replies(1)[1]; got != "failed" {
 		t.Errorf("it is %s", got)
 	}
@@ -298,13 +297,13 @@
 // TestAnswersCutByTheirCaller: a caller that resets its connection under its answers
 // harms no other, and a keyed run goes on for its repeat.
 func TestAnswersCutByTheirCaller(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newHarness(t, nil)
 	w.work.Took = 100 * time.Millisecond
 	b, other := w.balancer(t), w.balancer(t)
 	b.ask("ny-gava", "k", "gift")
 	<-w.work.Begun()
-	b.SetLinger(0) // its close is a reset
-	b.Close()
+	mustDo(t, b.SetLinger(0)) // its close is a reset
+	mustDo(t, b.Close())
 	other.ask("ny-gava", "k", "gift")
 	if got := other.replies(1)[1]; got != "served" || w.work.Runs("gift") != 1 {
 		t.Errorf("the repeat is %s, %d runs", got, w.work.Runs("gift"))
--- a/server/rules_test.go
+++ b/server/rules_test.go
@@ -32,7 +32,7 @@
 	for _, f := range fronts {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
-			w := f.world(t, func(c *config.Config) {
+			w := f.harness(t, func(c *config.Config) {
 				set, err := match.Parse(rulesForAll, c.Classes)
 				if err != nil {
 					t.Fatal(err)
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"net/http"
 	"slices"
 	"strings"
@@ -21,9 +20,9 @@
 	"quincerail.example/quincerail/server"
 )
 
-// world is an app server among stand-ins, or the library's sample service.
+// harness is an app server among fakes, or the library's sample service.
 // Work on any backend is counted together.
-type world struct {
+type harness struct {
 	*server.Server // nil for the sample service
 	work           *fakes.Work
 	processor      *fakes.Processor
@@ -56,9 +55,9 @@
 	}
 }
 
-func newWorld(t testing.TB, change func(*config.Config)) *world {
+func newHarness(t testing.TB, change func(*config.Config)) *harness {
 	t.Helper()
-	w := &world{work: fakes.NewWork(0), drained: make(chan struct{})}
+	w := &harness{work: fakes.NewWork(0), drained: make(chan struct{})}
 	const anyPort = "127.0.0.1:0"
 	w.processor = must(fakes.NewProcessor(anyPort, w.work))(t)
 	w.ledger = must(fakes.NewLedger(anyPort))(t)
@@ -90,13 +89,13 @@
 
 // newSample gives the library's sample service with the classes, memory and
 // grace of the app server's configuration, and a route /CLASS for each class.
-func newSample(t testing.TB, change func(*config.Config)) *world {
+func newSample(t testing.TB, change func(*config.Config)) *harness {
 	t.Helper()
 	c := loadConfig(t)
 	if change != nil {
 		change(c)
 	}
-	w := &world{work: fakes.NewWork(0), drained: make(chan struct{}), stopIn: c.StopTimeout}
+	w := &harness{work: fakes.NewWork(0), drained: make(chan struct{}), stopIn: c.StopTimeout}
 	cfg := admission.Config{
 		Cores: c.Settings.Cores, Memory: int64(c.Settings.MemoryKB * 1024), MaxBody: 4096,
 		DrainGrace: c.Settings.DrainGrace, Seed: 1,
@@ -114,31 +113,31 @@
 		return []byte(result), err
 	}
 	w.sample = must(gifts.New(cfg, work))(t)
-	l := must(net.Listen("tcp", "127.0.0.1:0"))(t)
+	l := listen(t)
 	w.web, w.webAddr = &http.Server{Handler: w.sample, ReadHeaderTimeout: time.Minute}, l.Addr().String()
-	go w.web.Serve(w.sample.Listener(l))
+	go func() { _ = w.web.Serve(w.sample.Listener(l)) }() // until its listener is closed
 	t.Cleanup(func() {
-		w.web.Close()
+		_ = w.web.Close() // its listener may be closed
 		w.sample.Close()
 	})
 	return w
 }
 
-// door is the address whose listener closes when the grace is over.
-func (w *world) door() string {
+// closingAddr is the address whose listener closes when the grace is over.
+func (w *harness) closingAddr() string {
 	if w.sample != nil {
 		return w.webAddr
 	}
 	return w.Addr().String()
 }
 
-// start has the drain begin.
-func (w *world) start() {
+// startShutdown has the drain begin.
+func (w *harness) startShutdown() {
 	if w.sample != nil {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), w.stopIn)
 			defer cancel()
-			w.sample.Shutdown(ctx, w.web)
+			_ = w.sample.Shutdown(ctx, w.web) // some scenarios leave requests open to the end
 			close(w.drained)
 		}()
 		return
@@ -156,16 +155,16 @@
 	return o
 }
 
-// tally counts what the suite's scenarios came to, by front.
-type tally struct {
+// outcomeTable counts what the suite's scenarios came to, by front.
+type outcomeTable struct {
 	mu     sync.Mutex
 	counts map[string]map[string]int // front, kind
 }
 
-// counts is the suite's tally; only TestSuite's scenarios count.
-var counts = &tally{counts: map[string]map[string]int{}}
+// counts is the suite's table; only TestSuite's scenarios count.
+var counts = &outcomeTable{counts: map[string]map[string]int{}}
 
-func (c *tally) add(test, kind string, n int) {
+func (c *outcomeTable) add(test, kind string, n int) {
 	scenario, ok := strings.CutPrefix(test, "TestSuite/")
 	if !ok {
 		return
@@ -180,7 +179,7 @@
 }
 
 // table gives the counts as a table, and whether they are the same on all fronts.
-func (c *tally) table() (string, bool) {
+func (c *outcomeTable) table() (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kinds := []string{"served", "refused", "failed", "rejected", "runs"}
@@ -202,28 +201,28 @@
 type front struct {
 	name    string
 	caller  fakes.Caller
-	address func(*world) string
-	world   func(testing.TB, func(*config.Config)) *world
+	address func(*harness) string
+	harness func(testing.TB, func(*config.Config)) *harness
 }
 
 // daemon's fronts are the app server's own; the last of fronts is the library's
 // sample service.
 var (
 	daemon = []front{
-		{"thrift", fakes.Thrift, func(w *world) string { return w.Addr().String() }, newWorld},
-		{"uwsgi", fakes.UWSGI, func(w *world) string { return w.UWSGIAddr().String() }, newWorld},
+		{"thrift", fakes.Thrift, func(w *harness) string { return w.Addr().String() }, newHarness},
+		{"uwsgi", fakes.UWSGI, func(w *harness) string { return w.UWSGIAddr().String() }, newHarness},
 	}
-	fronts = append(slices.Clip(daemon), front{"middleware", fakes.HTTP, (*world).door, newSample})
+	fronts = append(slices.Clip(daemon), front{"middleware", fakes.HTTP, (*harness).closingAddr, newSample})
 )
 
 // open makes a try without sending it.
-func (f front) open(t testing.TB, w *world, class, key, body string) *fakes.Try {
+func (f front) open(t testing.TB, w *harness, class, key, body string) *fakes.Try {
 	t.Helper()
 	return must(f.caller(f.address(w), class, key, body))(t)
 }
 
 // ask makes a try and sends it.
-func (f front) ask(t testing.TB, w *world, class, key, body string) *fakes.Try {
+func (f front) ask(t testing.TB, w *harness, class, key, body string) *fakes.Try {
 	t.Helper()
 	try := f.open(t, w, class, key, body)
 	if err := try.Send(); err != nil {
@@ -238,28 +237,28 @@
 	name   string
 	config func(*config.Config)
 	want   string
-	play   func(t *testing.T, w *world, f front) string
+	play   func(t *testing.T, w *harness, f front) string
 }{
-	{"served", nil, "served done: a gift", func(t *testing.T, w *world, f front) string {
+	{"served", nil, "served done: a gift", func(t *testing.T, w *harness, f front) string {
 		return say(outcome(t, f.ask(t, w, "kampanjsida", "", "a gift")))
 	}},
 	// Not even the held request fits the memory, so the module turns it away as it is read.
-	{"refused", noRoom, "refused, 0 runs", func(t *testing.T, w *world, f front) string {
+	{"refused", noRoom, "refused, 0 runs", func(t *testing.T, w *harness, f front) string {
 		o := outcome(t, f.ask(t, w, "kampanjsida", "", "too much"))
 		return fmt.Sprintf("%s, %d runs", say(o), w.work.Runs("too much"))
 	}},
-	{"failed", nil, "failed, 1 run", func(t *testing.T, w *world, f front) string {
+	{"failed", nil, "failed, 1 run", func(t *testing.T, w *harness, f front) string {
 		o := outcome(t, f.ask(t, w, "ny-gava", "k1", "fail it"))
 		return fmt.Sprintf("%s, %d run", say(o), w.work.Runs("fail it"))
 	}},
-	{"deadline", shortDeadline, "failed, in time: true", func(t *testing.T, w *world, f front) string {
+	{"deadline", shortDeadline, "failed, in time: true", func(t *testing.T, w *harness, f front) string {
 		began := time.Now()
 		o := outcome(t, f.ask(t, w, "ny-gava", "k2", "hang on"))
 		took := time.Since(began)
 		<-w.work.Stopped() // and the work does not go on for nobody
 		return fmt.Sprintf("%s, in time: %t", say(o), took >= 1400*time.Millisecond && took < 10*time.Second)
 	}},
-	{"caller gone", nil, "stopped hang there", func(t *testing.T, w *world, f front) string {
+	{"caller gone", nil, "stopped hang there", func(t *testing.T, w *harness, f front) string {
 		try := f.ask(t, w, "kampanjsida", "", "hang there")
 		<-w.work.Begun()
 		try.GiveUp()
@@ -267,19 +266,19 @@
 	}},
 	{
 		"repeat", nil, "served done: gift, served done: gift, served done: gift, 1 run",
-		func(t *testing.T, w *world, f front) string {
+		func(t *testing.T, w *harness, f front) string {
 			first, second := f.ask(t, w, "ny-gava", "k3", "gift"), f.ask(t, w, "ny-gava", "k3", "gift")
 			a, b := outcome(t, first), outcome(t, second)
 			c := outcome(t, f.ask(t, w, "ny-gava", "k3", "gift"))
 			return fmt.Sprintf("%s, %s, %s, %d run", say(a), say(b), say(c), w.work.Runs("gift"))
 		},
 	},
-	{"repeat of a failure", nil, "failed, failed, 1 run", func(t *testing.T, w *world, f front) string {
+	{"repeat of a failure", nil, "failed, failed, 1 run", func(t *testing.T, w *harness, f front) string {
 		a := outcome(t, f.ask(t, w, "ny-gava", "k4", "fail gift"))
 		b := outcome(t, f.ask(t, w, "ny-gava", "k4", "fail gift"))
 		return fmt.Sprintf("%s, %s, %d run", say(a), say(b), w.work.Runs("fail gift"))
 	}},
-	{"connection lost", nil, "served done: gift, 1 run", func(t *testing.T, w *world, f front) string {
+	{"connection lost", nil, "served done: gift, 1 run", func(t *testing.T, w *harness, f front) string {
 		w.work.Took = 200 * time.Millisecond
 		lost := f.ask(t, w, "ny-gava", "k7", "gift")
 		<-w.work.Begun()
@@ -289,7 +288,7 @@
 	}},
 	{
 		"key of another request", nil, "served done: gift, rejected, served done: gift, 1 run, 0 others",
-		func(t *testing.T, w *world, f front) string {
+		func(t *testing.T, w *harness, f front) string {
 			a := outcome(t, f.ask(t, w, "ny-gava", "k6", "gift"))
 			b := outcome(t, f.ask(t, w, "ny-gava", "k6", "more"))
 			c := outcome(t, f.ask(t, w, "ny-gava", "k6", "gift"))
@@ -300,18 +299,18 @@
 	// what was half read at the notice and comes whole after it never runs.
 	{
 		"drain", shortGrace, "served done: running, served done: early, refused, 0 late runs, drained",
-		func(t *testing.T, w *world, f front) string {
+		func(t *testing.T, w *harness, f front) string {
 			early, late := f.open(t, w, "kampanjsida", "", "early"), f.open(t, w, "ny-gava", "k5", "late")
-			early.SendHalf()
-			late.SendHalf()
+			mustDo(t, early.SendHalf())
+			mustDo(t, late.SendHalf())
 			running := f.ask(t, w, "givarhistorik", "", "running")
 			<-w.work.Begun()
-			w.start()
+			w.startShutdown()
 			w.waitReport(t, false)
-			early.Send()
+			mustDo(t, early.Send())
 			e := outcome(t, early)
 			w.waitClosed(t)
-			late.Send() // may find the connection ended: it has its answer then
+			_ = late.Send() // may find the connection ended: it has its answer then
 			l := outcome(t, late)
 			r := outcome(t, running)
 			<-w.drained
@@ -341,7 +340,7 @@
 
 // waitReport waits until the announce service has heard of a change, or the
 // sample service's health tells of it.
-func (w *world) waitReport(t testing.TB, accepting bool) {
+func (w *harness) waitReport(t testing.TB, accepting bool) {
 	t.Helper()
 	if w.sample != nil {
 		w.waitHealth(t, accepting)
@@ -361,15 +360,16 @@
 	}
 }
 
-func (w *world) waitHealth(t testing.TB, good bool) {
+func (w *harness) waitHealth(t testing.TB, good bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		resp, err := http.Get("http://" + w.webAddr + gifts.HealthPath)
+		request := must(http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+w.webAddr+gifts.HealthPath, nil))(t)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp.Body.Close()
-		if (resp.StatusCode == http.StatusOK) == good {
+		mustDo(t, response.Body.Close())
+		if (response.StatusCode == http.StatusOK) == good {
 			return
 		}
 	}
@@ -377,15 +377,15 @@
 }
 
 // waitClosed waits until no new connection is taken: the grace is over.
-func (w *world) waitClosed(t testing.TB) {
+func (w *harness) waitClosed(t testing.TB) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
-		nc, err := net.Dial("tcp", w.door())
+		conn, err := tryDial(w.closingAddr())
 		if err != nil {
-			time.Sleep(2 * time.Millisecond) // door is in whole milliseconds
+			time.Sleep(2 * time.Millisecond) // arrival times are in whole milliseconds
 			return
 		}
-		nc.Close()
+		closeConn(conn)
 		time.Sleep(time.Millisecond)
 	}
 	t.Fatal("the listener stays open")
@@ -406,7 +406,7 @@
 		for _, f := range fronts {
 			t.Run(s.name+"/"+f.name, func(t *testing.T) {
 				t.Parallel()
-				w := f.world(t, s.config)
+				w := f.harness(t, s.config)
 				if got := s.play(t, w, f); got != s.want {
 					t.Errorf("got  %s\nwant %s", got, s.want)
 				}
@@ -422,7 +422,7 @@
 	for i, first := range daemon {
 		second := daemon[1-i]
 		t.Run(first.name+" then "+second.name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newHarness(t, nil)
 			w.work.Took = 200 * time.Millisecond
 			a := first.ask(t, w, "ny-gava", "k", "gift")
 			<-w.work.Begun()
--- a/server/tenants_test.go
+++ b/server/tenants_test.go
@@ -55,7 +55,7 @@
 // is none, get one clear answer and never run; a time that is missing, or longer than
 // any client waits, leaves the class's deadline. The connection goes on.
 func TestCallersFields(t *testing.T) {
-	w := newWorld(t, withTenants(t))
+	w := newHarness(t, withTenants(t))
 	b := w.balancer(t)
 	for _, x := range []struct{ name, class, team, limit, want string }{
 		{"sound", "book", "coast", "5000", "served"},
@@ -90,7 +90,7 @@
 // TestCallersLimit: a request is answered by the time that its caller waits, long
 // before its class's deadline, and its run is stopped.
 func TestCallersLimit(t *testing.T) {
-	w := newWorld(t, withTenants(t))
+	w := newHarness(t, withTenants(t))
 	b, began := w.balancer(t), time.Now()
 	const limit = 300 * time.Millisecond
 	b.ofTeam("book", "coast", "hang on", "limit", strconv.Itoa(int(limit.Milliseconds())))
@@ -106,7 +106,7 @@
 // more, while the settings have one, and none once new settings have none.
 func TestFeedback(t *testing.T) {
 	var running config.Config
-	w := newWorld(t, func(c *config.Config) {
+	w := newHarness(t, func(c *config.Config) {
 		withTenants(t)(c)
 		running = *c
 	})
