--- a/cmd/quincerail/ask.go
+++ b/cmd/quincerail/ask.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -10,38 +11,61 @@
 	"time"
 )
 
-// voter is where a command asks.
+const (
+	voterTimeout  = 10 * time.Second // for a voter's answer
+	maxErrorBytes = 4096             // of a voter's error that are printed
+)
+
+// voter is the part of a command's line that names the voter to ask.
 type voter struct {
 	Address string `required:"" help:"Where operators call a voter (fleet.operators in its operator's file)."`
 }
 
-// call asks the voter; answer takes what it says, nil for nothing.
+// call sends a request to the voter, and decodes the answer into answer unless that is
+// nil. The error begins with the path.
 func (v voter) call(method, path string, query url.Values, body, answer any) error {
-	var in bytes.Buffer
-	if body != nil {
-		if err := json.NewEncoder(&in).Encode(body); err != nil {
-			return fmt.Errorf("%s: %w", path, err)
-		}
+	if err := v.send(method, path, query, body, answer); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
 	}
-	u := url.URL{Scheme: "http", Host: v.Address, Path: path, RawQuery: query.Encode()}
-	req, err := http.NewRequest(method, u.String(), &in)
+	return nil
+}
+
+func (v voter) send(method, path string, query url.Values, body, answer any) error {
+	request, err := v.newRequest(method, path, query, body)
 	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return err
 	}
-	resp, err := (&http.Client{Timeout: 10 * time.Second}).Do(req)
+	response, err := (&http.Client{Timeout: voterTimeout}).Do(request)
 	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return err
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode/100 != 2 {
-		why, _ := io.ReadAll(io.LimitReader(resp.Body, 4096)) // without it the status says enough
-		return fmt.Errorf("%s: %s: %s", path, resp.Status, bytes.TrimSpace(why))
+	defer func() { _ = response.Body.Close() }() // all of interest is read
+	if response.StatusCode/100 != 2 {
+		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // without it the status says enough
+		return &voterError{status: response.Status, reason: bytes.TrimSpace(reason)}
 	}
 	if answer == nil {
 		return nil
 	}
-	if err := json.NewDecoder(resp.Body).Decode(answer); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+	return json.NewDecoder(response.Body).Decode(answer)
+}
+
+func (v voter) newRequest(method, path string, query url.Values, body any) (*http.Request, error) {
+	var encoded bytes.Buffer
+	if body != nil {
+		if err := json.NewEncoder(&encoded).Encode(body); err != nil {
+			return nil, err
+		}
 	}
-	return nil
+	u := url.URL{Scheme: "http", Host: v.Address, Path: path, RawQuery: query.Encode()}
+	return http.NewRequestWithContext(context.Background(), method, u.String(), &encoded)
 }
+
+// voterError is a voter's refusal.
+type voterError struct {
+	status string
+	reason []byte
+}
+
+// Error returns the status and the reason.
+func (e *voterError) Error() string { return fmt.Sprintf("%s: %s", e.status, e.reason) }
--- a/cmd/quincerail/main_test.go
+++ b/cmd/quincerail/main_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"math/rand"
-	"net"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -97,16 +96,12 @@
 			t.Fatal(got)
 		}
 	}
-	resp, err := http.Get("http://" + <-n.metrics + "/metrics")
-	must(t, 0, err)
-	defer resp.Body.Close()
-	page, err := io.ReadAll(resp.Body)
-	must(t, 0, err)
+	page := scrape(t, "http://"+<-n.metrics+"/metrics")
 	for _, want := range []string{
 		`quincerail_answers_total{class="ny-gava",kind="served"} 2`, `quincerail_repeats_total{class="ny-gava"} 1`,
 		`quincerail_answer_seconds_count{class="ny-gava",kind="served"} 2`, "quincerail_open_requests 0",
 	} {
-		if !strings.Contains(string(page), want) {
+		if !strings.Contains(page, want) {
 			t.Errorf("no %s in\n%s", want, page)
 		}
 	}
@@ -174,9 +169,9 @@
 func (n *node) launch(t *testing.T) {
 	t.Helper()
 	n.exited = make(chan error, 1)
-	n.cmd = exec.Command(binary, n.args...)
+	n.cmd = exec.CommandContext(context.Background(), binary, n.args...)
 	if n.shell != "" {
-		n.cmd = exec.Command("/bin/sh", append([]string{"-c", n.shell, "sh"}, n.args...)...)
+		n.cmd = exec.CommandContext(context.Background(), "/bin/sh", append([]string{"-c", n.shell, "sh"}, n.args...)...)
 	}
 	n.cmd.Env = append(os.Environ(), "GW_CONFIG="+n.config)
 	if n.socket != nil {
@@ -187,7 +182,7 @@
 	must(t, 0, err)
 	must(t, 0, n.cmd.Start())
 	cmd, exited := n.cmd, n.exited
-	t.Cleanup(func() { cmd.Process.Kill() })
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it may have ended
 	addresses := make(chan string, 2)
 	go func() {
 		for lines := bufio.NewScanner(stderr); lines.Scan(); {
@@ -340,8 +335,7 @@
 // configuration is not read yet, and later ones are taken.
 func TestSignalBeforeItListens(t *testing.T) {
 	n := start(t)
-	n.cmd.Process.Kill()
-	<-n.exited
+	n.kill(t)
 	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "balancer.toml"))
 	run := regexp.MustCompile(`(?m)^run = "(.*)exec bin/quincerail"$`).FindStringSubmatch(string(must(t, text, err)))
 	if run == nil {
@@ -401,11 +395,10 @@
 
 func TestHealth(t *testing.T) {
 	n := start(t)
-	nc, err := net.Dial("tcp", n.thrift)
-	must(t, 0, err)
-	defer nc.Close()
-	nc.Write(fakes.AppendCheck(fakes.AppendCheck(nil, 1, false), 2, true))
-	r := bufio.NewReader(nc)
+	conn := dial(t, n.thrift)
+	written, err := conn.Write(fakes.AppendCheck(fakes.AppendCheck(nil, 1, false), 2, true))
+	must(t, written, err)
+	r := bufio.NewReader(conn)
 	for seq := range int32(2) {
 		if reply, err := fakes.ReadReply(r); err != nil || reply.Seq != seq+1 || !reply.Good {
 			t.Errorf("%+v, %v", reply, err)
@@ -413,44 +406,38 @@
 	}
 }
 
-// TestUpgrade starts a new process beside an old one and ends that: a gift that
-// ran in the old one is served again and never run by the new one, and the old one
-// ends well while it is not the platform that takes it off the list.
+// TestUpgrade starts a successor beside a predecessor and ends that: a gift that ran in
+// the predecessor is served again and never run by the successor, and the predecessor ends
+// well while it is not the platform that takes it off the list.
 func TestUpgrade(t *testing.T) {
-	l, err := net.Listen("tcp", anyPort)
-	must(t, 0, err)
-	defer l.Close()
-	socket, err := l.(*net.TCPListener).File()
-	must(t, 0, err)
-	defer socket.Close()
+	socket := listeningSocket(t)
 	shared := t.TempDir()
-	old := startOn(t, socket, shared)
+	predecessor := startOn(t, socket, shared)
 	gift := func(n *node) fakes.Outcome { return n.ask(t, fakes.Thrift, n.thrift, "ny-gava", "k", "gift") }
 	want := fakes.Outcome{Kind: "served", Body: "done: gift"}
-	if got := gift(old); got != want {
+	if got := gift(predecessor); got != want {
 		t.Errorf("the first try: %v", got)
 	}
-	young := startOn(t, socket, shared)
-	nc, err := net.Dial("tcp", young.control)
-	must(t, 0, err)
-	defer nc.Close()
-	fmt.Fprint(nc, "check\r\n")
-	if line, err := bufio.NewReader(nc).ReadString('\n'); err != nil || line != "done\r\n" {
+	successor := startOn(t, socket, shared)
+	conn := dial(t, successor.control)
+	written, err := conn.Write([]byte("check\r\n"))
+	must(t, written, err)
+	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != "done\r\n" {
 		t.Errorf("check: %q, %v", line, err)
 	}
-	must(t, 0, old.cmd.Process.Signal(syscall.SIGTERM))
-	if err := <-old.exited; err != nil {
-		t.Errorf("the old process ends with %v", err)
+	must(t, 0, predecessor.cmd.Process.Signal(syscall.SIGTERM))
+	if err := <-predecessor.exited; err != nil {
+		t.Errorf("the predecessor ends with %v", err)
 	}
-	if got := gift(young); got != want {
+	if got := gift(successor); got != want {
 		t.Errorf("a further try: %v", got)
 	}
-	if a, b := old.work.Runs("gift"), young.work.Runs("gift"); a != 1 || b != 0 {
-		t.Errorf("%d runs in the old process, %d in the new", a, b)
+	if a, b := predecessor.work.Runs("gift"), successor.work.Runs("gift"); a != 1 || b != 0 {
+		t.Errorf("%d runs in the predecessor, %d in the successor", a, b)
 	}
-	for len(old.announce.Reports) > 0 {
-		if report := <-old.announce.Reports; strings.Contains(report, "false") {
-			t.Errorf("the old process reports %s", report)
+	for len(predecessor.announce.Reports) > 0 {
+		if report := <-predecessor.announce.Reports; strings.Contains(report, "false") {
+			t.Errorf("the predecessor reports %s", report)
 		}
 	}
 }
@@ -459,14 +446,13 @@
 func TestBadBytes(t *testing.T) {
 	n := start(t)
 	for _, bytes := range []string{"\x7f\xff\xff\xff", "GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x04abcd"} {
-		nc, err := net.Dial("tcp", n.thrift)
-		must(t, 0, err)
-		nc.Write([]byte(bytes))
-		nc.SetReadDeadline(time.Now().Add(3 * time.Second)) // such a client is owed the end by then
-		if got, err := io.ReadAll(nc); err != nil || len(got) > 0 {
+		conn := dial(t, n.thrift)
+		written, err := conn.Write([]byte(bytes))
+		must(t, written, err)
+		must(t, 0, conn.SetReadDeadline(time.Now().Add(3*time.Second))) // such a client is owed the end by then
+		if got, err := io.ReadAll(conn); err != nil || len(got) > 0 {
 			t.Errorf("%q: read %q, %v, want the end", bytes, got, err)
 		}
-		nc.Close()
 	}
 	if got := n.ask(t, fakes.Thrift, n.thrift, "kampanjsida", "", "page"); got.Kind != "served" {
 		t.Errorf("afterwards: %v", got)
@@ -497,7 +483,7 @@
 
 func TestBadConfig(t *testing.T) {
 	for key, value := range map[string]any{"seed": "xyz", "stop_ms": "soon", "listen": "nowhere", "settings": nil} {
-		cmd := exec.Command(binary)
+		cmd := exec.CommandContext(context.Background(), binary)
 		cmd.Env = append(os.Environ(), "GW_CONFIG="+writeConfig(t, map[string]any{key: value}))
 		out, err := cmd.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), key) {
@@ -536,7 +522,7 @@
 		t.Errorf("after the refused file, a gift by the rules ran %d times", runs)
 	}
 
-	cmd := exec.Command(binary, "--rules", path)
+	cmd := exec.CommandContext(context.Background(), binary, "--rules", path)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+writeConfig(t, nil))
 	out, err := cmd.CombinedOutput()
 	if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "trasig.match: gives int") {
@@ -581,8 +567,7 @@
 			})
 		}
 		time.Sleep(kill)
-		must(t, 0, n.cmd.Process.Kill())
-		<-n.exited
+		n.kill(t)
 		wg.Wait()
 	}
 	for gift := range gifts {
@@ -596,7 +581,7 @@
 // command runs the program with arguments and gives its output and exit code.
 func command(t *testing.T, config string, args ...string) (string, int) {
 	t.Helper()
-	cmd := exec.Command(binary, args...)
+	cmd := exec.CommandContext(context.Background(), binary, args...)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+config)
 	out, err := cmd.CombinedOutput()
 	code := 0
--- a/cmd/quincerail/rollout.go
+++ b/cmd/quincerail/rollout.go
@@ -56,14 +56,14 @@
 	} else {
 		fmt.Println("no rollout yet")
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "server\tzone\tversion\tto run\tsettings\t")
+	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) // keeps an error until Flush
+	_, _ = fmt.Fprintln(w, "server\tzone\tversion\tto run\tsettings\t")
 	for _, x := range s.Servers {
 		remark := ""
 		if x.TurnedDown != 0 {
 			remark = fmt.Sprintf("turned %d down: %s", x.TurnedDown, x.Reason)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", x.Name, x.Zone, x.Version, s.Desired[x.Name], x.Settings, remark)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", x.Name, x.Zone, x.Version, s.Desired[x.Name], x.Settings, remark)
 	}
 	return w.Flush()
 }
--- a/cmd/quincerail/tools.go
+++ b/cmd/quincerail/tools.go
@@ -101,47 +101,81 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	var settings *config.Config
-	if path := os.Getenv("GW_CONFIG"); path != "" {
-		if settings, err = config.Load(path); err != nil {
-			return err
-		}
+	settings, err := optionalConfig()
+	if err != nil {
+		return err
+	}
+	conflicts := printRoutes(doc, settings) + printClassConflicts(doc, settings)
+	ruleConflicts, err := c.printRuleConflicts(doc, settings)
+	if err != nil {
+		return err
+	}
+	if conflicts += ruleConflicts; conflicts > 0 {
+		return fmt.Errorf("%w: %d conflicts", errFound, conflicts)
 	}
-	conflicts := 0
+	return nil
+}
+
+// optionalConfig reads the configuration, nil where the environment names none.
+func optionalConfig() (*config.Config, error) {
+	path := os.Getenv("GW_CONFIG")
+	if path == "" {
+		return nil, nil
+	}
+	return config.Load(path)
+}
+
+// printRoutes prints each route, and returns how many lead to a class that the settings
+// don't have.
+func printRoutes(doc *describe.Document, settings *config.Config) (conflicts int) {
 	for _, r := range doc.Routes {
 		state := "classified"
 		if settings != nil && !slices.Contains(settings.Classes, r.Class) {
-			state, conflicts = "unknown to the settings", conflicts+1
+			state = "unknown to the settings"
+			conflicts++
 		}
 		fmt.Printf("%-6s %-32s %-14s key %-16s %s\n", r.Method, r.Path, r.Class, r.KeyHeader, state)
 	}
-	if settings != nil {
-		for _, class := range doc.Classes {
-			if i := slices.Index(settings.Classes, class.Name); i >= 0 && !agrees(class.Class, settings.Settings.Classes[i]) {
-				fmt.Printf("class %s: the description says %s, the settings %s\n", class.Name,
-					brief(class.Class), brief(settings.Settings.Classes[i]))
-				conflicts++
-			}
-		}
+	return conflicts
+}
+
+// printClassConflicts prints where the description and the settings disagree on a class,
+// and returns how often.
+func printClassConflicts(doc *describe.Document, settings *config.Config) (conflicts int) {
+	if settings == nil {
+		return 0
 	}
-	if c.Rules != "" {
-		var classes []string
-		if settings != nil {
-			classes = settings.Classes
-		}
-		set, err := match.Load(c.Rules, classes)
-		if err != nil {
-			return err
-		}
-		for _, d := range set.Against(doc) {
-			fmt.Println(d)
-			conflicts++
+	for _, class := range doc.Classes {
+		i := slices.Index(settings.Classes, class.Name)
+		if i < 0 || agrees(class.Class, settings.Settings.Classes[i]) {
+			continue
 		}
+		fmt.Printf("class %s: the description says %s, the settings %s\n", class.Name,
+			brief(class.Class), brief(settings.Settings.Classes[i]))
+		conflicts++
 	}
-	if conflicts > 0 {
-		return fmt.Errorf("%w: %d conflicts", errFound, conflicts)
+	return conflicts
+}
+
+// printRuleConflicts prints where the operator's rules and the description disagree, and
+// returns how often.
+func (c *describeCmd) printRuleConflicts(doc *describe.Document, settings *config.Config) (conflicts int, err error) {
+	if c.Rules == "" {
+		return 0, nil
 	}
-	return nil
+	var classes []string
+	if settings != nil {
+		classes = settings.Classes
+	}
+	rules, err := match.Load(c.Rules, classes)
+	if err != nil {
+		return 0, err
+	}
+	for _, conflict := range rules.Against(doc) {
+		fmt.Println(conflict)
+		conflicts++
+	}
+	return conflicts, nil
 }
 
 // agrees tells whether a description says of a class what the settings do, in
--- a/cmd/quincerail/voters.go
+++ b/cmd/quincerail/voters.go
@@ -26,14 +26,14 @@
 	if err := c.call(http.MethodGet, admin.PathVoters, nil, nil, &voters); err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "voter\taddress\talive\t")
+	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) // keeps an error until Flush
+	_, _ = fmt.Fprintln(w, "voter\taddress\talive\t")
 	for _, v := range voters {
 		remark := ""
 		if v.Learner {
 			remark = "copies the log, has no vote yet"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%s\n", v.Name, v.Address, v.Alive, remark)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%v\t%s\n", v.Name, v.Address, v.Alive, remark)
 	}
 	return w.Flush()
 }
