--- a/cmd/quincerail/serve.go
+++ b/cmd/quincerail/serve.go
@@ -50,59 +50,65 @@
 // flushLogWithin is how long the process waits at its end for its log to be taken.
 const flushLogWithin = 20 * time.Millisecond
 
+// serve runs a server until SIGTERM, and reloads its files at SIGHUP.
 func serve(f files) error {
-	signal.Ignore(syscall.SIGPIPE) // its log's reader may have gone: that ends nothing
-	hup := make(chan os.Signal, 1) // at once: a signal that nobody takes ends the program
-	signal.Notify(hup, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE)     // the reader of the log may have gone: that ends nothing
+	hangups := make(chan os.Signal, 1) // before all else: a SIGHUP that nobody takes ends the process
+	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	o, err := f.operator()
+	operatorFile, err := f.operator()
 	if err != nil {
 		return err
 	}
 	level := new(slog.LevelVar)
-	if err := setLevel(level, o); err != nil {
+	if err := setLevel(level, operatorFile); err != nil {
 		return err
 	}
-	lines := logging.NewWriter(os.Stderr, logging.Format(o.Log.Format))
+	format := logging.Format(operatorFile.Log.Format)
+	lines := logging.NewWriter(os.Stderr, format)
 	defer lines.Flush(flushLogWithin)
-	logger := logging.New(lines, logging.Format(o.Log.Format), level, o.Log.Repeats)
-	settings, front, err := load(o, logger)
+	logger := logging.New(lines, format, level, operatorFile.Log.Repeats)
+	settings, front, err := load(operatorFile, logger)
 	if err != nil {
 		return err
 	}
 	server.ApplyResourceLimits(settings)
-	server, err := server.Start(settings, front)
+	running, err := server.Start(settings, front)
 	if err != nil {
 		return err
 	}
-	go func() { // also while it drains
-		for range hup {
-			if err := reload(f, server, level, logger); err != nil { // what works is kept
-				logger.Warn("reload_failed", "error", err.Error())
-			}
-		}
-	}()
+	go reloadAt(hangups, f, running, level, logger)
 	<-ctx.Done()
-	server.Shutdown()
+	running.Shutdown()
 	return nil
 }
 
-// reload takes over the files anew at SIGHUP: the level of the log at once;
-// what else of the operator's file changed needs a restart.
-func reload(f files, server *server.Server, level *slog.LevelVar, logger *slog.Logger) error {
-	o, err := f.operator()
+// reloadAt reloads at each signal, also while the server shuts down. Where that fails, what
+// is in force stays.
+func reloadAt(hangups <-chan os.Signal, f files, running *server.Server, level *slog.LevelVar, logger *slog.Logger) {
+	for range hangups {
+		if err := reload(f, running, level, logger); err != nil {
+			logger.Warn("reload_failed", "error", err.Error())
+		}
+	}
+}
+
+// reload reads the files again and puts them in force: of the operator's file the level of
+// the log, the rules and the uwsgi front's file. What else of it has changed needs a restart.
+func reload(f files, running *server.Server, level *slog.LevelVar, logger *slog.Logger) error {
+	operatorFile, err := f.operator()
 	if err != nil {
 		return err
 	}
-	settings, front, err := load(o, logger)
+	settings, front, err := load(operatorFile, logger)
 	if err != nil {
 		return err
 	}
-	if err := server.Reload(settings, front); err != nil {
+	if err := running.Reload(settings, front); err != nil {
 		return err
 	}
-	return setLevel(level, o)
+	return setLevel(level, operatorFile)
 }
 
 func setLevel(level *slog.LevelVar, o *operator.File) error {
@@ -119,31 +125,43 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	settings.KeysDir, settings.KeysSync, settings.MetricsListen, settings.OperatorsListen, settings.Logger =
-		o.Keys.Dir, o.Keys.Sync, o.Metrics.Listen, o.Fleet.Operators, logger
-	if settings.Fleet, err = o.FleetOf(settings.Name, settings.Ledger, logger); err != nil {
+	settings.Logger = logger
+	settings.KeysDir, settings.KeysSync = o.Keys.Dir, o.Keys.Sync
+	settings.MetricsAddress, settings.OperatorsAddress = o.Metrics.Listen, o.Fleet.Operators
+	if settings.Fleet, err = o.FleetConfig(settings.Name, settings.DependencyAddress, logger); err != nil {
 		return nil, nil, err
 	}
-	if o.Rules != "" {
-		if settings.Rules, err = match.Load(o.Rules, settings.Classes); err != nil {
-			return nil, nil, err
-		}
-		for _, w := range settings.Rules.Warnings() {
-			logger.Warn("rules_overlap", "warning", w)
-		}
+	if err := loadRules(o.Rules, settings); err != nil {
+		return nil, nil, err
 	}
 	if o.UWSGI == "" {
 		return settings, nil, nil
 	}
 	front, err := config.LoadUWSGI(o.UWSGI, settings.Classes)
 	if err == nil {
-		err = apart(o, front)
+		err = checkListeners(o, front)
 	}
 	return settings, front, err
 }
 
-// apart refuses two listeners on one address, each of which is right alone.
-func apart(o *operator.File, front *config.UWSGI) error {
+// loadRules reads the file of rules, if there is one.
+func loadRules(path string, settings *config.Config) error {
+	if path == "" {
+		return nil
+	}
+	rules, err := match.Load(path, settings.Classes)
+	if err != nil {
+		return err
+	}
+	for _, warning := range rules.Warnings() {
+		settings.Logger.Warn("rules_overlap", "warning", warning)
+	}
+	settings.Rules = rules
+	return nil
+}
+
+// checkListeners rejects two listeners on one address, each of which is valid alone.
+func checkListeners(o *operator.File, front *config.UWSGI) error {
 	if front.Listen == o.Metrics.Listen && !strings.HasSuffix(front.Listen, ":0") {
 		return fmt.Errorf("metrics.listen: %s is the uwsgi front's address too", front.Listen)
 	}
--- a/cmd/quincerail/tools.go
+++ b/cmd/quincerail/tools.go
@@ -38,7 +38,7 @@
 		problems = append(problems, err.Error())
 	}
 	if settings != nil && o != nil {
-		if _, err := o.FleetOf(settings.Name, settings.Ledger, settings.Logger); err != nil {
+		if _, err := o.FleetConfig(settings.Name, settings.DependencyAddress, settings.Logger); err != nil {
 			problems = append(problems, err.Error())
 		}
 		problems = append(problems, checkFiles(o, settings.Classes)...)
@@ -59,7 +59,7 @@
 	if o.UWSGI != "" {
 		front, err := config.LoadUWSGI(o.UWSGI, classes)
 		if err == nil {
-			err = apart(o, front)
+			err = checkListeners(o, front)
 		}
 		if err != nil {
 			problems = append(problems, err.Error())
--- a/config/config.go
+++ b/config/config.go
@@ -29,32 +29,35 @@
 	envListenFD     = "GW_FD"      // descriptor of an inherited listening socket
 )
 
-// Config is what a server needs to know to start. Load and Parse fill in what
-// comes from the platform; the caller adds the operator's choices.
+// Config is what a server needs to know to start. Load and Parse fill in what comes from
+// the platform; the caller adds the operator's choices.
 type Config struct {
-	Name            string // of this process in load reports
-	Listen          string // address for balancers
-	Control         string // address for operators' calls; "" for none
-	ListenFD        int    // the inherited listening socket; 0 to open one at Listen
-	Processor       string // address of the processor
-	Announce        string // address of the discovery service
-	Ledger          string // address of the shared dependency
-	Seed            int64
-	StopTimeout     time.Duration // from SIGTERM to SIGKILL
-	Cores           float64
-	MemoryMB        int
-	Sockets         int // limit of file descriptors
-	Classes         []string
-	Tenants         []string
-	Settings        decision.Settings
-	Gauges          []string      // names, in the order in which the processor sends them
-	Rules           *match.Set    // the operator's classification rules; nil for none
-	KeysDir         string        // directory of the idempotency journal; "" keeps keys in memory
-	KeysSync        string        // always or never, as store.SyncPolicy; "" for always
-	Logger          *slog.Logger  // nil for slog.Default()
-	MetricsListen   string        // address for /metrics; "" for none
-	OperatorsListen string        // address for operators' calls about the fleet; "" for none
-	Fleet           *fleet.Config // what this process does in its fleet; nil for nothing
+	// From the platform.
+	Name              string // of this process in load reports
+	ListenAddress     string // for balancers
+	ListenFD          int    // the inherited listening socket; 0 to open one at ListenAddress
+	ControlAddress    string // for operators' commands; "" for none
+	ProcessorAddress  string
+	DiscoveryAddress  string // of the discovery service
+	DependencyAddress string // of the shared dependency
+	Seed              int64
+	StopTimeout       time.Duration // from SIGTERM to SIGKILL
+	Cores             float64
+	MemoryMB          int
+	MaxDescriptors    int
+	Classes           []string // names, in the order of the settings
+	Tenants           []string // likewise; nil where there are none
+	Gauges            []string // names, in the order in which the processor sends them
+	Settings          decision.Settings
+
+	// From the operator.
+	Rules            *match.Set    // classification rules; nil for none
+	KeysDir          string        // directory of the idempotency journal; "" keeps keys in memory
+	KeysSync         string        // always or never, as store.SyncPolicy; "" for always
+	Logger           *slog.Logger  // nil for slog.Default()
+	MetricsAddress   string        // for /metrics; "" for none
+	OperatorsAddress string        // for operators' calls about the fleet; "" for none
+	Fleet            *fleet.Config // what this process does in its fleet; nil for nothing
 
 	text string // the JSON that it was parsed from
 }
@@ -86,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Control = cmp.Or(os.Getenv(envAdminAddress), c.Control)
+	c.ControlAddress = cmp.Or(os.Getenv(envAdminAddress), c.ControlAddress)
 	if fd := os.Getenv(envListenFD); fd != "" {
 		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < 3 {
 			return nil, keyErrorf(envListenFD, "%q, a descriptor's number wanted", fd)
@@ -117,10 +120,10 @@
 	if err := patched.CheckComplete(c); err != nil {
 		return nil, err
 	}
-	patched.Control, patched.ListenFD = c.Control, c.ListenFD
+	patched.ControlAddress, patched.ListenFD = c.ControlAddress, c.ListenFD
 	patched.Rules, patched.Logger, patched.Fleet = c.Rules, c.Logger, c.Fleet
 	patched.KeysDir, patched.KeysSync = c.KeysDir, c.KeysSync
-	patched.MetricsListen, patched.OperatorsListen = c.MetricsListen, c.OperatorsListen
+	patched.MetricsAddress, patched.OperatorsAddress = c.MetricsAddress, c.OperatorsAddress
 	return patched, nil
 }
 
@@ -156,9 +159,9 @@
 		changed bool
 	}{
 		{keyName, c.Name != inForce.Name},
-		{keyListen, c.Listen != inForce.Listen},
-		{keyAdminAddress, c.Control != inForce.Control},
-		{keyDescriptors, c.Sockets != inForce.Sockets},
+		{keyListen, c.ListenAddress != inForce.ListenAddress},
+		{keyAdminAddress, c.ControlAddress != inForce.ControlAddress},
+		{keyDescriptors, c.MaxDescriptors != inForce.MaxDescriptors},
 		{keySettings + "." + keyGaugeNames, !slices.Equal(c.Gauges, inForce.Gauges)},
 	} {
 		if k.changed {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -116,6 +116,36 @@
 	}
 }
 
+// TestRestartKeys names what a reload can't change, and nothing else.
+func TestRestartKeys(t *testing.T) {
+	text := dispatchtest.Example(t, "config.json")
+	parse := func(text string) *Config {
+		c, err := Parse(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return c
+	}
+	inForce := parse(text)
+	for _, x := range []struct {
+		old, new string
+		want     []string
+	}{
+		{`"name": "n1"`, `"name": "n2"`, []string{"name"}},
+		{`"listen": "127.0.0.1:9090"`, `"listen": "127.0.0.1:9091"`, []string{"listen"}},
+		{`"control": "127.0.0.1:9600"`, `"control": "127.0.0.1:9601"`, []string{"control"}},
+		{`"sockets": `, `"sockets": 1`, []string{"limits.sockets"}},
+		{`"ownStats": [`, `"ownStats": ["further", `, []string{"settings.familyInfo.ownStats"}},
+		{`"stop_ms": 3200`, `"stop_ms": 3100`, nil},
+		{`"ledger": "127.0.0.1:7700"`, `"ledger": "127.0.0.1:7701"`, nil},
+	} {
+		changed := strings.Replace(text, x.old, x.new, 1)
+		if got := parse(changed).RestartKeys(inForce); changed == text || !slices.Equal(got, x.want) {
+			t.Errorf("%s for %s: %q, want %q", x.new, x.old, got, x.want)
+		}
+	}
+}
+
 func TestUWSGIConfig(t *testing.T) {
 	const good = "listen = \"127.0.0.1:1\"\nbackend = \"127.0.0.1:2\"\n[[route]]\npath = \"/g\"\nclass = \"ny-gava\"\n"
 	classes := []string{"kampanjsida", "givarhistorik", "ny-gava"}
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -72,10 +72,10 @@
 	} `json:"fleet"`
 }
 
-// FleetOf returns the fleet's configuration of the process with a name, whose shared
+// FleetConfig returns the fleet's configuration of the process with a name, whose shared
 // dependency is at the address ledger; nil where the operator's file leaves the fleet
 // off. The error names the key at fault.
-func (o *File) FleetOf(name, ledger string, logger *slog.Logger) (*fleet.Config, error) {
+func (o *File) FleetConfig(name, ledger string, logger *slog.Logger) (*fleet.Config, error) {
 	x := &o.Fleet
 	if fleet.Role(x.Role) == fleet.Off {
 		return nil, nil
--- a/config/parse.go
+++ b/config/parse.go
@@ -101,18 +101,18 @@
 	}
 	r := &reader{text: text}
 	c := &Config{
-		text:        text,
-		Name:        r.string(keyName),
-		Listen:      r.string(keyListen),
-		Processor:   r.string(keyProcessor),
-		Announce:    r.string(keyDiscoveryService),
-		Ledger:      r.string(keySharedDependency),
-		Control:     gjson.Get(text, keyAdminAddress).String(),
-		StopTimeout: time.Duration(r.number(keyStopTimeout) * float64(time.Millisecond)),
-		Cores:       r.number(keyCores),
-		MemoryMB:    int(r.number(keyMemory)),
-		Sockets:     int(r.number(keyDescriptors)),
-		Seed:        r.seed(keySeed),
+		text:              text,
+		Name:              r.string(keyName),
+		ListenAddress:     r.string(keyListen),
+		ProcessorAddress:  r.string(keyProcessor),
+		DiscoveryAddress:  r.string(keyDiscoveryService),
+		DependencyAddress: r.string(keySharedDependency),
+		ControlAddress:    gjson.Get(text, keyAdminAddress).String(),
+		StopTimeout:       time.Duration(r.number(keyStopTimeout) * float64(time.Millisecond)),
+		Cores:             r.number(keyCores),
+		MemoryMB:          int(r.number(keyMemory)),
+		MaxDescriptors:    int(r.number(keyDescriptors)),
+		Seed:              r.seed(keySeed),
 	}
 	settings := gjson.Get(text, keySettings)
 	if !settings.IsObject() {
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -42,7 +42,7 @@
 // bad and reports false, what still comes is served as ever, and all is undone by
 // the opposite call. Callers that say nothing hold up nobody.
 func TestControl(t *testing.T) {
-	w := newHarness(t, func(c *config.Config) { c.Control = "127.0.0.1:0" })
+	w := newHarness(t, func(c *config.Config) { c.ControlAddress = "127.0.0.1:0" })
 	address := w.ControlAddr().String()
 	for range 5 {
 		dial(t, address)
@@ -80,7 +80,7 @@
 	renamed := func(old, new string) *config.Config {
 		text := dispatchtest.Example(t, "config.json")
 		c := must(config.Parse(strings.Replace(text, old, new, 1)))(t)
-		c.Processor, c.Ledger, c.Announce = running.Processor, running.Ledger, running.Announce
+		c.ProcessorAddress, c.DependencyAddress, c.DiscoveryAddress = running.ProcessorAddress, running.DependencyAddress, running.DiscoveryAddress
 		return c
 	}
 	if err := w.Reload(renamed(`"servers": 1,`, ``), nil); err == nil || !strings.Contains(err.Error(), "settings.servers") {
@@ -107,8 +107,8 @@
 	return l, func(c *config.Config) {
 		file := must(l.File())(t)
 		defer func() { mustDo(t, file.Close()) }()
-		c.Listen, c.ListenFD = "held by another", must(syscall.Dup(int(file.Fd())))(t)
-		c.Control = "127.0.0.1:0"
+		c.ListenAddress, c.ListenFD = "held by another", must(syscall.Dup(int(file.Fd())))(t)
+		c.ControlAddress = "127.0.0.1:0"
 	}
 }
 
--- a/server/crossing_test.go
+++ b/server/crossing_test.go
@@ -201,7 +201,7 @@
 	t.Parallel()
 	w := newHarness(t, func(c *config.Config) {
 		shortGrace(c)
-		c.Sockets = 64
+		c.MaxDescriptors = 64
 	})
 	w.startShutdown()
 	b := w.balancer(t)
--- a/server/listeners.go
+++ b/server/listeners.go
@@ -51,7 +51,7 @@
 }
 
 // descriptors is a share of the file descriptors.
-func descriptors(c *config.Config, share float64) int { return int(float64(c.Sockets) * share) }
+func descriptors(c *config.Config, share float64) int { return int(float64(c.MaxDescriptors) * share) }
 
 // listen listens on the address that a key of the configuration has. The error is a
 // *config.KeyError.
@@ -68,7 +68,7 @@
 	if c.ListenFD != 0 {
 		return transport.InheritListener(c.ListenFD)
 	}
-	return (&net.ListenConfig{}).Listen(ctx, "tcp", c.Listen)
+	return (&net.ListenConfig{}).Listen(ctx, "tcp", c.ListenAddress)
 }
 
 // addFront adds a front with its listener, on which nothing is accepted yet.
@@ -85,10 +85,10 @@
 
 // openCommands opens the listener for operators' commands, if there is one.
 func (s *Server) openCommands(c *config.Config) error {
-	if c.Control == "" {
+	if c.ControlAddress == "" {
 		return nil
 	}
-	l, err := listen(s.lifetime, "control", c.Control)
+	l, err := listen(s.lifetime, "control", c.ControlAddress)
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 // openHTTP opens the operators' HTTP listeners, as far as there are any.
 func (s *Server) openHTTP(c *config.Config) error {
 	if s.recorder != nil {
-		l, err := listen(s.lifetime, "metrics", c.MetricsListen)
+		l, err := listen(s.lifetime, "metrics", c.MetricsAddress)
 		if err != nil {
 			return err
 		}
@@ -111,8 +111,8 @@
 		})
 		s.log.Info("metrics", "address", l.Addr().String())
 	}
-	if s.fleet != nil && c.OperatorsListen != "" {
-		l, err := listen(s.lifetime, "operators", c.OperatorsListen)
+	if s.fleet != nil && c.OperatorsAddress != "" {
+		l, err := listen(s.lifetime, "operators", c.OperatorsAddress)
 		if err != nil {
 			return err
 		}
--- a/server/reload.go
+++ b/server/reload.go
@@ -56,7 +56,7 @@
 	}
 	s.applyToObservers(next)
 	s.inForce.Store(next)
-	s.log.Info("reloaded", "processor", next.Processor, "ledger", next.Ledger, "announce", next.Announce,
+	s.log.Info("reloaded", "processor", next.ProcessorAddress, "ledger", next.DependencyAddress, "announce", next.DiscoveryAddress,
 		"classes", fmt.Sprintf("%q", next.Classes))
 	return nil
 }
@@ -71,9 +71,9 @@
 }
 
 func (s *Server) applyAddresses(next *config.Config) {
-	s.processor.SetAddress(next.Processor)
-	s.dependency.SetAddress(next.Ledger)
-	s.registrar.SetAddress(next.Announce)
+	s.processor.SetAddress(next.ProcessorAddress)
+	s.dependency.SetAddress(next.DependencyAddress)
+	s.registrar.SetAddress(next.DiscoveryAddress)
 }
 
 func (s *Server) applyRules(current, next *config.Config) {
--- a/server/start.go
+++ b/server/start.go
@@ -58,8 +58,8 @@
 	s := &Server{
 		log:         log,
 		monitor:     guard.NewMonitor(log),
-		processor:   backend.NewProcessor(c.Processor, c.Gauges, log),
-		dependency:  downstream.NewPool(c.Ledger),
+		processor:   backend.NewProcessor(c.ProcessorAddress, c.Gauges, log),
+		dependency:  downstream.NewPool(c.DependencyAddress),
 		registrar:   discovery.NewRegistrar(c.Name, log),
 		rules:       &match.Rules{},
 		idleTimeout: &idleTimeout{},
@@ -78,7 +78,7 @@
 
 // createObservers makes the parts that count answers.
 func (s *Server) createObservers(c *config.Config) {
-	if c.MetricsListen != "" {
+	if c.MetricsAddress != "" {
 		s.recorder = metrics.NewRecorder()
 		s.recorder.SetClasses(c.Classes)
 		s.recorder.ObserveRules(s.monitor)
@@ -307,7 +307,7 @@
 	if s.lifetime.Err() != nil {
 		return
 	}
-	go s.registrar.Run(s.reporting, c.Announce)
+	go s.registrar.Run(s.reporting, c.DiscoveryAddress)
 	for _, l := range s.listeners {
 		go serve(l.server)
 		s.log.Info("listening", "name", c.Name, "address", l.server.Addr().String())
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -40,7 +40,7 @@
 func loadConfig(t testing.TB) *config.Config {
 	t.Helper()
 	c := must(config.Parse(dispatchtest.Example(t, "config.json")))(t)
-	c.Listen, c.Control = "127.0.0.1:0", ""
+	c.ListenAddress, c.ControlAddress = "127.0.0.1:0", ""
 	return c
 }
 
@@ -64,7 +64,7 @@
 	w.announce = must(fakes.NewAnnounce(anyPort))(t)
 	app := must(fakes.NewApp(anyPort, w.work))(t)
 	c := loadConfig(t)
-	c.Processor, c.Ledger, c.Announce = w.processor.Addr(), w.ledger.Addr(), w.announce.Addr()
+	c.ProcessorAddress, c.DependencyAddress, c.DiscoveryAddress = w.processor.Addr(), w.ledger.Addr(), w.announce.Addr()
 	if change != nil {
 		change(c)
 	}
--- a/server/tenants_test.go
+++ b/server/tenants_test.go
@@ -17,8 +17,8 @@
 	return func(c *config.Config) {
 		text := dispatchtest.Example(t, "tenants.json")
 		next := must(config.Parse(strings.NewReplacer(change...).Replace(text)))(t)
-		next.Listen, next.Control, next.Processor, next.Ledger, next.Announce =
-			c.Listen, c.Control, c.Processor, c.Ledger, c.Announce
+		next.ListenAddress, next.ControlAddress, next.ProcessorAddress, next.DependencyAddress, next.DiscoveryAddress =
+			c.ListenAddress, c.ControlAddress, c.ProcessorAddress, c.DependencyAddress, c.DiscoveryAddress
 		*c = *next
 	}
 }
