--- a/server/control_test.go
+++ b/server/control_test.go
@@ -15,15 +15,15 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// operate makes a call as operators do, and gives the answer's first word.
-func operate(t testing.TB, address, call string) string {
+// operate sends an operator's command, and returns the answer's first word.
+func operate(t testing.TB, address, command string) string {
 	t.Helper()
 	conn := dial(t, address)
 	defer closeConn(conn)
-	must(conn.Write([]byte(call + "\r\n")))(t)
+	must(conn.Write([]byte(command + "\r\n")))(t)
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
-		t.Fatalf("%s: %v", call, err)
+		t.Fatalf("%s: %v", command, err)
 	}
 	word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
 	return word
@@ -38,9 +38,9 @@
 	return must(fakes.ReadReply(bufio.NewReader(conn)))(t).Good
 }
 
-// TestControl guards the operators' drain: from the call's answer on, checks are
-// bad and reports false, what still comes is served as ever, and all is undone by
-// the opposite call. Callers that say nothing hold up nobody.
+// TestControl guards the operators' switch of traffic: from the command's answer on, health
+// checks fail and reports are false, what still comes is served as before, and the opposite
+// command undoes it. Connections without a command hold up nobody.
 func TestControl(t *testing.T) {
 	w := newHarness(t, func(c *config.Config) { c.ControlAddress = "127.0.0.1:0" })
 	address := w.ControlAddr().String()
@@ -48,8 +48,8 @@
 		dial(t, address)
 	}
 	for _, x := range []struct {
-		call, answer string
-		ready        bool
+		command, answer string
+		ready           bool
 	}{
 		{"check", "done", true},
 		{"drain-on", "done", false},
@@ -57,17 +57,17 @@
 		{"drain", "error", false},
 		{"drain-off", "done", true},
 	} {
-		if got := operate(t, address, x.call); got != x.answer {
-			t.Errorf("%s: %s, want %s", x.call, got, x.answer)
+		if got := operate(t, address, x.command); got != x.answer {
+			t.Errorf("%s: %s, want %s", x.command, got, x.answer)
 		}
 		if w.healthy(t) != x.ready {
-			t.Errorf("after %s: checks don't say %t", x.call, x.ready)
+			t.Errorf("after %s: checks don't report %t", x.command, x.ready)
 		}
-		if strings.HasPrefix(x.call, "drain-") {
+		if strings.HasPrefix(x.command, "drain-") {
 			w.waitReport(t, x.ready)
 		}
 		if o := outcome(t, fronts[0].ask(t, w, "kampanjsida", "", "page")); o.Kind != "served" {
-			t.Errorf("after %s: %s", x.call, o.Kind)
+			t.Errorf("after %s: %s", x.command, o.Kind)
 		}
 	}
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// hold opens a listening socket for servers to inherit.
-func hold(t *testing.T) (held net.Listener, inherit func(*config.Config)) {
+// heldSocket opens a listening socket for servers to inherit.
+func heldSocket(t *testing.T) (held net.Listener, inherit func(*config.Config)) {
 	folder := filepath.Join(t.TempDir(), strings.Repeat("a folder with a long name ", 4)) // too long for a socket's path
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 // open is answered where it is, a gift that runs or ran in the predecessor never runs in
 // the successor, and nobody is sent away.
 func TestTakeOver(t *testing.T) {
-	_, inherit := hold(t)
+	_, inherit := heldSocket(t)
 	predecessor := newHarness(t, inherit)
 	predecessor.work.Took = 300 * time.Millisecond
 	gift := func(w *harness, key string) *fakes.Try { return fronts[0].ask(t, w, "ny-gava", key, "gift "+key) }
@@ -165,9 +165,9 @@
 
 // TestInherit serves on a listening socket that another holds. In a drain that
 // nobody takes over, what comes after the grace finds the socket open, so it must be
-// let in and turned away: unread, it would be lost.
+// accepted and shed: unread, it would be lost.
 func TestInherit(t *testing.T) {
-	held, inherit := hold(t)
+	held, inherit := heldSocket(t)
 	w := newHarness(t, func(c *config.Config) { inherit(c); shortGrace(c) })
 	if o := outcome(t, fronts[0].ask(t, w, "kampanjsida", "", "page")); o.Kind != "served" {
 		t.Errorf("over the inherited socket: %s", o.Kind)
--- a/server/crossing_test.go
+++ b/server/crossing_test.go
@@ -126,7 +126,7 @@
 				if took := time.Since(began); took > 1500*time.Millisecond { // the stop; answers are due 250 ms before it
 					t.Errorf("answered after %v", took)
 				}
-				b.end() // which a process that has ended does not say in order
+				b.end() // a process that was killed does not end it in order
 				<-w.drained
 				if class == "ny-gava" && got[1] != "failed" {
 					t.Errorf("a gift that ran is %s", got[1])
@@ -137,7 +137,7 @@
 }
 
 // TestHalfMessagesInADrain: half a frame has come at SIGTERM. One whose rest comes
-// in the grace is served, one whose rest comes later is turned away and never runs,
+// in the grace is served, one whose rest comes later is shed and never runs,
 // and one whose rest never comes is ended.
 func TestHalfMessagesInADrain(t *testing.T) {
 	t.Parallel()
@@ -168,11 +168,11 @@
 	conns["never"].end()
 	<-w.drained
 	if n := w.work.Runs("late"); n > 0 {
-		t.Errorf("what came whole after the grace ran %d times", n)
+		t.Errorf("what was complete after the grace ran %d times", n)
 	}
 }
 
-// TestLateConnection: a balancer that connects in a drain is told leaving before
+// TestLateConnection: a balancer that connects in a drain is notified (leaving) before
 // anything else, is served within the grace, and is ended though it never ends by
 // itself.
 func TestLateConnection(t *testing.T) {
@@ -194,7 +194,7 @@
 	<-w.drained
 }
 
-// TestFloodInADrain: while the process drains, callers that say nothing and
+// TestFloodInADrain: while the process drains, callers that send nothing and
 // requests come in numbers. All that is asked is answered once, the process ends in
 // time.
 func TestFloodInADrain(t *testing.T) {
@@ -206,7 +206,7 @@
 	w.startShutdown()
 	b := w.balancer(t)
 	b.leaving()
-	b.ask("kampanjsida", "", "hang on") // while it is owed an answer, its connection is not taken leave of
+	b.ask("kampanjsida", "", "hang on") // while an answer is pending, its connection stays
 	<-w.work.Begun()
 	hanging := b.seq
 	var silent []net.Conn
@@ -231,7 +231,7 @@
 // was asked before and behind it is served, the connection ends once it rests, and other
 // connections go on.
 func TestBadMessageKeepsOthers(t *testing.T) {
-	for name, spoilt := range map[string][]byte{
+	for name, malformed := range map[string][]byte{
 		"no message":   append([]byte{0, 0, 0, 8}, "rubbish!"...),
 		"oversized":    {0x7f, 0, 0, 0},
 		"wrong number": fakes.AppendCheck(nil, 99, false),
@@ -242,7 +242,7 @@
 			b, other := w.balancer(t), w.balancer(t)
 			b.ask("kampanjsida", "", "one")
 			<-w.work.Begun()
-			b.write(append(append([]byte{}, spoilt...), b.request("kampanjsida", "", "after")...))
+			b.write(append(append([]byte{}, malformed...), b.request("kampanjsida", "", "after")...))
 			other.ask("kampanjsida", "", "other")
 			got := b.replies(2)
 			if got[1] != "served" || got[2] != "served" || w.work.Runs("after") != 1 {
--- a/server/rules_test.go
+++ b/server/rules_test.go
@@ -44,8 +44,8 @@
 			b := outcome(t, f.ask(t, w, "kampanjsida", "", body))
 			c := outcome(t, f.ask(t, w, "ny-gava", "k", "x"))
 			d := outcome(t, f.ask(t, w, "ny-gava", "k", "x"))
-			got := fmt.Sprintf("%s, %s, %d run; %s, %s, %d runs", say(a), say(b), w.work.Runs(body),
-				say(c), say(d), w.work.Runs("x"))
+			got := fmt.Sprintf("%s, %s, %d run; %s, %s, %d runs", describeOutcome(a), describeOutcome(b), w.work.Runs(body),
+				describeOutcome(c), describeOutcome(d), w.work.Runs("x"))
 			if got != want {
 				t.Errorf("got  %s\nwant %s", got, want)
 			}
--- a/server/start.go
+++ b/server/start.go
@@ -37,8 +37,8 @@
 
 // Start starts a server. Without u the uwsgi front is off. Callers are let in when Start
 // returns, or, where the listening socket is inherited, once the predecessor's keys are
-// known. After an error nothing is left running; where a setting is at fault, the error
-// is a *config.KeyError.
+// known. After an error nothing is left running; where an address can't be listened on, the
+// error is a *config.KeyError.
 func Start(c *config.Config, u *config.UWSGI) (*Server, error) {
 	s := newServer(c)
 	if err := s.prepare(c, u); err != nil {
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -231,7 +231,7 @@
 	return try
 }
 
-// scenarios is the suite. Each says what happened as a text; the same is wanted
+// scenarios is the suite. Each describes what happened as a text; the same is wanted
 // over every protocol.
 var scenarios = []struct {
 	name   string
@@ -240,23 +240,23 @@
 	play   func(t *testing.T, w *harness, f front) string
 }{
 	{"served", nil, "served done: a gift", func(t *testing.T, w *harness, f front) string {
-		return say(outcome(t, f.ask(t, w, "kampanjsida", "", "a gift")))
+		return describeOutcome(outcome(t, f.ask(t, w, "kampanjsida", "", "a gift")))
 	}},
 	// Not even the held request fits the memory, so the module turns it away as it is read.
 	{"refused", noRoom, "refused, 0 runs", func(t *testing.T, w *harness, f front) string {
 		o := outcome(t, f.ask(t, w, "kampanjsida", "", "too much"))
-		return fmt.Sprintf("%s, %d runs", say(o), w.work.Runs("too much"))
+		return fmt.Sprintf("%s, %d runs", describeOutcome(o), w.work.Runs("too much"))
 	}},
 	{"failed", nil, "failed, 1 run", func(t *testing.T, w *harness, f front) string {
 		o := outcome(t, f.ask(t, w, "ny-gava", "k1", "fail it"))
-		return fmt.Sprintf("%s, %d run", say(o), w.work.Runs("fail it"))
+		return fmt.Sprintf("%s, %d run", describeOutcome(o), w.work.Runs("fail it"))
 	}},
 	{"deadline", shortDeadline, "failed, in time: true", func(t *testing.T, w *harness, f front) string {
 		began := time.Now()
 		o := outcome(t, f.ask(t, w, "ny-gava", "k2", "hang on"))
 		took := time.Since(began)
 		<-w.work.Stopped() // and the work does not go on for nobody
-		return fmt.Sprintf("%s, in time: %t", say(o), took >= 1400*time.Millisecond && took < 10*time.Second)
+		return fmt.Sprintf("%s, in time: %t", describeOutcome(o), took >= 1400*time.Millisecond && took < 10*time.Second)
 	}},
 	{"caller gone", nil, "stopped hang there", func(t *testing.T, w *harness, f front) string {
 		try := f.ask(t, w, "kampanjsida", "", "hang there")
@@ -270,13 +270,13 @@
 			first, second := f.ask(t, w, "ny-gava", "k3", "gift"), f.ask(t, w, "ny-gava", "k3", "gift")
 			a, b := outcome(t, first), outcome(t, second)
 			c := outcome(t, f.ask(t, w, "ny-gava", "k3", "gift"))
-			return fmt.Sprintf("%s, %s, %s, %d run", say(a), say(b), say(c), w.work.Runs("gift"))
+			return fmt.Sprintf("%s, %s, %s, %d run", describeOutcome(a), describeOutcome(b), describeOutcome(c), w.work.Runs("gift"))
 		},
 	},
 	{"repeat of a failure", nil, "failed, failed, 1 run", func(t *testing.T, w *harness, f front) string {
 		a := outcome(t, f.ask(t, w, "ny-gava", "k4", "fail gift"))
 		b := outcome(t, f.ask(t, w, "ny-gava", "k4", "fail gift"))
-		return fmt.Sprintf("%s, %s, %d run", say(a), say(b), w.work.Runs("fail gift"))
+		return fmt.Sprintf("%s, %s, %d run", describeOutcome(a), describeOutcome(b), w.work.Runs("fail gift"))
 	}},
 	{"connection lost", nil, "served done: gift, 1 run", func(t *testing.T, w *harness, f front) string {
 		w.work.Took = 200 * time.Millisecond
@@ -284,7 +284,7 @@
 		<-w.work.Begun()
 		lost.Break()
 		o := outcome(t, f.ask(t, w, "ny-gava", "k7", "gift"))
-		return fmt.Sprintf("%s, %d run", say(o), w.work.Runs("gift"))
+		return fmt.Sprintf("%s, %d run", describeOutcome(o), w.work.Runs("gift"))
 	}},
 	{
 		"key of another request", nil, "served done: gift, rejected, served done: gift, 1 run, 0 others",
@@ -292,11 +292,11 @@
 			a := outcome(t, f.ask(t, w, "ny-gava", "k6", "gift"))
 			b := outcome(t, f.ask(t, w, "ny-gava", "k6", "more"))
 			c := outcome(t, f.ask(t, w, "ny-gava", "k6", "gift"))
-			return fmt.Sprintf("%s, %s, %s, %d run, %d others", say(a), say(b), say(c), w.work.Runs("gift"), w.work.Runs("more"))
+			return fmt.Sprintf("%s, %s, %s, %d run, %d others", describeOutcome(a), describeOutcome(b), describeOutcome(c), w.work.Runs("gift"), w.work.Runs("more"))
 		},
 	},
-	// What runs at the notice is served, what comes whole within the grace too;
-	// what was half read at the notice and comes whole after it never runs.
+	// What runs at the notice is served, what is complete within the grace too; what was
+	// half read at the notice and is complete after the grace never runs.
 	{
 		"drain", shortGrace, "served done: running, served done: early, refused, 0 late runs, drained",
 		func(t *testing.T, w *harness, f front) string {
@@ -314,12 +314,12 @@
 			l := outcome(t, late)
 			r := outcome(t, running)
 			<-w.drained
-			return fmt.Sprintf("%s, %s, %s, %d late runs, drained", say(r), say(e), say(l), w.work.Runs("late"))
+			return fmt.Sprintf("%s, %s, %s, %d late runs, drained", describeOutcome(r), describeOutcome(e), describeOutcome(l), w.work.Runs("late"))
 		},
 	},
 }
 
-func say(o fakes.Outcome) string {
+func describeOutcome(o fakes.Outcome) string {
 	if o.Body == "" {
 		return o.Kind
 	}
