--- a/cmd/quincerail/rollout.go
+++ b/cmd/quincerail/rollout.go
@@ -16,6 +16,7 @@
 
 	"quincerail.example/quincerail/admin"
 	"quincerail.example/quincerail/fleet"
+	"quincerail.example/quincerail/fleet/lease"
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
@@ -42,20 +43,32 @@
 		out.SetIndent("", "  ")
 		return out.Encode(s)
 	}
-	if p := s.Record.Plan; p != nil {
-		fmt.Printf("%s: %s from %s to %s, %d servers, driven by %s under %s\n", p.ID, p.Kind, p.From, p.To, len(p.Servers), s.Owner, s.Token)
-		fmt.Printf("%s, stage %d of %d, window %d: %s", s.Record.State.Phase, s.Record.State.Stage, len(p.Stages)-1,
-			s.Record.State.Window, s.Record.Decision.Verdict)
-		if why := s.Record.Decision.Reason; why != "" {
-			fmt.Printf(" (%s)", why)
-		}
-		fmt.Println()
-		if missing := s.Record.Decision.PendingServers; len(missing) > 0 {
-			fmt.Println("waits for:", strings.Join(missing, " "))
-		}
-	} else {
+	printRollout(s.Record, s.Owner, s.Token)
+	return printServers(s)
+}
+
+// printRollout prints the plan and how far it has come.
+func printRollout(record rollout.Record, owner string, token lease.Token) {
+	plan := record.Plan
+	if plan == nil {
 		fmt.Println("no rollout yet")
+		return
+	}
+	fmt.Printf("%s: %s from %s to %s, %d servers, driven by %s under %s\n",
+		plan.ID, plan.Kind, plan.From, plan.To, len(plan.Servers), owner, token)
+	fmt.Printf("%s, stage %d of %d, window %d: %s", record.State.Phase, record.State.Stage, len(plan.Stages)-1,
+		record.State.Window, record.Decision.Verdict)
+	if reason := record.Decision.Reason; reason != "" {
+		fmt.Printf(" (%s)", reason)
+	}
+	fmt.Println()
+	if pending := record.Decision.PendingServers; len(pending) > 0 {
+		fmt.Println("waits for:", strings.Join(pending, " "))
 	}
+}
+
+// printServers prints a table of what each server runs.
+func printServers(s fleet.ChangeStatus) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) // keeps an error until Flush
 	_, _ = fmt.Fprintln(w, "server\tzone\tversion\tto run\tsettings\t")
 	for _, x := range s.Servers {
@@ -93,6 +106,7 @@
 	return c.call(http.MethodPost, admin.PathRollouts, nil, r, nil)
 }
 
+// request returns the request that starts the rollout.
 func (c *rolloutStartCmd) request() (admin.ChangeRequest, error) {
 	r := admin.ChangeRequest{Plan: rollout.Plan{
 		ID: c.ID, Kind: rollout.Program, From: c.From, To: c.To,
@@ -103,40 +117,56 @@
 		return r, errors.New("either --settings, or --from and --to wanted")
 	}
 	if c.Settings != "" {
-		text, err := os.ReadFile(c.Settings)
+		text, err := readSettings(c.Settings)
 		if err != nil {
 			return r, fmt.Errorf("settings: %w", err)
 		}
-		if !json.Valid(text) {
-			return r, fmt.Errorf("settings: %s is no JSON", c.Settings)
-		}
 		r.Plan.Kind, r.Settings = rollout.Settings, text
 	}
-	if c.Plan == "" {
-		return r, nil
+	if c.Plan != "" {
+		if err := readPlan(c.Plan, &r.Plan); err != nil {
+			return r, fmt.Errorf("plan: %w", err)
+		}
 	}
-	var m map[string]any
-	if _, err := toml.DecodeFile(c.Plan, &m); err != nil {
-		return r, fmt.Errorf("plan: %w", err)
+	return r, nil
+}
+
+// readSettings reads a file of settings, in JSON.
+func readSettings(path string) (json.RawMessage, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	if !json.Valid(text) {
+		return nil, fmt.Errorf("%s is no JSON", path)
 	}
-	for key := range m {
-		if !slices.Contains([]string{"stages", "watch", "watch_most", "warm", "limits", "servers"}, key) {
-			return r, fmt.Errorf("plan: %s: %s is no key of a plan", c.Plan, key)
+	return text, nil
+}
+
+// planKeys are the keys that a plan's file may have.
+var planKeys = []string{"stages", "watch", "watch_most", "warm", "limits", "servers"}
+
+// readPlan reads a plan's file, in TOML, over the defaults in plan.
+func readPlan(path string, plan *rollout.Plan) error {
+	var values map[string]any
+	if _, err := toml.DecodeFile(path, &values); err != nil {
+		return err
+	}
+	for key := range values {
+		if !slices.Contains(planKeys, key) {
+			return fmt.Errorf("%s: %s is no key of a plan", path, key)
 		}
 	}
-	b, err := json.Marshal(m)
+	encoded, err := json.Marshal(values)
 	if err != nil {
-		return r, fmt.Errorf("plan: %w", err)
-	}
-	if m["stages"] != nil {
-		r.Plan.Stages = nil
+		return err
 	}
-	in := json.NewDecoder(bytes.NewReader(b))
-	in.DisallowUnknownFields()
-	if err := in.Decode(&r.Plan); err != nil {
-		return r, fmt.Errorf("plan: %w", err)
+	if values["stages"] != nil {
+		plan.Stages = nil // else JSON would fill in the defaults' elements
 	}
-	return r, nil
+	decoder := json.NewDecoder(bytes.NewReader(encoded))
+	decoder.DisallowUnknownFields()
+	return decoder.Decode(plan)
 }
 
 type rolloutHaltCmd struct {
