--- a/cmd/quincerail/serve.go
+++ b/cmd/quincerail/serve.go
@@ -11,6 +11,7 @@
 	"syscall"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/config/operator"
 	"quincerail.example/quincerail/logging"
 	"quincerail.example/quincerail/match"
@@ -49,59 +50,65 @@
 // flushLogWithin is how long the process waits at its end for its log to be taken.
 const flushLogWithin = 20 * time.Millisecond
 
+// serve runs a server until SIGTERM, and reloads its files at SIGHUP.
 func serve(f files) error {
-	signal.Ignore(syscall.SIGPIPE) // its log's reader may have gone: that ends nothing
-	hup := make(chan os.Signal, 1) // at once: a signal that nobody takes ends the program
-	signal.Notify(hup, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE)     // the reader of the log may have gone: that ends nothing
+	hangups := make(chan os.Signal, 1) // before all else: a SIGHUP that nobody takes ends the process
+	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	o, err := f.operator()
+	operatorFile, err := f.operator()
 	if err != nil {
 		return err
 	}
 	level := new(slog.LevelVar)
-	if err := setLevel(level, o); err != nil {
+	if err := setLevel(level, operatorFile); err != nil {
 		return err
 	}
-	lines := logging.NewWriter(os.Stderr, logging.Format(o.Log.Format))
+	format := logging.Format(operatorFile.Log.Format)
+	lines := logging.NewWriter(os.Stderr, format)
 	defer lines.Flush(flushLogWithin)
-	logger := logging.New(lines, logging.Format(o.Log.Format), level, o.Log.Repeats)
-	config, front, err := load(o, logger)
+	logger := logging.New(lines, format, level, operatorFile.Log.Repeats)
+	settings, front, err := load(operatorFile, logger)
 	if err != nil {
 		return err
 	}
-	server.Limit(config)
-	server, err := server.Start(config, front)
+	server.ApplyResourceLimits(settings)
+	running, err := server.Start(settings, front)
 	if err != nil {
 		return err
 	}
-	go func() { // also while it drains
-		for range hup {
-			if err := reload(f, server, level, logger); err != nil { // what works is kept
-				logger.Warn("reload_failed", "error", err.Error())
-			}
-		}
-	}()
+	go reloadAt(hangups, f, running, level, logger)
 	<-ctx.Done()
-	server.Drain()
+	running.Shutdown()
 	return nil
 }
 
-// reload takes over the files anew at SIGHUP: the level of the log at once;
-// what else of the operator's file changed needs a restart.
-func reload(f files, server *server.Server, level *slog.LevelVar, logger *slog.Logger) error {
-	o, err := f.operator()
+// reloadAt reloads at each signal, also while the server shuts down. Where that fails, what
+// is in force stays.
+func reloadAt(hangups <-chan os.Signal, f files, running *server.Server, level *slog.LevelVar, logger *slog.Logger) {
+	for range hangups {
+		if err := reload(f, running, level, logger); err != nil {
+			logger.Warn("reload_failed", "error", err.Error())
+		}
+	}
+}
+
+// reload reads the files again and puts them in force: of the operator's file the level of
+// the log, the rules and the uwsgi front's file. What else of it has changed needs a restart.
+func reload(f files, running *server.Server, level *slog.LevelVar, logger *slog.Logger) error {
+	operatorFile, err := f.operator()
 	if err != nil {
 		return err
 	}
-	config, front, err := load(o, logger)
+	settings, front, err := load(operatorFile, logger)
 	if err != nil {
 		return err
 	}
-	if err := server.Reload(config, front); err != nil {
+	if err := running.Reload(settings, front); err != nil {
 		return err
 	}
-	return setLevel(level, o)
+	return setLevel(level, operatorFile)
 }
 
 func setLevel(level *slog.LevelVar, o *operator.File) error {
@@ -113,36 +120,48 @@
 }
 
 // load reads the configuration, and the operator's files where there are any.
-func load(o *operator.File, logger *slog.Logger) (*server.Config, *server.UWSGIConfig, error) {
-	config, err := server.LoadConfig(os.Getenv("GW_CONFIG"))
+func load(o *operator.File, logger *slog.Logger) (*config.Config, *config.UWSGI, error) {
+	settings, err := config.Load(os.Getenv("GW_CONFIG"))
 	if err != nil {
 		return nil, nil, err
 	}
-	config.KeysDir, config.KeysSync, config.MetricsListen, config.OperatorsListen, config.Logger =
-		o.Keys.Dir, o.Keys.Sync, o.Metrics.Listen, o.Fleet.Operators, logger
-	if config.Fleet, err = o.FleetOf(config.Name, config.Ledger, logger); err != nil {
+	settings.Logger = logger
+	settings.KeysDir, settings.KeysSync = o.Keys.Dir, o.Keys.Sync
+	settings.MetricsAddress, settings.OperatorsAddress = o.Metrics.Listen, o.Fleet.Operators
+	if settings.Fleet, err = o.FleetConfig(settings.Name, settings.DependencyAddress, logger); err != nil {
 		return nil, nil, err
 	}
-	if o.Rules != "" {
-		if config.Rules, err = match.Load(o.Rules, config.Classes); err != nil {
-			return nil, nil, err
-		}
-		for _, w := range config.Rules.Warnings() {
-			logger.Warn("rules_overlap", "warning", w)
-		}
+	if err := loadRules(o.Rules, settings); err != nil {
+		return nil, nil, err
 	}
 	if o.UWSGI == "" {
-		return config, nil, nil
+		return settings, nil, nil
 	}
-	front, err := server.LoadUWSGI(o.UWSGI, config.Classes)
+	front, err := config.LoadUWSGI(o.UWSGI, settings.Classes)
 	if err == nil {
-		err = apart(o, front)
+		err = checkListeners(o, front)
 	}
-	return config, front, err
+	return settings, front, err
+}
+
+// loadRules reads the file of rules, if there is one.
+func loadRules(path string, settings *config.Config) error {
+	if path == "" {
+		return nil
+	}
+	rules, err := match.Load(path, settings.Classes)
+	if err != nil {
+		return err
+	}
+	for _, warning := range rules.Warnings() {
+		settings.Logger.Warn("rules_overlap", "warning", warning)
+	}
+	settings.Rules = rules
+	return nil
 }
 
-// apart refuses two listeners on one address, each of which is right alone.
-func apart(o *operator.File, front *server.UWSGIConfig) error {
+// checkListeners rejects two listeners on one address, each of which is valid alone.
+func checkListeners(o *operator.File, front *config.UWSGI) error {
 	if front.Listen == o.Metrics.Listen && !strings.HasSuffix(front.Listen, ":0") {
 		return fmt.Errorf("metrics.listen: %s is the uwsgi front's address too", front.Listen)
 	}
--- a/cmd/quincerail/tools.go
+++ b/cmd/quincerail/tools.go
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/config/operator"
 	"quincerail.example/quincerail/decision"
 	"quincerail.example/quincerail/describe"
 	"quincerail.example/quincerail/dispatch"
 	"quincerail.example/quincerail/idempotency/journal"
 	"quincerail.example/quincerail/match"
-	"quincerail.example/quincerail/server"
 )
 
 // checkCmd checks what serve would load, and names every problem, one a line.
@@ -33,15 +33,15 @@
 	} else if err != nil {
 		problems = append(problems, err.Error())
 	}
-	config, err := server.LoadConfig(os.Getenv("GW_CONFIG"))
+	settings, err := config.Load(os.Getenv("GW_CONFIG"))
 	if err != nil {
 		problems = append(problems, err.Error())
 	}
-	if config != nil && o != nil {
-		if _, err := o.FleetOf(config.Name, config.Ledger, config.Logger); err != nil {
+	if settings != nil && o != nil {
+		if _, err := o.FleetConfig(settings.Name, settings.DependencyAddress, settings.Logger); err != nil {
 			problems = append(problems, err.Error())
 		}
-		problems = append(problems, checkFiles(o, config.Classes)...)
+		problems = append(problems, checkFiles(o, settings.Classes)...)
 	}
 	for _, p := range problems {
 		fmt.Println(p)
@@ -57,9 +57,9 @@
 // prints their warnings.
 func checkFiles(o *operator.File, classes []string) (problems []string) {
 	if o.UWSGI != "" {
-		front, err := server.LoadUWSGI(o.UWSGI, classes)
+		front, err := config.LoadUWSGI(o.UWSGI, classes)
 		if err == nil {
-			err = apart(o, front)
+			err = checkListeners(o, front)
 		}
 		if err != nil {
 			problems = append(problems, err.Error())
@@ -101,47 +101,81 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	var settings *server.Config
-	if path := os.Getenv("GW_CONFIG"); path != "" {
-		if settings, err = server.LoadConfig(path); err != nil {
-			return err
-		}
+	settings, err := optionalConfig()
+	if err != nil {
+		return err
+	}
+	conflicts := printRoutes(doc, settings) + printClassConflicts(doc, settings)
+	ruleConflicts, err := c.printRuleConflicts(doc, settings)
+	if err != nil {
+		return err
+	}
+	if conflicts += ruleConflicts; conflicts > 0 {
+		return fmt.Errorf("%w: %d conflicts", errFound, conflicts)
 	}
-	conflicts := 0
+	return nil
+}
+
+// optionalConfig reads the configuration, nil where the environment names none.
+func optionalConfig() (*config.Config, error) {
+	path := os.Getenv("GW_CONFIG")
+	if path == "" {
+		return nil, nil
+	}
+	return config.Load(path)
+}
+
+// printRoutes prints each route, and returns how many lead to a class that the settings
+// don't have.
+func printRoutes(doc *describe.Document, settings *config.Config) (conflicts int) {
 	for _, r := range doc.Routes {
 		state := "classified"
 		if settings != nil && !slices.Contains(settings.Classes, r.Class) {
-			state, conflicts = "unknown to the settings", conflicts+1
+			state = "unknown to the settings"
+			conflicts++
 		}
 		fmt.Printf("%-6s %-32s %-14s key %-16s %s\n", r.Method, r.Path, r.Class, r.KeyHeader, state)
 	}
-	if settings != nil {
-		for _, class := range doc.Classes {
-			if i := slices.Index(settings.Classes, class.Name); i >= 0 && !agrees(class.Class, settings.Settings.Classes[i]) {
-				fmt.Printf("class %s: the description says %s, the settings %s\n", class.Name,
-					brief(class.Class), brief(settings.Settings.Classes[i]))
-				conflicts++
-			}
-		}
+	return conflicts
+}
+
+// printClassConflicts prints where the description and the settings disagree on a class,
+// and returns how often.
+func printClassConflicts(doc *describe.Document, settings *config.Config) (conflicts int) {
+	if settings == nil {
+		return 0
 	}
-	if c.Rules != "" {
-		var classes []string
-		if settings != nil {
-			classes = settings.Classes
-		}
-		set, err := match.Load(c.Rules, classes)
-		if err != nil {
-			return err
-		}
-		for _, d := range set.Against(doc) {
-			fmt.Println(d)
-			conflicts++
+	for _, class := range doc.Classes {
+		i := slices.Index(settings.Classes, class.Name)
+		if i < 0 || agrees(class.Class, settings.Settings.Classes[i]) {
+			continue
 		}
+		fmt.Printf("class %s: the description says %s, the settings %s\n", class.Name,
+			brief(class.Class), brief(settings.Settings.Classes[i]))
+		conflicts++
 	}
-	if conflicts > 0 {
-		return fmt.Errorf("%w: %d conflicts", errFound, conflicts)
+	return conflicts
+}
+
+// printRuleConflicts prints where the operator's rules and the description disagree, and
+// returns how often.
+func (c *describeCmd) printRuleConflicts(doc *describe.Document, settings *config.Config) (conflicts int, err error) {
+	if c.Rules == "" {
+		return 0, nil
 	}
-	return nil
+	var classes []string
+	if settings != nil {
+		classes = settings.Classes
+	}
+	rules, err := match.Load(c.Rules, classes)
+	if err != nil {
+		return 0, err
+	}
+	for _, conflict := range rules.Against(doc) {
+		fmt.Println(conflict)
+		conflicts++
+	}
+	return conflicts, nil
 }
 
 // agrees tells whether a description says of a class what the settings do, in
--- a/cmd/quincerail/voters.go
+++ b/cmd/quincerail/voters.go
@@ -7,8 +7,8 @@
 	"os"
 	"text/tabwriter"
 
+	"quincerail.example/quincerail/admin"
 	"quincerail.example/quincerail/fleet"
-	"quincerail.example/quincerail/server"
 )
 
 // votersCmd is what operators ask of a fleet's voters, at one of them.
@@ -18,24 +18,22 @@
 	Remove votersRemoveCmd `cmd:"" help:"Remove a voter for good: it may come back under another name only."`
 }
 
-const votersPath = "/voters"
-
 type votersListCmd struct{ voter }
 
 // Run implements the sub-command.
 func (c *votersListCmd) Run() error {
 	var voters []fleet.VoterStatus
-	if err := c.call(http.MethodGet, votersPath, nil, nil, &voters); err != nil {
+	if err := c.call(http.MethodGet, admin.PathVoters, nil, nil, &voters); err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "voter\taddress\talive\t")
+	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) // keeps an error until Flush
+	_, _ = fmt.Fprintln(w, "voter\taddress\talive\t")
 	for _, v := range voters {
 		remark := ""
 		if v.Learner {
 			remark = "copies the log, has no vote yet"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%s\n", v.Name, v.Address, v.Alive, remark)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%v\t%s\n", v.Name, v.Address, v.Alive, remark)
 	}
 	return w.Flush()
 }
@@ -48,7 +46,7 @@
 
 // Run implements the sub-command.
 func (c *votersAddCmd) Run() error {
-	return c.call(http.MethodPost, votersPath, nil, server.VoterRequest{Name: c.Name, Address: c.Raft}, nil)
+	return c.call(http.MethodPost, admin.PathVoters, nil, admin.VoterRequest{Name: c.Name, Address: c.Raft}, nil)
 }
 
 type votersRemoveCmd struct {
@@ -58,5 +56,5 @@
 
 // Run implements the sub-command.
 func (c *votersRemoveCmd) Run() error {
-	return c.call(http.MethodDelete, votersPath, url.Values{"name": {c.Name}}, nil, nil)
+	return c.call(http.MethodDelete, admin.PathVoters, url.Values{"name": {c.Name}}, nil, nil)
 }
--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"strconv"
 
-	"quincerail.example/quincerail/dispatch"
+	"quincerail.example/quincerail/idempotency"
 	"quincerail.example/quincerail/protocol/lines"
 )
 
@@ -31,7 +31,7 @@
 // Message is a message that was read. Which fields are set depends on its kind.
 type Message struct {
 	Kind         Kind
-	State        dispatch.KeyState // Key, Claim
+	State        idempotency.KeyState // Key, Claim
 	RanAttemptID string            // Grant, Deny
 	On           bool              // Part: it was the last; TrafficDisabled: traffic is disabled
 }
@@ -69,7 +69,7 @@
 		m.State = parseState(&p, words)
 		m.State.Completed = p.Bool(words[6])
 		if body != nil {
-			m.State.Result = &dispatch.Payload{Body: body}
+			m.State.Result = &idempotency.Payload{Body: body}
 		}
 	case Claim:
 		m.State = parseState(&p, words)
@@ -83,8 +83,8 @@
 }
 
 // parseState reads what Key and Claim have in common.
-func parseState(p *lines.WordParser, words []string) dispatch.KeyState {
-	state := dispatch.KeyState{
+func parseState(p *lines.WordParser, words []string) idempotency.KeyState {
+	state := idempotency.KeyState{
 		Key: p.HexString(words[1]), Class: p.HexString(words[2]), BodyHash: p.HexUint(words[3]),
 		RanAttemptID: words[4], ExpiresAt: p.UnixNano(words[5]),
 	}
@@ -95,7 +95,7 @@
 }
 
 // stateWords returns the words of Key or Claim; last is the one that differs.
-func stateWords(kind Kind, k dispatch.KeyState, last string) []string {
+func stateWords(kind Kind, k idempotency.KeyState, last string) []string {
 	ran := k.RanAttemptID
 	if ran == "" {
 		ran = none
@@ -108,7 +108,7 @@
 
 // AppendKey appends the state of a key. A result that has fields, or is too large, is left
 // out; retries of its request fail then.
-func AppendKey(to []byte, k dispatch.KeyState) []byte {
+func AppendKey(to []byte, k idempotency.KeyState) []byte {
 	var body []byte
 	if r := k.Result; r != nil && len(r.Fields) == 0 && len(r.Body) <= lines.MaxBody {
 		body = append([]byte{}, r.Body...)
@@ -117,7 +117,7 @@
 }
 
 // AppendClaim appends the question whether an attempt may run.
-func AppendClaim(to []byte, k dispatch.KeyState) []byte {
+func AppendClaim(to []byte, k idempotency.KeyState) []byte {
 	return lines.Append(to, nil, stateWords(Claim, k, strconv.FormatInt(k.ArrivedAt.UnixNano(), 10))...)
 }
 
--- a/server/crossing_test.go
+++ b/server/crossing_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/guard"
 	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/protocol/thrift"
-	"quincerail.example/quincerail/server"
 )
 
 // balancer is a balancer's connection that asks and reads at will.
@@ -24,12 +24,11 @@
 	seq int32
 }
 
-func (w *world) balancer(t testing.TB) *balancer {
+func (w *harness) balancer(t testing.TB) *balancer {
 	t.Helper()
-	nc := must(net.Dial("tcp", w.Addr().String()))(t)
-	t.Cleanup(func() { nc.Close() })
-	nc.SetReadDeadline(time.Now().Add(20 * time.Second))
-	return &balancer{t, nc.(*net.TCPConn), bufio.NewReader(nc), 0}
+	conn := dial(t, w.Addr().String())
+	mustDo(t, conn.SetReadDeadline(time.Now().Add(20*time.Second)))
+	return &balancer{t, conn, bufio.NewReader(conn), 0}
 }
 
 // request gives the next call of execute.
@@ -93,9 +92,9 @@
 }
 
 // oneAtATime has one run at work, what else comes waits in the queue.
-func oneAtATime(c *server.Config) {
+func oneAtATime(c *config.Config) {
 	c.Settings.Cores, c.Settings.OverloadRatio = 1, 1
-	c.Settings.DrainGrace, c.Stop = 300*time.Millisecond, 1500*time.Millisecond
+	c.Settings.DrainGrace, c.StopTimeout = 300*time.Millisecond, 1500*time.Millisecond
 }
 
 // TestDrainAnswersAllThatIsRead: at SIGTERM one request runs or waits on its call,
@@ -107,7 +106,7 @@
 		for _, class := range []string{"kampanjsida", "ny-gava"} {
 			t.Run(body+" "+class, func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(t, oneAtATime)
+				w := newHarness(t, oneAtATime)
 				b := w.balancer(t)
 				b.ask(class, "k", body)
 				<-w.work.Begun()
@@ -122,12 +121,12 @@
 					reply = must(fakes.ReadReply(b.r))(t)
 				}
 				began := time.Now()
-				w.start()
+				w.startShutdown()
 				got := b.replies(4)
 				if took := time.Since(began); took > 1500*time.Millisecond { // the stop; answers are due 250 ms before it
 					t.Errorf("answered after %v", took)
 				}
-				b.end() // which a process that has ended does not say in order
+				b.end() // a process that was killed does not end it in order
 				<-w.drained
 				if class == "ny-gava" && got[1] != "failed" {
 					t.Errorf("a gift that ran is %s", got[1])
@@ -138,11 +137,11 @@
 }
 
 // TestHalfMessagesInADrain: half a frame has come at SIGTERM. One whose rest comes
-// in the grace is served, one whose rest comes later is turned away and never runs,
+// in the grace is served, one whose rest comes later is shed and never runs,
 // and one whose rest never comes is ended.
 func TestHalfMessagesInADrain(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, shortGrace)
+	w := newHarness(t, shortGrace)
 	halves := make(map[string][]byte)
 	conns := make(map[string]*balancer)
 	for _, name := range []string{"early", "late", "never"} {
@@ -151,7 +150,7 @@
 		b.write(m[:len(m)/2])
 		conns[name], halves[name] = b, m[len(m)/2:]
 	}
-	w.start()
+	w.startShutdown()
 	for _, b := range conns {
 		b.leaving()
 	}
@@ -169,20 +168,20 @@
 	conns["never"].end()
 	<-w.drained
 	if n := w.work.Runs("late"); n > 0 {
-		t.Errorf("what came whole after the grace ran %d times", n)
+		t.Errorf("what was complete after the grace ran %d times", n)
 	}
 }
 
-// TestLateConnection: a balancer that connects in a drain is told leaving before
+// TestLateConnection: a balancer that connects in a drain is notified (leaving) before
 // anything else, is served within the grace, and is ended though it never ends by
 // itself.
 func TestLateConnection(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, shortGrace)
+	w := newHarness(t, shortGrace)
 	resting := w.balancer(t)
 	resting.ask("kampanjsida", "", "before")
 	resting.replies(1)
-	w.start()
+	w.startShutdown()
 	resting.leaving()
 	late := w.balancer(t)
 	late.leaving()
@@ -195,25 +194,25 @@
 	<-w.drained
 }
 
-// TestFloodInADrain: while the process drains, callers that say nothing and
+// TestFloodInADrain: while the process drains, callers that send nothing and
 // requests come in numbers. All that is asked is answered once, the process ends in
 // time.
 func TestFloodInADrain(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(c *server.Config) {
+	w := newHarness(t, func(c *config.Config) {
 		shortGrace(c)
-		c.Sockets = 64
+		c.MaxDescriptors = 64
 	})
-	w.start()
+	w.startShutdown()
 	b := w.balancer(t)
 	b.leaving()
-	b.ask("kampanjsida", "", "hang on") // while it is owed an answer, its connection is not taken leave of
+	b.ask("kampanjsida", "", "hang on") // while an answer is pending, its connection stays
 	<-w.work.Begun()
 	hanging := b.seq
 	var silent []net.Conn
 	for i := range 100 {
-		if nc, err := net.Dial("tcp", w.Addr().String()); err == nil {
-			silent = append(silent, nc)
+		if conn, err := tryDial(w.Addr().String()); err == nil {
+			silent = append(silent, conn)
 		}
 		if i%5 == 0 {
 			b.ask("kampanjsida", "", fmt.Sprint("page ", i))
@@ -222,8 +221,8 @@
 	b.write(fakes.AppendInterrupt(nil, hanging))
 	b.replies(20)
 	b.end()
-	for _, nc := range silent {
-		nc.Close()
+	for _, conn := range silent {
+		closeConn(conn)
 	}
 	<-w.drained
 }
@@ -232,18 +231,18 @@
 // was asked before and behind it is served, the connection ends once it rests, and other
 // connections go on.
 func TestBadMessageKeepsOthers(t *testing.T) {
-	for name, spoilt := range map[string][]byte{
+	for name, malformed := range map[string][]byte{
 		"no message":   append([]byte{0, 0, 0, 8}, "rubbish!"...),
 		"oversized":    {0x7f, 0, 0, 0},
 		"wrong number": fakes.AppendCheck(nil, 99, false),
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newHarness(t, nil)
 			w.work.Took = 100 * time.Millisecond
 			b, other := w.balancer(t), w.balancer(t)
 			b.ask("kampanjsida", "", "one")
 			<-w.work.Begun()
-			b.write(append(append([]byte{}, spoilt...), b.request("kampanjsida", "", "after")...))
+			b.write(append(append([]byte{}, malformed...), b.request("kampanjsida", "", "after")...))
 			other.ask("kampanjsida", "", "other")
 			got := b.replies(2)
 			if got[1] != "served" || got[2] != "served" || w.work.Runs("after") != 1 {
@@ -267,7 +266,7 @@
 		"messages": bytes.Repeat(reply, 2*guard.MaxInvalidMessages),
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newHarness(t, nil)
 			b := w.balancer(t)
 			b.ask("kampanjsida", "", "hang on")
 			<-w.work.Begun()
@@ -283,11 +282,11 @@
 // TestCallerHalfCloses: a balancer that shuts its writing end with requests open
 // still gets one answer to each.
 func TestCallerHalfCloses(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newHarness(t, nil)
 	b := w.balancer(t)
 	b.ask("kampanjsida", "", "hang on")
 	<-w.work.Begun()
-	b.CloseWrite()
+	mustDo(t, b.CloseWrite())
 	if got := b.replies(1)[1]; got != "failed" {
 		t.Errorf("it is %s", got)
 	}
@@ -298,13 +297,13 @@
 // TestAnswersCutByTheirCaller: a caller that resets its connection under its answers
 // harms no other, and a keyed run goes on for its repeat.
 func TestAnswersCutByTheirCaller(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newHarness(t, nil)
 	w.work.Took = 100 * time.Millisecond
 	b, other := w.balancer(t), w.balancer(t)
 	b.ask("ny-gava", "k", "gift")
 	<-w.work.Begun()
-	b.SetLinger(0) // its close is a reset
-	b.Close()
+	mustDo(t, b.SetLinger(0)) // its close is a reset
+	mustDo(t, b.Close())
 	other.ask("ny-gava", "k", "gift")
 	if got := other.replies(1)[1]; got != "served" || w.work.Runs("gift") != 1 {
 		t.Errorf("the repeat is %s, %d runs", got, w.work.Runs("gift"))
--- a/server/rules_test.go
+++ b/server/rules_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/match"
-	"quincerail.example/quincerail/server"
 )
 
 // rulesForAll is one rule file for every front: a request whose body names a
@@ -32,7 +32,7 @@
 	for _, f := range fronts {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
-			w := f.world(t, func(c *server.Config) {
+			w := f.harness(t, func(c *config.Config) {
 				set, err := match.Parse(rulesForAll, c.Classes)
 				if err != nil {
 					t.Fatal(err)
@@ -44,8 +44,8 @@
 			b := outcome(t, f.ask(t, w, "kampanjsida", "", body))
 			c := outcome(t, f.ask(t, w, "ny-gava", "k", "x"))
 			d := outcome(t, f.ask(t, w, "ny-gava", "k", "x"))
-			got := fmt.Sprintf("%s, %s, %d run; %s, %s, %d runs", say(a), say(b), w.work.Runs(body),
-				say(c), say(d), w.work.Runs("x"))
+			got := fmt.Sprintf("%s, %s, %d run; %s, %s, %d runs", describeOutcome(a), describeOutcome(b), w.work.Runs(body),
+				describeOutcome(c), describeOutcome(d), w.work.Runs("x"))
 			if got != want {
 				t.Errorf("got  %s\nwant %s", got, want)
 			}
--- a/server/tenants_test.go
+++ b/server/tenants_test.go
@@ -6,19 +6,19 @@
 	"testing"
 	"time"
 
+	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/internal/dispatchtest"
 	"quincerail.example/quincerail/internal/fakes"
-	"quincerail.example/quincerail/server"
 )
 
 // withTenants gives the settings of the example that has tenants, whose callers tell
 // how long they wait, changed in places. The addresses stay.
-func withTenants(t testing.TB, change ...string) func(*server.Config) {
-	return func(c *server.Config) {
+func withTenants(t testing.TB, change ...string) func(*config.Config) {
+	return func(c *config.Config) {
 		text := dispatchtest.Example(t, "tenants.json")
-		next := must(server.ParseConfig(strings.NewReplacer(change...).Replace(text)))(t)
-		next.Listen, next.Control, next.Processor, next.Ledger, next.Announce =
-			c.Listen, c.Control, c.Processor, c.Ledger, c.Announce
+		next := must(config.Parse(strings.NewReplacer(change...).Replace(text)))(t)
+		next.ListenAddress, next.ControlAddress, next.ProcessorAddress, next.DependencyAddress, next.DiscoveryAddress =
+			c.ListenAddress, c.ControlAddress, c.ProcessorAddress, c.DependencyAddress, c.DiscoveryAddress
 		*c = *next
 	}
 }
@@ -55,7 +55,7 @@
 // is none, get one clear answer and never run; a time that is missing, or longer than
 // any client waits, leaves the class's deadline. The connection goes on.
 func TestCallersFields(t *testing.T) {
-	w := newWorld(t, withTenants(t))
+	w := newHarness(t, withTenants(t))
 	b := w.balancer(t)
 	for _, x := range []struct{ name, class, team, limit, want string }{
 		{"sound", "book", "coast", "5000", "served"},
@@ -90,7 +90,7 @@
 // TestCallersLimit: a request is answered by the time that its caller waits, long
 // before its class's deadline, and its run is stopped.
 func TestCallersLimit(t *testing.T) {
-	w := newWorld(t, withTenants(t))
+	w := newHarness(t, withTenants(t))
 	b, began := w.balancer(t), time.Now()
 	const limit = 300 * time.Millisecond
 	b.ofTeam("book", "coast", "hang on", "limit", strconv.Itoa(int(limit.Milliseconds())))
@@ -105,8 +105,8 @@
 // TestFeedback: every answer and health check carries the free value, a number of 0 or
 // more, while the settings have one, and none once new settings have none.
 func TestFeedback(t *testing.T) {
-	var running server.Config
-	w := newWorld(t, func(c *server.Config) {
+	var running config.Config
+	w := newHarness(t, func(c *config.Config) {
 		withTenants(t)(c)
 		running = *c
 	})
