--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -32,8 +32,8 @@
 type Message struct {
 	Kind         Kind
 	State        idempotency.KeyState // Key, Claim
-	RanAttemptID string            // Grant, Deny
-	On           bool              // Part: it was the last; TrafficDisabled: traffic is disabled
+	RanAttemptID string               // Grant, Deny
+	On           bool                 // Part: it was the last; TrafficDisabled: traffic is disabled
 }
 
 // none stands for an attempt id where there is none.
