--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -29,7 +29,7 @@
 //	                 finished                    its caller gave up during the hold
 //	awaitingJournal  awaitingPeer                claim durable; it is claimed from the predecessor as well
 //	                 awaitingPoolSlot,
-//	                 startDenied, running        claim durable, or the predecessor has disconnected
+//	                 startDenied, running        claim durable
 //	                 queued                      the predecessor has disconnected, and another attempt has the key
 //	                 finished                    claim can't be made durable, or its caller gave up
 //	awaitingPeer     awaitingPoolSlot,
--- a/dispatch/journal_test.go
+++ b/dispatch/journal_test.go
@@ -120,3 +120,24 @@
 		}
 	})
 }
+
+// TestPeerDisconnectedBeforeJournal: a run whose claim is not durable yet waits for that also
+// when the other process disconnects.
+func TestPeerDisconnectedBeforeJournal(t *testing.T) {
+	j := &journal{}
+	runTestWith(t, func(o *Options) { o.Journal = j }, func(t *testing.T, h *harness) {
+		peer := &loopbackPeer{}
+		must(t, h.ConnectPeer(peer, false))
+		h.submit(t, "a", "gift", "k")
+		h.PeerDisconnected(peer)
+		h.wait()
+		if h.starts["a"] != 0 {
+			t.Fatal("it began before its claim was durable")
+		}
+		j.settle(nil)
+		h.wait()
+		if h.starts["a"] != 1 {
+			t.Fatalf("%d runs once the claim was durable", h.starts["a"])
+		}
+	})
+}
--- a/dispatch/replication.go
+++ b/dispatch/replication.go
@@ -168,10 +168,22 @@
 		}
 	}
 	for _, a := range c.attempts {
-		if a.state.awaitsClaim() {
-			c.settleClaim(a, a.entry.RanAttemptID() == a.ID)
-		}
+		e.settleAwaitedClaim(c, a)
+	}
+}
+
+// settleAwaitedClaim goes on with a start that waited for a claim when the peer
+// disconnected. One whose claim is not durable yet goes on waiting for that, unless the
+// peer replicated a run of its key.
+func (e peerDisconnected) settleAwaitedClaim(c *Core, a *attempt) {
+	if !a.state.awaitsClaim() {
+		return
+	}
+	hasKey := a.entry.RanAttemptID() == a.ID
+	if a.state == stateAwaitingJournal && hasKey {
+		return
 	}
+	c.settleClaim(a, hasKey)
 }
 
 // ApplyTrafficDisabled applies what operators have set in a peer.
