--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,7 +9,7 @@
 
 const (
 	shedOnsetFraction       = 0.5               // of the maximum queue wait, from which arrivals are shed
-	minShedLoad             = shedOnsetFraction // that the Retry-After of a shed arrival is scaled by
+	minRetryAfterScale      = shedOnsetFraction // that the Retry-After of a shed arrival is scaled by
 	retryWeightFactor       = 0.75
 	arrivalRateTimeConstant = 5 * time.Second
 	quotaToleranceSigma     = 2 // standard deviations of a tenant's count that are not excess
@@ -44,7 +44,7 @@
 	callProbability := linearRamp(in.expectedCallWait(q), in.maxQueueWait(q))
 	in.load.observe(max(probability, linearRamp(in.now-q.arrivedAt, in.maxQueueWait(q))))
 	if in.random.Float64() < probability || in.exceedsMemory(0) {
-		in.shed(q, max(probability, minShedLoad), max(probability, in.load.pressure))
+		in.shed(q, max(probability, minRetryAfterScale), max(probability, in.load.pressure))
 		return
 	}
 	if in.random.Float64() < callProbability {
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -61,7 +61,7 @@
 	if in.drain.started {
 		return false
 	}
-	share := in.latencyObjective(q) / objectivePerQueueWait
+	share := in.latencyObjective(q) / queueWaitDivisor
 	slowHere := in.concurrency.meanRunTime > share
 	return in.random.Float64() < probability && !slowHere || in.now-q.arrivedAt > share
 }
--- a/policy/call_quota.go
+++ b/policy/call_quota.go
@@ -27,8 +27,8 @@
 	meanCallTime time.Duration   // moving average of the time that a call takes the dependency
 	callsPerRun  []float64       // by class: moving average of the calls that a run makes
 
-	expectedCalls   float64 // calls that requests in flight are still to make, counted
-	expectedCallsAt int     // when Instance.transitions had this value
+	expectedCalls           float64 // calls that requests in flight are still to make, counted
+	expectedCallsTransition int     // when Instance.transitions had this value
 }
 
 // accrue adds the credit earned since the last time, less that of the calls in flight.
@@ -145,8 +145,8 @@
 // expectedCalls returns how many calls the requests in flight are still to make. It is
 // counted once between two transitions, as many ask for it where calls are scarce.
 func (in *Instance) expectedCalls() float64 {
-	if in.quota.expectedCallsAt != in.transitions {
-		in.quota.expectedCallsAt, in.quota.expectedCalls = in.transitions, 0
+	if in.quota.expectedCallsTransition != in.transitions {
+		in.quota.expectedCallsTransition, in.quota.expectedCalls = in.transitions, 0
 		for _, q := range in.live {
 			switch q.state {
 			case awaitingCall:
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -40,7 +40,7 @@
 	}
 	in.moveTo(q, awaitingCall)
 	if !q.answered {
-		in.retryOrAbandon(q, outcome)
+		in.retryOrSkipCall(q, outcome)
 	}
 }
 
@@ -52,7 +52,7 @@
 		if in.canCall() {
 			in.call(q)
 		} else if q.class.DegradedWeight > 0 && linearRamp(in.expectedCallWait(q), in.maxQueueWait(q)) > 0 {
-			in.abandonCall(q)
+			in.skipCallOrFail(q)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 // order in which they are made.
 func (in *Instance) callsWaiting(waiting []*request) []*request {
 	for _, q := range in.live {
-		if q.state == awaitingCall && !q.answered && q.call.retryAt <= in.now {
+		if q.state == awaitingCall && !q.answered && q.call.notBefore <= in.now {
 			waiting = append(waiting, q)
 		}
 	}
@@ -79,15 +79,15 @@
 func (in *Instance) call(q *request) {
 	remaining := q.dueAt - in.now - in.timerInterval
 	q.call.timeout = in.chooseTimeout(q, remaining)
-	if in.breakerOpen() && !q.call.timeout.diagnostic {
-		in.callWhileOpen(q)
+	if in.updateBreaker() && !q.call.timeout.diagnostic {
+		in.waitOrSkipCall(q)
 		return
 	}
 	if !in.acquireFleetRetry(q) {
 		return
 	}
 	if q.call.attempts == 0 {
-		in.retries.Deposit()
+		in.retries.deposit()
 	}
 	q.call.attempts++
 	timeout := min(q.call.timeout.duration, remaining, in.maxCallTimeout())
@@ -95,9 +95,9 @@
 	in.moveTo(q, callInFlight)
 }
 
-// abandonCall goes on without the call where that still earns something, and fails the
-// request otherwise.
-func (in *Instance) abandonCall(q *request) {
+// skipCallOrFail has a request go on without its call where that still earns something
+// (DegradedWeight), and fails it otherwise.
+func (in *Instance) skipCallOrFail(q *request) {
 	if q.class.DegradedWeight > 0 {
 		in.host.SkipCall(q.ID)
 		in.moveTo(q, running)
@@ -119,7 +119,7 @@
 		return
 	}
 	in.breaker.record(in.now, outcome == decision.Succeeded)
-	in.breakerOpen()
+	in.updateBreaker()
 }
 
 // recordCallTime takes in how long a call took the dependency. One that timed out is
--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -22,7 +22,7 @@
 	open        bool          // as of the last update
 }
 
-// record takes in how a call ended.
+// record takes in how a call ended, and opens or closes the breaker.
 func (b *circuitBreaker) record(now time.Duration, succeeded bool) {
 	b.failureRate = movingRate(b.failureRate, !succeeded)
 	switch {
@@ -41,20 +41,22 @@
 	return changed
 }
 
-// breakerOpen tells whether ordinary calls are stopped, and logs it when that changed.
-func (in *Instance) breakerOpen() bool {
+// updateBreaker brings the breaker up to date and logs a change. It tells whether the
+// breaker is open, which stops all calls but diagnostic ones.
+func (in *Instance) updateBreaker() bool {
 	if in.breaker.update(in.now) {
 		in.host.Log(decision.CircuitBreakerChanged{Open: in.breaker.open})
 	}
 	return in.breaker.open
 }
 
-// callWhileOpen decides on a call that an open breaker stops. A request that nobody can
-// run again, and that fails without its call, waits. Any other skips its call or fails.
-func (in *Instance) callWhileOpen(q *request) {
+// waitOrSkipCall decides on a call that an open breaker stops. A request that is not
+// idempotent and earns nothing without its call waits until the breaker may close. Any
+// other skips its call, or fails if it earns nothing without it.
+func (in *Instance) waitOrSkipCall(q *request) {
 	if q.class.Effect != decision.Idempotent && q.class.DegradedWeight == 0 {
-		q.call.retryAt = in.breaker.openUntil
+		q.call.notBefore = in.breaker.openUntil
 		return
 	}
-	in.abandonCall(q)
+	in.skipCallOrFail(q)
 }
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -25,7 +25,7 @@
 		in.recordCall(&request{class: &in.settings.Classes[0], call: callProgress{timeout: timeoutChoice{final: true}}}, decision.ConnectFailed, 0)
 		in.now = now + time.Duration(i)
 	}
-	if !in.breakerOpen() || r.count("log below") != 1 {
+	if !in.updateBreaker() || r.count("log below") != 1 {
 		t.Fatalf("not broken after 8 failures: %v", r.acts)
 	}
 	in.timeouts.idempotentCalls = 0
@@ -36,7 +36,7 @@
 		t.Fatalf("want one diagnostic call and the rest failed: %v", r.acts)
 	}
 	in.CallDone(now+100*ms, "r4", decision.Succeeded, 50*ms)
-	if in.breakerOpen() {
+	if in.updateBreaker() {
 		t.Error("still broken after a good diagnostic")
 	}
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -98,10 +98,10 @@
 	return in.count[running] + in.count[awaitingCall] + in.count[callInFlight]
 }
 
-// dispatch runs queued requests in the order of their priority, while the concurrency
+// startQueued runs queued requests in the order of their priority, while the concurrency
 // limit, the requests in flight and the memory allow. It passes over requests that have
 // no room in memory, or would only wait for a call.
-func (in *Instance) dispatch() {
+func (in *Instance) startQueued() {
 	for i := 0; i < len(in.queue); {
 		q := in.queue[i]
 		if !in.canRun(q) {
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -200,19 +200,19 @@
 // Decide settles one batch of events.
 func (in *Instance) Decide(now time.Duration) {
 	in.now = now
-	in.start()
+	in.startTimers()
 	in.accrueCallCredit()
 	in.expireDeadlines()
 	in.admitReceived()
 	in.makeCalls()
-	in.dispatch()
+	in.startQueued()
 	in.dropStale()
 	in.shedForMemory()
 	in.forgetFinished()
 }
 
-// start asks for the first timer and reports good health, in the first batch.
-func (in *Instance) start() {
+// startTimers asks for the first timer and reports good health, in the first batch.
+func (in *Instance) startTimers() {
 	if in.started {
 		return
 	}
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	objectivePerQueueWait  = 2    // a request may wait for the latency objective over this
-	memoryUtilizationLimit = 0.92 // of the memory that is planned for; reads come on top
-	lateAnswerDivisor      = 2    // answers go out at the deadline and DeadlineSlack over this
+	queueWaitDivisor       = 2    // a request may wait for its latency objective divided by this
+	memoryUtilizationLimit = 0.92 // fraction of MemoryKB that may be reserved; requests that are being read need the rest
+	lateAnswerDivisor      = 2    // answers are given up to DeadlineSlack, divided by this, after the deadline
 )
 
 // latencyObjective returns the span after its arrival in which a request's answer earns
@@ -24,14 +24,14 @@
 // are slow or overloaded, nothing may wait.
 func (in *Instance) maxQueueWait(q *request) time.Duration {
 	objective := in.latencyObjective(q)
-	return min(objective/objectivePerQueueWait, max(in.timerInterval, objective-in.concurrency.meanRunTime))
+	return min(objective/queueWaitDivisor, max(in.timerInterval, objective-in.concurrency.meanRunTime))
 }
 
 // dropStale sheds queued requests that can no longer meet their latency objective. Run
 // late, they would make others late too.
 //
-// It comes after dispatch: when reads lag, all that is read is old, and an instance that
-// dropped it first would do nothing but read.
+// Decide calls it after startQueued. When reads lag, all requests are old once they are
+// read: an instance that shed them first would run none.
 func (in *Instance) dropStale() {
 	for i := len(in.queue) - 1; i >= 0; i-- {
 		if q := in.queue[i]; q.state == queued && in.now-q.arrivedAt > in.maxQueueWait(q) {
--- a/policy/request.go
+++ b/policy/request.go
@@ -58,10 +58,10 @@
 
 // callProgress is the state of a call that a run waits for.
 type callProgress struct {
-	retryAt  time.Duration // it is not made before then
-	step     int           // place in the sequence of time-outs
-	attempts int           // times that it was made
-	timeout  timeoutChoice // of the latest attempt
+	notBefore time.Duration // the next attempt is not made before then
+	step      int           // place in the sequence of time-outs
+	attempts  int           // times that it was made
+	timeout   timeoutChoice // of the latest attempt
 }
 
 // newRequest returns a request that is read now, in the state received.
--- a/policy/timeouts.go
+++ b/policy/timeouts.go
@@ -53,7 +53,7 @@
 	}
 	sequence := in.timeouts.optimizer.sequence
 	last := len(sequence) - 1
-	canRetry := in.retries.Available()
+	canRetry := in.retries.available()
 	switch {
 	case !canRetry && q.class.DegradedWeight == 0:
 		return timeoutChoice{duration: remaining, final: true}
