--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,7 +9,7 @@
 
 const (
 	shedOnsetFraction       = 0.5               // of the maximum queue wait, from which arrivals are shed
-	minRetryAfterScale      = shedOnsetFraction // that the Retry-After of a shed arrival is scaled by
+	minRetryAfterScale      = shedOnsetFraction // of a shed arrival
 	retryWeightFactor       = 0.75
 	arrivalRateTimeConstant = 5 * time.Second
 	quotaToleranceSigma     = 2 // standard deviations of a tenant's count that are not excess
@@ -28,21 +28,22 @@
 // admit queues a received request, has it wait for the result of the request that it
 // repeats, or sheds it.
 //
-// It sheds with the probability that grows with the waits in the queue, when memory is
-// short, and with a probability that grows with the wait for a call. In the last case
-// callers get no advice to retry later, but most are told not to retry elsewhere: other
-// instances lack calls too, while this one has room for requests that call nothing.
+// It sheds a request when memory is short, and at random with two probabilities: one
+// grows with the waits in the queue, the other with the wait for a call. In the last case
+// Retry-After is 0 unless draining, as this instance has room for requests that call
+// nothing; but most callers are told not to retry elsewhere, as other instances lack
+// calls too.
 func (in *Instance) admit(q *request) {
 	if in.coalesce(q) {
 		return
 	}
 	if in.arrivedAfterDrain(q) {
-		in.shed(q, 1, in.load.pressure)
+		in.shedAtFullScale(q)
 		return
 	}
 	probability := in.shedProbability(q)
-	callProbability := linearRamp(in.expectedCallWait(q), in.maxQueueWait(q))
-	in.load.observe(max(probability, linearRamp(in.now-q.arrivedAt, in.maxQueueWait(q))))
+	callProbability := in.callShedProbability(q)
+	in.load.observe(max(probability, in.waitShedProbability(q)))
 	if in.random.Float64() < probability || in.exceedsMemory(0) {
 		in.shed(q, max(probability, minRetryAfterScale), max(probability, in.load.pressure))
 		return
@@ -80,11 +81,24 @@
 		if comparePriority(q, other) < 0 {
 			break
 		}
-		probability = max(probability, linearRamp(in.now-other.arrivedAt, in.maxQueueWait(other)))
+		probability = max(probability, in.waitShedProbability(other))
 	}
 	return probability
 }
 
+// waitShedProbability returns the probability of shedding for the time that a request has
+// waited since its arrival.
+func (in *Instance) waitShedProbability(q *request) float64 {
+	return linearRamp(in.now-q.arrivedAt, in.maxQueueWait(q))
+}
+
+// callShedProbability returns the probability of shedding for the time that a request
+// would wait for a call. It is above 0 where that is more than shedOnsetFraction of the
+// maximum queue wait.
+func (in *Instance) callShedProbability(q *request) float64 {
+	return linearRamp(in.expectedCallWait(q), in.maxQueueWait(q))
+}
+
 // linearRamp returns the probability of shedding for a wait: 0 up to shedOnsetFraction
 // of the longest wait allowed, 1 from that wait on, linear between.
 func linearRamp(wait, maxWait time.Duration) float64 {
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -51,7 +51,7 @@
 	for _, q := range in.callsWaiting(buffer[:0]) {
 		if in.canCall() {
 			in.call(q)
-		} else if q.class.DegradedWeight > 0 && linearRamp(in.expectedCallWait(q), in.maxQueueWait(q)) > 0 {
+		} else if q.class.DegradedWeight > 0 && in.callShedProbability(q) > 0 {
 			in.skipCallOrFail(q)
 		}
 	}
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -126,7 +126,7 @@
 	if in.exceedsMemory(more) {
 		return false
 	}
-	waitsForCall := linearRamp(in.expectedCallWait(q), in.maxQueueWait(q)) > 0
+	waitsForCall := in.callShedProbability(q) > 0 // false for a NaN, where nothing may wait
 	return !waitsForCall
 }
 
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -8,8 +8,8 @@
 
 const (
 	queueWaitDivisor       = 2    // a request may wait for its latency objective divided by this
-	memoryUtilizationLimit = 0.92 // fraction of MemoryKB that may be reserved; requests that are being read need the rest
-	lateAnswerDivisor      = 2    // answers are given up to DeadlineSlack, divided by this, after the deadline
+	memoryUtilizationLimit = 0.92 // of MemoryKB that may be reserved; reads in progress need the rest
+	lateAnswerDivisor      = 2    // answers go out DeadlineSlack, divided by this, after the deadline
 )
 
 // latencyObjective returns the span after its arrival in which a request's answer earns
@@ -35,7 +35,7 @@
 func (in *Instance) dropStale() {
 	for i := len(in.queue) - 1; i >= 0; i-- {
 		if q := in.queue[i]; q.state == queued && in.now-q.arrivedAt > in.maxQueueWait(q) {
-			in.shed(q, 1, in.load.pressure)
+			in.shedAtFullScale(q)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 			in.health.recordRun(true)
 		}
 		if in.shedsAtDeadline(q) {
-			in.shed(q, 1, in.load.pressure)
+			in.shedAtFullScale(q)
 		} else {
 			in.fail(q)
 		}
@@ -100,7 +100,7 @@
 	for i := len(in.live) - 1; i >= 0 && in.exceedsMemory(0); i-- {
 		switch q := in.live[i]; q.state {
 		case queued, preempted:
-			in.shed(q, 1, in.load.pressure)
+			in.shedAtFullScale(q)
 		case coalesced:
 			in.fail(q)
 		}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -9,7 +9,7 @@
 const (
 	retryBudgetPerCall   = 0.1 // retries earned by the first attempt of each call
 	maxRetryBudget       = 10.0
-	fleetRetryBackoff    = 100 * time.Millisecond // until a retry that the fleet had no budget for is tried again
+	fleetRetryBackoff    = 100 * time.Millisecond // while the fleet has no retry left
 	unseenBackoffDivisor = 4                      // of the Controller's time-out, before the doublings
 	maxBackoffDoublings  = 4
 )
