--- a/decision/outcome.go
+++ b/decision/outcome.go
@@ -1,6 +1,7 @@
 package decision
 
-// Outcome tells how a run or a call ended.
+// Outcome tells how a run or a call to the dependency ended. The answer that a caller gets
+// is another matter: see Host.Shed, Host.Fail and Host.ServeCached.
 type Outcome int
 
 // The outcomes of runs and calls.
@@ -14,3 +15,7 @@
 	Cancelled               // a run was cancelled
 	NotStarted              // a run was not started, as its request was over
 )
+
+// ProvesNoEffect tells whether a call that ended so is proven to have had no effect: the
+// dependency turned it away or was never reached.
+func (o Outcome) ProvesNoEffect() bool { return o == Rejected || o == ConnectFailed }
--- a/dispatch/downstream_calls.go
+++ b/dispatch/downstream_calls.go
@@ -130,7 +130,7 @@
 	if k == nil || !k.inFlight || a.callsMade != number { // it is late: another may be in flight
 		return
 	}
-	k.inFlight, k.hadNoEffect = false, outcome == decision.Rejected || outcome == decision.ConnectFailed
+	k.inFlight, k.hadNoEffect = false, outcome.ProvesNoEffect()
 	if k.timer != nil {
 		k.timer.Stop()
 	}
--- a/policy/call_quota.go
+++ b/policy/call_quota.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	callUtilizationTarget    = 0.4         // of the call quota that is in flight on average
-	hungCallUtilizationLimit = 0.9         // of the call quota that calls may reach which hang
-	minCallQuota             = 0.005       // calls in flight; a quota of 0 is a rounded one
-	callCreditWindow         = time.Second // at the target, whose calls an idle instance may save up
-	callBurstFactor          = 2.0         // on the target, for calls in flight while credit is left
-	initialCallsPerRun       = 1           // of classes that call the dependency, until a run has shown
+	callUtilizationTarget    = 0.4         // fraction of CallQuota that may be in flight on average
+	hungCallUtilizationLimit = 0.9         // fraction of CallQuota in flight, averaged, when all calls hang
+	minCallQuota             = 0.005       // calls in flight; a CallQuota of 0 is a rounded one
+	callCreditWindow         = time.Second // an idle instance saves up the call time of so long at the target
+	callBurstFactor          = 2.0         // times the target: calls in flight while all credit is saved
+	initialCallsPerRun       = 1           // assumed of classes with CallsDependency before their first run
 )
 
 // callQuota is a token bucket of call time: it earns the target concurrency, in calls in
-// flight, and pays for the calls that are in flight. So a target below one call becomes
-// a rest after each call, the longer the slower the call was.
+// flight, and pays for the calls that are in flight. With a target below one call, no
+// call is made after each call until its time is earned.
 type callQuota struct {
 	credit       time.Duration // call time that may be spent; negative where it was overdrawn
 	accruedAt    time.Duration
@@ -28,7 +28,7 @@
 	callsPerRun  []float64       // by class: moving average of the calls that a run makes
 
 	expectedCalls           float64 // calls that requests in flight are still to make, counted
-	expectedCallsTransition int     // when Instance.transitions had this value
+	expectedCallsTransition int     // value of Instance.transitions when expectedCalls was counted
 }
 
 // accrue adds the credit earned since the last time, less that of the calls in flight.
@@ -41,8 +41,8 @@
 }
 
 // burst returns how many calls may be in flight at a time: the target, and more of it
-// the more credit is saved, up to callBurstFactor. So a few calls that hang don't hold
-// up all others while the average is far from its limit.
+// the more credit is saved, up to callBurstFactor. So a few calls that hang don't delay
+// all others while the average is far below the quota.
 func (c *callQuota) burst(target float64) float64 {
 	saved := float64(c.credit) / (target * float64(callCreditWindow))
 	return target * (1 + (callBurstFactor-1)*min(1, max(0, saved)))
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -106,8 +106,9 @@
 	in.fail(q)
 }
 
-// recordCall takes in what a call's end shows of the dependency. A time-out says little
-// unless it is the longest of the sequence or diagnostic: the breaker ignores it.
+// recordCall takes in what a call's end shows of the dependency, and updates the breaker.
+// The breaker ignores a time-out that is neither the last of the sequence nor diagnostic:
+// a dependency that works well exceeds the short ones too.
 func (in *Instance) recordCall(q *request, outcome decision.Outcome, took time.Duration) {
 	in.recordCallTime(outcome, took)
 	choice := q.call.timeout
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -91,17 +91,17 @@
 	storm        bool // reads and handshakes take most of the cores
 }
 
-// updateStorm takes in the fraction of the runnable tasks that only read or shake hands. A
-// full connection table leaves few of them to be seen, so the storm counts as over only
-// when hardly any are left.
+// updateStorm takes in the fraction of the runnable tasks that only read or shake hands.
+// The storm ends at a far lower fraction than it begins at: a full connection table turns
+// most attempts away, and the fraction falls although callers keep trying.
 func (t *idleTimeout) updateStorm(readShare float64) {
 	t.storm = readShare > handshakeStormOnset || t.storm && readShare > handshakeStormClear
 }
 
-// adjustIdleTimeout keeps idle connections only where callers come back while they are
-// open. Among many callers few do: then a full connection table costs cores and turns
-// callers away, and saves hardly a handshake. In a storm of attempts that is just what is
-// wanted: a full table turns attempts away before they cost any work.
+// adjustIdleTimeout keeps idle connections open for MaxIdleTime where callers come back
+// within it on average. Otherwise idle connections save hardly a handshake, fill the
+// connection table and keep new callers out, so they are closed after minIdleTimeout. In a
+// storm they are kept, since a full table turns attempts away before they cost any work.
 func (in *Instance) adjustIdleTimeout() {
 	in.idle.updateStorm(in.concurrency.readShare)
 	timeout := in.settings.MaxIdleTime
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	retryBudgetPerCall   = 0.1 // retries earned by the first attempt of each call
-	maxRetryBudget       = 10.0
-	fleetRetryBackoff    = 100 * time.Millisecond // while the fleet has no retry left
-	unseenBackoffDivisor = 4                      // of the Controller's time-out, before the doublings
-	maxBackoffDoublings  = 4
+	retryBudgetPerCall  = 0.1 // retries earned by the first attempt of each call
+	maxRetryBudget      = 10.0
+	fleetRetryBackoff   = 100 * time.Millisecond // while the fleet has no retry left
+	retryBackoffDivisor = 4                      // of the Controller's time-out, before the doublings
+	maxBackoffDoublings = 4
 )
 
 // retryBudget bounds the retries of calls to a fraction of the calls: the first attempt
@@ -40,39 +40,40 @@
 
 // retryOrSkipCall decides what follows a call that did not succeed.
 //
-// A call that the dependency never saw came back at once, and the same again would too:
-// its retry waits. Any other is retried with the next time-out of the sequence (section
-// 3.6 of the paper).
+// A call that the dependency rejected or that never reached it ended at once, and so would
+// an immediate retry: its retry waits. Any other is retried with the next time-out of the
+// sequence (section 3.6 of the paper).
 func (in *Instance) retryOrSkipCall(q *request, outcome decision.Outcome) {
-	unseen := outcome == decision.Rejected || outcome == decision.ConnectFailed
+	noEffect := outcome.ProvesNoEffect()
 	switch {
-	case !in.acquireCallRetry(q, unseen):
+	case !in.acquireCallRetry(q, noEffect):
 		in.skipCallOrFail(q)
-	case unseen:
+	case noEffect:
 		q.call.notBefore = in.now + in.retryBackoff(q.call.attempts)
 	default:
 		q.call.step++
 	}
 }
 
-// acquireCallRetry tells whether a call may be retried, and takes the retry from the
-// budget. Calls of idempotent requests may be, within the budget. Those that were never
-// seen by the dependency may be in any case where the request fails without its call.
-func (in *Instance) acquireCallRetry(q *request, unseen bool) bool {
+// acquireCallRetry tells whether a call may be retried, and withdraws the retry from the
+// budget. Calls of idempotent requests may be retried within the budget. A call that is
+// proven to have had no effect may be retried even beyond the budget, and whatever the
+// class's Effect, if its request would fail without it; it pays with what is left.
+func (in *Instance) acquireCallRetry(q *request, noEffect bool) bool {
 	if q.class.Effect == decision.Idempotent && in.retries.tryWithdraw() {
 		return true
 	}
-	if unseen && q.class.DegradedWeight == 0 {
+	if noEffect && q.class.DegradedWeight == 0 {
 		in.retries.withdraw()
 		return true
 	}
 	return false
 }
 
-// retryBackoff returns how long the retry of an unseen call waits: longer after each
-// attempt.
+// retryBackoff returns how long the retry of a call without effect waits: twice as long
+// after each attempt, up to maxBackoffDoublings.
 func (in *Instance) retryBackoff(attempts int) time.Duration {
-	return in.timeouts.controller.timeout / unseenBackoffDivisor << min(attempts, maxBackoffDoublings)
+	return in.timeouts.controller.timeout / retryBackoffDivisor << min(attempts, maxBackoffDoublings)
 }
 
 // acquireFleetRetry takes one of the retries that the fleet has left, where the call is
--- a/policy/timeouts.go
+++ b/policy/timeouts.go
@@ -38,12 +38,13 @@
 	idempotentCalls int // so far
 }
 
-// chooseTimeout returns the time-out of a call. Calls of requests that are not
-// idempotent are made once: they have all the time that remains.
+// chooseTimeout returns the time-out of a call, and counts the call if its request is
+// idempotent (nextDiagnostic). Other calls are made once, unless they had no effect: they
+// have all the time that remains.
 //
-// A time-out before the end of the sequence needs a retry that the budget can pay for.
-// Without one the last applies, or all the time that remains where giving up the call
-// would lose the request.
+// A time-out before the last of the sequence is chosen only while the budget can pay for
+// a retry. Otherwise the last one is, or all the time that remains if the request would
+// fail without its call.
 func (in *Instance) chooseTimeout(q *request, remaining time.Duration) timeoutChoice {
 	if q.class.Effect != decision.Idempotent {
 		return timeoutChoice{duration: remaining}
@@ -64,7 +65,8 @@
 	}
 }
 
-// nextDiagnostic counts an idempotent call, and tells whether it is diagnostic. Until the
+// nextDiagnostic counts an idempotent call, has the Optimizer solve its sequence anew
+// every callsPerSolve calls, and returns the time-out if the call is diagnostic. Until the
 // Optimizer has a sequence all are.
 func (t *callTimeouts) nextDiagnostic() (timeoutChoice, bool) {
 	t.idempotentCalls++
@@ -90,9 +92,8 @@
 }
 
 // controller holds the time-out of diagnostic calls, as the Controller of the paper's
-// section 4.4 does. It never falls below minimum, how long the dependency works on an
-// abandoned call: giving up sooner frees nothing there, and costs many times what
-// waiting for the tail of quick calls does.
+// section 4.4 does. A success never moves it below minimum, how long the dependency
+// works on an abandoned call: giving up sooner frees nothing there.
 type controller struct {
 	timeout time.Duration
 	minimum time.Duration
