--- a/policy/doc.go
+++ b/policy/doc.go
@@ -12,6 +12,29 @@
 //   - calls Tick with the gauges whenever a timer that SetTimer asked for is due;
 //   - calls Decide after each batch of events, when the instance takes its decisions.
 //
+// # Terms
+//
+//   - A request is one attempt: a retry by its caller is another request, which
+//     DuplicateOf links to the earlier one where their result is shared.
+//   - Read lag and read share are about reading requests from connections. A read, in
+//     result_cache.go, is a request that changes nothing.
+//   - A retry of a call is made by the instance, within a run, and paid for by the retry
+//     budget (and the fleet's). A retry of a request is made by its caller.
+//   - An abandoned call timed out, or its run ended; it keeps the dependency busy for
+//     Settings.AbandonedCallDuration more. A skipped call is never made, or not again.
+//   - Degraded is the answer of a request that went on without its call.
+//   - The pressure is the smoothed probability of shedding, which callers are told.
+//
+// # Where a question is answered
+//
+//   - Why is a request shed: every shed is in admit, dropStale, expireDeadlines or
+//     shedForMemory; retryAfter and adviseNoRetry choose what its caller is told. The
+//     host may shed too, for reasons of its own (package dispatch).
+//   - When is a call retried: CallDone, retryOrSkipCall, acquireCallRetry; the time is
+//     callProgress.notBefore, and makeCalls makes it.
+//   - Which time-out a call has: call, chooseTimeout, maxCallTimeout.
+//   - When the circuit breaker opens and closes: recordCall, circuitBreaker.record.
+//
 // # Source
 //
 // Time-outs and retries of idempotent calls follow the Combined System of Velamoor and
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -10,10 +10,10 @@
 // have their answers.
 const drainMarginTimers = 2
 
-// drainState is the state of a drain: the process stops, takes in nothing new and
-// answers what it has. Its rules stand with those that they change: admit and
-// expireDeadlines (when answers go out), retryAfter and adviseNoRetry (what they say),
-// updateHealth (health stays bad).
+// drainState is the state of a drain: the process stops, admits nothing that arrives after
+// DrainGrace, and answers what it has. Functions that a drain changes: admit
+// (arrivedAfterDrain), answerBy (drainState.limit), retryAfter, adviseNoRetry, and
+// updateHealth, as health stays bad.
 type drainState struct {
 	started   bool
 	startedAt time.Duration
--- a/policy/health.go
+++ b/policy/health.go
@@ -13,8 +13,9 @@
 	minHealthChangeInterval = 8 * time.Second // between two spans in which reads alone make it unhealthy
 )
 
-// healthMonitor judges the instance's own health: one whose runs fail fast looks idle and
-// attracts requests; one that hangs or is slow still reads, late.
+// healthMonitor judges the instance's own health by two signals. The error rate of its runs
+// shows one whose runs fail fast, which looks idle and attracts requests. The read lag
+// shows one that hangs or is slow, which still reads, but late.
 type healthMonitor struct {
 	healthy         bool
 	errorRate       float64       // moving fraction of own runs that failed or hung
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -127,7 +127,8 @@
 	}
 }
 
-// RequestReceived takes in a request that was read. Decide settles what becomes of it.
+// RequestReceived takes in a request that was read. Decide settles what becomes of it. A
+// request of an unknown class is ignored, as is one whose id is known from an earlier one.
 func (in *Instance) RequestReceived(now time.Duration, r decision.Request) {
 	in.now = now
 	if r.Class < 0 || r.Class >= len(in.settings.Classes) || in.requests[r.ID] != nil {
@@ -147,14 +148,15 @@
 	in.reservedKB += in.reservedMemory(q, received)
 }
 
-// RunDone takes in that a run ended, or that a coalesced request got its result.
+// RunDone takes in that a run ended, or that a coalesced request got its result. Unless the
+// run was cancelled, the host has answered the request. The time that it took is not used.
 func (in *Instance) RunDone(now time.Duration, id string, outcome decision.Outcome, _ time.Duration) {
 	in.now = now
 	q := in.requests[id]
 	if q == nil || q.state == finished {
 		return
 	}
-	if q.state == callInFlight && in.settings.AbandonedCallDuration > 0 { // its call ends unanswered
+	if q.state == callInFlight && in.settings.AbandonedCallDuration > 0 { // nobody waits for its call any more
 		in.quota.recordAbandoned(now, in.settings.AbandonedCallDuration)
 	}
 	if q.preempting && outcome == decision.Cancelled && !q.answered {
@@ -165,15 +167,22 @@
 	ranHere := q.state != coalesced
 	in.moveTo(q, finished)
 	if ranHere && (outcome == decision.Succeeded || outcome == decision.Failed) {
-		in.health.recordRun(outcome == decision.Failed)
-		in.concurrency.recordRunTime(q.runTime)
-		in.quota.recordCallsPerRun(q.Class, q.callCount)
+		in.recordRun(q, outcome)
 	}
-	q.answered = q.answered || outcome != decision.Cancelled
-	in.fail(q) // cancelled by nobody here, it still needs an answer
+	if outcome != decision.Cancelled {
+		q.answered = true // by the host, with what the run came to
+	}
+	in.fail(q) // a run that was cancelled without the instance's asking has no answer yet
+}
+
+// recordRun takes in what a run that ended by itself shows.
+func (in *Instance) recordRun(q *request, outcome decision.Outcome) {
+	in.health.recordRun(outcome == decision.Failed)
+	in.concurrency.recordRunTime(q.runTime)
+	in.quota.recordCallsPerRun(q.Class, q.callCount)
 }
 
-// CallerGone takes in that nobody waits for a request any more.
+// CallerGone takes in that nobody waits for a request any more: it needs no answer.
 func (in *Instance) CallerGone(now time.Duration, id string) {
 	in.now = now
 	q := in.requests[id]
@@ -184,8 +193,9 @@
 	in.endAnswered(q)
 }
 
-// Tick takes in that a timer is due, with the gauges of the moment. The host passes back
-// the timer's token, which is not needed here.
+// Tick takes in that a timer is due, with the latest gauges, and asks for the next timer.
+// It adjusts what changes with time alone. The host passes back the timer's token, which
+// is not needed here.
 func (in *Instance) Tick(now time.Duration, _ int64, g decision.Gauges) {
 	in.now = now
 	in.host.SetTimer(in.timerInterval, 0)
@@ -197,7 +207,7 @@
 	in.expireCachedResults()
 }
 
-// Decide settles one batch of events.
+// Decide settles one batch of events: each step below may give actions to the host.
 func (in *Instance) Decide(now time.Duration) {
 	in.now = now
 	in.startTimers()
