--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -50,6 +50,11 @@
 //	                 startDenied                 started again; its key's claim still holds
 //	                 finished                    answered, or its caller gave up
 //
+// The module has states of its own (policy/request.go). In its view an attempt that is
+// queued here is queued or coalesced; or running, if it was started and waits for the
+// result of another attempt, which has its key. One that is paused here is preempted, and
+// one that is started (attemptState.started) is running, awaitingCall or callInFlight.
+//
 // An attempt is in Core.attempts from received to finished. Four facts do not follow
 // from the state, and are kept beside it: answered, mayHaveRun, holdsPoolSlot and resumed.
 type attempt struct {
--- a/dispatch/cancel.go
+++ b/dispatch/cancel.go
@@ -55,8 +55,8 @@
 	c.removeIfDone(a)
 }
 
-// Cancel cancels a run. One that waits for its claim, or is held, goes on to the point
-// where it would begin, and does not.
+// Cancel cancels a run. One that waits for its claim, or is held after a stall, can't be
+// cancelled; if it is answered by the time that its wait ends, it is not begun.
 func (h host) Cancel(id string) {
 	a := h.attempts[id]
 	switch {
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -7,22 +7,12 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// Run starts an attempt, unless its key has run here: then it gets that result.
+// Run starts an attempt, or resumes it, if guard allows it. It claims the attempt's key in
+// the table; what is still to be waited for before the backend begins the run follows in
+// this order: the hold after a stall, the journal, the predecessor, a pool's slot.
 func (h host) Run(id string) {
 	a := h.attempts[id]
-	if a == nil {
-		return
-	}
-	switch err := guard.MayStart(h.startFacts(a)); {
-	case errors.Is(err, guard.ErrAfterGrace):
-		h.options.Monitor.Denied(guard.DrainStart, err, id)
-		h.denyStart(a)
-		return
-	case errors.Is(err, guard.ErrKeyRan):
-		h.options.Monitor.Denied(guard.DuplicateRun, err, id)
-		h.awaitResult(a)
-		return
-	case err != nil:
+	if a == nil || !h.admitStart(a) {
 		return
 	}
 	if a.state == statePaused { // its key's claim still holds
@@ -40,7 +30,24 @@
 	h.recordClaim(a)
 }
 
-// holdAfterStall holds a start back.
+// admitStart asks guard whether an attempt may be started. If it may not, the attempt is
+// shed (its drain's grace is over), waits for the result of the attempt whose key has run,
+// or is left as it is (it is answered or runs).
+func (c *Core) admitStart(a *attempt) bool {
+	err := guard.MayStart(c.startFacts(a))
+	switch {
+	case errors.Is(err, guard.ErrAfterGrace):
+		c.options.Monitor.Denied(guard.DrainStart, err, a.ID)
+		c.denyStart(a)
+	case errors.Is(err, guard.ErrKeyRan):
+		c.options.Monitor.Denied(guard.DuplicateRun, err, a.ID)
+		c.awaitResult(a)
+	}
+	return err == nil
+}
+
+// holdAfterStall holds a start back for a time, as a notice to drain may have come during
+// the stall and not be seen yet.
 func (c *Core) holdAfterStall(a *attempt, hold time.Duration) {
 	c.transition(a, stateHeldAfterStall)
 	time.AfterFunc(hold, func() { c.notify(stallHoldEnded{a}) })
@@ -101,9 +108,9 @@
 	}
 	if c.replication.peer != nil && c.replication.peerIsPredecessor {
 		c.transition(a, stateAwaitingPeer)
-		k := c.keyState(a.entry)
-		k.ArrivedAt = c.clock.Unix(a.arrivedAt)
-		c.replication.peer.RequestClaim(k)
+		state := c.keyState(a.entry)
+		state.ArrivedAt = c.clock.Unix(a.arrivedAt)
+		c.replication.peer.RequestClaim(state)
 		return
 	}
 	c.replicateKey(a.entry, false)
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -91,11 +91,11 @@
 	if c.options.Journal == nil {
 		return
 	}
-	k := c.keyState(e)
-	k.Completed = completed
-	c.options.Journal.Record(k, func(err error) {
+	state := c.keyState(e)
+	state.Completed = completed
+	c.options.Journal.Record(state, func(err error) {
 		if err != nil {
-			c.log.Warn("journal_failed", "key", k.Key, "error", err.Error())
+			c.log.Warn("journal_failed", "key", state.Key, "error", err.Error())
 		}
 	})
 }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -127,10 +127,10 @@
 		c.replication.inDoubtUntil = c.clock.At(c.options.InDoubtUntil)
 	}
 	now := c.clock.Now()
-	for _, k := range c.options.RecoveredKeys {
-		if expiresAt := c.clock.At(k.ExpiresAt); expiresAt > now {
-			k.Completed = true // a run without a recorded end has ended with its process
-			c.keys.Apply(k, expiresAt)
+	for _, state := range c.options.RecoveredKeys {
+		if expiresAt := c.clock.At(state.ExpiresAt); expiresAt > now {
+			state.Completed = true // a run without a recorded end has ended with its process
+			c.keys.Apply(state, expiresAt)
 		}
 	}
 }
@@ -169,8 +169,8 @@
 }
 
 // SetFleetBounds has the module keep to this server's part of what its fleet shares.
-// reportDemand gets how many calls it has in flight or would make if it might; it is
-// called by Run's goroutine, as Bounds.Repeat is, and must not block.
+// reportDemand gets how many calls are in flight or waited for, whatever the bounds; it is
+// called by Run's goroutine, as FleetBounds.AcquireRetry is, and must not block.
 func (c *Core) SetFleetBounds(b decision.FleetBounds, reportDemand func(calls int)) error {
 	return c.enqueue(fleetBoundsSet{b, reportDemand})
 }
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -24,5 +24,23 @@
 //   - respond.go: the one final answer.
 //   - cancel.go: the caller or the module ends it early, at any stage.
 //
+// The methods of host, by which the module acts: Shed, Fail, ServeCached, CacheResult and
+// EvictResult are in admit.go, Run in claim.go, Call and SkipCall in downstream_calls.go,
+// Cancel in cancel.go, SetTimer in timers.go, SetHealth and PublishLoad in health.go,
+// SetIdleTimeout and Log in core.go.
+//
+// # Terms
+//
+//   - An attempt is what one message of a caller asks for. The attempts of one keyed
+//     request carry the same key; all but the first are its duplicates.
+//   - The module starts an attempt; its backend begins the run. Between the two the
+//     attempt may wait: see the states in attempt.go.
+//   - A claim is an attempt's right to be the one that runs for its key (package
+//     idempotency). The predecessor is the older of two processes during an upgrade, the
+//     successor the newer; each is the other's peer.
+//   - The core sheds for reasons of its own too, with the longest Retry-After: before the
+//     backend is ready, when the key table is full (submit.go), and what was started but
+//     may not begin (shedNotStarted in start.go).
+//
 // Package guard is asked before a run, a call or an answer (invariants.go).
 package dispatch
--- a/dispatch/downstream_calls.go
+++ b/dispatch/downstream_calls.go
@@ -42,8 +42,8 @@
 	c.module.CallNeeded(c.now, e.id)
 }
 
-// Call makes the call that a run waits for. The dependency keeps no time-out, so the core
-// abandons it.
+// Call makes the call that a run waits for, or a retry of it, if guard allows it. The
+// dependency keeps no time-out: after it the core abandons the call (callTimedOut).
 func (h host) Call(id string, timeout time.Duration) {
 	a := h.attempts[id]
 	if a == nil {
@@ -56,8 +56,8 @@
 		}
 		return
 	}
-	k := a.call
-	k.inFlight, k.abandoned, k.startedAt, k.attempted = true, false, h.now, true
+	call := a.call
+	call.inFlight, call.abandoned, call.startedAt, call.attempted = true, false, h.now, true
 	a.callsMade++
 	number := a.callsMade
 	if h.options.Dependency == nil {
@@ -65,8 +65,8 @@
 		return
 	}
 	c := h.Core
-	k.timer = time.AfterFunc(timeout, func() { c.notify(callTimedOut{a, k, number}) })
-	h.options.Dependency.Call(id, number, timeout, k.body)
+	call.timer = time.AfterFunc(timeout, func() { c.notify(callTimedOut{a, call, number}) })
+	h.options.Dependency.Call(id, number, timeout, call.body)
 }
 
 // callDenied reports a call that was not made as failed.
@@ -82,21 +82,26 @@
 }
 
 func (e callTimedOut) apply(c *Core) {
-	a, k := e.attempt, e.call
-	if a.call != k || !k.inFlight || a.callsMade != e.number {
+	a, call := e.attempt, e.call
+	if a.call != call || !call.inFlight || a.callsMade != e.number {
 		return
 	}
-	k.abandoned = true
+	call.abandoned = true
 	c.options.Dependency.Abandon(a.ID)
-	k.timer = time.AfterFunc(c.abandonedCallDelay(), func() {
+	call.timer = time.AfterFunc(c.abandonedCallDelay(), func() {
 		c.notify(callEnded{a, e.number, decision.TimedOut})
 	})
 }
 
+// abandonedCallBatches is for how many batches the end of an abandoned call is held back.
+const abandonedCallBatches = 2
+
 // abandonedCallDelay is how long after a call was abandoned the module hears of its end. The
-// other parties process an abandonment once a batch: a call that is made again before that
+// dependency processes an abandonment once a batch: a call that is made again before that
 // would be abandoned together with the first one.
-func (c *Core) abandonedCallDelay() time.Duration { return 2 * c.settings.BatchInterval }
+func (c *Core) abandonedCallDelay() time.Duration {
+	return abandonedCallBatches * c.settings.BatchInterval
+}
 
 // callEnded reports the end of a call that the core knows by itself.
 type callEnded struct {
@@ -125,20 +130,22 @@
 	}
 }
 
+// finishCall takes in how a call ended, passes a reply on to the backend, and reports the
+// end to the module, which decides whether the call is retried.
 func (c *Core) finishCall(a *attempt, number int, outcome CallOutcome, reply []byte) {
-	k := a.call
-	if k == nil || !k.inFlight || a.callsMade != number { // it is late: another may be in flight
+	call := a.call
+	if call == nil || !call.inFlight || a.callsMade != number { // it is late: another may be in flight
 		return
 	}
-	k.inFlight, k.hadNoEffect = false, outcome.ProvesNoEffect()
-	if k.timer != nil {
-		k.timer.Stop()
+	call.inFlight, call.hadNoEffect = false, outcome.ProvesNoEffect()
+	if call.timer != nil {
+		call.timer.Stop()
 	}
 	if outcome == decision.Succeeded {
 		a.call = nil
 		a.backend.ReplyToCall(a.ID, reply)
 	}
-	c.module.CallDone(c.now, a.ID, outcome, c.now-k.startedAt)
+	c.module.CallDone(c.now, a.ID, outcome, c.now-call.startedAt)
 }
 
 // SkipCall has a run go on without its call.
@@ -152,13 +159,13 @@
 
 // dropCall forgets the call that a run waited for, and abandons it if it is in flight.
 func (c *Core) dropCall(a *attempt) {
-	k := a.call
+	call := a.call
 	a.call = nil
-	if k == nil || !k.inFlight {
+	if call == nil || !call.inFlight {
 		return
 	}
-	if k.timer != nil {
-		k.timer.Stop()
+	if call.timer != nil {
+		call.timer.Stop()
 	}
 	if c.options.Dependency != nil {
 		c.options.Dependency.Abandon(a.ID)
--- a/dispatch/invariants.go
+++ b/dispatch/invariants.go
@@ -40,12 +40,12 @@
 
 // callFacts are the facts by which the call that a run waits for may be made.
 func (a *attempt) callFacts() guard.Call {
-	k := a.call
-	if k == nil {
+	call := a.call
+	if call == nil {
 		return guard.Call{}
 	}
 	return guard.Call{
-		Needed: true, InFlight: k.inFlight, Attempted: k.attempted, ProvenWithoutEffect: k.hadNoEffect,
+		Needed: true, InFlight: call.inFlight, Attempted: call.attempted, ProvenWithoutEffect: call.hadNoEffect,
 		Idempotent: a.classSettings.Effect == decision.Idempotent,
 	}
 }
--- a/dispatch/replication.go
+++ b/dispatch/replication.go
@@ -14,8 +14,8 @@
 // it takes over: a key that runs in one must not run in the other. The predecessor
 // decides who may run a key. Its methods must not block; their order is kept.
 type Peer interface {
-	ReplicateKey(k KeyState)                       // the state of a key has changed
-	RequestClaim(k KeyState)                       // to the predecessor: may this attempt run?
+	ReplicateKey(state KeyState)                   // the state of a key has changed
+	RequestClaim(state KeyState)                   // to the predecessor: may this attempt run?
 	DecideClaim(ranAttemptID string, granted bool) // the predecessor's decision
 	EndKeyBatch(last bool)                         // a batch of the predecessor's keys is replicated
 	SetTrafficDisabled(on bool)                    // operators have callers sent away, or not any more
@@ -73,7 +73,7 @@
 }
 
 // ApplyKey applies the state of a key that a peer replicated.
-func (c *Core) ApplyKey(p Peer, k KeyState) { c.notify(keyReplicated{p, k}) }
+func (c *Core) ApplyKey(p Peer, state KeyState) { c.notify(keyReplicated{p, state}) }
 
 type keyReplicated struct {
 	peer  Peer
@@ -86,8 +86,8 @@
 	}
 }
 
-func (c *Core) applyKey(k KeyState) {
-	entry, waiting := c.keys.Apply(k, c.clock.At(k.ExpiresAt))
+func (c *Core) applyKey(state KeyState) {
+	entry, waiting := c.keys.Apply(state, c.clock.At(state.ExpiresAt))
 	if entry.RanAttemptID() != "" {
 		c.recordKey(entry, entry.Completed())
 	}
@@ -96,7 +96,7 @@
 
 // ClaimRequested decides whether a successor may run an attempt: not if its key has run
 // here, and the attempt arrived within the window.
-func (c *Core) ClaimRequested(p Peer, k KeyState) { c.notify(claimRequested{p, k}) }
+func (c *Core) ClaimRequested(p Peer, state KeyState) { c.notify(claimRequested{p, state}) }
 
 type claimRequested struct {
 	peer  Peer
@@ -162,9 +162,9 @@
 	c.replication.peer, c.replication.pendingKeys = nil, nil
 	for _, entry := range c.keys.Entries() {
 		if entry.RunsRemotely() {
-			k := c.keyState(entry)
-			k.Completed = true
-			c.applyKey(k)
+			state := c.keyState(entry)
+			state.Completed = true
+			c.applyKey(state)
 		}
 	}
 	for _, a := range c.attempts {
@@ -193,9 +193,9 @@
 // replicateKey replicates to the peer, if there is one, a key that runs here or has run.
 func (c *Core) replicateKey(e *idempotency.Entry, completed bool) {
 	if c.replication.peer != nil {
-		k := c.keyState(e)
-		k.Completed = completed
-		c.replication.peer.ReplicateKey(k)
+		state := c.keyState(e)
+		state.Completed = completed
+		c.replication.peer.ReplicateKey(state)
 	}
 }
 
--- a/dispatch/respond.go
+++ b/dispatch/respond.go
@@ -59,13 +59,16 @@
 	return Outcome{Kind: Failed}
 }
 
-// respondOverdue answers what the module has let pass its deadline, or the end of a drain,
-// so that every request is answered whatever the module does. It ignores a request whose
-// id it still knows from an earlier one, for example.
+// overdueAfter returns how long after its deadline the core itself answers a request: later
+// than the module, which answers at half of the slack, and before the slack is over.
+func overdueAfter(slack time.Duration) time.Duration { return slack * 3 / 4 }
+
+// respondOverdue answers requests that the module has not answered in time, or before the
+// end of a drain, so that every request is answered whatever the module does. The module
+// ignores a request whose id it still knows from an earlier one, for example.
 func (c *Core) respondOverdue() {
-	late := c.settings.DeadlineSlack * 3 / 4 // the module itself answers at half of the slack
 	for id, a := range c.attempts {
-		overdue := c.now > a.deadline+late || c.drain.stopAt != 0 && c.now > c.drain.stopAt
+		overdue := c.now > a.deadline+overdueAfter(c.settings.DeadlineSlack) || c.drain.stopAt != 0 && c.now > c.drain.stopAt
 		if !a.answered && overdue {
 			c.respond(a, c.failure(a))
 			c.module.CallerGone(c.now, id)
--- a/dispatch/start.go
+++ b/dispatch/start.go
@@ -7,9 +7,12 @@
 	"quincerail.example/quincerail/guard"
 )
 
+// poolPatienceDivisor divides the latency objective: an attempt waits for a slot until so
+// long after its arrival, as the module too sheds at half the objective.
+const poolPatienceDivisor = 2
+
 // acquirePoolSlot has a started attempt begin if its class's pool has a free slot. Else it
-// waits for one, or is shed at once where it would wait for more than half its latency
-// objective, at which the module itself begins to shed.
+// waits for one, or is shed at once where it would wait too long (poolPatienceDivisor).
 func (c *Core) acquirePoolSlot(a *attempt) {
 	if c.pools == nil {
 		c.startBackend(a)
@@ -21,7 +24,7 @@
 		c.startBackend(a)
 		return
 	}
-	patience := a.arrivedAt + a.classSettings.LatencyObjective/2 - c.now
+	patience := a.arrivedAt + a.classSettings.LatencyObjective/poolPatienceDivisor - c.now
 	if !c.pools.Enqueue(a.classIndex, a.ID, c.now, patience) {
 		c.denyStart(a)
 		return
@@ -46,7 +49,8 @@
 	}
 }
 
-// denyStart has an attempt shed that the module has started and that may not begin.
+// denyStart has an attempt shed that the module has started and that may not begin. It is
+// shed after the module's decision, as the module must not be called in the middle of one.
 func (c *Core) denyStart(a *attempt) {
 	c.transition(a, stateStartDenied)
 	c.deferEvent(startDenied{a})
@@ -75,17 +79,17 @@
 	runCompleted{id: a.ID, end: RunNotStarted}.apply(c)
 }
 
-// releasePoolSlot returns the slot of a run that has ended, and has those begin that it is
-// passed on to. An attempt that waited for a slot, or was shed, holds none.
+// releasePoolSlot returns the slot of a run that has ended, and begins the attempts that
+// the pools give a slot to. An attempt that waited for a slot, or was shed, holds none.
 func (c *Core) releasePoolSlot(a *attempt, took time.Duration, succeeded bool) {
 	if !a.holdsPoolSlot {
 		return
 	}
 	a.holdsPoolSlot = false
 	for _, next := range c.pools.Release(a.poolPermit, took, succeeded) {
-		if w := c.attempts[next.ID]; w != nil && w.state == stateAwaitingPoolSlot {
-			w.poolPermit, w.holdsPoolSlot = next.Permit, true
-			c.startBackend(w)
+		if waiting := c.attempts[next.ID]; waiting != nil && waiting.state == stateAwaitingPoolSlot {
+			waiting.poolPermit, waiting.holdsPoolSlot = next.Permit, true
+			c.startBackend(waiting)
 		}
 	}
 }
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -21,11 +21,12 @@
 	ReservedKB float64 // memory that it takes while it is held
 	Rank       float64 // the caller's position among all, from 0 to under 1
 	Payload    Payload
-	Backend    Backend   // runs it; nil for the core's own
+	Backend    Backend   // runs it; nil for Options.Backend
 	Responder  Responder // gets the answer
 }
 
-// OutcomeKind is how a request was answered.
+// OutcomeKind is how a request was answered. How a run ended is RunEnd, how a call ended
+// decision.Outcome.
 type OutcomeKind int
 
 // The kinds of answers.
@@ -37,7 +38,7 @@
 	Rejected                    // never run: its id is in use, or its key is another request's
 )
 
-// String returns the kind as metrics and logs name it.
+// String returns the kind as metrics and logs name it: Shed is "refused", TimedOut "deadline".
 func (k OutcomeKind) String() string {
 	return [...]string{Served: "served", Shed: "refused", Failed: "failed", TimedOut: "deadline", Rejected: "rejected"}[k]
 }
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -156,7 +156,7 @@
 	if q == nil || q.state == finished {
 		return
 	}
-	if q.state == callInFlight && in.settings.AbandonedCallDuration > 0 { // nobody waits for its call any more
+	if q.state == callInFlight && in.settings.AbandonedCallDuration > 0 { // nobody waits for its call
 		in.quota.recordAbandoned(now, in.settings.AbandonedCallDuration)
 	}
 	if q.preempting && outcome == decision.Cancelled && !q.answered {
