--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -80,7 +80,7 @@
 // CacheResult makes an attempt the owner of its key.
 func (h host) CacheResult(id string, _ time.Duration) {
 	if a := h.attempts[id]; a != nil && a.entry != nil {
-		h.keys.Retain(a.entry, a.keyAttempt())
+		h.keys.TakeOwnership(a.entry, a.keyAttempt())
 	}
 }
 
--- a/idempotency/entry.go
+++ b/idempotency/entry.go
@@ -18,14 +18,14 @@
 // Register to Unregister.
 type Entry struct {
 	key          string
-	class        string // of the request's first attempt
-	bodyHash     uint64 // of the body that all attempts of the request carry
-	owner        string // id of the attempt that the others are duplicates of
-	ranAttemptID string // id of the attempt that claimed the key; "" if none did
-	expiresAt    time.Duration
-	completed    bool     // the owner has ended
-	remote       bool     // the owner runs in a peer
-	result       *Payload // of the run, if it succeeded
+	class        string        // of the request's first attempt
+	bodyHash     uint64        // of the body that all attempts of the request carry
+	owner        string        // id of the attempt that the others are duplicates of
+	ranAttemptID string        // id of the attempt that claimed the key; "" if none did
+	expiresAt    time.Duration // end of the key's window
+	completed    bool          // the owner has ended, or there has been none yet
+	remote       bool          // the owner runs in a peer process
+	result       *Payload      // of the run, if it succeeded
 	resultBytes  int
 	waiting      []string // ids of the duplicates that wait for the owner to end
 	openAttempts int      // registered and not unregistered
@@ -47,14 +47,15 @@
 // evicted.
 func (e *Entry) Result() *Payload { return e.result }
 
-// Completed reports whether the owner of the key has ended.
+// Completed reports whether the owner of the key has ended. It is also true while there has
+// been no owner.
 func (e *Entry) Completed() bool { return e.completed }
 
-// RunsRemotely reports whether the key runs in a peer.
+// RunsRemotely reports whether the key runs in a peer process.
 func (e *Entry) RunsRemotely() bool { return e.remote }
 
-// RanInWindow reports whether the key has run, and an attempt that arrived at that time
-// arrived within its window.
+// RanInWindow reports whether an attempt has claimed the key, and one that arrived at
+// arrivedAt came before the end of the key's window.
 func (e *Entry) RanInWindow(arrivedAt time.Duration) bool {
 	return e.ranAttemptID != "" && arrivedAt < e.expiresAt
 }
@@ -78,8 +79,8 @@
 	}
 }
 
-// unused reports whether an attempt that arrived at a time may replace what the entry
-// holds by its own class and body.
+// unused reports whether an attempt that arrived at arrivedAt may use the key for another
+// request: no attempt is open, and none has run in whose window it arrived.
 func (e *Entry) unused(arrivedAt time.Duration) bool {
 	return e.openAttempts == 0 && !e.RanInWindow(arrivedAt)
 }
--- a/idempotency/state.go
+++ b/idempotency/state.go
@@ -24,14 +24,15 @@
 	return size
 }
 
-// KeyState is what one process reports of a key to another one or to a journal. Its
-// JSON is stored: the tags are part of that format.
+// KeyState is what one process reports of a key to another one or to a journal, with times
+// as Unix times, since their timelines differ. Its JSON is stored: the tags are part of that
+// format.
 type KeyState struct {
 	Key          string    `json:"Key"`
-	Class        string    `json:"Class"` // of the first attempt
-	BodyHash     uint64    `json:"Body"`  // of the body that all attempts carry
-	RanAttemptID string    `json:"Ran"`   // id of the attempt that claimed the key; "" if none did
-	ArrivedAt    time.Time `json:"Door"`
+	Class        string    `json:"Class"`  // of the first attempt
+	BodyHash     uint64    `json:"Body"`   // of the body that all attempts carry
+	RanAttemptID string    `json:"Ran"`    // id of the attempt that claimed the key; "" if none did
+	ArrivedAt    time.Time `json:"Door"`   // of the attempt that asks for a claim; else zero
 	ExpiresAt    time.Time `json:"Till"`   // end of the key's window
 	Completed    bool      `json:"Over"`   // the run has ended
 	Result       *Payload  `json:"Result"` // of the run, if it succeeded
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -18,10 +18,10 @@
 // Table links the attempts of keyed requests. It belongs to one goroutine.
 type Table struct {
 	entries     map[string]*Entry
-	withResult  []*Entry // in the order in which their results were stored
-	bytes       int
-	maxBytes    int // 0 for no bound
-	expiredAt   time.Duration
+	withResult  []*Entry      // in the order in which their results were stored
+	bytes       int           // entries' overhead and results
+	maxBytes    int           // 0 for no bound
+	expiredAt   time.Duration // the last pass of Expire
 	maxLateness time.Duration // how long after its arrival an attempt may still be registered
 }
 
@@ -55,8 +55,8 @@
 
 // Matches decides whether an attempt may be registered with its key.
 //
-// Inputs: the key's entry, the attempt's body hash and class, and which classes attempts
-// of one request may have. Rule: the key is unused, or body and class match those of the
+// Inputs: the key's entry, the attempt's body hash and class, and sameRequest, which tells
+// whether attempts of one request may come in both classes. Rule: the key is unused, or body and class match those of the
 // key. Reason: all attempts of one request carry the same; another request must not get
 // its result.
 func (t *Table) Matches(a Attempt, sameRequest func(classA, classB string) bool) bool {
@@ -66,8 +66,9 @@
 }
 
 // Register links an attempt to its key until Unregister. It returns the id of the
-// attempt that it duplicates: one that has run within the window, or one that owns the
-// key; "" if the attempt is the first.
+// attempt that it duplicates: the one that has run within the window, or else the owner of
+// the key, if it has not ended. If there is neither, the attempt becomes the owner, and
+// duplicateOf is "".
 func (t *Table) Register(a Attempt) (e *Entry, duplicateOf string) {
 	e = t.lookupOrAdd(a.Key)
 	if e.unused(a.ArrivedAt) {
@@ -85,16 +86,19 @@
 	return e, ""
 }
 
-// Retain makes an attempt the owner of its key, unless the key has run within the window
-// or its owner has not ended.
-func (t *Table) Retain(e *Entry, a Attempt) {
+// TakeOwnership makes an attempt the owner of its key, unless the key has run within the
+// window that the attempt arrived in, or the key's owner has not ended. It does not claim
+// the key.
+func (t *Table) TakeOwnership(e *Entry, a Attempt) {
 	if !e.RanInWindow(a.ArrivedAt) && e.completed {
 		e.owner, e.completed = a.ID, false
 	}
 }
 
-// Claim makes an attempt the one that runs, and starts the key's window. The caller has
-// checked that no other attempt has run in whose window it arrived (package guard).
+// Claim makes an attempt the owner of its key and the one that runs, drops a result of an
+// earlier run, and sets the key's window, which counts from the attempt's arrival. The
+// caller has checked that the attempt did not arrive in the window of another one that has
+// run (guard.MayStart).
 func (t *Table) Claim(e *Entry, a Attempt, window time.Duration) {
 	t.evictResult(e)
 	e.owner, e.ranAttemptID, e.completed, e.remote = a.ID, a.ID, false, false
@@ -123,8 +127,9 @@
 	return waiting
 }
 
-// Apply takes over a key's state from a peer or a journal; its window ends at expiresAt. It
-// returns the ids of the duplicates that waited, if the run has ended.
+// Apply replaces what is known of a key by the state that a peer or a journal has; its
+// window ends at expiresAt. A state without RanAttemptID releases the claim. If the run has
+// ended, the ids of the duplicates that waited are returned.
 func (t *Table) Apply(state KeyState, expiresAt time.Duration) (e *Entry, waiting []string) {
 	e = t.lookupOrAdd(state.Key)
 	t.evictResult(e)
--- a/idempotency/table_test.go
+++ b/idempotency/table_test.go
@@ -133,7 +133,7 @@
 	if e.RanInWindow(0) {
 		t.Error("a released claim counts as run")
 	}
-	table.Retain(e, second)
+	table.TakeOwnership(e, second)
 	register(t, table, attempt("third", 0), "second")
 	table.Unregister(e, "second")
 	table.Unregister(e, "third")
@@ -146,11 +146,11 @@
 	e := register(t, table, attempt("first", 0), "")
 	second := attempt("second", 0)
 	register(t, table, second, "first")
-	table.Retain(e, second)
+	table.TakeOwnership(e, second)
 	register(t, table, attempt("third", 0), "first")
 	table.Claim(e, attempt("first", 0), testWindow)
 	table.Unregister(e, "first")
-	table.Retain(e, second)
+	table.TakeOwnership(e, second)
 	register(t, table, attempt("fourth", 0), "first")
 }
 
--- a/limits/pools.go
+++ b/limits/pools.go
@@ -11,11 +11,12 @@
 type Pools struct {
 	config        Config
 	pools         []*pool      // by class
-	reads         map[read]int // in flight, with their copies
+	reads         map[read]int // how many of each are in flight
 	reservedInUse int
 }
 
-// read is a read by what it is about: copies of it are the same load.
+// read is a request that changes nothing, by its class and what it reads: reads of the same
+// item at once are the same load downstream.
 type read struct {
 	class int
 	item  string
@@ -46,10 +47,10 @@
 
 // Permit is what a run holds while it is in flight: Release takes it back.
 type Permit struct {
-	class  int
-	source source
-	copy   bool   // of a read that is in flight: it holds no slot, and its latency is not observed
-	item   string // what the run reads; empty if it is unknown, or a write
+	class     int
+	source    source
+	coalesced bool   // of a read that is in flight: it holds no slot, and its latency is not observed
+	item      string // what the run reads; empty if it is unknown, or a write
 }
 
 // Admitted is a queued run that may start now.
@@ -87,13 +88,14 @@
 // TryAcquire acquires a slot for a run of a class that reads an item (empty if it is
 // unknown, or a write). It returns false if the run has to be queued or shed.
 //
-// A copy of a read that is in flight needs no slot: the load downstream is the same.
+// A read of an item that is being read already needs no slot: the load downstream is the
+// same.
 func (p *Pools) TryAcquire(class int, item string) (Permit, bool) {
 	p.ensurePool(class)
 	r := read{class, item}
 	if item != "" && p.reads[r] > 0 {
 		p.reads[r]++
-		return Permit{class: class, copy: true, item: item}, true
+		return Permit{class: class, coalesced: true, item: item}, true
 	}
 	permit, ok := p.takeSlot(class)
 	if ok && item != "" {
@@ -166,8 +168,9 @@
 // Enqueue queues a run that got no slot. It returns false if the run is to be shed: it would
 // wait and run longer than its patience. now orders the queues, on any clock.
 //
-// The estimate is the recent latency, times the queue's length over the limit for the wait
-// and once for the run. Before the first latency is known, every run is queued.
+// The expected time is that of (queue length + 1) / limit round trips in the queue and one
+// for the run, each as long as the recent mean latency. Before the first latency is known,
+// every run is queued unless its patience is negative.
 func (p *Pools) Enqueue(class int, id string, now, patience time.Duration) bool {
 	pool := p.pools[class]
 	roundTrips := float64(len(pool.queue)+1)/max(pool.limit, minLimit) + 1
@@ -192,7 +195,7 @@
 // of a run that failed shows nothing). It returns the queued runs that may start now.
 func (p *Pools) Release(permit Permit, latency time.Duration, succeeded bool) []Admitted {
 	p.releaseRead(permit)
-	if permit.copy {
+	if permit.coalesced {
 		return nil
 	}
 	pool := p.pools[permit.class]
@@ -202,12 +205,17 @@
 		pool.inUse--
 	}
 	if succeeded && latency > 0 {
-		used := len(pool.queue) > 0 || float64(pool.inUse+1) >= pool.limit/2
-		pool.observe(latency, p.config.MaxLimit, used)
+		pool.observe(latency, p.config.MaxLimit, pool.wasUsed())
 	}
 	return p.admitQueued()
 }
 
+// wasUsed reports whether the pool used at least half of its limit until a run ended, which
+// has just returned its slot.
+func (p *pool) wasUsed() bool {
+	return len(p.queue) > 0 || float64(p.inUse+1) >= p.limit/2
+}
+
 // releaseRead counts one read of an item less.
 func (p *Pools) releaseRead(permit Permit) {
 	if permit.item == "" {
--- a/limits/pools_test.go
+++ b/limits/pools_test.go
@@ -146,8 +146,8 @@
 	p := newPools(t, 1, 0)
 	first, ok := p.TryAcquire(0, "kampanj-7")
 	second, ok2 := p.TryAcquire(0, "kampanj-7")
-	if !ok || !ok2 || !second.copy || p.InUse(0) != 1 {
-		t.Fatalf("copy %t, %d in flight", second.copy, p.InUse(0))
+	if !ok || !ok2 || !second.coalesced || p.InUse(0) != 1 {
+		t.Fatalf("coalesced %t, %d in flight", second.coalesced, p.InUse(0))
 	}
 	limit := p.Capacity(0)
 	p.Release(second, time.Hour, true)
@@ -155,7 +155,7 @@
 		t.Error("a copy's latency moved the limit")
 	}
 	p.Release(first, 10*time.Millisecond, true)
-	if third, _ := p.TryAcquire(0, "kampanj-7"); third.copy || p.InUse(0) != 1 {
+	if third, _ := p.TryAcquire(0, "kampanj-7"); third.coalesced || p.InUse(0) != 1 {
 		t.Error("once the first was over, a further one is a copy still")
 	}
 }
