--- a/decision/settings.go
+++ b/decision/settings.go
@@ -46,11 +46,11 @@
 // Class describes a class of requests.
 type Class struct {
 	LatencyObjective time.Duration // an answer within it, from the first attempt on, earns full weight
-	ObjectivePerCost float64       // added to the objective for each unit of the request's CostHint
+	ObjectivePerCost float64       // times a request's CostHint: added to its latency objective
 	Deadline         time.Duration // how long a caller waits for all attempts together
 	Weight           float64       // priority weight: what an answer counts when not all can be served
 	LateWeight       float64       // fraction of the weight that an answer after the objective earns
-	DegradedWeight   float64       // the same for an answer without its call; 0 if it needs the call
+	DegradedWeight   float64       // the same for an answer whose call was skipped; 0 if it needs the call
 	Effect           Effect
 	KeyWindow        time.Duration // keyed requests: how long after its arrival a retry may come
 	CallsDependency  bool          // its requests may call the dependency
@@ -65,7 +65,7 @@
 type Settings struct {
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64 // least fraction of its weight that a request beyond its tenant's quota keeps
+	OverQuotaWeight float64 // fraction of its weight that a request beyond its tenant's quota keeps at least
 	Servers         int     // instances in the endpoint list
 	Callers         int     // callers that send to them
 
@@ -75,16 +75,16 @@
 	KeyMemoryKB         float64       // memory of one cached result
 	RunningMemoryFactor float64       // memory of a running request over that of a queued one
 	OverloadRatio       float64       // runnable requests per core that a warm instance survives
-	OverloadWindow      time.Duration // over which those are averaged
+	OverloadWindow      time.Duration // over which OverloadRatio is averaged
 	SlowStart           bool          // it starts cold: slow, and with more calls to the dependency
 	SlowStartMinSpeed   float64       // fraction of its normal speed at a cold start
 	SlowStartDuration   time.Duration // until it has its normal speed at the latest
 
 	// The dependency.
 	Dependency            DependencyKind
-	CallQuota             float64       // its share of the calls in flight that a shared one survives
-	CallQuotaWindow       time.Duration // over which those are averaged
-	AbandonedCallDuration time.Duration // how long an abandoned call may keep the dependency busy
+	CallQuota             float64       // calls in flight that a shared one can bear from this instance
+	CallQuotaWindow       time.Duration // over which CallQuota is averaged
+	AbandonedCallDuration time.Duration // how long a call may keep the dependency busy after it was abandoned
 
 	CacheTTL   time.Duration // how long a read's result serves other requests; 0 for never
 	CancelMode CancelMode
--- a/guard/connection.go
+++ b/guard/connection.go
@@ -9,7 +9,7 @@
 	MessagePartial   bool          // a part of a message was read
 	IdleFor          time.Duration // since the last byte was read
 	MessageAge       time.Duration // since the first byte of the partial message was read
-	StallTimeout     time.Duration // a partial message without a further byte for so long is given up
+	StallTimeout     time.Duration // a partial message is given up after so long without a further byte
 	NoticeRemaining  time.Duration // until the peer was notified long enough ago to send no more requests
 	ProcessEnding    bool          // the process exits: the connection can't be closed later
 }
--- a/guard/exit.go
+++ b/guard/exit.go
@@ -10,9 +10,9 @@
 	Checks             int // how often this was asked since the planned exit
 }
 
-// A process checks every exitCheckInterval, and maxExitChecks times at most. Checks are
-// counted, not time, because a process that is paused does not notice time that passes.
-// It is killed if that takes too long, and loses no more then than by its own exit.
+// A process checks every exitCheckInterval, and maxExitChecks times at most (2 s in all).
+// Checks are counted, and not the time, because a process may be paused between two of
+// them. A process that is killed meanwhile loses no more than by its own exit.
 const (
 	exitCheckInterval = 5 * time.Millisecond
 	maxExitChecks     = 400
--- a/guard/input.go
+++ b/guard/input.go
@@ -6,9 +6,9 @@
 	ErrNoMessages     error = &DenialError{"what comes on the connection is no messages"}
 )
 
-// Bounds of the invalid input that a connection is read in spite of, so that a peer that
-// sends nothing else is not read for ever: as many invalid messages as valid ones, and
-// InitialInvalidMessages more.
+// Bounds of invalid input, beyond which a connection is read no further. A connection may
+// have as many invalid messages as valid ones and InitialInvalidMessages more, at most
+// MaxInvalidMessages.
 const (
 	MaxInvalidMessages     = 64
 	InitialInvalidMessages = 2
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -13,7 +13,7 @@
 	retryWeightFactor       = 0.75
 	arrivalRateTimeConstant = 5 * time.Second
 	quotaToleranceSigma     = 2 // standard deviations of a tenant's count that are not excess
-	tenantWeightSteps       = 4 // steps of a tenant's weight from 0 to 1: order of arrival holds within each
+	tenantWeightSteps       = 4 // of a tenant's weight from 0 to 1; equal weights run in order of arrival
 )
 
 // admitReceived decides on the requests that were read since the last batch.
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -9,11 +9,11 @@
 
 const (
 	inFlightUtilizationLimit = 0.85 // of the requests in flight that the cores survive
-	busyRunnablePerCore      = 1.5  // runnable tasks per core; waits for the disk end in bursts
+	busyRunnablePerCore      = 1.5  // runnable tasks per core beyond which cores count as busy
 	idleCoreUtilization      = 0.95 // below it cores count as idle
 	concurrencyDecrease      = 0.05 // of the excess over the cores, each timer
 	concurrencyIncrease      = 0.25 // requests, each timer
-	preemptionWeightRatio    = 0.5  // of a newcomer's weight, up to which a run is preempted for it
+	preemptionWeightRatio    = 0.5  // of a newcomer's weight: runs of at most that are preempted for it
 )
 
 // concurrencyLimit holds how many requests run at a time, and what it is adjusted by.
--- a/policy/health.go
+++ b/policy/health.go
@@ -10,7 +10,7 @@
 	unhealthyErrorRate      = 0.4 // of own runs that fail or hang
 	errorRateTimeConstant   = 8 * time.Second
 	readLagTimeConstant     = time.Second
-	minHealthChangeInterval = 8 * time.Second // between two spans in which reads alone make it unhealthy
+	minHealthChangeInterval = 8 * time.Second // read lag alone makes it unhealthy no sooner after a change
 )
 
 // healthMonitor judges the instance's own health by two signals. The error rate of its runs
@@ -20,7 +20,7 @@
 	healthy         bool
 	errorRate       float64       // moving fraction of own runs that failed or hung
 	readLag         float64       // moving average of the time from arrival to being read, in seconds
-	lagIgnoredUntil time.Duration // while it is healthy
+	lagIgnoredUntil time.Duration // until then read lag does not make it unhealthy
 }
 
 // recordRun takes in whether one of the instance's own runs failed or hung.
