--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -9,7 +9,7 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// admit registers an attempt under its key, and has the module hear of it. The module may
+// admit registers an attempt under its key, and reports it to the module. The module may
 // start, shed or fail it at any time from here on.
 func (c *Core) admit(a *attempt) {
 	duplicateOf := ""
@@ -25,7 +25,7 @@
 		ID: a.ID, Class: a.classIndex, Tenant: a.tenantIndex, CacheKey: a.CacheKey, ReservedKB: a.ReservedKB, Rank: a.Rank, Caller: a.Caller,
 		Write: a.classSettings.Effect != decision.Idempotent, Waited: c.now - a.readAfter, DuplicateOf: duplicateOf,
 	}
-	if a.deadline != a.readAfter+a.classSettings.Deadline { // it is not the class's, as the module counts that
+	if a.deadline != a.readAfter+a.classSettings.Deadline { // the module counts the class's from readAfter
 		r.Deadline = a.deadline
 	}
 	c.transition(a, stateQueued)
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -91,8 +91,7 @@
 	if c.options.Journal == nil {
 		return
 	}
-	state := c.keyState(e)
-	state.Completed = completed
+	state := c.keyStateWith(e, completed)
 	c.options.Journal.Record(state, func(err error) {
 		if err != nil {
 			c.log.Warn("journal_failed", "key", state.Key, "error", err.Error())
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -12,7 +12,8 @@
 // healthState decides what health checks and the discovery service report of this server.
 type healthState struct {
 	healthy bool // as the module sees it
-	// cached is set where the module has settled it: deep checks don't try the machine.
+	// cached is set where healthy is all that checks report: deep checks don't try the
+	// machine.
 	cached          bool
 	trafficDisabled bool // by operators
 }
@@ -25,17 +26,18 @@
 	c.reportToRegistrar()
 }
 
-// acceptsTraffic reports whether callers may come, whatever this server's health: not
-// before anything can run here.
+// acceptsTraffic reports whether callers may send requests here, whatever this server's
+// health: not before the backend is ready, while draining, or where operators disabled it.
 func (c *Core) acceptsTraffic() bool {
 	return c.module != nil && !c.health.trafficDisabled && !c.drain.draining
 }
 
-// ready reports whether callers are to come.
-func (c *Core) ready() bool { return c.health.healthy && c.acceptsTraffic() }
+// shouldReceiveTraffic reports whether callers should send requests here: it is healthy and
+// accepts them. Ready reports less: that requests can be run.
+func (c *Core) shouldReceiveTraffic() bool { return c.health.healthy && c.acceptsTraffic() }
 
-// reportToRegistrar reports to the discovery service whether callers are to come. Unless
-// the settings have that follow health, it hears only whether the server runs or drains.
+// reportToRegistrar reports to the discovery service whether callers should send requests
+// here. With ListFollowsHealth that includes this server's health.
 func (c *Core) reportToRegistrar() {
 	if c.options.Registrar != nil {
 		c.options.Registrar.SetAccepting(c.acceptsTraffic() && (c.health.healthy || !c.settings.ListFollowsHealth))
@@ -54,8 +56,8 @@
 }
 
 func (e healthCheckRequested) apply(c *Core) {
-	if !e.deep || c.health.cached || !c.ready() || c.options.Machine == nil {
-		e.reply(c.ready())
+	if !e.deep || c.health.cached || !c.shouldReceiveTraffic() || c.options.Machine == nil {
+		e.reply(c.shouldReceiveTraffic())
 		return
 	}
 	check := &deepCheck{reply: e.reply}
@@ -80,7 +82,7 @@
 func (e deepCheckCompleted) apply(c *Core) {
 	if !e.check.answered {
 		e.check.answered = true
-		e.check.reply(e.good && c.ready())
+		e.check.reply(e.good && c.shouldReceiveTraffic())
 	}
 }
 
@@ -127,7 +129,8 @@
 	}
 }
 
-// Ready reports whether requests can be run here.
+// Ready reports whether requests can be run here: the backend is ready, and no drain has
+// begun.
 func (c *Core) Ready(reply func(ready bool)) error { return c.enqueue(readinessRequested{reply}) }
 
 type readinessRequested struct{ reply func(ready bool) }
--- a/dispatch/keys.go
+++ b/dispatch/keys.go
@@ -19,6 +19,13 @@
 	return idempotency.Attempt{ID: a.ID, Key: a.Key, Class: a.Class, BodyHash: a.bodyHash, ArrivedAt: a.arrivedAt}
 }
 
+// keyStateWith is keyState with another value of Completed.
+func (c *Core) keyStateWith(e *idempotency.Entry, completed bool) KeyState {
+	state := c.keyState(e)
+	state.Completed = completed
+	return state
+}
+
 // keyState is an entry as the peer and the journal get it.
 func (c *Core) keyState(e *idempotency.Entry) KeyState {
 	return e.State(c.clock.Unix(e.ExpiresAt()))
--- a/dispatch/replication.go
+++ b/dispatch/replication.go
@@ -162,9 +162,7 @@
 	c.replication.peer, c.replication.pendingKeys = nil, nil
 	for _, entry := range c.keys.Entries() {
 		if entry.RunsRemotely() {
-			state := c.keyState(entry)
-			state.Completed = true
-			c.applyKey(state)
+			c.applyKey(c.keyStateWith(entry, true))
 		}
 	}
 	for _, a := range c.attempts {
@@ -193,9 +191,7 @@
 // replicateKey replicates to the peer, if there is one, a key that runs here or has run.
 func (c *Core) replicateKey(e *idempotency.Entry, completed bool) {
 	if c.replication.peer != nil {
-		state := c.keyState(e)
-		state.Completed = completed
-		c.replication.peer.ReplicateKey(state)
+		c.replication.peer.ReplicateKey(c.keyStateWith(e, completed))
 	}
 }
 
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -10,9 +10,9 @@
 	"quincerail.example/quincerail/policy"
 )
 
-// drainNoticeDelay is how much later than its sender a busy core may see the notice to
-// drain. The grace of a drain is cut by it: what is read in its last moments here may have
-// come after it as the sender sees it.
+// drainNoticeDelay is how long after it was sent a busy core may see the notice to drain.
+// DrainGrace, which counts from when the notice is seen, is shortened by it: so it never
+// ends later than a grace that is counted from when the notice was sent.
 const drainNoticeDelay = 30 * time.Millisecond
 
 // settingsTable is the classes and tenants in force. Each keeps its index for good, so that
@@ -81,7 +81,7 @@
 
 // mayShareKeys reports whether attempts of one request may come in both classes. A class
 // that was added later may be another one under a new name, and callers may change over to
-// it between two attempts. Classes that were there from the start are never the same.
+// it between two attempts. Classes that were there from the start are known to differ.
 func (c *Core) mayShareKeys(classA, classB string) bool {
 	return classA == classB || !c.initialClasses[classA] || !c.initialClasses[classB]
 }
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -18,19 +18,17 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Submit hands in a request. After an error its Responder hears nothing.
+// Submit hands in a request. It returns an error if the class or tenant is unknown, a needed
+// key is missing or too long, or there is no id or memory; or ErrStopped. After an error its
+// Responder hears nothing. It waits while the mailbox is full.
 func (c *Core) Submit(r Request) error {
 	current := c.currentSettings.Load()
 	class, ok := current.classes.indexOf[r.Class]
 	if !ok {
 		return fmt.Errorf("class %q is not known", r.Class)
 	}
-	keyed := current.classes.items[class].Effect == decision.Keyed
-	if keyed && r.Key == "" {
-		return fmt.Errorf("class %q needs a key", r.Class)
-	}
-	if keyed && len(r.Key) > maxKeyBytes {
-		return fmt.Errorf("a key of %d bytes, %d at most", len(r.Key), maxKeyBytes)
+	if err := r.checkKey(current.classes.items[class].Effect); err != nil {
+		return err
 	}
 	tenant, ok := current.tenantIndex(r.Tenant)
 	if !ok {
@@ -42,6 +40,21 @@
 	return c.enqueue(requestReceived{r, class, tenant})
 }
 
+// checkKey returns an error if a request of a class with that effect needs a key and has
+// none, or one that is too long.
+func (r *Request) checkKey(effect decision.Effect) error {
+	if effect != decision.Keyed {
+		return nil
+	}
+	if r.Key == "" {
+		return fmt.Errorf("class %q needs a key", r.Class)
+	}
+	if len(r.Key) > maxKeyBytes {
+		return fmt.Errorf("a key of %d bytes, %d at most", len(r.Key), maxKeyBytes)
+	}
+	return nil
+}
+
 // requestReceived is a request with the indexes of its class and tenant. These keep
 // their meaning when the settings change.
 type requestReceived struct {
@@ -58,8 +71,7 @@
 	if class.Effect != decision.Keyed {
 		r.Key = ""
 	}
-	keyMissing := class.Effect == decision.Keyed && (r.Key == "" || len(r.Key) > maxKeyBytes)
-	if c.attempts[r.ID] != nil || keyMissing {
+	if c.attempts[r.ID] != nil || r.checkKey(class.Effect) != nil {
 		r.Responder.Respond(r.ID, Outcome{Kind: Rejected})
 		return
 	}
@@ -105,14 +117,14 @@
 	newKey := a.Key != "" && entry == nil
 	switch {
 	case c.now > a.deadline:
-		// The module takes the time that requests wait for the lateness of reads, and a
-		// server whose reads are late for unhealthy. One wrong arrival time must not.
+		// The module would count the time since the arrival as read lag, and the server as
+		// unhealthy if it is long: one wrong arrival time must not have that effect.
 		return Outcome{Kind: TimedOut}, true
 	case c.module == nil && entry != nil && entry.RanInWindow(a.arrivedAt):
 		return c.failure(a), true // it ran in another process
 	case c.module == nil: // nothing can run yet
 		return shed, true
-	case newKey && c.keys.Full(): // nothing would keep it from running again
+	case newKey && c.keys.Full(): // no entry would keep it from running again
 		return shed, true
 	case newKey && c.now < c.replication.inDoubtUntil: // it may have run, by a record that is lost
 		return c.failure(a), true
