--- a/decision/host.go
+++ b/decision/host.go
@@ -9,9 +9,9 @@
 	Run(id string)
 	// Cancel cancels a run, as CancelMode tells.
 	Cancel(id string)
-	// Shed answers a request as not run. The caller should send nothing for a time, and
-	// not retry the request elsewhere if noRetry is set.
-	Shed(id string, retryAfter time.Duration, noRetry bool)
+	// Shed answers a request as not run. The caller should send nothing for retryAfter, and
+	// not retry the request at another server if noRetryElsewhere is set.
+	Shed(id string, retryAfter time.Duration, noRetryElsewhere bool)
 	// Fail answers a request with an error.
 	Fail(id string)
 	// Call makes the call that a run waits for, with a time-out.
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -32,7 +32,7 @@
 	}
 	c.dropCall(a)
 	c.releasePoolSlot(a, e.took, e.end == RunSucceeded)
-	if e.paused(a, c) {
+	if c.canResume(a, e.end) {
 		c.transition(a, statePaused)
 		c.module.RunDone(c.now, e.id, decision.Cancelled, e.took)
 		return
@@ -51,13 +51,14 @@
 	c.removeIfDone(a)
 }
 
-// paused reports whether a run that was cancelled can go on later.
-func (e runCompleted) paused(a *attempt, c *Core) bool {
-	return e.end == RunCancelled && a.state == stateCancelling && !a.answered && c.settings.CancelMode == decision.CancelPause
+// canResume reports whether a run that has ended was only paused: it was cancelled, its
+// request still waits for an answer, and the settings let cancelled runs go on later.
+func (c *Core) canResume(a *attempt, end RunEnd) bool {
+	return end == RunCancelled && a.state == stateCancelling && !a.answered && c.settings.CancelMode == decision.CancelPause
 }
 
-// respondToRun answers an attempt whose run has ended. One that was cancelled is answered
-// by who had it cancelled.
+// respondToRun answers an attempt whose run has ended. One whose run was cancelled is left
+// to the module, or has its answer already.
 func (c *Core) respondToRun(a *attempt, end RunEnd, result Payload) {
 	switch end {
 	case RunSucceeded:
@@ -69,7 +70,8 @@
 	}
 }
 
-// recordRun records what a keyed run came to, for its duplicates.
+// recordRun records how a keyed run ended, for its duplicates: in the table, at the peer
+// and in the journal.
 func (c *Core) recordRun(a *attempt, end RunEnd, result Payload) {
 	if a.entry == nil || a.entry.RanAttemptID() != a.ID {
 		return
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -32,8 +32,8 @@
 	}
 	q.answered = true
 	retryAfter := in.retryAfter(retryAfterScale)
-	noRetry := in.adviseNoRetry(q, noRetryProbability)
-	in.host.Shed(q.ID, retryAfter, noRetry)
+	noRetryElsewhere := in.adviseNoRetry(q, noRetryProbability)
+	in.host.Shed(q.ID, retryAfter, noRetryElsewhere)
 	in.evictResult(q)
 	in.endAnswered(q)
 }
--- a/policy/timeouts.go
+++ b/policy/timeouts.go
@@ -12,7 +12,7 @@
 	latencyBufferSize      = 200 // diagnostic latencies that the Optimizer keeps
 	diagnosticInterval     = 5   // every so many idempotent calls one is diagnostic
 	callsPerSolve          = 20  // idempotent calls between two solutions of the sequence
-	maxSequenceLength      = 5   // time-outs; more were never reached in time
+	maxSequenceLength      = 5   // time-outs: a call has no time left for more
 	minRecordedLatency     = time.Microsecond
 	timeoutGrowthFactor    = 1.5  // of the Controller's time-out, after a time-out
 	timeoutGain            = 0.1  // of the distance to the latency, per success
