--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -9,11 +9,11 @@
 
 const (
 	inFlightUtilizationLimit = 0.85 // of the requests in flight that the cores survive
-	busyRunnablePerCore      = 1.5  // runnable tasks per core; waits for the disk end in bursts
+	busyRunnablePerCore      = 1.5  // runnable tasks per core beyond which cores count as busy
 	idleCoreUtilization      = 0.95 // below it cores count as idle
 	concurrencyDecrease      = 0.05 // of the excess over the cores, each timer
 	concurrencyIncrease      = 0.25 // requests, each timer
-	preemptionWeightRatio    = 0.5  // of a newcomer's weight, up to which a run is preempted for it
+	preemptionWeightRatio    = 0.5  // of a newcomer's weight: runs of at most that are preempted for it
 )
 
 // concurrencyLimit holds how many requests run at a time, and what it is adjusted by.
@@ -98,10 +98,10 @@
 	return in.count[running] + in.count[awaitingCall] + in.count[callInFlight]
 }
 
-// dispatch runs queued requests in the order of their priority, while the concurrency
+// startQueued runs queued requests in the order of their priority, while the concurrency
 // limit, the requests in flight and the memory allow. It passes over requests that have
 // no room in memory, or would only wait for a call.
-func (in *Instance) dispatch() {
+func (in *Instance) startQueued() {
 	for i := 0; i < len(in.queue); {
 		q := in.queue[i]
 		if !in.canRun(q) {
@@ -126,7 +126,7 @@
 	if in.exceedsMemory(more) {
 		return false
 	}
-	waitsForCall := linearRamp(in.expectedCallWait(q), in.maxQueueWait(q)) > 0
+	waitsForCall := in.callShedProbability(q) > 0 // false for a NaN, where nothing may wait
 	return !waitsForCall
 }
 
