--- a/frontend/thrift/connection_test.go
+++ b/frontend/thrift/connection_test.go
@@ -99,8 +99,11 @@
 		front := newFrontend(frontendtest.NewBackend(t))
 		p := &peers{t: t, front: front, received: make(map[string]chan string)}
 		p.connect("busy", fakes.AppendExecute(nil, 1, map[string]string{
-			"verb": "kampanjsida", "txn": "0000000000000001",
-			"lb": "1", "ram": "1", "standing": "0",
+			protocol.FieldClass:          "kampanjsida",
+			protocol.FieldAttemptID:      "0000000000000001",
+			protocol.FieldCaller:         "1",
+			protocol.FieldReservedMemory: "1",
+			protocol.FieldRank:           "0",
 		}, []byte(frontendtest.HangingBody)))
 		p.connect("idle", fakes.AppendCheck(nil, 1, false))
 		p.connect("later", fakes.AppendCheck(nil, 1, false))
@@ -141,9 +144,21 @@
 		b := frontendtest.NewBackend(t)
 		caller, ended := frontendtest.Dial(newFrontend(b).Serve)
 		r := bufio.NewReader(caller)
-		good := map[string]string{"verb": "kampanjsida", "txn": "0000000000000001", "lb": "1", "ram": "1", "standing": "0"}
+		good := map[string]string{
+			protocol.FieldClass:          "kampanjsida",
+			protocol.FieldAttemptID:      "0000000000000001",
+			protocol.FieldCaller:         "1",
+			protocol.FieldReservedMemory: "1",
+			protocol.FieldRank:           "0",
+		}
 		seq := int32(0)
-		for field, value := range map[string]string{"verb": "okänd", "txn": "xyz", "lb": "x", "ram": "0", "standing": "1"} {
+		for field, value := range map[string]string{
+			protocol.FieldClass:          "okänd",
+			protocol.FieldAttemptID:      "xyz",
+			protocol.FieldCaller:         "x",
+			protocol.FieldReservedMemory: "0",
+			protocol.FieldRank:           "1",
+		} {
 			seq++
 			fields := map[string]string{field: value}
 			for name, v := range good {
@@ -159,7 +174,7 @@
 		var calls []byte
 		for range maxOpenRequests + 1 {
 			seq++
-			good["txn"] = fmt.Sprintf("%016x", seq)
+			good[protocol.FieldAttemptID] = fmt.Sprintf("%016x", seq)
 			calls = fakes.AppendExecute(calls, seq, good, []byte(frontendtest.HangingBody))
 		}
 		go caller.Send(calls)
--- a/frontend/thrift/model_test.go
+++ b/frontend/thrift/model_test.go
@@ -10,6 +10,7 @@
 	"quincerail.example/quincerail/internal/fakes"
 	"quincerail.example/quincerail/internal/frontendtest"
 	"quincerail.example/quincerail/internal/randomsteps"
+	protocol "quincerail.example/quincerail/protocol/thrift"
 )
 
 // connectionModel is what a balancer knows of its connection.
@@ -100,7 +101,11 @@
 // fields are those of the next call.
 func (m *connectionModel) fields(class string) map[string]string {
 	return map[string]string{
-		"verb": class, "txn": fmt.Sprintf("%016x", m.seq+1), "lb": "1", "ram": "1", "standing": "0",
+		protocol.FieldClass:          class,
+		protocol.FieldAttemptID:      fmt.Sprintf("%016x", m.seq+1),
+		protocol.FieldCaller:         "1",
+		protocol.FieldReservedMemory: "1",
+		protocol.FieldRank:           "0",
 	}
 }
 
