--- a/frontend/thrift/connection.go
+++ b/frontend/thrift/connection.go
@@ -28,6 +28,13 @@
 // maxOpenRequests is how many requests may be open on one connection.
 const maxOpenRequests = 32
 
+// noRetryElsewhereSet is the value of protocol.FieldNoRetryElsewhere; the field is absent
+// otherwise.
+const noRetryElsewhereSet = "1"
+
+// loadReportDecimals is how many decimals the load in protocol.FieldLoadReport has.
+const loadReportDecimals = 4
+
 // connection is one connection of a balancer. It implements dispatch.Responder.
 type connection struct {
 	core    *dispatch.Core
@@ -36,7 +43,7 @@
 	monitor *guard.Monitor
 	log     *slog.Logger
 
-	// The connection's goroutine alone.
+	// Used by the connection's goroutine alone.
 	reader          protocol.Reader
 	sequence        sequence
 	validMessages   int
@@ -45,8 +52,8 @@
 	// An open request is removed under the lock under which its answer is sent, so that
 	// the connection never ends between the two.
 	mu            sync.Mutex
-	seqByRequest  map[string]int32 // open requests
-	requestBySeq  map[int32]string // likewise
+	seqByRequest  map[string]int32 // sequence numbers of the open requests, by request ID
+	requestBySeq  map[int32]string // the inverse of seqByRequest
 	pendingChecks int              // health checks without an answer
 	notifiedAt    time.Time        // when the peer was told that nothing new is wanted; zero before
 	noticePeriod  time.Duration    // that the peer has from then on
@@ -65,7 +72,8 @@
 	}
 }
 
-// step reads the next message and carries it out.
+// step reads the next message and handles it. An error other than
+// transport.ErrMessageSkipped ends the connection.
 func (c *connection) step(r *bufio.Reader) error {
 	m, err := c.reader.Read(r)
 	if err == nil {
@@ -73,11 +81,7 @@
 	}
 	var bad *protocol.BadMessageError
 	if errors.As(err, &bad) {
-		order := duplicate // a call without a number of its own gets no answer
-		if bad.Head != nil && bad.Head.Type == protocol.Call {
-			order = c.sequence.call(bad.Head.Seq)
-		}
-		return c.skip(bad.Head, order, err)
+		return c.skip(bad.Head, c.badMessageOrder(bad.Head), err)
 	}
 	if guard.MayContinue(c.inputFacts()) != nil {
 		return fmt.Errorf("%w: %w", guard.ErrNoMessages, protocol.ErrMalformed)
@@ -85,16 +89,31 @@
 	return err
 }
 
-// inputFacts is what package guard decides by.
+// badMessageOrder takes the sequence number of a message that could not be decoded. Only
+// a call is owed an answer: what is not known to be one counts as a duplicate, which gets
+// none.
+func (c *connection) badMessageOrder(head *protocol.Head) sequenceOrder {
+	if head == nil || head.Type != protocol.Call {
+		return duplicate
+	}
+	return c.sequence.call(head.Seq)
+}
+
+// inputFacts returns the facts by which package guard decides whether the connection goes
+// on.
 func (c *connection) inputFacts() guard.Input {
 	return guard.Input{ValidMessages: c.validMessages, InvalidMessages: c.invalidMessages, SkippedBytes: c.reader.Scanned()}
 }
 
-// skip goes on behind a message that makes no sense. If it is a call with a number of its
-// own, the call fails. A peer that has sent valid messages is notified to use another
-// connection; what still comes on this one is carried out as ever.
+// skip resynchronizes behind a malformed message, or one whose sequence number does not
+// follow: a call whose number was not used before gets an exception. A peer that has sent
+// valid messages is notified to use another connection; valid messages that still come on
+// this one are handled. skip returns an error that ends the connection if package guard
+// denies going on, else transport.ErrMessageSkipped.
 func (c *connection) skip(head *protocol.Head, order sequenceOrder, cause error) error {
-	isMalformed := order != outOfOrder || c.validMessages == 0 // else only an earlier message was
+	// A message out of order that follows valid ones shows that an earlier message was
+	// malformed, and is not malformed itself.
+	isMalformed := order != outOfOrder || c.validMessages == 0
 	if isMalformed {
 		c.invalidMessages++
 	}
@@ -104,12 +123,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.monitor.Denied(guard.LostRequest, cause, "")
-	level := slog.LevelDebug
-	if c.invalidMessages == 1 && order != outOfOrder && c.validMessages > 0 {
-		level = slog.LevelInfo
-	}
-	c.log.Log(context.Background(), level, "message_skipped",
-		"peer", c.conn.PeerAddr(), "error", cause.Error(), "open_requests", len(c.seqByRequest))
+	c.logSkippedLocked(isMalformed, cause)
 	if head != nil && head.Type == protocol.Call && order != duplicate {
 		c.sendException(*head, protocol.ProtocolError, cause.Error())
 	}
@@ -119,11 +133,23 @@
 	return transport.ErrMessageSkipped
 }
 
+// logSkippedLocked logs a skipped message, at level info if it is the first malformed one of
+// a peer that has sent valid ones, else at debug. The lock is held.
+func (c *connection) logSkippedLocked(isMalformed bool, cause error) {
+	level := slog.LevelDebug
+	if c.invalidMessages == 1 && isMalformed && c.validMessages > 0 {
+		level = slog.LevelInfo
+	}
+	c.log.Log(context.Background(), level, "message_skipped",
+		"peer", c.conn.PeerAddr(), "error", cause.Error(), "open_requests", len(c.seqByRequest))
+}
+
 func (c *connection) sendException(head protocol.Head, kind int32, text string) {
 	c.conn.Send(protocol.AppendException(nil, head.Name, head.Seq, kind, text))
 }
 
-// receive carries a message out.
+// receive handles a message that was decoded. A call of an unknown method gets an exception;
+// other messages that are not known are ignored.
 func (c *connection) receive(m *protocol.Message) error {
 	if m.Type == protocol.Oneway {
 		c.sequence.oneway(m.Seq)
@@ -146,7 +172,8 @@
 	return nil
 }
 
-// execute submits a request. After an error it was not submitted, and is owed no answer.
+// execute submits a call's request to the core, which calls Respond once. After an error
+// the request was not submitted, and Respond is not called.
 func (c *connection) execute(m *protocol.Message) error {
 	request, err := c.parseRequest(m)
 	if err != nil {
@@ -213,8 +240,8 @@
 	delete(c.requestBySeq, seq)
 }
 
-// failOpen fails the open requests as the connection ends, and returns their ids. A
-// caller that has only shut its writing end reads that.
+// failOpen answers the open requests with a fault as the connection ends, and returns
+// their IDs. The faults reach a peer that has shut down only its writing direction.
 func (c *connection) failOpen() (ids []string) {
 	c.mu.Lock()
 	unanswered := c.seqByRequest
@@ -243,7 +270,7 @@
 
 // reply is the message that answers a call with a request's outcome.
 func (c *connection) reply(seq int32, outcome dispatch.Outcome) []byte {
-	if len(outcome.Result.Body) > protocol.MaxResult { // of a run for the other front, which allows more
+	if len(outcome.Result.Body) > protocol.MaxResult { // a key's result from the uwsgi front, which allows more
 		outcome = dispatch.Outcome{Kind: dispatch.Failed}
 	}
 	switch outcome.Kind {
@@ -259,29 +286,31 @@
 	}
 }
 
-// shedFields are the fields of a refusal. It always says when to come back, be it at once.
+// shedFields returns the fields of a refusal. FieldRetryAfter is always among them, with 1 ms
+// where the caller may retry at once.
 func (c *connection) shedFields(outcome dispatch.Outcome) map[string]string {
 	retryAfter := max(1, outcome.RetryAfter.Milliseconds())
 	fields := map[string]string{protocol.FieldRetryAfter: strconv.FormatInt(retryAfter, 10)}
 	maps.Copy(fields, c.loadReport())
 	if outcome.NoRetryElsewhere {
-		fields[protocol.FieldNoRetryElsewhere] = "1"
+		fields[protocol.FieldNoRetryElsewhere] = noRetryElsewhereSet
 	}
 	return fields
 }
 
-// loadReport is the field that every answer has while the core reports its load.
+// loadReport returns the field that every answer has while the core reports its load, nil
+// while it does not.
 func (c *connection) loadReport() map[string]string {
 	load, ok := c.core.LoadReport()
 	if !ok {
 		return nil
 	}
-	return map[string]string{protocol.FieldLoadReport: strconv.FormatFloat(max(0, load), 'f', 4, 64)}
+	return map[string]string{protocol.FieldLoadReport: strconv.FormatFloat(max(0, load), 'f', loadReportDecimals, 64)}
 }
 
-// notify notifies the peer, once, that no new request is wanted on the connection, and
-// returns for how long it is still to be waited for. A peer that has sent nothing but bad
-// messages is not notified. Only the connection's goroutine may call it.
+// notify tells the peer, once, to send no new request on the connection, and returns how
+// long the peer still has to close it. A peer that has sent only malformed messages is not
+// told, and 0 is returned. Only the connection's goroutine may call it.
 func (c *connection) notify() time.Duration {
 	if c.invalidMessages > 0 && c.validMessages == 0 {
 		return 0
@@ -300,9 +329,9 @@
 	}
 }
 
-// notifyOrClose notifies the peer that no new request is wanted: a balancer closes the
-// connection once all on it is answered. One that was notified longer ago than the period,
-// and has not, has its connection closed when that is idle.
+// notifyOrClose tells the peer, once, to send no new request on the connection: a balancer
+// closes it then, when all its requests are answered. If the peer was told longer ago than
+// the period, an idle connection is closed from this end.
 func (c *connection) notifyOrClose(period time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/frontend/thrift/frontend.go
+++ b/frontend/thrift/frontend.go
@@ -17,16 +17,16 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// The time that a peer has.
+// Timeouts of a connection.
 const (
-	firstMessageTimeout = 1500 * time.Millisecond // for its first message to begin; then it is notified
-	messageStallTimeout = 2400 * time.Millisecond // for a message that has begun to go on
+	firstMessageTimeout = 1500 * time.Millisecond // until the first byte of the first message; then the peer is notified
+	messageStallTimeout = 2400 * time.Millisecond // until the next byte of an incomplete message
 	noticePeriod        = time.Second             // from the notification until an idle connection is closed
 )
 
-// What is done near the limit of connections.
+// Bounds near the limit of connections, and of one log event.
 const (
-	makeRoomInterval     = 10 * time.Millisecond  // between two times that room is made, at least
+	makeRoomInterval     = 10 * time.Millisecond  // at least, between two searches for idle connections
 	silentTimeout        = 50 * time.Millisecond  // until a connection without any message is notified
 	idleTimeoutWhenFull  = 250 * time.Millisecond // until another idle connection may be notified
 	noticePeriodWhenFull = 100 * time.Millisecond // in place of noticePeriod
@@ -56,8 +56,8 @@
 	draining    atomic.Bool               // all peers are notified, those to come included
 	drainBy     atomic.Pointer[time.Time] // when all connections end, those to come included; nil before Drain
 
-	// The accepting goroutine's alone.
-	newcomers  int // since room was made
+	// Used by the accepting goroutine alone.
+	newcomers  int // connections accepted since room was made
 	roomMadeAt time.Time
 }
 
@@ -120,9 +120,9 @@
 	)
 }
 
-// endLevel is the level at which a connection's end is logged: an end that cost nothing,
-// or of what never was a balancer's, is of no interest, and one that the peer chose is
-// no warning.
+// endLevel returns the level at which a connection's end is logged: debug where nothing was
+// lost or the peer never sent a valid message, info where the peer ended the connection,
+// else warn.
 func endLevel(end transport.Ending, unanswered int) slog.Level {
 	lostNothing := unanswered == 0 && end.PartialBytes == 0 && end.DiscardedBytes == 0 && end.UnsentBytes == 0
 	neverValid := end.Reason == transport.BadMessage && end.Messages == 0
@@ -153,8 +153,8 @@
 	return f.connections.Count(func(c *connection) bool { return !c.conn.Ended() })
 }
 
-// EndGrace notes how much of messages that are half read has come: the grace of a drain
-// is over, and the core sheds what comes from here on.
+// EndGrace has each connection mark what has arrived by now: the grace of a drain is over,
+// and the core sheds requests that arrive later.
 func (f *Frontend) EndGrace() {
 	f.connections.Each(func(c *connection) { c.conn.Mark() })
 }
@@ -170,14 +170,26 @@
 }
 
 // MakeRoom has connections end near the limit: those without any message, and for each
-// newcomer one of those that have idled longest. Some callers ask once and keep their
-// connection for good. Only the accepting goroutine may call it.
+// newcomer one of those that have idled longest, as some callers send one request and never
+// close their connection. Only the accepting goroutine may call it.
 func (f *Frontend) MakeRoom() {
 	f.newcomers++
 	if time.Since(f.roomMadeAt) < makeRoomInterval {
 		return
 	}
-	var idle []*connection
+	idle := f.endSilent()
+	slices.SortFunc(idle, func(a, b *connection) int {
+		return a.conn.IdleSince().Compare(b.conn.IdleSince())
+	})
+	for _, c := range idle[:min(f.newcomers, len(idle))] {
+		c.notifyOrClose(noticePeriodWhenFull)
+	}
+	f.newcomers, f.roomMadeAt = 0, time.Now()
+}
+
+// endSilent notifies the peers that have not sent a message, goes on with ending the
+// connections whose peers were notified before, and returns the other idle connections.
+func (f *Frontend) endSilent() (idle []*connection) {
 	f.connections.Each(func(c *connection) {
 		switch {
 		case c.isNotified():
@@ -190,11 +202,5 @@
 			idle = append(idle, c)
 		}
 	})
-	slices.SortFunc(idle, func(a, b *connection) int {
-		return a.conn.IdleSince().Compare(b.conn.IdleSince())
-	})
-	for _, c := range idle[:min(f.newcomers, len(idle))] {
-		c.notifyOrClose(noticePeriodWhenFull)
-	}
-	f.newcomers, f.roomMadeAt = 0, time.Now()
+	return idle
 }
--- a/frontend/thrift/request.go
+++ b/frontend/thrift/request.go
@@ -13,10 +13,10 @@
 
 // The bounds of a request's fields.
 const (
-	maxClockSkew    = 5 * time.Second     // that a caller's clock may be ahead of this one
-	maxTimeoutMS    = 24 * 60 * 60 * 1000 // counted in place of longer ones: any deadline is less
-	maxReservedKB   = 2000
-	attemptIDDigits = 16 // in hex
+	maxClockSkew    = 5 * time.Second     // how far a caller's clock may be ahead of this one
+	maxTimeoutMS    = 24 * 60 * 60 * 1000 // longer timeouts are cut to it; every class's deadline is shorter
+	maxReservedKB   = 2000                // exclusive
+	attemptIDDigits = 16                  // in hex
 )
 
 // FieldError reports that a field of a request makes no sense.
--- a/frontend/thrift/sequence.go
+++ b/frontend/thrift/sequence.go
@@ -1,33 +1,35 @@
 package thrift
 
-// sequenceOrder says how the number of a call follows those before it.
+// sequenceOrder is how the sequence number of a call follows those before it.
 type sequenceOrder int
 
 const (
-	inOrder    sequenceOrder = iota // the next one, or one that was left out before
-	outOfOrder                      // it leaves numbers out
-	duplicate                       // it came before: an answer to it would be the second one
+	inOrder    sequenceOrder = iota // the next number, or one that an earlier call left out
+	outOfOrder                      // numbers before it are missing, or it is out of bounds
+	duplicate                       // it was used before: an answer would be the second to one number
 )
 
-// sequenceWindow is how many numbers back a sequence knows which have come.
+// sequenceWindow is how many of the last numbers a sequence remembers, and how far a call may
+// be ahead of them: the bits of sequence.received.
 const sequenceWindow = 64
 
-// sequence keeps the numbers of the calls on one connection. Numbers start at 1 and count
-// up. Its zero value is ready.
+// sequence tracks the sequence numbers of the calls on one connection, which start at 1 and
+// count up. Its zero value is ready for use.
 type sequence struct {
-	highest  int32
-	received uint64 // bit i: highest-i has come
-	skipped  int32  // number of the last oneway message that had the next one
+	highest       int32  // of the calls
+	received      uint64 // bit i is set if highest-i was received
+	highestOneway int32  // of the oneway messages that continued the count; may be below highest
 }
 
-// oneway takes the number of a oneway message: peers may count these or not.
+// oneway takes the number of a oneway message. Some peers count these along with the calls,
+// others don't: both are in order.
 func (s *sequence) oneway(number int32) {
-	if number == max(s.highest, s.skipped)+1 {
-		s.skipped = number
+	if number == max(s.highest, s.highestOneway)+1 {
+		s.highestOneway = number
 	}
 }
 
-// call takes the number of a call.
+// call takes the number of a call, and returns how it follows.
 func (s *sequence) call(number int32) sequenceOrder {
 	ahead := int64(number) - int64(s.highest)
 	switch {
@@ -42,9 +44,9 @@
 	return inOrder
 }
 
-// advance takes a number above the highest. Numbers between them may still come.
+// advance takes a number that is ahead of the highest one. Those in between may still come.
 func (s *sequence) advance(number int32, ahead int64) sequenceOrder {
-	followsOneway := s.skipped > s.highest && number == s.skipped+1
+	followsOneway := s.highestOneway > s.highest && number == s.highestOneway+1
 	s.highest = number
 	s.received = s.received<<ahead | 1
 	if ahead == 1 || followsOneway {
