--- a/server/listeners.go
+++ b/server/listeners.go
@@ -15,9 +15,9 @@
 
 // The shares of the file descriptors that listeners may use for connections.
 const (
-	platformDescriptorShare       = 0.625 // balancers use half of them at most, other callers may not
+	platformDescriptorShare       = 0.625 // balancers use at most half of the descriptors; the rest is for other callers
 	platformDescriptorShareBeside = 0.375 // while a predecessor still serves on the same socket
-	uwsgiDescriptorShare          = 0.125 // each connection takes one to the backend along
+	uwsgiDescriptorShare          = 0.125 // each connection needs a second descriptor, to the backend
 )
 
 // readHeaderTimeout is how long an operator's HTTP request may take to arrive.
@@ -31,16 +31,23 @@
 	maxIdleCheckInterval = 500 * time.Millisecond
 )
 
-// uwsgiListenKey names the uwsgi front's address in errors and log events.
-const uwsgiListenKey = "uwsgi listen"
+// Names of the listeners' addresses in errors and log events. The first two are keys of the
+// platform's configuration.
+const (
+	listenKey      = "listen"
+	controlKey     = "control"
+	uwsgiListenKey = "uwsgi listen"
+	metricsKey     = "metrics"
+	operatorsKey   = "operators"
+)
 
 // front is what the server needs of a front.
 type front interface {
-	Serve(c *transport.Conn) // works a connection until it ends
+	Serve(c *transport.Conn) // serves a connection until it ends
 	MakeRoom()               // has connections end near the limit
-	NotifyDraining()         // has callers use other servers
-	EndGrace()               // rejects what is not read by now
-	Drain(by time.Time)      // ends connections, at the latest at a time
+	NotifyDraining()         // tells callers to use other servers
+	EndGrace()               // has requests rejected that have not arrived by now
+	Drain(by time.Time)      // ends connections once nothing is pending on them, at the latest at a time
 	PendingConns() int       // connections that may still have a request, or owe an answer
 }
 
@@ -50,8 +57,10 @@
 	server *transport.Server
 }
 
-// descriptors is a share of the file descriptors.
-func descriptors(c *config.Config, share float64) int { return int(float64(c.MaxDescriptors) * share) }
+// connectionLimit returns how many connections a share of the file descriptors allows.
+func connectionLimit(c *config.Config, share float64) int {
+	return int(float64(c.MaxDescriptors) * share)
+}
 
 // listen listens on the address that a key of the configuration has. The error is a
 // *config.KeyError.
@@ -64,11 +73,16 @@
 }
 
 // listenOrInherit opens the platform's listening socket, or takes over the inherited one.
+// The error is a *config.KeyError.
 func listenOrInherit(ctx context.Context, c *config.Config) (net.Listener, error) {
-	if c.ListenFD != 0 {
-		return transport.InheritListener(c.ListenFD)
+	if c.ListenFD == 0 {
+		return listen(ctx, listenKey, c.ListenAddress)
 	}
-	return (&net.ListenConfig{}).Listen(ctx, "tcp", c.ListenAddress)
+	l, err := transport.InheritListener(c.ListenFD)
+	if err != nil {
+		return nil, &config.KeyError{Key: listenKey, Err: err}
+	}
+	return l, nil
 }
 
 // addFront adds a front with its listener, on which nothing is accepted yet.
@@ -88,7 +102,7 @@
 	if c.ControlAddress == "" {
 		return nil
 	}
-	l, err := listen(s.lifetime, "control", c.ControlAddress)
+	l, err := listen(s.lifetime, controlKey, c.ControlAddress)
 	if err != nil {
 		return err
 	}
@@ -98,29 +112,37 @@
 	return nil
 }
 
-// openHTTP opens the operators' HTTP listeners, as far as there are any.
-func (s *Server) openHTTP(c *config.Config) error {
-	if s.recorder != nil {
-		l, err := listen(s.lifetime, "metrics", c.MetricsAddress)
-		if err != nil {
-			return err
-		}
-		s.metricsAddr = l.Addr()
-		s.serveHTTP(l, s.recorder.Handler(), func(err error) {
-			s.log.Warn("metrics_stopped", "error", err.Error())
-		})
-		s.log.Info("metrics", "address", l.Addr().String())
+// openMetrics opens the listener of /metrics, if there is one, and serves it.
+func (s *Server) openMetrics(c *config.Config) error {
+	if s.recorder == nil {
+		return nil
 	}
-	if s.fleet != nil && c.OperatorsAddress != "" {
-		l, err := listen(s.lifetime, "operators", c.OperatorsAddress)
-		if err != nil {
-			return err
-		}
-		s.serveHTTP(l, admin.NewHandler(s.fleet), func(err error) {
-			s.log.Warn("operators_stopped", "error", err.Error())
-		})
-		s.log.Info("operators", "address", l.Addr().String())
+	l, err := listen(s.lifetime, metricsKey, c.MetricsAddress)
+	if err != nil {
+		return err
 	}
+	s.metricsAddr = l.Addr()
+	s.serveHTTP(l, s.recorder.Handler(), func(err error) {
+		s.log.Warn("metrics_stopped", "error", err.Error())
+	})
+	s.log.Info("metrics", "address", l.Addr().String())
+	return nil
+}
+
+// openOperators opens the listener of the operators' HTTP endpoints about the fleet, if
+// there is one, and serves it.
+func (s *Server) openOperators(c *config.Config) error {
+	if s.fleet == nil || c.OperatorsAddress == "" {
+		return nil
+	}
+	l, err := listen(s.lifetime, operatorsKey, c.OperatorsAddress)
+	if err != nil {
+		return err
+	}
+	s.serveHTTP(l, admin.NewHandler(s.fleet), func(err error) {
+		s.log.Warn("operators_stopped", "error", err.Error())
+	})
+	s.log.Info("operators", "address", l.Addr().String())
 	return nil
 }
 
--- a/server/observers.go
+++ b/server/observers.go
@@ -9,7 +9,7 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// observer is what the core tells of each answer; nil where nothing counts them.
+// observer returns what the core calls for each answer; nil where nothing counts answers.
 func (s *Server) observer() dispatch.Observer {
 	var observers multiObserver
 	if s.recorder != nil {
@@ -24,7 +24,7 @@
 	return observers
 }
 
-// multiObserver tells several observers.
+// multiObserver passes each answer on to several observers.
 type multiObserver []dispatch.Observer
 
 // ObserveResponse implements dispatch.Observer.
@@ -34,8 +34,8 @@
 	}
 }
 
-// outcomeCounter counts what a rollout compares servers by. Its methods may be called
-// from any goroutine.
+// outcomeCounter counts the answers by which a rollout compares servers. Its methods may be
+// called from any goroutine.
 type outcomeCounter struct {
 	mu         sync.Mutex
 	objectives map[string]time.Duration // latency objective by class
@@ -68,7 +68,7 @@
 	}
 }
 
-// addLatencyLocked counts the time of an answer that was served. The lock is held.
+// addLatencyLocked counts the latency of a served answer. The lock is held.
 func (o *outcomeCounter) addLatencyLocked(class string, took time.Duration) {
 	if objective, ok := o.objectives[class]; ok && took > objective {
 		o.totals.Late++
--- a/server/reload.go
+++ b/server/reload.go
@@ -7,19 +7,20 @@
 )
 
 // Reload puts a new configuration in force while requests are served: the addresses of the
-// other parties, the settings, the limits, and how soon the kill follows SIGTERM. What the
-// fleet changed of the settings stays changed. Without u the uwsgi front keeps its file.
+// other parties, the settings, the limits of memory and cores, the rules, and how soon the
+// kill follows SIGTERM. What the fleet changed of the settings stays changed. Where uwsgiFile
+// is nil the uwsgi front keeps its configuration.
 //
-// With an error, which names the key at fault, nothing has changed. What needs a restart
-// to change is logged and stays.
-func (s *Server) Reload(c *config.Config, u *config.UWSGI) error {
+// With an error, which names the key at fault, nothing has changed. Changed keys that need a
+// restart, the limit of descriptors among them, are logged and stay as they were.
+func (s *Server) Reload(c *config.Config, uwsgiFile *config.UWSGI) error {
 	s.reloading.Lock()
 	defer s.reloading.Unlock()
 	next, err := s.validate(c)
 	if err != nil {
 		return err
 	}
-	if err := s.apply(next, u); err != nil {
+	if err := s.apply(next, uwsgiFile); err != nil {
 		return err
 	}
 	s.fromFile = c
@@ -41,16 +42,16 @@
 
 // apply puts a configuration in force. The core checks the settings before anything has
 // changed.
-func (s *Server) apply(next *config.Config, u *config.UWSGI) error {
+func (s *Server) apply(next *config.Config, uwsgiFile *config.UWSGI) error {
 	if err := s.core.UpdateSettings(next.Settings, next.Classes, next.Tenants); err != nil {
 		return err
 	}
 	current := s.inForce.Load()
-	ignored := s.ignoredKeys(current, next, u)
+	ignored := s.ignoredKeys(current, next, uwsgiFile)
 	ApplyResourceLimits(next)
 	s.applyAddresses(next)
 	s.applyRules(current, next)
-	s.applyUWSGI(u)
+	s.applyUWSGI(uwsgiFile)
 	for _, key := range ignored {
 		s.log.Warn("reload_ignored", "key", key, "reason", "needs a restart")
 	}
@@ -61,10 +62,10 @@
 	return nil
 }
 
-// ignoredKeys names what has changed and needs a restart.
-func (s *Server) ignoredKeys(current, next *config.Config, u *config.UWSGI) []string {
+// ignoredKeys returns the changed keys that need a restart to take effect.
+func (s *Server) ignoredKeys(current, next *config.Config, uwsgiFile *config.UWSGI) []string {
 	keys := next.RestartKeys(current)
-	if s.uwsgi != nil && u != nil && u.Listen != s.uwsgiListen {
+	if s.uwsgi != nil && uwsgiFile != nil && uwsgiFile.Listen != s.uwsgiListen {
 		keys = append(keys, uwsgiListenKey)
 	}
 	return keys
@@ -82,13 +83,13 @@
 	}
 }
 
-func (s *Server) applyUWSGI(u *config.UWSGI) {
-	if s.uwsgi == nil || u == nil {
+func (s *Server) applyUWSGI(file *config.UWSGI) {
+	if s.uwsgi == nil || file == nil {
 		return
 	}
-	s.uwsgiBackend.SetAddress(u.Backend)
-	s.uwsgi.SetConfig(uwsgiConfig(u))
-	s.uwsgiListen = u.Listen
+	s.uwsgiBackend.SetAddress(file.Backend)
+	s.uwsgi.SetConfig(uwsgiConfig(file))
+	s.uwsgiListen = file.Listen
 }
 
 func (s *Server) applyToObservers(next *config.Config) {
--- a/server/server.go
+++ b/server/server.go
@@ -59,8 +59,8 @@
 	stateStopped
 )
 
-// Server is a running app server. Start makes one; Reload and Shutdown may be called from
-// any goroutine, Shutdown once.
+// Server is a running app server, which Start returns. Its methods may be called from any
+// goroutine, and Shutdown must be called only once.
 type Server struct {
 	log     *slog.Logger
 	state   atomic.Int32                  // a state
@@ -68,7 +68,7 @@
 
 	// The parts. Those that the configuration leaves out are nil.
 	core       *dispatch.Core
-	monitor    *guard.Monitor // counts broken rules of the platform
+	monitor    *guard.Monitor // counts violations of the platform's rules
 	processor  *backend.Processor
 	dependency *downstream.Pool
 	registrar  *discovery.Registrar
@@ -90,9 +90,9 @@
 	metricsAddr  net.Addr
 
 	reloading   sync.Mutex      // protects what follows
-	fromFile    *config.Config  // the configuration as its file has it
-	fleetPatch  json.RawMessage // what the fleet changed of its settings
-	uwsgiListen string          // as the uwsgi front's file has it
+	fromFile    *config.Config  // the configuration as its file has it, without fleetPatch
+	fleetPatch  json.RawMessage // JSON merge patch of the settings, by a rollout of the fleet; nil for none
+	uwsgiListen string          // the address in the uwsgi front's file
 
 	lifetime      context.Context // of the parts' goroutines
 	stop          context.CancelFunc
@@ -100,12 +100,15 @@
 	stopReporting context.CancelFunc
 }
 
-// heapMemoryShare is the share of the memory that the heap may take.
-const heapMemoryShare = 0.75
+const (
+	bytesPerMB      = 1 << 20
+	heapMemoryShare = 0.75 // of the process's memory, that the Go runtime may take
+)
 
-// ApplyResourceLimits sets the process's memory limit and threads by the configuration.
+// ApplyResourceLimits sets the Go runtime's memory limit (GOMEMLIMIT) and the number of
+// threads that run Go code (GOMAXPROCS) by the configuration.
 func ApplyResourceLimits(c *config.Config) {
-	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * heapMemoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * heapMemoryShare * bytesPerMB))
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
 }
 
@@ -122,10 +125,10 @@
 // isOpen reports whether callers have been let in.
 func (s *Server) isOpen() bool { return state(s.state.Load()) >= stateServing }
 
-// Addr is the address that balancers connect to.
+// Addr returns the address that balancers connect to.
 func (s *Server) Addr() net.Addr { return s.listeners[0].server.Addr() }
 
-// UWSGIAddr is the address of the uwsgi front, nil where it is off.
+// UWSGIAddr returns the address of the uwsgi front, nil where it is off.
 func (s *Server) UWSGIAddr() net.Addr {
 	if len(s.listeners) < 2 {
 		return nil
@@ -133,7 +136,7 @@
 	return s.listeners[1].server.Addr()
 }
 
-// ControlAddr is the address for operators' commands, nil where there is none.
+// ControlAddr returns the address for operators' commands, nil where there is none.
 func (s *Server) ControlAddr() net.Addr {
 	if s.commands == nil {
 		return nil
@@ -141,5 +144,5 @@
 	return s.commands.Addr()
 }
 
-// MetricsAddr is the address of /metrics, nil where there is none.
+// MetricsAddr returns the address of /metrics, nil where there is none.
 func (s *Server) MetricsAddr() net.Addr { return s.metricsAddr }
--- a/server/start.go
+++ b/server/start.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// keyTableMemoryDivisor gives the table of idempotency keys one part in so many of
-	// the memory.
+	// keyTableMemoryDivisor is the part of the process's memory, one in so many, that the
+	// table of idempotency keys may take.
 	keyTableMemoryDivisor = 8
 
 	// keysSyncNever is the value of Config.KeysSync that leaves syncing to the operating
@@ -35,13 +35,13 @@
 	keyWindowSlack = time.Second
 )
 
-// Start starts a server. Without u the uwsgi front is off. Callers are let in when Start
-// returns, or, where the listening socket is inherited, once the predecessor's keys are
-// known. After an error nothing is left running; where an address can't be listened on, the
-// error is a *config.KeyError.
-func Start(c *config.Config, u *config.UWSGI) (*Server, error) {
+// Start starts a server. The uwsgi front is off where uwsgiFile is nil. Callers are let in
+// when Start returns, or, where the listening socket is inherited, once the predecessor's
+// keys are known. After an error nothing is left running; where an address can't be listened
+// on, the error is a *config.KeyError.
+func Start(c *config.Config, uwsgiFile *config.UWSGI) (*Server, error) {
 	s := newServer(c)
-	if err := s.prepare(c, u); err != nil {
+	if err := s.prepare(c, uwsgiFile); err != nil {
 		s.abandonStart()
 		return nil, err
 	}
@@ -90,8 +90,9 @@
 }
 
 // prepare makes the parts that can fail, each after those that it needs, and opens the
-// listeners. Nothing is accepted yet, but for the operators' HTTP requests.
-func (s *Server) prepare(c *config.Config, u *config.UWSGI) error {
+// listeners. From the outside only the fleet's messages and the operators' HTTP requests are
+// taken yet.
+func (s *Server) prepare(c *config.Config, uwsgiFile *config.UWSGI) error {
 	recovered, err := s.openJournal(c)
 	if err != nil {
 		return err
@@ -108,17 +109,21 @@
 	if err := s.openCommands(c); err != nil {
 		return err
 	}
-	if err := s.openUWSGIFront(c, u); err != nil {
+	if err := s.openUWSGIFront(c, uwsgiFile); err != nil {
 		return err
 	}
-	return s.openHTTP(c)
+	if err := s.openMetrics(c); err != nil {
+		return err
+	}
+	return s.openOperators(c)
 }
 
-// abandonStart gives back what a start that failed has taken.
+// abandonStart ends what prepare has started before it failed: the fleet's goroutines, the
+// journal, and the listeners.
 func (s *Server) abandonStart() {
 	s.stop()
 	if s.fleet != nil {
-		s.fleet.Stop(0)
+		s.fleet.Stop(0) // without waiting until the others know
 	}
 	s.closeJournal()
 	s.closeListeners()
@@ -156,7 +161,7 @@
 	}
 }
 
-// longestKeyWindow is how long any key is kept at most.
+// longestKeyWindow returns how long a key is kept at most, in any class.
 func longestKeyWindow(settings decision.Settings) time.Duration {
 	var longest time.Duration
 	for _, class := range settings.Classes {
@@ -196,7 +201,7 @@
 		Dependency:       s.dependency,
 		Registrar:        s.registrar,
 		Connections:      s.idleTimeout,
-		MaxKeyTableBytes: c.MemoryMB << 20 / keyTableMemoryDivisor,
+		MaxKeyTableBytes: c.MemoryMB * bytesPerMB / keyTableMemoryDivisor,
 		RecoveredKeys:    recovered.States,
 		InDoubtUntil:     recovered.InDoubtUntil,
 	}
@@ -255,31 +260,31 @@
 	s.thrift = thrift.New(options)
 	l, err := listenOrInherit(s.lifetime, c)
 	if err != nil {
-		return &config.KeyError{Key: "listen", Err: err}
+		return err
 	}
-	s.addFront("listen", l, descriptors(c, platformDescriptorShare), s.thrift)
+	s.addFront(listenKey, l, connectionLimit(c, platformDescriptorShare), s.thrift)
 	return nil
 }
 
 // openUWSGIFront opens the uwsgi front, if there is one.
-func (s *Server) openUWSGIFront(c *config.Config, u *config.UWSGI) error {
-	if u == nil {
+func (s *Server) openUWSGIFront(c *config.Config, file *config.UWSGI) error {
+	if file == nil {
 		return nil
 	}
-	s.uwsgiListen = u.Listen
-	s.uwsgiBackend = backend.NewUWSGI(s.core, u.Backend)
-	s.uwsgi = uwsgi.New(uwsgi.Options{Core: s.core, Backend: s.uwsgiBackend, Rules: s.rules, Config: uwsgiConfig(u)})
-	l, err := listen(s.lifetime, uwsgiListenKey, u.Listen)
+	s.uwsgiListen = file.Listen
+	s.uwsgiBackend = backend.NewUWSGI(s.core, file.Backend)
+	s.uwsgi = uwsgi.New(uwsgi.Options{Core: s.core, Backend: s.uwsgiBackend, Rules: s.rules, Config: uwsgiConfig(file)})
+	l, err := listen(s.lifetime, uwsgiListenKey, file.Listen)
 	if err != nil {
 		return err
 	}
-	s.addFront(uwsgiListenKey, l, descriptors(c, uwsgiDescriptorShare), s.uwsgi)
+	s.addFront(uwsgiListenKey, l, connectionLimit(c, uwsgiDescriptorShare), s.uwsgi)
 	return nil
 }
 
-// uwsgiConfig is what the uwsgi front needs of its file.
-func uwsgiConfig(u *config.UWSGI) uwsgi.Config {
-	return uwsgi.Config{Routes: u.RouteTable(), HealthPath: u.HealthPath, MaxBodyBytes: u.MaxBody}
+// uwsgiConfig returns what the uwsgi front needs of its file.
+func uwsgiConfig(file *config.UWSGI) uwsgi.Config {
+	return uwsgi.Config{Routes: file.RouteTable(), HealthPath: file.HealthPath, MaxBodyBytes: file.MaxBody}
 }
 
 // run starts the parts' goroutines.
@@ -321,7 +326,7 @@
 func (s *Server) takeOver(c *config.Config) {
 	predecessor, err := s.handover.Connect(s.lifetime)
 	if err != nil && s.markKeysInDoubt(c) != nil {
-		return // the core has stopped
+		return // the core has stopped, and the server with it
 	}
 	if predecessor != nil {
 		s.serveBeside(predecessor, c)
@@ -331,8 +336,9 @@
 	s.awaitSuccessor()
 }
 
-// markKeysInDoubt has keys fail that are not known here. They may have run in a
-// predecessor whose keys are unknown, and may run there as long as it lives.
+// markKeysInDoubt has requests fail whose keys are not known here: they may have run in a
+// predecessor whose keys are unknown, and may run there until it is killed. The error
+// reports that the core has stopped.
 func (s *Server) markKeysInDoubt(c *config.Config) error {
 	predecessorKilled := time.Now().Add(c.KillDelay())
 	return s.core.MarkUnknownKeysInDoubt(predecessorKilled.Add(longestKeyWindow(c.Settings)))
@@ -342,10 +348,10 @@
 // connections of both count.
 func (s *Server) serveBeside(predecessor *handover.Peer, c *config.Config) {
 	platform := s.listeners[0].server
-	platform.SetLimit(descriptors(c, platformDescriptorShareBeside))
+	platform.SetLimit(connectionLimit(c, platformDescriptorShareBeside))
 	s.openToCallers(c)
 	<-predecessor.Ended()
-	platform.SetLimit(descriptors(c, platformDescriptorShare))
+	platform.SetLimit(connectionLimit(c, platformDescriptorShare))
 }
 
 // awaitSuccessor lets a successor connect until the server stops. Where that is not
