--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -4,40 +4,42 @@
 	"sync"
 	"time"
 
-	"quincerail.example/quincerail/config"
 	"quincerail.example/quincerail/guard"
 	"quincerail.example/quincerail/handover"
 )
 
-// What must be done how long before the process may be killed.
+// How long before the process may be killed a step of its end is due.
 const (
-	answerMargin     = 200 * time.Millisecond // all is answered, and connections begin to end
-	disconnectMargin = 140 * time.Millisecond // connections end, even in the middle of a message
+	answerMargin     = 200 * time.Millisecond // every request must be answered, and connections begin to end
+	disconnectMargin = 140 * time.Millisecond // connections are ended, even in the middle of a message
 	exitMargin       = 80 * time.Millisecond  // the process ends
 )
 
 const (
-	renotifyInterval  = 100 * time.Millisecond // between two notifications of callers, when another process takes over
-	fleetLeaveTimeout = time.Second            // for giving up what this process owns in its fleet
-	unansweredTimeout = 20 * time.Millisecond  // for the core to report the requests without an answer
+	renotifyInterval  = 100 * time.Millisecond // between two notifications of callers while a successor takes over
+	fleetLeaveTimeout = time.Second            // for the fleet to learn that this process gives up its leases
+	unansweredTimeout = 20 * time.Millisecond  // for the core to count the requests without an answer
 )
 
-// How the connections stand when the process ends, in the log event stopped.
+// The state of the connections when the process ends, in the log event stopped.
 const (
 	connectionsClosed = "closed"
 	connectionsOpen   = "open"
 )
 
-// phaseNames are the states of a drain as the log event drain_phase names them.
+// phaseNames are the names of a drain's states in the log event drain_phase.
 var phaseNames = map[state]string{
 	stateNotifying: "leaving",
 	stateRejecting: "refusing",
 	stateClosing:   "closing",
 }
 
-// Shutdown follows SIGTERM: callers are told to use other servers, what is open is
-// answered, and connections end. It returns when the process may end, shortly before it
-// is killed at the latest. It must be called once.
+// Shutdown is called at SIGTERM: callers are told to use other servers, open requests are
+// answered, and connections end. It returns when the process may end, at the latest
+// exitMargin before it may be killed, unless package guard holds it longer. It must be
+// called once.
+//
+// Operators can send commands until the process ends.
 func (s *Server) Shutdown() {
 	fleetLeft := s.leaveFleet()
 	if successor := s.successor(); successor != nil {
@@ -47,7 +49,7 @@
 	}
 	s.stop()
 	if s.journal != nil {
-		<-s.core.Done() // it writes until then
+		<-s.core.Done() // it writes to the journal until then
 		s.closeJournal()
 	}
 	<-fleetLeft
@@ -55,8 +57,8 @@
 	s.closeHTTP()
 }
 
-// leaveFleet gives up what this process owns in its fleet, so that another member owns it
-// at once. The channel is closed when that is done.
+// leaveFleet gives up this process's leases in its fleet, so that other members can own
+// them at once. The channel is closed when that is done, or has timed out.
 func (s *Server) leaveFleet() <-chan struct{} {
 	left := make(chan struct{})
 	if s.fleet == nil {
@@ -70,8 +72,8 @@
 	return left
 }
 
-// successor is the process that is ready to serve on the same socket, nil where there is
-// none.
+// successor returns the process that is ready to serve on the same socket, nil where there
+// is none.
 func (s *Server) successor() *handover.Peer {
 	if s.handover == nil {
 		return nil
@@ -79,24 +81,23 @@
 	return s.handover.Successor()
 }
 
-// drain goes through the phases notifying, rejecting and closing (see state). Where all
-// connections have ended before that, the last is left out.
+// drain goes through the states notifying, rejecting and closing (see state). Closing is
+// left out where all connections have ended before it.
 //
-// An inherited listening socket stays open until the phase closing. A caller whose
-// connection is refused takes that as proof that nothing ran, but here others hold the
-// socket too: the connection would be accepted, and served by nobody.
+// An inherited listening socket stays open until the state closing. A caller whose
+// connection is refused takes that as proof that nothing ran. But another process holds an
+// inherited socket too: a connection would not be refused after this process has closed its
+// end, but wait in the accept queue, and be served by nobody.
 func (s *Server) drain() {
-	inForce := s.inForce.Load()
-	notifiedAt := s.core.DrainNoticeTime()
-	killAt := notifiedAt.Add(inForce.KillDelay())
-	s.log.Info("drain", "stop_in", time.Until(killAt).Round(time.Millisecond).String(),
-		"notice_ago", time.Since(notifiedAt).Round(time.Millisecond).String())
-	s.core.Drain(notifiedAt, killAt)
+	graceEnd, killAt := s.beginDrain()
 
 	s.enterPhase(stateNotifying)
 	s.notifyCallers()
-	answered := closedAt(killAt.Add(-answerMargin))
-	s.awaitGraceEnd(notifiedAt, inForce, answered)
+	answerDeadline := closedAt(killAt.Add(-answerMargin))
+	select {
+	case <-time.After(time.Until(graceEnd)): // requests need not be accepted any more
+	case <-answerDeadline:
+	}
 
 	s.enterPhase(stateRejecting)
 	accepted := s.stopAccepting()
@@ -104,13 +105,25 @@
 	ended := s.connectionsEnded()
 	select {
 	case <-ended:
-	case <-answered:
+	case <-answerDeadline:
 		s.enterPhase(stateClosing)
 		s.closeInherited()
 	}
 	s.endConnections(killAt, accepted, ended)
 }
 
+// beginDrain has the core drain. It returns until when requests must still be accepted, and
+// when the process may be killed.
+func (s *Server) beginDrain() (graceEnd, killAt time.Time) {
+	inForce := s.inForce.Load()
+	noticeAt := s.core.DrainNoticeTime() // of SIGTERM
+	killAt = noticeAt.Add(inForce.KillDelay())
+	s.log.Info("drain", "stop_in", time.Until(killAt).Round(time.Millisecond).String(),
+		"notice_ago", time.Since(noticeAt).Round(time.Millisecond).String())
+	s.core.Drain(noticeAt, killAt)
+	return noticeAt.Add(inForce.Settings.DrainGrace), killAt
+}
+
 // enterPhase moves on to a state of a drain, and logs it.
 func (s *Server) enterPhase(next state) {
 	s.enter(next)
@@ -124,18 +137,8 @@
 	}
 }
 
-// awaitGraceEnd waits until requests need not be accepted any more, or all must be
-// answered.
-func (s *Server) awaitGraceEnd(notifiedAt time.Time, inForce *config.Config, answered <-chan struct{}) {
-	graceEnd := notifiedAt.Add(inForce.Settings.DrainGrace)
-	select {
-	case <-time.After(time.Until(graceEnd)):
-	case <-answered:
-	}
-}
-
-// stopAccepting closes the listeners, but an inherited one, once they have accepted what
-// has connected. The channel is closed when they have.
+// stopAccepting closes the fronts' listeners, except an inherited one, once they have
+// accepted the connections in their accept queues. The channel is closed when they have.
 func (s *Server) stopAccepting() <-chan struct{} {
 	var closing sync.WaitGroup
 	for i, l := range s.listeners {
@@ -178,9 +181,9 @@
 }
 
 // endConnections ends the connections, and returns when the process may end: when done is
-// closed, or shortly before the kill. It stays longer while package guard has it stay, as
-// the process may have been suspended. accepted is closed once no connection waits to be
-// accepted.
+// closed, or exitMargin before killAt, or later if package guard holds the process, which
+// may have been suspended until then. accepted must be closed once no connection waits to
+// be accepted, done once the connections have ended and the requests are answered.
 func (s *Server) endConnections(killAt time.Time, accepted, done <-chan struct{}) {
 	for _, l := range s.listeners {
 		l.front.Drain(killAt.Add(-disconnectMargin))
@@ -201,10 +204,10 @@
 	}
 }
 
-// awaitExitAllowed waits while package guard does not let the process end.
+// awaitExitAllowed waits until package guard lets the process end.
 func (s *Server) awaitExitAllowed(killAt time.Time, accepted <-chan struct{}) {
 	for checks := 0; ; checks++ {
-		reason, again := guard.MayExit(s.exitFacts(accepted, checks))
+		reason, retryAfter := guard.MayExit(s.exitFacts(accepted, checks))
 		if reason == guard.NotHeld {
 			return
 		}
@@ -212,11 +215,11 @@
 			s.log.Info("exit_put_off", "reason", string(reason),
 				"past_end", time.Since(killAt).Round(time.Millisecond).String())
 		}
-		time.Sleep(again)
+		time.Sleep(retryAfter)
 	}
 }
 
-// exitFacts is what package guard decides by whether the process may end.
+// exitFacts returns the facts by which package guard decides whether the process may end.
 func (s *Server) exitFacts(accepted <-chan struct{}, checks int) guard.Exit {
 	facts := guard.Exit{Checks: checks}
 	if !isClosed(accepted) {
@@ -225,7 +228,7 @@
 	for _, l := range s.listeners {
 		facts.OpenConnections += l.front.PendingConns()
 	}
-	if facts.OpenConnections == 0 { // else some of them are not read yet
+	if facts.OpenConnections == 0 { // else the core may not have received all requests yet
 		facts.UnansweredRequests = s.unanswered()
 	}
 	return facts
@@ -256,17 +259,17 @@
 	}
 }
 
-// handOver leaves the requests to come to a successor on the same socket. It returns when
-// what is open here is answered and the callers have closed their connections, or shortly
-// before this process is killed. The discovery service is not told: the successor's
-// reports hold.
+// handOver leaves new connections to a successor on the same socket. It returns when the
+// open requests are answered and the callers have closed their connections, or shortly
+// before this process may be killed. Nothing is reported to the discovery service: the
+// successor's reports hold.
 func (s *Server) handOver(successor *handover.Peer) {
 	s.enter(stateHandingOver)
 	killAt := s.core.DrainNoticeTime().Add(s.inForce.Load().KillDelay())
-	settled := s.core.HandOver(killAt)
+	answered := s.core.HandOver(killAt)
 	s.stopReporting()
 	s.closeFronts()
-	done := allClosed(s.connectionsEnded(), settled)
+	done := allClosed(s.connectionsEnded(), answered)
 	if s.notifyUntil(done, closedAt(killAt.Add(-answerMargin))) {
 		s.reportStopped(connectionsClosed)
 	} else {
@@ -275,16 +278,17 @@
 	successor.Close()
 }
 
-// notifyUntil notifies callers, again and again as connections that were accepted last
-// come in, until either channel is closed. It reports whether done was.
-func (s *Server) notifyUntil(done, answered <-chan struct{}) bool {
+// notifyUntil notifies callers until done or answerDeadline is closed, and reports whether
+// done was. Each further time the Thrift front closes idle connections whose callers were
+// notified before.
+func (s *Server) notifyUntil(done, answerDeadline <-chan struct{}) bool {
 	again := time.NewTicker(renotifyInterval)
 	defer again.Stop()
 	for {
 		s.notifyCallers()
 		select {
 		case <-again.C:
-		case <-answered:
+		case <-answerDeadline:
 			return false
 		case <-done:
 			return true
