--- a/config/config.go
+++ b/config/config.go
@@ -22,18 +22,23 @@
 	"quincerail.example/quincerail/match"
 )
 
-// Environment variables that the platform sets for a process.
+// EnvFile is the environment variable with the path of the configuration.
+const EnvFile = "GW_CONFIG"
+
+// Further environment variables that the platform sets for a process.
 const (
-	envFile         = "GW_CONFIG"  // path of the configuration
-	envAdminAddress = "GW_CONTROL" // address for operators' calls, new with each start
-	envListenFD     = "GW_FD"      // descriptor of an inherited listening socket
+	envControlAddress = "GW_CONTROL" // address for operators' commands, new with each start
+	envListenFD       = "GW_FD"      // descriptor of an inherited listening socket
 )
 
-// Config is what a server needs to know to start. Load and Parse fill in what comes from
-// the platform; the caller adds the operator's choices.
+// minInheritedFD is the first descriptor behind those of the standard streams.
+const minInheritedFD = 3
+
+// Config is a server's configuration. Load and Parse fill in the platform's part; the caller
+// adds the operator's choices.
 type Config struct {
 	// From the platform.
-	Name              string // of this process in load reports
+	Name              string // of this process in reports to the discovery service, and in its log
 	ListenAddress     string // for balancers
 	ListenFD          int    // the inherited listening socket; 0 to open one at ListenAddress
 	ControlAddress    string // for operators' commands; "" for none
@@ -56,20 +61,20 @@
 	KeysSync         string        // always or never, as store.SyncPolicy; "" for always
 	Logger           *slog.Logger  // nil for slog.Default()
 	MetricsAddress   string        // for /metrics; "" for none
-	OperatorsAddress string        // for operators' calls about the fleet; "" for none
-	Fleet            *fleet.Config // what this process does in its fleet; nil for nothing
+	OperatorsAddress string        // for the operators' HTTP requests about the fleet; "" for none
+	Fleet            *fleet.Config // this process's part in its fleet; nil for no fleet
 
 	text string // the JSON that it was parsed from
 }
 
-// The process may be killed earlier than the configuration's stop_ms says: after the
-// longest deadline, counted as maxKillDeadline where it is longer, and a margin.
+// The platform may kill the process earlier than the configuration's stop_ms says: killMargin
+// after the longest deadline of a class, of which at most maxKillDeadline count.
 const (
 	maxKillDeadline = 3 * time.Second
 	killMargin      = 700 * time.Millisecond
 )
 
-// KillDelay is how long after SIGTERM the process may be killed at the earliest.
+// KillDelay returns how long after SIGTERM the process may be killed at the earliest.
 func (c *Config) KillDelay() time.Duration {
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
@@ -78,29 +83,29 @@
 	return min(c.StopTimeout, min(longest, maxKillDeadline)+killMargin)
 }
 
-// Load reads the configuration file and the environment variables of this start.
+// Load reads the configuration file, and the environment variables GW_CONTROL and GW_FD.
 // The error is a *KeyError.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &KeyError{envFile, err}
+		return nil, &KeyError{EnvFile, err}
 	}
 	c, err := Parse(string(text))
 	if err != nil {
 		return nil, err
 	}
-	c.ControlAddress = cmp.Or(os.Getenv(envAdminAddress), c.ControlAddress)
+	c.ControlAddress = cmp.Or(os.Getenv(envControlAddress), c.ControlAddress)
 	if fd := os.Getenv(envListenFD); fd != "" {
-		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < 3 {
+		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < minInheritedFD {
 			return nil, keyErrorf(envListenFD, "%q, a descriptor's number wanted", fd)
 		}
 	}
 	return c, nil
 }
 
-// WithPatch returns a copy whose settings are changed by a JSON merge patch
-// (RFC 7396), with what the operator chose as it was. An empty patch changes
-// nothing. The error is a *KeyError.
+// WithPatch returns a copy whose settings are changed by a JSON merge patch (RFC 7396). What
+// comes from the operator and the environment stays. For an empty patch it returns c itself.
+// The error is a *KeyError.
 func (c *Config) WithPatch(patch json.RawMessage) (*Config, error) {
 	if len(patch) == 0 {
 		return c, nil
@@ -120,14 +125,20 @@
 	if err := patched.CheckComplete(c); err != nil {
 		return nil, err
 	}
-	patched.ControlAddress, patched.ListenFD = c.ControlAddress, c.ListenFD
-	patched.Rules, patched.Logger, patched.Fleet = c.Rules, c.Logger, c.Fleet
-	patched.KeysDir, patched.KeysSync = c.KeysDir, c.KeysSync
-	patched.MetricsAddress, patched.OperatorsAddress = c.MetricsAddress, c.OperatorsAddress
+	patched.copyOutsideFile(c)
 	return patched, nil
 }
 
-// errKeyMissing is the problem of a key that the configuration in force has.
+// copyOutsideFile copies what does not come from the configuration file: the operator's
+// choices, and what Load reads from the environment.
+func (c *Config) copyOutsideFile(from *Config) {
+	c.ControlAddress, c.ListenFD = from.ControlAddress, from.ListenFD
+	c.Rules, c.Logger, c.Fleet = from.Rules, from.Logger, from.Fleet
+	c.KeysDir, c.KeysSync = from.KeysDir, from.KeysSync
+	c.MetricsAddress, c.OperatorsAddress = from.MetricsAddress, from.OperatorsAddress
+}
+
+// errKeyMissing reports that a key is missing that the configuration in force has.
 var errKeyMissing = errors.New("it is missing")
 
 // CheckComplete returns a *KeyError if a key is missing that the configuration in
@@ -150,7 +161,7 @@
 	return nil
 }
 
-// RestartKeys names the keys that differ from the configuration in force and take effect
+// RestartKeys returns the keys that differ from the configuration in force and take effect
 // only after a restart.
 func (c *Config) RestartKeys(inForce *Config) []string {
 	var keys []string
@@ -160,7 +171,7 @@
 	}{
 		{keyName, c.Name != inForce.Name},
 		{keyListen, c.ListenAddress != inForce.ListenAddress},
-		{keyAdminAddress, c.ControlAddress != inForce.ControlAddress},
+		{keyControlAddress, c.ControlAddress != inForce.ControlAddress},
 		{keyDescriptors, c.MaxDescriptors != inForce.MaxDescriptors},
 		{keySettings + "." + keyGaugeNames, !slices.Equal(c.Gauges, inForce.Gauges)},
 	} {
@@ -171,7 +182,7 @@
 	return keys
 }
 
-// missingKey names the first key that the other configuration has and this one
+// missingKey returns the path of the first key that the other configuration has and this one
 // lacks, "" for none.
 func (c *Config) missingKey(other *Config) string {
 	key := missingIn(gjson.Parse(c.text), gjson.Parse(other.text), "")
--- a/config/parse.go
+++ b/config/parse.go
@@ -18,7 +18,7 @@
 const (
 	keyName             = "name"
 	keyListen           = "listen"
-	keyAdminAddress     = "control"
+	keyControlAddress   = "control"
 	keyProcessor        = "processor"
 	keyDiscoveryService = "announce"
 	keySharedDependency = "ledger"
@@ -42,7 +42,8 @@
 		strings.HasSuffix(path, ".aimStretch")
 }
 
-// maxNumber bounds the numbers of the file, so that they fit every unit.
+// maxNumber bounds the numbers of the file, so that they don't overflow when their unit is
+// converted.
 const maxNumber = 1e12
 
 var (
@@ -97,7 +98,7 @@
 // Parse reads a configuration. The error is a *KeyError.
 func Parse(text string) (*Config, error) {
 	if !gjson.Valid(text) || !gjson.Parse(text).IsObject() {
-		return nil, &KeyError{envFile, errNotAnObject}
+		return nil, &KeyError{EnvFile, errNotAnObject}
 	}
 	r := &reader{text: text}
 	c := &Config{
@@ -107,7 +108,7 @@
 		ProcessorAddress:  r.string(keyProcessor),
 		DiscoveryAddress:  r.string(keyDiscoveryService),
 		DependencyAddress: r.string(keySharedDependency),
-		ControlAddress:    gjson.Get(text, keyAdminAddress).String(),
+		ControlAddress:    gjson.Get(text, keyControlAddress).String(),
 		StopTimeout:       time.Duration(r.number(keyStopTimeout) * float64(time.Millisecond)),
 		Cores:             r.number(keyCores),
 		MemoryMB:          int(r.number(keyMemory)),
@@ -127,20 +128,21 @@
 	return c, nil
 }
 
-// readSettings reads what the decision module is told.
+// readSettings reads the settings, which the decision module gets, and the names of the
+// classes, tenants and gauges in them.
 func (c *Config) readSettings(settings gjson.Result) error {
 	var err error
 	if c.Settings, err = simwire.Settings(settings.Raw); err != nil {
 		return &KeyError{keySettings, err}
 	}
-	c.Settings.CacheTTL = 0 // reads are not shared here: no site asks for it
+	c.Settings.CacheTTL = 0 // no deployment asks for reads to share results
 	for _, class := range settings.Get(keyClasses).Array() {
 		c.Classes = append(c.Classes, class.Get(keyName).String())
 	}
 	if c.Tenants, err = readTenants(settings); err != nil {
 		return err
 	}
-	// Validate counts classes and tenants by their order in the file.
+	// The error of Validate names classes and tenants by their index in the file.
 	if err := c.Settings.Validate(); err != nil {
 		return &KeyError{keySettings, err}
 	}
--- a/config/uwsgi.go
+++ b/config/uwsgi.go
@@ -14,7 +14,7 @@
 	"quincerail.example/quincerail/describe"
 )
 
-// UWSGI is the file that turns the uwsgi front on.
+// UWSGI is the configuration of the uwsgi front, from its file.
 type UWSGI struct {
 	Listen      string       `toml:"listen"`
 	Backend     string       `toml:"backend"`      // where the requests of this front run
@@ -25,7 +25,7 @@
 	Routes      []UWSGIRoute `toml:"route"`
 }
 
-// UWSGIRoute gives the requests of a path a class.
+// UWSGIRoute gives the requests with a method and path their class.
 type UWSGIRoute struct {
 	Method      string `toml:"method"` // "" for every method
 	Path        string `toml:"path"`   // with {name} for one segment
@@ -37,13 +37,13 @@
 	flagUWSGI          = "--uwsgi" // names the file
 	defaultKeyVariable = "HTTP_IDEMPOTENCY_KEY"
 	defaultMaxBody     = 64 << 10 // bytes
-	maxMaxBody         = 1 << 20  // bytes; what all connections hold together must fit the memory
+	maxBodyLimit       = 1 << 20  // bytes; the bodies of all connections together must fit in memory
 )
 
 var errNoRoute = errors.New("at least one wanted")
 
-// LoadUWSGI reads the uwsgi front's file, whose routes may lead to the given
-// classes alone. The error is a *KeyError.
+// LoadUWSGI reads the uwsgi front's file, fills in its defaults, and checks it: routes may
+// only lead to the given classes. The error is a *KeyError.
 func LoadUWSGI(path string, classes []string) (*UWSGI, error) {
 	c := &UWSGI{}
 	meta, err := toml.DecodeFile(path, c)
@@ -61,8 +61,8 @@
 	}
 	c.KeyVariable = cmp.Or(c.KeyVariable, defaultKeyVariable)
 	c.MaxBody = cmp.Or(c.MaxBody, defaultMaxBody)
-	if c.MaxBody < 0 || c.MaxBody > maxMaxBody {
-		return nil, keyErrorf("max_body", "from 1 to %d wanted", maxMaxBody)
+	if c.MaxBody < 0 || c.MaxBody > maxBodyLimit {
+		return nil, keyErrorf("max_body", "from 1 to %d wanted", maxBodyLimit)
 	}
 	if err := c.addDescribedRoutes(filepath.Dir(path)); err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 	return routes
 }
 
-// headerVariable is the name of the CGI variable that holds a header.
+// headerVariable returns the name of the CGI variable that holds a header.
 func headerVariable(header string) string {
 	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(header, "-", "_"))
 }
