--- a/cmd/quincerail/ask.go
+++ b/cmd/quincerail/voter.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	voterTimeout  = 10 * time.Second // for a voter's answer
-	maxErrorBytes = 4096             // of a voter's error that are printed
+	voterTimeout  = 10 * time.Second // for a request to a voter, with its answer
+	maxErrorBytes = 4096             // how much of a voter's error is printed
 )
 
-// voter is the part of a command's line that names the voter to ask.
+// voter is the flag of a sub-command that names the voter to ask, and the HTTP client for
+// it. It is embedded in the sub-commands.
 type voter struct {
 	Address string `required:"" help:"Where operators call a voter (fleet.operators in its operator's file)."`
 }
@@ -40,7 +41,7 @@
 		return err
 	}
 	defer func() { _ = response.Body.Close() }() // all of interest is read
-	if response.StatusCode/100 != 2 {
+	if response.StatusCode < http.StatusOK || response.StatusCode >= http.StatusMultipleChoices {
 		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // without it the status says enough
 		return &voterError{status: response.Status, reason: bytes.TrimSpace(reason)}
 	}
@@ -61,7 +62,7 @@
 	return http.NewRequestWithContext(context.Background(), method, u.String(), &encoded)
 }
 
-// voterError is a voter's refusal.
+// voterError is a voter's answer whose status reports an error.
 type voterError struct {
 	status string
 	reason []byte
