--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -28,8 +28,8 @@
 //go:embed operator.cue
 var operatorSchema string
 
-// File is the operator's file, in TOML or CUE, checked against
-// operator.cue. Its zero value is not valid: Load fills in the defaults.
+// File is the operator's file, in TOML or CUE. operator.cue says what each key means, its
+// default and its bounds. The zero value is not valid: Load fills in the defaults.
 type File struct {
 	UWSGI string `json:"uwsgi"`
 	Rules string `json:"rules"`
@@ -46,50 +46,77 @@
 		Listen string `json:"listen"`
 	} `json:"metrics"`
 	Fleet struct {
-		Role      string            `json:"role"`
-		Name      string            `json:"name"`
-		Raft      string            `json:"raft"`
-		Gossip    string            `json:"gossip"`
-		Dir       string            `json:"dir"`
-		Voters    map[string]string `json:"voters"`
-		Seeds     map[string]string `json:"seeds"`
-		Election  int               `json:"election_ms"`
-		Lease     int               `json:"lease_ms"`
-		Drift     float64           `json:"drift"`
-		Probe     int               `json:"probe_ms"`
-		Slow      int               `json:"slow_ms"`
-		Publish   string            `json:"publish"`
-		Budget    uint64            `json:"budget_calls"`
-		Repeats   uint64            `json:"budget_repeats"`
-		Horizon   int               `json:"horizon_ms"`
-		Hold      int               `json:"hold_ms"`
-		ClockRate float64           `json:"clock_rate"`
-		Window    int               `json:"window_ms"`
-		Version   string            `json:"version"`
-		Zone      string            `json:"zone"`
-		Operators string            `json:"operators"`
-		Join      bool              `json:"join"`
+		Role       string            `json:"role"`
+		Name       string            `json:"name"`
+		Raft       string            `json:"raft"`
+		Gossip     string            `json:"gossip"`
+		Dir        string            `json:"dir"`
+		Voters     map[string]string `json:"voters"`
+		Seeds      map[string]string `json:"seeds"`
+		ElectionMS int               `json:"election_ms"`
+		LeaseMS    int               `json:"lease_ms"`
+		Drift      float64           `json:"drift"`
+		ProbeMS    int               `json:"probe_ms"`
+		SlowMS     int               `json:"slow_ms"`
+		Publish    string            `json:"publish"`
+		Budget     uint64            `json:"budget_calls"`
+		Repeats    uint64            `json:"budget_repeats"`
+		HorizonMS  int               `json:"horizon_ms"`
+		HoldMS     int               `json:"hold_ms"`
+		ClockRate  float64           `json:"clock_rate"`
+		WindowMS   int               `json:"window_ms"`
+		Version    string            `json:"version"`
+		Zone       string            `json:"zone"`
+		Operators  string            `json:"operators"`
+		Join       bool              `json:"join"`
 	} `json:"fleet"`
 }
 
-// FleetConfig returns the fleet's configuration of the process with a name, whose shared
-// dependency is at the address ledger; nil where the operator's file leaves the fleet
-// off. The error names the key at fault.
-func (o *File) FleetConfig(name, ledger string, logger *slog.Logger) (*fleet.Config, error) {
-	x := &o.Fleet
-	if fleet.Role(x.Role) == fleet.Off {
+// FleetConfig returns the fleet's configuration for the process of a name, whose shared
+// dependency is at dependencyAddress; nil where the operator's file leaves the fleet off.
+// The error names the key at fault.
+func (f *File) FleetConfig(name, dependencyAddress string, logger *slog.Logger) (*fleet.Config, error) {
+	keys := &f.Fleet
+	if fleet.Role(keys.Role) == fleet.Off {
 		return nil, nil
 	}
-	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	f := &fleet.Config{
-		Fleet: x.Name, Self: name, Role: fleet.Role(x.Role), Raft: x.Raft, Gossip: x.Gossip, Dir: x.Dir,
-		Voters: x.Voters, Join: x.Join, Seeds: x.Seeds, Election: ms(x.Election), Term: ms(x.Lease), Drift: x.Drift, ClockRate: x.ClockRate,
-		Probe: ledger, ProbeEvery: ms(x.Probe), Slow: ms(x.Slow), Publish: x.Publish, Logger: logger,
-		Budget: x.Budget, Repeats: x.Repeats, Horizon: ms(x.Horizon), Hold: ms(x.Hold), Window: ms(x.Window), Version: x.Version, Zone: x.Zone,
+	c := &fleet.Config{
+		Fleet:  keys.Name,
+		Self:   name,
+		Role:   fleet.Role(keys.Role),
+		Logger: logger,
+
+		Raft:   keys.Raft,
+		Gossip: keys.Gossip,
+		Dir:    keys.Dir,
+		Voters: keys.Voters,
+		Join:   keys.Join,
+		Seeds:  keys.Seeds,
+
+		Election:  milliseconds(keys.ElectionMS),
+		Term:      milliseconds(keys.LeaseMS),
+		Drift:     keys.Drift,
+		ClockRate: keys.ClockRate,
+
+		Probe:      dependencyAddress,
+		ProbeEvery: milliseconds(keys.ProbeMS),
+		Slow:       milliseconds(keys.SlowMS),
+		Publish:    keys.Publish,
+
+		Budget:  keys.Budget,
+		Repeats: keys.Repeats,
+		Horizon: milliseconds(keys.HorizonMS),
+		Hold:    milliseconds(keys.HoldMS),
+
+		Window:  milliseconds(keys.WindowMS),
+		Version: keys.Version,
+		Zone:    keys.Zone,
 	}
-	return f, f.Validate()
+	return c, c.Validate()
 }
 
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+
 // Error lists every problem of an operator's file: the key's path, the reason, and the
 // line where the file is CUE.
 type Error struct {
@@ -102,8 +129,8 @@
 	return fmt.Sprintf("%s: %s", e.File, strings.Join(e.Problems, "; "))
 }
 
-// Load reads an operator's file; "" gives the defaults. The error is an
-// *Error where the file makes no sense.
+// Load reads an operator's file; the path "" gives the defaults. The error is an *Error
+// where the file was read and is not valid.
 func Load(path string) (*File, error) {
 	ctx := cuecontext.New()
 	schema := ctx.CompileString(operatorSchema, cue.Filename(schemaFile)).LookupPath(cue.ParsePath("#Operator"))
@@ -157,26 +184,20 @@
 	rankSchemaReason // a reason that the schema itself states
 )
 
-// problems returns a line for each path at fault: the most telling of CUE's reasons, with
-// the line in the file where there is one.
+// problems returns a line for each path at fault: the reason of CUE with the highest rank,
+// with the line in the file where there is one.
 func problems(err error) []string {
-	type problem struct {
-		line string
-		rank int
-	}
-	var paths []string
+	var paths []string // in the order of the errors
 	best := map[string]problem{}
 	for _, e := range cueerrors.Errors(err) {
 		path := strings.TrimPrefix(strings.Join(e.Path(), "."), "#Operator.")
-		format, args := e.Msg()
-		reason := fmt.Sprintf(format, args...)
-		rank := reasonRank(reason)
+		next := newProblem(path, e)
 		known, ok := best[path]
 		if !ok {
 			paths = append(paths, path)
 		}
-		if !ok || rank > known.rank {
-			best[path] = problem{path + ": " + reason + filePosition(e), rank}
+		if !ok || next.rank > known.rank {
+			best[path] = next
 		}
 	}
 	lines := make([]string, len(paths))
@@ -186,6 +207,18 @@
 	return lines
 }
 
+// problem is one of CUE's reasons for a path at fault.
+type problem struct {
+	line string // as it is reported
+	rank int
+}
+
+func newProblem(path string, e cueerrors.Error) problem {
+	format, args := e.Msg()
+	reason := fmt.Sprintf(format, args...)
+	return problem{path + ": " + reason + filePosition(e), reasonRank(reason)}
+}
+
 func reasonRank(reason string) int {
 	switch {
 	case strings.HasSuffix(reason, "empty disjunction:"):
