--- a/admin/control.go
+++ b/admin/control.go
@@ -1,5 +1,5 @@
-// Package admin serves the operators' calls: commands to this process, a line each on a
-// connection of its own, and over HTTP what concerns the fleet, its rollouts and voters.
+// Package admin serves the operators: commands to this process, each a line on a connection
+// of its own, and HTTP endpoints about the fleet's rollouts and voters.
 package admin
 
 import (
@@ -21,28 +21,28 @@
 
 // The commands of the platform's operators.
 const (
-	commandCheck          = "check"     // done if the process is ready to serve
-	commandDisableTraffic = "drain-on"  // have callers sent elsewhere
-	commandEnableTraffic  = "drain-off" // the opposite
+	commandCheck          = "check"     // answered without an error if the process is ready to serve
+	commandDisableTraffic = "drain-on"  // has callers sent to other servers
+	commandEnableTraffic  = "drain-off" // ends that
 )
 
 var errNotReady = errors.New("not ready to serve")
 
-// Core carries the commands out; *dispatch.Core is one. Its methods return an error if
-// the core has stopped, and do not call back then.
+// Core executes the commands; *dispatch.Core is one. Its methods return an error if the core
+// has stopped, and don't call back then.
 type Core interface {
 	Ready(reply func(ready bool)) error
 	SetTrafficDisabled(on bool, done func()) error
 }
 
-// CommandHandler serves the operators' commands.
+// CommandHandler serves the connections for operators' commands.
 type CommandHandler struct {
 	Core    Core
 	Serving func() bool // whether callers are let in
 }
 
-// Serve takes the one command of a connection, which ends with its answer. Why the
-// connection ended is of no interest: the operator sees it.
+// Serve executes the one command of a connection, and closes the connection after the answer.
+// The reason of a connection's end is not logged: the operator sees it.
 func (h *CommandHandler) Serve(c *transport.Conn) {
 	c.SetReadDeadline(time.Now().Add(commandTimeout))
 	answered := false
@@ -70,14 +70,14 @@
 	c.Close()
 }
 
-// run carries a command out, and calls answer once, now or later.
+// run executes a command, and calls answer once, now or later.
 func (h *CommandHandler) run(command string, answer func(error)) {
 	if err := h.start(command, answer); err != nil {
 		answer(err)
 	}
 }
 
-// start has a command carried out. It calls answer later unless it returns an error.
+// start has a command executed. It calls answer later unless it returns an error.
 func (h *CommandHandler) start(command string, answer func(error)) error {
 	switch command {
 	case commandCheck:
--- a/admin/http.go
+++ b/admin/http.go
@@ -11,7 +11,7 @@
 	"quincerail.example/quincerail/fleet"
 )
 
-// The paths of the endpoints.
+// The paths of the endpoints. Rollouts are named changes on the wire.
 const (
 	PathRollouts = "/changes"
 	PathVoters   = "/voters"
@@ -42,7 +42,7 @@
 	remove       func(ctx context.Context, query url.Values) error
 }
 
-// malformedBodyError reports that a request's body makes no sense.
+// malformedBodyError reports that a request's body is malformed or incomplete.
 type malformedBodyError struct{ err error }
 
 // Error returns what is wrong with the body.
--- a/discovery/registrar.go
+++ b/discovery/registrar.go
@@ -24,9 +24,10 @@
 )
 
 var (
-	// errSuperseded ends the wait for a connection or an answer as there is newer to report.
+	// errSuperseded ends the wait for a connection or an answer because a newer value must be
+	// reported.
 	errSuperseded = errors.New("there is newer to report")
-	// errNotTaken is for a report that was answered but did not count.
+	// errNotTaken reports that the service has answered a report and not accepted it.
 	errNotTaken = errors.New("the report was not taken")
 )
 
@@ -46,7 +47,7 @@
 	awaiting   net.Conn           // whose answer is waited for; nil while there is none
 }
 
-// NewRegistrar returns a registrar for the server of a name; Run works it.
+// NewRegistrar returns a registrar for the server of a name. It reports while Run runs.
 func NewRegistrar(name string, log *slog.Logger) *Registrar {
 	return &Registrar{
 		name:             name,
@@ -73,8 +74,8 @@
 	r.interrupt()
 }
 
-// replaceValue puts a value into a channel for one in place of the one that it holds.
-// The channel must have only one sender.
+// replaceValue sends a value to a channel with a buffer of one, and drops the value that the
+// buffer held. The channel must have only one sender.
 func replaceValue[T any](to chan T, value T) {
 	select {
 	case <-to:
@@ -83,8 +84,8 @@
 	to <- value
 }
 
-// interrupt ends the wait for a connection or an answer. A report counts as soon as it
-// has arrived, and some get no answer.
+// interrupt ends the wait for a connection or an answer. That loses nothing: a report counts
+// as soon as it has arrived, and some get no answer.
 func (r *Registrar) interrupt() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +93,7 @@
 		r.cancelDial()
 	}
 	if r.awaiting != nil {
-		_ = r.awaiting.SetReadDeadline(time.Unix(1, 0)) // it fails where the wait is over
+		_ = r.awaiting.SetReadDeadline(time.Unix(1, 0)) // in the past; fails where the connection is closed
 	}
 }
 
@@ -100,8 +101,8 @@
 	return len(r.acceptingChanges) > 0 || len(r.addressChanges) > 0
 }
 
-// Run reports to the service at an address until ctx ends. It waits for the first
-// SetAccepting: what can't serve yet reports nothing.
+// Run reports to the service at an address until ctx ends, beginning with the first
+// SetAccepting: nothing is reported while it is not known whether requests are accepted.
 func (r *Registrar) Run(ctx context.Context, address string) {
 	s := &session{registrar: r, address: address}
 	defer s.closeConn()
@@ -130,7 +131,7 @@
 	}
 }
 
-// logOutage logs that reports begin to fail, or count again.
+// logOutage logs that reports have begun to fail, or have been accepted again.
 func (r *Registrar) logOutage(s *session, err error) {
 	failing := err != nil
 	if failing == s.failing || errors.Is(err, errSuperseded) {
@@ -154,7 +155,8 @@
 	answers   *bufio.Reader // of conn
 }
 
-// awaitFirst returns once it is known whether requests are accepted; false if ctx ends.
+// awaitFirst waits until it is known whether requests are accepted. It returns false if ctx
+// ends before that.
 func (s *session) awaitFirst(ctx context.Context) bool {
 	for {
 		select {
@@ -202,7 +204,7 @@
 	}
 }
 
-// connect dials the service, unless there is newer to report.
+// connect dials the service. It returns errSuperseded if there is a newer value to report.
 func (r *Registrar) connect(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -222,7 +224,8 @@
 	return conn, err
 }
 
-// awaitAnswer waits for the answer to a report, unless there is newer to report.
+// awaitAnswer waits for the answer to a report. It returns errSuperseded if there is a newer
+// value to report.
 func (r *Registrar) awaitAnswer(conn net.Conn, answers *bufio.Reader) error {
 	r.mu.Lock()
 	r.awaiting = conn
@@ -241,7 +244,7 @@
 	return err
 }
 
-// readAnswer reads the answer to a report, which counts with status 204 alone.
+// readAnswer reads the answer to a report, which was accepted with status 204 only.
 func readAnswer(answers *bufio.Reader) error {
 	status, err := protocol.ReadStatus(answers)
 	if err != nil {
--- a/handover/endpoint.go
+++ b/handover/endpoint.go
@@ -23,23 +23,24 @@
 )
 
 const (
-	connectTimeout       = 5 * time.Second // the platform gives a new process 6 s
+	connectTimeout       = 5 * time.Second // the platform allows a new process 6 s to get ready
 	connectRetryInterval = 50 * time.Millisecond
-	maxConnections       = 2   // the successor, and one that is told to come again
-	maxSocketPathBytes   = 100 // the system allows a few more
+	maxConnections       = 2   // the successor's, and one that is being refused
+	maxSocketPathBytes   = 100 // below the system's limit of sockaddr_un.sun_path
 )
 
-// ErrKeysUnknown is returned by Connect if a predecessor did not replicate its keys in
-// time: any key may have run there.
+// ErrKeysUnknown is returned by Connect if there is a predecessor that has not replicated its
+// keys by connectTimeout or the end of the context: any key may have run there.
 var ErrKeysUnknown = errors.New("the process before did not tell its keys in time")
 
 // Endpoint is one process's end of the handover. It connects to a predecessor first
-// (Connect) and waits for a successor afterwards (Listen).
+// (Connect) and waits for a successor afterwards (Listen). Successor may be called from any
+// goroutine.
 type Endpoint struct {
 	keys      KeyReplicator
 	log       *slog.Logger
 	directory string
-	socket    string // its name in the directory
+	socket    string // file name of the Unix socket in the directory
 	listen    func(ctx context.Context, network, address string) (net.Listener, error)
 	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -66,15 +67,13 @@
 func (e *Endpoint) Connect(ctx context.Context) (*Peer, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	for attempted := false; ctx.Err() == nil; attempted = true {
+	for isFirst := true; ctx.Err() == nil; isFirst = false {
 		conn, err := e.dialSocket(ctx)
-		if err != nil && !attempted {
-			return nil, nil
+		if err != nil && isFirst {
+			return nil, nil // nobody listens, or the platform refuses Unix sockets
 		}
 		if err == nil {
-			peer := newPeer(e, transport.NewConn(conn), predecessor)
-			go peer.serve()
-			if peer.awaitKeys(ctx) {
+			if peer := e.connectPredecessor(ctx, conn); peer != nil {
 				return peer, nil
 			}
 		}
@@ -87,8 +86,19 @@
 	return nil, ErrKeysUnknown
 }
 
-// Listen opens the socket that a successor connects to. The caller runs the server that
-// it returns.
+// connectPredecessor returns the predecessor at the other end of a connection once all of its
+// keys are known, nil if the connection ends before that.
+func (e *Endpoint) connectPredecessor(ctx context.Context, conn net.Conn) *Peer {
+	peer := newPeer(e, transport.NewConn(conn), predecessor)
+	go peer.serve()
+	if !peer.awaitKeys(ctx) {
+		return nil
+	}
+	return peer
+}
+
+// Listen opens the socket that a successor connects to. The caller serves the server that
+// it returns. The error is that of the system.
 func (e *Endpoint) Listen(ctx context.Context) (*transport.Server, error) {
 	listener, err := e.openSocket(ctx)
 	if err != nil {
@@ -97,8 +107,8 @@
 	return transport.NewServer(listener, maxConnections, e.serveSuccessor, func() {}), nil
 }
 
-// Successor returns the process that takes over from this one and is ready for the
-// requests to come; nil if there is none.
+// Successor returns the process that takes over from this one and has all of its keys; nil
+// if there is none.
 func (e *Endpoint) Successor() *Peer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,8 +118,8 @@
 	return e.successor
 }
 
-// serveSuccessor serves the connection of a successor. Another one at the same time is
-// cut off; it connects again when the one before it has ended.
+// serveSuccessor serves the connection of a successor. While one is connected, the connection
+// of another is aborted: it tries again (see Connect).
 func (e *Endpoint) serveSuccessor(conn *transport.Conn) {
 	peer := newPeer(e, conn, successor)
 	if !e.setSuccessor(peer) {
@@ -138,12 +148,12 @@
 	return e.dial(ctx, "unix", address)
 }
 
-// openSocket listens under a name of this process's own and then renames the socket, so
-// that it replaces the predecessor's in one step.
+// openSocket listens under a name of this process's own and then renames the socket, which
+// replaces the predecessor's atomically.
 func (e *Endpoint) openSocket(ctx context.Context) (net.Listener, error) {
 	ownName := fmt.Sprintf("%s.%d", e.socket, os.Getpid())
 	ownPath := filepath.Join(e.directory, ownName)
-	_ = os.Remove(ownPath) // left by a process that had this one's id
+	_ = os.Remove(ownPath) // left by an earlier process with the same process ID
 	address, release := e.address(ownName)
 	defer release()
 	listener, err := e.listen(ctx, "unix", address)
@@ -160,8 +170,8 @@
 	return listener, nil
 }
 
-// address returns the address of a socket in the directory, which is valid until release.
-// A path that is too long for a socket is given through the directory's descriptor.
+// address returns the address of a socket in the directory, which is valid until release is
+// called. A path that is too long for an address is shortened by /proc/self/fd.
 func (e *Endpoint) address(name string) (address string, release func()) {
 	path := filepath.Join(e.directory, name)
 	if len(path) <= maxSocketPathBytes {
--- a/handover/peer.go
+++ b/handover/peer.go
@@ -16,17 +16,24 @@
 // closeTimeout is how long Close waits for what is queued to be written.
 const closeTimeout = 200 * time.Millisecond
 
-// errOutOfTurn is for a message that only the other side may send.
+// errOutOfTurn reports a message that only the process in the other role may send.
 var errOutOfTurn = errors.New("not for this side to say")
 
-// KeyReplicator has the idempotency keys of this process; *dispatch.Core is one.
+// KeyReplicator holds the idempotency keys of this process; *dispatch.Core is one.
 type KeyReplicator interface {
+	// ConnectPeer connects the other process. The error reports that the core has stopped.
 	ConnectPeer(p dispatch.Peer, isPredecessor bool) error
+	// PeerDisconnected reports that the connection to the peer has ended.
 	PeerDisconnected(p dispatch.Peer)
+	// ApplyKey applies the state of a key that the peer has replicated.
 	ApplyKey(p dispatch.Peer, key dispatch.KeyState)
+	// ApplyTrafficDisabled applies what operators have set in the peer.
 	ApplyTrafficDisabled(p dispatch.Peer, on bool)
+	// ReplicateKeys replicates the next batch of keys to a successor.
 	ReplicateKeys(p dispatch.Peer)
+	// ClaimRequested has a successor's claim decided: whether its attempt may run.
 	ClaimRequested(p dispatch.Peer, key dispatch.KeyState)
+	// ClaimDecided reports the predecessor's decision on a claim of this process.
 	ClaimDecided(p dispatch.Peer, ranAttemptID string, granted bool)
 }
 
@@ -57,10 +64,11 @@
 	}
 }
 
-// Ended is closed once the other process has disconnected.
+// Ended returns a channel that is closed once the other process has disconnected.
 func (p *Peer) Ended() <-chan struct{} { return p.ended }
 
-// Close ends the connection once what is queued is written, and waits for that a while.
+// Close ends the connection once what is queued is written, and waits for that for at most
+// closeTimeout.
 func (p *Peer) Close() {
 	p.conn.Close()
 	select {
@@ -69,13 +77,13 @@
 	}
 }
 
-// awaitKeys waits until all keys of a predecessor are known. It returns false if the
-// predecessor ends before that, or cuts it off if ctx ends.
+// awaitKeys waits until all keys of a predecessor are known, and reports whether they are. It
+// aborts the connection if ctx ends before that.
 func (p *Peer) awaitKeys(ctx context.Context) bool {
 	select {
 	case <-p.replicated:
 		return true
-	case <-p.ended: // it hands over to another process, or ends
+	case <-p.ended: // the predecessor has another successor, or has ended
 	case <-ctx.Done():
 		p.conn.Abort()
 		<-p.ended
@@ -93,9 +101,9 @@
 	}
 }
 
-// markReplicated notes that the successor has all keys. Only one goroutine may call it:
-// the connection's at the successor, the core's at the predecessor. It reports false if
-// that was noted before.
+// markReplicated records that the successor has all keys, and reports whether this is new.
+// Only one goroutine may call it: the connection's at the successor, the core's at the
+// predecessor.
 func (p *Peer) markReplicated() bool {
 	if p.hasKeys() {
 		return false
@@ -104,7 +112,7 @@
 	return true
 }
 
-// serve works the connection until it ends.
+// serve serves the connection until it ends.
 func (p *Peer) serve() {
 	defer close(p.ended)
 	keys := p.endpoint.keys
