--- a/frontend/connset.go
+++ b/frontend/connset.go
@@ -1,5 +1,5 @@
-// Package frontend has what the packages of the fronts share. Each front reads the
-// frames of one protocol, submits their requests to the core, and writes the outcomes.
+// Package frontend holds what the fronts share. Each front, a package below this one, reads
+// the messages of one protocol, submits their requests to the core, and writes the outcomes.
 package frontend
 
 import "sync"
--- a/frontend/uwsgi/connection.go
+++ b/frontend/uwsgi/connection.go
@@ -20,12 +20,12 @@
 type connection struct {
 	frontend *Frontend
 	conn     *transport.Conn
-	decoder  protocol.Decoder // the connection's goroutine alone
+	decoder  protocol.Decoder // used by the connection's goroutine alone
 
 	mu        sync.Mutex
 	requestID string // "" until the request is read
-	closing   bool   // it has its answer, or gets none
-	graceOver bool   // the grace of a drain is over: what is not read by now is rejected
+	closing   bool   // the connection ends once what is queued is written
+	graceOver bool   // the grace of a drain is over: a request that is not read in time is rejected
 }
 
 // step reads the request and submits it.
@@ -57,8 +57,9 @@
 	return err
 }
 
-// fail responds to a request that could not be read. It returns the error where nothing
-// is owed: no part of the request has come, or the read was only interrupted.
+// fail responds to a request that could not be read. It returns the error where no response
+// is due: no byte of the request has arrived, or the connection itself has failed or was only
+// interrupted.
 func (c *connection) fail(err error, graceOver bool) error {
 	switch {
 	case errors.Is(err, protocol.ErrMalformed):
@@ -85,19 +86,20 @@
 	})
 }
 
-// checkHealth calls reply once with the server's health; never if the core has stopped,
-// as the process ends then.
+// checkHealth calls reply once with the server's health. If the core has stopped it never
+// does, as the process ends then.
 func (c *connection) checkHealth(reply func(healthy bool)) {
 	_ = c.frontend.core.CheckHealth(false, reply)
 }
 
-// take submits a request. It arrived just now, as its last byte was read.
+// take submits a request. The protocol has no arrival time: a request counts as arrived when
+// its last byte is read.
 func (c *connection) take(r *protocol.Request) {
 	config, path := c.frontend.config.Load(), requestPath(r)
 	id := dispatch.NewID()
 	c.mu.Lock()
 	c.requestID = id
-	c.conn.SetReadDeadline(time.Time{}) // from here on the core answers in time
+	c.conn.SetReadDeadline(time.Time{}) // from here on the core answers by the request's deadline
 	c.mu.Unlock()
 	if config.HealthPath != "" && path == config.HealthPath {
 		c.respondHealth()
@@ -136,6 +138,7 @@
 	})
 }
 
+// requestPath returns the path without a query: PATH_INFO, or else that of REQUEST_URI.
 func requestPath(r *protocol.Request) string {
 	if path := r.Get(variablePath); path != "" {
 		return path
@@ -166,7 +169,7 @@
 	return route.Class, r.Get(route.KeyHeader), ok
 }
 
-// ruleRequest is a request as the operator's rules read it.
+// ruleRequest returns a request in the form that the operator's rules read.
 func ruleRequest(r *protocol.Request, path string) match.Request {
 	request := match.Request{
 		Front:   frontName,
@@ -204,7 +207,7 @@
 	return response
 }
 
-// reject responds that the request did not run, and when to come back.
+// reject responds that the request did not run, and after how long the caller may retry.
 func (c *connection) reject(retryAfter time.Duration) {
 	header := protocol.Var{Name: "Retry-After", Value: httpresult.RetryAfter(retryAfter)}
 	c.respond(http.StatusServiceUnavailable, header)
@@ -243,7 +246,7 @@
 	return (c.requestID != "" || c.closing) && !c.conn.Ended()
 }
 
-// endGrace leaves a request that is not read yet a short time.
+// endGrace gives a request that is not read yet requestTimeoutAfterGrace to arrive.
 func (c *connection) endGrace() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -251,6 +254,6 @@
 		return
 	}
 	c.graceOver = true
-	c.conn.SetReadDeadline(time.Now().Add(requestTimeoutLate))
+	c.conn.SetReadDeadline(time.Now().Add(requestTimeoutAfterGrace))
 	c.conn.Wake()
 }
--- a/frontend/uwsgi/frontend.go
+++ b/frontend/uwsgi/frontend.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	requestTimeout     = 10 * time.Second       // for a request to be read
-	requestTimeoutLate = 100 * time.Millisecond // likewise, once the grace of a drain is over
-	requestOverheadKB  = 16                     // of memory that a request takes beside its size
-	frontName          = "uwsgi"                // in the operator's rules
-	noBalancer         = -1                     // in place of a balancer's number
-	bytesPerKB         = 1024
+	requestTimeout           = 10 * time.Second       // for a request to arrive
+	requestTimeoutAfterGrace = 100 * time.Millisecond // for the rest of a request, once the grace of a drain is over
+	requestOverheadKB        = 16                     // of memory that a request takes beside its size
+	frontName                = "uwsgi"                // in the operator's rules
+	noBalancer               = -1                     // dispatch.Request.Caller of requests that no balancer sent
+	bytesPerKB               = 1024
 )
 
 // The variables of a request that the front reads.
@@ -31,11 +31,11 @@
 	variableURI    = "REQUEST_URI"
 )
 
-// Config is what a reload may change.
+// Config is the part of the front's configuration that a reload may change.
 type Config struct {
 	Routes       *describe.Table
 	HealthPath   string // answered by the front itself; "" for none
-	MaxBodyBytes int
+	MaxBodyBytes int    // of a request; connections keep the limit that they began with
 }
 
 // Options are what a Frontend is made of.
@@ -66,7 +66,7 @@
 // SetConfig puts a configuration in force for the requests to come.
 func (f *Frontend) SetConfig(config Config) { f.config.Store(&config) }
 
-// Serve works one connection until it ends. If it ends before the answer, the core is
+// Serve serves one connection until it ends. If it ends before the answer, the core is
 // told that the caller has disconnected.
 func (f *Frontend) Serve(transportConn *transport.Conn) {
 	c := &connection{
@@ -77,24 +77,25 @@
 	f.connections.Add(c)
 	defer f.connections.Remove(c)
 	transportConn.SetReadDeadline(time.Now().Add(requestTimeout))
-	_ = transportConn.Serve(c.step) // a caller that is there has its response
+	_ = transportConn.Serve(c.step) // a caller that is still connected has its response
 	if id, unanswered := c.unansweredRequest(); unanswered {
 		f.core.CallerDisconnected(id, c)
 	}
 }
 
-// MakeRoom does nothing: every connection has a request, or is in its time to send one.
+// MakeRoom does nothing: no connection idles, as each has a request or requestTimeout to send
+// one.
 func (f *Frontend) MakeRoom() {}
 
 // NotifyDraining does nothing: a connection ends with its answer.
 func (f *Frontend) NotifyDraining() {}
 
-// Drain does nothing: a connection ends with its answer, and all have one.
+// Drain does nothing: a connection ends with its answer, which the core gives in time.
 func (f *Frontend) Drain(time.Time) {}
 
 // PendingConns counts the connections with a request whose answer is not written.
 func (f *Frontend) PendingConns() int { return f.connections.Count((*connection).isPending) }
 
-// EndGrace has requests that are still unread when the grace of a drain is over rejected:
-// by the core if all of one is on its way, else here.
+// EndGrace has requests rejected that are not read when the grace of a drain is over: by the
+// core those that arrive within requestTimeoutAfterGrace, by the front the others.
 func (f *Frontend) EndGrace() { f.connections.Each((*connection).endGrace) }
--- a/metrics/fleet.go
+++ b/metrics/fleet.go
@@ -9,7 +9,8 @@
 // dependencyStates are the values of quincerail_fleet_dependency; 0 stands for unknown.
 var dependencyStates = map[fleet.State]float64{fleet.Good: 1, fleet.Slow: 2, fleet.Down: 3}
 
-// ObserveFleet adds the counts of a member of a fleet.
+// ObserveFleet adds the collectors of a member of a fleet, and of the fleet's budgets that it
+// has.
 func (r *Recorder) ObserveFleet(member *fleet.Fleet) {
 	gauge := func(name, help string, value func(fleet.Stats) float64) prometheus.Collector {
 		return newGauge(name, help, nil, func() float64 { return value(member.Stats()) })
@@ -41,6 +42,7 @@
 	}
 }
 
+// oneIf returns 1 for true, 0 for false.
 func oneIf(on bool) float64 {
 	if on {
 		return 1
@@ -48,7 +50,7 @@
 	return 0
 }
 
-// observeBudget adds what a member holds of one of the fleet's budgets.
+// observeBudget adds the collectors of what a member holds of one of the fleet's budgets.
 func (r *Recorder) observeBudget(member *fleet.Fleet, budget string) {
 	labels := prometheus.Labels{labelBudget: budget}
 	r.registry.MustRegister(
@@ -61,14 +63,14 @@
 	)
 }
 
-// observeFleetAnswers counts this process's answers for the whole fleet, and adds the
-// fleet's sums.
-func (r *Recorder) observeFleetAnswers(counters *fleet.QuotaAgent) {
-	r.countFleetAnswer = counters.AddToCounter
+// observeFleetAnswers has this process's answers counted for the whole fleet, by the agent of
+// the budget of calls, and adds the fleet's sums.
+func (r *Recorder) observeFleetAnswers(calls *fleet.QuotaAgent) {
+	r.countFleetAnswer = calls.AddToCounter
 	for _, kind := range answerKinds {
 		labels := prometheus.Labels{labelKind: kind.String()}
 		r.registry.MustRegister(
 			newGauge("quincerail_fleet_answers", "Final answers of the whole fleet, as far as this member has heard.",
-				labels, func() float64 { return float64(counters.CounterValue(kind.String())) }))
+				labels, func() float64 { return float64(calls.CounterValue(kind.String())) }))
 	}
 }
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -21,7 +21,7 @@
 	labelKind   = "kind"   // of an answer
 	labelReason = "reason" // of a connection's end
 	labelRule   = "rule"
-	labelBudget = "of" // calls or repeats
+	labelBudget = "of" // the fleet's budget: of calls or of repeats
 )
 
 // answerKinds are all kinds of answers.
@@ -32,7 +32,7 @@
 // latencyBuckets are the upper bounds of the answer times, in seconds.
 var latencyBuckets = []float64{0.01, 0.05, 0.1, 0.25, 0.5, 1, 1.8, 2.8, 5, 10}
 
-// Recorder holds a server's collectors:
+// Recorder counts a server's answers and connections. Its collectors are:
 //
 //	quincerail_answers_total{class,kind}    final answers; kind is served, refused, failed, deadline or rejected;
 //	                                        class (dropped) holds what came under classes that are gone since
@@ -69,8 +69,8 @@
 	unansweredAtEnd  *prometheus.CounterVec
 	discardedBytes   *prometheus.CounterVec
 
-	countFleetAnswer func(kind string)
-	classes          []string // in force
+	countFleetAnswer func(kind string) // for the whole fleet; does nothing outside a fleet with a budget of calls
+	classes          []string          // in force
 }
 
 // NewRecorder returns a recorder with the collectors of one process. Those of the
@@ -172,7 +172,7 @@
 	r.discardedBytes.WithLabelValues(reason).Add(float64(end.DiscardedBytes) + float64(end.PartialBytes))
 }
 
-// Handler serves /metrics in the Prometheus text format.
+// Handler returns the handler that serves /metrics in the Prometheus text format.
 func (r *Recorder) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(r.registry, promhttp.HandlerOpts{}))
