--- a/server/server.go
+++ b/server/server.go
@@ -89,7 +89,7 @@
 	httpServers  []*http.Server    // the operators' other listeners
 	metricsAddr  net.Addr
 
-	reloading   sync.Mutex      // protects what follows
+	reloading   sync.Mutex      // held by a reload; protects the fields up to uwsgiListen
 	fromFile    *config.Config  // the configuration as its file has it, without fleetPatch
 	fleetPatch  json.RawMessage // JSON merge patch of the settings, by a rollout of the fleet; nil for none
 	uwsgiListen string          // the address in the uwsgi front's file
--- a/server/start.go
+++ b/server/start.go
@@ -287,7 +287,7 @@
 	return uwsgi.Config{Routes: file.RouteTable(), HealthPath: file.HealthPath, MaxBodyBytes: file.MaxBody}
 }
 
-// run starts the parts' goroutines.
+// run starts the parts' goroutines. The listeners of the fronts are served by openToCallers.
 func (s *Server) run(c *config.Config) {
 	if s.commands != nil {
 		go serve(s.commands)
@@ -302,7 +302,7 @@
 		s.handover = handover.NewEndpoint(s.core, c.Name, s.log)
 		go s.takeOver(c)
 	}
-	if s.outcomes != nil {
+	if s.outcomes != nil { // made only in a fleet with rollouts
 		s.fleet.Follow(fleetTarget{s.outcomes, s})
 	}
 }
