--- a/discovery/registrar.go
+++ b/discovery/registrar.go
@@ -104,29 +104,21 @@
 // Run reports to the service at an address until ctx ends, beginning with the first
 // SetAccepting: nothing is reported while it is not known whether requests are accepted.
 func (r *Registrar) Run(ctx context.Context, address string) {
-	s := &session{registrar: r, address: address}
+	s := &session{registrar: r, address: address, backoff: firstRetryBackoff}
 	defer s.closeConn()
 	if !s.awaitFirst(ctx) {
 		return
 	}
-	backoff := firstRetryBackoff
 	for {
 		err := s.report(ctx)
 		r.logOutage(s, err)
-		wait := reportInterval
-		switch {
-		case err == nil:
-			backoff = firstRetryBackoff
-		case !errors.Is(err, errSuperseded):
-			wait, backoff = backoff, min(2*backoff, reportInterval)
-		}
 		select {
 		case <-ctx.Done():
 			return
 		case s.accepting = <-r.acceptingChanges:
 		case s.address = <-r.addressChanges:
 			s.closeConn()
-		case <-time.After(wait):
+		case <-time.After(s.nextWait(err)):
 		}
 	}
 }
@@ -151,6 +143,7 @@
 	address   string
 	accepting bool
 	failing   bool          // the last report that was not superseded failed
+	backoff   time.Duration // before the next report if this one fails
 	conn      net.Conn      // nil while there is none
 	answers   *bufio.Reader // of conn
 }
@@ -169,8 +162,22 @@
 	}
 }
 
-// report sends a report and waits for its answer. After an error the connection is
-// closed. errSuperseded means that the report may have counted.
+// nextWait returns how long to wait for a change after a report that returned err, and
+// doubles the backoff where the report failed.
+func (s *session) nextWait(err error) time.Duration {
+	switch {
+	case err == nil:
+		s.backoff = firstRetryBackoff
+	case !errors.Is(err, errSuperseded):
+		wait := s.backoff
+		s.backoff = min(2*wait, reportInterval)
+		return wait
+	}
+	return reportInterval
+}
+
+// report sends a report and waits for its answer. After an error the connection is closed.
+// After errSuperseded the service may have accepted the report.
 func (s *session) report(ctx context.Context) error {
 	err := s.exchange(ctx)
 	if err != nil {
