--- a/cmd/quincerail/describe.go
+++ b/cmd/quincerail/describe.go
@@ -11,9 +11,8 @@
 	"quincerail.example/quincerail/match"
 )
 
-// describeCmd reports what a description's operations come to: which class
-// each names, whether the settings know it and agree with it, and where the
-// operator's rules disagree.
+// describeCmd prints the class of each operation of a description, and the conflicts of the
+// description with the settings and with the operator's rules.
 type describeCmd struct {
 	File  string `arg:"" help:"OpenAPI 3 or AsyncAPI 3 document, in JSON." type:"existingfile"`
 	Rules string `help:"File of rules to compare the description with." type:"path"`
@@ -106,13 +105,17 @@
 	return conflicts, nil
 }
 
-// agrees tells whether a description says of a class what the settings do, in
-// what both know.
-func agrees(d, s decision.Class) bool {
-	return d.LatencyObjective == s.LatencyObjective && d.Deadline == s.Deadline && d.Effect == s.Effect && d.Weight == s.Weight &&
-		(d.Effect != decision.Keyed || d.KeyWindow == s.KeyWindow)
+// agrees reports whether a description and the settings have the same values for a class, in
+// the fields that a description can set.
+func agrees(described, configured decision.Class) bool {
+	return described.LatencyObjective == configured.LatencyObjective &&
+		described.Deadline == configured.Deadline &&
+		described.Effect == configured.Effect &&
+		described.Weight == configured.Weight &&
+		(described.Effect != decision.Keyed || described.KeyWindow == configured.KeyWindow)
 }
 
+// brief formats the fields that agrees compares.
 func brief(c decision.Class) string {
 	return fmt.Sprintf("aim %v, deadline %v, worth %v, effect %d, window %v", c.LatencyObjective, c.Deadline, c.Weight, c.Effect, c.KeyWindow)
 }
--- a/cmd/quincerail/rollout.go
+++ b/cmd/quincerail/rollout.go
@@ -71,12 +71,13 @@
 func printServers(s fleet.ChangeStatus) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) // keeps an error until Flush
 	_, _ = fmt.Fprintln(w, "server\tzone\tversion\tto run\tsettings\t")
-	for _, x := range s.Servers {
+	for _, server := range s.Servers {
 		remark := ""
-		if x.TurnedDown != 0 {
-			remark = fmt.Sprintf("turned %d down: %s", x.TurnedDown, x.Reason)
+		if server.TurnedDown != 0 {
+			remark = fmt.Sprintf("turned %d down: %s", server.TurnedDown, server.Reason)
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", x.Name, x.Zone, x.Version, s.Desired[x.Name], x.Settings, remark)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n",
+			server.Name, server.Zone, server.Version, s.Desired[server.Name], server.Settings, remark)
 	}
 	return w.Flush()
 }
@@ -90,11 +91,11 @@
 	Plan     string `type:"existingfile" help:"TOML file that says otherwise than the defaults: stages, watch, watch_most, warm, limits, servers."`
 }
 
-// The defaults of a plan, in windows; see rollout.Plan.
+// The defaults of a plan; see rollout.Plan.
 const (
-	defaultWatch     = 300
-	defaultWatchMost = 3000
-	defaultWarm      = 2
+	defaultMinWatchWindows = 300
+	defaultMaxWatchWindows = 3000
+	defaultWarmUpWindows   = 2
 )
 
 // Run implements the sub-command.
@@ -110,13 +111,14 @@
 func (c *rolloutStartCmd) request() (admin.ChangeRequest, error) {
 	r := admin.ChangeRequest{Plan: rollout.Plan{
 		ID: c.ID, Kind: rollout.Program, From: c.From, To: c.To,
-		Stages: rollout.DefaultStages(), MinWatchWindows: defaultWatch, MaxWatchWindows: defaultWatchMost,
-		WarmUpWindows: defaultWarm, Limits: rollout.DefaultLimits(),
+		Stages: rollout.DefaultStages(), MinWatchWindows: defaultMinWatchWindows, MaxWatchWindows: defaultMaxWatchWindows,
+		WarmUpWindows: defaultWarmUpWindows, Limits: rollout.DefaultLimits(),
 	}}
-	if (c.Settings == "") == (c.From == "" || c.To == "") {
+	rollsOutSettings, rollsOutProgram := c.Settings != "", c.From != "" && c.To != ""
+	if rollsOutSettings == rollsOutProgram {
 		return r, errors.New("either --settings, or --from and --to wanted")
 	}
-	if c.Settings != "" {
+	if rollsOutSettings {
 		text, err := readSettings(c.Settings)
 		if err != nil {
 			return r, fmt.Errorf("settings: %w", err)
