--- a/transport/conn.go
+++ b/transport/conn.go
@@ -75,8 +75,8 @@
 
 // SetReceiveTimeouts sets how long the first message may take to begin, and for how long
 // any message may stand incomplete without a further byte. The connection is ended with
-// ReadTimeout after that, but not before pending reports false. It must be called before
-// Serve.
+// ReadTimeout after that, but not while pending reports that responses are still to be sent.
+// It must be called before Serve.
 func (c *Conn) SetReceiveTimeouts(begins, stalls time.Duration, pending func() bool) {
 	c.stallTimeout, c.responsesPending = stalls, pending
 	c.SetReadDeadline(time.Now().Add(begins))
@@ -145,8 +145,8 @@
 	c.abortLocked()
 }
 
-// Mark has everything read that has arrived by now. ReadAfter tells it then of a message
-// that completes later.
+// Mark has everything read that has arrived by now. For a message that is still incomplete
+// after that read, ReadAfter returns a time that is not before the call of Mark.
 func (c *Conn) Mark() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +179,8 @@
 	return c.receivedMessage
 }
 
-// Ended reports whether no more messages are read and everything queued is written.
+// Ended reports whether no more messages are read and everything queued is written. The
+// socket may still be open: see stateHalfClosed.
 func (c *Conn) Ended() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,13 +196,13 @@
 	return (c.source.nonBlocking || c.examined) && c.expiredLocked()
 }
 
-// ReadAfter returns a time after which the last byte of the message arrived that the step
-// has read: all that had arrived by then was incomplete. It is zero for a message that was
-// read in one piece. It may only be called within a step.
+// ReadAfter returns a lower bound of the arrival of the message that the step has read: only
+// a part of the message had arrived by then. It is zero for a message that was read in one
+// piece, of which no lower bound is known. It may only be called within a step.
 func (c *Conn) ReadAfter() time.Time { return c.source.partReadAt }
 
-// ReadBy returns the time by which the last byte of the message had arrived that the step
-// has read. It may only be called within a step.
+// ReadBy returns an upper bound of the arrival of the message that the step has read: all of
+// the message had arrived by then. It may only be called within a step.
 func (c *Conn) ReadBy() time.Time { return c.source.lastReadAt }
 
 // IdleSince returns when a message was last read or queued.
--- a/transport/ending.go
+++ b/transport/ending.go
@@ -18,8 +18,8 @@
 	PeerFailed  EndReason = "peer_failed"  // the connection was reset, or a read failed
 	BadMessage  EndReason = "bad_message"  // the peer sent what is not a message: a step failed
 	ReadTimeout EndReason = "read_timeout" // no complete message arrived in time
-	Idle        EndReason = "idle"         // CloseIfIdle, and nothing was open on it
-	Drained     EndReason = "drained"      // Drain, and nothing was open on it or its deadline had passed
+	Idle        EndReason = "idle"         // CloseIfIdle, with no response pending and no part of a message
+	Drained     EndReason = "drained"      // Drain, and guard.MayClose allowed it or the drain deadline had passed
 	Closed      EndReason = "closed"       // Close
 	WriteFailed EndReason = "write_failed" // what was queued could not be written
 	Aborted     EndReason = "cut_off"      // Abort, or the peer left too much unread
@@ -84,7 +84,7 @@
 	return err
 }
 
-// halfClose writes what is queued, shuts the writing side, and reads until the peer closes
+// halfClose ends the reading, writes what is queued, shuts the writing side, and reads until the peer closes
 // or the linger time-out has passed: a close over unread bytes would reset the connection
 // and could destroy the last responses. It returns the error that it is called with.
 func (c *Conn) halfClose(reason EndReason, why error) error {
@@ -95,13 +95,13 @@
 		c.onClose(why)
 	}
 	c.mu.Lock()
-	c.moveState(readingEnded) // Send refuses from here on
+	c.moveStateLocked(readingEnded) // Send refuses from here on
 	c.mu.Unlock()
 	if err := c.flush(); err != nil {
 		return cmp.Or(why, c.recordWriteFailure(err))
 	}
 	c.mu.Lock()
-	c.moveState(queueFlushed)
+	c.moveStateLocked(queueFlushed)
 	if c.aborted {
 		c.mu.Unlock()
 		return why
@@ -130,7 +130,7 @@
 func (c *Conn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.moveState(serveReturned)
+	c.moveStateLocked(serveReturned)
 	c.aborted = true
 	c.ending.UnsentBytes += len(c.sendQueue)
 	c.ending.SinceActive = time.Since(c.lastActive)
--- a/transport/errors.go
+++ b/transport/errors.go
@@ -7,6 +7,6 @@
 // if nothing follows and no response is pending.
 var ErrMessageSkipped = errors.New("no message: passed over")
 
-// ErrPeerNotReading is why a connection ended whose peer left too much unread, or that was
-// aborted. Conn.Serve returns an error that wraps it.
+// ErrPeerNotReading is wrapped by the error of Conn.Serve for an aborted connection: its
+// peer left too much unread, or Conn.Abort was called, whatever its caller's reason.
 var ErrPeerNotReading = errors.New("peer stopped reading")
--- a/transport/serve.go
+++ b/transport/serve.go
@@ -130,7 +130,9 @@
 	return v.end
 }
 
-// connectionFacts collects what guard.MayClose decides by. It may notify the peer.
+// connectionFacts collects what guard.MayClose decides by. Where the connection may be about
+// to end for idling, it notifies the peer, as the time that the peer then has is one of the
+// facts.
 func (c *Conn) connectionFacts() guard.Connection {
 	facts := guard.Connection{
 		SocketDrained: c.examined, ResponsesPending: c.hasResponsesPending(), MessagePartial: c.reader.Buffered() > 0, StallTimeout: c.stallTimeout,
--- a/transport/server.go
+++ b/transport/server.go
@@ -14,11 +14,15 @@
 	minAcceptPause          = 100 * time.Microsecond
 	maxAcceptPause          = 5 * time.Millisecond
 	briefAcceptFailures     = 8 // failures in a row with the shortest pause
-	maxAcceptPauseDoublings = 6
-	shutdownAcceptTimeout   = 20 * time.Millisecond // how long Shutdown goes on accepting
-	maxExcessOnClose        = 16                    // connections over the limit that Close still admits
-	nearCapacityShare       = 0.75                  // part of the limit from which on the server is near capacity
-	nearCapacityInterval    = 10 * time.Millisecond // between two calls of nearCapacity while a connection waits
+	maxAcceptPauseDoublings = 6 // enough to reach the longest pause
+)
+
+// The limits of accepting connections.
+const (
+	shutdownAcceptTimeout = 20 * time.Millisecond // how long Shutdown goes on accepting
+	maxExcessOnClose      = 16                    // connections over the limit that Close still admits
+	nearCapacityShare     = 0.75                  // part of the limit from which on the server is near capacity
+	nearCapacityInterval  = 10 * time.Millisecond // between two calls of nearCapacity while a connection waits for a slot
 )
 
 // Server accepts connections from a listener up to a limit, and counts those that are open.
@@ -89,7 +93,7 @@
 	failures := 0
 	for {
 		nc, err := s.listener.Accept()
-		if err != nil && !s.isFinalAcceptError(err) {
+		if err != nil && s.goesOnAfter(err) {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
 				last = err
 				s.nearCapacity()
@@ -127,22 +131,22 @@
 	return min(minAcceptPause<<doublings, maxAcceptPause)
 }
 
-// isFinalAcceptError reports whether an error of Accept ends the server: the listener is
-// closed, or the deadline set by Shutdown has passed and no connection waits. If one does,
-// the process may have been suspended past the deadline, or accepting may have failed until
-// then, and the deadline is extended.
-func (s *Server) isFinalAcceptError(err error) bool {
+// goesOnAfter reports whether Serve goes on after an error of Accept. It does not if the
+// listener is closed, or if the deadline set by Shutdown has passed and no connection waits.
+// If one waits at the deadline, the process may have been suspended until then, or accepting
+// may have failed: the deadline is extended.
+func (s *Server) goesOnAfter(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
-		return true
+		return false
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		return false
+		return true
 	}
-	return !hasWaiting(s.listener) || !s.extendDeadline()
+	return hasWaiting(s.listener) && s.extendDeadline()
 }
 
-// extendDeadline sets the deadline until which a server that shuts down accepts. It reports
-// false if the listener has no deadlines.
+// extendDeadline sets the deadline until which a server that shuts down accepts:
+// shutdownAcceptTimeout from now. It reports false if the listener has no deadlines.
 func (s *Server) extendDeadline() bool {
 	l, ok := s.listener.(interface{ SetDeadline(time.Time) error })
 	return ok && l.SetDeadline(time.Now().Add(shutdownAcceptTimeout)) == nil
--- a/transport/source.go
+++ b/transport/source.go
@@ -23,7 +23,7 @@
 	lastByteAt        time.Time   // when bytes were last read; zero for never
 	messageBeganAt    time.Time   // when the first byte of the current message was seen; zero between messages
 	lastReadAt        time.Time   // when a read last returned bytes or found the socket empty
-	partReadAt        time.Time   // what was read by then was an incomplete message; zero for a message read in one piece
+	partReadAt        time.Time   // the latest time by which only a part of the current message was read; zero for none
 }
 
 // resetMessageTimes prepares for the next message.
--- a/transport/state.go
+++ b/transport/state.go
@@ -7,7 +7,7 @@
 )
 
 // connState is the state of a connection, in the sense of net/http's ConnState. The
-// goroutine of Serve owns it and changes it in one place, moveState. Other goroutines only
+// goroutine of Serve owns it and changes it in one place, moveStateLocked. Other goroutines only
 // leave a connRequest, which that goroutine reads.
 //
 // # States and transitions
@@ -22,7 +22,7 @@
 // # What ends the reading of an open connection
 //
 // A failed step and requestClose end the reading at once. Everything else is decided by
-// connRequest.decide, and only after a read without blocking has found the socket empty:
+// examination.decide, and only after a read without blocking has found the socket empty:
 // the process may have been suspended while a message arrived, so a timer proves nothing.
 // Whether a connection may end is up to guard.MayClose.
 //
@@ -64,7 +64,7 @@
 	serveReturned                  // Serve returns, for whatever reason
 )
 
-// next is the state that follows an event.
+// next returns the state that follows an event.
 func (s connState) next(e connEvent) connState {
 	switch {
 	case e == serveReturned:
@@ -77,8 +77,8 @@
 	return s
 }
 
-// moveState changes the state. Only the goroutine of Serve calls it; the lock is held.
-func (c *Conn) moveState(e connEvent) { c.state = c.state.next(e) }
+// moveStateLocked changes the state. Only the goroutine of Serve calls it; the lock is held.
+func (c *Conn) moveStateLocked(e connEvent) { c.state = c.state.next(e) }
 
 // connRequest is what another goroutine has asked of a connection. A later constant takes
 // precedence over an earlier one.
@@ -118,7 +118,8 @@
 	examineAfter time.Duration
 }
 
-// decide applies the table of connState to a connection that was examined.
+// decide applies the table of connState to a connection that was examined. It changes
+// nothing.
 func (x examination) decide() verdict {
 	switch {
 	case x.request == requestMark:
