--- a/backend/commands.go
+++ b/backend/commands.go
@@ -19,14 +19,15 @@
 	resumeRun // with the reply to its call, or without the call
 )
 
-// pendingCommand is a command that the processor may not have read yet. That it was read is
-// proved by the answer to a question which was sent after it on the same connection; it is
-// no longer needed after a later notice of its run either.
+// pendingCommand is a command that the processor may not have read yet. It is dropped once it
+// need not be sent again: when a question that was sent after it on the same connection is
+// answered, as the processor reads in order, or when a later notice of its run shows that it
+// was read or has no use any more.
 type pendingCommand struct {
 	text  []byte
 	runID string
 	kind  commandKind
-	after uint64 // number of the last question that was sent before it
+	after uint64 // number of the last question that was sent before it; a later one proves that it was read
 	sent  bool   // on the current connection
 }
 
@@ -56,8 +57,8 @@
 	}
 }
 
-// dropPendingLocked forgets the commands that the processor has read, or that a later
-// notice of their run makes void. The lock is held.
+// dropPendingLocked forgets the commands for which drop reports that they need not be sent
+// again. The lock is held.
 func (p *Processor) dropPendingLocked(drop func(pendingCommand) bool) {
 	p.pending = slices.DeleteFunc(p.pending, drop)
 }
--- a/backend/processor.go
+++ b/backend/processor.go
@@ -18,8 +18,8 @@
 )
 
 // maxUnanswered is how many questions for the gauges in a row may stay without any notice
-// before the connection is taken for dead and dialled again: about two seconds of the
-// module's ticks. A new connection replaces the old one and runs go on, so it costs little
+// before the connection is aborted and dialled again: about two seconds at the interval at
+// which the module asks. A new connection replaces the old one and runs go on, so it costs little
 // where the processor is only slow. Questions are counted and not time, because a process
 // that is suspended does not notice time.
 const maxUnanswered = 80
@@ -147,7 +147,7 @@
 func (p *Processor) handle(c *transport.Conn, n processor.Notice) (coreEvent, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.current != c { // its number would hide the notices that the new connection has yet to bring
+	if p.current != c { // with its number as lastNotice, earlier notices on the new connection would be ignored
 		return nil, errReplaced
 	}
 	p.unanswered = 0
@@ -162,10 +162,12 @@
 	case processor.Greeting:
 		return p.handleGreetingLocked(n)
 	case processor.RunCompleted:
-		p.dropPendingLocked(func(c pendingCommand) bool { return c.runID == n.RunID })
+		p.dropPendingLocked(func(command pendingCommand) bool { return command.runID == n.RunID })
 		return runCompleted{n.RunID, runEnd(n.End), n.Took, dispatch.Payload{Body: n.Payload}}, nil
 	case processor.CallRequested:
-		p.dropPendingLocked(func(c pendingCommand) bool { return c.runID == n.RunID && c.kind != cancelRun })
+		p.dropPendingLocked(func(command pendingCommand) bool { // a cancellation may still be on its way
+			return command.runID == n.RunID && command.kind != cancelRun
+		})
 		return callRequested{n.RunID, n.Number, n.Payload}, nil
 	case processor.GaugesRead:
 		return p.handleGaugesLocked(n), nil
@@ -177,8 +179,9 @@
 	return nil, nil
 }
 
-// handleGreetingLocked handles the answer to the hello. The missed notices follow it; the
-// question that is sent now is answered after them. The lock is held.
+// handleGreetingLocked handles the answer to the hello. The missed notices follow it. The
+// question that is sent now is answered after them, so its answer tells that they are in
+// (see handleGaugesLocked). The lock is held.
 func (p *Processor) handleGreetingLocked(n processor.Notice) (coreEvent, error) {
 	if p.greeting == nil || p.marker != 0 {
 		return nil, fmt.Errorf("%w: hi without hello", lines.ErrMalformed)
@@ -194,7 +197,7 @@
 // before the question were read. The lock is held.
 func (p *Processor) handleGaugesLocked(n processor.Notice) coreEvent {
 	question, _ := strconv.ParseUint(n.Tag, 10, 64) // 0 for a tag that is not a number
-	p.dropPendingLocked(func(c pendingCommand) bool { return c.sent && c.after < question })
+	p.dropPendingLocked(func(command pendingCommand) bool { return command.sent && command.after < question })
 	if p.greeting != nil && question == p.marker {
 		p.ready, p.greeting, p.marker = p.greeting, nil, 0
 		p.resendLocked()
@@ -249,8 +252,8 @@
 	gaugeConnections       = "links"
 )
 
-// namedGauges assigns the values of gauges by their names; -1 stands for one that is not
-// there.
+// namedGauges assigns the values of gauges by their names. A gauge that the processor does
+// not have is -1.
 func (p *Processor) namedGauges(values []float64) decision.Gauges {
 	g := decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
 	for i, name := range p.gauges[:min(len(p.gauges), len(values))] {
--- a/backend/uwsgi.go
+++ b/backend/uwsgi.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return dispatch.RunNotStarted, dispatch.Payload{}
 	}
-	defer func() { _ = nc.Close() }() // everything wanted has been read
+	defer func() { _ = nc.Close() }() // an error changes nothing about the response that was read
 	response, err := roundTrip(ctx, nc, r.Deadline, packet, method)
 	if err != nil {
 		return dispatch.RunFailed, dispatch.Payload{}
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	minStep    = 50 * time.Millisecond // a smaller change of the offset is no step
-	maxOffsets = 4                     // that are remembered, the present one included
+	minStep    = 50 * time.Millisecond // a smaller change of the offset is not a step
+	maxOffsets = 4                     // how many are remembered, the present one included
 )
 
 // Clock is a timeline. Its methods may be called from any goroutine.
@@ -51,25 +51,26 @@
 // Now returns the present time on the timeline.
 func (c *Clock) Now() time.Duration { return c.originUnix + time.Since(c.origin) }
 
-// Observe compares the two clocks. It returns by how much Unix time was stepped since the
-// last call, or 0 if it was not.
+// Observe compares Unix time with the timeline. It returns by how much Unix time was stepped
+// since the last comparison, or 0 if it was not; At and Unix compare them too. A change of less than
+// minStep is no step; such changes add up until they are one.
 func (c *Clock) Observe() (step time.Duration) {
 	now := time.Now()
 	timeline := c.originUnix + now.Sub(c.origin)
 	offset := time.Duration(now.UnixNano()) - timeline
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	step = offset - c.presentOffset()
+	step = offset - c.presentOffsetLocked()
 	if step.Abs() < minStep {
 		return 0
 	}
-	c.remember(offset)
+	c.rememberLocked(offset)
 	return step
 }
 
-// remember makes an offset the present one. An equal one from before is forgotten, so that
+// rememberLocked makes an offset the present one. An equal one from before is forgotten, so that
 // each is remembered once. The lock is held.
-func (c *Clock) remember(offset time.Duration) {
+func (c *Clock) rememberLocked(offset time.Duration) {
 	c.offsets = slices.DeleteFunc(c.offsets, func(o time.Duration) bool { return (o - offset).Abs() < minStep })
 	if len(c.offsets) == maxOffsets {
 		c.offsets = slices.Delete(c.offsets, 0, 1)
@@ -77,8 +78,8 @@
 	c.offsets = append(c.offsets, offset)
 }
 
-// presentOffset returns the offset in force. The lock is held.
-func (c *Clock) presentOffset() time.Duration { return c.offsets[len(c.offsets)-1] }
+// presentOffsetLocked returns the offset in force. The lock is held.
+func (c *Clock) presentOffsetLocked() time.Duration { return c.offsets[len(c.offsets)-1] }
 
 // At converts a time to one on the timeline: exactly if it has a monotonic reading, else by
 // the present offset of Unix time.
@@ -89,7 +90,7 @@
 	c.Observe()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Duration(t.UnixNano()) - c.presentOffset()
+	return time.Duration(t.UnixNano()) - c.presentOffsetLocked()
 }
 
 // Received converts the time that a peer wrote when it sent to one on the timeline: of the
@@ -124,5 +125,5 @@
 	c.Observe()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Unix(0, int64(at+c.presentOffset()))
+	return time.Unix(0, int64(at+c.presentOffsetLocked()))
 }
--- a/downstream/conn.go
+++ b/downstream/conn.go
@@ -17,16 +17,16 @@
 	retired bool                // it gets no more calls, and closes after its last one
 }
 
-// closeIfUnused closes a retired connection once no call is in flight on it. The pool's
+// closeIfUnusedLocked closes a retired connection once no call is in flight on it. The pool's
 // lock is held.
-func (c *poolConn) closeIfUnused() {
+func (c *poolConn) closeIfUnusedLocked() {
 	if c.retired && c.conn != nil && len(c.calls) == 0 {
 		c.conn.Close()
 	}
 }
 
 // open dials a connection and serves it until it ends. If the dial fails, its calls never
-// ran; if the connection breaks, nothing is known of them.
+// ran; if the connection breaks, nobody knows whether they did.
 func (p *Pool) open(c *poolConn) {
 	nc, err := p.dial()
 	if err != nil {
@@ -38,7 +38,7 @@
 	for _, call := range c.calls {
 		c.conn.Send(call.post)
 	}
-	c.closeIfUnused()
+	c.closeIfUnusedLocked()
 	p.mu.Unlock()
 	_ = c.conn.Serve(func(r *bufio.Reader) error { // whatever ends it, the calls on it are lost
 		reply, err := ledger.Read(r)
@@ -51,8 +51,8 @@
 	p.connEnded(c, decision.ConnectionReset)
 }
 
-// dial opens a connection. If the address changes while it is dialled in vain, the new one
-// is dialled.
+// dial opens a connection. If dialling fails and the address has changed meanwhile, it dials
+// the new address.
 func (p *Pool) dial() (net.Conn, error) {
 	for {
 		p.mu.Lock()
--- a/downstream/pool.go
+++ b/downstream/pool.go
@@ -22,6 +22,7 @@
 	// seen to forget a connection after 108 ms.
 	maxIdle = 50 * time.Millisecond
 
+	// dialTimeout bounds how long opening a connection may take.
 	dialTimeout = time.Second
 )
 
@@ -31,9 +32,9 @@
 }
 
 // Pool makes calls to the shared dependency. It implements dispatch.Dependency, and reports
-// every call that was not abandoned exactly once. While there are few, each call has a
-// connection to itself: one that breaks or falls silent takes all calls on it along, and
-// nobody knows what became of them.
+// every call that was not abandoned exactly once. It does not bound the calls in flight;
+// QuotaLimiter does. Up to maxExclusiveConns calls in flight have a connection each: of the
+// calls on a connection that breaks or falls silent, nobody knows whether they ran.
 type Pool struct {
 	core    CallObserver
 	connect func(address string) (net.Conn, error)
@@ -115,9 +116,11 @@
 	p.retireLocked(c)
 }
 
-// pickLocked chooses a connection for a call, or nil for a new one. It excludes the one that
-// the run's last call went over, so that a late or duplicate reply can't be taken for the
-// reply to this call. The lock is held.
+// pickLocked chooses a connection for a call: the one with the fewest calls in flight, and
+// of several the one used last, which the dependency is least likely to have forgotten. It
+// returns nil if a new one is to be opened. It excludes the one that the run's last call
+// went over, so that a late or duplicate reply can't be taken for the reply to this call.
+// The lock is held.
 func (p *Pool) pickLocked(id string) *poolConn {
 	p.closeIdleLocked()
 	var least *poolConn
@@ -149,7 +152,7 @@
 func (p *Pool) retireLocked(c *poolConn) {
 	c.retired = true
 	p.conns = slices.DeleteFunc(p.conns, func(o *poolConn) bool { return o == c })
-	c.closeIfUnused()
+	c.closeIfUnusedLocked()
 }
 
 // receive handles a reply. One to a call that was abandoned, a duplicate, or one to an
@@ -160,7 +163,7 @@
 	if ok {
 		delete(c.calls, reply.ID)
 		delete(p.connOf, reply.ID)
-		c.closeIfUnused()
+		c.closeIfUnusedLocked()
 		if i := slices.Index(p.conns, c); i >= 0 {
 			p.conns = append(slices.Delete(p.conns, i, i+1), c)
 		}
--- a/downstream/quota.go
+++ b/downstream/quota.go
@@ -24,7 +24,8 @@
 // QuotaLimiter is a dispatch.Dependency that makes calls through another one, and only
 // within a quota. Calls without a right wait in the order of their arrival; the core abandons
 // them at their time-outs, as it does any call. The decision module plans by what it was last
-// told of the quota (ApplyFleetBounds); the limiter holds at every instant.
+// told of the quota (ApplyFleetBounds), which may be out of date; the limiter asks the quota
+// at every call.
 //
 // A call that was abandoned, or whose connection broke, may go on running at the dependency.
 // Its right is released only after the duration that NewQuotaLimiter is given.
@@ -55,7 +56,7 @@
 	l := &QuotaLimiter{
 		next: next, quota: quota, abandonedCallDuration: abandonedCallDuration, inFlight: make(map[string]limitedCall),
 	}
-	quota.OnRelease(l.startWaiting)
+	quota.OnRelease(l.makeWaitingCalls)
 	return l
 }
 
@@ -67,24 +68,24 @@
 	l.mu.Lock()
 	l.waiting = append(l.waiting, limitedCall{id: id, number: number, deadline: time.Now().Add(wait), body: body})
 	l.mu.Unlock()
-	l.startWaiting()
+	l.makeWaitingCalls()
 }
 
-// startWaiting makes the waiting calls for which there are rights.
-func (l *QuotaLimiter) startWaiting() {
+// makeWaitingCalls makes the waiting calls for which there are rights.
+func (l *QuotaLimiter) makeWaitingCalls() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.waiting) > 0 {
 		c := l.waiting[0]
-		left := time.Until(c.deadline)
-		if left > 0 { // else the core is about to abandon it
+		remaining := time.Until(c.deadline)
+		if remaining > 0 { // else the core is about to abandon it
 			release, ok := l.quota.TryAcquire()
 			if !ok {
 				return
 			}
 			c.release = release
 			l.inFlight[c.id] = c
-			l.next.Call(c.id, c.number, left, c.body) // only queues
+			l.next.Call(c.id, c.number, remaining, c.body) // it does not block, so the lock may be held
 		}
 		l.waiting = l.waiting[1:]
 	}
@@ -124,17 +125,18 @@
 // release gives a call's right back.
 func (l *QuotaLimiter) release(c limitedCall) {
 	c.release()
-	l.startWaiting()
+	l.makeWaitingCalls()
 }
 
-// releaseLater gives a call's right back when it has surely ended.
+// releaseLater gives a call's right back after abandonedCallDuration: by then the dependency
+// is taken to have ended the call.
 func (l *QuotaLimiter) releaseLater(c limitedCall) {
 	time.AfterFunc(l.abandonedCallDuration(), func() { l.release(c) })
 }
 
-// ApplyFleetBounds has the core keep to this member's part of the fleet's quotas as that
-// changes, and reports to the fleet how many calls the core would have in flight without
-// them.
+// ApplyFleetBounds has the core keep to this member's part of the fleet's quotas, and follow
+// its changes, in a goroutine of its own until the core has stopped. It reports to the fleet
+// how many calls the core would have in flight without the quotas.
 func ApplyFleetBounds(core *dispatch.Core, member *fleet.Fleet) {
 	bounds := decision.FleetBounds{MaxCalls: math.Inf(1)}
 	if member.QuotaAgent(fleet.Repeats) != nil {
