--- a/clock/clock.go
+++ b/clock/clock.go
@@ -52,8 +52,9 @@
 func (c *Clock) Now() time.Duration { return c.originUnix + time.Since(c.origin) }
 
 // Observe compares Unix time with the timeline. It returns by how much Unix time was stepped
-// since the last comparison, or 0 if it was not; At and Unix compare them too. A change of less than
-// minStep is no step; such changes add up until they are one.
+// since the last comparison, or 0 if it was not; At and Unix compare them too, and then the
+// step is not returned again. A change of less than minStep is no step; such changes add up
+// until they are one.
 func (c *Clock) Observe() (step time.Duration) {
 	now := time.Now()
 	timeline := c.originUnix + now.Sub(c.origin)
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -16,7 +16,7 @@
 	eventLinesDropped = "log_lines_dropped"
 )
 
-// eventKey is the attribute that the message has in the text format.
+// eventKey is the key of the message in the text format.
 const eventKey = "event"
 
 // Format says how lines are written.
@@ -37,9 +37,10 @@
 	return level, nil
 }
 
-// New returns a logger that writes lines at level and above to w. A message that comes more
-// than maxPerSecond times in a second is counted, not written, and a line event=suppressed
-// count=N of=MESSAGE is written before its next line in a later second; 0 for no limit.
+// New returns a logger that writes lines at level and above to w. Of each message, at most
+// maxPerSecond lines a second are written, or all if that is 0. The others are counted, and
+// reported by a line event=suppressed count=N of=MESSAGE before the message's next line in a
+// later second.
 func New(w io.Writer, format Format, level slog.Leveler, maxPerSecond int) *slog.Logger {
 	handler := newHandler(w, format, level)
 	if maxPerSecond > 0 {
@@ -48,6 +49,7 @@
 	return slog.New(handler)
 }
 
+// newHandler returns the handler that formats lines, without a rate limit.
 func newHandler(w io.Writer, format Format, level slog.Leveler) slog.Handler {
 	if format == JSON {
 		return slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -11,9 +11,9 @@
 const maxQueuedLines = 2048
 
 // Writer passes lines on to a sink in a goroutine of its own, so that a logger never blocks
-// on a sink that is slow or blocked, as a full pipe is that nobody reads. Lines that don't
-// fit in its queue are dropped and counted: a line event=log_lines_dropped count=N reports
-// them once the sink accepts lines again.
+// on a slow sink, or on a full pipe that nobody reads. Lines that don't fit in its queue are
+// dropped and counted: a line event=log_lines_dropped count=N reports them once the sink
+// accepts lines again. Its methods may be called from any goroutine.
 type Writer struct {
 	sink    io.Writer
 	format  Format
@@ -62,6 +62,7 @@
 	}
 }
 
+// run writes what is queued. It never returns.
 func (w *Writer) run() {
 	for item := range w.queue {
 		if item.written != nil {
@@ -75,6 +76,7 @@
 	}
 }
 
+// droppedLine returns the line that reports how many lines were dropped.
 func (w *Writer) droppedLine(count int64) string {
 	if w.format == JSON {
 		return fmt.Sprintf(`{"level":"WARN","msg":"%s","count":%d}`+"\n", eventLinesDropped, count)
