--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -39,13 +39,13 @@
 // none stands for an attempt id where there is none.
 const none = "-"
 
-// minWords is how many words a message has at least.
+// minWords is how many words a message has at least, without the length of a body.
 var minWords = map[Kind]int{Key: 7, Claim: 7, Grant: 2, Deny: 2, Next: 1, Part: 2, TrafficDisabled: 2}
 
 // Read reads the next message. It may be called again after a read that was interrupted.
 // The error wraps lines.ErrMalformed where the bytes are not a message.
 func Read(r *bufio.Reader) (Message, error) {
-	words, body, err := lines.Read(r, func(w []string) bool { return Kind(w[0]) == Key && len(w) == 8 })
+	words, body, err := lines.Read(r, func(w []string) bool { return Kind(w[0]) == Key && len(w) == minWords[Key]+1 })
 	if err != nil {
 		return Message{}, err
 	}
--- a/protocol/ledger/ledger.go
+++ b/protocol/ledger/ledger.go
@@ -36,11 +36,15 @@
 	Body   []byte // of a call that succeeded; else nil
 }
 
+// wordsWithBody is how many words a reply has whose body follows: the id, the status and the
+// body's length.
+const wordsWithBody = 3
+
 // Read reads the next reply. It may be called again after a read that was interrupted. The
 // error wraps lines.ErrMalformed where the bytes are not a reply.
 func Read(r *bufio.Reader) (Reply, error) {
 	words, body, err := lines.Read(r, func(w []string) bool {
-		return len(w) == 3 && Status(w[1]) == Succeeded
+		return len(w) == wordsWithBody && Status(w[1]) == Succeeded
 	})
 	if err != nil {
 		return Reply{}, err
@@ -62,7 +66,8 @@
 	return false
 }
 
-// AppendPost appends a call, with how long its caller will wait.
+// AppendPost appends a call, with how long its caller will wait: in whole milliseconds, at
+// least one.
 func AppendPost(to []byte, id string, wait time.Duration, body []byte) []byte {
 	ms := max(1, wait.Milliseconds())
 	return lines.Append(to, append([]byte{}, body...), wordCall, id, strconv.FormatInt(ms, 10))
--- a/protocol/lines/lines.go
+++ b/protocol/lines/lines.go
@@ -15,11 +15,15 @@
 	"strings"
 )
 
-// The limits of one message in bytes. A whole message must fit the reader's buffer.
-const (
-	maxLine = 1 << 10
-	MaxBody = 8 << 10
-)
+// MaxBody bounds the body of a message, in bytes. A whole message must fit the reader's
+// buffer.
+const MaxBody = 8 << 10
+
+// maxLine bounds the line of a message, in bytes.
+const maxLine = 1 << 10
+
+// maxStatus is the largest status code of HTTP.
+const maxStatus = 599
 
 // lineEnd is what lines and bodies end in.
 const lineEnd = "\r\n"
@@ -126,13 +130,12 @@
 }
 
 // ParseStatusLine returns the status code of the first line of an HTTP/1 response. ok is
-// false where the line is not one, or its code lies outside of the least to 599.
-func ParseStatusLine(line string, least int) (status int, ok bool) {
-	const most = 599
+// false where the line is not one, or its code is under minStatus or over 599.
+func ParseStatusLine(line string, minStatus int) (status int, ok bool) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
-	return status, strings.HasPrefix(version, "HTTP/1.") && err == nil && status >= least && status <= most
+	return status, strings.HasPrefix(version, "HTTP/1.") && err == nil && status >= minStatus && status <= maxStatus
 }
 
 // Append appends a line of words and, where body is not nil, its length and the body.
--- a/protocol/lines/words.go
+++ b/protocol/lines/words.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// maxMilliseconds bounds a duration on the wire, about 31 years.
+// maxMilliseconds bounds a duration on the wire, in milliseconds: about 31 years.
 const maxMilliseconds = 1e12
 
-// WordParser reads values from the words of a line. A word that has no such value gives
-// zero and sets Failed, so that a message's words can be read one after the other and
-// checked once.
+// WordParser reads values from the words of a line. For a word that is not of the type read
+// it returns zero and sets Failed, so that a message's words can be read one after the other
+// and checked once. Its zero value is ready.
 type WordParser struct {
-	Failed bool
+	Failed bool // a word was not of the type read
 }
 
 // Uint reads a decimal number of at most 63 bits.
--- a/protocol/processor/processor.go
+++ b/protocol/processor/processor.go
@@ -71,7 +71,8 @@
 	Payload []byte        // RunCompleted: the result; CallRequested: the call's body
 }
 
-// minWords is how many words a notice has at least.
+// minWords is how many words a notice has at least. The length of a payload, the last word,
+// is among them for CallRequested, which always has one, and not for RunCompleted.
 var minWords = map[NoticeKind]int{
 	Greeting: 3, RunCompleted: 5, CallRequested: 4, GaugesRead: 2, HealthChecked: 3, CommandRejected: 3, Remark: 2,
 }
@@ -94,9 +95,9 @@
 func hasPayload(words []string) bool {
 	switch NoticeKind(words[0]) {
 	case RunCompleted:
-		return len(words) == 6
+		return len(words) == minWords[RunCompleted]+1
 	case CallRequested:
-		return len(words) == 4
+		return len(words) == minWords[CallRequested]
 	}
 	return false
 }
--- a/protocol/thrift/encoder.go
+++ b/protocol/thrift/encoder.go
@@ -12,18 +12,26 @@
 	OK     bool              // execute: always true; check: the server is healthy
 }
 
+// The field ids of a reply and of the struct Answer in it.
+const (
+	successID      = 0
+	answerBodyID   = 1
+	answerFieldsID = 2
+	answerOKID     = 3
+)
+
 // AppendAnswer appends the reply of execute or check.
 func AppendAnswer(to []byte, name string, seq int32, a Answer) []byte {
 	return appendFrame(to, Reply, name, seq, func(b []byte) []byte {
-		b = append(b, typeStruct, 0, 0)
-		b = append(b, typeString, 0, 1)
+		b = append(b, typeStruct, 0, successID)
+		b = append(b, typeString, 0, answerBodyID)
 		b = appendBytes(b, a.Body)
-		b = appendFields(b, 2, a.Fields)
-		good := byte(0)
+		b = appendFields(b, answerFieldsID, a.Fields)
+		ok := byte(0)
 		if a.OK {
-			good = 1
+			ok = 1
 		}
-		b = append(b, typeBool, 0, 3, good)
+		b = append(b, typeBool, 0, answerOKID, ok)
 		return append(b, typeStop)
 	})
 }
@@ -87,7 +95,7 @@
 	return append(b, v...)
 }
 
-// appendFields appends the field of a struct that is a map of strings.
+// appendFields appends a field of a struct that is a map of strings, sorted by key.
 func appendFields(b []byte, id byte, fields map[string]string) []byte {
 	b = append(b, typeMap, 0, id, typeString, typeString)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
@@ -95,7 +103,7 @@
 	for name := range fields {
 		names = append(names, name)
 	}
-	sort.Strings(names) // the same answer is the same bytes
+	sort.Strings(names) // so that equal answers have equal bytes
 	for _, name := range names {
 		b = appendBytes(b, []byte(name))
 		b = appendBytes(b, []byte(fields[name]))
--- a/protocol/thrift/reader.go
+++ b/protocol/thrift/reader.go
@@ -84,6 +84,7 @@
 }
 
 // checkPrefix checks that a frame begins as a message does, before the rest is waited for.
+// The error wraps ErrMalformed if it does not, else it is the connection's.
 func checkPrefix(b *bufio.Reader, size int) error {
 	if size < prefixSize-frameSizeLength {
 		return fmt.Errorf("%w: a frame of %d bytes", ErrMalformed, size)
--- a/protocol/thrift/resync.go
+++ b/protocol/thrift/resync.go
@@ -6,9 +6,13 @@
 	"encoding/binary"
 )
 
-// prefixSize is where the version of a message ends, from the beginning of its frame.
+// prefixSize is how many bytes a frame has up to the end of the message's first word.
 const prefixSize = frameSizeLength + 4
 
+// versionLength is how many bytes the version takes; the message's type follows it in the
+// first word.
+const versionLength = 3
+
 // messagePrefixes are the first bytes of messages behind the frame's size: the version, the
 // type and the method's name.
 var messagePrefixes = func() (all [][]byte) {
@@ -21,7 +25,8 @@
 	return all
 }()
 
-// startScanning records that it is unknown where the next message begins.
+// startScanning records that it is unknown where the next message begins, and returns the
+// error for it.
 func (r *Reader) startScanning(why error) error {
 	r.scanning = true
 	return &BadMessageError{Err: why}
@@ -64,7 +69,7 @@
 // findMessage looks for the first bytes with which a message begins. It returns how many
 // bytes before them can be dropped, and whether the whole prefix is there.
 func findMessage(p []byte) (drop int, found bool) {
-	version := messagePrefixes[0][:3] // the same for all
+	version := messagePrefixes[0][:versionLength] // the same for all
 	for from := frameSizeLength; from < len(p); {
 		i := bytes.Index(p[from:], version)
 		if i < 0 {
--- a/protocol/uwsgi/request.go
+++ b/protocol/uwsgi/request.go
@@ -53,7 +53,7 @@
 // Decoder reads one request. Read may be called again after a read that was interrupted:
 // it keeps what has arrived.
 type Decoder struct {
-	MaxBody int // a larger body is ErrTooLarge
+	MaxBody int // in bytes; a larger body is ErrTooLarge
 
 	started bool
 	stage   stage
@@ -203,5 +203,8 @@
 	return append(to, v.Value...), nil
 }
 
-// AppendPong appends the answer to a ping.
-func AppendPong(to []byte) []byte { return append(to, ModifierPing, 0, 0, 1) }
+// AppendPong appends the answer to a ping: a packet without variables.
+func AppendPong(to []byte) []byte {
+	const pongModifier2 = 1
+	return append(to, ModifierPing, 0, 0, pongModifier2)
+}
--- a/protocol/uwsgi/response.go
+++ b/protocol/uwsgi/response.go
@@ -12,10 +12,12 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// The limits of a response.
+// MaxResult bounds the body of a response, in bytes.
+const MaxResult = 256 << 10
+
+// Further limits of a response.
 const (
-	MaxResult  = 256 << 10 // bytes of a body
-	maxLine    = 8 << 10   // bytes of a header
+	maxLine    = 8 << 10 // bytes of the status line or a header
 	maxHeaders = 100
 	minStatus  = 200 // interim responses are not supported
 )
