--- a/describe/classes.go
+++ b/describe/classes.go
@@ -72,6 +72,7 @@
 	return class, nil
 }
 
+// milliseconds returns the duration of an extension's key, or 0 if it is not there.
 func milliseconds(value gjson.Result, key string) time.Duration {
 	return time.Duration(value.Get(key).Float() * float64(time.Millisecond))
 }
--- a/describe/routes.go
+++ b/describe/routes.go
@@ -33,6 +33,7 @@
 	return best, mostFixed >= 0
 }
 
+// acceptsMethod reports whether the route is for requests of the method.
 func (r *Route) acceptsMethod(method string) bool {
 	return r.Method == "" || strings.EqualFold(r.Method, method)
 }
@@ -46,7 +47,7 @@
 	}
 	for i, segment := range want {
 		switch {
-		case isParameter(segment):
+		case IsParameter(segment):
 			if got[i] == "" {
 				return 0, false
 			}
@@ -59,7 +60,7 @@
 	return fixed, true
 }
 
-// isParameter reports whether a pattern's segment is a parameter.
-func isParameter(segment string) bool {
+// IsParameter reports whether a segment of a route's path is a parameter, such as {name}.
+func IsParameter(segment string) bool {
 	return strings.HasPrefix(segment, "{") && strings.HasSuffix(segment, "}")
 }
--- a/describe/table.go
+++ b/describe/table.go
@@ -34,7 +34,7 @@
 
 // child returns the node that a pattern's segment leads to, which it adds if there is none.
 func (n *node) child(segment string) *node {
-	if isParameter(segment) {
+	if IsParameter(segment) {
 		if n.parameter == nil {
 			n.parameter = &node{}
 		}
@@ -60,7 +60,7 @@
 	fixed  int // its fixed segments
 }
 
-// Match returns the route of a method and a path.
+// Match returns the route of a method and a path: the one that Routes.Match returns.
 func (t *Table) Match(method, path string) (Route, bool) {
 	l := lookup{table: t, method: method, route: -1, fixed: -1}
 	l.visit(&t.root, path, 0)
--- a/match/compile.go
+++ b/match/compile.go
@@ -8,12 +8,15 @@
 	"cel.dev/cel-go/cel"
 )
 
+// DefaultMaxCost is how many CEL cost units a rule's evaluation may take, estimated and
+// actual, if a file does not say.
+const DefaultMaxCost = 50_000
+
 // Bounds of the language, whatever a file says.
 const (
-	DefaultMaxCost = 50_000 // CEL cost units that a rule's evaluation may take, estimated and actual
-	maxNesting     = 1      // of comprehensions in comprehensions
-	maxDepth       = 32     // of an expression's tree
-	maxNodes       = 1_000  // of an expression
+	maxNesting = 1     // of comprehensions in comprehensions
+	maxDepth   = 32    // of an expression's tree
+	maxNodes   = 1_000 // of an expression
 )
 
 // Bounds of a request that the cost estimate assumes.
@@ -37,8 +40,8 @@
 	MaxCost uint64   // bound of an evaluation, in CEL cost units; 0 for DefaultMaxCost
 }
 
-// Compile checks and compiles rules. The error is a *LoadError that reports every problem;
-// none of the rules is used then.
+// Compile checks and compiles rules. If one is invalid, none is used, and the error is a
+// *LoadError that reports every problem.
 func Compile(rules []Rule, options Options) (*Set, error) {
 	if options.MaxCost == 0 {
 		options.MaxCost = DefaultMaxCost
@@ -61,7 +64,7 @@
 		seen[name] = true
 		c := &ruleCompiler{env: env, options: options, name: name}
 		s.rules = append(s.rules, c.compile(rule))
-		s.usesBody = s.usesBody || strings.Contains(rule.Match+rule.Class+rule.Key, "body")
+		s.usesBody = s.usesBody || strings.Contains(rule.Match+rule.Class+rule.Key, varBody)
 		problems = append(problems, c.problems...)
 	}
 	if len(problems) > 0 {
--- a/match/describe.go
+++ b/match/describe.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"fmt"
 	"net/http"
+	"slices"
 	"strings"
 
 	"quincerail.example/quincerail/decision"
@@ -74,18 +75,14 @@
 func samplePath(pattern string) string {
 	segments := strings.Split(pattern, "/")
 	for i, segment := range segments {
-		if strings.HasPrefix(segment, "{") && strings.HasSuffix(segment, "}") {
+		if describe.IsParameter(segment) {
 			segments[i] = sampleSegment
 		}
 	}
 	return strings.Join(segments, "/")
 }
 
+// hasRule reports whether a rule has the name.
 func (s *Set) hasRule(name string) bool {
-	for _, rule := range s.rules {
-		if rule.Name == name {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(s.rules, func(rule compiledRule) bool { return rule.Name == name })
 }
--- a/match/env.go
+++ b/match/env.go
@@ -30,10 +30,13 @@
 // maxNameBytes bounds the names of frontends and methods, for the cost estimate.
 const maxNameBytes = 16
 
+// bytesPerCostUnit is how many bytes a function reads for one CEL cost unit, as CEL counts
+// its own string functions.
+const bytesPerCostUnit = 10
+
 // maxBodyCost is the cost of one body.json or body.has_json at most: gjson reads the body
-// once, which the estimate counts as a tenth of a unit a byte, as CEL counts its own string
-// functions.
-const maxBodyCost = maxBodyBytes / 10
+// once.
+const maxBodyCost = maxBodyBytes / bytesPerCostUnit
 
 // newEnv returns the environment of every rule: the request's variables, the body's
 // accessors, and limits on the size and nesting of expressions.
--- a/match/file.go
+++ b/match/file.go
@@ -34,7 +34,7 @@
 	return Compile(file.Rules, Options{Classes: classes, MaxCost: file.MaxCost})
 }
 
-// Load reads and compiles a rule file.
+// Load reads a rule file and compiles its rules, as Parse does.
 func Load(path string, classes []string) (*Set, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/match/fronts.go
+++ b/match/fronts.go
@@ -8,6 +8,12 @@
 // The frontends make a Request in the same way, so that one rule file classifies alike
 // whatever protocol the request came over.
 
+// The names of the frontends, as rules see them.
+const (
+	frontThrift = "thrift"
+	frontHTTP   = "http"
+)
+
 // FromHTTP makes a Request of an HTTP request whose body is read: with header names in lower
 // case, and the first value of each.
 func FromHTTP(r *http.Request, body []byte) Request {
@@ -17,7 +23,7 @@
 			headers[strings.ToLower(name)] = values[0]
 		}
 	}
-	return Request{Front: "http", Method: r.Method, Path: r.URL.Path, Headers: headers, Body: body}
+	return Request{Front: frontHTTP, Method: r.Method, Path: r.URL.Path, Headers: headers, Body: body}
 }
 
 // CGIHeader returns the header name of a CGI variable, as uwsgi has them:
@@ -36,5 +42,5 @@
 
 // FromFields makes a Request of a Thrift call: its fields are the headers.
 func FromFields(fields map[string]string, body []byte) Request {
-	return Request{Front: "thrift", Headers: fields, Body: body}
+	return Request{Front: frontThrift, Headers: fields, Body: body}
 }
--- a/match/overlap.go
+++ b/match/overlap.go
@@ -19,13 +19,14 @@
 
 // Parts of a witness that no literal sets.
 const (
-	defaultFront       = "http"
-	defaultPath        = "/"
-	frontWithoutPath   = "thrift"
-	anyHeaderValue     = "x"
-	functionStartsWith = "startsWith"
+	defaultFront   = frontHTTP
+	defaultPath    = "/" // except on frontThrift, which has no paths
+	anyHeaderValue = "x"
 )
 
+// funcStartsWith is CEL's member function of strings.
+const funcStartsWith = "startsWith"
+
 // witness collects a request from the literals of a rule.
 type witness struct {
 	front, method, path string
@@ -71,7 +72,7 @@
 	if request.Front == "" {
 		request.Front = defaultFront
 	}
-	if request.Path == "" && request.Front != frontWithoutPath {
+	if request.Path == "" && request.Front != frontThrift {
 		request.Path = defaultPath
 	}
 	return request, true
@@ -100,7 +101,7 @@
 	case operators.Equals:
 		w.collectEquality(args[0], args[1])
 		w.collectEquality(args[1], args[0])
-	case functionStartsWith:
+	case funcStartsWith:
 		if call.IsMemberFunction() && isVariable(call.Target(), varPath) {
 			w.collectPrefix(args[0])
 		}
