--- a/admission/chiroutes/chiroutes.go
+++ b/admission/chiroutes/chiroutes.go
@@ -21,7 +21,7 @@
 // in chi, {name} in OpenAPI.
 var parameter = regexp.MustCompile(`\{[^}]*\}`)
 
-// shape is a pattern with its parameters' names left out, so that /a/{id} and
+// shape returns a pattern with its parameters' names left out, so that /a/{id} and
 // /a/{key} are one path.
 func shape(pattern string) string {
 	return parameter.ReplaceAllString(strings.TrimSuffix(pattern, "/"), "{}")
@@ -30,9 +30,10 @@
 // ErrUnserved is wrapped by Verify's error.
 var ErrUnserved = errors.New("routes with a class that the router does not serve")
 
-// Verify sees that r serves each of routes, by method and path; a route without
+// Verify checks that r serves each of routes, by method and path; a route without
 // a method needs the path under some method. The error wraps ErrUnserved and
-// names every route that is missing, in the order of routes.
+// names every route that is missing, in the order of routes, or is that of a router
+// that can't be walked.
 func Verify(routes describe.Routes, r chi.Routes) error {
 	served := map[string]map[string]bool{} // path shape, method
 	err := chi.Walk(r, func(method, pattern string, _ http.Handler, _ ...func(http.Handler) http.Handler) error {
--- a/admission/config.go
+++ b/admission/config.go
@@ -12,22 +12,28 @@
 	"quincerail.example/quincerail/match"
 )
 
-// What a Config does not give.
+// Defaults of a Config's fields and of Shutdown.
+const (
+	defaultGrace  = 2 * time.Second
+	defaultStop   = 5 * time.Second // after which a Shutdown ends whose context has no deadline
+	defaultMemory = 64 << 20        // in bytes
+	defaultBody   = 64 << 10        // in bytes
+)
+
+// Settings that a Config does not have. decision.Settings documents those of the module.
 const (
 	deadlineSlack     = 60 * time.Millisecond
-	defaultGrace      = 2 * time.Second
-	defaultStop       = 5 * time.Second        // of a Shutdown whose context has no deadline
-	answerMargin      = 250 * time.Millisecond // before the stop: all is answered by then
-	maxRetryAfter     = time.Second            // longest Retry-After
-	overloadRatio     = 8                      // requests on the cores for each core that a process can hold
+	overloadRatio     = 8 // runnable requests per core that the process survives
 	overloadWindow    = 1500 * time.Millisecond
 	batchInterval     = 4 * time.Millisecond
-	requestOverheadKB = 16 // memory reserved for a request beside its body
-	keyTableFraction  = 8  // one part in so many of the memory is for cached responses
-	defaultMemory     = 64 << 20
-	defaultBody       = 64 << 10
+	answerMargin      = 250 * time.Millisecond // how long before the stop all is answered
+	maxRetryAfter     = time.Second            // longest Retry-After
+	requestOverheadKB = 16                     // memory reserved for a request beside its body
+	keyTableFraction  = 8                      // one part in so many of the memory is for cached responses
 )
 
+const bytesPerKB = 1024
+
 // Config is what a Server is made of. Classes is required; every other field
 // has a default where it is zero.
 type Config struct {
@@ -70,14 +76,14 @@
 	Reserve  int
 }
 
-// FromDocument gives the configuration of a description's classes and routes,
-// with all else at its default.
+// FromDocument returns the configuration of a description's classes and routes. Its other
+// fields are zero, so they have their defaults.
 func FromDocument(d *describe.Document) Config {
 	return Config{Classes: d.Classes, Routes: d.Routes}
 }
 
 // withDefaults validates a configuration and fills in what is zero. The error names the
-// first field that makes no sense.
+// first invalid field.
 func (c Config) withDefaults() (Config, error) {
 	if err := c.validate(); err != nil {
 		return c, err
@@ -103,7 +109,7 @@
 	return c, nil
 }
 
-// validate names the first field that makes no sense.
+// validate returns an error that names the first invalid field, if there is one.
 func (c Config) validate() error {
 	known, err := c.validateClasses()
 	if err != nil {
@@ -126,8 +132,8 @@
 	return nil
 }
 
-// validateClasses returns the names of the classes, and names the first class that makes
-// no sense.
+// validateClasses returns the set of the classes' names, or an error that names the first
+// invalid class.
 func (c Config) validateClasses() (known map[string]bool, err error) {
 	if len(c.Classes) == 0 {
 		return nil, errors.New("classes: none, at least one is needed")
@@ -152,7 +158,7 @@
 // settings returns the decision module's settings and the names of the classes.
 func (c Config) settings() (decision.Settings, []string) {
 	s := decision.Settings{
-		Cores: c.Cores, Servers: 1, Callers: 1, MemoryKB: float64(c.Memory) / 1024,
+		Cores: c.Cores, Servers: 1, Callers: 1, MemoryKB: float64(c.Memory) / bytesPerKB,
 		KeyMemoryKB: 1, RunningMemoryFactor: 1, CancelMode: decision.CancelDiscard, MaxRetryAfter: maxRetryAfter, DeadlineSlack: deadlineSlack,
 		DrainGrace: c.DrainGrace, OverloadRatio: overloadRatio, OverloadWindow: overloadWindow, SlowStartMinSpeed: 1, BatchInterval: batchInterval,
 	}
--- a/admission/listener.go
+++ b/admission/listener.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Why there is a listener of our own: http.Server.Shutdown closes a connection whose
-// request is complete only after Shutdown began, without an answer (net/http's conn.serve
+// This package has a listener of its own because http.Server.Shutdown closes, without an answer,
+// a connection whose request is complete only after Shutdown began (net/http's conn.serve
 // returns once the server is shutting down). A caller that had sent a part of its request
 // when the drain began would get nothing, although all that is read must be answered. So
 // after the grace the socket is closed here, which refuses new callers and proves to them
@@ -18,7 +18,7 @@
 type listener struct {
 	net.Listener
 	server *Server
-	closed chan struct{} // by its Close, as http.Server.Shutdown calls it
+	closed chan struct{} // closed by Close, which http.Server.Shutdown calls
 	once   sync.Once
 }
 
@@ -32,9 +32,9 @@
 	w := &listener{Listener: l, server: s, closed: make(chan struct{})}
 	s.connections.mu.Lock()
 	s.connections.listeners = append(s.connections.listeners, l)
-	past := s.connections.listenersClosed
+	graceOver := s.connections.listenersClosed
 	s.connections.mu.Unlock()
-	if past {
+	if graceOver {
 		closeListener(l)
 	}
 	return w
@@ -63,16 +63,16 @@
 	return w.Listener.Close()
 }
 
-// connections counts the connections of a server's listeners.
+// connections counts the open connections of a server's listeners.
 type connections struct {
 	mu              sync.Mutex
 	listeners       []net.Listener
 	count           int
 	listenersClosed bool
-	idle            chan struct{} // closed when, after the grace, none is open
+	idle            chan struct{} // made by closeListeners; closed once no connection is open
 }
 
-// open counts a connection, or closes it if the grace is over.
+// open counts a connection. It closes it and returns nil if the grace is over.
 func (c *connections) open(nc net.Conn) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,15 +84,16 @@
 	return &countedConn{Conn: nc, connections: c}
 }
 
+// areListenersClosed reports whether closeListeners was called.
 func (c *connections) areListenersClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.listenersClosed
 }
 
-// closeListeners closes the sockets, and gives a channel that is closed once all the
-// connections are, and whether there are listeners at all.
-func (c *connections) closeListeners() (<-chan struct{}, bool) {
+// closeListeners closes the sockets. It returns a channel that is closed once no connection
+// is open, and whether there are listeners at all.
+func (c *connections) closeListeners() (idle <-chan struct{}, exist bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.listenersClosed {
@@ -107,6 +108,7 @@
 	return c.idle, len(c.listeners) > 0
 }
 
+// connectionClosed counts a connection that has closed.
 func (c *connections) connectionClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/admission/machine.go
+++ b/admission/machine.go
@@ -8,33 +8,35 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// healthCheckTimeout is how soon a new goroutine must be scheduled for a deep health
-// check to be good: a process whose cores are taken by handlers that never
-// wait answers late.
+// healthCheckTimeout is how soon a new goroutine must be scheduled for the process to
+// be healthy in a deep health check. Where handlers that never wait occupy all cores,
+// it is scheduled late.
 const healthCheckTimeout = 100 * time.Millisecond
 
-// process gives the module the gauge of the process it runs in that the
-// processor gives the daemon (dispatch.Machine): CoreUtilization, the process's CPU time
-// (getrusage(2), user and system) over the wall time since the last reading,
-// for the configured cores. RunnableTasks is not given (negative), so the module counts
-// its own runs: the number of runnable goroutines (runtime/metrics) would count the
-// service's callers and readers as much as its runs. Memory and connections are not given
-// either. Reading takes a microsecond, once a tick of the module.
-type process struct {
+// processMachine is the dispatch.Machine of a service: it reads the gauges of this process,
+// where the daemon asks the processor for them. CoreUtilization is the part of the
+// configured cores' time since the last reading that the process used (getrusage(2), user
+// and system). The other gauges are negative, which means unknown. RunnableTasks is one of
+// them, so that the module counts its own runs: the number of runnable goroutines
+// (runtime/metrics) would include those that serve connections. A reading takes about a
+// microsecond.
+type processMachine struct {
 	cores float64
 
-	mu  sync.Mutex    // readings come from the core's timers
+	mu  sync.Mutex    // the core's timers read at any time
 	cpu time.Duration // at the last reading
 	at  time.Time
 }
 
-func newProcess(cores int) *process {
-	p := &process{cores: float64(cores)}
+// newProcessMachine makes a machine of so many cores. Its first reading covers the time
+// from now on.
+func newProcessMachine(cores int) *processMachine {
+	p := &processMachine{cores: float64(cores)}
 	p.cpu, p.at = cpuTime(), time.Now()
 	return p
 }
 
-// cpuTime is the CPU time that the process has used, 0 where it can't be had.
+// cpuTime returns the CPU time that the process has used, or 0 if that is unknown.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -43,8 +45,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// ReadGauges implements dispatch.Machine. It answers at once.
-func (p *process) ReadGauges(reply func(decision.Gauges)) {
+// ReadGauges implements dispatch.Machine. It calls reply before it returns.
+func (p *processMachine) ReadGauges(reply func(decision.Gauges)) {
 	g := decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
 	p.mu.Lock()
 	cpu, now := cpuTime(), time.Now()
@@ -56,9 +58,9 @@
 	reply(g)
 }
 
-// CheckHealth implements dispatch.Machine: good when a new goroutine is scheduled
-// within trialWithin.
-func (p *process) CheckHealth(reply func(good bool)) {
+// CheckHealth implements dispatch.Machine: the process is healthy if a new goroutine is
+// scheduled within healthCheckTimeout.
+func (p *processMachine) CheckHealth(reply func(healthy bool)) {
 	asked := time.Now()
 	go func() { reply(time.Since(asked) < healthCheckTimeout) }()
 }
--- a/admission/machine_test.go
+++ b/admission/machine_test.go
@@ -25,7 +25,7 @@
 	for range spinners {
 		<-started
 	}
-	p := newProcess(runtime.GOMAXPROCS(0))
+	p := newProcessMachine(runtime.GOMAXPROCS(0))
 	for cpuTime() == p.cpu { // until the spinners' time is counted
 		runtime.Gosched()
 	}
--- a/admission/run.go
+++ b/admission/run.go
@@ -17,10 +17,11 @@
 // cancelled before that is logged.
 const stuckAfter = time.Second
 
-// The states of a run. A run that is not cancelled goes from working to returned.
+// The states of a run. A run that is not cancelled goes from working to returned; one that
+// is goes through cancelled, and counts in Stats.Stuck until its handler returns.
 const (
 	working   int32 = iota // its handler runs
-	cancelled              // its context was cancelled and its handler has not returned: stuck
+	cancelled              // its context was cancelled and its handler has not returned
 	returned               // its handler has returned
 )
 
@@ -35,13 +36,14 @@
 	cancelledAt atomic.Int64 // in Unix nanoseconds
 }
 
+// newRun returns the backend that runs a request by calling next.
 func (s *Server) newRun(next http.Handler, r *http.Request) *run {
 	return &run{server: s, next: next, request: r}
 }
 
-// Start implements dispatch.Backend. The decision module cancels a run, the end of the
-// caller's connection does not: a keyed run goes on after its caller left, so that a
-// retry gets its result.
+// Start implements dispatch.Backend. The decision module or the deadline cancels the
+// handler's context. The end of the caller's connection does not: a keyed run goes on after
+// its caller left, so that a retry gets its result.
 func (b *run) Start(r dispatch.Run) {
 	b.server.stats.runs.Add(1)
 	b.server.stats.running.Add(1)
@@ -62,7 +64,7 @@
 	done <-chan struct{}
 }
 
-// job is a run for a worker.
+// job is a run for a worker, with its context and what the core told of it.
 type job struct {
 	run *run
 	ctx context.Context
@@ -78,6 +80,7 @@
 	}
 }
 
+// work serves a job, and then others until none comes for workerIdle or the server is closed.
 func (w *workers) work(j job) {
 	idle := time.NewTimer(workerIdle)
 	defer idle.Stop()
@@ -94,32 +97,28 @@
 	}
 }
 
+// serve calls the handler and reports to the core how the run ended.
 func (b *run) serve(ctx context.Context, r dispatch.Run) {
 	defer b.cancel()
 	began := time.Now()
 	w := &recorder{header: make(http.Header)}
-	req := b.request.Clone(ctx)
-	req.Body, req.ContentLength = &bodyReader{bytes.NewReader(r.Payload.Body)}, int64(len(r.Payload.Body))
-	panicked := w.serve(b.next, req)
+	panicked := w.serve(b.next, b.handlerRequest(ctx, r))
 	b.server.stats.running.Add(-1)
 	wasCancelled := b.handlerReturned(r)
 	if panicked != nil {
 		b.recordPanic(r, panicked)
 	}
-	end, result := dispatch.RunSucceeded, dispatch.Payload{}
-	switch {
-	case wasCancelled:
-		end, result = dispatch.RunCancelled, w.result()
-	case panicked != nil || ctx.Err() != nil: // the response of a handler whose time ran out is no result
-		end = dispatch.RunFailed
-	case w.status >= http.StatusInternalServerError:
-		end, result = dispatch.RunFailed, w.result()
-	default:
-		result = w.result()
-	}
+	end, result := w.outcome(wasCancelled, panicked != nil || ctx.Err() != nil)
 	b.server.core.RunCompleted(r.ID, end, time.Since(began), result)
 }
 
+// handlerRequest returns the request that the handler gets, with the body that was read.
+func (b *run) handlerRequest(ctx context.Context, r dispatch.Run) *http.Request {
+	request, body := b.request.Clone(ctx), r.Payload.Body
+	request.Body, request.ContentLength = &bodyReader{bytes.NewReader(body)}, int64(len(body))
+	return request
+}
+
 // handlerReturned records that the handler has returned, and reports whether it had been
 // cancelled before.
 func (b *run) handlerReturned(r dispatch.Run) (wasCancelled bool) {
@@ -144,8 +143,8 @@
 	b.server.cfg.Logger.Error("handler_panicked", "class", r.Class, "request", r.ID, "panic", fmt.Sprint(panicked))
 }
 
-// Cancel implements dispatch.Backend: the handler's context is cancelled. Until the
-// handler returns, it counts as stuck.
+// Cancel implements dispatch.Backend: it cancels the handler's context. Until the handler
+// returns, the run counts in Stats.Stuck and keeps its place among the core's runs.
 func (b *run) Cancel(string) {
 	b.cancelledAt.CompareAndSwap(0, time.Now().UnixNano()) // before the state, which the handler's return reads
 	if b.state.CompareAndSwap(working, cancelled) {
@@ -166,8 +165,8 @@
 // SkipCall implements dispatch.Backend: handlers make their downstream calls themselves.
 func (b *run) SkipCall(string, uint64) {}
 
-// recorder is the http.ResponseWriter that a handler writes to. Nothing of it
-// reaches the caller before the handler has returned.
+// recorder is the http.ResponseWriter that a handler writes to. The caller gets none of
+// it before the handler has returned.
 type recorder struct {
 	header http.Header
 	sent   []dispatch.Field // the headers as they were when the status was written
@@ -203,7 +202,7 @@
 	return w.body.Write(p)
 }
 
-// serve runs the handler, and gives what it panicked with. A panic must not end
+// serve calls the handler, and returns what it panicked with, or nil. A panic must not end
 // the process, as it does not under net/http.
 func (w *recorder) serve(next http.Handler, r *http.Request) (panicked any) {
 	defer func() { panicked = recover() }()
@@ -212,6 +211,21 @@
 	return nil
 }
 
+// outcome returns how the run ended and its result, once the handler has returned. failed
+// means that the handler panicked or its time ran out: its response is not a result then.
+func (w *recorder) outcome(wasCancelled, failed bool) (dispatch.RunEnd, dispatch.Payload) {
+	switch {
+	case wasCancelled:
+		return dispatch.RunCancelled, w.result()
+	case failed:
+		return dispatch.RunFailed, dispatch.Payload{}
+	case w.status >= http.StatusInternalServerError:
+		return dispatch.RunFailed, w.result()
+	}
+	return dispatch.RunSucceeded, w.result()
+}
+
+// result returns the recorded response as a result.
 func (w *recorder) result() dispatch.Payload {
 	return httpresult.Encode(w.status, w.sent, w.body.Bytes())
 }
--- a/admission/server.go
+++ b/admission/server.go
@@ -57,7 +57,7 @@
 	}
 	settings, names := cfg.settings()
 	opt := dispatch.Options{
-		Settings: settings, Classes: names, Seed: cfg.Seed, Machine: newProcess(cfg.Cores),
+		Settings: settings, Classes: names, Seed: cfg.Seed, Machine: newProcessMachine(cfg.Cores),
 		MaxKeyTableBytes: int(cfg.Memory / keyTableFraction),
 	}
 	if cfg.Pools != nil {
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -6,8 +6,8 @@
 	"quincerail.example/quincerail/dispatch"
 )
 
-// Stats are a server's counts since New. Each request that matched a route
-// is counted once among the answers or as Gone.
+// Stats are a server's counts since New. Each request that matched a rule or a route
+// is counted once, by its answer or as Gone. Health checks are not counted.
 type Stats struct {
 	Served   uint64 // with a handler's response, its own run's or that of an earlier attempt with its key
 	Refused  uint64 // 503 with Retry-After: its handler never ran, or its class is idempotent
@@ -23,6 +23,7 @@
 	Panics  uint64 // handler calls that panicked
 }
 
+// counters are the counts behind Stats.
 type counters struct {
 	served, refused, failed, timedOut, rejected, gone, passed, runs, panics atomic.Uint64
 	running, stuck                                                          atomic.Int64
@@ -44,6 +45,7 @@
 	}
 }
 
+// read returns the counts so far. They are not read at one instant.
 func (c *counters) read() Stats {
 	return Stats{
 		Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(),
--- a/admission/wrap.go
+++ b/admission/wrap.go
@@ -14,8 +14,8 @@
 )
 
 // writeMargin is how long before the http.Server's write deadline an answer is
-// due: the module may answer up to the slack after a due time, and the bytes
-// must still go out.
+// due: the module may answer up to deadlineSlack later, and the bytes must still be
+// written after that.
 const writeMargin = 2 * deadlineSlack
 
 // Wrap is the middleware for net/http, and for routers that take
@@ -27,7 +27,7 @@
 		arrivedAt := time.Now()
 		class, err := s.classify(w, r)
 		switch {
-		case err != nil: // the request is answered
+		case err != nil: // the request is answered, or its caller has gone
 		case class.Name == "":
 			s.stats.passed.Add(1)
 			next.ServeHTTP(w, r)
@@ -45,7 +45,8 @@
 }
 
 // classify asks the rules, where there are any, and then the routes. It returns an
-// error if a rule needed a body that could not be read; the request is answered then.
+// error if a rule needed a body that could not be read; nothing is left to do then (see
+// readBodyOrRespond).
 func (s *Server) classify(w http.ResponseWriter, r *http.Request) (classification, error) {
 	if s.cfg.Rules != nil {
 		class, err := s.classifyByRules(w, r, s.cfg.Rules.Load())
@@ -85,8 +86,8 @@
 	return classification{Name: result.Class, Key: result.Key}, nil
 }
 
-// readBodyOrRespond reads a request's body. Where it can't, it answers the request, if
-// there is still a caller, and returns the error.
+// readBodyOrRespond reads a request's body. Where it can't, it answers and counts the
+// request, or counts it as gone if its caller's connection broke, and returns the error.
 func (s *Server) readBodyOrRespond(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := readBody(w, r, s.cfg.MaxBody)
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
@@ -107,7 +108,7 @@
 	answer, id := make(responder, 1), dispatch.NewID()
 	err = s.core.Submit(dispatch.Request{
 		ID: id, Class: class.Name, Key: class.Key, ArrivedAt: arrivedAt, Deadline: writeDeadline(r, arrivedAt),
-		ReservedKB: requestOverheadKB + float64(len(body))/1024, Payload: dispatch.Payload{Body: body},
+		ReservedKB: requestOverheadKB + float64(len(body))/bytesPerKB, Payload: dispatch.Payload{Body: body},
 		Backend: s.newRun(next, r), Responder: answer,
 	})
 	if errors.Is(err, dispatch.ErrStopped) {
@@ -135,10 +136,11 @@
 	}
 }
 
-// writeDeadline is when the http.Server that serves r stops writing to its caller,
-// less the margin; zero where it has no WriteTimeout. net/http sets the write
-// deadline once the request's header is read, just before the handlers are
-// called, so arrivedAt is a little late, and the margin covers that too.
+// writeDeadline returns by when a request must be answered so that the http.Server can
+// still write the answer: writeMargin before its WriteTimeout ends, or half of a
+// WriteTimeout that is too short for that. It is zero where there is no WriteTimeout.
+// net/http sets the write deadline once the request's header is read, just before the
+// handlers are called, so arrivedAt is a little late, and the margin covers that too.
 func writeDeadline(r *http.Request, arrivedAt time.Time) time.Time {
 	hs, ok := r.Context().Value(http.ServerContextKey).(*http.Server)
 	if !ok || hs.WriteTimeout <= 0 {
@@ -155,8 +157,9 @@
 
 // Respond implements dispatch.Responder. It does not block: there is one answer, and
 // the channel has room for it.
-func (s responder) Respond(_ string, o dispatch.Outcome) { s <- o }
+func (answer responder) Respond(_ string, o dispatch.Outcome) { answer <- o }
 
+// respond counts an outcome and writes it to the caller.
 func (s *Server) respond(w http.ResponseWriter, o dispatch.Outcome) {
 	s.stats.countOutcome(o.Kind)
 	if s.draining.Load() { // callers go to another
@@ -179,7 +182,7 @@
 	_, _ = w.Write(body) // a caller that has gone is noticed by net/http
 }
 
-// shed answers 503 with a Retry-After.
+// shed answers 503 with a Retry-After of whole seconds, at least one.
 func shed(w http.ResponseWriter, retryAfter time.Duration) {
 	w.Header().Set("Retry-After", httpresult.RetryAfter(retryAfter))
 	http.Error(w, http.StatusText(http.StatusServiceUnavailable), http.StatusServiceUnavailable)
