--- a/cmd/fault-soak/main.go
+++ b/cmd/fault-soak/main.go
@@ -1,6 +1,7 @@
 // Command fault-soak runs real processes of the program under overlapping faults, seed
 // after seed, and judges what their clients saw by the platform's rules. It prints a line
-// for each seed, and each broken rule; its exit code is 1 where there was one.
+// for each seed, and each broken rule. Its exit code is 0 if no rule was broken, 1 if one
+// was, and 2 if the soak itself failed.
 //
 //	go run ./cmd/fault-soak --seeds 20 --nodes 12 --seconds 30
 package main
@@ -50,13 +51,14 @@
 	fmt.Printf("%d seeds, no rule broken\n", c.Seeds)
 }
 
-// run plays the seeds and returns how many broke a rule.
+// run plays the seeds and returns how many broke a rule. It stops at the first error of the
+// soak itself.
 func (c command) run(ctx context.Context) (broken int, err error) {
 	dir, err := os.MkdirTemp("", "fault-soak")
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left lies among temporary files
+	defer func() { _ = os.RemoveAll(dir) }() // an error leaves files in the system's folder for temporary files
 	if c.Binary == "" {
 		build := fleettest.Build
 		if c.System {
