--- a/internal/faultsoak/client.go
+++ b/internal/faultsoak/client.go
@@ -17,7 +17,7 @@
 
 const clientDialTimeout = time.Second
 
-// ErrEnded is given for a request that can't be sent as its connection has ended.
+// ErrEnded is returned by Send if the connection has ended.
 var ErrEnded = errors.New("faultsoak: the connection has ended")
 
 // Ask is a request to send.
@@ -25,7 +25,7 @@
 	Class, Key, Body string
 	Deadline         time.Duration
 	Fields           map[string]string // further fields, or others
-	DoorEarly        time.Duration     // the field door says that it came so much earlier
+	DoorEarly        time.Duration     // how much earlier than now the field door says that it reached the machine
 	// Write cuts the message into pieces and writes them; nil writes it at once.
 	Write func(write func([]byte) error, message []byte) error
 }
@@ -43,7 +43,7 @@
 
 	mu       sync.Mutex
 	open     map[int32]*Request
-	gone     map[int32]*Request // given up: an answer does no harm
+	givenUp  map[int32]*Request // by GiveUp: they may be answered or not
 	answered *sync.Cond
 	closed   bool // by the client
 	expired  bool // the wait for answers has lasted long enough
@@ -57,7 +57,7 @@
 		return nil, fmt.Errorf("faultsoak: %w", err)
 	}
 	c := &Client{
-		conn: conn, history: history, done: make(chan struct{}), open: map[int32]*Request{}, gone: map[int32]*Request{},
+		conn: conn, history: history, done: make(chan struct{}), open: map[int32]*Request{}, givenUp: map[int32]*Request{},
 		record: &ConnRecord{Node: node, Opened: time.Now()},
 	}
 	c.answered = sync.NewCond(&c.mu)
@@ -66,7 +66,8 @@
 	return c, nil
 }
 
-// Send writes a request. An error means that it was not written whole.
+// Send writes a request. The error is ErrEnded if the connection has ended; another means
+// that the request was not written whole, and the request is returned too.
 func (c *Client) Send(a Ask) (*Request, error) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
@@ -107,6 +108,7 @@
 	return r, nil
 }
 
+// message returns the bytes of a request.
 func (c *Client) message(a Ask, id string, door time.Time) []byte {
 	fields := map[string]string{
 		"verb": a.Class, "txn": id, "lb": "1", "ram": "20", "standing": "0.5",
@@ -119,12 +121,12 @@
 	return fakes.AppendExecuteFields(nil, c.seq, fields, []byte(a.Body))
 }
 
-// GiveUp tells the node that nobody waits for a request any more.
+// GiveUp tells the node that nobody waits for a request any more, by an interrupt.
 func (c *Client) GiveUp(r *Request) {
 	c.history.update(func() { r.GivenUp = true })
 	c.mu.Lock()
 	if c.open[r.Seq] != nil {
-		c.gone[r.Seq] = r
+		c.givenUp[r.Seq] = r
 		delete(c.open, r.Seq)
 		c.answered.Broadcast()
 	}
@@ -152,9 +154,8 @@
 	}
 }
 
-// awaitAnswers waits until nothing is open on the connection, it has ended, or
-// clientTimeout has passed.
-func (c *Client) awaitAnswers() {
+// awaitAnswersOrTimeout is AwaitAnswers for at most clientTimeout.
+func (c *Client) awaitAnswersOrTimeout() {
 	stop := time.AfterFunc(clientTimeout, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -170,7 +171,7 @@
 	c.expired = false
 }
 
-// Open gives how many requests have no answer yet.
+// Open returns how many requests are open: not answered and not given up.
 func (c *Client) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +196,7 @@
 	<-c.done
 }
 
-// CloseWrite shuts the writing end only.
+// CloseWrite shuts the writing side only.
 func (c *Client) CloseWrite() {
 	if tcp, ok := c.conn.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite() // the connection may have ended
@@ -212,8 +213,8 @@
 	return nil
 }
 
-// NextSeq gives the number that the next call has. Where take is set that call is to be
-// written by WriteRaw, and the one after it has the next number.
+// NextSeq returns the sequence number of the next call. If take is set, the number is taken,
+// for a call that is to be written by WriteRaw.
 func (c *Client) NextSeq(take bool) int32 {
 	c.writing.Lock()
 	defer c.writing.Unlock()
@@ -224,6 +225,7 @@
 	return next
 }
 
+// forget has a request count as open no more.
 func (c *Client) forget(seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -231,6 +233,7 @@
 	c.answered.Broadcast()
 }
 
+// read reads replies until the connection ends.
 func (c *Client) read() {
 	defer close(c.done)
 	r := bufio.NewReader(c.conn)
@@ -249,20 +252,21 @@
 	}
 }
 
+// answer records an answer with its request, or with a new one if there is none.
 func (c *Client) answer(reply fakes.Reply) {
 	outcome := reply.Outcome()
 	answer := Answer{Kind: outcome.Kind, Body: outcome.Body, At: time.Now()}
 	c.mu.Lock()
 	request := c.open[reply.Seq]
-	if gone := c.gone[reply.Seq]; gone != nil {
-		request = gone
-		delete(c.gone, reply.Seq)
+	if givenUp := c.givenUp[reply.Seq]; givenUp != nil {
+		request = givenUp
+		delete(c.givenUp, reply.Seq)
 	}
 	c.mu.Unlock()
 	if request == nil {
 		request = &Request{Node: c.record.Node, Conn: c.record, Seq: reply.Seq, Body: "answered twice or never asked"}
 		c.history.addRequest(request)
-		answer.Kind = "unasked"
+		answer.Kind = kindUnasked
 	}
 	c.history.update(func() { request.Answers = append(request.Answers, answer) })
 	c.forget(reply.Seq)
--- a/internal/faultsoak/clients.go
+++ b/internal/faultsoak/clients.go
@@ -73,7 +73,7 @@
 		return false
 	}
 	do(ctx, p, c, rng)
-	c.awaitAnswers()
+	c.awaitAnswersOrTimeout()
 	c.Close()
 	return true
 }
@@ -148,13 +148,13 @@
 		if err != nil {
 			return
 		}
-		c.awaitAnswers()
+		c.awaitAnswersOrTimeout()
 		p.keep(a, r)
 		if a.Key != "" && rng.IntN(3) == 0 && !c.Leaving() {
 			if _, err := c.Send(a); err != nil {
 				return
 			}
-			c.awaitAnswers()
+			c.awaitAnswersOrTimeout()
 		}
 	}
 }
@@ -187,7 +187,7 @@
 			return
 		}
 		if rng.IntN(2) == 0 {
-			c.awaitAnswers()
+			c.awaitAnswersOrTimeout()
 		}
 	}
 }
@@ -235,7 +235,7 @@
 	if _, err := c.Send(a); err != nil {
 		return
 	}
-	c.awaitAnswers()
+	c.awaitAnswersOrTimeout()
 }
 
 // stubborn goes on sending on an open connection, whatever it is told.
@@ -256,7 +256,7 @@
 	}
 	pause(ctx, between(rng, 0, 20*time.Millisecond))
 	c.CloseWrite()
-	c.awaitAnswers()
+	c.awaitAnswersOrTimeout()
 }
 
 // givingUp takes requests back.
@@ -282,5 +282,5 @@
 		return
 	}
 	_ = c.WriteRaw([]byte("\x00\x00\x00\x04spam and more")) // the connection may have ended
-	c.awaitAnswers()
+	c.awaitAnswersOrTimeout()
 }
--- a/internal/faultsoak/faults.go
+++ b/internal/faultsoak/faults.go
@@ -10,8 +10,8 @@
 
 const (
 	controlTimeout = time.Second
-	// lastMoments before a kill a node is not paused: one that stands still when it is
-	// killed can't answer.
+	// lastMoments is how long before a kill a node is not paused any more: one that is
+	// paused when it is killed can't answer.
 	lastMoments = 1200 * time.Millisecond
 	crowdSize   = 200
 )
@@ -22,16 +22,15 @@
 	node    *Node
 	history *History
 	clients *population
-	crowds  bool                             // of clients that ask
+	crowds  bool                             // there are crowds of clients that ask
 	fail    func(format string, args ...any) // a step that must succeed did not
 
 	configuring sync.Mutex // the configuration file may be spoilt
-	wallSeconds int64      // by which Unix time is off; of the loop of system faults alone
+	wallSeconds int64      // by which Unix time is off; used by the loop of system faults alone
 
-	mu     sync.Mutex
-	killAt time.Time // of a drain; zero else
-	// expected is set while the process may end.
-	expected bool
+	mu       sync.Mutex
+	killAt   time.Time // when a process that drains is killed; zero else
+	expected bool      // the process may end: a fault ends it
 }
 
 // fault plays once and returns when it is over.
@@ -43,8 +42,7 @@
 	faults      []fault
 }
 
-// faultLoops lists what each node suffers: a loop draws one of its faults again and
-// again, with pauses between least and most.
+// faultLoops lists the loops of each node.
 var faultLoops = []faultLoop{
 	{300 * time.Millisecond, 4 * time.Second, []fault{shortPause, shortPause, longPause}},
 	{4 * time.Second, 12 * time.Second, []fault{restart, upgrade, upgrade, crash}},
@@ -56,7 +54,7 @@
 	{2 * time.Second, 8 * time.Second, []fault{crowd}},
 }
 
-// crowdLoop is what a node suffers beside where there are crowds.
+// crowdLoop is one more loop for the nodes of a soak with crowds.
 var crowdLoop = faultLoop{time.Second, 4 * time.Second, []fault{askingCrowd}}
 
 // play starts all loops of a node. They end with ctx.
@@ -78,6 +76,7 @@
 	}
 }
 
+// record adds an event of the node that happens now.
 func (o *operator) record(kind EventKind) {
 	o.history.Add(Event{Node: o.node.Name, Kind: kind, At: time.Now()})
 }
--- a/internal/faultsoak/faults_operator.go
+++ b/internal/faultsoak/faults_operator.go
@@ -12,9 +12,10 @@
 	"time"
 )
 
-func (o *operator) reload(write error) {
-	if write != nil {
-		o.fail("%v", write)
+// reload has the node read its configuration again. writeErr is how writing that ended.
+func (o *operator) reload(writeErr error) {
+	if writeErr != nil {
+		o.fail("%v", writeErr)
 		return
 	}
 	o.record(Reloaded)
@@ -46,7 +47,7 @@
 	}
 }
 
-// sendAway has callers sent away and fetched back.
+// sendAway disables traffic by the operators' calls for a while, and enables it again.
 func sendAway(ctx context.Context, o *operator, rng *rand.Rand) {
 	if callOperators(o.node.Control(), "drain-on") {
 		o.record(SentAway)
@@ -57,8 +58,8 @@
 	}
 }
 
-// callOperators makes one operators' call. A process that stands still or is down
-// answers none.
+// callOperators makes one operators' call, and reports whether it was answered with done.
+// A process that is paused or has ended does not answer.
 func callOperators(address, line string) bool {
 	dialer := net.Dialer{Timeout: controlTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", address)
@@ -96,7 +97,7 @@
 	}
 }
 
-// askingCrowd has many clients come at a time, ask and stay for a while.
+// askingCrowd has many clients connect at a time, send requests and stay for a while.
 func askingCrowd(ctx context.Context, o *operator, rng *rand.Rand) {
 	o.record(Crowded)
 	var clients sync.WaitGroup
--- a/internal/faultsoak/faults_process.go
+++ b/internal/faultsoak/faults_process.go
@@ -16,12 +16,12 @@
 	o.pause(between(rng, 700*time.Millisecond, 2500*time.Millisecond))
 }
 
-// pause has the process stand still.
+// pause stops the process by SIGSTOP for a time, unless it is about to be killed.
 func (o *operator) pause(d time.Duration) {
 	o.mu.Lock()
-	ends := o.killAt
+	killAt := o.killAt
 	o.mu.Unlock()
-	if !ends.IsZero() && time.Until(ends) < d+lastMoments {
+	if !killAt.IsZero() && time.Until(killAt) < d+lastMoments {
 		return
 	}
 	at, process := time.Now(), o.node.process()
@@ -30,9 +30,10 @@
 	}
 	time.Sleep(d)
 	_ = process.signal(syscall.SIGCONT) // it may have been killed
-	o.history.Add(Event{Node: o.node.Name, Kind: Paused, At: at, Till: time.Now()})
+	o.history.Add(Event{Node: o.node.Name, Kind: Paused, At: at, Until: time.Now()})
 }
 
+// expect records whether the process may end, and when it is killed (zero: not, or at once).
 func (o *operator) expect(ended bool, killAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -129,6 +130,7 @@
 	o.launch()
 }
 
+// launch starts the process anew, and reports whether it listens.
 func (o *operator) launch() (listens bool) {
 	o.configuring.Lock()
 	defer o.configuring.Unlock()
--- a/internal/faultsoak/history.go
+++ b/internal/faultsoak/history.go
@@ -21,25 +21,32 @@
 	return [...]string{"open", "ended by the node", "reset by the node", "ended by the client"}[k]
 }
 
+// The kinds of answers that the oracle distinguishes. kindServed is that of fakes.Outcome.
+const (
+	kindServed  = "served"
+	kindUnasked = "unasked" // to no open request: it was answered before, or never sent
+)
+
 // Answer is a final answer that a client read.
 type Answer struct {
-	Kind string // served, refused, failed or rejected, as standin.Outcome
+	Kind string // that of fakes.Outcome, or kindUnasked
 	Body string
 	At   time.Time
 }
 
-// Request is one try of a request as its client saw it.
+// Request is one attempt of a request as its client saw it.
 type Request struct {
 	Node     string
 	ID       string // its field txn
 	Conn     *ConnRecord
 	Seq      int32
 	Class    string
-	Key      string // of a keyed class, the same for all tries
+	Key      string // of a keyed class, the same for all attempts
 	Body     string
 	Deadline time.Duration // of its class, from Door
-	Door     time.Time     // its field door
-	// The last write began and returned at these times. Zero: never written whole.
+	Door     time.Time     // its field door: when it reached the machine
+	// LastWriteBegan and Written are when the last write of the request began and
+	// returned. They are zero if it was not written whole.
 	LastWriteBegan, Written time.Time
 	GivenUp                 bool // the client sent interrupt
 	Answers                 []Answer
@@ -57,10 +64,10 @@
 
 // Event is a fault or a lifecycle step that was played on a node.
 type Event struct {
-	Node string
-	Kind EventKind
-	At   time.Time
-	Till time.Time // of a pause; zero else
+	Node  string
+	Kind  EventKind
+	At    time.Time
+	Until time.Time // when a pause ended; zero for other events
 }
 
 // EventKind names an event.
@@ -75,15 +82,15 @@
 	Exited       EventKind = "exited"       // the process ended by itself
 	Restarted    EventKind = "restarted"    // it listens again
 	Upgraded     EventKind = "upgraded"     // a new process is started beside, the old one is stopped
-	SentAway     EventKind = "sent_away"    // drain-on was answered
-	FetchedBack  EventKind = "fetched_back" // drain-off was answered
-	ProcessorBad EventKind = "processor"
-	LedgerBad    EventKind = "ledger"
-	AnnounceBad  EventKind = "announce"
-	Reloaded     EventKind = "reload"
-	Crowded      EventKind = "crowd"
-	Signalled    EventKind = "signals" // in a series
-	SystemBad    EventKind = "system"
+	SentAway     EventKind = "sent_away"    // drain-on was answered: operators disabled traffic
+	FetchedBack  EventKind = "fetched_back" // drain-off was answered: operators enabled it again
+	ProcessorBad EventKind = "processor"    // a fault of the relay to the processor
+	LedgerBad    EventKind = "ledger"       // a fault of the relay to the ledger
+	AnnounceBad  EventKind = "announce"     // a fault of the relay to the announce service
+	Reloaded     EventKind = "reload"       // SIGHUP
+	Crowded      EventKind = "crowd"        // many connections at a time
+	Signalled    EventKind = "signals"      // a series of signals
+	SystemBad    EventKind = "system"       // failing system calls, or a step of Unix time
 )
 
 // History is all that clients saw and all that was played. It is safe for concurrent
@@ -114,7 +121,8 @@
 	h.events = append(h.events, e)
 }
 
-// recent gives the id of a request that came not long ago; "" before there is one.
+// recent returns the id of the request that was sent back requests before the last; "" if
+// there are not as many.
 func (h *History) recent(back int) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/faultsoak/logsink_test.go
+++ b/internal/faultsoak/logsink_test.go
@@ -30,7 +30,7 @@
 				time.Sleep(2 * time.Millisecond)
 			}
 			for _, c := range clients {
-				c.awaitAnswers()
+				c.awaitAnswersOrTimeout()
 			}
 			if n := answers(b.verdict()); n != each*connections {
 				t.Errorf("%d answers to %d requests", n, each*connections)
--- a/internal/faultsoak/node.go
+++ b/internal/faultsoak/node.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	readyTimeout = 6 * time.Second // for the process that takes over to be ready
-	readyEvery   = 30 * time.Millisecond
+	readyTimeout       = 6 * time.Second // for the process that takes over to be ready
+	readyCheckInterval = 30 * time.Millisecond
 )
 
 // Errors of nodes.
@@ -157,14 +157,14 @@
 	}
 }
 
-// Runs gives the runs that were begun so far.
+// Runs returns the runs that were begun so far.
 func (n *Node) Runs() []Run {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]Run(nil), n.runs...)
 }
 
-// Log gives the lines that the processes logged so far.
+// Log returns the lines that the processes logged so far.
 func (n *Node) Log() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -186,7 +186,7 @@
 	return n.log[len(n.log)-1]
 }
 
-// process is the one at work, the newer one while another takes over.
+// process returns the process that serves: the successor from when Upgrade has found it ready.
 func (n *Node) process() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -196,13 +196,13 @@
 // Ready waits until the processor is asked for its gauges: requests are run.
 func (n *Node) Ready() { <-n.process().processor.Up() }
 
-// ProcessorRelay is the relay of the process at work.
+// ProcessorRelay returns the relay between the process that serves and its processor.
 func (n *Node) ProcessorRelay() *Relay { return n.process().relay }
 
-// Control is where operators call the process at work.
+// Control returns the address at which operators call the process that serves.
 func (n *Node) Control() string { return n.process().control }
 
-// FaultsAddress is where the fault layer of the process at work listens.
+// FaultsAddress returns the address of the fault layer of the process that serves.
 func (n *Node) FaultsAddress() string { return n.process().faults }
 
 // WriteConfig writes the configuration file with changes of its top level. The
@@ -218,10 +218,10 @@
 // Signal sends a signal to the process. One that has ended takes none.
 func (n *Node) Signal(s syscall.Signal) error { return n.process().signal(s) }
 
-// Exited is closed when the present process has ended.
+// Exited returns a channel that is closed when the process that serves has ended.
 func (n *Node) Exited() <-chan struct{} { return n.process().done() }
 
-// Ended gives how the last process ended: nil for exit code 0.
+// Ended returns how the last process ended: nil for exit code 0.
 func (n *Node) Ended() error {
 	p := n.process()
 	p.mu.Lock()
@@ -261,7 +261,7 @@
 
 // awaitReady waits until the process says that it can serve.
 func (p *process) awaitReady() bool {
-	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyEvery) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyCheckInterval) {
 		if callOperators(p.control, "check") {
 			return true
 		}
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -25,9 +25,21 @@
 	maxLateShare = 3.0 / 1000
 )
 
+// The rules, as reports name them.
+const (
+	ruleLost      = "lost"      // each request that was written whole is answered
+	ruleDuplicate = "duplicate" // each has one answer, and a key one run in its window
+	ruleDrain     = "drain"     // nothing runs that came after the grace of a drain
+	ruleLate      = "late"      // answers are in time
+	ruleSpoilt    = "spoilt"    // an answer is that of a run made for its request
+)
+
+// bodyWithoutCall is the result of a run that went on without its call.
+const bodyWithoutCall = "without"
+
 // Violation is a broken rule.
 type Violation struct {
-	Rule    string // lost, duplicate, drain, late, spoilt
+	Rule    string // one of the rules above
 	Node    string
 	At      time.Time
 	Message string
@@ -40,7 +52,7 @@
 type Report struct {
 	Violations []Violation
 	Outcomes   map[string]int // answers by kind
-	Crossed    int            // requests that crossed a close within the platform's 50 ms
+	Crossed    int            // unanswered requests that crossed a close within socketSlack
 	Excused    int            // unanswered as their node crashed or their client left
 	Late       []Violation    // answers past their time: the rule is broken by maxLateShare of all
 }
@@ -59,52 +71,54 @@
 	defer h.mu.Unlock()
 	c := &check{terms: terms, events: h.events, runs: runs, report: Report{Outcomes: map[string]int{}}}
 	for _, r := range h.requests {
-		c.answers(r)
+		c.checkAnswers(r)
 	}
 	if late := c.report.Late; float64(len(late)) >= maxLateShare*float64(len(h.requests)) {
 		c.report.Violations = append(c.report.Violations, late...)
 	}
-	c.keyedRuns(h.requests)
-	c.runsInDrains(h.requests)
+	c.checkKeyedRuns(h.requests)
+	c.checkRunsInDrains(h.requests)
 	return c.report
 }
 
+// violate reports a violation.
 func (c *check) violate(rule, node string, at time.Time, format string, args ...any) {
 	c.report.Violations = append(c.report.Violations,
 		Violation{Rule: rule, Node: node, At: at, Message: fmt.Sprintf(format, args...)})
 }
 
-// answers checks that a request has one whole answer, in time, of a run made for it.
-func (c *check) answers(r *Request) {
+// checkAnswers checks that a request has one whole answer, in time, of a run made for it.
+func (c *check) checkAnswers(r *Request) {
 	for _, a := range r.Answers {
 		c.report.Outcomes[a.Kind]++
 	}
 	switch {
-	case len(r.Answers) == 1 && r.Answers[0].Kind == "unasked":
-		c.violate("duplicate", r.Node, r.Answers[0].At, "an answer to request %d, which has one already", r.Seq)
+	case len(r.Answers) == 1 && r.Answers[0].Kind == kindUnasked:
+		c.violate(ruleDuplicate, r.Node, r.Answers[0].At, "an answer to request %d, which has one already", r.Seq)
 	case len(r.Answers) > 1:
-		c.violate("duplicate", r.Node, r.Answers[1].At, "%d answers to %q", len(r.Answers), r.Body)
+		c.violate(ruleDuplicate, r.Node, r.Answers[1].At, "%d answers to %q", len(r.Answers), r.Body)
 	case len(r.Answers) == 1:
-		c.answer(r, r.Answers[0])
+		c.checkAnswer(r, r.Answers[0])
 	default:
-		c.unanswered(r)
+		c.checkUnanswered(r)
 	}
 }
 
-func (c *check) answer(r *Request, a Answer) {
-	if want := fakes.Result(r.Body); a.Kind == "served" && a.Body != want && a.Body != "without" {
-		c.violate("spoilt", r.Node, a.At, "%q was served with %q", r.Body, a.Body)
+// checkAnswer checks the only answer to a request: its body, and that it was in time.
+func (c *check) checkAnswer(r *Request, a Answer) {
+	if want := fakes.Result(r.Body); a.Kind == kindServed && a.Body != want && a.Body != bodyWithoutCall {
+		c.violate(ruleSpoilt, r.Node, a.At, "%q was served with %q", r.Body, a.Body)
 	}
 	if r.Written.IsZero() || r.GivenUp {
 		return
 	}
 	if late := a.At.Sub(c.lastMoment(r)) - c.pausedWithin(r.Node, r.Door, a.At); late > 0 {
 		message := fmt.Sprintf("%q was answered %v late", r.Body, late)
-		c.report.Late = append(c.report.Late, Violation{Rule: "late", Node: r.Node, At: a.At, Message: message})
+		c.report.Late = append(c.report.Late, Violation{Rule: ruleLate, Node: r.Node, At: a.At, Message: message})
 	}
 }
 
-// lastMoment is by when a request is to be answered, its node's pauses aside.
+// lastMoment returns by when a request is to be answered, without its node's pauses.
 func (c *check) lastMoment(r *Request) time.Time {
 	due := r.Door.Add(r.Deadline)
 	if r.Written.After(due) {
@@ -113,8 +127,8 @@
 	return due.Add(c.terms.AnswerSlack + socketSlack + machineSlack)
 }
 
-// unanswered tells a lost request from one that nobody owes an answer.
-func (c *check) unanswered(r *Request) {
+// checkUnanswered tells a lost request from one that nobody owes an answer.
+func (c *check) checkUnanswered(r *Request) {
 	conn := r.Conn
 	switch {
 	case r.Written.IsZero() || r.GivenUp:
@@ -122,41 +136,41 @@
 	case conn.End == EndedByClient && conn.EndedAt.Before(c.lastMoment(r)):
 		c.report.Excused++
 	case conn.End == EndedByClient:
-		c.violate("lost", r.Node, r.Written, "%q had no answer in %v, when its client left", r.Body,
+		c.violate(ruleLost, r.Node, r.Written, "%q had no answer in %v, when its client left", r.Body,
 			conn.EndedAt.Sub(r.Written).Round(time.Millisecond))
 	case conn.End == StillOpen:
-		c.violate("lost", r.Node, r.Written, "%q has no answer on an open connection", r.Body)
+		c.violate(ruleLost, r.Node, r.Written, "%q has no answer on an open connection", r.Body)
 	case c.crashedBetween(r.Node, r.LastWriteBegan, conn.EndedAt):
 		c.report.Excused++
 	case conn.EndedAt.Sub(r.LastWriteBegan) <= socketSlack:
 		c.report.Crossed++
 	default:
-		c.violate("lost", r.Node, r.Written, "%q was written %v before its connection was %v (%v)%s", r.Body,
-			conn.EndedAt.Sub(r.LastWriteBegan).Round(time.Millisecond), conn.End, conn.Err, c.around(r.Node, conn.EndedAt))
+		c.violate(ruleLost, r.Node, r.Written, "%q was written %v before its connection was %v (%v)%s", r.Body,
+			conn.EndedAt.Sub(r.LastWriteBegan).Round(time.Millisecond), conn.End, conn.Err, c.eventsBefore(r.Node, conn.EndedAt))
 	}
 }
 
-// around tells what was played on a node within some seconds before a time.
-func (c *check) around(node string, at time.Time) (text string) {
+// eventsBefore describes what was played on a node within some seconds before a time.
+func (c *check) eventsBefore(node string, at time.Time) (text string) {
 	const before = 4 * time.Second
 	for _, e := range c.events {
 		if ago := at.Sub(e.At); e.Node == node && ago > -socketSlack && ago < before {
 			text += fmt.Sprintf("; %s %v before", e.Kind, ago.Round(time.Millisecond))
-			if !e.Till.IsZero() {
-				text += fmt.Sprintf(" for %v", e.Till.Sub(e.At).Round(time.Millisecond))
+			if !e.Until.IsZero() {
+				text += fmt.Sprintf(" for %v", e.Until.Sub(e.At).Round(time.Millisecond))
 			}
 		}
 	}
 	return text
 }
 
-// pausedWithin is how long a node stood still in a span.
+// pausedWithin returns for how long a node was paused in a span.
 func (c *check) pausedWithin(node string, from, to time.Time) (total time.Duration) {
 	for _, e := range c.events {
 		if e.Node != node || e.Kind != Paused {
 			continue
 		}
-		begin, end := e.At, e.Till
+		begin, end := e.At, e.Until
 		if begin.Before(from) {
 			begin = from
 		}
@@ -175,9 +189,9 @@
 	})
 }
 
-// keyedRuns checks that no key runs twice within its window in one life of a node, or at
+// checkKeyedRuns checks that no key runs twice within its window in one life of a node, or at
 // all where its keys outlive its process.
-func (c *check) keyedRuns(requests []*Request) {
+func (c *check) checkKeyedRuns(requests []*Request) {
 	keyed := map[string]bool{}
 	for _, r := range requests {
 		if r.Key != "" {
@@ -193,25 +207,26 @@
 		before, ran := last[id]
 		if ran && run.At.Sub(before.At) < c.terms.Window &&
 			(c.terms.DurableKeys[run.Node] || !c.restartedBetween(run.Node, before.At, run.At)) {
-			c.violate("duplicate", run.Node, run.At, "%q ran again after %v", run.Body, run.At.Sub(before.At))
+			c.violate(ruleDuplicate, run.Node, run.At, "%q ran again after %v", run.Body, run.At.Sub(before.At))
 		}
 		last[id] = run
 	}
 }
 
+// restartedBetween reports whether a node's process was started anew in a span.
 func (c *check) restartedBetween(node string, from, to time.Time) bool {
 	return slices.ContainsFunc(c.events, func(e Event) bool {
 		return e.Node == node && e.Kind == Restarted && e.At.After(from) && e.At.Before(to)
 	})
 }
 
-// runsInDrains checks that no run began for a request that came after the grace of its
-// node's drain. Requests are told apart by their bodies; where several tries share one,
+// checkRunsInDrains checks that no run began for a request that came after the grace of its
+// node's drain. Requests are told apart by their bodies; where several attempts share one,
 // any that came in time allows the run.
-func (c *check) runsInDrains(requests []*Request) {
-	tries := map[string][]*Request{}
+func (c *check) checkRunsInDrains(requests []*Request) {
+	attempts := map[string][]*Request{}
 	for _, r := range requests {
-		tries[r.Node+" "+r.Body] = append(tries[r.Node+" "+r.Body], r)
+		attempts[r.Node+" "+r.Body] = append(attempts[r.Node+" "+r.Body], r)
 	}
 	for _, run := range c.runs {
 		notice, ok := c.noticeBefore(run.Node, run.At)
@@ -220,18 +235,18 @@
 		}
 		last := notice.Add(c.terms.Grace + socketSlack)
 		// A pause counts where it overlaps the grace: nothing was taken in meanwhile.
-		inTime := slices.ContainsFunc(tries[run.Node+" "+run.Body], func(r *Request) bool {
+		inTime := slices.ContainsFunc(attempts[run.Node+" "+run.Body], func(r *Request) bool {
 			return !r.LastWriteBegan.IsZero() && !r.LastWriteBegan.After(last)
 		})
 		if !inTime {
-			c.violate("drain", run.Node, run.At, "%q ran %v after SIGTERM; it came after the grace", run.Body,
+			c.violate(ruleDrain, run.Node, run.At, "%q ran %v after SIGTERM; it came after the grace", run.Body,
 				run.At.Sub(notice).Round(time.Millisecond))
 		}
 	}
 }
 
-// noticeBefore gives the SIGTERM of the process that was at work at a time, if it had
-// one by then.
+// noticeBefore returns when the process that served a node at a time got SIGTERM, if it had
+// by then.
 func (c *check) noticeBefore(node string, at time.Time) (notice time.Time, ok bool) {
 	for _, e := range c.events {
 		if e.Node != node || e.At.After(at) {
--- a/internal/faultsoak/persistentclients.go
+++ b/internal/faultsoak/persistentclients.go
@@ -21,7 +21,7 @@
 	if _, err := c.Send(p.ask(rng)); err != nil {
 		return
 	}
-	c.awaitAnswers()
+	c.awaitAnswersOrTimeout()
 	if rng.IntN(4) == 0 {
 		select {
 		case <-ctx.Done():
@@ -41,7 +41,7 @@
 			return
 		}
 	}
-	c.awaitAnswers()
+	c.awaitAnswersOrTimeout()
 	select {
 	case <-ctx.Done():
 	case <-c.Done():
@@ -68,7 +68,7 @@
 			}
 		}
 		if c.Open() >= pipelined || noise == maxNoise {
-			c.awaitAnswers()
+			c.awaitAnswersOrTimeout()
 		}
 		if noise == maxNoise {
 			return
--- a/internal/faultsoak/process.go
+++ b/internal/faultsoak/process.go
@@ -5,6 +5,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"maps"
 	"net"
 	"os"
@@ -21,6 +22,9 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
+// listeningEvent is in the line that a process logs once it listens.
+const listeningEvent = "event=listening"
+
 // startTimeout bounds the wait for a process to say that it listens.
 const startTimeout = 20 * time.Second
 
@@ -84,6 +88,7 @@
 	return listener.Addr().String(), nil
 }
 
+// closeFakes closes the processor and its relay.
 func (p *process) closeFakes() {
 	p.relay.Close()
 	p.processor.Close()
@@ -104,6 +109,7 @@
 	return p.writeConfigText(string(text))
 }
 
+// writeConfigText replaces the configuration file as a whole: a reader never sees a part.
 func (p *process) writeConfigText(text string) error {
 	next := p.config + ".next"
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
@@ -152,27 +158,8 @@
 	p.mu.Unlock()
 	go func() {
 		defer close(exited)
-		told := false
-		for s := bufio.NewScanner(stderr); s.Scan(); {
-			p.node.logged(s.Text())
-			if !told && strings.Contains(s.Text(), "event=listening") {
-				told = true
-				close(listening)
-				if p.node.LogSink != LogRead {
-					break
-				}
-			}
-		}
-		if p.node.LogSink == LogClosed {
-			_ = stderr.Close() // it was opened here
-		}
-		if p.node.LogSink != LogRead { // Wait closes the pipe
-			_, _ = cmd.Process.Wait() // it tells how it ended, which nobody asks for here
-		}
-		err := cmd.Wait()
-		p.mu.Lock()
-		p.ended = err
-		p.mu.Unlock()
+		p.readLog(stderr, listening)
+		p.awaitExit(cmd, stderr)
 	}()
 	select {
 	case <-listening:
@@ -184,7 +171,37 @@
 	}
 }
 
-// signal sends a signal. A process that has ended takes none.
+// readLog keeps the lines that the process logs, and closes listening once it listens. It
+// returns at the end of the log, or then already if the log is not to be read any further.
+func (p *process) readLog(stderr io.Reader, listening chan<- struct{}) {
+	told := false
+	for s := bufio.NewScanner(stderr); s.Scan(); {
+		p.node.logged(s.Text())
+		if !told && strings.Contains(s.Text(), listeningEvent) {
+			told = true
+			close(listening)
+			if p.node.LogSink != LogRead {
+				return
+			}
+		}
+	}
+}
+
+// awaitExit waits until the process has ended, and keeps how.
+func (p *process) awaitExit(cmd *exec.Cmd, stderr io.Closer) {
+	if p.node.LogSink == LogClosed {
+		_ = stderr.Close() // it was opened here
+	}
+	if p.node.LogSink != LogRead { // cmd.Wait closes the pipe
+		_, _ = cmd.Process.Wait() // how it ended is not asked for in these cases
+	}
+	err := cmd.Wait()
+	p.mu.Lock()
+	p.ended = err
+	p.mu.Unlock()
+}
+
+// signal sends a signal. It fails for a process that has ended.
 func (p *process) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -195,7 +212,8 @@
 	return nil
 }
 
-// done is closed when the process has ended.
+// done returns a channel that is closed when the process has ended; nil before it is
+// launched.
 func (p *process) done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,8 +226,8 @@
 	<-p.done()
 }
 
-// stop sends SIGTERM, and SIGKILL when the platform may send it at the earliest. It
-// reports whether the process ended by itself.
+// stop sends SIGTERM, and SIGKILL at LongestStop after it, when the platform may send it at
+// the earliest. It reports whether the process ended before SIGKILL.
 func (p *process) stop() (byItself bool, err error) {
 	notice := time.Now()
 	if err := p.signal(syscall.SIGTERM); err != nil {
--- a/internal/faultsoak/relay.go
+++ b/internal/faultsoak/relay.go
@@ -32,7 +32,7 @@
 	target  string
 	mode    RelayMode
 	conns   map[net.Conn]bool
-	frozen  map[net.Conn]bool
+	frozen  map[net.Conn]bool // those of conns on which nothing passes any more
 	closed  bool
 }
 
@@ -58,7 +58,7 @@
 	return listener, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
 // SetMode changes what happens to what passes.
@@ -72,8 +72,8 @@
 	}
 }
 
-// Freeze has nothing pass on the connections that are open, for good, as where the other
-// end has gone without a word. New connections are passed on.
+// Freeze has nothing pass any more on the connections that are open, as if the other end
+// had vanished without closing them. New connections are passed on.
 func (r *Relay) Freeze() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,6 +110,7 @@
 	_ = conn.Close()
 }
 
+// accept forwards connections until the relay is closed.
 func (r *Relay) accept() {
 	for {
 		in, err := r.listener.Accept()
@@ -120,6 +121,7 @@
 	}
 }
 
+// forward connects to the target and passes on what arrives on either side.
 func (r *Relay) forward(in net.Conn) {
 	if !r.await() {
 		reset(in)
--- a/internal/faultsoak/reproduction_test.go
+++ b/internal/faultsoak/reproduction_test.go
@@ -93,7 +93,7 @@
 	at := b.signal(syscall.SIGSTOP)
 	f()
 	time.Sleep(time.Until(at.Add(d)))
-	b.history.Add(Event{Node: b.node.Name, Kind: Paused, At: at, Till: b.signal(syscall.SIGCONT)})
+	b.history.Add(Event{Node: b.node.Name, Kind: Paused, At: at, Until: b.signal(syscall.SIGCONT)})
 }
 
 // verdict fails the test for each broken rule.
--- a/internal/faultsoak/settings.go
+++ b/internal/faultsoak/settings.go
@@ -17,16 +17,17 @@
 	keyedWindow     = 8 * time.Second
 	drainGrace      = time.Second
 	answerSlack     = 60 * time.Millisecond
-	// LongestStop is when SIGKILL may come after SIGTERM: the longest deadline, at most
-	// 3 s, and 0.7 s.
-	LongestStop = 3700 * time.Millisecond
 )
 
-// DefaultTerms are the rules' figures of the settings that nodes are given.
+// LongestStop is how long after SIGTERM the platform sends SIGKILL at the earliest: the
+// longest deadline, which counts for at most 3 s, and 0.7 s.
+const LongestStop = 3700 * time.Millisecond
+
+// DefaultTerms are the figures of the rules in the settings that nodes are given.
 var DefaultTerms = Terms{Grace: drainGrace, AnswerSlack: answerSlack, Window: keyedWindow}
 
-// DefaultConfig is a configuration of the platform's form without addresses. Its
-// stop_ms is longer than the platform waits at the least.
+// DefaultConfig returns a configuration in the platform's form, without addresses. Its
+// stop_ms is longer than LongestStop.
 func DefaultConfig() (map[string]any, error) {
 	text := fmt.Sprintf(`{
   "seed": "8c1f30d27a5be964", "stop_ms": 6000,
--- a/internal/faultsoak/soak.go
+++ b/internal/faultsoak/soak.go
@@ -19,21 +19,21 @@
 	Seed     uint64
 	Nodes    int
 	Duration time.Duration // of the faults; the clients' last answers come after it
-	Binary   string
-	Dir      string
-	Env      []string
-	Faults   bool // Binary is of a build with faults
-	// Without names kinds of clients that are left out, so as to tell causes apart.
-	Without []string
+	Binary   string        // path of the program
+	Dir      string        // where each node gets a folder
+	Env      []string      // of the processes, beside that of this one
+	Faults   bool          // Binary is of a build with faults
+	Without  []string      // the behaviours of clients to leave out, so as to tell causes apart
 }
 
-// crowdEvery is of how many seeds one has crowds of clients that ask.
+// crowdEvery is how many seeds there are for each one with crowds of clients that ask.
 const crowdEvery = 3
 
+// crowded reports whether the seed has crowds of clients that ask.
 func (opt SoakOptions) crowded() bool { return opt.Seed%crowdEvery == 0 }
 
-// stopTimes are what stop_ms is, by seed: longer than the platform waits at the least, or
-// shorter.
+// stopTimes are the values of stop_ms, of which the seed chooses one: longer than
+// LongestStop, after which the platform may kill the process, or shorter.
 var stopTimes = []int{6000, 3300, 1900}
 
 // SoakResult is what a soak found.
@@ -52,11 +52,11 @@
 	return len(r.Violations)+len(r.Failures)+len(r.Reported) > 0
 }
 
-// soak is one at work.
+// soak is one that is under way.
 type soak struct {
 	opt     SoakOptions
 	history History
-	serial  atomic.Int64
+	serial  atomic.Int64 // numbers the requests
 
 	mu       sync.Mutex
 	failures []string
@@ -82,22 +82,12 @@
 	defer endAsking()
 	var operators, clients sync.WaitGroup
 	for i, n := range nodes {
-		draws := uint64(0)
-		rngs := func() *rand.Rand {
-			draws++
-			return rand.New(rand.NewPCG(opt.Seed, uint64(i)<<16|draws))
-		}
+		rngs := generators(opt.Seed, i)
 		p := &population{node: n, history: &s.history, serial: &s.serial, unanswered: make(chan Ask, maxUnanswered)}
 		o := &operator{node: n, history: &s.history, clients: p, crowds: opt.crowded(), fail: s.fail}
 		go o.watch(faults)
 		o.play(faults, rngs, &operators)
-		for _, b := range behaviours {
-			rng := rngs()
-			if slices.Contains(opt.Without, b.name) {
-				continue
-			}
-			clients.Go(func() { p.run(asking, b.do, rng) })
-		}
+		p.start(asking, opt.Without, rngs, &clients)
 	}
 	pause(ctx, opt.Duration)
 	endFaults()
@@ -110,12 +100,37 @@
 	return s.result(nodes), ctx.Err()
 }
 
+// generators returns a function that makes random generators for a node, one after the
+// other: the same ones for the same seed.
+func generators(seed uint64, node int) func() *rand.Rand {
+	const nodeShift = 16 // a node has fewer generators than 1 << nodeShift
+	made := uint64(0)
+	return func() *rand.Rand {
+		made++
+		return rand.New(rand.NewPCG(seed, uint64(node)<<nodeShift|made))
+	}
+}
+
+// start starts the clients of each behaviour, except those whose names are in without. They
+// end with ctx.
+func (p *population) start(ctx context.Context, without []string, rngs func() *rand.Rand, done *sync.WaitGroup) {
+	for _, b := range behaviours {
+		rng := rngs() // also for one that is left out, so that the others draw the same
+		if slices.Contains(without, b.name) {
+			continue
+		}
+		done.Go(func() { p.run(ctx, b.do, rng) })
+	}
+}
+
+// fail records a step of the soak that failed.
 func (s *soak) fail(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
+// start starts the nodes. It returns those that were started also with an error.
 func (s *soak) start() (nodes []*Node, err error) {
 	config, err := DefaultConfig()
 	if err != nil {
@@ -141,6 +156,13 @@
 	return nodes, nil
 }
 
+// ruleViolation and lateAnswer are parts of the lines that nodes log. The oracle judges late
+// answers itself, as their rule allows a share of them.
+const (
+	ruleViolation = "event=rule_violation"
+	lateAnswer    = "rule=late_answer"
+)
+
 // result judges the soak once clients and operators have ended.
 func (s *soak) result(nodes []*Node) SoakResult {
 	var runs []Run
@@ -150,7 +172,7 @@
 		runs = append(runs, n.Runs()...)
 		logs[n.Name] = n.Log()
 		for _, line := range logs[n.Name] {
-			if strings.Contains(line, "event=rule_violation") && !strings.Contains(line, "rule=late_answer") {
+			if strings.Contains(line, ruleViolation) && !strings.Contains(line, lateAnswer) {
 				reported = append(reported, n.Name+": "+line)
 			}
 		}
@@ -165,7 +187,7 @@
 	return result
 }
 
-// counts gives how many requests were asked and how often each event was played.
+// counts returns how many requests were sent and how often each event was played.
 func (h *History) counts() (requests int, events map[EventKind]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/faultsoak/systemfaults.go
+++ b/internal/faultsoak/systemfaults.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// systemLoop is what a node of a build with faults suffers beside.
+// systemLoop is one more loop for the nodes of a build with faults.
 var systemLoop = faultLoop{200 * time.Millisecond, 3 * time.Second, []fault{systemCallsFail, systemCallsFail, wallClockSteps}}
 
 // systemFaults lists how system calls fail, as Linux documents it. What fails for good
@@ -51,8 +51,8 @@
 // wallSteps are seconds by which Unix time may be off.
 var wallSteps = []int64{-3600, -60, -5, -1, 1, 5, 60, 3600}
 
-// tell gives the fault layer a plan. A node that stands still or is down takes none.
-func (o *operator) tell(plan FaultPlan) {
+// setFaults gives the fault layer a plan. A node that is paused or has ended takes none.
+func (o *operator) setFaults(plan FaultPlan) {
 	if o.node.SetFaults(plan) == nil {
 		o.record(SystemBad)
 	}
@@ -71,13 +71,13 @@
 	if o.node.Keys && rng.IntN(2) == 0 {
 		plan.Rules = append(plan.Rules, diskFaults[rng.IntN(len(diskFaults))])
 	}
-	o.tell(plan)
+	o.setFaults(plan)
 	pause(ctx, between(rng, 200*time.Millisecond, 3*time.Second))
-	o.tell(FaultPlan{WallSeconds: o.wallSeconds})
+	o.setFaults(FaultPlan{WallSeconds: o.wallSeconds})
 }
 
 // wallClockSteps steps the Unix time that the process sees.
 func wallClockSteps(_ context.Context, o *operator, rng *rand.Rand) {
 	o.wallSeconds = wallSteps[rng.IntN(len(wallSteps))]
-	o.tell(FaultPlan{WallSeconds: o.wallSeconds})
+	o.setFaults(FaultPlan{WallSeconds: o.wallSeconds})
 }
