--- a/cmd/fleet-experiment/failover.go
+++ b/cmd/fleet-experiment/failover.go
@@ -35,7 +35,7 @@
 
 func (c *failoverCmd) measure(fleet *fleettest.Fleet) error {
 	rng := rand.New(rand.NewPCG(c.Seed, 1))
-	if _, err := fleet.AwaitAct("the first act", 0, func(a fakes.Act) bool { return a.Accepted }); err != nil {
+	if _, err := fleet.AwaitAct("the first act", 0, func(a fakes.FencedWrite) bool { return a.Accepted }); err != nil {
 		return err
 	}
 	var times failoverTimes
@@ -60,14 +60,14 @@
 // replaceOwner ends the present owner, by SIGKILL or SIGSTOP, waits for the next
 // owner's first act, and brings the former one back. It returns the time between.
 func replaceOwner(fleet *fleettest.Fleet, kill bool) (time.Duration, error) {
-	acts, _ := fleet.Registry.Acts()
+	acts, _ := fleet.Registry.Writes()
 	owner := acts[len(acts)-1]
 	firstLine := len(fleet.Lines())
 	began := time.Now()
 	if err := endOwner(fleet, owner.By, kill); err != nil {
 		return 0, err
 	}
-	next, err := fleet.AwaitAct("the next owner's act", len(acts), func(a fakes.Act) bool {
+	next, err := fleet.AwaitAct("the next owner's act", len(acts), func(a fakes.FencedWrite) bool {
 		return a.Accepted && a.Token.Compare(owner.Token) > 0
 	})
 	if err != nil {
@@ -115,7 +115,7 @@
 
 // printActs counts the acts at the registry, and those that its fence had to refuse.
 func printActs(fleet *fleettest.Fleet) {
-	acts, _ := fleet.Registry.Acts()
+	acts, _ := fleet.Registry.Writes()
 	stale, refused := 0, 0
 	var highest lease.Token
 	for _, a := range acts {
--- a/cmd/quincerail/deployments_test.go
+++ b/cmd/quincerail/deployments_test.go
@@ -18,7 +18,7 @@
 }
 
 // ask sends a request of the deployment.
-func (d deployment) ask(t *testing.T, n *node, class, key, body string) *fakes.Try {
+func (d deployment) ask(t *testing.T, n *node, class, key, body string) *fakes.Attempt {
 	t.Helper()
 	try, err := fakes.ThriftWith(d.fields)(n.thrift, class, key, body)
 	must(t, 0, err)
@@ -26,7 +26,7 @@
 	return try
 }
 
-func outcomeOf(t *testing.T, try *fakes.Try) fakes.Outcome {
+func outcomeOf(t *testing.T, try *fakes.Attempt) fakes.Outcome {
 	t.Helper()
 	o, err := try.Outcome()
 	return must(t, o, err)
@@ -93,7 +93,7 @@
 		if call := <-n.ledger.Calls; call != "call hold" {
 			t.Fatal(call)
 		}
-		for body := ""; body != "hang on"; body = <-n.work.Begun() {
+		for body := ""; body != "hang on"; body = <-n.work.Started() {
 		}
 		loadSettings(t, n, string(routes), was, now, one)
 		checkServed(t, n, was, now, key+" new")
@@ -101,7 +101,7 @@
 		if o := outcomeOf(t, open); o.Body != "done: call hold" || n.work.Class("call hold") != was.keyed {
 			t.Errorf("what was open under %s: %v, run as %s", was.example, o, n.work.Class("call hold"))
 		}
-		hangs.GiveUp()
+		hangs.Cancel()
 		if body := <-n.work.Stopped(); body != "hang on" {
 			t.Errorf("%s was stopped", body)
 		}
--- a/cmd/quincerail/node_test.go
+++ b/cmd/quincerail/node_test.go
@@ -24,8 +24,8 @@
 	addresses map[string]any // of the configuration
 	work      *fakes.Work
 	processor *fakes.Processor
-	ledger    *fakes.Ledger
-	announce  *fakes.Announce
+	ledger    *fakes.Dependency
+	announce  *fakes.DiscoveryService
 	thrift    string // addresses
 	uwsgi     string
 	control   string
@@ -87,11 +87,11 @@
 	var err error
 	n.processor, err = fakes.NewProcessor(anyPort, n.work)
 	must(t, 0, err)
-	n.ledger, err = fakes.NewLedger(anyPort)
+	n.ledger, err = fakes.NewDependency(anyPort)
 	must(t, 0, err)
-	n.announce, err = fakes.NewAnnounce(anyPort)
+	n.announce, err = fakes.NewDiscoveryService(anyPort)
 	must(t, 0, err)
-	app, err := fakes.NewApp(anyPort, n.work)
+	app, err := fakes.NewUWSGIServer(anyPort, n.work)
 	must(t, 0, err)
 	n.addresses = map[string]any{
 		"listen": anyPort, "processor": n.processor.Addr(),
@@ -163,7 +163,7 @@
 	<-n.processor.Up()
 }
 
-func (n *node) ask(t *testing.T, caller fakes.Caller, address, class, key, body string) fakes.Outcome {
+func (n *node) ask(t *testing.T, caller fakes.Client, address, class, key, body string) fakes.Outcome {
 	t.Helper()
 	try, err := caller(address, class, key, body)
 	must(t, 0, err)
@@ -173,13 +173,13 @@
 }
 
 // startRun starts a node that is at work on a gift.
-func startRun(t *testing.T) (*node, *fakes.Try) {
+func startRun(t *testing.T) (*node, *fakes.Attempt) {
 	t.Helper()
 	n := start(t)
-	n.work.Took = 300 * time.Millisecond
+	n.work.Duration = 300 * time.Millisecond
 	try, err := fakes.Thrift(n.thrift, "ny-gava", "k", "gift")
 	must(t, 0, err)
 	must(t, 0, try.Send())
-	<-n.work.Begun()
+	<-n.work.Started()
 	return n, try
 }
--- a/cmd/quincerail/serving_test.go
+++ b/cmd/quincerail/serving_test.go
@@ -15,7 +15,7 @@
 func TestServes(t *testing.T) {
 	n := start(t)
 	for _, x := range []struct {
-		caller  fakes.Caller
+		caller  fakes.Client
 		address string
 		class   string
 		body    string
@@ -52,7 +52,7 @@
 	if got := n.ask(t, fakes.Thrift, n.thrift, "kampanjsida", "", "page"); got != served {
 		t.Errorf("in an outage: %v", got)
 	}
-	again, err := fakes.NewAnnounce(address)
+	again, err := fakes.NewDiscoveryService(address)
 	if err != nil {
 		t.Skipf("the port was taken meanwhile: %v", err)
 	}
@@ -66,7 +66,7 @@
 // over the next link, once.
 func TestLinkBreak(t *testing.T) {
 	n, try := startRun(t)
-	n.processor.Break()
+	n.processor.Disconnect()
 	if o, err := try.Outcome(); err != nil || o.Body != "done: gift" {
 		t.Errorf("%v, %v", o, err)
 	}
@@ -82,7 +82,7 @@
 	must(t, written, err)
 	r := bufio.NewReader(conn)
 	for seq := range int32(2) {
-		if reply, err := fakes.ReadReply(r); err != nil || reply.Seq != seq+1 || !reply.Good {
+		if reply, err := fakes.ReadReply(r); err != nil || reply.Seq != seq+1 || !reply.Healthy {
 			t.Errorf("%+v, %v", reply, err)
 		}
 	}
@@ -111,7 +111,7 @@
 // did not have. Without the folder, 17 of 40 ran twice (seen once).
 func TestKilledWhileGiving(t *testing.T) {
 	n := startOn(t, nil, "", "--keys", t.TempDir())
-	n.work.Took = 30 * time.Millisecond
+	n.work.Duration = 30 * time.Millisecond
 	rng := rand.New(rand.NewSource(11))
 	const gifts = 40
 	served := map[int]string{}
--- a/cmd/quincerail/signals_test.go
+++ b/cmd/quincerail/signals_test.go
@@ -28,11 +28,11 @@
 	}
 	must(t, 0, os.WriteFile(n.config, good, 0o600))
 
-	must(t, 0, n.processor.Move(anyPort))
-	ledger, err := fakes.NewLedger(anyPort)
+	must(t, 0, n.processor.Listen(anyPort))
+	ledger, err := fakes.NewDependency(anyPort)
 	must(t, 0, err)
 	defer ledger.Close()
-	announce, err := fakes.NewAnnounce(anyPort)
+	announce, err := fakes.NewDiscoveryService(anyPort)
 	must(t, 0, err)
 	defer announce.Close()
 	n.ledger.Close()
--- a/cmd/quincerail/versions_handover_test.go
+++ b/cmd/quincerail/versions_handover_test.go
@@ -68,8 +68,8 @@
 	door     os.FileInfo // the socket where the next process finds the last one
 	settings map[string]any
 	work     *fakes.Work // of all processors together
-	ledger   *fakes.Ledger
-	announce *fakes.Announce
+	ledger   *fakes.Dependency
+	announce *fakes.DiscoveryService
 
 	requests       []keyedRequest // all that were sent
 	served, resent atomic.Int64   // tries
@@ -91,14 +91,14 @@
 	s.socket, err = tcp.File()
 	must(t, 0, err)
 	t.Cleanup(func() { closeQuietly(s.socket) })
-	s.ledger, err = fakes.NewLedger(anyPort)
+	s.ledger, err = fakes.NewDependency(anyPort)
 	must(t, 0, err)
 	t.Cleanup(s.ledger.Close)
-	s.announce, err = fakes.NewAnnounce(anyPort)
+	s.announce, err = fakes.NewDiscoveryService(anyPort)
 	must(t, 0, err)
 	t.Cleanup(s.announce.Close)
 	go func() { // Work holds few of those that nobody takes
-		for range s.work.Begun() {
+		for range s.work.Started() {
 		}
 	}()
 	return s
--- a/cmd/quincerail/versions_voters_test.go
+++ b/cmd/quincerail/versions_voters_test.go
@@ -275,7 +275,7 @@
 
 // lastOwner is who acted last at the registry.
 func (f *versionsFleet) lastOwner() string {
-	acts, _ := f.Registry.Acts()
+	acts, _ := f.Registry.Writes()
 	if len(acts) == 0 {
 		return ""
 	}
@@ -285,8 +285,8 @@
 // awaitAct waits until the registry accepts an act that comes from now on.
 func (f *versionsFleet) awaitAct(what string) {
 	f.t.Helper()
-	acts, _ := f.Registry.Acts()
-	_, err := f.AwaitAct(what, len(acts), func(a fakes.Act) bool { return a.Accepted })
+	acts, _ := f.Registry.Writes()
+	_, err := f.AwaitAct(what, len(acts), func(a fakes.FencedWrite) bool { return a.Accepted })
 	must(f.t, 0, err)
 }
 
@@ -335,7 +335,7 @@
 		one, two, three := f.free("v1"), f.free("v2"), f.free("v3")
 		return fmt.Sprint(one, two, three), fmt.Sprint(one) == fmt.Sprint(two) && fmt.Sprint(two) == fmt.Sprint(three)
 	})
-	if _, most := f.Ledger.Repeats(time.Second - repeatJitter); most > budgetRepeats {
+	if _, most := f.Ledger.Retries(time.Second - repeatJitter); most > budgetRepeats {
 		f.t.Errorf("%d repeats in a second, the budget is %d", most, budgetRepeats)
 	}
 }
@@ -377,7 +377,7 @@
 
 // report logs the figures of the test.
 func (f *versionsFleet) report(took time.Duration) {
-	acts, _ := f.Registry.Acts()
+	acts, _ := f.Registry.Writes()
 	var owners []string
 	for _, a := range acts {
 		if a.Accepted && (len(owners) == 0 || owners[len(owners)-1] != a.By) {
@@ -388,7 +388,7 @@
 	for _, requests := range f.keyed {
 		keys += len(requests)
 	}
-	repeats, _ := f.Ledger.Repeats(time.Second)
+	repeats, _ := f.Ledger.Retries(time.Second)
 	_, calls, _ := f.Ledger.Count()
 	f.t.Logf("replacements %d, acts %d, owners in turn %s, tokens %v to %v, keys %d, in flight at SIGTERM %d, calls %d (at most %d of %d in hand), "+
 		"repeats %d, rights settled after %v, took %v", f.replaced, len(acts), strings.Join(owners, " "), acts[0].Token, acts[len(acts)-1].Token,
--- a/example/client/main.go
+++ b/example/client/main.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func run(caller fakes.Caller, address, class, key, body string) error {
+func run(caller fakes.Client, address, class, key, body string) error {
 	began := time.Now()
 	try, err := caller(address, class, key, body)
 	if err != nil {
--- a/example/dependencies/main.go
+++ b/example/dependencies/main.go
@@ -23,13 +23,13 @@
 	if _, err := fakes.NewProcessor("127.0.0.1:9300", work); err != nil {
 		return err
 	}
-	if _, err := fakes.NewLedger("127.0.0.1:7700"); err != nil {
+	if _, err := fakes.NewDependency("127.0.0.1:7700"); err != nil {
 		return err
 	}
-	if _, err := fakes.NewApp("127.0.0.1:3032", work); err != nil {
+	if _, err := fakes.NewUWSGIServer("127.0.0.1:3032", work); err != nil {
 		return err
 	}
-	announce, err := fakes.NewAnnounce("127.0.0.1:8500")
+	announce, err := fakes.NewDiscoveryService("127.0.0.1:8500")
 	if err != nil {
 		return err
 	}
@@ -37,7 +37,7 @@
 	last := ""
 	for {
 		select {
-		case body := <-work.Begun():
+		case body := <-work.Started():
 			fmt.Println("begun:", body)
 		case body := <-work.Stopped():
 			fmt.Println("stopped:", body)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -81,12 +81,12 @@
 }
 
 // after waits for an act that the registry accepted under a higher token.
-func (r run) after(t lease.Token) fakes.Act {
+func (r run) after(t lease.Token) fakes.FencedWrite {
 	r.t.Helper()
-	return r.act(fmt.Sprintf("an act above %v", t), func(a fakes.Act) bool { return a.Accepted && a.Token.Compare(t) > 0 })
+	return r.act(fmt.Sprintf("an act above %v", t), func(a fakes.FencedWrite) bool { return a.Accepted && a.Token.Compare(t) > 0 })
 }
 
-func (r run) act(what string, is func(fakes.Act) bool) fakes.Act {
+func (r run) act(what string, is func(fakes.FencedWrite) bool) fakes.FencedWrite {
 	r.t.Helper()
 	a, err := r.AwaitAct(what, 0, is)
 	if err != nil {
@@ -131,7 +131,9 @@
 	r.line(from, old.By, "fleet_publish_failed", nil) // it gave up waiting for an act that is on the way
 	r.signal(old.By, syscall.SIGSTOP)
 	now := r.after(old.Token)
-	r.act("the late act", func(a fakes.Act) bool { return a.By == old.By && a.Token == old.Token && !a.Accepted && a.Why != "" })
+	r.act("the late act", func(a fakes.FencedWrite) bool {
+		return a.By == old.By && a.Token == old.Token && !a.Accepted && a.Reason != ""
+	})
 	r.signal(old.By, syscall.SIGCONT)
 	r.hears(old.By, "lease", now.Token)
 	r.hears("m1", "dependency_health_changed", now.Token)
@@ -168,17 +170,17 @@
 	side := func(name string) bool { return name == old.By || name == other }
 	from := len(r.Lines())
 	r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind != "publish" && side(p.From) != side(p.To) })
-	now := r.act("an act of the others' side", func(a fakes.Act) bool {
+	now := r.act("an act of the others' side", func(a fakes.FencedWrite) bool {
 		return a.Accepted && !side(a.By) && a.Token.Compare(old.Token) > 0
 	})
 	r.line(from, old.By, "lease_lapsed", nil)
-	acts, _ := r.Registry.Acts()
+	acts, _ := r.Registry.Writes()
 	for range 30 { // of the majority's owner
 		n := len(acts)
-		if _, err := r.AwaitAct("more acts", n, func(a fakes.Act) bool { return a.Accepted }); err != nil {
+		if _, err := r.AwaitAct("more acts", n, func(a fakes.FencedWrite) bool { return a.Accepted }); err != nil {
 			t.Fatal(err)
 		}
-		acts, _ = r.Registry.Acts()
+		acts, _ = r.Registry.Writes()
 	}
 	for _, a := range acts {
 		if a.Accepted && a.Token.Compare(now.Token) >= 0 && side(a.By) {
@@ -201,7 +203,7 @@
 		func(p *faultproxy.Link, owner string) bool { return p.To == owner },
 	} {
 		r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind == "raft" && picks(p, old.By) })
-		now := r.act("another owner", func(a fakes.Act) bool {
+		now := r.act("another owner", func(a fakes.FencedWrite) bool {
 			return a.Accepted && a.By != old.By && a.Token.Compare(old.Token) > 0
 		})
 		r.Net.Heal()
@@ -323,7 +325,7 @@
 	r.Net.Heal()
 	r.quotaCommand("the settlement of the old incarnation", from, "settle", "")
 	r.served("settled", 300)
-	all, most := r.Ledger.Repeats(time.Second - onTheWay)
+	all, most := r.Ledger.Retries(time.Second - onTheWay)
 	t.Logf("%d repeats, at most %d in a second", all, most)
 	if most > repeats || all < 3*repeats {
 		t.Errorf("%d repeats in a second of %d, %d in all", most, repeats, all)
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -64,7 +64,7 @@
 	}
 	o.Work = func() *fakes.Work {
 		w := fakes.NewWork(2 * time.Millisecond)
-		w.Thousandths, w.Slow = 400, 60*time.Millisecond
+		w.SlowPerThousand, w.SlowDuration = 400, 60*time.Millisecond
 		return w
 	}
 	return startFleet(t, o)
--- a/fleet/voters_test.go
+++ b/fleet/voters_test.go
@@ -55,13 +55,13 @@
 // on, while the others act.
 func (r run) ownsNothing(gone string, from int) {
 	r.t.Helper()
-	acts, _ := r.Registry.Acts()
+	acts, _ := r.Registry.Writes()
 	for range 30 {
 		n := len(acts)
-		if _, err := r.AwaitAct("more acts", n, func(a fakes.Act) bool { return a.Accepted && a.By != gone }); err != nil {
+		if _, err := r.AwaitAct("more acts", n, func(a fakes.FencedWrite) bool { return a.Accepted && a.By != gone }); err != nil {
 			r.t.Fatal(err)
 		}
-		acts, _ = r.Registry.Acts()
+		acts, _ = r.Registry.Writes()
 	}
 	for _, l := range r.Lines()[from:] {
 		if l.Event == "lease" && l.Fields["to"] == gone && l.Child != gone {
@@ -91,7 +91,7 @@
 	if err := r.Kill(gone); err != nil {
 		t.Fatal(err)
 	}
-	old := r.act("another owner", func(a fakes.Act) bool { return a.Accepted && a.By != gone && a.Token.Compare(first.Token) > 0 })
+	old := r.act("another owner", func(a fakes.FencedWrite) bool { return a.Accepted && a.By != gone && a.Token.Compare(first.Token) > 0 })
 	if out, err := r.operator(stay[0], "voters remove", "--name", gone); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -100,8 +100,8 @@
 	if err := r.Kill(dead); err != nil {
 		t.Fatal(err)
 	}
-	acts, _ := r.Registry.Acts()
-	next, err := r.AwaitAct("acts of two of three", len(acts), func(a fakes.Act) bool { return a.Accepted && a.By != dead })
+	acts, _ := r.Registry.Writes()
+	next, err := r.AwaitAct("acts of two of three", len(acts), func(a fakes.FencedWrite) bool { return a.Accepted && a.By != dead })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/frontend/thrift/connection_test.go
+++ b/frontend/thrift/connection_test.go
@@ -36,7 +36,7 @@
 		go func() {
 			_ = c.conn.Serve(func(r *bufio.Reader) error { _, err := r.ReadByte(); return err })
 		}()
-		if reply, err := fakes.ReadReply(bufio.NewReader(caller)); err != nil || reply.Which != 2 {
+		if reply, err := fakes.ReadReply(bufio.NewReader(caller)); err != nil || reply.ResultField != 2 {
 			t.Errorf("%+v, %v, want Fault", reply, err)
 		}
 	})
--- a/internal/fakes/callers.go
+++ b/internal/fakes/clients.go
@@ -19,91 +19,91 @@
 // the tests.
 const answerTimeout = 20 * time.Second
 
-// Outcome is what a caller was told.
+// Outcome is the answer that a client got.
 type Outcome struct {
 	Kind string // served, refused, failed, rejected
 	Body string // served
 }
 
-// Try is one try of a request on a connection of its own. Send may be called
-// with parts of the request, so that it is half read in between.
-type Try struct {
-	conn net.Conn
-	r    *bufio.Reader
-	rest []byte
-	door []byte // part of rest: the time of arrival, written when the last byte is sent
-	read func(*bufio.Reader) (Outcome, error)
-	gone func(net.Conn)
+// Attempt is one attempt of a request, on a connection of its own. It can be sent in two
+// parts, so that the server has read a half of it in between.
+type Attempt struct {
+	conn        net.Conn
+	r           *bufio.Reader
+	unsent      []byte
+	arrivalTime []byte // part of unsent: set when the last byte is sent
+	readOutcome func(*bufio.Reader) (Outcome, error)
+	cancel      func(net.Conn)
 }
 
-// Caller makes tries over one front.
-type Caller func(address, class, key, body string) (*Try, error)
+// Client makes attempts over one frontend.
+type Client func(address, class, key, body string) (*Attempt, error)
 
 // Send sends all that has not been sent.
-func (t *Try) Send() error {
-	copy(t.door, door())
-	_, err := t.conn.Write(t.rest)
-	t.rest = nil
+func (t *Attempt) Send() error {
+	copy(t.arrivalTime, arrivalTime())
+	_, err := t.conn.Write(t.unsent)
+	t.unsent = nil
 	return err
 }
 
 // SendHalf sends the first half of what has not been sent.
-func (t *Try) SendHalf() error {
-	n := len(t.rest) / 2
-	_, err := t.conn.Write(t.rest[:n])
-	t.rest = t.rest[n:]
+func (t *Attempt) SendHalf() error {
+	n := len(t.unsent) / 2
+	_, err := t.conn.Write(t.unsent[:n])
+	t.unsent = t.unsent[n:]
 	return err
 }
 
 // Outcome waits for the answer, and closes the connection.
-func (t *Try) Outcome() (Outcome, error) {
+func (t *Attempt) Outcome() (Outcome, error) {
 	defer closeIgnoringError(t.conn)
 	if err := t.conn.SetReadDeadline(time.Now().Add(answerTimeout)); err != nil {
 		return Outcome{}, err
 	}
-	return t.read(t.r)
+	return t.readOutcome(t.r)
 }
 
-// GiveUp tells, in the way of the protocol, that nobody waits any more.
-func (t *Try) GiveUp() { t.gone(t.conn) }
+// Cancel gives the request up in the way of the protocol.
+func (t *Attempt) Cancel() { t.cancel(t.conn) }
 
-// Break ends the connection without a word.
-func (t *Try) Break() { closeIgnoringError(t.conn) }
+// Disconnect closes the connection.
+func (t *Attempt) Disconnect() { closeIgnoringError(t.conn) }
 
-func try(address string, request []byte) (*Try, error) {
+func dial(address string, request []byte) (*Attempt, error) {
 	var dialer net.Dialer
 	nc, err := dialer.DialContext(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &Try{conn: nc, r: bufio.NewReader(nc), rest: request}, nil
+	return &Attempt{conn: nc, r: bufio.NewReader(nc), unsent: request}, nil
 }
 
 // Thrift is a caller that speaks the balancers' protocol.
-func Thrift(address, class, key, body string) (*Try, error) {
-	return thriftTry(address, class, key, body, nil)
+func Thrift(address, class, key, body string) (*Attempt, error) {
+	return thriftAttempt(address, class, key, body, nil)
 }
 
 // ThriftWith gives one whose requests carry further fields, or others.
-func ThriftWith(further map[string]string) Caller {
-	return func(address, class, key, body string) (*Try, error) {
-		return thriftTry(address, class, key, body, further)
+func ThriftWith(further map[string]string) Client {
+	return func(address, class, key, body string) (*Attempt, error) {
+		return thriftAttempt(address, class, key, body, further)
 	}
 }
 
-func thriftTry(address, class, key, body string, further map[string]string) (*Try, error) {
+func thriftAttempt(address, class, key, body string, further map[string]string) (*Attempt, error) {
 	fields := map[string]string{"verb": class, "txn": NewID(), "lb": "1", "ram": "20", "standing": "0.5"}
 	if key != "" {
 		fields["unique"] = key
 	}
 	maps.Copy(fields, further)
-	t, err := try(address, AppendExecute(nil, 1, fields, []byte(body)))
+	t, err := dial(address, AppendExecute(nil, 1, fields, []byte(body)))
 	if err != nil {
 		return nil, err
 	}
-	end := len(t.rest) - 1 // the struct's end
-	t.door = t.rest[end-len(door()) : end]
-	t.read = func(r *bufio.Reader) (Outcome, error) {
+	end := len(t.unsent) - 1 // the struct's end
+	t.arrivalTime = t.unsent[end-len(arrivalTime()) : end]
+	t.readOutcome = func(r *bufio.Reader) (Outcome, error) {
 		for {
 			reply, err := ReadReply(r)
 			if err != nil || reply.Name == "execute" {
@@ -111,12 +111,12 @@
 			}
 		}
 	}
-	t.gone = func(nc net.Conn) { send(nc, "%s", AppendInterrupt(nil, 1)) }
+	t.cancel = func(nc net.Conn) { send(nc, "%s", AppendInterrupt(nil, 1)) }
 	return t, nil
 }
 
 // UWSGI is a caller that speaks uwsgi. It asks for the path /CLASS.
-func UWSGI(address, class, key, body string) (*Try, error) {
+func UWSGI(address, class, key, body string) (*Attempt, error) {
 	vars := []uwsgi.Var{{Name: "REQUEST_METHOD", Value: "POST"}, {Name: "PATH_INFO", Value: "/" + class}}
 	if key != "" {
 		vars = append(vars, uwsgi.Var{Name: "HTTP_IDEMPOTENCY_KEY", Value: key})
@@ -125,11 +125,11 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := try(address, request)
+	t, err := dial(address, request)
 	if err != nil {
 		return nil, err
 	}
-	t.read = func(r *bufio.Reader) (Outcome, error) {
+	t.readOutcome = func(r *bufio.Reader) (Outcome, error) {
 		resp, err := uwsgi.ReadResponse(r, "POST")
 		if err != nil {
 			return Outcome{}, err
@@ -137,13 +137,13 @@
 		later := slices.ContainsFunc(resp.Headers, func(h uwsgi.Var) bool { return h.Name == "Retry-After" })
 		return httpOutcome(resp.Status, later, string(resp.Body))
 	}
-	t.gone = func(nc net.Conn) { closeIgnoringError(nc) }
+	t.cancel = func(nc net.Conn) { closeIgnoringError(nc) }
 	return t, nil
 }
 
 // HTTP is a caller that speaks HTTP/1.1. It posts to the path /CLASS, with the
 // key in the header Idempotency-Key.
-func HTTP(address, class, key, body string) (*Try, error) {
+func HTTP(address, class, key, body string) (*Attempt, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST /%s HTTP/1.1\r\nHost: %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n",
 		class, address, len(body))
@@ -151,11 +151,11 @@
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", key)
 	}
 	fmt.Fprintf(&b, "\r\n%s", body)
-	t, err := try(address, []byte(b.String()))
+	t, err := dial(address, []byte(b.String()))
 	if err != nil {
 		return nil, err
 	}
-	t.read = func(r *bufio.Reader) (Outcome, error) {
+	t.readOutcome = func(r *bufio.Reader) (Outcome, error) {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
 			return Outcome{}, err
@@ -167,7 +167,7 @@
 		}
 		return httpOutcome(resp.StatusCode, resp.Header.Get("Retry-After") != "", string(text))
 	}
-	t.gone = func(nc net.Conn) { closeIgnoringError(nc) }
+	t.cancel = func(nc net.Conn) { closeIgnoringError(nc) }
 	return t, nil
 }
 
--- a/internal/fakes/machine.go
+++ b/internal/fakes/machine.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Machine stands in for what lies below a service's handlers, a database say:
+// Machine is a fake of what a service's handlers wait for, a database say:
 // cores that share their time among what runs on them, and that get less done
 // in total once more than ThrashAt runs a core are on them, Thrash of their
 // speed less for each further run a core (at least a tenth is left). Do waits,
--- a/internal/fakes/processor.go
+++ b/internal/fakes/processor.go
@@ -16,26 +16,26 @@
 // as at work.
 const usagesUntilUp = 3
 
-// Processor stands in for the processor.
+// Processor is a fake of the processor.
 type Processor struct {
-	work     *Work
-	listener net.Listener // the newest
-	born     time.Time
-	up       chan struct{}
-
-	mu      sync.Mutex
-	link    net.Conn
-	notices []string // as sent; number n is at n-1
-	runs    map[string]*run
-	running int
-	usages  int
+	work      *Work
+	listener  net.Listener // the newest
+	startedAt time.Time
+	up        chan struct{}
+
+	mu            sync.Mutex
+	link          net.Conn
+	notices       []string // as sent; number n is at n-1
+	runs          map[string]*run
+	running       int
+	gaugeRequests int
 }
 
 type run struct {
-	body  string
-	asks  bool
-	timer *time.Timer
-	over  bool
+	body       string
+	awaitsCall bool
+	timer      *time.Timer
+	completed  bool
 }
 
 // NewProcessor starts a processor that does some work.
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("processor: %w", err)
 	}
-	p := &Processor{work: work, listener: l, born: time.Now(), up: make(chan struct{}), runs: make(map[string]*run)}
+	p := &Processor{work: work, listener: l, startedAt: time.Now(), up: make(chan struct{}), runs: make(map[string]*run)}
 	go accept(l, p.serve)
 	return p, nil
 }
@@ -56,9 +56,9 @@
 // again and again.
 func (p *Processor) Up() <-chan struct{} { return p.up }
 
-// Move has it listen at a new address, and no more at the old one. The link that
+// Listen has it listen at a new address, and no more at the old one. The link that
 // is open goes on until the app server opens the next.
-func (p *Processor) Move(address string) error {
+func (p *Processor) Listen(address string) error {
 	l, err := listen(address)
 	if err != nil {
 		return fmt.Errorf("processor: %w", err)
@@ -72,11 +72,11 @@
 // Close ends it.
 func (p *Processor) Close() {
 	closeIgnoringError(p.listener)
-	p.Break()
+	p.Disconnect()
 }
 
-// Break breaks the link. Runs continue.
-func (p *Processor) Break() {
+// Disconnect breaks the link. Runs continue.
+func (p *Processor) Disconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.link != nil {
@@ -108,7 +108,7 @@
 	case "hello":
 		p.connect(nc, id)
 	case "begin":
-		p.work.came(body, words[2])
+		p.work.recordClass(body, words[2])
 		p.begin(id, body)
 	case "interrupt":
 		p.cancel(id)
@@ -119,7 +119,7 @@
 	case "without":
 		p.endCall(id, "without")
 	case "usage":
-		if p.usages++; p.usages == usagesUntilUp {
+		if p.gaugeRequests++; p.gaugeRequests == usagesUntilUp {
 			close(p.up)
 		}
 		send(nc, "used %s 0.1 %d 0.1 1\r\n", id, p.running)
@@ -132,7 +132,7 @@
 func (p *Processor) connect(nc net.Conn, lastNotice string) {
 	last, _ := strconv.Atoi(lastNotice) // 0 for what is no number
 	p.link = nc
-	send(nc, "hi old %d\r\n", time.Since(p.born).Milliseconds())
+	send(nc, "hi old %d\r\n", time.Since(p.startedAt).Milliseconds())
 	for _, n := range p.notices[min(last, len(p.notices)):] {
 		send(nc, "%s", n)
 	}
@@ -140,7 +140,7 @@
 
 // cancel stops a run.
 func (p *Processor) cancel(id string) {
-	if r := p.runs[id]; r != nil && !r.over {
+	if r := p.runs[id]; r != nil && !r.completed {
 		p.work.stopped(r.body)
 		p.complete(id, r, "cut", nil)
 	}
@@ -150,17 +150,17 @@
 // false if the run does not wait for one.
 func (p *Processor) endCall(id, reply string) bool {
 	r := p.runs[id]
-	if r == nil || !r.asks {
+	if r == nil || !r.awaitsCall {
 		return false
 	}
-	r.asks = false
+	r.awaitsCall = false
 	p.complete(id, r, "good", []byte(reply))
 	return true
 }
 
 func (p *Processor) begin(id, body string) {
 	if r := p.runs[id]; r != nil {
-		if r.over {
+		if r.completed {
 			p.notice("complete %d "+id+" gone 0 0\r\n", []byte{})
 		}
 		return
@@ -168,18 +168,18 @@
 	r := &run{body: body}
 	p.runs[id] = r
 	p.running++
-	switch p.work.begin(body) {
+	switch p.work.start(body) {
 	case "fail":
 		p.complete(id, r, "bad", nil)
 	case "hang":
 	case "call":
-		r.asks = true
+		r.awaitsCall = true
 		p.notice(fmt.Sprintf("ask %%d %s %d\r\n", id, len(body)), []byte(body))
 	default:
 		r.timer = time.AfterFunc(p.work.time(body), func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			if !r.over {
+			if !r.completed {
 				p.complete(id, r, "good", []byte(Result(body)))
 			}
 		})
@@ -187,7 +187,7 @@
 }
 
 func (p *Processor) complete(id string, r *run, end string, result []byte) {
-	r.over = true
+	r.completed = true
 	p.running--
 	p.notice(fmt.Sprintf("complete %%d %s %s 1 %d\r\n", id, end, len(result)), append([]byte{}, result...))
 }
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -9,17 +9,17 @@
 	"quincerail.example/quincerail/fleet/lease"
 )
 
-// Act is a piece of fleet work that a receiver was handed.
-type Act struct {
+// FencedWrite is a piece of fleet work that a receiver was handed.
+type FencedWrite struct {
 	Lease    string
 	Token    lease.Token
 	By       string
 	At       time.Time
 	Accepted bool
-	Why      string // of a refusal
+	Reason   string // of a refusal
 }
 
-// Registry stands in for the operator's registry, a receiver of fleet work: an
+// Registry is a fake of the operator's registry, a receiver of fenced writes: an
 // HTTP server that takes judgements (PUT, a JSON body) and refuses those whose
 // token is lower than one it has seen, with 409 and the reason.
 type Registry struct {
@@ -28,7 +28,7 @@
 	fence  lease.Fence
 
 	mu      sync.Mutex
-	acts    []Act
+	writes  []FencedWrite
 	changed chan struct{} // closed and made anew at each act
 }
 
@@ -61,26 +61,26 @@
 		http.Error(w, "a judgement wanted", http.StatusBadRequest)
 		return
 	}
-	a := Act{Lease: j.Lease, Token: j.Token, By: j.By, At: time.Now(), Accepted: true}
+	a := FencedWrite{Lease: j.Lease, Token: j.Token, By: j.By, At: time.Now(), Accepted: true}
 	r.mu.Lock() // what it records is in the order in which the fence saw it
 	if err := r.fence.Admit(j.Lease, j.Token); err != nil {
-		a.Accepted, a.Why = false, err.Error()
+		a.Accepted, a.Reason = false, err.Error()
 	}
-	r.acts = append(r.acts, a)
+	r.writes = append(r.writes, a)
 	close(r.changed)
 	r.changed = make(chan struct{})
 	r.mu.Unlock()
 	if !a.Accepted {
-		http.Error(w, a.Why, http.StatusConflict)
+		http.Error(w, a.Reason, http.StatusConflict)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Acts gives what it was handed so far, in order, and a channel that is closed
+// Writes gives what it was handed so far, in order, and a channel that is closed
 // when there is more.
-func (r *Registry) Acts() ([]Act, <-chan struct{}) {
+func (r *Registry) Writes() ([]FencedWrite, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.acts[:len(r.acts):len(r.acts)], r.changed
+	return r.writes[:len(r.writes):len(r.writes)], r.changed
 }
--- a/internal/fakes/services.go
+++ b/internal/fakes/services.go
@@ -12,20 +12,20 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// Ledger stands in for the ledger. It answers a call by its body's second
+// Dependency is a fake of the shared dependency. It answers a call by its body's second
 // word: full, error, expired or moot, hold (no reply until Release), break (it closes
 // the connection), else posted with Result(body).
-type Ledger struct {
-	listener net.Listener
-	Calls    chan string // bodies
-	Given    chan string // ids of calls that were given up
+type Dependency struct {
+	listener  net.Listener
+	Calls     chan string // bodies
+	Abandoned chan string // ids of calls that were given up
 
 	mu   sync.Mutex
 	held []func() // replies to calls that are held
 }
 
 // Release replies to the calls that are held.
-func (s *Ledger) Release() {
+func (s *Dependency) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, reply := range s.held {
@@ -34,24 +34,24 @@
 	s.held = nil
 }
 
-// NewLedger starts a ledger.
-func NewLedger(address string) (*Ledger, error) {
+// NewDependency starts a ledger.
+func NewDependency(address string) (*Dependency, error) {
 	l, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
-	s := &Ledger{listener: l, Calls: make(chan string, 1024), Given: make(chan string, 1024)}
+	s := &Dependency{listener: l, Calls: make(chan string, 1024), Abandoned: make(chan string, 1024)}
 	go accept(l, s.serve)
 	return s, nil
 }
 
 // Addr is where it listens.
-func (s *Ledger) Addr() string { return s.listener.Addr().String() }
+func (s *Dependency) Addr() string { return s.listener.Addr().String() }
 
 // Close ends it.
-func (s *Ledger) Close() { closeIgnoringError(s.listener) }
+func (s *Dependency) Close() { closeIgnoringError(s.listener) }
 
-func (s *Ledger) serve(nc net.Conn) {
+func (s *Dependency) serve(nc net.Conn) {
 	r := bufio.NewReaderSize(nc, 16<<10)
 	for {
 		words, body, err := lines.Read(r, func(w []string) bool { return w[0] == "post" })
@@ -59,7 +59,7 @@
 			return
 		}
 		if words[0] == "abandon" {
-			s.Given <- words[1]
+			s.Abandoned <- words[1]
 			continue
 		}
 		_, how, _ := strings.Cut(string(body), " ")
@@ -87,8 +87,8 @@
 	}
 }
 
-// Announce stands in for the announce service.
-type Announce struct {
+// DiscoveryService is a fake of the discovery service.
+type DiscoveryService struct {
 	listener net.Listener
 	Reports  chan string // path and body of each report
 
@@ -96,22 +96,22 @@
 	conns []net.Conn
 }
 
-// NewAnnounce starts an announce service.
-func NewAnnounce(address string) (*Announce, error) {
+// NewDiscoveryService starts an announce service.
+func NewDiscoveryService(address string) (*DiscoveryService, error) {
 	l, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("announce: %w", err)
 	}
-	s := &Announce{listener: l, Reports: make(chan string, 1024)}
+	s := &DiscoveryService{listener: l, Reports: make(chan string, 1024)}
 	go accept(l, s.serve)
 	return s, nil
 }
 
 // Addr is where it listens.
-func (s *Announce) Addr() string { return s.listener.Addr().String() }
+func (s *DiscoveryService) Addr() string { return s.listener.Addr().String() }
 
 // Close ends it, with its connections.
-func (s *Announce) Close() {
+func (s *DiscoveryService) Close() {
 	closeIgnoringError(s.listener)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,7 @@
 	}
 }
 
-func (s *Announce) serve(nc net.Conn) {
+func (s *DiscoveryService) serve(nc net.Conn) {
 	s.mu.Lock()
 	s.conns = append(s.conns, nc)
 	s.mu.Unlock()
--- a/internal/fakes/thrift.go
+++ b/internal/fakes/thrift.go
@@ -21,8 +21,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// door is the present time as the field of that name has it.
-func door() string { return strconv.FormatInt(time.Now().UnixMilli(), 10) }
+// arrivalTime is the present time as the field of that name has it.
+func arrivalTime() string { return strconv.FormatInt(time.Now().UnixMilli(), 10) }
 
 // AppendExecute appends a call of execute that arrives now. The field door is
 // the last thing in it but for the end.
@@ -33,7 +33,7 @@
 	for name, value := range fields {
 		args = appendString(appendString(args, name), value)
 	}
-	args = appendString(appendString(args, "door"), door())
+	args = appendString(appendString(args, "door"), arrivalTime())
 	return appendMessage(to, thrift.Call, "execute", seq, args)
 }
 
@@ -77,13 +77,13 @@
 
 // Reply is a message from the app server.
 type Reply struct {
-	Type   thrift.MessageType
-	Name   string
-	Seq    int32
-	Which  int16 // field of the result: 0 Answer, 1 Shed, 2 Fault
-	Body   string
-	Fields map[string]string
-	Good   bool
+	Type        thrift.MessageType
+	Name        string
+	Seq         int32
+	ResultField int16 // field of the result: 0 Answer, 1 Shed, 2 Fault
+	Body        string
+	Fields      map[string]string
+	Healthy     bool
 }
 
 // Outcome says what an execute's reply means.
@@ -91,9 +91,9 @@
 	switch {
 	case r.Type == thrift.Exception:
 		return Outcome{Kind: "rejected"}
-	case r.Which == 2:
+	case r.ResultField == 2:
 		return Outcome{Kind: "failed"}
-	case r.Which == 1:
+	case r.ResultField == 1:
 		return Outcome{Kind: "refused"}
 	}
 	return Outcome{"served", r.Body}
@@ -135,7 +135,7 @@
 	if kind := take(1)[0]; kind != 12 {
 		return reply, errReply
 	}
-	reply.Which = int16(binary.BigEndian.Uint16(take(2)))
+	reply.ResultField = int16(binary.BigEndian.Uint16(take(2)))
 	reply.Fields = make(map[string]string)
 	for kind := take(1)[0]; kind != 0; kind = take(1)[0] {
 		take(2)
@@ -149,7 +149,7 @@
 				reply.Fields[name] = text()
 			}
 		case 2:
-			reply.Good = take(1)[0] != 0
+			reply.Healthy = take(1)[0] != 0
 		default:
 			return reply, errReply
 		}
--- a/internal/fakes/app.go
+++ b/internal/fakes/uwsgi_server.go
@@ -9,30 +9,30 @@
 	"quincerail.example/quincerail/protocol/uwsgi"
 )
 
-// App stands in for a uwsgi application server.
-type App struct {
+// UWSGIServer is a fake of a uwsgi application server.
+type UWSGIServer struct {
 	work     *Work
 	listener net.Listener
 }
 
-// NewApp starts a uwsgi application server that does some work.
-func NewApp(address string, work *Work) (*App, error) {
+// NewUWSGIServer starts a uwsgi application server that does some work.
+func NewUWSGIServer(address string, work *Work) (*UWSGIServer, error) {
 	l, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("uwsgi app: %w", err)
 	}
-	a := &App{work: work, listener: l}
+	a := &UWSGIServer{work: work, listener: l}
 	go accept(l, a.serve)
 	return a, nil
 }
 
 // Addr is where it listens.
-func (a *App) Addr() string { return a.listener.Addr().String() }
+func (a *UWSGIServer) Addr() string { return a.listener.Addr().String() }
 
 // Close ends it.
-func (a *App) Close() { closeIgnoringError(a.listener) }
+func (a *UWSGIServer) Close() { closeIgnoringError(a.listener) }
 
-func (a *App) serve(nc net.Conn) {
+func (a *UWSGIServer) serve(nc net.Conn) {
 	r := bufio.NewReader(nc)
 	req, err := (&uwsgi.Decoder{MaxBody: 1 << 20}).Read(r)
 	if err != nil {
@@ -45,7 +45,7 @@
 			Headers: []uwsgi.Var{{Name: "Content-Type", Value: "text/plain"}},
 		}))
 	}
-	switch a.work.begin(body) {
+	switch a.work.start(body) {
 	case "fail":
 		answer(500, "failed")
 	case "break":
@@ -53,7 +53,7 @@
 		_, _ = r.Peek(1) // until the app server gives up
 		a.work.stopped(body)
 	default:
-		time.Sleep(a.work.Took)
+		time.Sleep(a.work.Duration)
 		answer(200, Result(body))
 	}
 }
--- a/internal/faultsoak/faults_relay.go
+++ b/internal/faultsoak/faults_relay.go
@@ -15,9 +15,9 @@
 
 // The parties that a node reaches through relays.
 var (
-	processorRelay = relayed{(*Node).ProcessorRelay, ProcessorBad}
-	ledgerRelay    = relayed{func(n *Node) *Relay { return n.LedgerRelay }, LedgerBad}
-	announceRelay  = relayed{func(n *Node) *Relay { return n.AnnounceRelay }, AnnounceBad}
+	processorRelay  = relayed{(*Node).ProcessorRelay, ProcessorBad}
+	dependencyRelay = relayed{func(n *Node) *Relay { return n.DependencyRelay }, LedgerBad}
+	discoveryRelay  = relayed{func(n *Node) *Relay { return n.DiscoveryRelay }, AnnounceBad}
 )
 
 // relayFaults are the faults of a party: its connections are reset, it is silent, or it
--- a/internal/faultsoak/node.go
+++ b/internal/faultsoak/node.go
@@ -60,12 +60,12 @@
 type Node struct {
 	NodeConfig
 
-	Address  string
-	Work     *fakes.Work
-	Ledger   *fakes.Ledger
-	Announce *fakes.Announce
+	Address    string
+	Work       *fakes.Work
+	Dependency *fakes.Dependency
+	Discovery  *fakes.DiscoveryService
 	// Relays stand between the processes and the fakes.
-	LedgerRelay, AnnounceRelay *Relay
+	DependencyRelay, DiscoveryRelay *Relay
 
 	listener  net.Listener // that processes inherit; nil else
 	socket    *os.File
@@ -108,16 +108,16 @@
 
 func (n *Node) startFakes() (err error) {
 	const anyPort = "127.0.0.1:0"
-	if n.Ledger, err = fakes.NewLedger(anyPort); err != nil {
+	if n.Dependency, err = fakes.NewDependency(anyPort); err != nil {
 		return err
 	}
-	if n.Announce, err = fakes.NewAnnounce(anyPort); err != nil {
+	if n.Discovery, err = fakes.NewDiscoveryService(anyPort); err != nil {
 		return err
 	}
-	if n.LedgerRelay, err = NewRelay(n.Ledger.Addr()); err != nil {
+	if n.DependencyRelay, err = NewRelay(n.Dependency.Addr()); err != nil {
 		return err
 	}
-	n.AnnounceRelay, err = NewRelay(n.Announce.Addr())
+	n.DiscoveryRelay, err = NewRelay(n.Discovery.Addr())
 	return err
 }
 
@@ -145,14 +145,14 @@
 func (n *Node) recordRuns() {
 	for {
 		select {
-		case body := <-n.Work.Begun():
+		case body := <-n.Work.Started():
 			n.mu.Lock()
 			n.runs = append(n.runs, Run{Node: n.Name, Body: body, At: time.Now()})
 			n.mu.Unlock()
 		case <-n.Work.Stopped():
-		case <-n.Ledger.Calls:
-		case <-n.Ledger.Given:
-		case <-n.Announce.Reports:
+		case <-n.Dependency.Calls:
+		case <-n.Dependency.Abandoned:
+		case <-n.Discovery.Reports:
 		}
 	}
 }
@@ -277,16 +277,16 @@
 		}
 		p.closeFakes()
 	}
-	for _, relay := range []*Relay{n.LedgerRelay, n.AnnounceRelay} {
+	for _, relay := range []*Relay{n.DependencyRelay, n.DiscoveryRelay} {
 		if relay != nil {
 			relay.Close()
 		}
 	}
-	if n.Ledger != nil {
-		n.Ledger.Close()
+	if n.Dependency != nil {
+		n.Dependency.Close()
 	}
-	if n.Announce != nil {
-		n.Announce.Close()
+	if n.Discovery != nil {
+		n.Discovery.Close()
 	}
 	if n.socket != nil {
 		_ = n.socket.Close()
--- a/internal/faultsoak/process.go
+++ b/internal/faultsoak/process.go
@@ -100,7 +100,7 @@
 	config := maps.Clone(n.Config)
 	config["name"], config["listen"], config["control"] = n.Name, n.Address, p.control
 	config["processor"] = p.relay.Addr()
-	config["ledger"], config["announce"] = n.LedgerRelay.Addr(), n.AnnounceRelay.Addr()
+	config["ledger"], config["announce"] = n.DependencyRelay.Addr(), n.DiscoveryRelay.Addr()
 	maps.Copy(config, changes)
 	text, err := json.Marshal(config)
 	if err != nil {
--- a/internal/fleettest/fleettest.go
+++ b/internal/fleettest/fleettest.go
@@ -27,7 +27,7 @@
 type Fleet struct {
 	Net      *faultproxy.Network
 	Registry *fakes.Registry
-	Ledger   *fakes.SharedLedger // nil without load
+	Ledger   *fakes.SharedDependency // nil without load
 	Children map[string]*Child
 
 	opt         Options
@@ -52,7 +52,7 @@
 		return nil, fmt.Errorf("fleettest: %w", err)
 	}
 	if opt.Load > 0 {
-		if f.Ledger, err = fakes.NewSharedLedger(anyPort, opt.Took, opt.TurnsAway); err != nil {
+		if f.Ledger, err = fakes.NewSharedDependency(anyPort, opt.Took, opt.TurnsAway); err != nil {
 			f.Registry.Close()
 			return nil, fmt.Errorf("fleettest: %w", err)
 		}
--- a/internal/fleettest/logs.go
+++ b/internal/fleettest/logs.go
@@ -74,10 +74,10 @@
 
 // AwaitAct waits for a piece of fleet work that the registry was handed, from a
 // place of its Acts on.
-func (f *Fleet) AwaitAct(what string, from int, is func(fakes.Act) bool) (fakes.Act, error) {
+func (f *Fleet) AwaitAct(what string, from int, is func(fakes.FencedWrite) bool) (fakes.FencedWrite, error) {
 	deadline := time.After(f.opt.Within)
 	for {
-		acts, changed := f.Registry.Acts()
+		acts, changed := f.Registry.Writes()
 		for ; from < len(acts); from++ {
 			if is(acts[from]) {
 				return acts[from], nil
@@ -86,7 +86,7 @@
 		select {
 		case <-changed:
 		case <-deadline:
-			return fakes.Act{}, fmt.Errorf("fleettest: %s did not come within %v", what, f.opt.Within)
+			return fakes.FencedWrite{}, fmt.Errorf("fleettest: %s did not come within %v", what, f.opt.Within)
 		}
 	}
 }
--- a/internal/fleettest/prepare.go
+++ b/internal/fleettest/prepare.go
@@ -66,7 +66,7 @@
 		return nil, fmt.Errorf("fleettest: %w", err)
 	}
 	go func() { // nobody else receives them
-		for range work.Begun() {
+		for range work.Started() {
 		}
 	}()
 	config["processor"], config["ledger"] = c.processor.Addr(), f.Ledger.Addr()
--- a/internal/fleettest/violations.go
+++ b/internal/fleettest/violations.go
@@ -11,11 +11,11 @@
 // token than one before it, one token acted under by two members, or a member's log
 // in which the tokens of judgements go down within one incarnation of its process.
 func (f *Fleet) Violations() []string {
-	acts, _ := f.Registry.Acts()
+	acts, _ := f.Registry.Writes()
 	return append(actViolations(acts), logViolations(f.Lines())...)
 }
 
-func actViolations(acts []fakes.Act) (violations []string) {
+func actViolations(acts []fakes.FencedWrite) (violations []string) {
 	var highest lease.Token
 	owner := map[lease.Token]string{}
 	for _, a := range acts {
--- a/protocol/thrift/thrift_test.go
+++ b/protocol/thrift/thrift_test.go
@@ -46,15 +46,15 @@
 	}{
 		{
 			thrift.AppendAnswer(nil, "execute", 7, thrift.Answer{Body: []byte("b"), OK: true}),
-			fakes.Reply{Type: thrift.Reply, Name: "execute", Seq: 7, Body: "b", Fields: map[string]string{}, Good: true},
+			fakes.Reply{Type: thrift.Reply, Name: "execute", Seq: 7, Body: "b", Fields: map[string]string{}, Healthy: true},
 		},
 		{
 			thrift.AppendShed(nil, 8, fields),
-			fakes.Reply{Type: thrift.Reply, Name: "execute", Seq: 8, Which: 1, Fields: fields},
+			fakes.Reply{Type: thrift.Reply, Name: "execute", Seq: 8, ResultField: 1, Fields: fields},
 		},
 		{
 			thrift.AppendFault(nil, 9, nil),
-			fakes.Reply{Type: thrift.Reply, Name: "execute", Seq: 9, Which: 2, Fields: map[string]string{}},
+			fakes.Reply{Type: thrift.Reply, Name: "execute", Seq: 9, ResultField: 2, Fields: map[string]string{}},
 		},
 		{
 			thrift.AppendException(nil, "sing", 10, thrift.UnknownMethod, "unknown"),
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -35,7 +35,7 @@
 	conn := dial(t, w.Addr().String())
 	defer closeConn(conn)
 	must(conn.Write(fakes.AppendCheck(nil, 1, false)))(t)
-	return must(fakes.ReadReply(bufio.NewReader(conn)))(t).Good
+	return must(fakes.ReadReply(bufio.NewReader(conn)))(t).Healthy
 }
 
 // TestControl guards the operators' switch of traffic: from the command's answer on, health
@@ -118,22 +118,22 @@
 func TestTakeOver(t *testing.T) {
 	_, inherit := heldSocket(t)
 	predecessor := newHarness(t, inherit)
-	predecessor.work.Took = 300 * time.Millisecond
-	gift := func(w *harness, key string) *fakes.Try { return fronts[0].ask(t, w, "ny-gava", key, "gift "+key) }
+	predecessor.work.Duration = 300 * time.Millisecond
+	gift := func(w *harness, key string) *fakes.Attempt { return fronts[0].ask(t, w, "ny-gava", key, "gift "+key) }
 	want := fakes.Outcome{Kind: "served", Body: "done: gift ran"}
 	if got := outcome(t, gift(predecessor, "ran")); got != want {
 		t.Fatalf("%v", got)
 	}
 	open := gift(predecessor, "runs")
-	<-predecessor.work.Begun()
-	<-predecessor.work.Begun()
+	<-predecessor.work.Started()
+	<-predecessor.work.Started()
 
 	successor := newHarness(t, inherit)
 	for operate(t, successor.ControlAddr().String(), "check") != "done" {
 		time.Sleep(time.Millisecond)
 	}
 	predecessor.startShutdown()
-	repeats := []*fakes.Try{gift(successor, "ran"), gift(successor, "runs"), open}
+	repeats := []*fakes.Attempt{gift(successor, "ran"), gift(successor, "runs"), open}
 	for i, key := range []string{"ran", "runs", "runs"} {
 		want.Body = "done: gift " + key
 		if got := outcome(t, repeats[i]); got != want {
@@ -180,7 +180,7 @@
 	kind := ""
 	for began := time.Now(); time.Since(began) < graceEnds; { // until well after the grace, and well before the end
 		if kind = outcome(t, fronts[0].ask(t, w, "kampanjsida", "", "page")).Kind; kind == "served" {
-			<-w.work.Begun()
+			<-w.work.Started()
 		}
 	}
 	if kind != "refused" {
--- a/server/crossing_test.go
+++ b/server/crossing_test.go
@@ -109,7 +109,7 @@
 				w := newHarness(t, oneAtATime)
 				b := w.balancer(t)
 				b.ask(class, "k", body)
-				<-w.work.Begun()
+				<-w.work.Started()
 				if body == "call hold" {
 					<-w.ledger.Calls
 				}
@@ -207,7 +207,7 @@
 	b := w.balancer(t)
 	b.leaving()
 	b.ask("kampanjsida", "", "hang on") // while an answer is pending, its connection stays
-	<-w.work.Begun()
+	<-w.work.Started()
 	hanging := b.seq
 	var silent []net.Conn
 	for i := range 100 {
@@ -238,10 +238,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newHarness(t, nil)
-			w.work.Took = 100 * time.Millisecond
+			w.work.Duration = 100 * time.Millisecond
 			b, other := w.balancer(t), w.balancer(t)
 			b.ask("kampanjsida", "", "one")
-			<-w.work.Begun()
+			<-w.work.Started()
 			b.write(append(append([]byte{}, malformed...), b.request("kampanjsida", "", "after")...))
 			other.ask("kampanjsida", "", "other")
 			got := b.replies(2)
@@ -269,7 +269,7 @@
 			w := newHarness(t, nil)
 			b := w.balancer(t)
 			b.ask("kampanjsida", "", "hang on")
-			<-w.work.Begun()
+			<-w.work.Started()
 			b.write(noise)
 			if got := b.replies(1)[1]; got != "failed" {
 				t.Errorf("it is %s", got)
@@ -285,7 +285,7 @@
 	w := newHarness(t, nil)
 	b := w.balancer(t)
 	b.ask("kampanjsida", "", "hang on")
-	<-w.work.Begun()
+	<-w.work.Started()
 	mustDo(t, b.CloseWrite())
 	if got := b.replies(1)[1]; got != "failed" {
 		t.Errorf("it is %s", got)
@@ -298,10 +298,10 @@
 // harms no other, and a keyed run goes on for its repeat.
 func TestAnswersCutByTheirCaller(t *testing.T) {
 	w := newHarness(t, nil)
-	w.work.Took = 100 * time.Millisecond
+	w.work.Duration = 100 * time.Millisecond
 	b, other := w.balancer(t), w.balancer(t)
 	b.ask("ny-gava", "k", "gift")
-	<-w.work.Begun()
+	<-w.work.Started()
 	mustDo(t, b.SetLinger(0)) // its close is a reset
 	mustDo(t, b.Close())
 	other.ask("ny-gava", "k", "gift")
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -26,8 +26,8 @@
 	*server.Server // nil for the sample service
 	work           *fakes.Work
 	processor      *fakes.Processor
-	ledger         *fakes.Ledger
-	announce       *fakes.Announce
+	ledger         *fakes.Dependency
+	announce       *fakes.DiscoveryService
 	drained        chan struct{}
 
 	sample  *gifts.Service // nil for the app server
@@ -60,9 +60,9 @@
 	w := &harness{work: fakes.NewWork(0), drained: make(chan struct{})}
 	const anyPort = "127.0.0.1:0"
 	w.processor = must(fakes.NewProcessor(anyPort, w.work))(t)
-	w.ledger = must(fakes.NewLedger(anyPort))(t)
-	w.announce = must(fakes.NewAnnounce(anyPort))(t)
-	app := must(fakes.NewApp(anyPort, w.work))(t)
+	w.ledger = must(fakes.NewDependency(anyPort))(t)
+	w.announce = must(fakes.NewDiscoveryService(anyPort))(t)
+	app := must(fakes.NewUWSGIServer(anyPort, w.work))(t)
 	c := loadConfig(t)
 	c.ProcessorAddress, c.DependencyAddress, c.DiscoveryAddress = w.processor.Addr(), w.ledger.Addr(), w.announce.Addr()
 	if change != nil {
@@ -145,7 +145,7 @@
 	go func() { w.Shutdown(); close(w.drained) }()
 }
 
-func outcome(t testing.TB, try *fakes.Try) fakes.Outcome {
+func outcome(t testing.TB, try *fakes.Attempt) fakes.Outcome {
 	t.Helper()
 	o, err := try.Outcome()
 	if err != nil {
@@ -200,7 +200,7 @@
 // front is a protocol that the suite runs against.
 type front struct {
 	name    string
-	caller  fakes.Caller
+	caller  fakes.Client
 	address func(*harness) string
 	harness func(testing.TB, func(*config.Config)) *harness
 }
@@ -216,13 +216,13 @@
 )
 
 // open makes a try without sending it.
-func (f front) open(t testing.TB, w *harness, class, key, body string) *fakes.Try {
+func (f front) open(t testing.TB, w *harness, class, key, body string) *fakes.Attempt {
 	t.Helper()
 	return must(f.caller(f.address(w), class, key, body))(t)
 }
 
 // ask makes a try and sends it.
-func (f front) ask(t testing.TB, w *harness, class, key, body string) *fakes.Try {
+func (f front) ask(t testing.TB, w *harness, class, key, body string) *fakes.Attempt {
 	t.Helper()
 	try := f.open(t, w, class, key, body)
 	if err := try.Send(); err != nil {
@@ -260,8 +260,8 @@
 	}},
 	{"caller gone", nil, "stopped hang there", func(t *testing.T, w *harness, f front) string {
 		try := f.ask(t, w, "kampanjsida", "", "hang there")
-		<-w.work.Begun()
-		try.GiveUp()
+		<-w.work.Started()
+		try.Cancel()
 		return "stopped " + <-w.work.Stopped()
 	}},
 	{
@@ -279,10 +279,10 @@
 		return fmt.Sprintf("%s, %s, %d run", describeOutcome(a), describeOutcome(b), w.work.Runs("fail gift"))
 	}},
 	{"connection lost", nil, "served done: gift, 1 run", func(t *testing.T, w *harness, f front) string {
-		w.work.Took = 200 * time.Millisecond
+		w.work.Duration = 200 * time.Millisecond
 		lost := f.ask(t, w, "ny-gava", "k7", "gift")
-		<-w.work.Begun()
-		lost.Break()
+		<-w.work.Started()
+		lost.Disconnect()
 		o := outcome(t, f.ask(t, w, "ny-gava", "k7", "gift"))
 		return fmt.Sprintf("%s, %d run", describeOutcome(o), w.work.Runs("gift"))
 	}},
@@ -304,7 +304,7 @@
 			mustDo(t, early.SendHalf())
 			mustDo(t, late.SendHalf())
 			running := f.ask(t, w, "givarhistorik", "", "running")
-			<-w.work.Begun()
+			<-w.work.Started()
 			w.startShutdown()
 			w.waitReport(t, false)
 			mustDo(t, early.Send())
@@ -423,11 +423,11 @@
 		second := daemon[1-i]
 		t.Run(first.name+" then "+second.name, func(t *testing.T) {
 			w := newHarness(t, nil)
-			w.work.Took = 200 * time.Millisecond
+			w.work.Duration = 200 * time.Millisecond
 			a := first.ask(t, w, "ny-gava", "k", "gift")
-			<-w.work.Begun()
+			<-w.work.Started()
 			b := second.ask(t, w, "ny-gava", "k", "gift")
-			for _, try := range []*fakes.Try{a, b, second.ask(t, w, "ny-gava", "k", "gift")} {
+			for _, try := range []*fakes.Attempt{a, b, second.ask(t, w, "ny-gava", "k", "gift")} {
 				if got, want := outcome(t, try), (fakes.Outcome{Kind: "served", Body: "done: gift"}); got != want {
 					t.Errorf("got %v, want %v", got, want)
 				}
