--- a/internal/faultsoak/faults_process.go
+++ b/internal/faultsoak/faults_process.go
@@ -130,15 +130,18 @@
 	o.launch()
 }
 
-// launch starts the process anew, and reports whether it listens.
+// launch starts the process anew, and reports whether it listens. The event counts from
+// before the start: the former process has ended, and what runs from then on runs in the
+// new one, which serves before this goroutine hears of it.
 func (o *operator) launch() (listens bool) {
 	o.configuring.Lock()
 	defer o.configuring.Unlock()
+	began := time.Now()
 	if err := o.node.Launch(); err != nil {
 		o.fail("%v", err)
 		return false
 	}
-	o.record(Restarted)
+	o.history.Add(Event{Node: o.node.Name, Kind: Restarted, At: began})
 	o.expect(false, time.Time{})
 	return true
 }
--- a/internal/faultsoak/history.go
+++ b/internal/faultsoak/history.go
@@ -80,7 +80,7 @@
 	Killed       EventKind = "killed"       // SIGKILL that follows SIGTERM
 	Crashed      EventKind = "crashed"      // SIGKILL without notice
 	Exited       EventKind = "exited"       // the process ended by itself
-	Restarted    EventKind = "restarted"    // it listens again
+	Restarted    EventKind = "restarted"    // a new process was started after the former one ended
 	Upgraded     EventKind = "upgraded"     // a new process is started beside, the old one is stopped
 	SentAway     EventKind = "sent_away"    // drain-on was answered: operators disabled traffic
 	FetchedBack  EventKind = "fetched_back" // drain-off was answered: operators enabled it again
