--- a/fleet/consensus/errors.go
+++ b/fleet/consensus/errors.go
@@ -33,14 +33,14 @@
 	return fmt.Sprintf("consensus: %s is not among the voters %v", e.Self, e.Voters)
 }
 
-// ForeignLogError reports a log of a group with other founders than those that
+// FoundersMismatchError reports a log of a group with other founders than those that
 // are configured.
-type ForeignLogError struct {
+type FoundersMismatchError struct {
 	Dir      string // of the log
 	Founders []string
 }
 
-func (e *ForeignLogError) Error() string {
+func (e *FoundersMismatchError) Error() string {
 	return fmt.Sprintf("consensus: the log in %s belongs to a group with other founders than %v", e.Dir, e.Founders)
 }
 
--- a/fleet/consensus/log.go
+++ b/fleet/consensus/log.go
@@ -24,9 +24,9 @@
 	entryKeyFormat = "entry/%04d"
 )
 
-// stateIndexBytes is the length of the last entry's index, which stands before
+// lastIndexBytes is the length of the last entry's index, which stands before
 // raft's hard state in the record of the state.
-const stateIndexBytes = 8
+const lastIndexBytes = 8
 
 // neverExpires is the expiry of the log's records.
 var neverExpires = time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/fleet/consensus/loop.go
+++ b/fleet/consensus/loop.go
@@ -26,12 +26,12 @@
 			return
 		case <-ticker.C:
 			n.tick()
-		case m := <-n.messages:
+		case m := <-n.receiveQueue:
 			n.step(m)
-			for range len(n.messages) { // all that are queued, before the next write
-				n.step(<-n.messages)
+			for range len(n.receiveQueue) { // all that are queued, before the next write
+				n.step(<-n.receiveQueue)
 			}
-		case call := <-n.calls:
+		case call := <-n.callQueue:
 			call()
 		}
 	}
--- a/fleet/consensus/membership.go
+++ b/fleet/consensus/membership.go
@@ -39,7 +39,7 @@
 func newMembership(addresses map[string]string) (membership, error) {
 	m := membership{}
 	for name, address := range addresses {
-		if err := m.checkID(name); err != nil {
+		if err := m.checkIDConflict(name); err != nil {
 			return nil, err
 		}
 		m[voterID(name)] = Voter{Name: name, Address: address}
@@ -47,8 +47,8 @@
 	return m, nil
 }
 
-// checkID returns an error if another voter has the same ID as the named one.
-func (m membership) checkID(name string) error {
+// checkIDConflict returns an error if another voter has the same ID as the named one.
+func (m membership) checkIDConflict(name string) error {
 	if other, found := m[voterID(name)]; found && other.Name != name {
 		return &VoterIDConflictError{First: name, Second: other.Name, ID: voterID(name)}
 	}
@@ -77,7 +77,7 @@
 // its vote from the leader when it has caught up. The proposal may be lost:
 // callers repeat it until Voters has the voter.
 func (n *Node) AddVoter(name, address string) error {
-	if err := n.currentMembership().checkID(name); err != nil {
+	if err := n.currentMembership().checkIDConflict(name); err != nil {
 		return err
 	}
 	return n.proposeMembershipChange(raftpb.ConfChangeAddLearnerNode, Voter{Name: name, Address: address, Learner: true})
--- a/fleet/consensus/membership_test.go
+++ b/fleet/consensus/membership_test.go
@@ -75,7 +75,7 @@
 func TestVoterIDConflict(t *testing.T) {
 	group := membership{voterID("b"): {Name: "a"}}
 	var conflict *VoterIDConflictError
-	if err := group.checkID("b"); !errors.As(err, &conflict) || conflict.First != "b" || conflict.Second != "a" {
+	if err := group.checkIDConflict("b"); !errors.As(err, &conflict) || conflict.First != "b" || conflict.Second != "a" {
 		t.Errorf("got %v", err)
 	}
 }
--- a/fleet/consensus/node.go
+++ b/fleet/consensus/node.go
@@ -92,14 +92,14 @@
 
 // Node is a running voter.
 type Node struct {
-	options    Options
-	logger     *slog.Logger
-	store      *store.Store
-	membership atomic.Pointer[membership]
-	messages   chan *raftpb.Message // received from other voters
-	calls      chan func()
-	stop       context.CancelFunc
-	done       chan struct{}
+	options      Options
+	logger       *slog.Logger
+	store        *store.Store
+	membership   atomic.Pointer[membership]
+	receiveQueue chan *raftpb.Message // received from other voters
+	callQueue    chan func()
+	stop         context.CancelFunc
+	done         chan struct{}
 
 	// Used by Start, and after it by the node's goroutine alone.
 	raft          *raft.RawNode
@@ -121,11 +121,11 @@
 		return nil, err
 	}
 	n := &Node{
-		options:  options,
-		logger:   cmp.Or(options.Logger, slog.Default()),
-		messages: make(chan *raftpb.Message, receiveQueueLength),
-		calls:    make(chan func(), callQueueLength),
-		done:     make(chan struct{}),
+		options:      options,
+		logger:       cmp.Or(options.Logger, slog.Default()),
+		receiveQueue: make(chan *raftpb.Message, receiveQueueLength),
+		callQueue:    make(chan func(), callQueueLength),
+		done:         make(chan struct{}),
 	}
 	if !options.Join {
 		n.logFounders = options.founders()
@@ -136,7 +136,7 @@
 		return nil, fmt.Errorf("consensus: opening the log: %w", err)
 	}
 	n.store = opened
-	if err := n.restore(recovered); err != nil {
+	if err := n.recoverFromLog(recovered); err != nil {
 		return nil, errors.Join(err, n.store.Close())
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -146,7 +146,7 @@
 }
 
 // restore recovers the log, and the group and state machine from its snapshot.
-func (n *Node) restore(recovered *store.Recovered) error {
+func (n *Node) recoverFromLog(recovered *store.Recovered) error {
 	var err error
 	if n.log, err = openLog(n.store, n.options.Dir, recovered, n.options.founderIDs()); err != nil {
 		return err
@@ -158,8 +158,8 @@
 	if err := n.restoreSnapshot(snapshot.GetData()); err != nil {
 		return err
 	}
-	if !n.options.Join && !n.isOwnLog(snapshot) {
-		return &ForeignLogError{Dir: n.options.Dir, Founders: n.options.founders()}
+	if !n.options.Join && !n.hasConfiguredFounders(snapshot) {
+		return &FoundersMismatchError{Dir: n.options.Dir, Founders: n.options.founders()}
 	}
 	n.confState = snapshot.GetMetadata().GetConfState()
 	n.appliedIndex = snapshot.GetMetadata().GetIndex()
@@ -183,9 +183,9 @@
 	return nil
 }
 
-// isOwnLog reports whether the log belongs to a group of the configured
+// hasConfiguredFounders reports whether the log belongs to a group of the configured
 // founders. The initial snapshot has only their IDs.
-func (n *Node) isOwnLog(snapshot *raftpb.Snapshot) bool {
+func (n *Node) hasConfiguredFounders(snapshot *raftpb.Snapshot) bool {
 	if len(snapshot.GetData()) == 0 {
 		return slices.Equal(snapshot.GetMetadata().GetConfState().GetVoters(), n.options.founderIDs())
 	}
@@ -201,7 +201,7 @@
 		return
 	}
 	select {
-	case n.messages <- m:
+	case n.receiveQueue <- m:
 	default:
 	}
 }
@@ -222,7 +222,7 @@
 		close(finished)
 	}
 	select {
-	case n.calls <- call:
+	case n.callQueue <- call:
 	case <-n.done:
 		return
 	}
@@ -239,16 +239,16 @@
 		if status.RaftState != raft.StateLeader {
 			return nil
 		}
-		if to := mostCurrentPeer(&status); to != raft.None {
+		if to := mostUpToDatePeer(&status); to != raft.None {
 			n.raft.TransferLeader(to)
 		}
 		return nil
 	})
 }
 
-// mostCurrentPeer returns the reachable peer that has most of the leader's log,
+// mostUpToDatePeer returns the reachable peer that has most of the leader's log,
 // raft.None if none is reachable.
-func mostCurrentPeer(status *raft.Status) uint64 {
+func mostUpToDatePeer(status *raft.Status) uint64 {
 	var best, bestMatch uint64
 	for id, progress := range status.Progress {
 		if id != status.ID && progress.RecentActive && progress.Match >= bestMatch {
--- a/fleet/consensus/node_test.go
+++ b/fleet/consensus/node_test.go
@@ -134,7 +134,7 @@
 		c.stop("c")
 		options := c.options("c")
 		options.Voters = map[string]string{"b": "", "c": "", "d": ""}
-		var foreign *ForeignLogError
+		var foreign *FoundersMismatchError
 		if err := startFails(t, options); !errors.As(err, &foreign) || foreign.Dir != options.Dir {
 			t.Errorf("on a foreign log: %v", err)
 		}
--- a/fleet/consensus/recovery.go
+++ b/fleet/consensus/recovery.go
@@ -24,12 +24,12 @@
 func openLog(s *store.Store, dir string, recovered *store.Recovered, founderIDs []uint64) (*durableLog, error) {
 	l := &durableLog{store: s, dir: dir, memory: raft.NewMemoryStorage(), hardState: &raftpb.HardState{}}
 	if len(recovered.Losses) > 0 {
-		return nil, l.damaged("%v", recovered.Losses)
+		return nil, l.damagedError("%v", recovered.Losses)
 	}
-	joins := len(founderIDs) == 0
+	joining := len(founderIDs) == 0
 	state, stateFound := recovered.Values[stateKey]
 	if !stateFound {
-		if joins {
+		if joining {
 			return l, nil
 		}
 		return l, l.create(founderIDs)
@@ -44,14 +44,14 @@
 		if err := l.recoverEntries(recovered, snapshot.Bytes, lastIndex); err != nil {
 			return nil, err
 		}
-	case !joins || lastIndex > 0:
-		return nil, l.damaged("the snapshot is missing")
+	case !joining || lastIndex > 0:
+		return nil, l.damagedError("the snapshot is missing")
 	}
 	// A voter that joins may have heard of a term before it received a snapshot.
 	return l, l.memory.SetHardState(l.hardState)
 }
 
-func (l *durableLog) damaged(format string, args ...any) error {
+func (l *durableLog) damagedError(format string, args ...any) error {
 	return &LogDamagedError{Dir: l.dir, Reason: fmt.Sprintf(format, args...)}
 }
 
@@ -71,10 +71,10 @@
 // recoverState reads the hard state, and returns the index of the last valid
 // entry.
 func (l *durableLog) recoverState(record []byte) (lastIndex uint64, err error) {
-	if len(record) < stateIndexBytes {
-		return 0, l.damaged("the state has only %d bytes", len(record))
+	if len(record) < lastIndexBytes {
+		return 0, l.damagedError("the state has only %d bytes", len(record))
 	}
-	if err := proto.Unmarshal(record[stateIndexBytes:], l.hardState); err != nil {
+	if err := proto.Unmarshal(record[lastIndexBytes:], l.hardState); err != nil {
 		return 0, fmt.Errorf("consensus: decoding the state: %w", err)
 	}
 	return binary.BigEndian.Uint64(record), nil
@@ -95,7 +95,7 @@
 		entry := &raftpb.Entry{}
 		record, found := recovered.Values[entryKey(index)]
 		if !found || proto.Unmarshal(record.Bytes, entry) != nil || entry.GetIndex() != index {
-			return l.damaged("entry %d of %d is missing", index, lastIndex)
+			return l.damagedError("entry %d of %d is missing", index, lastIndex)
 		}
 		entries = append(entries, entry)
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -185,7 +185,7 @@
 		Budgets: map[string]BudgetStats{},
 	}
 	_, s.Owner = f.Owner(HealthLease)
-	s.Messages, s.Bytes = f.membership.Sent()
+	s.Messages, s.Bytes = f.membership.Traffic()
 	if f.transport != nil {
 		messages, bytes := f.transport.Sent()
 		s.Messages, s.Bytes = s.Messages+messages, s.Bytes+bytes
--- a/fleet/gossip/membership.go
+++ b/fleet/gossip/membership.go
@@ -60,7 +60,7 @@
 	broadcasts memberlist.TransmitLimitedQueue
 	seeds      []seed
 	log        *slog.Logger
-	sent       *trafficCounts
+	traffic    *trafficCounts
 	stopping   chan struct{}
 	joinerDone chan struct{}
 }
@@ -69,7 +69,7 @@
 // answer: none needs to be up yet.
 func Start(options Options) (*Membership, error) {
 	m := &Membership{
-		log: options.Logger, sent: &trafficCounts{}, seeds: seedsOf(options),
+		log: options.Logger, traffic: &trafficCounts{}, seeds: otherSeeds(options),
 		stopping: make(chan struct{}), joinerDone: make(chan struct{}),
 	}
 	if m.log == nil {
@@ -107,7 +107,7 @@
 	config.Name, config.Label, config.Logger = options.Self, options.Fleet, libraryLog
 	config.BindAddr, config.BindPort = host, network.GetAutoBindPort()
 	config.AdvertiseAddr, config.AdvertisePort = host, network.GetAutoBindPort()
-	config.Transport = seedTransport{network, options.Seeds, m.sent}
+	config.Transport = seedTransport{network, options.Seeds, m.traffic}
 	config.Delegate = memberlistDelegate{options.Delegate, m, options.Role}
 	config.DeadNodeReclaimTime, config.PushPullInterval = deadNodeReclaimTime, pushPullInterval
 	return config, nil
@@ -146,10 +146,10 @@
 	return 1
 }
 
-// Sent returns how many datagrams and streams, and bytes of both, went over the
+// Traffic returns how many datagrams and streams, and bytes of both, went over the
 // network from here.
-func (m *Membership) Sent() (messages, bytes int64) {
-	return m.sent.messages.Load(), m.sent.bytes.Load()
+func (m *Membership) Traffic() (messages, bytes int64) {
+	return m.traffic.messages.Load(), m.traffic.bytes.Load()
 }
 
 // Broadcast spreads an update to all members; a later update about the same topic
@@ -161,7 +161,7 @@
 // Send sends an update to one member by name, as a datagram that may be lost. It
 // does nothing where the member is not known to be alive.
 func (m *Membership) Send(to string, update []byte) {
-	node := m.find(to)
+	node := m.findAlive(to)
 	if node == nil {
 		return
 	}
@@ -175,7 +175,7 @@
 // *UnknownMemberError where the member is not known to be alive. Without an error
 // the update may still be lost.
 func (m *Membership) SendReliable(to string, update []byte) error {
-	node := m.find(to)
+	node := m.findAlive(to)
 	if node == nil {
 		return &UnknownMemberError{Name: to}
 	}
@@ -186,7 +186,7 @@
 }
 
 // find returns a member by name, nil where it is not known to be alive.
-func (m *Membership) find(name string) *memberlist.Node {
+func (m *Membership) findAlive(name string) *memberlist.Node {
 	for _, n := range m.list.Members() {
 		if n.Name == name {
 			return n
--- a/fleet/gossip/seeds.go
+++ b/fleet/gossip/seeds.go
@@ -12,18 +12,18 @@
 // seed is a member to join by.
 type seed struct{ name, address string }
 
-// memberlistName is the seed's name and address as memberlist joins it.
-func (s seed) memberlistName() string { return s.name + "/" + s.address }
+// joinAddress is the seed's name and address as memberlist joins it.
+func (s seed) joinAddress() string { return s.name + "/" + s.address }
 
-// seedsOf returns the seeds other than the member itself, in order.
-func seedsOf(options Options) []seed {
+// otherSeeds returns the seeds other than the member itself, in order.
+func otherSeeds(options Options) []seed {
 	var seeds []seed
 	for name, address := range options.Seeds {
 		if name != options.Self {
 			seeds = append(seeds, seed{name, address})
 		}
 	}
-	slices.SortFunc(seeds, func(a, b seed) int { return cmp.Compare(a.memberlistName(), b.memberlistName()) })
+	slices.SortFunc(seeds, func(a, b seed) int { return cmp.Compare(a.joinAddress(), b.joinAddress()) })
 	return seeds
 }
 
@@ -49,8 +49,8 @@
 		if slices.Contains(alive, s.name) {
 			continue
 		}
-		if _, err := m.list.Join([]string{s.memberlistName()}); err != nil {
-			m.log.Debug("fleet_join", "seed", s.memberlistName(), "error", err.Error())
+		if _, err := m.list.Join([]string{s.joinAddress()}); err != nil {
+			m.log.Debug("fleet_join", "seed", s.joinAddress(), "error", err.Error())
 		}
 	}
 }
--- a/fleet/gossip/transport.go
+++ b/fleet/gossip/transport.go
@@ -33,8 +33,8 @@
 // what it sends.
 type seedTransport struct {
 	*memberlist.NetTransport
-	seeds map[string]string // name to address
-	sent  *trafficCounts
+	seeds   map[string]string // name to address
+	traffic *trafficCounts
 }
 
 // withSeedAddress replaces a seed's address by the operator's.
@@ -47,8 +47,8 @@
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
 func (t seedTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	t.sent.messages.Add(1)
-	t.sent.bytes.Add(int64(len(b)))
+	t.traffic.messages.Add(1)
+	t.traffic.bytes.Add(int64(len(b)))
 	return t.NetTransport.WriteToAddress(b, t.withSeedAddress(a))
 }
 
@@ -58,26 +58,26 @@
 	if err != nil {
 		return nil, err
 	}
-	t.sent.messages.Add(1)
-	return countingConn{conn, t.sent}, nil
+	t.traffic.messages.Add(1)
+	return countingConn{conn, t.traffic}, nil
 }
 
 // countingConn is a stream whose bytes are counted, in both directions.
 type countingConn struct {
 	net.Conn
-	sent *trafficCounts
+	traffic *trafficCounts
 }
 
 // Read implements net.Conn.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.sent.bytes.Add(int64(n))
+	c.traffic.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.sent.bytes.Add(int64(n))
+	c.traffic.bytes.Add(int64(n))
 	return n, err
 }
--- a/fleet/lease/client.go
+++ b/fleet/lease/client.go
@@ -7,39 +7,40 @@
 	"time"
 )
 
-// maxPendingCommands bounds how many unanswered commands a client remembers for
-// each lease.
+// maxPendingCommands is how many sent commands a client remembers for each lease
+// until they are applied.
 const maxPendingCommands = 16
 
 // OwnerChange reports that a lease passed from one owner to another.
 type OwnerChange struct {
 	Lease    string
-	From, To Owner // the zero Owner where the lease was or is free
-	Token    Token // of the latest grant
+	From, To Owner // zero if the lease was free before, or is free now
+	Token    Token // token of the latest grant
 }
 
-// Client is one voter's side of the leases: its replica of the table, until when
-// it holds which lease, and when to send commands. Times are readings of the
-// voter's own clock, which must not go back; only differences count. A Client is
-// not safe for concurrent use.
+// Client acquires, renews and releases leases for one voter. It applies the
+// committed commands to its replica of the table and decides when the voter
+// holds a lease and when to send a command. Times are readings of the voter's
+// own clock, which must never decrease; only their differences matter. A Client
+// is not safe for concurrent use.
 type Client struct {
 	self       Owner
 	timing     Timing
-	leaseNames []string // that it tries to own
+	leaseNames []string // leases that the client tries to own
 	table      Table
-	states     map[string]leaseState
+	states     map[string]leaseState // by lease name
 	lastNonce  uint64
 	resigned   bool
 }
 
-// leaseState is what a client knows of a lease beside its grant.
+// leaseState is a client's own state for a lease, in addition to the grant.
 type leaseState struct {
-	lastAppliedAt   time.Duration // when the client applied the latest granted command
-	heldUntil       time.Duration // the client may act as the owner before this time only
-	pendingCommands []pendingCommand
+	lastAppliedAt   time.Duration    // when the client applied the latest granted command
+	heldUntil       time.Duration    // the client may act as the owner only before this time
+	pendingCommands []pendingCommand // in the order in which they were sent
 }
 
-// pendingCommand is a command that the client sent and has not applied yet.
+// pendingCommand is a command that the client has sent and not applied yet.
 type pendingCommand struct {
 	nonce  uint64
 	sentAt time.Duration
@@ -52,7 +53,7 @@
 		return nil, err
 	}
 	if self == (Owner{}) {
-		return nil, &ConfigError{"Owner", self, "other than the zero Owner, which stands for a free lease"}
+		return nil, &ConfigError{"Owner", self, "other than the zero Owner, which means a free lease"}
 	}
 	return &Client{
 		self:       self,
@@ -62,9 +63,9 @@
 	}, nil
 }
 
-// Restore replaces the table by that of a snapshot and returns the leases whose
-// owner changed. The client counts all grants as applied now, so it waits for
-// their full duration.
+// Restore replaces the table by the one of a snapshot and returns the leases
+// whose owner changed. It treats all grants as applied now, so the client waits
+// for their full duration before it sends an Acquire.
 func (c *Client) Restore(table Table, now time.Duration) []OwnerChange {
 	former := c.table
 	c.table = table
@@ -83,14 +84,14 @@
 	return changes
 }
 
-// Table returns the client's replica of the table, for a snapshot. It must not
-// be modified.
+// Table returns the client's replica of the table, for a snapshot. Callers must
+// not modify it.
 func (c *Client) Table() *Table { return &c.table }
 
-// Tick returns the commands to propose: renewals of the leases that the client
-// holds and, if mayAcquire, an Acquire for each of its leases that is free or has
-// expired. Usually only the voters' leader may acquire, so that clients do not
-// compete; the invariants do not depend on that.
+// Tick returns the commands to propose: the due renewals of leases that the
+// client holds and, if mayAcquire is set, an Acquire for each of its leases that
+// is free or has expired. Callers usually set mayAcquire at the voters' leader
+// only, so that clients do not compete; the invariants do not depend on that.
 func (c *Client) Tick(now time.Duration, mayAcquire bool) []Command {
 	if c.resigned {
 		return nil
@@ -104,35 +105,35 @@
 	return commands
 }
 
-// dueCommand returns the command that a lease needs now, if any.
+// dueCommand returns the kind of command to send for a lease now, if any is due.
 func (c *Client) dueCommand(name string, now time.Duration, mayAcquire bool) (kind CommandKind, due bool) {
 	grant, state := c.table.Grant(name), c.states[name]
-	if state.awaitsAnswer(now, c.timing.RenewInterval) {
+	if state.hasRecentPending(now, c.timing.RenewInterval) {
 		return "", false
 	}
 	if grant.Owner == c.self && now < state.heldUntil {
 		grantSentAt := state.heldUntil - c.timing.ownerDuration()
 		return Renew, now >= grantSentAt+c.timing.RenewInterval
 	}
-	// A client whose own grant has expired waits like any other.
+	// A client whose own grant has expired waits as long as any other client.
 	expired := now >= state.lastAppliedAt+c.timing.observerDuration()
 	return Acquire, mayAcquire && (grant.Free() || expired)
 }
 
-// awaitsAnswer reports whether the latest command was sent less than
+// hasRecentPending reports whether the latest command was sent less than
 // retryInterval ago and has not been applied yet.
-func (s leaseState) awaitsAnswer(now, retryInterval time.Duration) bool {
+func (s leaseState) hasRecentPending(now, retryInterval time.Duration) bool {
 	n := len(s.pendingCommands)
 	return n > 0 && now-s.pendingCommands[n-1].sentAt < retryInterval
 }
 
-// newCommand returns a command on the present grant of a lease, and records when
-// it was sent.
+// newCommand returns a command for the current grant of a lease and records it as
+// sent now.
 func (c *Client) newCommand(kind CommandKind, name string, now time.Duration) Command {
 	grant, state := c.table.Grant(name), c.states[name]
 	c.lastNonce++
 	latest := state.pendingCommands[max(0, len(state.pendingCommands)-maxPendingCommands+1):]
-	// The array behind the slice may be shared with a clone, so it is not appended to.
+	// A clone of the client may share the slice's array, so Clip forces append to copy it.
 	state.pendingCommands = append(slices.Clip(latest), pendingCommand{c.lastNonce, now})
 	c.states[name] = state
 	command := Command{Kind: kind, Lease: name, Owner: c.self, Token: grant.Token, Nonce: c.lastNonce}
@@ -142,8 +143,8 @@
 	return command
 }
 
-// Apply applies a committed command; the token is the term and index of its log
-// entry. It returns nil if the lease kept its owner.
+// Apply applies a committed command. The token is the term and index of its log
+// entry. Apply returns nil if the lease has the same grant and owner as before.
 func (c *Client) Apply(command Command, token Token, now time.Duration) *OwnerChange {
 	name := command.Lease
 	before := c.table.Grant(name)
@@ -165,9 +166,10 @@
 	return ownerChange(name, before, after)
 }
 
-// removePending removes a pending command and all that were sent before it, and
-// returns when it was sent. The second result is false if there is no such
-// command: it is a duplicate, or of a former incarnation.
+// removePending removes a pending command and all that were sent before it. It
+// returns when the command was sent. found is false if the command is not
+// pending: it is a duplicate, a later command was applied before it, or more than
+// maxPendingCommands were sent.
 func (s *leaseState) removePending(nonce uint64) (sentAt time.Duration, found bool) {
 	i := slices.IndexFunc(s.pendingCommands, func(p pendingCommand) bool { return p.nonce == nonce })
 	if i < 0 {
@@ -178,7 +180,8 @@
 	return sentAt, true
 }
 
-// ownerChange compares two states of a lease; nil if it kept its owner.
+// ownerChange returns the change between two states of a lease, or nil if the
+// owner and its token are the same.
 func ownerChange(name string, before, after Grant) *OwnerChange {
 	if after.Token == before.Token && after.Owner == before.Owner {
 		return nil
@@ -187,14 +190,15 @@
 }
 
 // Holds reports whether the client may act as the owner of a lease now, and
-// under which token. Callers ask right before each act.
+// returns the token to send with the work. Callers call it immediately before
+// each action.
 func (c *Client) Holds(name string, now time.Duration) (Token, bool) {
 	grant := c.table.Grant(name)
 	return grant.Token, grant.Owner == c.self && now < c.states[name].heldUntil
 }
 
-// Resign returns a Release for each lease that the client holds. From then on it
-// holds none and sends nothing.
+// Resign returns a Release for each lease that the client holds. Afterwards the
+// client holds no lease and Tick returns no commands.
 func (c *Client) Resign(now time.Duration) []Command {
 	c.resigned = true
 	var commands []Command
@@ -218,9 +222,9 @@
 	return &clone
 }
 
-// AppendState appends an encoding of all that decides the client's behaviour
-// after now: two clients with equal encodings behave alike. Times are encoded
-// relative to now.
+// AppendState appends an encoding of the state that determines the client's
+// behaviour after now, for a model checker: two clients with equal encodings
+// behave the same. Times are encoded relative to now.
 func (c *Client) AppendState(b []byte, now time.Duration) []byte {
 	for _, name := range c.leaseNames {
 		grant, state := c.table.Grant(name), c.states[name]
@@ -228,7 +232,7 @@
 		for _, v := range []uint64{
 			grant.Owner.Incarnation, grant.Token.Term, grant.Token.Index, grant.Renewals,
 			c.lastNonce,
-			uint64(min(now-state.lastAppliedAt, c.timing.observerDuration())), // longer makes no difference
+			uint64(min(now-state.lastAppliedAt, c.timing.observerDuration())), // a longer time does not change the behaviour
 			uint64(max(state.heldUntil-now, 0)),
 			uint64(len(state.pendingCommands)),
 		} {
--- a/fleet/lease/fence.go
+++ b/fleet/lease/fence.go
@@ -6,28 +6,28 @@
 	"sync"
 )
 
-// StaleTokenError reports that a receiver refused fleet work because it has seen
-// a higher fencing token of the same lease.
+// StaleTokenError reports that a receiver rejected fleet work because it has
+// seen a higher fencing token of the same lease.
 type StaleTokenError struct {
 	Lease   string
-	Token   Token // of the refused work
-	Highest Token // that the receiver has seen
+	Token   Token // token of the rejected work
+	Highest Token // highest token that the receiver has seen
 }
 
 func (e *StaleTokenError) Error() string {
-	return fmt.Sprintf("lease %s: token %s is stale, %s was seen", e.Lease, e.Token, e.Highest)
+	return fmt.Sprintf("lease %s: token %s is stale: the highest token seen is %s", e.Lease, e.Token, e.Highest)
 }
 
-// Fence is a receiver's record of the highest token that it has seen of each
-// lease. The zero Fence has seen none. Its methods are safe for concurrent use.
+// Fence records the highest token that a receiver has seen for each lease. The
+// zero Fence has seen none. Its methods are safe for concurrent use.
 type Fence struct {
 	mu      sync.Mutex
 	highest map[string]Token
 }
 
-// Admit records a token that came with fleet work. It returns a
-// *StaleTokenError if a higher token of the lease was seen before; the receiver
-// must then refuse the work.
+// Admit records the token of received fleet work. It returns a *StaleTokenError
+// if the receiver has seen a higher token of the lease before; the receiver must
+// then reject the work.
 func (f *Fence) Admit(leaseName string, token Token) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Highest returns a copy of the highest token seen of each lease.
+// Highest returns a copy of the highest tokens seen, by lease name.
 func (f *Fence) Highest() map[string]Token {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/lease/fence_test.go
+++ b/fleet/lease/fence_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestFence(t *testing.T) {
+func TestFenceAdmit_RejectsTokensBelowHighest(t *testing.T) {
 	var f Fence
 	for _, c := range []struct {
 		token Token
@@ -20,12 +20,12 @@
 		err := f.Admit("probe", c.token)
 		var stale *StaleTokenError
 		if errors.As(err, &stale) != c.stale {
-			t.Errorf("%v: %v", c.token, err)
+			t.Errorf("Admit(probe, %v) = %v, want a *StaleTokenError: %t", c.token, err, c.stale)
 		} else if c.stale && *stale != (StaleTokenError{"probe", c.token, Token{2, 3}}) {
-			t.Errorf("%v: %+v", c.token, stale)
+			t.Errorf("Admit(probe, %v) = %+v, want the highest token 2.3", c.token, stale)
 		}
 	}
 	if f.Admit("other", Token{1, 1}) != nil || f.Highest()["probe"] != (Token{2, 3}) {
-		t.Error("leases share a fence")
+		t.Error("Admit of one lease depends on, or changes, the highest token of another")
 	}
 }
--- a/fleet/lease/modelcheck/fingerprint.go
+++ b/fleet/lease/modelcheck/fingerprint.go
@@ -8,56 +8,58 @@
 	"quincerail.example/quincerail/fleet/lease"
 )
 
-// notPaused stands for no prepared request in the encoding of a state.
+// notPaused encodes that a client is not paused.
 const notPaused = -1
 
-// encoder appends to the encoding of a state.
+// encoder builds the encoding of a state.
 type encoder struct {
 	seed maphash.Seed
 	b    []byte
 }
 
-// fingerprint returns a hash of all that decides what can follow a state. Two
-// states with different futures collide with a probability of 2^-64.
+// fingerprint returns a hash of all parts of a state that determine which states
+// can follow. Two states with different successors have the same fingerprint with
+// a probability of 2^-64.
 func (s *state) fingerprint(config Config, seed maphash.Seed) uint64 {
 	e := &encoder{seed: seed}
-	e.ints(int(s.now), int(s.acceptedTo.Index), len(s.log))
-	e.ints(s.used.commands, s.used.duplicates, s.used.pauses, s.used.requests)
+	e.appendInts(int(s.now), int(s.highestAccepted.Index), len(s.log))
+	e.appendInts(s.used.commands, s.used.duplicates, s.used.pauses, s.used.requests)
 	for i, client := range s.clients {
 		e.b = client.AppendState(e.b, s.clock(config, i))
-		e.ints(s.applied[i])
+		e.appendInts(s.applied[i])
 		if s.paused[i] != nil {
-			e.ints(int(s.paused[i].token.Index))
+			e.appendInts(int(s.paused[i].token.Index))
 		} else {
-			e.ints(notPaused)
+			e.appendInts(notPaused)
 		}
 	}
-	for _, command := range s.log[slices.Min(s.applied):] { // what all have applied is in the clients' states
-		e.command(command)
+	for _, command := range s.log[slices.Min(s.applied):] { // the clients' states contain the entries that all have applied
+		e.appendCommand(command)
 	}
-	e.set(len(s.commands), func(i int) { e.command(s.commands[i]) })
-	e.set(len(s.requests), func(i int) { e.request(s.requests[i]) })
-	e.set(len(s.accepted), func(i int) { e.request(s.accepted[i]) })
+	e.appendUnordered(len(s.commands), func(i int) { e.appendCommand(s.commands[i]) })
+	e.appendUnordered(len(s.requests), func(i int) { e.appendRequest(s.requests[i]) })
+	e.appendUnordered(len(s.accepted), func(i int) { e.appendRequest(s.accepted[i]) })
 	return maphash.Bytes(seed, e.b)
 }
 
-func (e *encoder) ints(values ...int) {
+func (e *encoder) appendInts(values ...int) {
 	for _, v := range values {
 		e.b = binary.AppendVarint(e.b, int64(v))
 	}
 }
 
-func (e *encoder) command(command lease.Command) {
+func (e *encoder) appendCommand(command lease.Command) {
 	e.b = append(e.b, command.Kind...)
 	e.b = append(e.b, command.Owner.Member...)
-	e.ints(int(command.Token.Index), int(command.Renewals), int(command.Nonce))
+	e.appendInts(int(command.Token.Index), int(command.Renewals), int(command.Nonce))
 }
 
-func (e *encoder) request(r request) { e.ints(r.client, int(r.token.Index)) }
+func (e *encoder) appendRequest(r request) { e.appendInts(r.client, int(r.token.Index)) }
 
-// set appends the sum of the items' hashes, which does not depend on their
-// order: in whichever order things are in flight, the same can follow.
-func (e *encoder) set(n int, appendItem func(i int)) {
+// appendUnordered appends the sum of the items' hashes, which does not depend on
+// their order: the order of the items in flight does not affect which states can
+// follow.
+func (e *encoder) appendUnordered(n int, appendItem func(i int)) {
 	var sum uint64
 	for i := range n {
 		start := len(e.b)
@@ -66,5 +68,5 @@
 		e.b = e.b[:start]
 	}
 	e.b = binary.LittleEndian.AppendUint64(e.b, sum)
-	e.ints(n)
+	e.appendInts(n)
 }
--- a/fleet/lease/modelcheck/modelcheck.go
+++ b/fleet/lease/modelcheck/modelcheck.go
@@ -10,19 +10,19 @@
 // Config bounds the states that a search visits.
 type Config struct {
 	Timing        lease.Timing
-	ClockRates    []float64 // of each client's clock: 1 is exact, 1.1 runs a tenth fast
-	MaxTimeSteps  int       // by which time advances
-	MaxCommands   int       // that all clients send
-	MaxDuplicates int       // of commands and requests
-	MaxPauses     int       // of clients between checking the lease and sending
-	MaxRequests   int       // that all clients send
-	DisableFence  bool      // the receiver accepts any token: shows that the search finds the violation
+	ClockRates    []float64 // rate of each client's clock: 1 is exact, 1.1 runs 10% fast
+	MaxTimeSteps  int       // number of AdvanceTime transitions
+	MaxCommands   int       // commands sent by all clients
+	MaxDuplicates int       // duplicates of commands and requests
+	MaxPauses     int       // pauses of all clients between checking the lease and sending
+	MaxRequests   int       // requests sent by all clients
+	DisableFence  bool      // makes the receiver accept any token, to test that the search finds the violation
 }
 
-// TransitionKind is what happens in a transition.
+// TransitionKind names the effect of a transition.
 type TransitionKind string
 
-// The kinds of transitions; the package's comment describes them.
+// The kinds of transitions. The package comment describes them.
 const (
 	AdvanceTime      TransitionKind = "time"
 	Tick             TransitionKind = "tick"
@@ -39,10 +39,11 @@
 // Transition is one step of a trace.
 type Transition struct {
 	Kind  TransitionKind
-	Index int // of the client, or of the command or request in flight; 0 for AdvanceTime
+	Index int // index of the client, or of the command or request in flight; 0 for AdvanceTime
 }
 
-// String returns the transition as violations show it, "kind:index".
+// String returns the transition as "kind:index", or only the kind for
+// AdvanceTime. Error texts contain this form.
 func (t Transition) String() string {
 	if t.Kind == AdvanceTime {
 		return string(t.Kind)
@@ -52,14 +53,14 @@
 
 // Result is the size of a completed search.
 type Result struct {
-	States int // distinct states visited
-	Depth  int // transitions of the longest trace
+	States int // number of distinct states visited
+	Depth  int // number of breadth-first levels searched
 }
 
-// ViolationError reports an invariant that does not hold, and a shortest trace
-// from the initial state to its violation.
+// ViolationError reports a violated invariant and the trace from the initial
+// state to the violation. Run returns a shortest trace.
 type ViolationError struct {
-	Invariant string // how it was violated
+	Invariant string // description of the violation
 	Trace     []Transition
 }
 
@@ -68,16 +69,16 @@
 	for i, transition := range e.Trace {
 		steps[i] = transition.String()
 	}
-	return fmt.Sprintf("modelcheck: %s, after: %s", e.Invariant, strings.Join(steps, " "))
+	return fmt.Sprintf("modelcheck: %s, after the trace: %s", e.Invariant, strings.Join(steps, " "))
 }
 
-// TransitionError reports a transition of a trace that is impossible in the
-// state that the trace has reached.
+// TransitionError reports a transition of a trace that is not enabled in the
+// state before it, or changes nothing there.
 type TransitionError struct {
 	Step       int // index of the transition in the trace
 	Transition Transition
 }
 
 func (e *TransitionError) Error() string {
-	return fmt.Sprintf("modelcheck: step %d, %s, is impossible", e.Step, e.Transition)
+	return fmt.Sprintf("modelcheck: transition %s at step %d of the trace is not possible", e.Transition, e.Step)
 }
--- a/fleet/lease/modelcheck/search.go
+++ b/fleet/lease/modelcheck/search.go
@@ -7,30 +7,30 @@
 	"sync"
 )
 
-// batchSize is how many states one goroutine expands.
+// batchSize is the number of states that one goroutine expands.
 const batchSize = 512
 
 // noParent is the parent of the initial state.
 const noParent = -1
 
-// visit is how a state was first reached.
+// visit records how a state was first reached.
 type visit struct {
-	parent     int // index of the state before, among all visited
+	parent     int // index in search.visited of the state before the transition
 	transition Transition
 }
 
-// frontierState is a visited state whose transitions have not been explored yet.
+// frontierState is a visited state that has not been expanded yet.
 type frontierState struct {
 	state *state
-	index int // among all visited
+	index int // in search.visited
 }
 
-// successor is what a transition led to.
+// successor is the result of a transition.
 type successor struct {
 	visit
-	state       *state
+	state       *state // nil if an invariant is violated
 	fingerprint uint64
-	violation   error // of an invariant; the state is not set then
+	violation   error // nil if all invariants hold
 }
 
 // search is a breadth-first search in progress.
@@ -41,7 +41,7 @@
 	visited []visit
 }
 
-// Run visits all states within the bounds of a configuration. The error is a
+// Run visits all states within the bounds of a configuration. It returns a
 // *ViolationError if an invariant does not hold.
 func Run(config Config) (Result, error) {
 	initial, err := initialState(config)
@@ -54,15 +54,16 @@
 	frontier := []frontierState{{initial, 0}}
 	depth := 0
 	for ; len(frontier) > 0; depth++ {
-		if frontier, err = s.advance(frontier); err != nil {
+		if frontier, err = s.visitSuccessors(frontier); err != nil {
 			break
 		}
 	}
 	return Result{States: len(s.visited), Depth: depth}, err
 }
 
-// advance visits all successors of the frontier, and returns those that are new.
-func (s *search) advance(frontier []frontierState) ([]frontierState, error) {
+// visitSuccessors visits all successors of the frontier and returns those that
+// were not visited before.
+func (s *search) visitSuccessors(frontier []frontierState) ([]frontierState, error) {
 	var next []frontierState
 	for _, found := range s.expandAll(frontier) {
 		if found.violation != nil {
@@ -78,7 +79,7 @@
 	return next, nil
 }
 
-// expandAll expands the frontier in parallel. Its result is in the order of the
+// expandAll expands the frontier in parallel. The result has the order of the
 // frontier.
 func (s *search) expandAll(frontier []frontierState) []successor {
 	batches := slices.Collect(slices.Chunk(frontier, batchSize))
@@ -116,7 +117,7 @@
 	return successors
 }
 
-// trace returns the transitions from the initial state up to and with a visit.
+// trace returns the transitions from the initial state to a visit, inclusive.
 func (s *search) trace(last visit) []Transition {
 	var transitions []Transition
 	for v := last; v.parent != noParent; v = s.visited[v.parent] {
@@ -126,8 +127,9 @@
 	return transitions
 }
 
-// Replay runs a trace again, and returns the violation at its end; nil if there
-// is none. It returns a *TransitionError if a transition is impossible.
+// Replay runs a trace from the initial state. It returns a *ViolationError for
+// the first violated invariant, a *TransitionError for a transition that is not
+// possible, and nil if the trace has neither.
 func Replay(config Config, trace []Transition) error {
 	current, err := initialState(config)
 	if err != nil {
@@ -141,7 +143,7 @@
 		switch {
 		case err != nil:
 			return &ViolationError{Invariant: err.Error(), Trace: trace[:i+1]}
-		case after == nil: // it changes nothing
+		case after == nil: // the transition changes nothing
 			return &TransitionError{Step: i, Transition: transition}
 		}
 		current = after
--- a/fleet/lease/modelcheck/state.go
+++ b/fleet/lease/modelcheck/state.go
@@ -7,44 +7,44 @@
 	"quincerail.example/quincerail/fleet/lease"
 )
 
-// leaseName is the one lease of the model.
+// leaseName is the name of the model's only lease.
 const leaseName = "work"
 
-// timeStep is by how much exact time advances in one transition.
+// timeStep is the exact time of one AdvanceTime transition.
 const timeStep = 100 * time.Millisecond
 
-// clockOffset is by how much each client's clock is ahead of the one before it:
-// only rates are bounded, not readings.
+// clockOffset is the difference between the clocks of consecutive clients at the
+// start. It tests that only clock rates need a bound, not readings.
 const clockOffset = time.Hour
 
 // logTerm is the Raft term of all log entries.
 const logTerm = 1
 
-// request is a piece of fleet work that an owner sends to the receiver.
+// request is fleet work that an owner sends to the receiver.
 type request struct {
 	client int
 	token  lease.Token
 }
 
-// state is one state of the model. States share their slices, which are
-// replaced, never modified.
+// state is one state of the model. States share their slices, so a transition
+// replaces a slice and never modifies it.
 type state struct {
-	now        time.Duration // exact time
-	clients    []*lease.Client
-	applied    []int // number of log entries that each client has applied
-	log        []lease.Command
-	commands   []lease.Command // in flight to the log
-	requests   []request       // in flight to the receiver
-	paused     []*request      // what each paused client sends when it resumes; nil if not paused
-	acceptedTo lease.Token     // highest token that the receiver accepted
-	accepted   []request       // distinct requests that the receiver accepted
-	used       usage
+	now             time.Duration // exact time
+	clients         []*lease.Client
+	applied         []int // number of log entries that each client has applied
+	log             []lease.Command
+	commands        []lease.Command // in flight to the log
+	requests        []request       // in flight to the receiver
+	paused          []*request      // what each paused client sends when it resumes; nil if not paused
+	highestAccepted lease.Token     // highest token that the receiver accepted
+	accepted        []request       // distinct requests that the receiver accepted
+	used            usage
 }
 
-// usage counts what is bounded by a Config.
+// usage counts the transitions' effects that a Config bounds.
 type usage struct{ commands, duplicates, pauses, requests int }
 
-// initialState returns the state in which nothing has happened yet.
+// initialState returns the state before the first transition.
 func initialState(config Config) (*state, error) {
 	n := len(config.ClockRates)
 	s := &state{applied: make([]int, n), paused: make([]*request, n)}
@@ -64,12 +64,12 @@
 	return time.Duration(client)*clockOffset + time.Duration(float64(s.now)*config.ClockRates[client])
 }
 
-// holds reports whether a client holds the lease, and under which token.
+// holds reports whether a client holds the lease, and returns its token.
 func (s *state) holds(config Config, client int) (lease.Token, bool) {
 	return s.clients[client].Holds(leaseName, s.clock(config, client))
 }
 
-// checkOwners checks the invariant on the clients: at most one holds the lease.
+// checkOwners returns an error if more than one client holds the lease.
 func (s *state) checkOwners(config Config) error {
 	owners := 0
 	for i := range s.clients {
@@ -78,7 +78,7 @@
 		}
 	}
 	if owners > 1 {
-		return fmt.Errorf("%d members hold the lease at one instant", owners)
+		return fmt.Errorf("%d clients hold the lease at the same instant", owners)
 	}
 	return nil
 }
--- a/fleet/lease/modelcheck/transition.go
+++ b/fleet/lease/modelcheck/transition.go
@@ -7,9 +7,9 @@
 	"quincerail.example/quincerail/fleet/lease"
 )
 
-// enabled returns the transitions that are possible in a state. A client that
-// does nothing for a while needs no transition, as time advances without it;
-// Pause is one between its check of the lease and its request.
+// enabled returns the transitions that are possible in a state. An idle client
+// needs no transition, because time advances independently of it. Only a delay
+// between a client's check of the lease and its request needs one: Pause.
 func (s *state) enabled(config Config) []Transition {
 	var transitions []Transition
 	for i := range s.clients {
@@ -56,8 +56,9 @@
 	return transitions
 }
 
-// next returns the state after an enabled transition, nil if the transition
-// changes nothing. The error is the invariant that the next state violates.
+// next returns the state after an enabled transition, or nil if the transition
+// changes nothing. The error describes the invariant that the next state
+// violates.
 func (s *state) next(config Config, transition Transition) (*state, error) {
 	after := *s
 	index := transition.Index
@@ -88,14 +89,15 @@
 	return &after, after.checkOwners(config)
 }
 
-// cloneClient replaces a client by a copy that may be modified.
+// cloneClient replaces a client by a copy that may be modified, and returns it.
 func (s *state) cloneClient(client int) *lease.Client {
 	s.clients = slices.Clone(s.clients)
 	s.clients[client] = s.clients[client].Clone()
 	return s.clients[client]
 }
 
-// tick sends a client's commands; it reports whether there were any.
+// tick sends the commands that a client's Tick returns, and reports whether there
+// were any.
 func (s *state) tick(config Config, client int) bool {
 	sent := s.cloneClient(client).Tick(s.clock(config, client), true)
 	s.commands = append(slices.Clone(s.commands), sent...)
@@ -113,7 +115,7 @@
 	s.commands = slices.Delete(slices.Clone(s.commands), index, index+1)
 }
 
-// applyEntry has a client apply its next log entry.
+// applyEntry applies a client's next log entry.
 func (s *state) applyEntry(config Config, client int) {
 	index := s.applied[client]
 	token := lease.Token{Term: logTerm, Index: uint64(index + 1)}
@@ -122,14 +124,14 @@
 	s.applied[client]++
 }
 
-// newRequest returns a request under the token that a client holds the lease by.
+// newRequest returns a request with the token of the client's lease.
 func (s *state) newRequest(config Config, client int) request {
 	token, _ := s.holds(config, client)
 	s.used.requests++
 	return request{client, token}
 }
 
-// pause has a client prepare its request, without sending it.
+// pause prepares a client's request and pauses the client before it sends it.
 func (s *state) pause(config Config, client int) {
 	prepared := s.newRequest(config, client)
 	s.paused = slices.Clone(s.paused)
@@ -137,14 +139,14 @@
 	s.used.pauses++
 }
 
-// resume has a paused client send its request.
+// resume sends a paused client's request.
 func (s *state) resume(client int) {
 	s.requests = append(slices.Clone(s.requests), *s.paused[client])
 	s.paused = slices.Clone(s.paused)
 	s.paused[client] = nil
 }
 
-// deliver has the receiver handle a request in flight.
+// deliver passes a request in flight to the receiver.
 func (s *state) deliver(config Config, index int, duplicate bool) error {
 	if err := s.receive(config, s.requests[index]); err != nil {
 		return err
@@ -157,23 +159,23 @@
 	return nil
 }
 
-// receive is the receiver: it accepts what its fence admits, and checks the
-// invariants on what it accepted.
+// receive implements the receiver: it accepts the requests that its fence admits.
+// It returns an error if the accepted requests violate an invariant.
 func (s *state) receive(config Config, received request) error {
 	var fence lease.Fence
-	if err := fence.Admit(leaseName, s.acceptedTo); err != nil {
+	if err := fence.Admit(leaseName, s.highestAccepted); err != nil {
 		return err
 	}
 	if err := fence.Admit(leaseName, received.token); err != nil && !config.DisableFence {
-		return nil // refused, as it should be
+		return nil // rejected, as required
 	}
-	if received.token.Compare(s.acceptedTo) < 0 {
-		return fmt.Errorf("the receiver accepted %v after %v", received.token, s.acceptedTo)
+	if received.token.Compare(s.highestAccepted) < 0 {
+		return fmt.Errorf("the receiver accepted token %v after token %v", received.token, s.highestAccepted)
 	}
-	s.acceptedTo = received.token
+	s.highestAccepted = received.token
 	for _, earlier := range s.accepted {
 		if earlier.token == received.token && earlier.client != received.client {
-			return fmt.Errorf("members %d and %d acted under %v", earlier.client, received.client, received.token)
+			return fmt.Errorf("the receiver accepted requests of clients %d and %d under token %v", earlier.client, received.client, received.token)
 		}
 	}
 	if !slices.Contains(s.accepted, received) {
--- a/fleet/lease/table.go
+++ b/fleet/lease/table.go
@@ -8,47 +8,47 @@
 )
 
 // Owner identifies a process that may own leases: a member of the fleet in one
-// incarnation. A member that restarts is a different owner, and does not
-// continue with a lease of its former incarnation.
+// incarnation. A member that restarts is a different owner and does not hold the
+// leases of its former incarnation.
 type Owner struct {
 	Member      string `json:"member"`
-	Incarnation uint64 `json:"life"` // drawn at random at each start
+	Incarnation uint64 `json:"life"` // random number drawn at each start
 }
 
-// CommandKind is what a command asks for.
+// CommandKind is the operation of a command.
 type CommandKind string
 
 // The kinds of commands. Their values are stored in the voters' log.
 const (
-	Acquire CommandKind = "take"    // become the owner, in place of the grant that the command names
-	Renew   CommandKind = "renew"   // extend the grant of its owner
-	Release CommandKind = "release" // end the grant of its owner, who has stopped acting
+	Acquire CommandKind = "take"    // makes the sender the owner and replaces the grant that it saw
+	Renew   CommandKind = "renew"   // extends the sender's grant
+	Release CommandKind = "release" // ends the sender's grant; the sender has stopped acting as the owner
 )
 
 // Command is an entry of the voters' log. An Acquire is granted only if the
-// lease still has the grant with this Token and Renewals; a Renew or Release
-// only if the grant with this Token belongs to Owner.
+// lease's grant has the same Token and Renewals; a Renew or Release only if it
+// has the same Token and Owner.
 type Command struct {
 	Kind     CommandKind `json:"kind"`
 	Lease    string      `json:"lease"`
-	Owner    Owner       `json:"by"` // the sender
+	Owner    Owner       `json:"by"` // sender of the command
 	Token    Token       `json:"token"`
 	Renewals uint64      `json:"renewals,omitempty"`
-	Nonce    uint64      `json:"nonce"` // identifies the command to its sender
+	Nonce    uint64      `json:"nonce"` // by which the sender recognizes its command
 }
 
 // Grant is the state of a lease.
 type Grant struct {
-	Owner    Owner  `json:"owner"` // the zero Owner if the lease is free
-	Token    Token  `json:"token"` // of the latest granted Acquire
-	Renewals uint64 `json:"renewals"`
+	Owner    Owner  `json:"owner"`    // zero if the lease is free
+	Token    Token  `json:"token"`    // term and index of the latest granted Acquire
+	Renewals uint64 `json:"renewals"` // renewals granted since, plus 1 for a release
 }
 
-// Free reports whether nobody owns the lease.
+// Free reports whether the lease has no owner.
 func (g Grant) Free() bool { return g.Owner == Owner{} }
 
-// Table holds the grants of all leases. Tables to which the same commands were
-// applied are equal. In the zero Table every lease is free.
+// Table holds the grants of all leases. Two tables are equal after applying the
+// same commands. In the zero Table every lease is free.
 type Table struct{ grants map[string]Grant }
 
 // Grant returns the state of a lease.
@@ -58,8 +58,8 @@
 func (t *Table) Leases() []string { return slices.Sorted(maps.Keys(t.grants)) }
 
 // Apply applies a committed command and reports whether it was granted. The
-// token is the term and index of the command's log entry; it must grow from call
-// to call.
+// token is the term and index of the command's log entry, so it must increase
+// from call to call.
 func (t *Table) Apply(command Command, token Token) (granted bool) {
 	grant := t.grants[command.Lease]
 	if command.Token != grant.Token {
@@ -73,7 +73,7 @@
 		grant.Renewals++
 	case command.Kind == Release && fromOwner:
 		grant.Owner = Owner{}
-		grant.Renewals++ // refuses an Acquire that was sent before the release
+		grant.Renewals++ // so that an Acquire sent before the release is rejected
 	default:
 		return false
 	}
@@ -87,11 +87,11 @@
 // MarshalJSON encodes the table for a snapshot of the log.
 func (t *Table) MarshalJSON() ([]byte, error) { return json.Marshal(t.grants) }
 
-// UnmarshalJSON replaces the table by that of a snapshot.
+// UnmarshalJSON replaces the table by the one encoded in a snapshot.
 func (t *Table) UnmarshalJSON(b []byte) error {
 	t.grants = nil
 	if err := json.Unmarshal(b, &t.grants); err != nil {
-		return fmt.Errorf("lease: decoding the table: %w", err)
+		return fmt.Errorf("lease: decoding the table of grants: %w", err)
 	}
 	return nil
 }
--- a/fleet/lease/table_test.go
+++ b/fleet/lease/table_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// TestTablesAgree applies the same random commands (seeded) to two tables, one
-// of which is restored from a snapshot in the middle: both grant the same
-// commands and end equal, and tokens never go down.
-func TestTablesAgree(t *testing.T) {
+// TestTable_ReplicasGrantSameCommands applies the same random commands, with a
+// fixed seed, to two tables and restores one of them from a snapshot of the other
+// midway. Both must grant the same commands and end equal, and the token must
+// never decrease.
+func TestTable_ReplicasGrantSameCommands(t *testing.T) {
 	const commands, snapshotAt, wantGranted = 2000, 1000, 500
 	rng := rand.New(rand.NewPCG(7, 7))
 	var a, b Table
@@ -19,10 +20,10 @@
 		command, token := randomCommand(rng, before), Token{1 + i/500, i + 1}
 		ok := a.Apply(command, token)
 		if ok != b.Apply(command, token) {
-			t.Fatalf("%d: the tables differ", i)
+			t.Fatalf("command %d: one table granted it and the other rejected it", i)
 		}
 		if after := a.Grant("probe"); after.Token.Compare(before.Token) < 0 {
-			t.Fatalf("%d: token %v after %v", i, after.Token, before.Token)
+			t.Fatalf("command %d: the token decreased from %v to %v", i, before.Token, after.Token)
 		}
 		if ok {
 			granted++
@@ -32,11 +33,12 @@
 		}
 	}
 	if a.Grant("probe") != b.Grant("probe") || granted < wantGranted {
-		t.Errorf("%v, %v, %d granted", a.Grant("probe"), b.Grant("probe"), granted)
+		t.Errorf("grants %v and %v after %d granted commands, want equal grants after at least %d", a.Grant("probe"), b.Grant("probe"), granted, wantGranted)
 	}
 }
 
-// randomCommand returns a command about a grant, half of them one renewal behind.
+// randomCommand returns a command for a grant. The renewal count is one too low
+// in half of the commands.
 func randomCommand(rng *rand.Rand, grant Grant) Command {
 	return Command{
 		Kind:  []CommandKind{Acquire, Renew, Release}[rng.IntN(3)],
@@ -45,7 +47,7 @@
 	}
 }
 
-// restore replaces one table by a snapshot of another.
+// restore replaces the table to by a snapshot of the table from.
 func restore(t *testing.T, to, from *Table) {
 	t.Helper()
 	snapshot, err := from.MarshalJSON()
@@ -57,9 +59,9 @@
 	}
 }
 
-// TestStoredForm pins the bytes of commands and tables in voters' logs and
-// snapshots. They were written by the version before any of the names changed.
-func TestStoredForm(t *testing.T) {
+// TestStoredJSON_MatchesFirstVersion pins the bytes of commands and tables in
+// voters' logs and snapshots to those of the version before the Go names changed.
+func TestStoredJSON_MatchesFirstVersion(t *testing.T) {
 	owner := Owner{"a", 7}
 	var table Table
 	table.Apply(Command{Kind: Acquire, Lease: "probe", Owner: owner}, Token{2, 5})
@@ -87,14 +89,14 @@
 	} {
 		got, err := json.Marshal(c.value)
 		if err != nil || string(got) != c.want {
-			t.Errorf("%s, %v; want %s", got, err, c.want)
+			t.Errorf("json.Marshal(%+v) = %s, %v, want %s", c.value, got, err, c.want)
 		}
 	}
-	var read Table
-	if err := read.UnmarshalJSON([]byte(`{"probe":{"owner":{"member":"a","life":7},"token":{"term":2,"index":5},"renewals":1}}`)); err != nil {
+	var decoded Table
+	if err := decoded.UnmarshalJSON([]byte(`{"probe":{"owner":{"member":"a","life":7},"token":{"term":2,"index":5},"renewals":1}}`)); err != nil {
 		t.Fatal(err)
 	}
-	if read.Grant("probe") != table.Grant("probe") {
-		t.Errorf("read %v, want %v", read.Grant("probe"), table.Grant("probe"))
+	if decoded.Grant("probe") != table.Grant("probe") {
+		t.Errorf("decoded grant %v, want %v", decoded.Grant("probe"), table.Grant("probe"))
 	}
 }
--- a/fleet/lease/timing.go
+++ b/fleet/lease/timing.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// maxClockDrift is the largest drift bound that Validate accepts.
+// maxClockDrift is the largest ClockDrift that Validate accepts.
 const maxClockDrift = 0.2
 
-// Timing is how long leases last. All clients must be configured with the same.
+// Timing configures the duration of leases. All clients must have the same.
 type Timing struct {
-	Duration      time.Duration // of a lease after a grant or renewal
-	ClockDrift    float64       // bound on how fast or slow a client's clock runs: 0.05 is 5%
-	RenewInterval time.Duration // between two renewals, and until an unanswered command is sent again
+	Duration      time.Duration // how long a lease lasts after a grant or renewal
+	ClockDrift    float64       // largest relative error of a client's clock rate: 0.05 is 5%
+	RenewInterval time.Duration // time between two renewals, and before a command that was not applied is sent again
 }
 
 // ConfigError reports a configuration field with an invalid value.
 type ConfigError struct {
 	Field       string // name of the Go field
 	Value       any
-	Requirement string // that the value does not meet
+	Requirement string // requirement that the value does not meet
 }
 
 func (e *ConfigError) Error() string {
@@ -40,14 +40,16 @@
 	return nil
 }
 
-// ownerDuration is how long an owner acts after it sent a granted command: the
-// duration on a clock that runs as slow as the drift bound allows.
+// ownerDuration returns how long an owner may act after it sent a granted
+// command, on its own clock. A clock that is slow by ClockDrift advances by that
+// in Duration of exact time.
 func (t Timing) ownerDuration() time.Duration {
 	return time.Duration(float64(t.Duration) * (1 - t.ClockDrift))
 }
 
-// observerDuration is how long any other client waits after it applied a
-// granted command: the duration on a clock that runs as fast as the bound allows.
+// observerDuration returns how long any other client waits after it applied a
+// granted command, on its own clock. A clock that is fast by ClockDrift advances
+// by that in Duration of exact time.
 func (t Timing) observerDuration() time.Duration {
 	return time.Duration(float64(t.Duration) * (1 + t.ClockDrift))
 }
--- a/fleet/lease/timing_test.go
+++ b/fleet/lease/timing_test.go
@@ -10,7 +10,7 @@
 func TestTimingValidate(t *testing.T) {
 	for _, c := range []struct {
 		timing Timing
-		field  string // at fault; "" for none
+		field  string // that the error names; "" if the timing is valid
 	}{
 		{timing, ""},
 		{Timing{}, "Duration"},
@@ -25,18 +25,18 @@
 		switch {
 		case c.field == "":
 			if err != nil {
-				t.Errorf("%+v: %v", c.timing, err)
+				t.Errorf("%+v.Validate() = %v, want no error", c.timing, err)
 			}
 		case !errors.As(err, &invalid) || invalid.Field != c.field:
-			t.Errorf("%+v: got %v, want an error about %s", c.timing, err, c.field)
+			t.Errorf("%+v.Validate() = %v, want a *ConfigError for field %s", c.timing, err, c.field)
 		}
 	}
 }
 
-func TestNewClientRefusesZeroOwner(t *testing.T) {
+func TestNewClient_RejectsZeroOwner(t *testing.T) {
 	_, err := NewClient(Owner{}, timing, nil)
 	var invalid *ConfigError
 	if !errors.As(err, &invalid) || invalid.Field != "Owner" {
-		t.Errorf("got %v, want an error about the owner", err)
+		t.Errorf("NewClient with the zero Owner returned %v, want a *ConfigError for field Owner", err)
 	}
 }
--- a/fleet/lease/token.go
+++ b/fleet/lease/token.go
@@ -6,8 +6,8 @@
 )
 
 // Token is a fencing token: the Raft term and log index of the entry that
-// granted a lease. Of two grants of a lease the later has the higher token. It is
-// stored and sent in JSON, and sent in CBOR within a rollout.Direction.
+// granted a lease. A later grant of the same lease has a higher token. Tokens are
+// stored and sent in JSON, and sent in CBOR within a rollout.Directive.
 type Token struct {
 	Term  uint64 `cbor:"term" json:"term"`
 	Index uint64 `cbor:"index" json:"index"`
@@ -19,5 +19,5 @@
 	return cmp.Or(cmp.Compare(t.Term, u.Term), cmp.Compare(t.Index, u.Index))
 }
 
-// String returns the token as logs show it, "term.index".
+// String returns the token as "term.index", the form in log output and errors.
 func (t Token) String() string { return fmt.Sprintf("%d.%d", t.Term, t.Index) }
--- a/fleet/rafttransport/receiver.go
+++ b/fleet/rafttransport/receiver.go
@@ -19,12 +19,12 @@
 				continue
 			}
 		}
-		if !t.track(conn) {
+		if !t.trackConn(conn) {
 			t.closeQuietly(conn)
 			continue
 		}
 		t.tasks.Go(func() {
-			defer t.release(conn)
+			defer t.closeConn(conn)
 			t.receive(conn)
 		})
 	}
@@ -33,7 +33,7 @@
 // receive hands over the messages of an inbound connection until it ends.
 func (t *Transport) receive(conn net.Conn) {
 	reader := bufio.NewReader(conn)
-	if !t.acceptHello(conn, reader) {
+	if !t.receiveHello(conn, reader) {
 		return
 	}
 	for {
@@ -45,9 +45,9 @@
 	}
 }
 
-// acceptHello reads a connection's first frame, and returns whether it is that of
+// receiveHello reads a connection's first frame, and returns whether it is that of
 // a peer which wants to reach this voter.
-func (t *Transport) acceptHello(conn net.Conn, reader *bufio.Reader) bool {
+func (t *Transport) receiveHello(conn net.Conn, reader *bufio.Reader) bool {
 	if err := conn.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return false
 	}
@@ -56,14 +56,14 @@
 		return false
 	}
 	var hello Hello
-	if err := json.Unmarshal(frame, &hello); err != nil || !t.isForThisVoter(hello) {
+	if err := json.Unmarshal(frame, &hello); err != nil || !t.validHello(hello) {
 		t.log.Warn("fleet_hello_refused", "fleet", hello.Fleet, "from", hello.From, "to", hello.To)
 		return false
 	}
 	return conn.SetReadDeadline(time.Time{}) == nil
 }
 
-func (t *Transport) isForThisVoter(hello Hello) bool {
+func (t *Transport) validHello(hello Hello) bool {
 	if hello.Fleet != t.options.Fleet || hello.To != t.options.Self {
 		return false
 	}
--- a/fleet/rafttransport/sender.go
+++ b/fleet/rafttransport/sender.go
@@ -15,12 +15,12 @@
 // each other nothing between elections, and a request for a vote that is written to
 // a connection which ended long ago would be lost.
 type sender struct {
-	transport *Transport
-	peer      peer
-	hello     []byte        // the first frame of each connection
-	conn      net.Conn      // nil while disconnected
-	connEnded chan struct{} // closed when the peer ended conn; nil while disconnected
-	backoff   time.Duration // before the next attempt to connect
+	transport  *Transport
+	peer       peer
+	hello      []byte        // the first frame of each connection
+	conn       net.Conn      // nil while disconnected
+	connClosed chan struct{} // closed when the peer ended conn; nil while disconnected
+	backoff    time.Duration // before the next attempt to connect
 }
 
 func newSender(t *Transport, name string, p peer) *sender {
@@ -40,7 +40,7 @@
 			return
 		case <-s.peer.removed:
 			return
-		case <-s.connEnded:
+		case <-s.connClosed:
 			s.disconnect()
 		case message := <-s.peer.queue:
 			if !s.send(message) {
@@ -81,14 +81,14 @@
 // connect takes over a connection that was dialled. It returns false where the
 // transport takes no more.
 func (s *sender) connect(conn net.Conn) bool {
-	if !s.transport.track(conn) {
+	if !s.transport.trackConn(conn) {
 		s.transport.closeQuietly(conn)
 		return false
 	}
 	s.conn = conn
-	s.connEnded = make(chan struct{})
+	s.connClosed = make(chan struct{})
 	s.backoff = minBackoff
-	s.transport.tasks.Go(watchEnd(conn, s.connEnded))
+	s.transport.tasks.Go(watchClose(conn, s.connClosed))
 	return true
 }
 
@@ -96,8 +96,8 @@
 	if s.conn == nil {
 		return
 	}
-	s.transport.release(s.conn)
-	s.conn, s.connEnded = nil, nil
+	s.transport.closeConn(s.conn)
+	s.conn, s.connClosed = nil, nil
 }
 
 // waitBackoff waits before the next attempt to connect, twice as long each time.
@@ -120,9 +120,9 @@
 	return err
 }
 
-// watchEnd gives a task that closes ended when the peer ends the connection. The
+// watchClose gives a task that closes ended when the peer ends the connection. The
 // peer writes nothing on it, so that a read returns only then.
-func watchEnd(conn net.Conn, ended chan<- struct{}) func() {
+func watchClose(conn net.Conn, ended chan<- struct{}) func() {
 	return func() {
 		defer close(ended)
 		_, _ = io.Copy(io.Discard, conn)
--- a/fleet/rafttransport/transport.go
+++ b/fleet/rafttransport/transport.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	queuedMessages = 256 // for one peer
-	dialTimeout    = time.Second
-	writeTimeout   = time.Second
-	helloTimeout   = 2 * time.Second
-	minBackoff     = 20 * time.Millisecond // between two attempts to connect
-	maxBackoff     = 500 * time.Millisecond
-	maxInbound     = 64 // connections
+	sendQueueLength = 256 // for one peer
+	dialTimeout     = time.Second
+	writeTimeout    = time.Second
+	helloTimeout    = 2 * time.Second
+	minBackoff      = 20 * time.Millisecond // between two attempts to connect
+	maxBackoff      = 500 * time.Millisecond
+	maxInboundConns = 64 // connections
 )
 
 // Hello is the first frame of a connection.
@@ -100,7 +100,7 @@
 		if _, known := t.peers[name]; known || name == t.options.Self {
 			continue
 		}
-		p := peer{address, make(chan []byte, queuedMessages), make(chan struct{})}
+		p := peer{address, make(chan []byte, sendQueueLength), make(chan struct{})}
 		t.peers[name] = p
 		t.tasks.Go(newSender(t, name, p).run)
 	}
@@ -140,10 +140,10 @@
 
 // track has Close end a connection. It returns false where the transport is closed
 // or has too many connections.
-func (t *Transport) track(conn net.Conn) bool {
+func (t *Transport) trackConn(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ctx.Err() != nil || len(t.conns) >= maxInbound+len(t.peers) {
+	if t.ctx.Err() != nil || len(t.conns) >= maxInboundConns+len(t.peers) {
 		return false
 	}
 	t.conns[conn] = true
@@ -151,7 +151,7 @@
 }
 
 // release closes a tracked connection.
-func (t *Transport) release(conn net.Conn) {
+func (t *Transport) closeConn(conn net.Conn) {
 	t.closeQuietly(conn)
 	t.mu.Lock()
 	defer t.mu.Unlock()
