--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,12 +1,10 @@
-// Package golden compares what the program writes with files that an earlier
-// version of it wrote, for the forms that outlive a process or go between two
-// versions of the program.
+// Package golden compares encoded data with files that an earlier version of the program wrote.
+// It is for data that outlives a process or is exchanged between two versions of the program.
 //
-// The files lie in testdata/golden of the package under test; the README.md
-// there says which version wrote them, and how. Nothing in this package writes
-// them, and there is no flag that does: a form that differs from its file is one
-// that the versions in use do not read. A change of a form gets files of its own
-// beside the former ones, which the program must read still.
+// The files are in testdata/golden of the package under test. The README.md there states which
+// version wrote them, and how. This package can't write them, and has no flag to update them:
+// the versions in use can't read data that differs from its file. A new format gets its own
+// files beside the old ones, which the program must still be able to read.
 package golden
 
 import (
@@ -19,10 +17,10 @@
 	"unicode/utf8"
 )
 
-// folder is where the files of a package lie.
+// folder is the directory of the golden files, relative to the package under test.
 var folder = filepath.Join("testdata", "golden")
 
-// Bytes reads a golden file of the package under test.
+// Bytes returns the content of a golden file.
 func Bytes(t testing.TB, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(folder, name))
@@ -32,59 +30,59 @@
 	return b
 }
 
-// Equal reports an error unless got is a golden file, byte for byte.
+// Equal reports a test error unless got equals the content of a golden file.
 func Equal(t testing.TB, name string, got []byte) {
 	t.Helper()
 	compare(t, name, got, Bytes(t, name))
 }
 
-// RoundTrip reports an error unless marshal gives a golden file for a value,
-// byte for byte, and unmarshal gives the value for the file. It is for forms
-// that have one encoding for each value: CBOR maps must have a single entry.
+// RoundTrip reports a test error unless marshal encodes value as the content of a golden file
+// and unmarshal decodes the file as value. The format must have a single encoding for the value,
+// so a map that is encoded as CBOR must have one entry.
 func RoundTrip[T any](t testing.TB, name string, value T, marshal func(any) ([]byte, error), unmarshal func([]byte, any) error) {
 	t.Helper()
 	got, err := marshal(value)
 	if err != nil {
-		t.Errorf("%s: %v", name, err)
+		t.Errorf("encoding the value of golden file %s: %v", name, err)
 		return
 	}
 	Equal(t, name, got)
 	Decodes(t, name, value, unmarshal)
 }
 
-// Decodes reports an error unless unmarshal gives a value for a golden file. It
-// is for forms that have several encodings for one value.
+// Decodes reports a test error unless unmarshal decodes a golden file as want. It is for formats
+// that have several encodings for a value.
 func Decodes[T any](t testing.TB, name string, want T, unmarshal func([]byte, any) error) {
 	t.Helper()
 	var got T
 	if err := unmarshal(Bytes(t, name), &got); err != nil {
-		t.Errorf("%s: %v", name, err)
+		t.Errorf("decoding golden file %s: %v", name, err)
 		return
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as\n%+v\nwant\n%+v", name, got, want)
+		t.Errorf("golden file %s is decoded as\n%+v\nwant\n%+v", name, got, want)
 	}
 }
 
-// CopyFolder copies a golden folder, so that a test may open it for writing, and
-// gives the copy's path.
+// CopyFolder copies a directory of golden files, so that a test may write to it, and returns the
+// path of the copy.
 func CopyFolder(t testing.TB, name string) string {
 	t.Helper()
-	to := filepath.Join(t.TempDir(), "copy")
-	if err := os.CopyFS(to, os.DirFS(filepath.Join(folder, name))); err != nil {
+	dst := filepath.Join(t.TempDir(), "copy")
+	if err := os.CopyFS(dst, os.DirFS(filepath.Join(folder, name))); err != nil {
 		t.Fatal(err)
 	}
-	return to
+	return dst
 }
 
-// EqualFolder reports an error unless a folder holds the files of a golden
-// folder, byte for byte, and no others.
+// EqualFolder reports a test error unless the directory got has the same files, with the same
+// content, as a directory of golden files.
 func EqualFolder(t testing.TB, name, got string) {
 	t.Helper()
 	want := filepath.Join(folder, name)
 	files := fileNames(t, want)
-	if others := fileNames(t, got); !slices.Equal(others, files) {
-		t.Errorf("%s: files %v, want %v", name, others, files)
+	if gotFiles := fileNames(t, got); !slices.Equal(gotFiles, files) {
+		t.Errorf("directory %s has files %v, want %v", name, gotFiles, files)
 		return
 	}
 	for _, file := range files {
@@ -96,7 +94,7 @@
 	}
 }
 
-// fileNames gives the names of a folder's files, in order.
+// fileNames returns the sorted names of a directory's entries.
 func fileNames(t testing.TB, path string) (names []string) {
 	t.Helper()
 	entries, err := os.ReadDir(path)
@@ -109,19 +107,20 @@
 	return names
 }
 
-// compare reports where two forms begin to differ: as text where both are.
+// compare reports a test error with the first byte where got and want differ. It shows them as
+// text if both are valid UTF-8, else in hexadecimal.
 func compare(t testing.TB, name string, got, want []byte) {
 	t.Helper()
 	if bytes.Equal(got, want) {
 		return
 	}
-	at := 0
-	for at < min(len(got), len(want)) && got[at] == want[at] {
-		at++
+	offset := 0
+	for offset < min(len(got), len(want)) && got[offset] == want[offset] {
+		offset++
 	}
 	format := "%s differs at byte %d:\n%q\nwant\n%q"
 	if !utf8.Valid(got) || !utf8.Valid(want) {
 		format = "%s differs at byte %d:\n%x\nwant\n%x"
 	}
-	t.Errorf(format, name, at, got, want)
+	t.Errorf(format, name, offset, got, want)
 }
--- a/internal/golden/transcript.go
+++ b/internal/golden/transcript.go
@@ -7,15 +7,16 @@
 	"strings"
 )
 
-// readBufferSize is that of a connection, which bounds what a codec can peek at.
+// readBufferSize is the size of a connection's read buffer in bytes. It limits how far a codec
+// can peek.
 const readBufferSize = 16 << 10
 
-// maxShown bounds how much of an input a transcript shows.
+// maxShown is the maximum number of an input's bytes that a transcript shows.
 const maxShown = 80
 
-// Transcript describes what a codec makes of inputs, for a comparison with a golden file: a
-// line for each, with its beginning, the result of read and how many bytes were left. read
-// is called once for each input.
+// Transcript describes how a codec decodes inputs, for comparison with a golden file. It calls
+// read once for each input. An entry has the start of the input, the result or the error of
+// read, and the number of bytes that read left unread.
 func Transcript(inputs []string, read func(r *bufio.Reader) (result any, err error)) []byte {
 	var b bytes.Buffer
 	for _, input := range inputs {
--- a/internal/golden/transcript_test.go
+++ b/internal/golden/transcript_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestTranscript(t *testing.T) {
+func TestTranscript_ShowsResultsAndErrors(t *testing.T) {
 	got := string(Transcript([]string{"a\nb", "a", strings.Repeat("x", maxShown+1) + "\n"}, func(r *bufio.Reader) (any, error) {
 		line, err := r.ReadString('\n')
 		return len(line), err
--- a/internal/randomsteps/randomsteps.go
+++ b/internal/randomsteps/randomsteps.go
@@ -1,5 +1,5 @@
-// Package randomsteps drives tests that check a model against random steps, as fuzz
-// tests whose input chooses the steps.
+// Package randomsteps runs model-based tests as fuzz tests. The bytes of the fuzz input choose
+// the random steps of a test.
 package randomsteps
 
 import (
@@ -12,17 +12,18 @@
 )
 
 const (
-	corpus = 24  // seeded walks that every run of the tests takes
-	length = 400 // bytes that choose the steps of one
+	corpus = 24  // number of seed inputs, which every run of the tests uses
+	length = 400 // size of a seed input in bytes; the rest of a longer input is ignored
 )
 
-// Source chooses steps from a fuzz test's input.
-type Source struct{ rest []byte }
+// Source chooses steps by the bytes of a fuzz test's input.
+type Source struct{ rest []byte } // the bytes that have not been used
 
-// More tells whether there is a further step to choose.
+// More reports whether any input is left.
 func (s *Source) More() bool { return len(s.rest) > 0 }
 
-// Pick chooses a number under n; 0 at the input's end.
+// Pick uses one byte of the input to choose a number from 0 to n-1. It returns 0 at the end of
+// the input.
 func (s *Source) Pick(n int) int {
 	if len(s.rest) == 0 {
 		return 0
@@ -32,20 +33,21 @@
 	return int(b) % n
 }
 
-// Fuzz registers walks with fixed seeds and has each played on a clock of its own.
-func Fuzz(f *testing.F, play func(t *testing.T, s *Source)) {
+// Fuzz registers seed inputs that are the same in every run, and fuzzes run. Each call of run has
+// the fake clock of its own synctest bubble.
+func Fuzz(f *testing.F, run func(t *testing.T, s *Source)) {
 	for seed := range int64(corpus) {
 		input := make([]byte, length)
 		rand.New(rand.NewSource(seed)).Read(input)
 		f.Add(input)
 	}
 	f.Fuzz(func(t *testing.T, input []byte) {
-		synctest.Test(t, func(t *testing.T) { play(t, &Source{input[:min(len(input), length)]}) })
+		synctest.Test(t, func(t *testing.T) { run(t, &Source{input[:min(len(input), length)]}) })
 	})
 }
 
-// Interrupted is a reader that gives data in chosen parts and, in between,
-// interrupted reads as a connection's deadline makes them.
+// Interrupted is an io.Reader that returns Data in pieces of sizes that Source chooses. Between
+// them it returns os.ErrDeadlineExceeded, as a connection does after a read deadline.
 type Interrupted struct {
 	Source *Source
 	Data   *bytes.Reader
--- a/protocol/control/control.go
+++ b/protocol/control/control.go
@@ -1,5 +1,6 @@
-// Package control is the codec of the operators' calls: one line for each connection,
-// answered by a line that starts with done or error. It takes no decisions.
+// Package control is the codec of the operators' commands. A connection carries one command,
+// which is a line. Its answer is a line that starts with done or error. The package doesn't
+// interpret commands.
 package control
 
 import (
@@ -11,15 +12,15 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// maxLine bounds a call, in bytes.
+// maxLine is the maximum size of a command, in bytes.
 const maxLine = 256
 
-// ErrMalformed marks bytes that are not a call.
+// ErrMalformed reports bytes that are not a command.
 var ErrMalformed = errors.New("broken call")
 
-// Read reads a call. Nothing is consumed before its line has ended, so Read may be called
-// again after a read that was interrupted. The error wraps ErrMalformed where the line is
-// too long.
+// Read reads a command and returns it without surrounding white space. It consumes nothing
+// until the whole line has arrived, so callers may retry it after a read error such as a
+// timeout. The error wraps ErrMalformed if the line is too long.
 func Read(r *bufio.Reader) (string, error) {
 	line, err := lines.PeekLine(r, maxLine)
 	switch {
@@ -28,15 +29,16 @@
 	case err != nil:
 		return "", err
 	}
-	call := strings.TrimSpace(string(line))
-	_, err = r.Discard(len(line)) // it is buffered
-	return call, err
+	command := strings.TrimSpace(string(line))
+	_, err = r.Discard(len(line)) // already buffered
+	return command, err
 }
 
-// AppendAnswer appends the answer to a call: done, or error with what was wrong with it.
-func AppendAnswer(to []byte, err error) []byte {
+// AppendAnswer appends the answer to a command to dst: done if err is nil, else error and the
+// text of err on one line.
+func AppendAnswer(dst []byte, err error) []byte {
 	if err == nil {
-		return append(to, "done\r\n"...)
+		return append(dst, "done\r\n"...)
 	}
-	return fmt.Appendf(to, "error %s\r\n", strings.Join(strings.Fields(err.Error()), " "))
+	return fmt.Appendf(dst, "error %s\r\n", strings.Join(strings.Fields(err.Error()), " "))
 }
--- a/protocol/control/control_test.go
+++ b/protocol/control/control_test.go
@@ -9,9 +9,10 @@
 	"testing/iotest"
 )
 
-// TestRead takes calls in pieces of any size, and none whose line has not ended.
-func TestRead(t *testing.T) {
-	for _, x := range []struct {
+// TestRead_WaitsForWholeLine checks that commands that arrive byte by byte are read whole,
+// and that an incomplete or overlong line is an error.
+func TestRead_WaitsForWholeLine(t *testing.T) {
+	for _, tc := range []struct {
 		text, want string
 		err        error
 	}{
@@ -20,15 +21,16 @@
 		{"drain-on", "", io.EOF},
 		{strings.Repeat("x", maxLine+2), "", ErrMalformed},
 	} {
-		r := bufio.NewReader(iotest.OneByteReader(strings.NewReader(x.text)))
-		if got, err := Read(r); got != x.want || !errors.Is(err, x.err) {
-			t.Errorf("%.20q: %q, %v, want %q, %v", x.text, got, err, x.want, x.err)
+		r := bufio.NewReader(iotest.OneByteReader(strings.NewReader(tc.text)))
+		if got, err := Read(r); got != tc.want || !errors.Is(err, tc.err) {
+			t.Errorf("Read(%.20q) = %q, %v, want %q, %v", tc.text, got, err, tc.want, tc.err)
 		}
 	}
 }
 
-func TestAppendAnswer(t *testing.T) {
-	if got := string(AppendAnswer(AppendAnswer(nil, nil), errors.New("two\nlines"))); got != "done\r\nerror two lines\r\n" {
-		t.Errorf("%q", got)
+func TestAppendAnswer_WritesErrorOnOneLine(t *testing.T) {
+	const want = "done\r\nerror two lines\r\n"
+	if got := string(AppendAnswer(AppendAnswer(nil, nil), errors.New("two\nlines"))); got != want {
+		t.Errorf("AppendAnswer without and with an error = %q, want %q", got, want)
 	}
 }
--- a/protocol/control/malformed_test.go
+++ b/protocol/control/malformed_test.go
@@ -8,14 +8,15 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// TestMalformed compares what becomes of calls with what the version before made of them.
-func TestMalformed(t *testing.T) {
+// TestRead_MatchesGoldenTranscript compares the results and errors for malformed and unusual
+// commands with those of an earlier version.
+func TestRead_MatchesGoldenTranscript(t *testing.T) {
 	inputs := []string{
 		"", "\n", "\r\n", "check", "check\n", "check\r\nmore", "  drain-on  \r\n", "\tx\ty\t\n", strings.Repeat("x", 256), strings.Repeat("x", 257),
 		strings.Repeat("x", 256) + "\n", strings.Repeat("x", 257) + "\n", strings.Repeat("x", 9000) + "\n",
 	}
 	golden.Equal(t, "malformed", golden.Transcript(inputs, func(r *bufio.Reader) (any, error) {
-		call, err := Read(r)
-		return len(call), err
+		command, err := Read(r)
+		return len(command), err
 	}))
 }
--- a/protocol/discovery/discovery.go
+++ b/protocol/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package discovery is the codec of the reports to the discovery service, which the
-// platform calls the announce service: HTTP/1.1 requests, of whose responses only the status
-// counts. It takes no decisions.
+// Package discovery is the codec of the reports to the discovery service, which the platform
+// calls the announce service. A report is an HTTP/1.1 request; only the status of the
+// response is used. The package doesn't decide when to report.
 package discovery
 
 import (
@@ -16,25 +16,26 @@
 
 // The limits of a response.
 const (
-	maxHeaders = 64
+	maxHeaders = 64       // lines after the status line, with the empty line that ends them
 	maxBody    = 64 << 10 // in bytes
 	minStatus  = 100
 )
 
-// ErrMalformed marks bytes that are not a response, or one that is not supported. The
-// connection can't be used any more.
+// ErrMalformed reports bytes that are not a response, or a response that is not supported.
+// The connection must be closed.
 var ErrMalformed = errors.New("broken answer")
 
-// AppendReport appends the report whether a server takes requests. The path and the key
-// are the platform's.
-func AppendReport(to []byte, host, name string, accepting bool) []byte {
+// AppendReport appends to dst the report whether the server of that name accepts requests.
+// The platform defines the path and the JSON key.
+func AppendReport(dst []byte, host, name string, accepting bool) []byte {
 	body := `{"accepting":"` + strconv.FormatBool(accepting) + `"}`
-	return fmt.Appendf(to, "PUT /announce/%s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\n"+
+	return fmt.Appendf(dst, "PUT /announce/%s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\n"+
 		"Content-Length: %d\r\n\r\n%s", url.PathEscape(name), host, len(body), body)
 }
 
-// ReadStatus reads a response and returns its status code. The error wraps ErrMalformed
-// also for a response whose end only the close of the connection would tell.
+// ReadStatus reads a response and returns its status code. A response without
+// Content-Length has no body. The error wraps ErrMalformed if the response is malformed,
+// exceeds a limit or has a Transfer-Encoding.
 func ReadStatus(r *bufio.Reader) (int, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return status, nil
 }
 
-// readHeaders reads the headers and returns the length of the body.
+// readHeaders reads the headers and returns the length of the body in bytes.
 func readHeaders(r *bufio.Reader) (length int, err error) {
 	for range maxHeaders {
 		line, err := readLine(r)
@@ -78,7 +79,7 @@
 	return 0, fmt.Errorf("%w: over %d headers", ErrMalformed, maxHeaders)
 }
 
-// readLine reads a line that fits the reader's buffer.
+// readLine reads a line. The line must fit in the reader's buffer.
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := lines.ReadLine(r, r.Size())
 	if errors.Is(err, lines.ErrLineTooLong) {
--- a/protocol/discovery/malformed_test.go
+++ b/protocol/discovery/malformed_test.go
@@ -8,8 +8,9 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// TestMalformed compares what becomes of answers with what the version before made of them.
-func TestMalformed(t *testing.T) {
+// TestReadStatus_MatchesGoldenTranscript compares the results and errors for malformed and
+// unusual responses with those of an earlier version.
+func TestReadStatus_MatchesGoldenTranscript(t *testing.T) {
 	inputs := []string{
 		"", "HTTP/1.1", "\r\n", "ICY 200 OK\r\n\r\n", "HTTP/1.1 99 Low\r\n\r\n", "HTTP/1.1 600 High\r\n\r\n", "HTTP/1.1 2x4\r\n\r\n", "HTTP/1.1\r\n\r\n",
 		"HTTP/1.1 204\r\n", "HTTP/1.1 204\r\nA: b", "HTTP/1.1 204\n\nmore", "HTTP/2 204\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
--- a/protocol/handover/golden_test.go
+++ b/protocol/handover/golden_test.go
@@ -11,22 +11,23 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// TestGoldenMessages writes and reads a message of each kind.
-func TestGoldenMessages(t *testing.T) {
-	till := time.Unix(1764576000, 123456789)
-	runs := idempotency.KeyState{Key: "\x00k \r\n", Class: "ny-gåva", BodyHash: 1 << 63, RanAttemptID: "9b1f03aa5c7e2d41", ExpiresAt: till}
-	done, empty, failed, claim := runs, runs, runs, runs
+// TestMessages_MatchGoldenFiles checks that a message of each kind is encoded as in its golden
+// file, and that the file is decoded as the message.
+func TestMessages_MatchGoldenFiles(t *testing.T) {
+	expiresAt := time.Unix(1764576000, 123456789)
+	running := idempotency.KeyState{Key: "\x00k \r\n", Class: "ny-gåva", BodyHash: 1 << 63, RanAttemptID: "9b1f03aa5c7e2d41", ExpiresAt: expiresAt}
+	done, empty, failed, claim := running, running, running, running
 	done.Completed, done.Result = true, &idempotency.Payload{Body: []byte("a\r\nb")}
 	empty.Completed, empty.Result = true, &idempotency.Payload{Body: []byte{}}
 	failed.Completed = true
-	claim.ArrivedAt = till.Add(-time.Second)
-	notRun := idempotency.KeyState{Key: "k", Class: "c", ExpiresAt: till, Completed: true}
-	for _, x := range []struct {
+	claim.ArrivedAt = expiresAt.Add(-time.Second)
+	notRun := idempotency.KeyState{Key: "k", Class: "c", ExpiresAt: expiresAt, Completed: true}
+	for _, tc := range []struct {
 		name  string
 		bytes []byte
 		want  Message
 	}{
-		{"key-runs", AppendKey(nil, runs), Message{Kind: Key, State: runs}},
+		{"key-runs", AppendKey(nil, running), Message{Kind: Key, State: running}},
 		{"key-done", AppendKey(nil, done), Message{Kind: Key, State: done}},
 		{"key-done-empty", AppendKey(nil, empty), Message{Kind: Key, State: empty}},
 		{"key-failed", AppendKey(nil, failed), Message{Kind: Key, State: failed}},
@@ -40,10 +41,10 @@
 		{"away-on", AppendTrafficDisabled(nil, true), Message{Kind: TrafficDisabled, On: true}},
 		{"away-off", AppendTrafficDisabled(nil, false), Message{Kind: TrafficDisabled}},
 	} {
-		golden.Equal(t, x.name, x.bytes)
-		got, err := Read(bufio.NewReader(bytes.NewReader(golden.Bytes(t, x.name))))
-		if err != nil || !reflect.DeepEqual(got, x.want) {
-			t.Errorf("%s is read as %+v, %v, want %+v", x.name, got, err, x.want)
+		golden.Equal(t, tc.name, tc.bytes)
+		got, err := Read(bufio.NewReader(bytes.NewReader(golden.Bytes(t, tc.name))))
+		if err != nil || !reflect.DeepEqual(got, tc.want) {
+			t.Errorf("Read(golden file %s) = %+v, %v, want %+v", tc.name, got, err, tc.want)
 		}
 	}
 }
--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -1,6 +1,6 @@
-// Package handover is the codec between two processes of one server while one takes over
-// from the other. The predecessor is the process that serves already, the successor the one
-// that takes over. It takes no decisions.
+// Package handover is the codec of the connection between two processes of one server during
+// a handover. The predecessor is the process that is already serving; the successor is the
+// process that takes over. The package doesn't decide whether a claim is granted.
 package handover
 
 import (
@@ -13,37 +13,38 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// Kind is the first word of a message. Versions of the program that run side by side must
-// understand each other, so the words never change.
+// Kind is the first word of a message. The words must not change, because the predecessor and
+// the successor may run different versions of the program.
 type Kind string
 
-// The messages.
+// The kinds of messages, and which process sends them.
 const (
 	Key             Kind = "key"   // both: the state of an idempotency key
-	Claim           Kind = "claim" // the successor asks whether it may run an attempt
-	Grant           Kind = "grant" // the predecessor: it may
-	Deny            Kind = "deny"  // the predecessor: it may not
-	Next            Kind = "next"  // the successor asks for the next part of the keys
-	Part            Kind = "part"  // the predecessor: all keys of a part were sent
+	Claim           Kind = "claim" // successor: asks whether it may run an attempt
+	Grant           Kind = "grant" // predecessor: the successor may run the attempt
+	Deny            Kind = "deny"  // predecessor: the successor must not run the attempt
+	Next            Kind = "next"  // successor: requests the next batch of keys
+	Part            Kind = "part"  // predecessor: all keys of a batch were sent
 	TrafficDisabled Kind = "away"  // both: whether operators have disabled traffic
 )
 
-// Message is a message that was read. Which fields are set depends on its kind.
+// Message is a decoded message. Which fields are set depends on its kind.
 type Message struct {
 	Kind         Kind
 	State        idempotency.KeyState // Key, Claim
 	RanAttemptID string               // Grant, Deny
-	On           bool                 // Part: it was the last; TrafficDisabled: traffic is disabled
+	On           bool                 // Part: it was the last batch; TrafficDisabled: traffic is disabled
 }
 
-// none stands for an attempt id where there is none.
+// none stands for an absent attempt id, because a word can't be empty.
 const none = "-"
 
-// minWords is how many words a message has at least, without the length of a body.
+// minWords is the minimum number of words of each kind of message, without the length of an
+// optional body.
 var minWords = map[Kind]int{Key: 7, Claim: 7, Grant: 2, Deny: 2, Next: 1, Part: 2, TrafficDisabled: 2}
 
-// Read reads the next message. It may be called again after a read that was interrupted.
-// The error wraps lines.ErrMalformed where the bytes are not a message.
+// Read reads the next message. Callers may retry it after a read error such as a timeout. The
+// error wraps lines.ErrMalformed if the bytes are not a message.
 func Read(r *bufio.Reader) (Message, error) {
 	words, body, err := lines.Read(r, func(w []string) bool { return Kind(w[0]) == Key && len(w) == minWords[Key]+1 })
 	if err != nil {
@@ -56,11 +57,11 @@
 	return m, nil
 }
 
-// parse sets the fields of a message. It reports false if the words are not those of its
-// kind.
+// parse sets the message's fields from the words of its line and its body, and reports
+// whether the words are valid for its kind.
 func (m *Message) parse(words []string, body []byte) bool {
-	fewest, known := minWords[m.Kind]
-	if !known || len(words) < fewest {
+	minCount, known := minWords[m.Kind]
+	if !known || len(words) < minCount {
 		return false
 	}
 	var p lines.WordParser
@@ -82,7 +83,7 @@
 	return !p.Failed
 }
 
-// parseState reads what Key and Claim have in common.
+// parseState parses the words that Key and Claim have in common.
 func parseState(p *lines.WordParser, words []string) idempotency.KeyState {
 	state := idempotency.KeyState{
 		Key: p.HexString(words[1]), Class: p.HexString(words[2]), BodyHash: p.HexUint(words[3]),
@@ -94,51 +95,53 @@
 	return state
 }
 
-// stateWords returns the words of Key or Claim; last is the one that differs.
-func stateWords(kind Kind, k idempotency.KeyState, last string) []string {
-	ran := k.RanAttemptID
-	if ran == "" {
-		ran = none
+// stateWords returns the words of a Key or Claim message. lastWord is the word that the two
+// kinds don't have in common.
+func stateWords(kind Kind, k idempotency.KeyState, lastWord string) []string {
+	attemptID := k.RanAttemptID
+	if attemptID == "" {
+		attemptID = none
 	}
 	return []string{
-		string(kind), hex.EncodeToString([]byte(k.Key)), hex.EncodeToString([]byte(k.Class)), strconv.FormatUint(k.BodyHash, 16), ran,
-		strconv.FormatInt(k.ExpiresAt.UnixNano(), 10), last,
+		string(kind), hex.EncodeToString([]byte(k.Key)), hex.EncodeToString([]byte(k.Class)), strconv.FormatUint(k.BodyHash, 16), attemptID,
+		strconv.FormatInt(k.ExpiresAt.UnixNano(), 10), lastWord,
 	}
 }
 
-// AppendKey appends the state of a key. A result that has fields, or is too large, is left
-// out; retries of its request fail then.
-func AppendKey(to []byte, k idempotency.KeyState) []byte {
+// AppendKey appends the state of a key to dst. It omits a result that has fields or a body
+// larger than lines.MaxBody; retries of the request then fail.
+func AppendKey(dst []byte, k idempotency.KeyState) []byte {
 	var body []byte
 	if r := k.Result; r != nil && len(r.Fields) == 0 && len(r.Body) <= lines.MaxBody {
 		body = append([]byte{}, r.Body...)
 	}
-	return lines.Append(to, body, stateWords(Key, k, strconv.FormatBool(k.Completed))...)
+	return lines.Append(dst, body, stateWords(Key, k, strconv.FormatBool(k.Completed))...)
 }
 
-// AppendClaim appends the question whether an attempt may run.
-func AppendClaim(to []byte, k idempotency.KeyState) []byte {
-	return lines.Append(to, nil, stateWords(Claim, k, strconv.FormatInt(k.ArrivedAt.UnixNano(), 10))...)
+// AppendClaim appends to dst the request to run an attempt.
+func AppendClaim(dst []byte, k idempotency.KeyState) []byte {
+	return lines.Append(dst, nil, stateWords(Claim, k, strconv.FormatInt(k.ArrivedAt.UnixNano(), 10))...)
 }
 
-// AppendClaimReply appends the answer to AppendClaim.
-func AppendClaimReply(to []byte, ran string, granted bool) []byte {
+// AppendClaimReply appends the reply to a claim to dst.
+func AppendClaimReply(dst []byte, attemptID string, granted bool) []byte {
 	kind := Deny
 	if granted {
 		kind = Grant
 	}
-	return lines.Append(to, nil, string(kind), ran)
+	return lines.Append(dst, nil, string(kind), attemptID)
 }
 
-// AppendNext asks for the next part of the keys.
-func AppendNext(to []byte) []byte { return lines.Append(to, nil, string(Next)) }
+// AppendNext appends to dst the request for the next batch of keys.
+func AppendNext(dst []byte) []byte { return lines.Append(dst, nil, string(Next)) }
 
-// AppendPart appends that all keys of a part were sent, and whether it was the last part.
-func AppendPart(to []byte, last bool) []byte {
-	return lines.Append(to, nil, string(Part), strconv.FormatBool(last))
+// AppendPart appends to dst the message that all keys of a batch were sent. isLast is
+// whether it was the last batch.
+func AppendPart(dst []byte, isLast bool) []byte {
+	return lines.Append(dst, nil, string(Part), strconv.FormatBool(isLast))
 }
 
-// AppendTrafficDisabled appends whether operators have disabled traffic.
-func AppendTrafficDisabled(to []byte, on bool) []byte {
-	return lines.Append(to, nil, string(TrafficDisabled), strconv.FormatBool(on))
+// AppendTrafficDisabled appends to dst the message whether operators have disabled traffic.
+func AppendTrafficDisabled(dst []byte, disabled bool) []byte {
+	return lines.Append(dst, nil, string(TrafficDisabled), strconv.FormatBool(disabled))
 }
--- a/protocol/handover/malformed_test.go
+++ b/protocol/handover/malformed_test.go
@@ -7,9 +7,9 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// TestMalformed compares what becomes of messages with what the version before made of
-// them.
-func TestMalformed(t *testing.T) {
+// TestRead_MatchesGoldenTranscript compares the results and errors for malformed and unusual
+// messages with those of an earlier version.
+func TestRead_MatchesGoldenTranscript(t *testing.T) {
 	inputs := []string{
 		"", "sing\r\n", "key\r\n", "key 6b 63 0 - 1 true\r\n", "key 6b 63 0 - 1 maybe\r\n", "key 6b 63 0 - x true\r\n", "key 6 63 0 - 1 true\r\n",
 		"key 6b zz 0 - 1 true\r\n", "key 6b 63 g - 1 true\r\n", "key 6b 63 0 - 1\r\n", "key 6b 63 0 r 1 true 2\r\nab\r\n", "key 6b 63 0 r 1 true x\r\n",
--- a/protocol/ledger/ledger.go
+++ b/protocol/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger is the codec of the calls to the shared dependency, which the platform
-// calls the ledger. It takes no decisions.
+// Package ledger is the codec of the calls to the shared dependency, which the platform calls
+// the ledger. The package doesn't decide when to call it, or what a failure means.
 package ledger
 
 import (
@@ -11,19 +11,19 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// Status is how a call ended, as a reply's second word has it.
+// Status is the result of a call: the second word of its reply.
 type Status string
 
-// The statuses, with the platform's words for them.
+// The statuses and the words that the platform uses for them.
 const (
-	Succeeded  Status = "posted"     // the reply's body follows
-	Rejected   Status = "queue_full" // it never ran
-	Failed     Status = "error"      // it may have had its effect
-	TimedOut   Status = "expired"    // it may have had its effect
-	NotStarted Status = "moot"       // nobody waits for it: it never ran
+	Succeeded  Status = "posted"     // the reply has a body
+	Rejected   Status = "queue_full" // the call did not run
+	Failed     Status = "error"      // the call may have taken effect
+	TimedOut   Status = "expired"    // the call may have taken effect
+	NotStarted Status = "moot"       // the call did not run, because its caller no longer waited for it
 )
 
-// The platform's words for the calls.
+// The first words of the messages to the shared dependency.
 const (
 	wordCall    = "post"
 	wordAbandon = "abandon"
@@ -33,15 +33,15 @@
 type Reply struct {
 	ID     string
 	Status Status
-	Body   []byte // of a call that succeeded; else nil
+	Body   []byte // nil unless Status is Succeeded
 }
 
-// wordsWithBody is how many words a reply has whose body follows: the id, the status and the
+// wordsWithBody is the number of words of a reply that has a body: the id, the status and the
 // body's length.
 const wordsWithBody = 3
 
-// Read reads the next reply. It may be called again after a read that was interrupted. The
-// error wraps lines.ErrMalformed where the bytes are not a reply.
+// Read reads the next reply. Callers may retry it after a read error such as a timeout. The
+// error wraps lines.ErrMalformed if the bytes are not a reply.
 func Read(r *bufio.Reader) (Reply, error) {
 	words, body, err := lines.Read(r, func(w []string) bool {
 		return len(w) == wordsWithBody && Status(w[1]) == Succeeded
@@ -55,7 +55,8 @@
 	return Reply{ID: words[0], Status: Status(words[1]), Body: body}, nil
 }
 
-// validStatus reports whether a status is known, and has a body if it needs one.
+// validStatus reports whether s is a known status, and whether the reply has the body that a
+// call that succeeded must have.
 func validStatus(s Status, hasBody bool) bool {
 	switch s {
 	case Succeeded:
@@ -66,12 +67,12 @@
 	return false
 }
 
-// AppendPost appends a call, with how long its caller will wait: in whole milliseconds, at
-// least one.
-func AppendPost(to []byte, id string, wait time.Duration, body []byte) []byte {
-	ms := max(1, wait.Milliseconds())
-	return lines.Append(to, append([]byte{}, body...), wordCall, id, strconv.FormatInt(ms, 10))
+// AppendPost appends a call to dst. timeout is how long the caller waits for the reply; it is
+// encoded in whole milliseconds, with a minimum of 1.
+func AppendPost(dst []byte, id string, timeout time.Duration, body []byte) []byte {
+	ms := max(1, timeout.Milliseconds())
+	return lines.Append(dst, append([]byte{}, body...), wordCall, id, strconv.FormatInt(ms, 10))
 }
 
-// AppendAbandon appends that a call is given up.
-func AppendAbandon(to []byte, id string) []byte { return lines.Append(to, nil, wordAbandon, id) }
+// AppendAbandon appends to dst the message that cancels a call.
+func AppendAbandon(dst []byte, id string) []byte { return lines.Append(dst, nil, wordAbandon, id) }
--- a/protocol/lines/lines.go
+++ b/protocol/lines/lines.go
@@ -1,8 +1,10 @@
-// Package lines has what the codecs of line-based protocols share. The processor's, the
-// shared dependency's and the handover's messages are lines of words that end in CR LF;
-// the last word may be the length of a body that follows and ends in CR LF too ([Read],
-// [Append]). [WordParser] reads values from words. [PeekLine], [ReadLine] and
-// [ParseStatusLine] serve codecs with lines of other forms.
+// Package lines provides the functions that the codecs of line-based protocols share.
+//
+// A message of the processor, shared dependency and handover protocols is a line of words
+// that ends in CR LF. A body may follow the line. It also ends in CR LF, and the last word
+// of the line is then its length in bytes. [Read] and [Append] decode and encode such
+// messages, and [WordParser] parses the values of words. [PeekLine], [ReadLine] and
+// [ParseStatusLine] are for protocols whose lines have another format.
 package lines
 
 import (
@@ -15,33 +17,33 @@
 	"strings"
 )
 
-// MaxBody bounds the body of a message, in bytes. A whole message must fit the reader's
-// buffer.
+// MaxBody is the maximum size of a message's body, in bytes. The reader's buffer must be
+// able to hold a whole message.
 const MaxBody = 8 << 10
 
-// maxLine bounds the line of a message, in bytes.
+// maxLine is the maximum size of a message's line, in bytes; see PeekLine.
 const maxLine = 1 << 10
 
-// maxStatus is the largest status code of HTTP.
+// maxStatus is the largest valid HTTP status code.
 const maxStatus = 599
 
-// lineEnd is what lines and bodies end in.
+// lineEnd terminates lines and bodies.
 const lineEnd = "\r\n"
 
 var (
-	// ErrMalformed marks bytes that are not a message. Nobody knows where the next one
-	// begins, so the connection can't be used any more.
+	// ErrMalformed reports bytes that are not a valid message. The start of the next
+	// message is then unknown, so the connection must be closed.
 	ErrMalformed = errors.New("broken message")
 
-	// ErrLineTooLong is returned for a line that does not end within the limit, or within
-	// the reader's buffer.
+	// ErrLineTooLong reports a line that is longer than the limit or than the reader's
+	// buffer.
 	ErrLineTooLong = errors.New("line too long")
 )
 
-// Read reads a line, and the body if hasBody reports that one follows it. Nothing is
-// consumed before all of that has arrived, so Read may be called again after a read that
-// was interrupted. Bytes that are not a message are left unread, and the error wraps
-// ErrMalformed.
+// Read reads a line, and its body if hasBody reports that one follows. Read consumes
+// nothing until the whole message has arrived, so callers may retry it after a read error
+// such as a timeout. For bytes that are not a valid message, Read consumes nothing and
+// returns an error that wraps ErrMalformed.
 func Read(r *bufio.Reader, hasBody func(words []string) bool) (words []string, body []byte, err error) {
 	line, err := peekWholeLine(r)
 	if err != nil {
@@ -59,11 +61,12 @@
 		}
 		size += len(body) + len(lineEnd)
 	}
-	_, err = r.Discard(size) // it is buffered
+	_, err = r.Discard(size) // already buffered
 	return words, body, err
 }
 
-// peekWholeLine returns the next line with its end, which must be CR LF.
+// peekWholeLine returns the next line with its line end, which must be CR LF. It consumes
+// nothing.
 func peekWholeLine(r *bufio.Reader) ([]byte, error) {
 	line, err := PeekLine(r, maxLine)
 	switch {
@@ -77,12 +80,13 @@
 	return line, nil
 }
 
-// peekBody returns a copy of the body that follows a line of so many bytes; length is its
-// length as the line has it. The body's end must follow.
-func peekBody(r *bufio.Reader, lineSize int, length string) ([]byte, error) {
-	n, err := strconv.ParseUint(length, 10, 31)
+// peekBody returns a copy of the body that follows a line of lineSize bytes. lengthWord is
+// the word of the line that holds the body's length. CR LF must follow the body. peekBody
+// consumes nothing.
+func peekBody(r *bufio.Reader, lineSize int, lengthWord string) ([]byte, error) {
+	n, err := strconv.ParseUint(lengthWord, 10, 31)
 	if err != nil || n > MaxBody {
-		return nil, fmt.Errorf("%w: length %q", ErrMalformed, length)
+		return nil, fmt.Errorf("%w: length %q", ErrMalformed, lengthWord)
 	}
 	message, err := r.Peek(lineSize + int(n) + len(lineEnd))
 	if err != nil {
@@ -94,9 +98,9 @@
 	return append([]byte{}, message[lineSize:lineSize+int(n)]...), nil
 }
 
-// PeekLine returns the next line with its end, and consumes nothing. A line that has not
-// ended after limit bytes is refused with ErrLineTooLong; one that has ended is returned
-// whatever its length, if the reader's buffer holds it.
+// PeekLine returns the next line with its line end, and consumes nothing. It returns
+// ErrLineTooLong if more than limit bytes are buffered and none of them ends the line. A
+// longer line whose end is already in the reader's buffer is returned.
 func PeekLine(r *bufio.Reader, limit int) ([]byte, error) {
 	for {
 		b, err := r.Peek(r.Buffered())
@@ -115,9 +119,9 @@
 	}
 }
 
-// ReadLine reads a line and returns it without its end. A line of over limit bytes, or one
-// that does not fit the reader's buffer, is refused with ErrLineTooLong. Where the input
-// ends inside a line, the error is io.ErrUnexpectedEOF.
+// ReadLine reads a line and returns it without its line end. It returns ErrLineTooLong for
+// a line that, with its line end, is longer than limit bytes or than the reader's buffer,
+// and io.ErrUnexpectedEOF if the input ends within a line.
 func ReadLine(r *bufio.Reader, limit int) (string, error) {
 	line, err := r.ReadSlice('\n')
 	switch {
@@ -129,8 +133,9 @@
 	return strings.TrimRight(string(line), lineEnd), err
 }
 
-// ParseStatusLine returns the status code of the first line of an HTTP/1 response. ok is
-// false where the line is not one, or its code is under minStatus or over 599.
+// ParseStatusLine returns the status code in the status line of an HTTP/1 response. ok is
+// false if the line is not a status line, or if its code is less than minStatus or greater
+// than 599.
 func ParseStatusLine(line string, minStatus int) (status int, ok bool) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -138,12 +143,13 @@
 	return status, strings.HasPrefix(version, "HTTP/1.") && err == nil && status >= minStatus && status <= maxStatus
 }
 
-// Append appends a line of words and, where body is not nil, its length and the body.
-func Append(to []byte, body []byte, words ...string) []byte {
-	to = append(to, strings.Join(words, " ")...)
+// Append appends a message to dst: a line of words and, if body is not nil, the length of
+// the body as the last word and the body after the line.
+func Append(dst []byte, body []byte, words ...string) []byte {
+	dst = append(dst, strings.Join(words, " ")...)
 	if body != nil {
-		to = strconv.AppendInt(append(to, ' '), int64(len(body)), 10)
-		to = append(append(to, lineEnd...), body...)
+		dst = strconv.AppendInt(append(dst, ' '), int64(len(body)), 10)
+		dst = append(append(dst, lineEnd...), body...)
 	}
-	return append(to, lineEnd...)
+	return append(dst, lineEnd...)
 }
--- a/protocol/lines/lines_test.go
+++ b/protocol/lines/lines_test.go
@@ -13,60 +13,64 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
+// hasBody is the argument for lines.Read in these tests: only "ask" lines have a body.
 func hasBody(words []string) bool { return words[0] == "ask" }
 
-func reader(text string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(text), 16<<10) }
+func newReader(text string) *bufio.Reader {
+	return bufio.NewReaderSize(strings.NewReader(text), 16<<10)
+}
 
-func TestRead(t *testing.T) {
+func TestRead_ReadsAppendedMessages(t *testing.T) {
 	text := string(lines.Append(lines.Append(nil, []byte("a\r\nb"), "ask", "1", "x"), nil, "used", "t"))
 	if want := "ask 1 x 4\r\na\r\nb\r\nused t\r\n"; text != want {
-		t.Fatalf("appended %q, want %q", text, want)
+		t.Fatalf("Append = %q, want %q", text, want)
 	}
-	r := reader(text)
+	r := newReader(text)
 	words, body, err := lines.Read(r, hasBody)
 	if err != nil || !reflect.DeepEqual(words, []string{"ask", "1", "x", "4"}) || string(body) != "a\r\nb" {
-		t.Errorf("%q, %q, %v", words, body, err)
+		t.Errorf("Read(line with a body) = %q, %q, %v, want [ask 1 x 4], the body %q", words, body, err, "a\r\nb")
 	}
 	if words, body, err = lines.Read(r, hasBody); err != nil || len(words) != 2 || body != nil {
-		t.Errorf("%q, %q, %v", words, body, err)
+		t.Errorf("Read(line without a body) = %q, %q, %v, want two words and no body", words, body, err)
 	}
 }
 
-func TestBroken(t *testing.T) {
+func TestRead_RejectsMalformedMessages(t *testing.T) {
 	for name, text := range map[string]string{
-		"no CR":       "used t\n",
-		"empty":       "\r\n",
-		"long":        strings.Repeat("x", 3000),
-		"no length":   "ask 1 x\r\n",
-		"negative":    "ask 1 x -4\r\n",
-		"claimed":     "ask 1 x 2000000000\r\n",
-		"no line end": "ask 1 x 2\r\nabcd",
+		"line without CR":             "used t\n",
+		"empty line":                  "\r\n",
+		"line too long":               strings.Repeat("x", 3000),
+		"body length is not a number": "ask 1 x\r\n",
+		"negative body length":        "ask 1 x -4\r\n",
+		"body length over MaxBody":    "ask 1 x 2000000000\r\n",
+		"no CR LF after the body":     "ask 1 x 2\r\nabcd",
 	} {
-		if _, _, err := lines.Read(reader(text), hasBody); !errors.Is(err, lines.ErrMalformed) {
-			t.Errorf("%s: error %v", name, err)
+		if _, _, err := lines.Read(newReader(text), hasBody); !errors.Is(err, lines.ErrMalformed) {
+			t.Errorf("%s: Read error = %v, want ErrMalformed", name, err)
 		}
 	}
 }
 
-// FuzzRead sees that messages are read the same however they arrive.
+// FuzzRead checks that Read returns the same messages and errors however the input is split
+// and however often reads time out, for valid messages and for messages with random bytes.
 func FuzzRead(f *testing.F) {
-	whole := lines.Append(nil, []byte("a call's body"), "ask", "1", "abc")
-	whole = lines.Append(whole, nil, "used", "7", "0.5", "1")
+	valid := lines.Append(nil, []byte("a call's body"), "ask", "1", "abc")
+	valid = lines.Append(valid, nil, "used", "7", "0.5", "1")
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
-		data := bytes.Clone(whole)
+		data := bytes.Clone(valid)
 		for range s.Pick(3) {
 			data[s.Pick(len(data))] = byte(s.Pick(256))
 		}
-		plain := reader(string(data))
-		broken := bufio.NewReaderSize(randomsteps.Interrupted{Source: s, Data: bytes.NewReader(data)}, 16<<10)
+		whole := newReader(string(data))
+		interrupted := bufio.NewReaderSize(randomsteps.Interrupted{Source: s, Data: bytes.NewReader(data)}, 16<<10)
 		for {
-			words, body, wantErr := lines.Read(plain, hasBody)
-			gotWords, gotBody, err := lines.Read(broken, hasBody)
+			words, body, wantErr := lines.Read(whole, hasBody)
+			gotWords, gotBody, err := lines.Read(interrupted, hasBody)
 			for errors.Is(err, os.ErrDeadlineExceeded) {
-				gotWords, gotBody, err = lines.Read(broken, hasBody)
+				gotWords, gotBody, err = lines.Read(interrupted, hasBody)
 			}
 			if !reflect.DeepEqual(gotWords, words) || !bytes.Equal(gotBody, body) || (err == nil) != (wantErr == nil) {
-				t.Fatalf("got %q, %q, %v, want %q, %q, %v", gotWords, gotBody, err, words, body, wantErr)
+				t.Fatalf("Read of interrupted input = %q, %q, %v, want %q, %q, %v", gotWords, gotBody, err, words, body, wantErr)
 			}
 			if err != nil {
 				return
--- a/protocol/lines/malformed_test.go
+++ b/protocol/lines/malformed_test.go
@@ -9,8 +9,9 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// TestMalformed compares what becomes of lines with what the version before made of them.
-func TestMalformed(t *testing.T) {
+// TestRead_MatchesGoldenTranscript compares the results and errors for malformed and unusual
+// lines with those of an earlier version.
+func TestRead_MatchesGoldenTranscript(t *testing.T) {
 	inputs := []string{
 		"", "\n", "\r\n", " \r\n", "used", "used t\n", "used t\r", "used  t \r\nmore", "\r\nused t\r\n",
 		"ask\r\n", "ask 1 x\r\n", "ask 1 x -4\r\n", "ask 1 x +4\r\nabcd\r\n", "ask 1 x 0\r\n\r\nmore", "ask 1 x 4\r\nab",
--- a/protocol/processor/bench_test.go
+++ b/protocol/processor/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkRead measures the notices of a run and of the gauges.
+// BenchmarkRead measures reading the two most frequent notices: RunCompleted and GaugesRead.
 func BenchmarkRead(b *testing.B) {
 	const notices = "complete 4 9b1f03aa5c7e2d41 good 12 6\r\nresult\r\n" + "used 9 0.25 3 0.5 12\r\n"
 	text := strings.NewReader("")
--- a/protocol/processor/malformed_test.go
+++ b/protocol/processor/malformed_test.go
@@ -8,8 +8,9 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// TestMalformed compares what becomes of notices with what the version before made of them.
-func TestMalformed(t *testing.T) {
+// TestRead_MatchesGoldenTranscript compares the results and errors for malformed and unusual
+// notices with those of an earlier version.
+func TestRead_MatchesGoldenTranscript(t *testing.T) {
 	inputs := []string{
 		"", "sing\r\n", "HI new 5\r\n", "hi\r\n", "hi new\r\n", "hi new x\r\n", "hi new NaN\r\n", "hi new -1\r\n", "hi new Inf\r\n",
 		"hi new 1e12\r\n", "hi new 9e11\r\n", "hi other 0.5\r\n", "hi new 5 more\r\n", "hi new 5\n",
--- a/protocol/processor/processor.go
+++ b/protocol/processor/processor.go
@@ -1,5 +1,6 @@
-// Package processor is the codec of the connection to the processor, the process on the
-// same machine that runs requests. It takes no decisions.
+// Package processor is the codec of the connection to the processor, the process on the same
+// machine that runs requests. The server sends commands and the processor sends notices. The
+// package doesn't decide when to send a command, or what follows from a notice.
 package processor
 
 import (
@@ -14,32 +15,32 @@
 // NoticeKind is the first word of a notice.
 type NoticeKind string
 
-// The notices, with the platform's words for them.
+// The kinds of notices and the words that the platform uses for them.
 const (
-	Greeting        NoticeKind = "hi"       // the answer to AppendHello
-	RunCompleted    NoticeKind = "complete" // a run is over
-	CallRequested   NoticeKind = "ask"      // a run waits for a call
-	GaugesRead      NoticeKind = "used"     // the answer to AppendReadGauges
-	HealthChecked   NoticeKind = "tried"    // the answer to AppendHealthCheck
-	CommandRejected NoticeKind = "reject"   // a command was not carried out
-	Remark          NoticeKind = "remark"   // a numbered notice without meaning
+	Greeting        NoticeKind = "hi"       // the reply to Hello
+	RunCompleted    NoticeKind = "complete" // a run has ended
+	CallRequested   NoticeKind = "ask"      // a run waits for a downstream call
+	GaugesRead      NoticeKind = "used"     // the reply to ReadGauges
+	HealthChecked   NoticeKind = "tried"    // the reply to CheckHealth
+	CommandRejected NoticeKind = "reject"   // a command was not executed
+	Remark          NoticeKind = "remark"   // has a number, but no meaning for the server
 )
 
-// RunEnd is how a run ended.
+// RunEnd is the result of a run.
 type RunEnd string
 
-// The ends of a run, with the platform's words for them.
+// The results of a run and the words that the platform uses for them.
 const (
 	RunSucceeded  RunEnd = "good" // with a result
 	RunFailed     RunEnd = "bad"
-	RunCancelled  RunEnd = "cut"  // it was stopped, or ended at a call as its request is over
-	RunNotStarted RunEnd = "gone" // nothing was started, as the request is over
+	RunCancelled  RunEnd = "cut"  // cancelled, or ended at a call because its request is over
+	RunNotStarted RunEnd = "gone" // not started, because its request is over
 )
 
 // Command is the first word of a command.
 type Command string
 
-// The commands, with the platform's words for them.
+// The commands and the words that the platform uses for them.
 const (
 	Hello       Command = "hello"
 	Start       Command = "begin"
@@ -50,35 +51,36 @@
 	CheckHealth Command = "trial"
 )
 
-// The platform's words for states.
+// Words that the platform uses in notices.
 const (
-	wordCold    = "new"
-	wordHealthy = "good"
+	wordCold    = "new"  // in Greeting
+	wordHealthy = "good" // in HealthChecked
 )
 
 // Notice is a message from the processor. Which fields are set depends on its kind.
 type Notice struct {
 	Kind    NoticeKind
-	Number  uint64        // RunCompleted, CallRequested and Remark are numbered in the order of sending
+	Number  uint64        // RunCompleted, CallRequested, Remark: they are numbered in the order of sending
 	RunID   string        // RunCompleted, CallRequested, CommandRejected
-	Cold    bool          // Greeting: the processor has started anew
-	Took    time.Duration // Greeting: since its start; RunCompleted: of the run
-	End     RunEnd        // RunCompleted; any word, of which the constants are known
-	Tag     string        // GaugesRead, HealthChecked: of the question
-	Gauges  []float64     // GaugesRead
+	Cold    bool          // Greeting: the processor has restarted
+	Took    time.Duration // Greeting: time since the processor's start; RunCompleted: duration of the run
+	End     RunEnd        // RunCompleted: may be a word other than the constants
+	Tag     string        // GaugesRead, HealthChecked: the tag of the command
+	Gauges  []float64     // GaugesRead: in the processor's order
 	Healthy bool          // HealthChecked
 	Command Command       // CommandRejected
 	Payload []byte        // RunCompleted: the result; CallRequested: the call's body
 }
 
-// minWords is how many words a notice has at least. The length of a payload, the last word,
-// is among them for CallRequested, which always has one, and not for RunCompleted.
+// minWords is the minimum number of words of each kind of notice. The payload's length, which
+// is the last word, is counted for CallRequested, where the payload is mandatory, but not for
+// RunCompleted, where it is optional.
 var minWords = map[NoticeKind]int{
 	Greeting: 3, RunCompleted: 5, CallRequested: 4, GaugesRead: 2, HealthChecked: 3, CommandRejected: 3, Remark: 2,
 }
 
-// Read reads the next notice. It may be called again after a read that was interrupted. The
-// error wraps lines.ErrMalformed where the bytes are not a notice.
+// Read reads the next notice. Callers may retry it after a read error such as a timeout. The
+// error wraps lines.ErrMalformed if the bytes are not a notice.
 func Read(r *bufio.Reader) (Notice, error) {
 	words, body, err := lines.Read(r, hasPayload)
 	if err != nil {
@@ -91,7 +93,7 @@
 	return n, nil
 }
 
-// hasPayload reports whether a payload follows a line: its last word is the length then.
+// hasPayload reports whether a payload follows the line. The last word is then its length.
 func hasPayload(words []string) bool {
 	switch NoticeKind(words[0]) {
 	case RunCompleted:
@@ -102,11 +104,11 @@
 	return false
 }
 
-// parse sets the fields of a notice from its words. It reports false if they are not those
-// of its kind.
+// parse sets the notice's fields from the words of its line, and reports whether the words
+// are valid for its kind.
 func (n *Notice) parse(words []string) bool {
-	fewest, known := minWords[n.Kind]
-	if !known || len(words) < fewest {
+	minCount, known := minWords[n.Kind]
+	if !known || len(words) < minCount {
 		return false
 	}
 	var p lines.WordParser
@@ -132,38 +134,40 @@
 	return !p.Failed
 }
 
-// AppendHello appends the first message on a connection: the number of the last notice
-// that was read. The processor sends all later ones again.
-func AppendHello(to []byte, lastNotice uint64) []byte {
-	return lines.Append(to, nil, string(Hello), strconv.FormatUint(lastNotice, 10))
+// AppendHello appends to dst the first message of a connection. lastNotice is the number of
+// the last notice that was read; the processor sends all later ones again.
+func AppendHello(dst []byte, lastNotice uint64) []byte {
+	return lines.Append(dst, nil, string(Hello), strconv.FormatUint(lastNotice, 10))
 }
 
-// AppendStart appends the command to run a request. For one that runs already nothing
-// happens.
-func AppendStart(to []byte, id, class string, body []byte) []byte {
-	return lines.Append(to, append([]byte{}, body...), string(Start), id, class)
+// AppendStart appends the command to run a request to dst. The command has no effect if the
+// request is already running.
+func AppendStart(dst []byte, id, class string, body []byte) []byte {
+	return lines.Append(dst, append([]byte{}, body...), string(Start), id, class)
 }
 
-// AppendCancel appends the command to stop a run.
-func AppendCancel(to []byte, id string) []byte { return lines.Append(to, nil, string(Cancel), id) }
+// AppendCancel appends the command to cancel a run to dst.
+func AppendCancel(dst []byte, id string) []byte { return lines.Append(dst, nil, string(Cancel), id) }
 
-// AppendCallReply appends the reply to the call that a run waits for.
-func AppendCallReply(to []byte, id string, reply []byte) []byte {
-	return lines.Append(to, append([]byte{}, reply...), string(ReplyToCall), id)
+// AppendCallReply appends the reply to the downstream call that a run waits for to dst.
+func AppendCallReply(dst []byte, id string, reply []byte) []byte {
+	return lines.Append(dst, append([]byte{}, reply...), string(ReplyToCall), id)
 }
 
-// AppendSkipCall appends the command to go on without the call that a notice asked for.
-func AppendSkipCall(to []byte, id string, notice uint64) []byte {
-	return lines.Append(to, nil, string(SkipCall), id, strconv.FormatUint(notice, 10))
+// AppendSkipCall appends to dst the command to continue a run without its downstream call.
+// notice is the number of the notice that requested the call.
+func AppendSkipCall(dst []byte, id string, notice uint64) []byte {
+	return lines.Append(dst, nil, string(SkipCall), id, strconv.FormatUint(notice, 10))
 }
 
-// AppendReadGauges appends the question for the gauges. The answer has the same tag.
-func AppendReadGauges(to []byte, tag string) []byte {
-	return lines.Append(to, nil, string(ReadGauges), tag)
+// AppendReadGauges appends the command to report the gauges to dst. The reply has the same
+// tag.
+func AppendReadGauges(dst []byte, tag string) []byte {
+	return lines.Append(dst, nil, string(ReadGauges), tag)
 }
 
-// AppendHealthCheck appends the command to do the work of a deep health check. The answer
-// has the same tag.
-func AppendHealthCheck(to []byte, tag string) []byte {
-	return lines.Append(to, nil, string(CheckHealth), tag)
+// AppendHealthCheck appends the command to do the work of a deep health check to dst. The
+// reply has the same tag.
+func AppendHealthCheck(dst []byte, tag string) []byte {
+	return lines.Append(dst, nil, string(CheckHealth), tag)
 }
--- a/protocol/processor/processor_test.go
+++ b/protocol/processor/processor_test.go
@@ -11,11 +11,13 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-func read(text string) (Notice, error) {
+func readNotice(text string) (Notice, error) {
 	return Read(bufio.NewReaderSize(strings.NewReader(text), 16<<10))
 }
 
-func TestNotices(t *testing.T) {
+// TestRead_ReadsEachKind checks that notices of each kind are read, and that malformed ones
+// are rejected.
+func TestRead_ReadsEachKind(t *testing.T) {
 	for text, want := range map[string]Notice{
 		"hi new 1500\r\n":                       {Kind: Greeting, Cold: true, Took: 1500 * time.Millisecond},
 		"complete 4 ab good 12 3\r\nxyz\r\n":    {Kind: RunCompleted, Number: 4, RunID: "ab", End: RunSucceeded, Took: 12 * time.Millisecond, Payload: []byte("xyz")},
@@ -31,21 +33,21 @@
 		"reject begin ab\r\n":                   {Kind: CommandRejected, Command: Start, RunID: "ab"},
 		"remark 7 some words of no meaning\r\n": {Kind: Remark, Number: 7},
 	} {
-		if got, err := read(text); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: %+v, %v, want %+v", text, got, err, want)
+		if got, err := readNotice(text); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("Read(%q) = %+v, %v, want %+v", text, got, err, want)
 		}
 	}
 	for _, text := range []string{
 		"sing 1\r\n", "hi new x\r\n", "complete -1 ab good 1 0\r\n\r\n", "ask 6\r\n",
 		"used 9 much\r\n", "hi new NaN\r\n",
 	} {
-		if _, err := read(text); !errors.Is(err, lines.ErrMalformed) {
-			t.Errorf("%q: error %v", text, err)
+		if _, err := readNotice(text); !errors.Is(err, lines.ErrMalformed) {
+			t.Errorf("Read(%q) error = %v, want ErrMalformed", text, err)
 		}
 	}
 }
 
-func TestCommands(t *testing.T) {
+func TestAppend_WritesEachCommand(t *testing.T) {
 	b := AppendHello(nil, 12)
 	b = AppendStart(b, "ab", "ny-gava", []byte("body"))
 	b = AppendStart(b, "cd", "kampanjsida", nil)
@@ -56,13 +58,13 @@
 	want := "hello 12\r\nbegin ab ny-gava 4\r\nbody\r\nbegin cd kampanjsida 0\r\n\r\nanswer ab 2\r\nok\r\n" +
 		"without cd 8\r\ninterrupt cd\r\nusage 3\r\ntrial 4\r\n"
 	if string(b) != want {
-		t.Errorf("got %q\nwant %q", b, want)
+		t.Errorf("commands encoded as %q\nwant %q", b, want)
 	}
 }
 
-// TestGoodNoticeCostsNoError guards the cost of what comes by the thousand a second:
-// an error was formatted for every notice, in case it were broken.
-func TestGoodNoticeCostsNoError(t *testing.T) {
+// TestRead_FormatsNoErrorForValidNotice guards against formatting an error for every notice in
+// case it is malformed. Thousands of notices arrive each second.
+func TestRead_FormatsNoErrorForValidNotice(t *testing.T) {
 	text := strings.NewReader("")
 	r := bufio.NewReaderSize(text, 16<<10)
 	allocs := testing.AllocsPerRun(100, func() {
@@ -72,7 +74,8 @@
 			t.Fatal(err)
 		}
 	})
-	if allocs > 5 {
-		t.Errorf("%v allocations for a notice", allocs)
+	const maxAllocs = 5
+	if allocs > maxAllocs {
+		t.Errorf("Read of a valid notice made %v allocations, want at most %d", allocs, maxAllocs)
 	}
 }
--- a/protocol/thrift/decoder.go
+++ b/protocol/thrift/decoder.go
@@ -6,20 +6,21 @@
 	"fmt"
 )
 
-// decoder reads values from a frame. After an error it returns zero values.
+// decoder decodes values from the bytes of a frame. After an error, its methods return zero
+// values.
 type decoder struct {
-	rest []byte
-	err  error
+	rest []byte // not decoded yet
+	err  error  // the first error
 }
 
-// readHead reads what every message begins with.
+// readHead reads the header of a message.
 func (d *decoder) readHead() (Head, error) {
 	version := d.u32()
 	if d.err == nil && version&versionMask != strictVersion {
 		d.err = fmt.Errorf("%w: version %#x", ErrMalformed, version)
 	}
-	head := Head{Type: MessageType(version & 0xff), Name: string(d.bytes()), Seq: int32(d.u32())}
-	return head, d.err
+	header := Head{Type: MessageType(version & 0xff), Name: string(d.bytes()), Seq: int32(d.u32())}
+	return header, d.err
 }
 
 // take returns the next n bytes.
@@ -43,7 +44,7 @@
 	return 0
 }
 
-// u16 reads two bytes.
+// u16 reads a 16-bit integer.
 func (d *decoder) u16() uint16 {
 	if b := d.take(2); b != nil {
 		return binary.BigEndian.Uint16(b)
@@ -51,7 +52,7 @@
 	return 0
 }
 
-// u32 reads four bytes.
+// u32 reads a 32-bit integer.
 func (d *decoder) u32() uint32 {
 	if b := d.take(4); b != nil {
 		return binary.BigEndian.Uint32(b)
@@ -59,26 +60,26 @@
 	return 0
 }
 
-// bytes reads a string, which its length precedes.
+// bytes reads a string, which is preceded by its length.
 func (d *decoder) bytes() []byte { return d.take(int(int32(d.u32()))) }
 
-// readStruct reads a struct's fields. known is called for each, and reports whether it has
-// read it; other fields are skipped.
-func (d *decoder) readStruct(known func(id int16, kind byte) bool, depth int) {
+// readStruct reads the fields of a struct. It calls readField for each field, and skips those
+// for which readField reports that it has not read them. A nil readField skips all fields.
+func (d *decoder) readStruct(readField func(id int16, kind byte) bool, depth int) {
 	for d.err == nil {
 		kind := d.u8()
 		if kind == typeStop {
 			return
 		}
 		id := int16(d.u16())
-		if d.err == nil && (known == nil || !known(id, kind)) {
+		if d.err == nil && (readField == nil || !readField(id, kind)) {
 			d.skipValue(kind, depth+1)
 		}
 	}
 }
 
-// readStringMap reads a map of strings. One of other types is skipped, and an error of the
-// message.
+// readStringMap reads a map of strings to strings. It skips a map of other types and sets the
+// error of the message.
 func (d *decoder) readStringMap(m *Message) map[string]string {
 	key, value, n := d.u8(), d.u8(), int(int32(d.u32()))
 	if n != 0 && (key != typeString || value != typeString) {
@@ -86,10 +87,10 @@
 		d.skipItems(n, argumentNesting, key, value)
 		return map[string]string{}
 	}
-	fields := make(map[string]string) // not sized by n: that is only claimed
+	fields := make(map[string]string) // not sized by n, which the sender may have set to any number
 	for i := 0; i < n && d.err == nil; i++ {
-		k := d.bytes()
-		fields[string(k)] = string(d.bytes())
+		name := d.bytes()
+		fields[string(name)] = string(d.bytes())
 	}
 	if n < 0 && d.err == nil {
 		d.err = fmt.Errorf("%w: a map of %d", ErrMalformed, n)
@@ -97,10 +98,10 @@
 	return fields
 }
 
-// argumentNesting is the nesting of a method's arguments.
+// argumentNesting is the nesting depth of a method's arguments.
 const argumentNesting = 1
 
-// skipValue skips a value of a type.
+// skipValue skips a value. kind is its type id and depth its nesting depth.
 func (d *decoder) skipValue(kind byte, depth int) {
 	if depth > maxNesting && d.err == nil {
 		d.err = fmt.Errorf("%w: nested deeper than %d", ErrMalformed, maxNesting)
@@ -132,7 +133,8 @@
 	}
 }
 
-// skipItems skips n items of a list, set or map. Each takes a byte at least, which bounds n.
+// skipItems skips the n items of a list, set or map. kinds are the types of an item's values.
+// An item has at least one byte, so n can't exceed the number of bytes left.
 func (d *decoder) skipItems(n, depth int, kinds ...byte) {
 	if d.err == nil && (n < 0 || n > len(d.rest)) {
 		d.err = fmt.Errorf("%w: %d items in %d bytes", ErrMalformed, n, len(d.rest))
--- a/protocol/thrift/encoder.go
+++ b/protocol/thrift/encoder.go
@@ -5,11 +5,11 @@
 	"sort"
 )
 
-// Answer is the service's struct of the same name.
+// Answer is the struct Answer of the service Front: the result of execute and of check.
 type Answer struct {
 	Body   []byte
 	Fields map[string]string // see fields.go
-	OK     bool              // execute: always true; check: the server is healthy
+	OK     bool              // execute: always true; check: whether the server is healthy
 }
 
 // The field ids of a reply and of the struct Answer in it.
@@ -20,9 +20,9 @@
 	answerOKID     = 3
 )
 
-// AppendAnswer appends the reply of execute or check.
-func AppendAnswer(to []byte, name string, seq int32, a Answer) []byte {
-	return appendFrame(to, Reply, name, seq, func(b []byte) []byte {
+// AppendAnswer appends the reply of execute or check to dst.
+func AppendAnswer(dst []byte, name string, seq int32, a Answer) []byte {
+	return appendFrame(dst, Reply, name, seq, func(b []byte) []byte {
 		b = append(b, typeStruct, 0, successID)
 		b = append(b, typeString, 0, answerBodyID)
 		b = appendBytes(b, a.Body)
@@ -36,14 +36,14 @@
 	})
 }
 
-// AppendShed appends execute's reply with the exception Shed: the attempt never ran.
-func AppendShed(to []byte, seq int32, fields map[string]string) []byte {
-	return appendDeclaredException(to, seq, shedID, fields)
+// AppendShed appends execute's reply with the exception Shed to dst: the attempt did not run.
+func AppendShed(dst []byte, seq int32, fields map[string]string) []byte {
+	return appendDeclaredException(dst, seq, shedID, fields)
 }
 
-// AppendFault appends execute's reply with the exception Fault: the attempt failed.
-func AppendFault(to []byte, seq int32, fields map[string]string) []byte {
-	return appendDeclaredException(to, seq, faultID, fields)
+// AppendFault appends execute's reply with the exception Fault to dst: the attempt failed.
+func AppendFault(dst []byte, seq int32, fields map[string]string) []byte {
+	return appendDeclaredException(dst, seq, faultID, fields)
 }
 
 // The field ids of execute's declared exceptions in its reply.
@@ -52,18 +52,18 @@
 	faultID = 2
 )
 
-// appendDeclaredException appends execute's reply with one of its exceptions.
-func appendDeclaredException(to []byte, seq int32, id byte, fields map[string]string) []byte {
-	return appendFrame(to, Reply, methodExecute, seq, func(b []byte) []byte {
+// appendDeclaredException appends execute's reply with the exception of a field id to dst.
+func appendDeclaredException(dst []byte, seq int32, id byte, fields map[string]string) []byte {
+	return appendFrame(dst, Reply, methodExecute, seq, func(b []byte) []byte {
 		b = append(b, typeStruct, 0, id)
 		b = appendFields(b, 1, fields)
 		return append(b, typeStop)
 	})
 }
 
-// AppendException appends an application exception.
-func AppendException(to []byte, name string, seq int32, kind int32, text string) []byte {
-	return appendFrame(to, Exception, name, seq, func(b []byte) []byte {
+// AppendException appends an application exception to dst.
+func AppendException(dst []byte, name string, seq int32, kind int32, text string) []byte {
+	return appendFrame(dst, Exception, name, seq, func(b []byte) []byte {
 		b = append(b, typeString, 0, 1)
 		b = appendBytes(b, []byte(text))
 		b = append(b, typeI32, 0, 2)
@@ -71,31 +71,32 @@
 	})
 }
 
-// AppendLeaving appends the oneway message that the server takes no new request on the
-// connection.
-func AppendLeaving(to []byte) []byte {
-	return appendFrame(to, Oneway, methodLeaving, 0, func(b []byte) []byte { return b })
+// AppendLeaving appends the oneway message leaving to dst: the server accepts no new request
+// on the connection.
+func AppendLeaving(dst []byte) []byte {
+	return appendFrame(dst, Oneway, methodLeaving, 0, func(b []byte) []byte { return b })
 }
 
-// appendFrame appends a message with its frame. fields appends the fields of its struct.
-func appendFrame(to []byte, t MessageType, name string, seq int32, fields func([]byte) []byte) []byte {
-	at := len(to)
-	to = append(to, make([]byte, frameSizeLength)...) // set below
-	to = binary.BigEndian.AppendUint32(to, strictVersion|uint32(t))
-	to = appendBytes(to, []byte(name))
-	to = binary.BigEndian.AppendUint32(to, uint32(seq))
-	to = append(fields(to), typeStop)
-	binary.BigEndian.PutUint32(to[at:], uint32(len(to)-at-frameSizeLength))
-	return to
+// appendFrame appends a framed message to dst. appendArgs appends the fields of the message's
+// struct.
+func appendFrame(dst []byte, t MessageType, name string, seq int32, appendArgs func([]byte) []byte) []byte {
+	start := len(dst)
+	dst = append(dst, make([]byte, frameSizeLength)...) // set below
+	dst = binary.BigEndian.AppendUint32(dst, strictVersion|uint32(t))
+	dst = appendBytes(dst, []byte(name))
+	dst = binary.BigEndian.AppendUint32(dst, uint32(seq))
+	dst = append(appendArgs(dst), typeStop)
+	binary.BigEndian.PutUint32(dst[start:], uint32(len(dst)-start-frameSizeLength))
+	return dst
 }
 
-// appendBytes appends a string.
+// appendBytes appends a string: its length and its bytes.
 func appendBytes(b, v []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(v)))
 	return append(b, v...)
 }
 
-// appendFields appends a field of a struct that is a map of strings, sorted by key.
+// appendFields appends a struct field that is a map of strings, sorted by key.
 func appendFields(b []byte, id byte, fields map[string]string) []byte {
 	b = append(b, typeMap, 0, id, typeString, typeString)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
@@ -103,7 +104,7 @@
 	for name := range fields {
 		names = append(names, name)
 	}
-	sort.Strings(names) // so that equal answers have equal bytes
+	sort.Strings(names) // so that equal answers are encoded as equal bytes
 	for _, name := range names {
 		b = appendBytes(b, []byte(name))
 		b = appendBytes(b, []byte(fields[name]))
--- a/protocol/thrift/golden_test.go
+++ b/protocol/thrift/golden_test.go
@@ -10,8 +10,9 @@
 	"quincerail.example/quincerail/protocol/thrift"
 )
 
-// TestGoldenReplies writes a message of each kind.
-func TestGoldenReplies(t *testing.T) {
+// TestAppend_MatchesGoldenFiles checks that a message of each kind is encoded as in its golden
+// file.
+func TestAppend_MatchesGoldenFiles(t *testing.T) {
 	fields := map[string]string{"later": "250", "giveup": "1", "feedback": "0.5000"}
 	for name, got := range map[string][]byte{
 		"answer":      thrift.AppendAnswer(nil, "execute", 7, thrift.Answer{Body: []byte("a\r\nb"), Fields: fields, OK: true}),
@@ -25,11 +26,11 @@
 	}
 }
 
-// BenchmarkMessages measures a request and its answer.
+// BenchmarkMessages measures decoding a request and encoding its answer.
 func BenchmarkMessages(b *testing.B) {
 	request := fakes.AppendExecute(nil, 3, map[string]string{"verb": "ny-gava", "unique": "k"}, []byte("body"))
 	answer := thrift.Answer{Body: []byte("result"), Fields: map[string]string{"feedback": "0.5000"}, OK: true}
-	source, to := bytes.NewReader(nil), make([]byte, 0, 1<<10)
+	source, dst := bytes.NewReader(nil), make([]byte, 0, 1<<10)
 	r := bufio.NewReaderSize(source, 16<<10)
 	var reader thrift.Reader
 	b.ReportAllocs()
@@ -40,6 +41,6 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		to = thrift.AppendAnswer(to[:0], m.Name, m.Seq, answer)
+		dst = thrift.AppendAnswer(dst[:0], m.Name, m.Seq, answer)
 	}
 }
--- a/protocol/thrift/malformed_test.go
+++ b/protocol/thrift/malformed_test.go
@@ -12,20 +12,22 @@
 	"quincerail.example/quincerail/protocol/thrift"
 )
 
-// arrivalField finds the arrival time of a request, which is 13 digits long.
+// arrivalField matches the arrival time of a request, which has 13 digits.
 var arrivalField = regexp.MustCompile(`(door\x00\x00\x00\r)[0-9]{13}`)
 
-// atFixedTime replaces the arrival time of a request, so that its bytes are always the same.
-func atFixedTime(request string) string {
+// withFixedArrival replaces the arrival time of a request, so that its bytes are the same in
+// every run.
+func withFixedArrival(request string) string {
 	return arrivalField.ReplaceAllString(request, "${1}1764576000123")
 }
 
-// TestMalformed compares what becomes of frames with what the version before made of them.
-func TestMalformed(t *testing.T) {
+// TestRead_MatchesGoldenTranscript compares the results and errors for malformed and unusual
+// frames with those of an earlier version.
+func TestRead_MatchesGoldenTranscript(t *testing.T) {
 	check := string(fakes.AppendCheck(nil, 7, true))
 	interrupt := string(fakes.AppendInterrupt(nil, 3))
-	execute := atFixedTime(string(fakes.AppendExecute(nil, 3, map[string]string{"verb": "x"}, []byte("body"))))
-	large := atFixedTime(string(fakes.AppendExecute(nil, 3, nil, make([]byte, thrift.MaxBody+1))))
+	execute := withFixedArrival(string(fakes.AppendExecute(nil, 3, map[string]string{"verb": "x"}, []byte("body"))))
+	large := withFixedArrival(string(fakes.AppendExecute(nil, 3, nil, make([]byte, thrift.MaxBody+1))))
 	inputs := []string{
 		"", check, check[:10], interrupt, execute[:len(execute)-1], execute, large, "\x7f\xff\xff\xff", "\x00\x00\x00\x00", "\x00\x00\x00\x02no",
 		"\x00\x00\x00\x04spam", "\x00\x00\x00\x7fspam", "GET / HTTP/1.1\r\n\r\n", strings.Replace(check, "\x80\x01", "\x80\x02", 1),
--- a/protocol/thrift/reader.go
+++ b/protocol/thrift/reader.go
@@ -7,35 +7,35 @@
 	"fmt"
 )
 
-// BadMessageError is returned for bytes that are not a message, and that were skipped or
-// are about to be. The messages that follow can be read.
+// BadMessageError reports bytes that are not a valid message. The Reader has skipped them or
+// skips them at the next Read; messages that follow can be read.
 type BadMessageError struct {
-	Head *Head // of the message, if it has one that can be read; else nil
+	Head *Head // the message's header; nil if it could not be decoded
 	Err  error // wraps ErrMalformed
 }
 
-// Error implements error.
+// Error returns the text of Err.
 func (e *BadMessageError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *BadMessageError) Unwrap() error { return e.Err }
 
-// Reader reads the messages of one connection. Its zero value is ready. What is not a
-// message is skipped as a whole frame; where the frame makes no sense either, bytes are
-// skipped until some are found with which a message begins.
+// Reader reads the messages of one connection. Its zero value is ready to use. It skips a
+// message that can't be decoded, as a whole frame. If the frame is not valid either, it
+// resynchronizes: it skips bytes up to the next bytes that are the start of a message.
 type Reader struct {
-	bytesToSkip  int  // of a frame that is skipped
-	scanning     bool // it is unknown where the next message begins
-	bytesScanned int  // skipped since then
+	bytesToSkip  int  // bytes left of a frame that is being skipped
+	scanning     bool // the reader is resynchronizing: the start of the next message is unknown
+	bytesScanned int  // bytes skipped by the current resynchronization
 }
 
-// Scanned returns how many bytes were skipped since it is unknown where the next message
-// begins; 0 while that is known.
+// Scanned returns the number of bytes that the current resynchronization has skipped, or 0 if
+// the reader is synchronized.
 func (r *Reader) Scanned() int { return r.bytesScanned }
 
-// Read reads the next message. Nothing of a message is consumed before its whole frame has
-// arrived, so Read may be called again after a read that was interrupted. It may also be
-// called again after a *BadMessageError; any other error is the connection's.
+// Read reads the next message. It consumes nothing of a valid message until the whole frame
+// has arrived, so callers may retry it after a read error such as a timeout. They may also
+// call it again after a *BadMessageError. All other errors come from reading the connection.
 func (r *Reader) Read(b *bufio.Reader) (*Message, error) {
 	if err := r.skipRest(b); err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	size := binary.BigEndian.Uint32(sizeBytes)
-	if size > maxPlausibleFrame { // before anything of that size is waited for
+	if size > maxPlausibleFrame { // don't wait for that many bytes
 		return nil, r.startScanning(tooLarge(int(size)))
 	}
 	if err := checkPrefix(b, int(size)); errors.Is(err, ErrMalformed) {
@@ -62,29 +62,30 @@
 	return r.readFrame(b, int(size))
 }
 
-// readFrame reads a frame of a size. If it can't be parsed, it is skipped.
+// readFrame reads a frame of size bytes. It skips the frame if the message can't be decoded.
 func (r *Reader) readFrame(b *bufio.Reader, size int) (*Message, error) {
 	frame, err := b.Peek(frameSizeLength + size)
 	if err != nil {
 		return nil, err
 	}
-	m, headRead, err := parse(append([]byte(nil), frame[frameSizeLength:]...))
+	m, headerRead, err := parse(append([]byte(nil), frame[frameSizeLength:]...))
 	if err == nil {
-		_, _ = b.Discard(len(frame)) // it is buffered
+		_, _ = b.Discard(len(frame)) // already buffered
 		return m, nil
 	}
 	bad := &BadMessageError{Err: err}
 	end := frameEnd(frame)
 	r.scanning = end < len(frame)
-	if headRead && !r.scanning {
+	if headerRead && !r.scanning {
 		bad.Head = &m.Head
 	}
-	_, _ = b.Discard(end) // it is buffered
+	_, _ = b.Discard(end) // already buffered
 	return nil, bad
 }
 
-// checkPrefix checks that a frame begins as a message does, before the rest is waited for.
-// The error wraps ErrMalformed if it does not, else it is the connection's.
+// checkPrefix checks that a frame starts with the version of a message, before the rest of the
+// frame has arrived. The error wraps ErrMalformed if it does not. Other errors come from
+// reading the connection.
 func checkPrefix(b *bufio.Reader, size int) error {
 	if size < prefixSize-frameSizeLength {
 		return fmt.Errorf("%w: a frame of %d bytes", ErrMalformed, size)
@@ -99,45 +100,46 @@
 	return nil
 }
 
-// tooLarge is the error for a frame of a size.
+// tooLarge returns the error for a frame of size bytes.
 func tooLarge(size int) error {
 	return fmt.Errorf("%w: a frame of %d bytes, %d at most", ErrMalformed, size, maxFrame)
 }
 
-// skipFrame starts to skip a frame that is too large. Its head is read if it is there.
+// skipFrame starts to skip a frame that is too large, and returns the error for it. The error
+// has the message's header if that can be decoded.
 func (r *Reader) skipFrame(b *bufio.Reader, size int) error {
-	const enough = 64 // for the head of any method
-	start, err := b.Peek(frameSizeLength + min(size, enough))
+	const maxHeaderSize = 64 // enough for the header of any method
+	start, err := b.Peek(frameSizeLength + min(size, maxHeaderSize))
 	if err != nil {
 		return err
 	}
 	bad := &BadMessageError{Err: tooLarge(size)}
 	d := &decoder{rest: start[frameSizeLength:]}
-	if head, err := d.readHead(); err == nil {
-		bad.Head = &head
+	if header, err := d.readHead(); err == nil {
+		bad.Head = &header
 	}
 	r.bytesToSkip = frameSizeLength + size
 	return bad
 }
 
-// skipRest skips what has arrived of a frame that is skipped, until its end.
+// skipRest skips the rest of a frame that is being skipped, as its bytes arrive.
 func (r *Reader) skipRest(b *bufio.Reader) error {
 	for r.bytesToSkip > 0 {
 		if _, err := b.Peek(1); err != nil {
 			return err
 		}
-		n, _ := b.Discard(min(r.bytesToSkip, b.Buffered())) // it is buffered
+		n, _ := b.Discard(min(r.bytesToSkip, b.Buffered())) // already buffered
 		r.bytesToSkip -= n
 	}
 	return nil
 }
 
-// parse parses a frame. headRead reports whether the message's head could be read, whatever
-// the error.
-func parse(frame []byte) (m *Message, headRead bool, err error) {
+// parse decodes the message in a frame. headerRead reports whether the message's header could
+// be decoded, even if err is not nil.
+func parse(frame []byte) (m *Message, headerRead bool, err error) {
 	d := &decoder{rest: frame}
-	head, err := d.readHead()
-	m = &Message{Head: head}
+	header, err := d.readHead()
+	m = &Message{Head: header}
 	if err != nil {
 		return m, false, err
 	}
@@ -160,8 +162,8 @@
 	return m, true, nil
 }
 
-// argumentReader returns a function that reads an argument of the message's method, and
-// reports whether it is one.
+// argumentReader returns a function that reads a field if it is an argument of the message's
+// method, and reports whether it is one.
 func (m *Message) argumentReader(d *decoder) func(id int16, kind byte) bool {
 	return func(id int16, kind byte) bool {
 		switch {
--- a/protocol/thrift/resync.go
+++ b/protocol/thrift/resync.go
@@ -6,15 +6,16 @@
 	"encoding/binary"
 )
 
-// prefixSize is how many bytes a frame has up to the end of the message's first word.
+// prefixSize is the size of a frame's prefix, in bytes: the frame size and the message's first
+// 32-bit word.
 const prefixSize = frameSizeLength + 4
 
-// versionLength is how many bytes the version takes; the message's type follows it in the
-// first word.
+// versionLength is the length of the version in the message's first word, in bytes. The last
+// byte of the word is the message type.
 const versionLength = 3
 
-// messagePrefixes are the first bytes of messages behind the frame's size: the version, the
-// type and the method's name.
+// messagePrefixes are the bytes that a message may start with after the frame size: the
+// version, the message type and the method's name.
 var messagePrefixes = func() (all [][]byte) {
 	for _, name := range []string{methodExecute, methodCheck, methodInterrupt} {
 		for _, kind := range []MessageType{Call, Oneway} {
@@ -25,28 +26,27 @@
 	return all
 }()
 
-// startScanning records that it is unknown where the next message begins, and returns the
-// error for it.
-func (r *Reader) startScanning(why error) error {
+// startScanning starts to resynchronize because of cause, and returns the error for it.
+func (r *Reader) startScanning(cause error) error {
 	r.scanning = true
-	return &BadMessageError{Err: why}
+	return &BadMessageError{Err: cause}
 }
 
-// scan skips bytes until some are found with which a message begins.
+// scan skips bytes up to the start of the next message while the reader resynchronizes.
 func (r *Reader) scan(b *bufio.Reader) error {
 	for r.scanning {
 		if _, err := b.Peek(1); err != nil {
 			return err
 		}
-		buffered, _ := b.Peek(b.Buffered()) // they are there
+		buffered, _ := b.Peek(b.Buffered()) // already buffered
 		drop, found := findMessage(buffered)
-		_, _ = b.Discard(drop) // likewise
+		_, _ = b.Discard(drop) // already buffered
 		r.bytesScanned += drop
 		if found {
 			r.scanning, r.bytesScanned = false, 0
 			return nil
 		}
-		if left := len(buffered) - drop; left > 0 { // it takes more to decide
+		if left := len(buffered) - drop; left > 0 { // they may be the start of a message: wait for more
 			if _, err := b.Peek(left + 1); err != nil {
 				return err
 			}
@@ -55,54 +55,55 @@
 	return nil
 }
 
-// frameEnd returns where a frame ends that can't be parsed. Where a message begins in it,
-// up to its version, the frame was truncated there.
+// frameEnd returns the end of a frame that can't be decoded. If another message starts within
+// the frame, at least up to the message's first word, the frame was truncated and ends there.
 func frameEnd(frame []byte) int {
-	after, _ := findMessage(frame[1:])
-	end := 1 + after
+	drop, _ := findMessage(frame[1:])
+	end := 1 + drop
 	if len(frame)-end < prefixSize {
 		return len(frame)
 	}
 	return end
 }
 
-// findMessage looks for the first bytes with which a message begins. It returns how many
-// bytes before them can be dropped, and whether the whole prefix is there.
+// findMessage searches p for the start of a message, which may be incomplete at the end of p.
+// It returns the number of bytes before it that can be dropped, and whether the message's
+// whole prefix was found.
 func findMessage(p []byte) (drop int, found bool) {
-	version := messagePrefixes[0][:versionLength] // the same for all
+	version := messagePrefixes[0][:versionLength] // all prefixes have the same version
 	for from := frameSizeLength; from < len(p); {
 		i := bytes.Index(p[from:], version)
 		if i < 0 {
 			break
 		}
-		at := from + i - frameSizeLength
-		if complete, matches := matchPrefix(p[at:]); matches {
-			return at, complete
+		start := from + i - frameSizeLength
+		if complete, matches := matchPrefix(p[start:]); matches {
+			return start, complete
 		}
 		from += i + 1
 	}
-	for at := max(0, len(p)-frameSizeLength-len(version)+1); at < len(p); at++ { // the version may not have arrived
-		if complete, matches := matchPrefix(p[at:]); matches {
-			return at, complete
+	for start := max(0, len(p)-frameSizeLength-len(version)+1); start < len(p); start++ { // the version may be incomplete
+		if complete, matches := matchPrefix(p[start:]); matches {
+			return start, complete
 		}
 	}
 	return len(p), false
 }
 
-// matchPrefix reports whether bytes begin as a message does, as far as they go, and whether
-// the whole prefix is there.
+// matchPrefix reports whether p may be the start of a message, and whether it has a whole
+// prefix. A frame size over maxFrame does not match.
 func matchPrefix(p []byte) (complete, matches bool) {
 	var size [frameSizeLength]byte
 	copy(size[:], p)
 	if binary.BigEndian.Uint32(size[:]) > maxFrame {
 		return false, false
 	}
-	behind := p[min(frameSizeLength, len(p)):]
+	afterSize := p[min(frameSizeLength, len(p)):]
 	for _, prefix := range messagePrefixes {
-		if bytes.HasPrefix(behind, prefix) {
+		if bytes.HasPrefix(afterSize, prefix) {
 			return true, true
 		}
-		if bytes.HasPrefix(prefix, behind) {
+		if bytes.HasPrefix(prefix, afterSize) {
 			return false, true
 		}
 	}
--- a/protocol/thrift/thrift.go
+++ b/protocol/thrift/thrift.go
@@ -1,27 +1,30 @@
-// Package thrift is the codec of the balancers' protocol: Thrift's framed transport and
-// strict binary protocol, with the messages of the service Front. [Reader] reads messages,
-// and resumes after bytes that are not one (reader.go, resync.go); the Append functions
-// write them (encoder.go). fields.go has the keys of the maps in messages. The package takes
-// no decisions.
+// Package thrift is the codec of the balancers' protocol: the messages of the service Front in
+// Thrift's framed transport and strict binary protocol.
+//
+// [Reader] decodes messages (reader.go, decoder.go) and resynchronizes after bytes that are not
+// a message (resync.go). The Append functions encode messages (encoder.go). fields.go has the
+// keys of the maps in messages. The package doesn't decide when a connection with malformed
+// messages is closed.
 package thrift
 
 import "errors"
 
 // The limits of the protocol, in bytes.
 const (
-	MaxBody   = 2 << 10  // of a request
-	MaxResult = 4 << 10  // of an answer
-	maxFrame  = 12 << 10 // a body and its fields, with some room; must fit the reader's buffer
+	MaxBody   = 2 << 10  // of a request's body
+	MaxResult = 4 << 10  // of an answer's body
+	maxFrame  = 12 << 10 // room for a body and its fields; must fit in the reader's buffer
 
-	// maxPlausibleFrame is the largest size that is taken for that of a frame, which is
-	// skipped then. A larger one is taken for bytes that are not a frame.
+	// maxPlausibleFrame is the largest frame size that is believed. A frame of at most this
+	// size that is larger than maxFrame is skipped whole. A larger size means that the bytes
+	// are not a frame, so the reader resynchronizes.
 	maxPlausibleFrame = 1 << 20
 )
 
-// maxNesting bounds the nesting of values that are skipped.
+// maxNesting is the maximum nesting depth of values that are skipped.
 const maxNesting = 16
 
-// MessageType is the type in a message's header.
+// MessageType is the type of a message, from its header.
 type MessageType byte
 
 // The message types.
@@ -32,7 +35,7 @@
 	Oneway    MessageType = 4
 )
 
-// The types of values on the wire.
+// The type ids of values.
 const (
 	typeStop   = 0
 	typeBool   = 2
@@ -48,7 +51,7 @@
 	typeList   = 15
 )
 
-// The kinds of application exceptions that are sent.
+// The types of the application exceptions that the server sends.
 const (
 	UnknownMethod = 1
 	ProtocolError = 7
@@ -62,32 +65,33 @@
 	methodLeaving   = "leaving"
 )
 
-// frameSizeLength is how many bytes the size of a frame takes, which precedes it.
+// frameSizeLength is the length of the size that precedes each frame, in bytes.
 const frameSizeLength = 4
 
-// The first word of a message in the strict binary protocol, but for the type.
+// The first 32-bit word of a message in the strict binary protocol, without the message type in
+// its low byte.
 const (
 	strictVersion = 0x80010000
 	versionMask   = 0xffffff00
 )
 
-// ErrMalformed marks bytes that are not a message.
+// ErrMalformed reports bytes that are not a valid message.
 var ErrMalformed = errors.New("broken message")
 
-// Head is what every message begins with.
+// Head is the header of a message.
 type Head struct {
 	Type MessageType
-	Name string
-	Seq  int32
+	Name string // the method
+	Seq  int32  // the sequence number
 }
 
-// Message is a message that was read: a call's head and its arguments.
+// Message is a decoded message: the header and the arguments of a call.
 type Message struct {
 	Head
 
 	Fields      map[string]string // execute's first argument
 	Body        []byte            // execute's second argument
-	CanceledSeq int32             // interrupt's argument
+	CanceledSeq int32             // interrupt's argument: the sequence number of the call to cancel
 	Probe       bool              // check's argument
-	Err         error             // the message is well-formed, but its arguments are not the method's
+	Err         error             // not nil if the message is well-formed but its arguments are invalid
 }
--- a/protocol/thrift/thrift_test.go
+++ b/protocol/thrift/thrift_test.go
@@ -16,31 +16,34 @@
 	"quincerail.example/quincerail/protocol/thrift"
 )
 
-func read(b []byte) (*thrift.Message, error) {
+func readMessage(b []byte) (*thrift.Message, error) {
 	return new(thrift.Reader).Read(bufio.NewReaderSize(bytes.NewReader(b), 16<<10))
 }
 
-func TestMessages(t *testing.T) {
+// TestRead_ReadsEachMethod checks the arguments of each method, and that a too large body sets
+// the message's error.
+func TestRead_ReadsEachMethod(t *testing.T) {
 	fields := map[string]string{"verb": "ny-gava", "unique": "k"}
-	m, err := read(fakes.AppendExecute(nil, 3, fields, []byte("body")))
+	m, err := readMessage(fakes.AppendExecute(nil, 3, fields, []byte("body")))
 	if err != nil || m.Name != "execute" || m.Seq != 3 || m.Fields["verb"] != "ny-gava" || m.Fields["door"] == "" ||
 		string(m.Body) != "body" || m.Err != nil {
-		t.Errorf("execute: %+v, %v", m, err)
+		t.Errorf("Read(execute) = %+v, %v", m, err)
 	}
-	if m, err = read(fakes.AppendInterrupt(nil, 3)); err != nil || m.Type != thrift.Oneway || m.CanceledSeq != 3 {
-		t.Errorf("interrupt: %+v, %v", m, err)
+	if m, err = readMessage(fakes.AppendInterrupt(nil, 3)); err != nil || m.Type != thrift.Oneway || m.CanceledSeq != 3 {
+		t.Errorf("Read(interrupt of call 3) = %+v, %v", m, err)
 	}
-	if m, err = read(fakes.AppendCheck(nil, 5, true)); err != nil || !m.Probe {
-		t.Errorf("check: %+v, %v", m, err)
+	if m, err = readMessage(fakes.AppendCheck(nil, 5, true)); err != nil || !m.Probe {
+		t.Errorf("Read(check with a probe) = %+v, %v", m, err)
 	}
-	if m, err = read(fakes.AppendExecute(nil, 1, nil, make([]byte, thrift.MaxBody+1))); err != nil || m.Err == nil {
-		t.Errorf("a large body: %+v, %v, want an intact message at fault", m, err)
+	if m, err = readMessage(fakes.AppendExecute(nil, 1, nil, make([]byte, thrift.MaxBody+1))); err != nil || m.Err == nil {
+		t.Errorf("Read(execute with a too large body) = %+v, %v, want a message with its error set", m, err)
 	}
 }
 
-func TestReplies(t *testing.T) {
+// TestAppend_WritesReplies checks that a client decodes the replies as they were encoded.
+func TestAppend_WritesReplies(t *testing.T) {
 	fields := map[string]string{"later": "250", "giveup": "1"}
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		bytes []byte
 		want  fakes.Reply
 	}{
@@ -62,54 +65,54 @@
 		},
 		{thrift.AppendLeaving(nil), fakes.Reply{Type: thrift.Oneway, Name: "leaving"}},
 	} {
-		got, err := fakes.ReadReply(bufio.NewReader(bytes.NewReader(x.bytes)))
-		if err != nil || !reflect.DeepEqual(got, x.want) {
-			t.Errorf("got %+v, %v, want %+v", got, err, x.want)
+		got, err := fakes.ReadReply(bufio.NewReader(bytes.NewReader(tc.bytes)))
+		if err != nil || !reflect.DeepEqual(got, tc.want) {
+			t.Errorf("ReadReply = %+v, %v, want %+v", got, err, tc.want)
 		}
 	}
 }
 
-// TestBroken sees that a frame is refused by its claimed length, before that
-// much is waited for or allocated, and so are other breaches.
-func TestBroken(t *testing.T) {
-	good := string(fakes.AppendCheck(nil, 1, false))
+// TestRead_RejectsMalformedFrames checks that a frame of excessive size is rejected before that
+// many bytes are awaited or allocated, and that other malformed frames are rejected.
+func TestRead_RejectsMalformedFrames(t *testing.T) {
+	valid := string(fakes.AppendCheck(nil, 1, false))
 	deep := "\x00\x00\x00\x60\x80\x01\x00\x01\x00\x00\x00\x01x\x00\x00\x00\x01" + strings.Repeat("\x0c\x00\x09", 30)
 	for name, frame := range map[string]string{
-		"length":  "\x7f\xff\xff\xff",
-		"version": strings.Replace(good, "\x80\x01", "\x80\x02", 1),
-		"type":    strings.Replace(good, "\x80\x01\x00\x01", "\x80\x01\x00\x02", 1),
-		"map":     "\x00\x00\x00\x1c\x80\x01\x00\x01\x00\x00\x00\x07execute\x00\x00\x00\x01\x0d\x00\x01\x0b\x0b\x7f\xff\xff\xff",
-		"depth":   deep + strings.Repeat("\x00", 200),
-		"tail":    strings.Replace(good, "\x00\x00\x00\x16", "\x00\x00\x00\x17", 1) + "x",
+		"frame size too large":       "\x7f\xff\xff\xff",
+		"unknown version":            strings.Replace(valid, "\x80\x01", "\x80\x02", 1),
+		"message type is not a call": strings.Replace(valid, "\x80\x01\x00\x01", "\x80\x01\x00\x02", 1),
+		"map larger than the frame":  "\x00\x00\x00\x1c\x80\x01\x00\x01\x00\x00\x00\x07execute\x00\x00\x00\x01\x0d\x00\x01\x0b\x0b\x7f\xff\xff\xff",
+		"values nested too deep":     deep + strings.Repeat("\x00", 200),
+		"bytes after the arguments":  strings.Replace(valid, "\x00\x00\x00\x16", "\x00\x00\x00\x17", 1) + "x",
 	} {
-		if _, err := read([]byte(frame)); !errors.Is(err, thrift.ErrMalformed) {
-			t.Errorf("%s: error %v", name, err)
+		if _, err := readMessage([]byte(frame)); !errors.Is(err, thrift.ErrMalformed) {
+			t.Errorf("%s: Read error = %v, want ErrMalformed", name, err)
 		}
 	}
 }
 
-// TestMessagesBehindBadOnes: what follows something that is no message is read, also where
-// it comes in single bytes.
-func TestMessagesBehindBadOnes(t *testing.T) {
+// TestRead_ResynchronizesAfterMalformedInput checks that the messages after bytes that are not
+// a message are read, also if the input arrives byte by byte.
+func TestRead_ResynchronizesAfterMalformedInput(t *testing.T) {
 	check := fakes.AppendCheck(nil, 7, true)
-	claims := func(size byte, rest string) string { return "\x00\x00\x00" + string(size) + rest }
-	for name, noise := range map[string]string{
-		"nothing":               "",
-		"an empty frame":        claims(0, ""),
-		"a short frame":         claims(2, "no"),
-		"a frame of text":       claims(4, "spam"),
-		"a frame that claims":   claims(0x7f, "spam"),
-		"a huge frame":          "\x7f\xff\xff\xffspam",
-		"text":                  "GET / HTTP/1.1\r\n\r\n",
-		"half a message":        string(check[:20]),
-		"a reply":               strings.Replace(string(check), "\x80\x01\x00\x01", "\x80\x01\x00\x02", 1),
-		"a message and a half":  string(check) + string(check[:9]),
-		"a frame of 20 kB":      "\x00\x00\x50\x00" + string(check[4:]) + strings.Repeat("x", 20<<10-len(check)+4),
-		"the same, but no call": "\x00\x00\x50\x00" + strings.Repeat("x", 20<<10),
+	frameOf := func(size byte, rest string) string { return "\x00\x00\x00" + string(size) + rest }
+	for name, malformed := range map[string]string{
+		"no malformed bytes":                              "",
+		"empty frame":                                     frameOf(0, ""),
+		"frame shorter than a message":                    frameOf(2, "no"),
+		"frame of text":                                   frameOf(4, "spam"),
+		"frame size larger than the frame":                frameOf(0x7f, "spam"),
+		"implausible frame size":                          "\x7f\xff\xff\xffspam",
+		"text without frames":                             "GET / HTTP/1.1\r\n\r\n",
+		"truncated message":                               string(check[:20]),
+		"reply":                                           strings.Replace(string(check), "\x80\x01\x00\x01", "\x80\x01\x00\x02", 1),
+		"message and a truncated message":                 string(check) + string(check[:9]),
+		"call in a frame over maxFrame":                   "\x00\x00\x50\x00" + string(check[4:]) + strings.Repeat("x", 20<<10-len(check)+4),
+		"bytes that are no call in a frame over maxFrame": "\x00\x00\x50\x00" + strings.Repeat("x", 20<<10),
 	} {
-		stream := noise + string(check) + string(check)
+		stream := malformed + string(check) + string(check)
 		for _, source := range []io.Reader{strings.NewReader(stream), iotest.OneByteReader(strings.NewReader(stream))} {
-			b, last := bufio.NewReaderSize(source, 16<<10), 0
+			b, received := bufio.NewReaderSize(source, 16<<10), 0
 			var reader thrift.Reader
 			for {
 				m, err := reader.Read(b)
@@ -117,49 +120,49 @@
 					break
 				}
 				if err == nil && m.Name == "check" && m.Seq == 7 && m.Probe {
-					last++
+					received++
 				}
 			}
 			want := 2
-			if strings.HasPrefix(noise, string(check)) {
+			if strings.HasPrefix(malformed, string(check)) {
 				want = 3
 			}
-			if name == "half a message" || name == "a message and a half" {
-				want-- // the frame that was begun swallows a part of the next
+			if name == "truncated message" || name == "message and a truncated message" {
+				want-- // the frame of the truncated message includes the start of the next message
 			}
-			if last < want {
-				t.Errorf("%s: %d messages behind it were read, want %d", name, last, want)
+			if received < want {
+				t.Errorf("%s: Read returned %d of the valid messages, want at least %d", name, received, want)
 			}
 		}
 	}
 }
 
-// FuzzRead sees that a message is read the same however it arrives, and that
-// no bytes panic the codec.
+// FuzzRead checks that Read returns the same messages and errors however the input is split
+// and however often reads time out, and that it panics for no input.
 func FuzzRead(f *testing.F) {
-	whole := fakes.AppendExecute(nil, 1, map[string]string{"verb": "x"}, []byte("some body"))
-	whole = fakes.AppendInterrupt(whole, 1)
-	whole = fakes.AppendCheck(whole, 3, true)
+	valid := fakes.AppendExecute(nil, 1, map[string]string{"verb": "x"}, []byte("some body"))
+	valid = fakes.AppendInterrupt(valid, 1)
+	valid = fakes.AppendCheck(valid, 3, true)
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
-		data := bytes.Clone(whole)
+		data := bytes.Clone(valid)
 		for range s.Pick(3) {
 			data[s.Pick(len(data))] = byte(s.Pick(256))
 		}
-		plain := bufio.NewReaderSize(bytes.NewReader(data), 16<<10)
-		broken := bufio.NewReaderSize(randomsteps.Interrupted{Source: s, Data: bytes.NewReader(data)}, 16<<10)
-		var ofPlain, ofBroken thrift.Reader
+		whole := bufio.NewReaderSize(bytes.NewReader(data), 16<<10)
+		interrupted := bufio.NewReaderSize(randomsteps.Interrupted{Source: s, Data: bytes.NewReader(data)}, 16<<10)
+		var wholeReader, interruptedReader thrift.Reader
 		for {
-			want, wantErr := ofPlain.Read(plain)
-			got, err := ofBroken.Read(broken)
+			want, wantErr := wholeReader.Read(whole)
+			got, err := interruptedReader.Read(interrupted)
 			for errors.Is(err, os.ErrDeadlineExceeded) {
-				got, err = ofBroken.Read(broken)
+				got, err = interruptedReader.Read(interrupted)
 			}
 			if !reflect.DeepEqual(got, want) || (err == nil) != (wantErr == nil) {
-				t.Fatalf("got %+v, %v, want %+v, %v", got, err, want, wantErr)
+				t.Fatalf("Read of interrupted input = %+v, %v, want %+v, %v", got, err, want, wantErr)
 			}
 			if err != nil && !errors.Is(err, thrift.ErrMalformed) {
 				if !errors.Is(err, io.EOF) {
-					t.Fatalf("error %v", err)
+					t.Fatalf("Read error = %v, want ErrMalformed or EOF", err)
 				}
 				return
 			}
--- a/protocol/uwsgi/bench_test.go
+++ b/protocol/uwsgi/bench_test.go
@@ -8,7 +8,7 @@
 	"quincerail.example/quincerail/protocol/uwsgi"
 )
 
-// BenchmarkRoundTrip measures a request and its response.
+// BenchmarkRoundTrip measures reading a request and its response.
 func BenchmarkRoundTrip(b *testing.B) {
 	request := packet(b, "a body of some length")
 	response := uwsgi.AppendResponse(nil, uwsgi.Response{Status: 200, Headers: []uwsgi.Var{{Name: "X-A", Value: "b"}}, Body: []byte("hej")})
--- a/protocol/uwsgi/malformed_test.go
+++ b/protocol/uwsgi/malformed_test.go
@@ -9,18 +9,19 @@
 	"quincerail.example/quincerail/protocol/uwsgi"
 )
 
-// TestMalformedRequests compares what becomes of requests with what the version before made
-// of them.
-func TestMalformedRequests(t *testing.T) {
-	length := func(value string) string {
+// TestDecoder_MatchesGoldenTranscript compares the results and errors for malformed and unusual
+// requests with those of an earlier version.
+func TestDecoder_MatchesGoldenTranscript(t *testing.T) {
+	withLength := func(value string) string {
 		b := "\x0e\x00CONTENT_LENGTH" + string([]byte{byte(len(value)), 0}) + value
 		return "\x00" + string([]byte{byte(len(b)), 0}) + "\x00" + b
 	}
 	inputs := []string{
 		"", "\x00", "\x00\x04\x00", "\x05\x00\x00\x00", "\x64\x00\x00\x00", "\x64\x00\x00\x01more", "\x00\x00\x00\x00", "\x00\x04\x00\x00\x09\x00ab",
 		"\x00\x03\x00\x00\x01\x00a", "\x00\x04\x00\x00\x00\x00\x00\x00", "\x00\x04\x00\x00\x00\x00\x00", "\x00\x01\x00\x00x", "\x00\x05\x00\x00\x01\x00a\x00\x00",
-		length(""), length("0") + "more", length("x"), length("-1"), length("+1"), length("5") + "12345more", length("5") + "123", length("101"),
-		length("100") + strings.Repeat("x", 100), length("99999999999999999999"), length("9223372036854775807"),
+		withLength(""), withLength("0") + "more", withLength("x"), withLength("-1"), withLength("+1"), withLength("5") + "12345more",
+		withLength("5") + "123", withLength("101"),
+		withLength("100") + strings.Repeat("x", 100), withLength("99999999999999999999"), withLength("9223372036854775807"),
 	}
 	golden.Equal(t, "malformed-requests", golden.Transcript(inputs, func(r *bufio.Reader) (any, error) {
 		d := uwsgi.Decoder{MaxBody: 100}
@@ -32,9 +33,9 @@
 	}))
 }
 
-// TestMalformedResponses compares what becomes of responses with what the version before
-// made of them.
-func TestMalformedResponses(t *testing.T) {
+// TestReadResponse_MatchesGoldenTranscript compares the results and errors for malformed and
+// unusual responses with those of an earlier version.
+func TestReadResponse_MatchesGoldenTranscript(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\n"
 	inputs := []string{
 		"", "HTTP/1.1", "\r\n", "SMTP 200\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 199 x\r\n\r\n", "HTTP/1.1 600 x\r\n\r\n", "HTTP/1.1 200\r\n\r\nbody",
--- a/protocol/uwsgi/request.go
+++ b/protocol/uwsgi/request.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// headerSize is the bytes of a packet's header: the first modifier, the size of the
-	// variables in little-endian order, and the second modifier.
+	// headerSize is the size of a packet's header in bytes. The header has the first modifier,
+	// the size of the variables as a 16-bit little-endian integer, and the second modifier.
 	headerSize = 4
 
-	// maxVarsSize bounds the variables of a packet, and the name or value of one.
+	// maxVarsSize is the maximum size of a packet's variables, and of a name or a value, in
+	// bytes.
 	maxVarsSize = 0xffff
 
-	// readChunk is how many bytes are read at a time: nothing of a claimed length is
-	// allocated before its bytes have arrived.
+	// readChunk is the number of bytes read at a time. The decoder grows its buffer by the
+	// bytes that have arrived, and never allocates the length that a packet states.
 	readChunk = 4 << 10
 
 	contentLength = "CONTENT_LENGTH"
@@ -31,7 +32,7 @@
 	Body                 []byte
 }
 
-// Get returns the value of a variable, or "" where the request has none of the name.
+// Get returns the value of the variable name, or "" if the request has no such variable.
 func (r *Request) Get(name string) string {
 	for _, v := range r.Vars {
 		if v.Name == name {
@@ -41,7 +42,7 @@
 	return ""
 }
 
-// stage is the part of a request that is read next.
+// stage is the part of a request that the decoder reads next.
 type stage int
 
 const (
@@ -50,24 +51,24 @@
 	readingBody
 )
 
-// Decoder reads one request. Read may be called again after a read that was interrupted:
-// it keeps what has arrived.
+// Decoder reads one request. It keeps the bytes that have arrived, so callers may retry Read
+// after a read error such as a timeout.
 type Decoder struct {
-	MaxBody int // in bytes; a larger body is ErrTooLarge
+	MaxBody int // in bytes; Read returns ErrTooLarge for a larger body
 
-	started bool
-	stage   stage
-	need    int // bytes of the part that is read
-	buf     []byte
-	req     Request
+	started  bool
+	stage    stage
+	partSize int    // size of the part that is being read, in bytes
+	buf      []byte // the bytes of that part that have arrived
+	req      Request
 }
 
-// Started reports whether a part of the request has arrived.
+// Started reports whether any byte of the request has arrived.
 func (d *Decoder) Started() bool { return d.started }
 
-// Read reads until the request is complete. The error is io.EOF where nothing arrived
-// before the end of the input, and wraps io.ErrUnexpectedEOF where a part did; it wraps
-// ErrMalformed or ErrTooLarge where the request can't be accepted.
+// Read reads until the request is complete. The error is io.EOF if the input ends before the
+// request, and wraps io.ErrUnexpectedEOF if it ends within the request. It wraps ErrMalformed
+// or ErrTooLarge if the request can't be accepted.
 func (d *Decoder) Read(r *bufio.Reader) (*Request, error) {
 	if d.stage == readingHeader {
 		if err := d.readHeader(r); err != nil {
@@ -90,7 +91,8 @@
 	return &d.req, nil
 }
 
-// readHeader reads a packet's header. A modifier that is not supported is ErrMalformed.
+// readHeader reads a packet's header. It returns ErrMalformed if the first modifier is not
+// supported.
 func (d *Decoder) readHeader(r *bufio.Reader) error {
 	header, err := r.Peek(headerSize)
 	d.started = len(header) > 0
@@ -98,7 +100,7 @@
 		return readError(err, d.started)
 	}
 	d.req.Modifier1, d.req.Modifier2 = header[0], header[3]
-	d.need = int(binary.LittleEndian.Uint16(header[1:]))
+	d.partSize = int(binary.LittleEndian.Uint16(header[1:]))
 	if _, err := r.Discard(headerSize); err != nil {
 		return err
 	}
@@ -109,39 +111,40 @@
 	return nil
 }
 
-// fill reads until all bytes of the current part have arrived.
+// fill reads until the current part is complete.
 func (d *Decoder) fill(r *bufio.Reader) error {
 	var chunk [readChunk]byte
-	for len(d.buf) < d.need {
-		n, err := r.Read(chunk[:min(readChunk, d.need-len(d.buf))])
+	for len(d.buf) < d.partSize {
+		n, err := r.Read(chunk[:min(readChunk, d.partSize-len(d.buf))])
 		d.buf = append(d.buf, chunk[:n]...)
-		if err != nil && len(d.buf) < d.need {
+		if err != nil && len(d.buf) < d.partSize {
 			return readError(err, true)
 		}
 	}
 	return nil
 }
 
-// readError tells an end of the input inside a request from one before it.
-func readError(err error, inside bool) error {
-	if errors.Is(err, io.EOF) && inside {
+// readError returns the error of a read. It replaces io.EOF by an error that wraps
+// io.ErrUnexpectedEOF if a part of the request has arrived.
+func readError(err error, started bool) error {
+	if errors.Is(err, io.EOF) && started {
 		return fmt.Errorf("reading a request: %w", io.ErrUnexpectedEOF)
 	}
 	return err
 }
 
-// parseVars parses the variables, and finds in them how long the body is.
+// parseVars parses the variables, and sets partSize to the length of the body.
 func (d *Decoder) parseVars() error {
 	for rest := d.buf; len(rest) > 0; {
-		name, afterName, ok := cutString(rest)
-		value, afterValue, ok2 := cutString(afterName)
-		if !ok || !ok2 || name == "" {
+		name, afterName, hasName := cutString(rest)
+		value, afterValue, hasValue := cutString(afterName)
+		if !hasName || !hasValue || name == "" {
 			return fmt.Errorf("%w: variables end inside one", ErrMalformed)
 		}
 		d.req.Vars = append(d.req.Vars, Var{name, value})
 		rest = afterValue
 	}
-	d.need = 0
+	d.partSize = 0
 	if length := d.req.Get(contentLength); length != "" {
 		n, err := strconv.ParseUint(length, 10, 63)
 		if err != nil {
@@ -150,12 +153,13 @@
 		if n > uint64(d.MaxBody) {
 			return fmt.Errorf("%w: a body of %d bytes, %d at most", ErrTooLarge, n, d.MaxBody)
 		}
-		d.need = int(n)
+		d.partSize = int(n)
 	}
 	return nil
 }
 
-// cutString cuts a string off that follows its length; ok is false where it is incomplete.
+// cutString splits b after a string that is preceded by its length. ok is false if b does not
+// hold the whole string.
 func cutString(b []byte) (s string, rest []byte, ok bool) {
 	const lengthSize = 2
 	if len(b) < lengthSize {
@@ -168,43 +172,44 @@
 	return string(b[lengthSize:end]), b[end:], true
 }
 
-// AppendRequest appends a packet and its body. CONTENT_LENGTH is set from the body, in
-// place of a variable of that name. It is ErrTooLarge if the variables do not fit a packet.
-func AppendRequest(to []byte, vars []Var, body []byte) ([]byte, error) {
-	start := len(to)
-	to = append(to, ModifierRequest, 0, 0, 0)
-	to, err := appendVar(to, Var{contentLength, strconv.Itoa(len(body))})
+// AppendRequest appends a packet and its body to dst. It sets CONTENT_LENGTH to the length of
+// the body, and ignores a variable of that name in vars. The error wraps ErrTooLarge if the
+// variables don't fit in a packet.
+func AppendRequest(dst []byte, vars []Var, body []byte) ([]byte, error) {
+	start := len(dst)
+	dst = append(dst, ModifierRequest, 0, 0, 0)
+	dst, err := appendVar(dst, Var{contentLength, strconv.Itoa(len(body))})
 	for _, v := range vars {
 		if v.Name != contentLength {
 			var e error
-			to, e = appendVar(to, v)
+			dst, e = appendVar(dst, v)
 			err = errors.Join(err, e)
 		}
 	}
-	size := len(to) - start - headerSize
+	size := len(dst) - start - headerSize
 	if size > maxVarsSize {
 		err = errors.Join(err, fmt.Errorf("%w: variables of %d bytes", ErrTooLarge, size))
 	}
 	if err != nil {
 		return nil, err
 	}
-	binary.LittleEndian.PutUint16(to[start+1:], uint16(size))
-	return append(to, body...), nil
+	binary.LittleEndian.PutUint16(dst[start+1:], uint16(size))
+	return append(dst, body...), nil
 }
 
-// appendVar appends a variable.
-func appendVar(to []byte, v Var) ([]byte, error) {
+// appendVar appends a variable to dst.
+func appendVar(dst []byte, v Var) ([]byte, error) {
 	if len(v.Name) > maxVarsSize || len(v.Value) > maxVarsSize {
-		return to, fmt.Errorf("%w: variable of %d bytes", ErrTooLarge, len(v.Name)+len(v.Value))
+		return dst, fmt.Errorf("%w: variable of %d bytes", ErrTooLarge, len(v.Name)+len(v.Value))
 	}
-	to = binary.LittleEndian.AppendUint16(to, uint16(len(v.Name)))
-	to = append(to, v.Name...)
-	to = binary.LittleEndian.AppendUint16(to, uint16(len(v.Value)))
-	return append(to, v.Value...), nil
+	dst = binary.LittleEndian.AppendUint16(dst, uint16(len(v.Name)))
+	dst = append(dst, v.Name...)
+	dst = binary.LittleEndian.AppendUint16(dst, uint16(len(v.Value)))
+	return append(dst, v.Value...), nil
 }
 
-// AppendPong appends the answer to a ping: a packet without variables.
-func AppendPong(to []byte) []byte {
+// AppendPong appends the answer to a ping to dst. It is a packet without variables.
+func AppendPong(dst []byte) []byte {
 	const pongModifier2 = 1
-	return append(to, ModifierPing, 0, 0, pongModifier2)
+	return append(dst, ModifierPing, 0, 0, pongModifier2)
 }
--- a/protocol/uwsgi/response.go
+++ b/protocol/uwsgi/response.go
@@ -12,12 +12,12 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// MaxResult bounds the body of a response, in bytes.
+// MaxResult is the maximum size of a response's body, in bytes.
 const MaxResult = 256 << 10
 
-// Further limits of a response.
+// The other limits of a response.
 const (
-	maxLine    = 8 << 10 // bytes of the status line or a header
+	maxLine    = 8 << 10 // bytes of the status line or of a header line
 	maxHeaders = 100
 	minStatus  = 200 // interim responses are not supported
 )
@@ -25,11 +25,12 @@
 // Response is an HTTP response.
 type Response struct {
 	Status  int
-	Headers []Var // without those that belong to one connection, such as Content-Length
+	Headers []Var // without the hop-by-hop headers and Content-Length
 	Body    []byte
 }
 
-// isHopByHop reports whether a header belongs to one connection and is written anew.
+// isHopByHop reports whether a header applies to one connection only, so that it is not copied
+// to another. That includes Content-Length, which AppendResponse sets.
 func isHopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "content-length", "connection", "keep-alive", "transfer-encoding":
@@ -38,24 +39,26 @@
 	return false
 }
 
-// AppendResponse appends a response, after which the connection is to be closed.
-func AppendResponse(to []byte, r Response) []byte {
-	to = fmt.Appendf(to, "HTTP/1.1 %d %s\r\n", r.Status, http.StatusText(r.Status))
+// AppendResponse appends a response to dst. The caller must close the connection after the
+// response.
+func AppendResponse(dst []byte, r Response) []byte {
+	dst = fmt.Appendf(dst, "HTTP/1.1 %d %s\r\n", r.Status, http.StatusText(r.Status))
 	for _, h := range r.Headers {
 		if !isHopByHop(h.Name) {
-			to = fmt.Appendf(to, "%s: %s\r\n", h.Name, h.Value)
+			dst = fmt.Appendf(dst, "%s: %s\r\n", h.Name, h.Value)
 		}
 	}
-	to = fmt.Appendf(to, "Content-Length: %d\r\nConnection: close\r\n\r\n", len(r.Body))
-	return append(to, r.Body...)
+	dst = fmt.Appendf(dst, "Content-Length: %d\r\nConnection: close\r\n\r\n", len(r.Body))
+	return append(dst, r.Body...)
 }
 
-// unknownLength is the length of a body that ends with the connection.
+// unknownLength is the length of a body that extends to the end of the connection.
 const unknownLength = -1
 
-// ReadResponse reads the response to a request of a method, with a body of the length that
-// it claims, or until the end of the input where it claims none. The error wraps
-// ErrMalformed or ErrTooLarge, or io.ErrUnexpectedEOF where the response is incomplete.
+// ReadResponse reads the response to a request. method is the request's method. The body has
+// the length in Content-Length, or extends to the end of the input without that header. The
+// error wraps ErrMalformed or ErrTooLarge, or io.ErrUnexpectedEOF if the response is
+// incomplete.
 func ReadResponse(r *bufio.Reader, method string) (*Response, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -82,16 +85,17 @@
 	return response, nil
 }
 
-// hasBody reports whether a response has a body, whatever its headers claim.
+// hasBody reports whether a response to a method with a status has a body. Its headers don't
+// matter.
 func hasBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// readHeaders reads the headers, and returns the length of the body.
-func (r *Response) readHeaders(from *bufio.Reader) (length int, err error) {
+// readHeaders reads the headers, and returns the length of the body or unknownLength.
+func (r *Response) readHeaders(src *bufio.Reader) (length int, err error) {
 	length = unknownLength
 	for {
-		line, err := readLine(from)
+		line, err := readLine(src)
 		if err != nil || line == "" {
 			return length, err
 		}
@@ -117,7 +121,8 @@
 	}
 }
 
-// readBody reads a body of a length, or until the end of the input.
+// readBody reads a body of length bytes, or until the end of the input if length is
+// unknownLength.
 func readBody(r *bufio.Reader, length int) ([]byte, error) {
 	limit := int64(length)
 	if length == unknownLength {
@@ -135,7 +140,7 @@
 	return body, nil
 }
 
-// readLine reads a line. The input must not end before a response is complete.
+// readLine reads a line of a response. It returns io.ErrUnexpectedEOF if the input ends.
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := lines.ReadLine(r, maxLine)
 	switch {
