--- a/backend/processor.go
+++ b/backend/processor.go
@@ -163,7 +163,7 @@
 		return p.handleGreetingLocked(n)
 	case processor.RunCompleted:
 		p.dropPendingLocked(func(command pendingCommand) bool { return command.runID == n.RunID })
-		return runCompleted{n.RunID, runEnd(n.End), n.Took, dispatch.Payload{Body: n.Payload}}, nil
+		return runCompleted{n.RunID, runEnd(n.Status), n.Elapsed, dispatch.Payload{Body: n.Payload}}, nil
 	case processor.CallRequested:
 		p.dropPendingLocked(func(command pendingCommand) bool { // a cancellation may still be on its way
 			return command.runID == n.RunID && command.kind != cancelRun
@@ -190,7 +190,7 @@
 	p.greeted = true
 	p.marker = p.questions
 	p.greeting.Send(processor.AppendReadGauges(nil, strconv.FormatUint(p.marker, 10)))
-	return backendReady{n.Cold, n.Took}, nil
+	return backendReady{n.Cold, n.Elapsed}, nil
 }
 
 // handleGaugesLocked handles the answer to a question, which proves that all commands sent
@@ -232,7 +232,7 @@
 }
 
 // runEnd translates how a run ended.
-func runEnd(end processor.RunEnd) dispatch.RunEnd {
+func runEnd(end processor.RunStatus) dispatch.RunEnd {
 	switch end {
 	case processor.RunSucceeded:
 		return dispatch.RunSucceeded
--- a/downstream/pool.go
+++ b/downstream/pool.go
@@ -83,7 +83,7 @@
 func (p *Pool) Call(id string, number int, wait time.Duration, body []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	post := ledger.AppendPost(nil, id, wait, body)
+	post := ledger.AppendCall(nil, id, wait, body)
 	c := p.pickLocked(id)
 	for c != nil && c.conn != nil && !c.conn.Send(post) { // it has just ended
 		p.retireLocked(c)
@@ -111,7 +111,7 @@
 	delete(c.calls, id)
 	delete(p.connOf, id)
 	if c.conn != nil {
-		c.conn.Send(ledger.AppendAbandon(nil, id))
+		c.conn.Send(ledger.AppendCancel(nil, id))
 	}
 	p.retireLocked(c)
 }
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -249,10 +249,10 @@
 // TestRolloutMixed rolls out a build that is fine alone, and writes what the old
 // one can't read: the old servers' failures halt it.
 func TestRolloutMixed(t *testing.T) {
-	const post = "post := ledger.AppendPost(nil, id, wait, body)"
+	const post = "post := ledger.AppendCall(nil, id, wait, body)"
 	r := versions(t, fleettest.Options{Class: "ny-gava", Took: 5 * time.Millisecond}, map[string]fleettest.Edit{"newform": {
 		File: filepath.Join("..", "downstream", "pool.go"), Old: post,
-		New: fmt.Sprintf("post := ledger.AppendPost(nil, id, wait, append([]byte(%q), body...))", fakes.NewForm),
+		New: fmt.Sprintf("post := ledger.AppendCall(nil, id, wait, append([]byte(%q), body...))", fakes.NewForm),
 	}})
 	r.begin(900, 1.5, "--id", "r3", "--from", "v1", "--to", "newform")
 	starter := r.Starter(nil)
--- a/frontend/thrift/connection.go
+++ b/frontend/thrift/connection.go
@@ -81,7 +81,7 @@
 	}
 	var bad *protocol.BadMessageError
 	if errors.As(err, &bad) {
-		return c.skip(bad.Head, c.badMessageOrder(bad.Head), err)
+		return c.skip(bad.Header, c.badMessageOrder(bad.Header), err)
 	}
 	if guard.MayContinue(c.inputFacts()) != nil {
 		return fmt.Errorf("%w: %w", guard.ErrNoMessages, protocol.ErrMalformed)
@@ -92,7 +92,7 @@
 // badMessageOrder takes the sequence number of a message that could not be decoded. Only
 // a call is owed an answer: what is not known to be one counts as a duplicate, which gets
 // none.
-func (c *connection) badMessageOrder(head *protocol.Head) sequenceOrder {
+func (c *connection) badMessageOrder(head *protocol.Header) sequenceOrder {
 	if head == nil || head.Type != protocol.Call {
 		return duplicate
 	}
@@ -102,7 +102,7 @@
 // inputFacts returns the facts by which package guard decides whether the connection goes
 // on.
 func (c *connection) inputFacts() guard.Input {
-	return guard.Input{ValidMessages: c.validMessages, InvalidMessages: c.invalidMessages, SkippedBytes: c.reader.Scanned()}
+	return guard.Input{ValidMessages: c.validMessages, InvalidMessages: c.invalidMessages, SkippedBytes: c.reader.ResyncBytes()}
 }
 
 // skip resynchronizes behind a malformed message, or one whose sequence number does not
@@ -110,7 +110,7 @@
 // valid messages is notified to use another connection; valid messages that still come on
 // this one are handled. skip returns an error that ends the connection if package guard
 // denies going on, else transport.ErrMessageSkipped.
-func (c *connection) skip(head *protocol.Head, order sequenceOrder, cause error) error {
+func (c *connection) skip(head *protocol.Header, order sequenceOrder, cause error) error {
 	// A message out of order that follows valid ones shows that an earlier message was
 	// malformed, and is not malformed itself.
 	isMalformed := order != outOfOrder || c.validMessages == 0
@@ -144,7 +144,7 @@
 		"peer", c.conn.PeerAddr(), "error", cause.Error(), "open_requests", len(c.seqByRequest))
 }
 
-func (c *connection) sendException(head protocol.Head, kind int32, text string) {
+func (c *connection) sendException(head protocol.Header, kind int32, text string) {
 	c.conn.Send(protocol.AppendException(nil, head.Name, head.Seq, kind, text))
 }
 
@@ -154,20 +154,20 @@
 	if m.Type == protocol.Oneway {
 		c.sequence.oneway(m.Seq)
 	} else if order := c.sequence.call(m.Seq); order != inOrder {
-		return c.skip(&m.Head, order, fmt.Errorf("%w: sequence number %d after %d", protocol.ErrMalformed, m.Seq, c.sequence.highest))
+		return c.skip(&m.Header, order, fmt.Errorf("%w: sequence number %d after %d", protocol.ErrMalformed, m.Seq, c.sequence.highest))
 	}
 	c.validMessages++
 	switch {
 	case m.Name == methodExecute && m.Type == protocol.Call:
 		if err := c.execute(m); err != nil {
-			c.sendException(m.Head, protocol.ProtocolError, err.Error())
+			c.sendException(m.Header, protocol.ProtocolError, err.Error())
 		}
 	case m.Name == methodCheck && m.Type == protocol.Call:
 		c.check(m)
 	case m.Name == methodInterrupt && m.Type == protocol.Oneway:
 		c.cancel(m.CanceledSeq)
 	case m.Type == protocol.Call:
-		c.sendException(m.Head, protocol.UnknownMethod, "unknown method")
+		c.sendException(m.Header, protocol.UnknownMethod, "unknown method")
 	}
 	return nil
 }
@@ -270,7 +270,7 @@
 
 // reply is the message that answers a call with a request's outcome.
 func (c *connection) reply(seq int32, outcome dispatch.Outcome) []byte {
-	if len(outcome.Result.Body) > protocol.MaxResult { // a key's result from the uwsgi front, which allows more
+	if len(outcome.Result.Body) > protocol.MaxResponseBody { // a key's result from the uwsgi front, which allows more
 		outcome = dispatch.Outcome{Kind: dispatch.Failed}
 	}
 	switch outcome.Kind {
--- a/frontend/thrift/connection_test.go
+++ b/frontend/thrift/connection_test.go
@@ -32,7 +32,7 @@
 			core: &dispatch.Core{}, conn: transport.NewConn(near),
 			seqByRequest: map[string]int32{"a": 1}, requestBySeq: map[int32]string{1: "a"},
 		}
-		c.Respond("a", dispatch.Outcome{Kind: dispatch.Served, Result: dispatch.Payload{Body: make([]byte, protocol.MaxResult+1)}})
+		c.Respond("a", dispatch.Outcome{Kind: dispatch.Served, Result: dispatch.Payload{Body: make([]byte, protocol.MaxResponseBody+1)}})
 		go func() {
 			_ = c.conn.Serve(func(r *bufio.Reader) error { _, err := r.ReadByte(); return err })
 		}()
--- a/handover/peer.go
+++ b/handover/peer.go
@@ -118,7 +118,7 @@
 	keys := p.endpoint.keys
 	_ = keys.ConnectPeer(p, p.role == predecessor) // a core that has stopped replicates nothing
 	if p.role == predecessor {
-		p.conn.Send(protocol.AppendNext(nil))
+		p.conn.Send(protocol.AppendNextBatch(nil))
 	}
 	err := p.conn.Serve(func(r *bufio.Reader) error {
 		m, err := protocol.Read(r)
@@ -138,7 +138,7 @@
 		p.endpoint.keys.ApplyKey(p, m.State)
 		return nil
 	case protocol.TrafficDisabled:
-		p.endpoint.keys.ApplyTrafficDisabled(p, m.On)
+		p.endpoint.keys.ApplyTrafficDisabled(p, m.Flag)
 		return nil
 	}
 	if p.role == predecessor {
@@ -149,10 +149,10 @@
 
 func (p *Peer) receiveFromPredecessor(m protocol.Message) error {
 	switch m.Kind {
-	case protocol.Part:
-		isLast := m.On
+	case protocol.BatchEnd:
+		isLast := m.Flag
 		if !isLast {
-			p.conn.Send(protocol.AppendNext(nil))
+			p.conn.Send(protocol.AppendNextBatch(nil))
 			return nil
 		}
 		if p.markReplicated() {
@@ -170,7 +170,7 @@
 	case protocol.Claim:
 		p.endpoint.keys.ClaimRequested(p, m.State)
 		return nil
-	case protocol.Next:
+	case protocol.NextBatch:
 		p.endpoint.keys.ReplicateKeys(p)
 		return nil
 	}
@@ -194,7 +194,7 @@
 
 // EndKeyBatch implements dispatch.Peer.
 func (p *Peer) EndKeyBatch(isLast bool) {
-	p.conn.Send(protocol.AppendPart(nil, isLast))
+	p.conn.Send(protocol.AppendBatchEnd(nil, isLast))
 	if isLast {
 		p.markReplicated()
 	}
--- a/handover/peer_test.go
+++ b/handover/peer_test.go
@@ -151,7 +151,7 @@
 // predecessor may.
 func TestMessageOutOfTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, message := range [][]byte{protocol.AppendClaimReply(nil, "attempt", true), protocol.AppendPart(nil, true)} {
+		for _, message := range [][]byte{protocol.AppendClaimReply(nil, "attempt", true), protocol.AppendBatchEnd(nil, true)} {
 			keys := &fakeKeys{}
 			serving := NewEndpoint(keys, "n1", logging.Discard())
 			conn, err := pipes(serving.serveSuccessor)(t.Context(), "", "")
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -17,13 +17,13 @@
 	"unicode/utf8"
 )
 
-// folder is the directory of the golden files, relative to the package under test.
-var folder = filepath.Join("testdata", "golden")
+// goldenDir is the directory of the golden files, relative to the package under test.
+var goldenDir = filepath.Join("testdata", "golden")
 
 // Bytes returns the content of a golden file.
 func Bytes(t testing.TB, name string) []byte {
 	t.Helper()
-	b, err := os.ReadFile(filepath.Join(folder, name))
+	b, err := os.ReadFile(filepath.Join(goldenDir, name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 func CopyFolder(t testing.TB, name string) string {
 	t.Helper()
 	dst := filepath.Join(t.TempDir(), "copy")
-	if err := os.CopyFS(dst, os.DirFS(filepath.Join(folder, name))); err != nil {
+	if err := os.CopyFS(dst, os.DirFS(filepath.Join(goldenDir, name))); err != nil {
 		t.Fatal(err)
 	}
 	return dst
@@ -79,7 +79,7 @@
 // content, as a directory of golden files.
 func EqualFolder(t testing.TB, name, got string) {
 	t.Helper()
-	want := filepath.Join(folder, name)
+	want := filepath.Join(goldenDir, name)
 	files := fileNames(t, want)
 	if gotFiles := fileNames(t, got); !slices.Equal(gotFiles, files) {
 		t.Errorf("directory %s has files %v, want %v", name, gotFiles, files)
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -31,8 +31,8 @@
 // different data.
 func TestComparisons_ReportDifferences(t *testing.T) {
 	t.Chdir(t.TempDir())
-	write(t, filepath.Join(folder, "value.json"), `{"a":1}`)
-	write(t, filepath.Join(folder, "log", "1.log"), "first")
+	write(t, filepath.Join(goldenDir, "value.json"), `{"a":1}`)
+	write(t, filepath.Join(goldenDir, "log", "1.log"), "first")
 	write(t, filepath.Join("same", "1.log"), "first")
 	write(t, filepath.Join("other", "1.log"), "second")
 	write(t, filepath.Join("more", "1.log"), "first")
--- a/internal/randomsteps/randomsteps.go
+++ b/internal/randomsteps/randomsteps.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	corpus = 24  // number of seed inputs, which every run of the tests uses
-	length = 400 // size of a seed input in bytes; the rest of a longer input is ignored
+	seedCount    = 24  // number of seed inputs, which every run of the tests uses
+	maxInputSize = 400 // size of a seed input in bytes; the rest of a longer input is ignored
 )
 
 // Source chooses steps by the bytes of a fuzz test's input.
@@ -36,25 +36,25 @@
 // Fuzz registers seed inputs that are the same in every run, and fuzzes run. Each call of run has
 // the fake clock of its own synctest bubble.
 func Fuzz(f *testing.F, run func(t *testing.T, s *Source)) {
-	for seed := range int64(corpus) {
-		input := make([]byte, length)
+	for seed := range int64(seedCount) {
+		input := make([]byte, maxInputSize)
 		rand.New(rand.NewSource(seed)).Read(input)
 		f.Add(input)
 	}
 	f.Fuzz(func(t *testing.T, input []byte) {
-		synctest.Test(t, func(t *testing.T) { run(t, &Source{input[:min(len(input), length)]}) })
+		synctest.Test(t, func(t *testing.T) { run(t, &Source{input[:min(len(input), maxInputSize)]}) })
 	})
 }
 
-// Interrupted is an io.Reader that returns Data in pieces of sizes that Source chooses. Between
-// them it returns os.ErrDeadlineExceeded, as a connection does after a read deadline.
-type Interrupted struct {
+// InterruptedReader is an io.Reader that returns Data in pieces of sizes that Source chooses.
+// Between them it returns os.ErrDeadlineExceeded, as a connection does after a read deadline.
+type InterruptedReader struct {
 	Source *Source
 	Data   *bytes.Reader
 }
 
 // Read implements io.Reader.
-func (r Interrupted) Read(p []byte) (int, error) {
+func (r InterruptedReader) Read(p []byte) (int, error) {
 	if r.Data.Len() == 0 {
 		return 0, io.EOF
 	}
--- a/protocol/handover/golden_test.go
+++ b/protocol/handover/golden_test.go
@@ -35,10 +35,10 @@
 		{"claim", AppendClaim(nil, claim), Message{Kind: Claim, State: claim}},
 		{"grant", AppendClaimReply(nil, "9b1f03aa5c7e2d41", true), Message{Kind: Grant, RanAttemptID: "9b1f03aa5c7e2d41"}},
 		{"deny", AppendClaimReply(nil, "9b1f03aa5c7e2d41", false), Message{Kind: Deny, RanAttemptID: "9b1f03aa5c7e2d41"}},
-		{"next", AppendNext(nil), Message{Kind: Next}},
-		{"part", AppendPart(nil, false), Message{Kind: Part}},
-		{"part-last", AppendPart(nil, true), Message{Kind: Part, On: true}},
-		{"away-on", AppendTrafficDisabled(nil, true), Message{Kind: TrafficDisabled, On: true}},
+		{"next", AppendNextBatch(nil), Message{Kind: NextBatch}},
+		{"part", AppendBatchEnd(nil, false), Message{Kind: BatchEnd}},
+		{"part-last", AppendBatchEnd(nil, true), Message{Kind: BatchEnd, Flag: true}},
+		{"away-on", AppendTrafficDisabled(nil, true), Message{Kind: TrafficDisabled, Flag: true}},
 		{"away-off", AppendTrafficDisabled(nil, false), Message{Kind: TrafficDisabled}},
 	} {
 		golden.Equal(t, tc.name, tc.bytes)
--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -23,8 +23,8 @@
 	Claim           Kind = "claim" // successor: asks whether it may run an attempt
 	Grant           Kind = "grant" // predecessor: the successor may run the attempt
 	Deny            Kind = "deny"  // predecessor: the successor must not run the attempt
-	Next            Kind = "next"  // successor: requests the next batch of keys
-	Part            Kind = "part"  // predecessor: all keys of a batch were sent
+	NextBatch       Kind = "next"  // successor: requests the next batch of keys
+	BatchEnd        Kind = "part"  // predecessor: all keys of a batch were sent
 	TrafficDisabled Kind = "away"  // both: whether operators have disabled traffic
 )
 
@@ -33,15 +33,15 @@
 	Kind         Kind
 	State        idempotency.KeyState // Key, Claim
 	RanAttemptID string               // Grant, Deny
-	On           bool                 // Part: it was the last batch; TrafficDisabled: traffic is disabled
+	Flag         bool                 // BatchEnd: it was the last batch; TrafficDisabled: traffic is disabled
 }
 
-// none stands for an absent attempt id, because a word can't be empty.
-const none = "-"
+// noAttemptID stands for an absent attempt id, because a word can't be empty.
+const noAttemptID = "-"
 
 // minWords is the minimum number of words of each kind of message, without the length of an
 // optional body.
-var minWords = map[Kind]int{Key: 7, Claim: 7, Grant: 2, Deny: 2, Next: 1, Part: 2, TrafficDisabled: 2}
+var minWords = map[Kind]int{Key: 7, Claim: 7, Grant: 2, Deny: 2, NextBatch: 1, BatchEnd: 2, TrafficDisabled: 2}
 
 // Read reads the next message. Callers may retry it after a read error such as a timeout. The
 // error wraps lines.ErrMalformed if the bytes are not a message.
@@ -77,8 +77,8 @@
 		m.State.ArrivedAt = p.UnixNano(words[6])
 	case Grant, Deny:
 		m.RanAttemptID = words[1]
-	case Part, TrafficDisabled:
-		m.On = p.Bool(words[1])
+	case BatchEnd, TrafficDisabled:
+		m.Flag = p.Bool(words[1])
 	}
 	return !p.Failed
 }
@@ -89,7 +89,7 @@
 		Key: p.HexString(words[1]), Class: p.HexString(words[2]), BodyHash: p.HexUint(words[3]),
 		RanAttemptID: words[4], ExpiresAt: p.UnixNano(words[5]),
 	}
-	if state.RanAttemptID == none {
+	if state.RanAttemptID == noAttemptID {
 		state.RanAttemptID = ""
 	}
 	return state
@@ -100,7 +100,7 @@
 func stateWords(kind Kind, k idempotency.KeyState, lastWord string) []string {
 	attemptID := k.RanAttemptID
 	if attemptID == "" {
-		attemptID = none
+		attemptID = noAttemptID
 	}
 	return []string{
 		string(kind), hex.EncodeToString([]byte(k.Key)), hex.EncodeToString([]byte(k.Class)), strconv.FormatUint(k.BodyHash, 16), attemptID,
@@ -132,13 +132,13 @@
 	return lines.Append(dst, nil, string(kind), attemptID)
 }
 
-// AppendNext appends to dst the request for the next batch of keys.
-func AppendNext(dst []byte) []byte { return lines.Append(dst, nil, string(Next)) }
+// AppendNextBatch appends to dst the request for the next batch of keys.
+func AppendNextBatch(dst []byte) []byte { return lines.Append(dst, nil, string(NextBatch)) }
 
-// AppendPart appends to dst the message that all keys of a batch were sent. isLast is
+// AppendBatchEnd appends to dst the message that all keys of a batch were sent. isLast is
 // whether it was the last batch.
-func AppendPart(dst []byte, isLast bool) []byte {
-	return lines.Append(dst, nil, string(Part), strconv.FormatBool(isLast))
+func AppendBatchEnd(dst []byte, isLast bool) []byte {
+	return lines.Append(dst, nil, string(BatchEnd), strconv.FormatBool(isLast))
 }
 
 // AppendTrafficDisabled appends to dst the message whether operators have disabled traffic.
--- a/protocol/handover/handover_test.go
+++ b/protocol/handover/handover_test.go
@@ -41,10 +41,10 @@
 		{AppendClaim(nil, claim), Message{Kind: Claim, State: claim}},
 		{AppendClaimReply(nil, "r", true), Message{Kind: Grant, RanAttemptID: "r"}},
 		{AppendClaimReply(nil, "r", false), Message{Kind: Deny, RanAttemptID: "r"}},
-		{AppendNext(nil), Message{Kind: Next}},
-		{AppendPart(nil, true), Message{Kind: Part, On: true}},
-		{AppendPart(nil, false), Message{Kind: Part}},
-		{AppendTrafficDisabled(nil, true), Message{Kind: TrafficDisabled, On: true}},
+		{AppendNextBatch(nil), Message{Kind: NextBatch}},
+		{AppendBatchEnd(nil, true), Message{Kind: BatchEnd, Flag: true}},
+		{AppendBatchEnd(nil, false), Message{Kind: BatchEnd}},
+		{AppendTrafficDisabled(nil, true), Message{Kind: TrafficDisabled, Flag: true}},
 	} {
 		r := bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(tc.bytes)), 16<<10)
 		if got, err := Read(r); err != nil || !reflect.DeepEqual(got, tc.want) {
--- a/protocol/handover/malformed_test.go
+++ b/protocol/handover/malformed_test.go
@@ -19,6 +19,6 @@
 	}
 	golden.Equal(t, "malformed", golden.Transcript(inputs, func(r *bufio.Reader) (any, error) {
 		m, err := Read(r)
-		return []any{m.Kind, m.State.Key, m.State.Class, m.State.Result != nil, m.On}, err
+		return []any{m.Kind, m.State.Key, m.State.Class, m.State.Result != nil, m.Flag}, err
 	}))
 }
--- a/protocol/ledger/ledger.go
+++ b/protocol/ledger/ledger.go
@@ -25,8 +25,8 @@
 
 // The first words of the messages to the shared dependency.
 const (
-	wordCall    = "post"
-	wordAbandon = "abandon"
+	wordCall   = "post"
+	wordCancel = "abandon"
 )
 
 // Reply is the reply to a call.
@@ -67,12 +67,12 @@
 	return false
 }
 
-// AppendPost appends a call to dst. timeout is how long the caller waits for the reply; it is
+// AppendCall appends a call to dst. timeout is how long the caller waits for the reply; it is
 // encoded in whole milliseconds, with a minimum of 1.
-func AppendPost(dst []byte, id string, timeout time.Duration, body []byte) []byte {
+func AppendCall(dst []byte, id string, timeout time.Duration, body []byte) []byte {
 	ms := max(1, timeout.Milliseconds())
 	return lines.Append(dst, append([]byte{}, body...), wordCall, id, strconv.FormatInt(ms, 10))
 }
 
-// AppendAbandon appends to dst the message that cancels a call.
-func AppendAbandon(dst []byte, id string) []byte { return lines.Append(dst, nil, wordAbandon, id) }
+// AppendCancel appends to dst the message that cancels a call.
+func AppendCancel(dst []byte, id string) []byte { return lines.Append(dst, nil, wordCancel, id) }
--- a/protocol/ledger/ledger_test.go
+++ b/protocol/ledger/ledger_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestAppendCall_WritesCallAndCancellation(t *testing.T) {
-	got := string(AppendAbandon(AppendPost(nil, "ab", 250*time.Millisecond, []byte("body")), "ab"))
+	got := string(AppendCancel(AppendCall(nil, "ab", 250*time.Millisecond, []byte("body")), "ab"))
 	if want := "post ab 250 4\r\nbody\r\nabandon ab\r\n"; got != want {
 		t.Errorf("call and its cancellation encoded as %q, want %q", got, want)
 	}
--- a/protocol/lines/lines_test.go
+++ b/protocol/lines/lines_test.go
@@ -62,7 +62,7 @@
 			data[s.Pick(len(data))] = byte(s.Pick(256))
 		}
 		whole := newReader(string(data))
-		interrupted := bufio.NewReaderSize(randomsteps.Interrupted{Source: s, Data: bytes.NewReader(data)}, 16<<10)
+		interrupted := bufio.NewReaderSize(randomsteps.InterruptedReader{Source: s, Data: bytes.NewReader(data)}, 16<<10)
 		for {
 			words, body, wantErr := lines.Read(whole, hasBody)
 			gotWords, gotBody, err := lines.Read(interrupted, hasBody)
--- a/protocol/processor/malformed_test.go
+++ b/protocol/processor/malformed_test.go
@@ -24,6 +24,6 @@
 	}
 	golden.Equal(t, "malformed", golden.Transcript(inputs, func(r *bufio.Reader) (any, error) {
 		n, err := Read(r)
-		return []any{n.Kind, n.Number, n.Took, n.Tag, n.Gauges, len(n.Payload), n.Payload != nil}, err
+		return []any{n.Kind, n.Number, n.Elapsed, n.Tag, n.Gauges, len(n.Payload), n.Payload != nil}, err
 	}))
 }
--- a/protocol/processor/processor.go
+++ b/protocol/processor/processor.go
@@ -26,15 +26,15 @@
 	Remark          NoticeKind = "remark"   // has a number, but no meaning for the server
 )
 
-// RunEnd is the result of a run.
-type RunEnd string
+// RunStatus is how a run ended.
+type RunStatus string
 
-// The results of a run and the words that the platform uses for them.
+// The statuses of a run and the words that the platform uses for them.
 const (
-	RunSucceeded  RunEnd = "good" // with a result
-	RunFailed     RunEnd = "bad"
-	RunCancelled  RunEnd = "cut"  // cancelled, or ended at a call because its request is over
-	RunNotStarted RunEnd = "gone" // not started, because its request is over
+	RunSucceeded  RunStatus = "good" // with a result
+	RunFailed     RunStatus = "bad"
+	RunCancelled  RunStatus = "cut"  // cancelled, or ended at a call because its request is over
+	RunNotStarted RunStatus = "gone" // not started, because its request is over
 )
 
 // Command is the first word of a command.
@@ -63,8 +63,8 @@
 	Number  uint64        // RunCompleted, CallRequested, Remark: they are numbered in the order of sending
 	RunID   string        // RunCompleted, CallRequested, CommandRejected
 	Cold    bool          // Greeting: the processor has restarted
-	Took    time.Duration // Greeting: time since the processor's start; RunCompleted: duration of the run
-	End     RunEnd        // RunCompleted: may be a word other than the constants
+	Elapsed time.Duration // Greeting: time since the processor's start; RunCompleted: duration of the run
+	Status  RunStatus     // RunCompleted: may be a word other than the constants
 	Tag     string        // GaugesRead, HealthChecked: the tag of the command
 	Gauges  []float64     // GaugesRead: in the processor's order
 	Healthy bool          // HealthChecked
@@ -114,9 +114,9 @@
 	var p lines.WordParser
 	switch n.Kind {
 	case Greeting:
-		n.Cold, n.Took = words[1] == wordCold, p.Milliseconds(words[2])
+		n.Cold, n.Elapsed = words[1] == wordCold, p.Milliseconds(words[2])
 	case RunCompleted:
-		n.Number, n.RunID, n.End, n.Took = p.Uint(words[1]), words[2], RunEnd(words[3]), p.Milliseconds(words[4])
+		n.Number, n.RunID, n.Status, n.Elapsed = p.Uint(words[1]), words[2], RunStatus(words[3]), p.Milliseconds(words[4])
 	case CallRequested:
 		n.Number, n.RunID = p.Uint(words[1]), words[2]
 	case GaugesRead:
--- a/protocol/processor/processor_test.go
+++ b/protocol/processor/processor_test.go
@@ -19,14 +19,14 @@
 // are rejected.
 func TestRead_ReadsEachKind(t *testing.T) {
 	for text, want := range map[string]Notice{
-		"hi new 1500\r\n":                       {Kind: Greeting, Cold: true, Took: 1500 * time.Millisecond},
-		"complete 4 ab good 12 3\r\nxyz\r\n":    {Kind: RunCompleted, Number: 4, RunID: "ab", End: RunSucceeded, Took: 12 * time.Millisecond, Payload: []byte("xyz")},
-		"hi old 1\r\n":                          {Kind: Greeting, Took: time.Millisecond},
+		"hi new 1500\r\n":                       {Kind: Greeting, Cold: true, Elapsed: 1500 * time.Millisecond},
+		"complete 4 ab good 12 3\r\nxyz\r\n":    {Kind: RunCompleted, Number: 4, RunID: "ab", Status: RunSucceeded, Elapsed: 12 * time.Millisecond, Payload: []byte("xyz")},
+		"hi old 1\r\n":                          {Kind: Greeting, Elapsed: time.Millisecond},
 		"tried t bad\r\n":                       {Kind: HealthChecked, Tag: "t"},
-		"complete 5 ab gone 0 0\r\n\r\n":        {Kind: RunCompleted, Number: 5, RunID: "ab", End: RunNotStarted, Payload: []byte{}},
-		"complete 5 ab sung 0 0\r\n\r\n":        {Kind: RunCompleted, Number: 5, RunID: "ab", End: "sung", Payload: []byte{}},
-		"complete 5 ab cut 12 0\r\n\r\n":        {Kind: RunCompleted, Number: 5, RunID: "ab", End: RunCancelled, Took: 12 * time.Millisecond, Payload: []byte{}},
-		"complete 5 ab bad 1\r\n":               {Kind: RunCompleted, Number: 5, RunID: "ab", End: RunFailed, Took: time.Millisecond},
+		"complete 5 ab gone 0 0\r\n\r\n":        {Kind: RunCompleted, Number: 5, RunID: "ab", Status: RunNotStarted, Payload: []byte{}},
+		"complete 5 ab sung 0 0\r\n\r\n":        {Kind: RunCompleted, Number: 5, RunID: "ab", Status: "sung", Payload: []byte{}},
+		"complete 5 ab cut 12 0\r\n\r\n":        {Kind: RunCompleted, Number: 5, RunID: "ab", Status: RunCancelled, Elapsed: 12 * time.Millisecond, Payload: []byte{}},
+		"complete 5 ab bad 1\r\n":               {Kind: RunCompleted, Number: 5, RunID: "ab", Status: RunFailed, Elapsed: time.Millisecond},
 		"ask 6 ab 2\r\nhi\r\n":                  {Kind: CallRequested, Number: 6, RunID: "ab", Payload: []byte("hi")},
 		"used 9 0.25 3 0.5 12\r\n":              {Kind: GaugesRead, Tag: "9", Gauges: []float64{0.25, 3, 0.5, 12}},
 		"tried t good\r\n":                      {Kind: HealthChecked, Tag: "t", Healthy: true},
--- a/protocol/thrift/decoder.go
+++ b/protocol/thrift/decoder.go
@@ -13,13 +13,13 @@
 	err  error  // the first error
 }
 
-// readHead reads the header of a message.
-func (d *decoder) readHead() (Head, error) {
+// readHeader reads the header of a message.
+func (d *decoder) readHeader() (Header, error) {
 	version := d.u32()
 	if d.err == nil && version&versionMask != strictVersion {
 		d.err = fmt.Errorf("%w: version %#x", ErrMalformed, version)
 	}
-	header := Head{Type: MessageType(version & 0xff), Name: string(d.bytes()), Seq: int32(d.u32())}
+	header := Header{Type: MessageType(version & 0xff), Name: string(d.bytes()), Seq: int32(d.u32())}
 	return header, d.err
 }
 
--- a/protocol/thrift/encoder.go
+++ b/protocol/thrift/encoder.go
@@ -14,42 +14,42 @@
 
 // The field ids of a reply and of the struct Answer in it.
 const (
-	successID      = 0
-	answerBodyID   = 1
-	answerFieldsID = 2
-	answerOKID     = 3
+	successFieldID      = 0
+	answerBodyFieldID   = 1
+	answerFieldsFieldID = 2
+	answerOKFieldID     = 3
 )
 
 // AppendAnswer appends the reply of execute or check to dst.
 func AppendAnswer(dst []byte, name string, seq int32, a Answer) []byte {
 	return appendFrame(dst, Reply, name, seq, func(b []byte) []byte {
-		b = append(b, typeStruct, 0, successID)
-		b = append(b, typeString, 0, answerBodyID)
+		b = append(b, typeStruct, 0, successFieldID)
+		b = append(b, typeString, 0, answerBodyFieldID)
 		b = appendBytes(b, a.Body)
-		b = appendFields(b, answerFieldsID, a.Fields)
+		b = appendFields(b, answerFieldsFieldID, a.Fields)
 		ok := byte(0)
 		if a.OK {
 			ok = 1
 		}
-		b = append(b, typeBool, 0, answerOKID, ok)
+		b = append(b, typeBool, 0, answerOKFieldID, ok)
 		return append(b, typeStop)
 	})
 }
 
 // AppendShed appends execute's reply with the exception Shed to dst: the attempt did not run.
 func AppendShed(dst []byte, seq int32, fields map[string]string) []byte {
-	return appendDeclaredException(dst, seq, shedID, fields)
+	return appendDeclaredException(dst, seq, shedFieldID, fields)
 }
 
 // AppendFault appends execute's reply with the exception Fault to dst: the attempt failed.
 func AppendFault(dst []byte, seq int32, fields map[string]string) []byte {
-	return appendDeclaredException(dst, seq, faultID, fields)
+	return appendDeclaredException(dst, seq, faultFieldID, fields)
 }
 
 // The field ids of execute's declared exceptions in its reply.
 const (
-	shedID  = 1
-	faultID = 2
+	shedFieldID  = 1
+	faultFieldID = 2
 )
 
 // appendDeclaredException appends execute's reply with the exception of a field id to dst.
--- a/protocol/thrift/malformed_test.go
+++ b/protocol/thrift/malformed_test.go
@@ -27,7 +27,7 @@
 	check := string(fakes.AppendCheck(nil, 7, true))
 	interrupt := string(fakes.AppendInterrupt(nil, 3))
 	execute := withFixedArrival(string(fakes.AppendExecute(nil, 3, map[string]string{"verb": "x"}, []byte("body"))))
-	large := withFixedArrival(string(fakes.AppendExecute(nil, 3, nil, make([]byte, thrift.MaxBody+1))))
+	large := withFixedArrival(string(fakes.AppendExecute(nil, 3, nil, make([]byte, thrift.MaxRequestBody+1))))
 	inputs := []string{
 		"", check, check[:10], interrupt, execute[:len(execute)-1], execute, large, "\x7f\xff\xff\xff", "\x00\x00\x00\x00", "\x00\x00\x00\x02no",
 		"\x00\x00\x00\x04spam", "\x00\x00\x00\x7fspam", "GET / HTTP/1.1\r\n\r\n", strings.Replace(check, "\x80\x01", "\x80\x02", 1),
@@ -43,8 +43,8 @@
 		var reader thrift.Reader
 		m, err := reader.Read(r)
 		var bad *thrift.BadMessageError
-		if errors.As(err, &bad) && bad.Head != nil {
-			return nil, errors.New(bad.Head.Name + ": " + err.Error())
+		if errors.As(err, &bad) && bad.Header != nil {
+			return nil, errors.New(bad.Header.Name + ": " + err.Error())
 		}
 		if err != nil {
 			return nil, err
--- a/protocol/thrift/reader.go
+++ b/protocol/thrift/reader.go
@@ -10,8 +10,8 @@
 // BadMessageError reports bytes that are not a valid message. The Reader has skipped them or
 // skips them at the next Read; messages that follow can be read.
 type BadMessageError struct {
-	Head *Head // the message's header; nil if it could not be decoded
-	Err  error // wraps ErrMalformed
+	Header *Header // the message's header; nil if it could not be decoded
+	Err    error   // wraps ErrMalformed
 }
 
 // Error returns the text of Err.
@@ -24,14 +24,14 @@
 // message that can't be decoded, as a whole frame. If the frame is not valid either, it
 // resynchronizes: it skips bytes up to the next bytes that are the start of a message.
 type Reader struct {
-	bytesToSkip  int  // bytes left of a frame that is being skipped
-	scanning     bool // the reader is resynchronizing: the start of the next message is unknown
-	bytesScanned int  // bytes skipped by the current resynchronization
+	bytesToSkip int  // bytes left of a frame that is being skipped
+	resyncing   bool // the reader is resynchronizing: the start of the next message is unknown
+	resyncBytes int  // bytes skipped by the current resynchronization
 }
 
-// Scanned returns the number of bytes that the current resynchronization has skipped, or 0 if
-// the reader is synchronized.
-func (r *Reader) Scanned() int { return r.bytesScanned }
+// ResyncBytes returns the number of bytes that the current resynchronization has skipped. It is
+// 0 while the reader is synchronized.
+func (r *Reader) ResyncBytes() int { return r.resyncBytes }
 
 // Read reads the next message. It consumes nothing of a valid message until the whole frame
 // has arrived, so callers may retry it after a read error such as a timeout. They may also
@@ -40,7 +40,7 @@
 	if err := r.skipRest(b); err != nil {
 		return nil, err
 	}
-	if err := r.scan(b); err != nil {
+	if err := r.resync(b); err != nil {
 		return nil, err
 	}
 	sizeBytes, err := b.Peek(frameSizeLength)
@@ -49,10 +49,10 @@
 	}
 	size := binary.BigEndian.Uint32(sizeBytes)
 	if size > maxPlausibleFrame { // don't wait for that many bytes
-		return nil, r.startScanning(tooLarge(int(size)))
+		return nil, r.startResync(tooLarge(int(size)))
 	}
 	if err := checkPrefix(b, int(size)); errors.Is(err, ErrMalformed) {
-		return nil, r.startScanning(err)
+		return nil, r.startResync(err)
 	} else if err != nil {
 		return nil, err
 	}
@@ -75,9 +75,9 @@
 	}
 	bad := &BadMessageError{Err: err}
 	end := frameEnd(frame)
-	r.scanning = end < len(frame)
-	if headerRead && !r.scanning {
-		bad.Head = &m.Head
+	r.resyncing = end < len(frame)
+	if headerRead && !r.resyncing {
+		bad.Header = &m.Header
 	}
 	_, _ = b.Discard(end) // already buffered
 	return nil, bad
@@ -115,8 +115,8 @@
 	}
 	bad := &BadMessageError{Err: tooLarge(size)}
 	d := &decoder{rest: start[frameSizeLength:]}
-	if header, err := d.readHead(); err == nil {
-		bad.Head = &header
+	if header, err := d.readHeader(); err == nil {
+		bad.Header = &header
 	}
 	r.bytesToSkip = frameSizeLength + size
 	return bad
@@ -138,8 +138,8 @@
 // be decoded, even if err is not nil.
 func parse(frame []byte) (m *Message, headerRead bool, err error) {
 	d := &decoder{rest: frame}
-	header, err := d.readHead()
-	m = &Message{Head: header}
+	header, err := d.readHeader()
+	m = &Message{Header: header}
 	if err != nil {
 		return m, false, err
 	}
@@ -156,8 +156,8 @@
 	switch {
 	case m.Name == methodExecute && m.Fields == nil && m.Err == nil:
 		m.Err = errors.New("execute without fields")
-	case m.Name == methodExecute && len(m.Body) > MaxBody:
-		m.Err = fmt.Errorf("a body of %d bytes, %d at most", len(m.Body), MaxBody)
+	case m.Name == methodExecute && len(m.Body) > MaxRequestBody:
+		m.Err = fmt.Errorf("a body of %d bytes, %d at most", len(m.Body), MaxRequestBody)
 	}
 	return m, true, nil
 }
--- a/protocol/thrift/resync.go
+++ b/protocol/thrift/resync.go
@@ -26,24 +26,24 @@
 	return all
 }()
 
-// startScanning starts to resynchronize because of cause, and returns the error for it.
-func (r *Reader) startScanning(cause error) error {
-	r.scanning = true
+// startResync starts to resynchronize because of cause, and returns the error for it.
+func (r *Reader) startResync(cause error) error {
+	r.resyncing = true
 	return &BadMessageError{Err: cause}
 }
 
-// scan skips bytes up to the start of the next message while the reader resynchronizes.
-func (r *Reader) scan(b *bufio.Reader) error {
-	for r.scanning {
+// resync skips bytes up to the start of the next message while the reader resynchronizes.
+func (r *Reader) resync(b *bufio.Reader) error {
+	for r.resyncing {
 		if _, err := b.Peek(1); err != nil {
 			return err
 		}
 		buffered, _ := b.Peek(b.Buffered()) // already buffered
 		drop, found := findMessage(buffered)
 		_, _ = b.Discard(drop) // already buffered
-		r.bytesScanned += drop
+		r.resyncBytes += drop
 		if found {
-			r.scanning, r.bytesScanned = false, 0
+			r.resyncing, r.resyncBytes = false, 0
 			return nil
 		}
 		if left := len(buffered) - drop; left > 0 { // they may be the start of a message: wait for more
--- a/protocol/thrift/thrift.go
+++ b/protocol/thrift/thrift.go
@@ -11,9 +11,9 @@
 
 // The limits of the protocol, in bytes.
 const (
-	MaxBody   = 2 << 10  // of a request's body
-	MaxResult = 4 << 10  // of an answer's body
-	maxFrame  = 12 << 10 // room for a body and its fields; must fit in the reader's buffer
+	MaxRequestBody  = 2 << 10  // of execute's argument
+	MaxResponseBody = 4 << 10  // of Answer.Body
+	maxFrame        = 12 << 10 // room for a body and its fields; must fit in the reader's buffer
 
 	// maxPlausibleFrame is the largest frame size that is believed. A frame of at most this
 	// size that is larger than maxFrame is skipped whole. A larger size means that the bytes
@@ -78,8 +78,8 @@
 // ErrMalformed reports bytes that are not a valid message.
 var ErrMalformed = errors.New("broken message")
 
-// Head is the header of a message.
-type Head struct {
+// Header is the part of a message that precedes its arguments.
+type Header struct {
 	Type MessageType
 	Name string // the method
 	Seq  int32  // the sequence number
@@ -87,7 +87,7 @@
 
 // Message is a decoded message: the header and the arguments of a call.
 type Message struct {
-	Head
+	Header
 
 	Fields      map[string]string // execute's first argument
 	Body        []byte            // execute's second argument
--- a/protocol/thrift/thrift_test.go
+++ b/protocol/thrift/thrift_test.go
@@ -35,7 +35,7 @@
 	if m, err = readMessage(fakes.AppendCheck(nil, 5, true)); err != nil || !m.Probe {
 		t.Errorf("Read(check with a probe) = %+v, %v", m, err)
 	}
-	if m, err = readMessage(fakes.AppendExecute(nil, 1, nil, make([]byte, thrift.MaxBody+1))); err != nil || m.Err == nil {
+	if m, err = readMessage(fakes.AppendExecute(nil, 1, nil, make([]byte, thrift.MaxRequestBody+1))); err != nil || m.Err == nil {
 		t.Errorf("Read(execute with a too large body) = %+v, %v, want a message with its error set", m, err)
 	}
 }
@@ -149,7 +149,7 @@
 			data[s.Pick(len(data))] = byte(s.Pick(256))
 		}
 		whole := bufio.NewReaderSize(bytes.NewReader(data), 16<<10)
-		interrupted := bufio.NewReaderSize(randomsteps.Interrupted{Source: s, Data: bytes.NewReader(data)}, 16<<10)
+		interrupted := bufio.NewReaderSize(randomsteps.InterruptedReader{Source: s, Data: bytes.NewReader(data)}, 16<<10)
 		var wholeReader, interruptedReader thrift.Reader
 		for {
 			want, wantErr := wholeReader.Read(whole)
--- a/protocol/uwsgi/malformed_test.go
+++ b/protocol/uwsgi/malformed_test.go
@@ -44,8 +44,8 @@
 		ok + "Content-Length: 9\r\n\r\nhalf", ok + "Content-Length: 2000000000\r\n\r\n", ok + "Content-Length: 9999999999\r\n\r\n",
 		ok + "Content-Length: 3\r\nContent-Length: 2\r\n\r\nabcde", ok + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ok + "Connection: close\r\nKeep-Alive: x\r\n\r\n",
 		ok + strings.Repeat("A: b\r\n", 100) + "\r\n", ok + strings.Repeat("A: b\r\n", 101) + "\r\n", ok + strings.Repeat("A: b\r\n", 100) + "Content-Length: 1\r\n\r\nx",
-		ok + "A: " + strings.Repeat("x", 8200) + "\r\n\r\n", ok + "A: " + strings.Repeat("x", 20000) + "\r\n\r\n", ok + "\r\n" + strings.Repeat("x", uwsgi.MaxResult),
-		ok + "\r\n" + strings.Repeat("x", uwsgi.MaxResult+1), "HTTP/1.1 204 No Content\r\n\r\nx", "HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\nx",
+		ok + "A: " + strings.Repeat("x", 8200) + "\r\n\r\n", ok + "A: " + strings.Repeat("x", 20000) + "\r\n\r\n", ok + "\r\n" + strings.Repeat("x", uwsgi.MaxResponseBody),
+		ok + "\r\n" + strings.Repeat("x", uwsgi.MaxResponseBody+1), "HTTP/1.1 204 No Content\r\n\r\nx", "HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\nx",
 		"HTTP/1.1 204 x\r\nContent-Length: 2000000000\r\n\r\n", "HTTP/1.1 503 Busy\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n",
 	}
 	for _, method := range []string{"POST", "HEAD"} {
--- a/protocol/uwsgi/response.go
+++ b/protocol/uwsgi/response.go
@@ -12,8 +12,8 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// MaxResult is the maximum size of a response's body, in bytes.
-const MaxResult = 256 << 10
+// MaxResponseBody is the maximum size of a response's body, in bytes.
+const MaxResponseBody = 256 << 10
 
 // The other limits of a response.
 const (
@@ -73,8 +73,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if length > MaxResult {
-		return nil, fmt.Errorf("%w: a result of %d bytes, %d at most", ErrTooLarge, length, MaxResult)
+	if length > MaxResponseBody {
+		return nil, fmt.Errorf("%w: a result of %d bytes, %d at most", ErrTooLarge, length, MaxResponseBody)
 	}
 	if hasBody(method, status) {
 		response.Body, err = readBody(r, length)
@@ -126,7 +126,7 @@
 func readBody(r *bufio.Reader, length int) ([]byte, error) {
 	limit := int64(length)
 	if length == unknownLength {
-		limit = MaxResult + 1
+		limit = MaxResponseBody + 1
 	}
 	body, err := io.ReadAll(io.LimitReader(r, limit))
 	switch {
@@ -134,8 +134,8 @@
 		return nil, fmt.Errorf("reading a result: %w", err)
 	case length != unknownLength && len(body) < length:
 		return nil, fmt.Errorf("reading a result: %w", io.ErrUnexpectedEOF)
-	case len(body) > MaxResult:
-		return nil, fmt.Errorf("%w: a result of over %d bytes", ErrTooLarge, MaxResult)
+	case len(body) > MaxResponseBody:
+		return nil, fmt.Errorf("%w: a result of over %d bytes", ErrTooLarge, MaxResponseBody)
 	}
 	return body, nil
 }
--- a/protocol/uwsgi/uwsgi_test.go
+++ b/protocol/uwsgi/uwsgi_test.go
@@ -78,7 +78,7 @@
 		{"transfer encoding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "", uwsgi.ErrMalformed},
 		{"content length too large", "HTTP/1.1 200 OK\r\nContent-Length: 2000000000\r\n\r\n", "", uwsgi.ErrTooLarge},
 		{"too many headers", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 101) + "\r\n", "", uwsgi.ErrTooLarge},
-		{"body too large", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", uwsgi.MaxResult+1), "", uwsgi.ErrTooLarge},
+		{"body too large", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", uwsgi.MaxResponseBody+1), "", uwsgi.ErrTooLarge},
 	} {
 		got, err := uwsgi.ReadResponse(bufio.NewReader(strings.NewReader(tc.text)), "POST")
 		if !errors.Is(err, tc.want) || err == nil && string(got.Body) != tc.body {
@@ -98,7 +98,7 @@
 		}
 		whole, interrupted := uwsgi.Decoder{MaxBody: 100}, uwsgi.Decoder{MaxBody: 100}
 		want, wantErr := whole.Read(bufio.NewReader(bytes.NewReader(data)))
-		r := bufio.NewReader(randomsteps.Interrupted{Source: s, Data: bytes.NewReader(data)})
+		r := bufio.NewReader(randomsteps.InterruptedReader{Source: s, Data: bytes.NewReader(data)})
 		got, err := interrupted.Read(r)
 		for errors.Is(err, os.ErrDeadlineExceeded) {
 			got, err = interrupted.Read(r)
