--- a/protocol/ledger/ledger.go
+++ b/protocol/ledger/ledger.go
@@ -11,7 +11,7 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// Status is the result of a call: the second word of its reply.
+// Status is how a call ended: the second word of its reply.
 type Status string
 
 // The statuses and the words that the platform uses for them.
--- a/protocol/thrift/decoder.go
+++ b/protocol/thrift/decoder.go
@@ -65,15 +65,15 @@
 
 // readStruct reads the fields of a struct. It calls readField for each field, and skips those
 // for which readField reports that it has not read them. A nil readField skips all fields.
-func (d *decoder) readStruct(readField func(id int16, kind byte) bool, depth int) {
+func (d *decoder) readStruct(readField func(id int16, typeID byte) bool, depth int) {
 	for d.err == nil {
-		kind := d.u8()
-		if kind == typeStop {
+		typeID := d.u8()
+		if typeID == typeStop {
 			return
 		}
 		id := int16(d.u16())
-		if d.err == nil && (readField == nil || !readField(id, kind)) {
-			d.skipValue(kind, depth+1)
+		if d.err == nil && (readField == nil || !readField(id, typeID)) {
+			d.skipValue(typeID, depth+1)
 		}
 	}
 }
@@ -101,15 +101,15 @@
 // argumentNesting is the nesting depth of a method's arguments.
 const argumentNesting = 1
 
-// skipValue skips a value. kind is its type id and depth its nesting depth.
-func (d *decoder) skipValue(kind byte, depth int) {
+// skipValue skips a value of a type at a nesting depth.
+func (d *decoder) skipValue(typeID byte, depth int) {
 	if depth > maxNesting && d.err == nil {
 		d.err = fmt.Errorf("%w: nested deeper than %d", ErrMalformed, maxNesting)
 	}
 	if d.err != nil {
 		return
 	}
-	switch kind {
+	switch typeID {
 	case typeBool, typeByte:
 		d.take(1)
 	case typeI16:
@@ -126,22 +126,23 @@
 		key, value := d.u8(), d.u8()
 		d.skipItems(int(int32(d.u32())), depth, key, value)
 	case typeSet, typeList:
-		kind := d.u8()
-		d.skipItems(int(int32(d.u32())), depth, kind)
+		typeID := d.u8()
+		d.skipItems(int(int32(d.u32())), depth, typeID)
 	default:
-		d.err = fmt.Errorf("%w: type %d", ErrMalformed, kind)
+		d.err = fmt.Errorf("%w: type %d", ErrMalformed, typeID)
 	}
 }
 
-// skipItems skips the n items of a list, set or map. kinds are the types of an item's values.
+// skipItems skips the n items of a list, set or map. typeIDs are the types of an item's values:
+// one, or for a map two.
 // An item has at least one byte, so n can't exceed the number of bytes left.
-func (d *decoder) skipItems(n, depth int, kinds ...byte) {
+func (d *decoder) skipItems(n, depth int, typeIDs ...byte) {
 	if d.err == nil && (n < 0 || n > len(d.rest)) {
 		d.err = fmt.Errorf("%w: %d items in %d bytes", ErrMalformed, n, len(d.rest))
 	}
 	for i := 0; i < n && d.err == nil; i++ {
-		for _, kind := range kinds {
-			d.skipValue(kind, depth+1)
+		for _, typeID := range typeIDs {
+			d.skipValue(typeID, depth+1)
 		}
 	}
 }
--- a/protocol/thrift/encoder.go
+++ b/protocol/thrift/encoder.go
@@ -61,13 +61,14 @@
 	})
 }
 
-// AppendException appends an application exception to dst.
-func AppendException(dst []byte, name string, seq int32, kind int32, text string) []byte {
+// AppendException appends an application exception to dst. exceptionType is one of the types
+// that this package declares.
+func AppendException(dst []byte, name string, seq int32, exceptionType int32, text string) []byte {
 	return appendFrame(dst, Exception, name, seq, func(b []byte) []byte {
 		b = append(b, typeString, 0, 1)
 		b = appendBytes(b, []byte(text))
 		b = append(b, typeI32, 0, 2)
-		return binary.BigEndian.AppendUint32(b, uint32(kind))
+		return binary.BigEndian.AppendUint32(b, uint32(exceptionType))
 	})
 }
 
--- a/protocol/thrift/reader.go
+++ b/protocol/thrift/reader.go
@@ -164,16 +164,16 @@
 
 // argumentReader returns a function that reads a field if it is an argument of the message's
 // method, and reports whether it is one.
-func (m *Message) argumentReader(d *decoder) func(id int16, kind byte) bool {
-	return func(id int16, kind byte) bool {
+func (m *Message) argumentReader(d *decoder) func(id int16, typeID byte) bool {
+	return func(id int16, typeID byte) bool {
 		switch {
-		case m.Name == methodExecute && id == 1 && kind == typeMap:
+		case m.Name == methodExecute && id == 1 && typeID == typeMap:
 			m.Fields = d.readStringMap(m)
-		case m.Name == methodExecute && id == 2 && kind == typeString:
+		case m.Name == methodExecute && id == 2 && typeID == typeString:
 			m.Body = d.bytes()
-		case m.Name == methodInterrupt && id == 1 && kind == typeI32:
+		case m.Name == methodInterrupt && id == 1 && typeID == typeI32:
 			m.CanceledSeq = int32(d.u32())
-		case m.Name == methodCheck && id == 1 && kind == typeBool:
+		case m.Name == methodCheck && id == 1 && typeID == typeBool:
 			m.Probe = d.u8() != 0
 		default:
 			return false
--- a/protocol/thrift/resync.go
+++ b/protocol/thrift/resync.go
@@ -18,8 +18,8 @@
 // version, the message type and the method's name.
 var messagePrefixes = func() (all [][]byte) {
 	for _, name := range []string{methodExecute, methodCheck, methodInterrupt} {
-		for _, kind := range []MessageType{Call, Oneway} {
-			prefix := binary.BigEndian.AppendUint32(nil, strictVersion|uint32(kind))
+		for _, messageType := range []MessageType{Call, Oneway} {
+			prefix := binary.BigEndian.AppendUint32(nil, strictVersion|uint32(messageType))
 			all = append(all, appendBytes(prefix, []byte(name)))
 		}
 	}
--- a/protocol/thrift/thrift_test.go
+++ b/protocol/thrift/thrift_test.go
@@ -27,16 +27,16 @@
 	m, err := readMessage(fakes.AppendExecute(nil, 3, fields, []byte("body")))
 	if err != nil || m.Name != "execute" || m.Seq != 3 || m.Fields["verb"] != "ny-gava" || m.Fields["door"] == "" ||
 		string(m.Body) != "body" || m.Err != nil {
-		t.Errorf("Read(execute) = %+v, %v", m, err)
+		t.Errorf("Read(execute) = %+v, %v, want call 3 with its fields and body", m, err)
 	}
 	if m, err = readMessage(fakes.AppendInterrupt(nil, 3)); err != nil || m.Type != thrift.Oneway || m.CanceledSeq != 3 {
-		t.Errorf("Read(interrupt of call 3) = %+v, %v", m, err)
+		t.Errorf("Read(interrupt) = %+v, %v, want a oneway message with CanceledSeq 3", m, err)
 	}
 	if m, err = readMessage(fakes.AppendCheck(nil, 5, true)); err != nil || !m.Probe {
-		t.Errorf("Read(check with a probe) = %+v, %v", m, err)
+		t.Errorf("Read(check) = %+v, %v, want a message with Probe set", m, err)
 	}
 	if m, err = readMessage(fakes.AppendExecute(nil, 1, nil, make([]byte, thrift.MaxRequestBody+1))); err != nil || m.Err == nil {
-		t.Errorf("Read(execute with a too large body) = %+v, %v, want a message with its error set", m, err)
+		t.Errorf("Read(execute with a too large body) = %+v, %v, want a message with Err set", m, err)
 	}
 }
 
