--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,22 +1,24 @@
-// Package clock is the process's time. Spans are measured on the monotonic clock, so that
-// deadlines, windows, timeouts and grace periods last as long as they say, whatever happens
-// to the machine's Unix time: it may be stepped by seconds or an hour, either way.
+// Package clock provides the process's time, which steps of the machine's Unix time don't
+// affect. Durations are measured on the monotonic clock, so that deadlines, windows, timeouts
+// and grace periods keep their length even if Unix time is stepped by seconds or an hour,
+// forward or backward.
 //
 // # Timeline
 //
-// A [Clock] returns times on a timeline of its own: the Unix time at which it was made,
-// plus the monotonic time since. Unix time is used only where the wire or a stored form
-// has it, and is converted by the offset between the two clocks at that moment
-// ([Clock.At]). What a step of Unix time does:
+// A [Clock] returns times on a timeline of its own: the Unix time at which it was created,
+// plus the monotonic time since. Unix time is used only in wire messages and stored data.
+// It is converted by its current offset from the timeline ([Clock.At]). A step of Unix time
+// has these effects:
 //
-//   - to a request in flight: nothing, its times are on the timeline;
-//   - to a time that a peer wrote when it sent ([Clock.Received]): of the last few offsets,
-//     the one is used by which the time is closest to now. So it does not matter whether it
-//     was written before the step or after it, or by a clock that was not stepped;
-//   - to a key's window in memory: nothing;
-//   - to what another process reports in Unix time, or what one stored: it is converted by
-//     the present offset. If the step lies between the two, a window ends that much earlier
-//     or later.
+//   - on requests in flight: none, because their times are on the timeline;
+//   - on the time at which a peer sent a message ([Clock.Received]): none, because it is
+//     converted by whichever of the last few offsets makes it closest to now. This is correct
+//     whether the peer read the time before or after the step, or from a clock that was not
+//     stepped;
+//   - on the windows of idempotency keys in memory: none;
+//   - on Unix times that another process reports, or that a process has stored: they are
+//     converted by the current offset. If Unix time was stepped after such a time was written,
+//     a window ends earlier or later by the step.
 package clock
 
 import (
@@ -26,20 +28,20 @@
 )
 
 const (
-	minStep    = 50 * time.Millisecond // a smaller change of the offset is not a step
-	maxOffsets = 4                     // how many are remembered, the present one included
+	minStep    = 50 * time.Millisecond // smaller changes of the offset don't count as a step
+	maxOffsets = 4                     // offsets kept, including the current one
 )
 
-// Clock is a timeline. Its methods may be called from any goroutine.
+// Clock is a timeline. Its methods are safe for concurrent use.
 type Clock struct {
-	origin     time.Time     // with a monotonic reading
-	originUnix time.Duration // Unix time at the origin
+	origin     time.Time     // when the clock was created, with a monotonic reading
+	originUnix time.Duration // origin as Unix time; the timeline's start
 
 	mu      sync.Mutex
-	offsets []time.Duration // of Unix time from the timeline: the present one last
+	offsets []time.Duration // Unix time minus timeline, oldest first; the last one is current
 }
 
-// New makes a clock whose timeline starts at the present Unix time.
+// New returns a clock whose timeline starts at the current Unix time.
 func New() *Clock {
 	now := time.Now()
 	return &Clock{
@@ -48,30 +50,30 @@
 	}
 }
 
-// Now returns the present time on the timeline.
+// Now returns the current time on the timeline.
 func (c *Clock) Now() time.Duration { return c.originUnix + time.Since(c.origin) }
 
-// Observe compares Unix time with the timeline. It returns by how much Unix time was stepped
-// since the last comparison, or 0 if it was not; At and Unix compare them too, and then the
-// step is not returned again. A change of less than minStep is no step; such changes add up
-// until they are one.
+// Observe compares Unix time with the timeline. It returns the step of Unix time since the
+// last comparison, or 0 if there was none. At and Unix compare them too, so Observe doesn't
+// return a step that they have found. Changes of less than minStep add up until they count as
+// a step.
 func (c *Clock) Observe() (step time.Duration) {
 	now := time.Now()
 	timeline := c.originUnix + now.Sub(c.origin)
 	offset := time.Duration(now.UnixNano()) - timeline
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	step = offset - c.presentOffsetLocked()
+	step = offset - c.currentOffsetLocked()
 	if step.Abs() < minStep {
 		return 0
 	}
-	c.rememberLocked(offset)
+	c.setOffsetLocked(offset)
 	return step
 }
 
-// rememberLocked makes an offset the present one. An equal one from before is forgotten, so that
-// each is remembered once. The lock is held.
-func (c *Clock) rememberLocked(offset time.Duration) {
+// setOffsetLocked makes an offset the current one. It removes an older offset that equals it
+// within minStep, so that each offset is kept once. c.mu must be held.
+func (c *Clock) setOffsetLocked(offset time.Duration) {
 	c.offsets = slices.DeleteFunc(c.offsets, func(o time.Duration) bool { return (o - offset).Abs() < minStep })
 	if len(c.offsets) == maxOffsets {
 		c.offsets = slices.Delete(c.offsets, 0, 1)
@@ -79,11 +81,11 @@
 	c.offsets = append(c.offsets, offset)
 }
 
-// presentOffsetLocked returns the offset in force. The lock is held.
-func (c *Clock) presentOffsetLocked() time.Duration { return c.offsets[len(c.offsets)-1] }
+// currentOffsetLocked returns the current offset. c.mu must be held.
+func (c *Clock) currentOffsetLocked() time.Duration { return c.offsets[len(c.offsets)-1] }
 
-// At converts a time to one on the timeline: exactly if it has a monotonic reading, else by
-// the present offset of Unix time.
+// At converts a time to the timeline: exactly if it has a monotonic reading, otherwise by
+// the current offset of Unix time.
 func (c *Clock) At(t time.Time) time.Duration {
 	if hasMonotonic(t) {
 		return c.originUnix + t.Sub(c.origin)
@@ -91,11 +93,11 @@
 	c.Observe()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Duration(t.UnixNano()) - c.presentOffsetLocked()
+	return time.Duration(t.UnixNano()) - c.currentOffsetLocked()
 }
 
-// Received converts the time that a peer wrote when it sent to one on the timeline: of the
-// last offsets, by the one that makes it closest to now.
+// Received converts the time at which a peer sent a message to the timeline. A time without a
+// monotonic reading is converted by the kept offset that makes it closest to now.
 func (c *Clock) Received(t time.Time) time.Duration {
 	closest, now := c.At(t), c.Now()
 	if hasMonotonic(t) {
@@ -112,19 +114,19 @@
 	return closest
 }
 
-// hasMonotonic reports whether a time has a monotonic reading, so that it was read from this
-// machine's clocks.
+// hasMonotonic reports whether a time has a monotonic reading, which means that this process
+// read it from the machine's clocks.
 func hasMonotonic(t time.Time) bool { return t != t.Round(0) }
 
-// Time converts a time on the timeline to a time.Time for timers and contexts of this
-// process: it has a monotonic reading.
+// Time converts a time on the timeline to a time.Time with a monotonic reading, for timers
+// and contexts of this process.
 func (c *Clock) Time(at time.Duration) time.Time { return c.origin.Add(at - c.originUnix) }
 
-// Unix converts a time on the timeline to Unix time by the present offset, for what is
-// written to a wire or stored.
+// Unix converts a time on the timeline to Unix time by the current offset, for wire messages
+// and stored data.
 func (c *Clock) Unix(at time.Duration) time.Time {
 	c.Observe()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Unix(0, int64(at+c.presentOffsetLocked()))
+	return time.Unix(0, int64(at+c.currentOffsetLocked()))
 }
--- a/guard/connection.go
+++ b/guard/connection.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Connection is what the owner of a connection knows when it would close it.
+// Connection is the state of a connection that its owner wants to close.
 type Connection struct {
-	SocketDrained    bool          // the socket was read empty after the decision to close it
-	ResponsesPending bool          // requests were read whose responses are not written
-	MessagePartial   bool          // a part of a message was read
-	IdleFor          time.Duration // since the last byte was read
-	MessageAge       time.Duration // since the first byte of the partial message was read
-	StallTimeout     time.Duration // a partial message is given up after so long without a further byte
-	NoticeRemaining  time.Duration // until the peer was notified long enough ago to send no more requests
-	ProcessEnding    bool          // the process exits: the connection can't be closed later
+	SocketDrained    bool          // the socket was read empty after the owner decided to close it
+	ResponsesPending bool          // some requests were read whose responses are not written yet
+	MessagePartial   bool          // the last message was read in part only
+	IdleFor          time.Duration // time since the last byte was read
+	MessageAge       time.Duration // time since the first byte of the partial message was read
+	StallTimeout     time.Duration // a partial message is abandoned when IdleFor reaches this
+	NoticeRemaining  time.Duration // time until a notified peer is sure to send no more requests
+	ProcessEnding    bool          // the process exits now, so the connection can't be closed later
 }
 
-// MaxMessageTime bounds how long one message may take from its first byte to its last:
-// no client waits longer for a response.
+// MaxMessageTime is the maximum time from a message's first byte to its last. No client
+// waits longer for a response.
 const MaxMessageTime = 10 * time.Second
 
 // HoldReason says why a connection may not be closed yet, or a process may not exit yet.
-// Its values are attributes of log events.
+// The values appear in log attributes.
 type HoldReason string
 
-// The reasons.
+// The results of [MayClose]. [MayExit] returns some of them too.
 const (
 	NotHeld          HoldReason = ""
 	SocketNotDrained HoldReason = "unexamined"
@@ -31,17 +31,18 @@
 	NoticePeriod     HoldReason = "notice_period"
 )
 
-// recheckInterval is when to ask again where no time is known.
+// recheckInterval is the time until the next check where the remaining time isn't known.
 const recheckInterval = 20 * time.Millisecond
 
-// MayClose decides whether a connection may be closed now. If it may not, it returns the
-// reason, and after how long to ask again.
+// MayClose decides whether a connection may be closed now. If not, it returns the reason,
+// and the time after which to check again.
 //
-// Inputs: what was read from the socket, what is still to be written, and when the peer
-// was notified. Rule: the socket has to be drained; then, unless the process exits, all
-// responses are written first, a partial message gets its time to arrive, and an idle
-// connection stays open for the notice period. Reason: a request whose bytes have arrived
-// must not be lost, and a peer that was just notified may have a request on the way.
+// Inputs: what was read from the socket, which responses are pending, and how much of the
+// notice period remains. Rule: the socket must have been drained. Unless the process exits,
+// all responses must also have been written, a partial message has until StallTimeout and
+// MaxMessageTime to arrive, and a connection without one stays open for the notice period.
+// Reason: a request whose bytes have arrived must not be lost, and a peer that was just
+// notified may have sent a request that has not arrived yet.
 func MayClose(c Connection) (reason HoldReason, retryAfter time.Duration) {
 	switch {
 	case !c.SocketDrained:
--- a/guard/doc.go
+++ b/guard/doc.go
@@ -1,31 +1,31 @@
-// Package guard decides whether something may be started, retried, answered or closed
-// now, so that the platform's rules hold whatever asked for it. It is the one place of
-// these decisions: the core asks it before a run begins, a downstream call is made, or a
-// response is sent, and transport before a connection is closed.
+// Package guard checks the platform's rules before an action: it decides whether a run, a
+// downstream call or a retry may start, a response may be sent, a connection may be closed,
+// or the process may exit. All code that takes such an action asks this package first:
+// package dispatch for requests and downstream calls, packages transport and frontend for
+// connections, and package server for the exit.
 //
-// The decisions are pure functions of what their callers know: they do no I/O and read
-// no clock. They go by facts of the present moment, and not by a timer that fired or by
-// what a peer claims, since the facts may have changed in the meantime:
+// Each decision is a pure function of the facts that its caller passes: it does no I/O and
+// reads no clock. The facts describe the present state. An expired timer or a peer's claim
+// is not enough, because the state may have changed since:
 //
-//   - a connection is closed not because a timer fired, but because its socket was read
-//     empty just now, no response is pending, and its peer was notified long enough ago
-//     ([MayClose]);
-//   - a connection is not closed for one invalid message: the requests before and after
-//     it still get their responses ([MayContinue]);
-//   - a connection is not given up because one system call failed, but because its error
-//     proves that the connection has ended ([MayRetry], which is about reads and writes of
-//     a connection, not about downstream calls);
-//   - a process exits not because the planned moment has come, but because nothing that
-//     it has accepted is left ([MayExit]);
-//   - a run begins not because the request claims to have arrived in time, but because it
-//     was read before the grace period ended, which is counted from the last moment before
-//     which the signal can't have come ([MayStart]);
-//   - a request is not shed, which promises that it never ran, once it may have had its
-//     effect ([MayShed]), and gets one response ([MayAnswer]);
-//   - a downstream call is retried only if it is idempotent, or an outcome proved that it
-//     had no effect ([MayCall]); within that, package policy decides when it is.
+//   - [MayClose]: a connection is closed only if its socket was just read empty, no response
+//     is pending, and its peer was notified long enough ago;
+//   - [MayContinue]: a connection is not closed because of one invalid message, since the
+//     requests before and after it still get their responses;
+//   - [MayRetry]: a connection is closed after a failed read or write only if the error
+//     proves that the connection has ended. Downstream calls are up to [MayCall];
+//   - [MayExit]: a process exits only if no accepted connection or request is left. It isn't
+//     enough that the planned time of the exit has passed;
+//   - [MayStart]: while the process drains, a request is run only if it was read before the
+//     grace period ended. The grace period starts at the earliest time at which the drain
+//     signal may have been sent. The arrival time that the request claims is not used;
+//   - [MayShed]: a request that may have had its effect is not shed, because a shed request
+//     is reported as never run;
+//   - [MayAnswer]: a request gets one response;
+//   - [MayCall]: a downstream call is retried only if it is idempotent, or the last outcome
+//     proved that it had no effect. Package policy decides when to retry.
 //
-// A denial is an error of type [*DenialError], or a [HoldReason] where the caller is to
-// ask again later. A [Monitor] counts denials and, where a check after the fact finds a
-// broken rule, counts and logs the violation.
+// A denial is an error of type [*DenialError], or a [HoldReason] if the caller has to check
+// again later. A [Monitor] counts denials. It also counts and logs violations, which are
+// rules that a later check found broken.
 package guard
--- a/guard/errors.go
+++ b/guard/errors.go
@@ -1,8 +1,7 @@
 package guard
 
-// DenialError reports that something was not allowed, and why. Each reason is one of this
-// package's errors: compare with them by errors.Is, or tell a denial from other errors by
-// errors.As.
+// DenialError reports that an action is not allowed, and why. Each denial is one of this
+// package's Err variables, to compare with by errors.Is. errors.As detects any of them.
 type DenialError struct{ Reason string }
 
 // Error implements error.
--- a/guard/exit.go
+++ b/guard/exit.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// Exit is what a draining process knows when it would exit.
+// Exit is the state of a draining process whose planned exit time has passed.
 type Exit struct {
-	PendingConnections int // connections that are to be accepted, or may be
+	PendingConnections int // connections that wait, or may wait, to be accepted
 	OpenConnections    int // connections that are not drained, or whose responses are not all written
 	UnansweredRequests int
-	Checks             int // how often this was asked since the planned exit
+	Checks             int // earlier calls of MayExit since the planned exit time
 }
 
-// A process checks every exitCheckInterval, and maxExitChecks times at most (2 s in all).
-// Checks are counted, and not the time, because a process may be paused between two of
-// them. A process that is killed meanwhile loses no more than by its own exit.
+// A process checks every exitCheckInterval, at most maxExitChecks times (2 s in all). The
+// limit is a number of checks rather than a time because the process may be suspended
+// between two checks. A process that is killed while it waits loses no more requests than
+// if it had exited itself.
 const (
 	exitCheckInterval = 5 * time.Millisecond
 	maxExitChecks     = 400
 )
 
-// The further reasons for which a process may not exit yet.
+// The reasons that only [MayExit] returns.
 const (
 	PendingConnections HoldReason = "connections_wait"
 	OpenConnections    HoldReason = "open_connections"
 )
 
-// MayExit decides whether a process that has reached its planned exit may exit. If it may
-// not, it returns the reason, and after how long to ask again.
+// MayExit decides whether a process whose planned exit time has passed may exit. If not, it
+// returns the reason, and the time after which to check again.
 //
 // Inputs: the connections and requests that are left, and the number of checks so far.
-// Rule: nothing may be left, up to maxExitChecks. Reason: the process may have been paused
-// until the planned moment, so nothing follows from the time.
+// Rule: the process exits once none is left, or after maxExitChecks checks. Reason: the
+// process may have been suspended until the planned time, so the passed time doesn't show
+// that the requests were answered.
 func MayExit(e Exit) (reason HoldReason, retryAfter time.Duration) {
 	switch {
 	case e.Checks >= maxExitChecks:
--- a/guard/failure.go
+++ b/guard/failure.go
@@ -6,29 +6,30 @@
 	"syscall"
 )
 
-// The reasons for which a read or write of a connection is not retried.
+// The denials of [MayRetry].
 var (
 	ErrConnectionEnded error = &DenialError{"the connection has ended"}
-	ErrTooManyFailures error = &DenialError{"the connection fails again and again"}
+	ErrTooManyFailures error = &DenialError{"too many consecutive reads or writes of the connection failed"}
 )
 
-// MaxConsecutiveFailures is how often in a row a read or write may fail and be retried.
+// MaxConsecutiveFailures is how many consecutive failures of a read or write are retried.
 const MaxConsecutiveFailures = 500
 
-// finalErrnos lists the errors that prove that a connection has ended, or never was one.
-// After any other one the socket may still work: Linux reports some errors once for what
-// happened to a packet, others for lack of a resource, and a connection that has really
-// ended reports so at the next call.
+// finalErrnos lists the errors that prove that a connection has ended, or that the file
+// descriptor is not a connection. After any other error the socket may still work: Linux
+// reports some errors once because of a single packet, and others for lack of a resource.
+// If the connection has ended, the next call reports one of these errors.
 var finalErrnos = []syscall.Errno{
 	syscall.ECONNRESET, syscall.EPIPE, syscall.ENOTCONN, syscall.ECONNABORTED, syscall.ESHUTDOWN,
 	syscall.EBADF, syscall.ENOTSOCK, syscall.EINVAL, syscall.EFAULT,
 }
 
-// MayRetry decides whether a read or write that has failed is retried.
+// MayRetry decides whether a failed read or write of a connection is retried.
 //
-// Inputs: its error, and the number of failures in a row with this one. Rule: an error of
-// a system call that proves nothing is retried MaxConsecutiveFailures times; any other
-// error is final. Reason: requests on the connection would be lost for a fault that passes.
+// Inputs: its error, and the number of consecutive failures including this one. Rule: a
+// system call's error that isn't in finalErrnos is retried, up to MaxConsecutiveFailures
+// times. Any other error is final. Reason: closing the connection because of a transient
+// fault would lose the requests on it.
 func MayRetry(err error, failures int) error {
 	var errno syscall.Errno
 	switch {
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -17,18 +17,18 @@
 		reason     HoldReason
 		retryAfter time.Duration
 	}{
-		"socket not drained":        {Connection{ProcessEnding: true}, SocketNotDrained, 0},
-		"idle":                      {Connection{SocketDrained: true}, NotHeld, 0},
-		"response pending":          {Connection{SocketDrained: true, ResponsesPending: true}, PendingResponses, recheckInterval},
-		"peer notified just now":    {Connection{SocketDrained: true, NoticeRemaining: time.Second}, NoticePeriod, time.Second},
-		"message still arrives":     {Connection{SocketDrained: true, MessagePartial: true, IdleFor: 1, StallTimeout: 3}, PartialMessage, 2},
-		"message stalls":            {Connection{SocketDrained: true, MessagePartial: true, IdleFor: 3, StallTimeout: 3}, NotHeld, 0},
-		"message takes too long":    {Connection{SocketDrained: true, MessagePartial: true, StallTimeout: 3, MessageAge: MaxMessageTime}, NotHeld, 0},
-		"exit, response pending":    {Connection{SocketDrained: true, ProcessEnding: true, ResponsesPending: true}, NotHeld, 0},
-		"message stalls, in notice": {Connection{SocketDrained: true, MessagePartial: true, NoticeRemaining: time.Second}, NotHeld, 0},
+		"socket not drained":                       {Connection{ProcessEnding: true}, SocketNotDrained, 0},
+		"idle":                                     {Connection{SocketDrained: true}, NotHeld, 0},
+		"response pending":                         {Connection{SocketDrained: true, ResponsesPending: true}, PendingResponses, recheckInterval},
+		"notice period":                            {Connection{SocketDrained: true, NoticeRemaining: time.Second}, NoticePeriod, time.Second},
+		"partial message":                          {Connection{SocketDrained: true, MessagePartial: true, IdleFor: 1, StallTimeout: 3}, PartialMessage, 2},
+		"partial message stalled":                  {Connection{SocketDrained: true, MessagePartial: true, IdleFor: 3, StallTimeout: 3}, NotHeld, 0},
+		"partial message too old":                  {Connection{SocketDrained: true, MessagePartial: true, StallTimeout: 3, MessageAge: MaxMessageTime}, NotHeld, 0},
+		"process exits, response pending":          {Connection{SocketDrained: true, ProcessEnding: true, ResponsesPending: true}, NotHeld, 0},
+		"partial message stalled in notice period": {Connection{SocketDrained: true, MessagePartial: true, NoticeRemaining: time.Second}, NotHeld, 0},
 	} {
 		if reason, retryAfter := MayClose(x.connection); reason != x.reason || retryAfter != x.retryAfter {
-			t.Errorf("%s: %q after %v, want %q after %v", name, reason, retryAfter, x.reason, x.retryAfter)
+			t.Errorf("%s: MayClose = %q, %v, want %q, %v", name, reason, retryAfter, x.reason, x.retryAfter)
 		}
 	}
 }
@@ -38,15 +38,15 @@
 		input Input
 		want  error
 	}{
-		"one invalid":        {Input{InvalidMessages: 1}, nil},
-		"at the bounds":      {Input{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages, SkippedBytes: MaxSkippedBytes}, nil},
-		"too many invalid":   {Input{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages + 1}, ErrTooManyInvalid},
-		"none valid":         {Input{InvalidMessages: InitialInvalidMessages + 1}, ErrTooManyInvalid},
-		"bytes skipped":      {Input{ValidMessages: 1, SkippedBytes: MaxSkippedBytes + 1}, ErrNoMessages},
-		"only bytes skipped": {Input{SkippedBytes: InitialSkippedBytes + 1}, ErrNoMessages},
+		"one invalid message":                      {Input{InvalidMessages: 1}, nil},
+		"all counts at the bounds":                 {Input{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages, SkippedBytes: MaxSkippedBytes}, nil},
+		"too many invalid messages":                {Input{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages + 1}, ErrTooManyInvalid},
+		"no valid message":                         {Input{InvalidMessages: InitialInvalidMessages + 1}, ErrTooManyInvalid},
+		"too many bytes skipped":                   {Input{ValidMessages: 1, SkippedBytes: MaxSkippedBytes + 1}, ErrNoMessages},
+		"too many bytes skipped, no valid message": {Input{SkippedBytes: InitialSkippedBytes + 1}, ErrNoMessages},
 	} {
 		if err := MayContinue(x.input); !errors.Is(err, x.want) {
-			t.Errorf("%s: %v, want %v", name, err, x.want)
+			t.Errorf("%s: MayContinue = %v, want %v", name, err, x.want)
 		}
 	}
 }
@@ -56,15 +56,15 @@
 		exit   Exit
 		reason HoldReason
 	}{
-		"nothing left":    {Exit{Checks: 1}, NotHeld},
-		"new connection":  {Exit{PendingConnections: 1, OpenConnections: 1}, PendingConnections},
-		"open connection": {Exit{OpenConnections: 1, UnansweredRequests: 1}, OpenConnections},
-		"open request":    {Exit{UnansweredRequests: 1}, PendingResponses},
-		"too many checks": {Exit{PendingConnections: 1, OpenConnections: 1, UnansweredRequests: 1, Checks: maxExitChecks}, NotHeld},
+		"nothing left":          {Exit{Checks: 1}, NotHeld},
+		"unaccepted connection": {Exit{PendingConnections: 1, OpenConnections: 1}, PendingConnections},
+		"open connection":       {Exit{OpenConnections: 1, UnansweredRequests: 1}, OpenConnections},
+		"unanswered request":    {Exit{UnansweredRequests: 1}, PendingResponses},
+		"too many checks":       {Exit{PendingConnections: 1, OpenConnections: 1, UnansweredRequests: 1, Checks: maxExitChecks}, NotHeld},
 	} {
 		reason, retryAfter := MayExit(x.exit)
 		if reason != x.reason || (retryAfter > 0) != (reason != NotHeld) {
-			t.Errorf("%s: %q after %v, want %q", name, reason, retryAfter, x.reason)
+			t.Errorf("%s: MayExit = %q, %v, want %q, and a time only with a reason", name, reason, retryAfter, x.reason)
 		}
 	}
 }
@@ -75,17 +75,17 @@
 		failures int
 		want     error
 	}{
-		"interrupted":         {syscall.EINTR, 1, nil},
-		"one packet":          {os.NewSyscallError("write", syscall.EHOSTUNREACH), 1, nil},
-		"at the bound":        {syscall.EIO, MaxConsecutiveFailures, nil},
-		"beyond the bound":    {syscall.EIO, MaxConsecutiveFailures + 1, ErrTooManyFailures},
-		"reset":               {os.NewSyscallError("read", syscall.ECONNRESET), 1, ErrConnectionEnded},
-		"broken pipe":         {syscall.EPIPE, 1, ErrConnectionEnded},
-		"end of input":        {io.EOF, 1, ErrConnectionEnded},
-		"not a system call's": {net.ErrClosed, 1, ErrConnectionEnded},
+		"interrupted":                  {syscall.EINTR, 1, nil},
+		"host unreachable":             {os.NewSyscallError("write", syscall.EHOSTUNREACH), 1, nil},
+		"I/O error, last retry":        {syscall.EIO, MaxConsecutiveFailures, nil},
+		"I/O error, too many failures": {syscall.EIO, MaxConsecutiveFailures + 1, ErrTooManyFailures},
+		"connection reset":             {os.NewSyscallError("read", syscall.ECONNRESET), 1, ErrConnectionEnded},
+		"broken pipe":                  {syscall.EPIPE, 1, ErrConnectionEnded},
+		"end of file":                  {io.EOF, 1, ErrConnectionEnded},
+		"not a system call error":      {net.ErrClosed, 1, ErrConnectionEnded},
 	} {
 		if err := MayRetry(x.err, x.failures); !errors.Is(err, x.want) {
-			t.Errorf("%s: %v, want %v", name, err, x.want)
+			t.Errorf("%s: MayRetry = %v, want %v", name, err, x.want)
 		}
 	}
 }
@@ -95,17 +95,17 @@
 		start Start
 		want  error
 	}{
-		"queued":                      {Start{}, nil},
-		"answered":                    {Start{Answered: true}, ErrAnswered},
-		"running":                     {Start{Running: true}, ErrRunning},
-		"read within the grace":       {Start{Draining: true, ReadBy: 5, GraceEnd: 5}, nil},
-		"read after the grace":        {Start{Draining: true, ReadBy: 6, GraceEnd: 5}, ErrAfterGrace},
-		"resumed after the grace":     {Start{Draining: true, ReadBy: 6, GraceEnd: 5, Resumed: true}, nil},
-		"its key ran in the window":   {Start{KeyRan: true}, ErrKeyRan},
-		"after the grace and key ran": {Start{Draining: true, ReadBy: 6, GraceEnd: 5, KeyRan: true}, ErrKeyRan},
+		"queued":                               {Start{}, nil},
+		"answered":                             {Start{Answered: true}, ErrAnswered},
+		"running":                              {Start{Running: true}, ErrRunning},
+		"read at the grace period's end":       {Start{Draining: true, ReadBy: 5, GraceEnd: 5}, nil},
+		"read after the grace period":          {Start{Draining: true, ReadBy: 6, GraceEnd: 5}, ErrAfterGrace},
+		"resumed after the grace period":       {Start{Draining: true, ReadBy: 6, GraceEnd: 5, Resumed: true}, nil},
+		"key ran in its window":                {Start{KeyRan: true}, ErrKeyRan},
+		"read after the grace period, key ran": {Start{Draining: true, ReadBy: 6, GraceEnd: 5, KeyRan: true}, ErrKeyRan},
 	} {
 		if err := MayStart(x.start); !errors.Is(err, x.want) {
-			t.Errorf("%s: %v, want %v", name, err, x.want)
+			t.Errorf("%s: MayStart = %v, want %v", name, err, x.want)
 		}
 	}
 }
@@ -115,52 +115,52 @@
 		call Call
 		want error
 	}{
-		"first call":              {Call{Needed: true}, nil},
-		"not needed":              {Call{}, ErrCallNotNeeded},
-		"in flight":               {Call{Needed: true, InFlight: true}, ErrCallInFlight},
-		"may have had its effect": {Call{Needed: true, Attempted: true}, ErrMayHaveRun},
-		"proven without effect":   {Call{Needed: true, Attempted: true, ProvenWithoutEffect: true}, nil},
-		"idempotent":              {Call{Needed: true, Attempted: true, Idempotent: true}, nil},
+		"first call":                        {Call{Needed: true}, nil},
+		"not needed":                        {Call{}, ErrCallNotNeeded},
+		"in flight":                         {Call{Needed: true, InFlight: true}, ErrCallInFlight},
+		"repeated, may have had its effect": {Call{Needed: true, Attempted: true}, ErrMayHaveRun},
+		"repeated, proven without effect":   {Call{Needed: true, Attempted: true, ProvenWithoutEffect: true}, nil},
+		"repeated, idempotent":              {Call{Needed: true, Attempted: true, Idempotent: true}, nil},
 	} {
 		if err := MayCall(x.call); !errors.Is(err, x.want) {
-			t.Errorf("%s: %v, want %v", name, err, x.want)
+			t.Errorf("%s: MayCall = %v, want %v", name, err, x.want)
 		}
 	}
 }
 
 func TestMayShedAndAnswer(t *testing.T) {
 	if err := MayShed(Shed{MayHaveRun: true}); !errors.Is(err, ErrMayHaveRun) {
-		t.Errorf("after a run: %v", err)
+		t.Errorf("MayShed(may have run) = %v, want %v", err, ErrMayHaveRun)
 	}
 	if err := MayShed(Shed{MayHaveRun: true, Idempotent: true}); err != nil {
-		t.Errorf("a read after a run: %v", err)
+		t.Errorf("MayShed(may have run, idempotent) = %v, want nil", err)
 	}
 	if err := MayAnswer(true); !errors.Is(err, ErrAnswered) {
-		t.Errorf("a second answer: %v", err)
+		t.Errorf("MayAnswer(answered) = %v, want %v", err, ErrAnswered)
 	}
 	if err := MayAnswer(false); err != nil {
-		t.Errorf("a first answer: %v", err)
+		t.Errorf("MayAnswer(not answered) = %v, want nil", err)
 	}
 }
 
-// TestDenialError compares the texts of the denials, which stand in operators' logs.
-func TestDenialError(t *testing.T) {
+// TestDenialError_Texts pins the texts of the denials, which operators see in logs.
+func TestDenialError_Texts(t *testing.T) {
 	for err, want := range map[error]string{
 		ErrConnectionEnded: "guard: the connection has ended",
-		ErrTooManyFailures: "guard: the connection fails again and again",
-		ErrTooManyInvalid:  "guard: too many bad messages on the connection",
-		ErrNoMessages:      "guard: what comes on the connection is no messages",
-		ErrAnswered:        "guard: the request has its final answer",
-		ErrRunning:         "guard: the request is running",
-		ErrAfterGrace:      "guard: the request came after the grace of the drain",
-		ErrKeyRan:          "guard: another try of the key ran within its window",
-		ErrMayHaveRun:      "guard: the request may have had its effect",
-		ErrCallInFlight:    "guard: a call of the request is out",
-		ErrCallNotNeeded:   "guard: the request does not wait for a call",
+		ErrTooManyFailures: "guard: too many consecutive reads or writes of the connection failed",
+		ErrTooManyInvalid:  "guard: too many invalid messages on the connection",
+		ErrNoMessages:      "guard: too many consecutive bytes on the connection without a message",
+		ErrAnswered:        "guard: the request is already answered",
+		ErrRunning:         "guard: the request is already running",
+		ErrAfterGrace:      "guard: the request was read after the grace period of the drain",
+		ErrKeyRan:          "guard: another attempt of the idempotency key ran within its window",
+		ErrMayHaveRun:      "guard: the request or call may already have had its effect",
+		ErrCallInFlight:    "guard: a downstream call of the request is in flight",
+		ErrCallNotNeeded:   "guard: the request is not waiting for a downstream call",
 	} {
 		var denial *DenialError
 		if err.Error() != want || !errors.As(err, &denial) {
-			t.Errorf("%T with the text %q, want a *DenialError with %q", err, err, want)
+			t.Errorf("got %T with the text %q, want a *DenialError with %q", err, err, want)
 		}
 	}
 }
@@ -179,13 +179,13 @@
 			wantDenials = 2
 		}
 		if m.Violations(rule) != wantViolations || m.Denials(rule) != wantDenials {
-			t.Errorf("%s: %d violations, %d denials", rule, m.Violations(rule), m.Denials(rule))
+			t.Errorf("%s: %d violations and %d denials, want %d and %d", rule, m.Violations(rule), m.Denials(rule), wantViolations, wantDenials)
 		}
 	}
-	var none *Monitor
-	none.Violated(LostRequest)
-	none.Denied(LostRequest, ErrAnswered, "")
-	if none.Violations(LostRequest) != 0 || none.Denials(LostRequest) != 0 {
-		t.Error("a nil monitor counts")
+	var nilMonitor *Monitor
+	nilMonitor.Violated(LostRequest)
+	nilMonitor.Denied(LostRequest, ErrAnswered, "")
+	if nilMonitor.Violations(LostRequest) != 0 || nilMonitor.Denials(LostRequest) != 0 {
+		t.Error("a nil monitor counts violations or denials, want none")
 	}
 }
--- a/guard/input.go
+++ b/guard/input.go
@@ -1,34 +1,34 @@
 package guard
 
-// The reasons for which a connection is read no further.
+// The denials of [MayContinue].
 var (
-	ErrTooManyInvalid error = &DenialError{"too many bad messages on the connection"}
-	ErrNoMessages     error = &DenialError{"what comes on the connection is no messages"}
+	ErrTooManyInvalid error = &DenialError{"too many invalid messages on the connection"}
+	ErrNoMessages     error = &DenialError{"too many consecutive bytes on the connection without a message"}
 )
 
-// Bounds of invalid input, beyond which a connection is read no further. A connection may
-// have as many invalid messages as valid ones and InitialInvalidMessages more, at most
-// MaxInvalidMessages.
+// Bounds of invalid input. A connection that exceeds one is not read any further. The
+// number of invalid messages may exceed the number of valid ones by InitialInvalidMessages,
+// up to MaxInvalidMessages.
 const (
 	MaxInvalidMessages     = 64
 	InitialInvalidMessages = 2
-	MaxSkippedBytes        = 64 << 10 // in a row, in which no message begins
-	InitialSkippedBytes    = 4 << 10  // likewise, before the first valid message
+	MaxSkippedBytes        = 64 << 10 // consecutive bytes in which no message starts
+	InitialSkippedBytes    = 4 << 10  // the same before the first valid message
 )
 
-// Input is what the owner of a connection knows of the messages that it has read.
+// Input counts what the owner of a connection has read from it.
 type Input struct {
-	ValidMessages   int // so far
-	InvalidMessages int // so far
-	SkippedBytes    int // in a row, in which no message began
+	ValidMessages   int
+	InvalidMessages int
+	SkippedBytes    int // consecutive bytes up to now in which no message started
 }
 
-// MayContinue decides whether a connection is read further after invalid input. If it may
-// not, the owner answers all open requests and closes the connection.
+// MayContinue decides whether a connection is read further after invalid input. If not, the
+// owner answers all open requests and closes the connection.
 //
-// Inputs: the numbers of valid and invalid messages, and of bytes skipped in a row. Rule:
-// it may, within the bounds above. Reason: the requests before and after an invalid message
-// still have to get their responses.
+// Inputs: the numbers of valid messages, invalid messages, and consecutive skipped bytes.
+// Rule: the connection is read further within the bounds above. Reason: the requests before
+// and after an invalid message must still get their responses.
 func MayContinue(input Input) error {
 	switch {
 	case input.InvalidMessages > min(InitialInvalidMessages+input.ValidMessages, MaxInvalidMessages):
--- a/guard/monitor.go
+++ b/guard/monitor.go
@@ -11,33 +11,33 @@
 	eventDenial    = "denied"
 )
 
-// Rule names a rule of the platform. Its values are labels of metrics and attributes of log
-// events.
+// Rule names a rule of the platform. The values appear in metric labels and log attributes.
 type Rule string
 
-// The rules, by what breaks them.
+// The rules. Each comment says what breaks the rule.
 const (
-	LostRequest     Rule = "lost_request"     // a request was read, and its connection closed without a response
-	DuplicateRun    Rule = "duplicate_run"    // a key ran twice in its window
+	LostRequest     Rule = "lost_request"     // a connection was closed before the response to a request read from it
+	DuplicateRun    Rule = "duplicate_run"    // an idempotency key ran twice in its window
 	DuplicateAnswer Rule = "duplicate_answer" // a request got two responses
-	DrainStart      Rule = "drain_start"      // a request ran that was read after the grace period
-	ShedAfterRun    Rule = "false_promise"    // a request was reported as never run after it may have run
-	RepeatedCall    Rule = "repeated_call"    // a downstream call was repeated that may have had its effect
-	LateAnswer      Rule = "late_answer"      // a response came after the deadline and its slack
+	DrainStart      Rule = "drain_start"      // a request read after the grace period was started
+	ShedAfterRun    Rule = "false_promise"    // a request that may have run was reported as never run
+	RepeatedCall    Rule = "repeated_call"    // a downstream call that may have had its effect was repeated
+	LateAnswer      Rule = "late_answer"      // a response was sent after the deadline and its slack
 )
 
-// Rules lists the rules, for metrics.
+// Rules lists all rules, for one metric series each.
 var Rules = []Rule{LostRequest, DuplicateRun, DuplicateAnswer, DrainStart, ShedAfterRun, RepeatedCall, LateAnswer}
 
 // Monitor counts the violations of each rule, and the denials that prevented one. A nil
-// Monitor counts nothing. Its methods may be called from any goroutine.
+// Monitor counts nothing. Its methods are safe for concurrent use.
 type Monitor struct {
 	log        *slog.Logger
 	violations map[Rule]*atomic.Int64
 	denials    map[Rule]*atomic.Int64
 }
 
-// NewMonitor makes a monitor that logs violations as errors, and denials for debugging.
+// NewMonitor returns a monitor that logs violations at the error level and denials at the
+// debug level.
 func NewMonitor(log *slog.Logger) *Monitor {
 	m := &Monitor{log: log, violations: map[Rule]*atomic.Int64{}, denials: map[Rule]*atomic.Int64{}}
 	for _, rule := range Rules {
@@ -46,7 +46,7 @@
 	return m
 }
 
-// Violated counts and logs that a rule was broken.
+// Violated counts and logs a violation of a rule. The attributes are added to the log event.
 func (m *Monitor) Violated(rule Rule, attributes ...any) {
 	if m == nil {
 		return
@@ -55,7 +55,8 @@
 	m.log.Error(eventViolation, append([]any{"rule", string(rule)}, attributes...)...)
 }
 
-// Denied counts and logs that something was not done because it would have broken a rule.
+// Denied counts and logs that an action for a request was denied because it would have
+// broken a rule. request is the request's ID, or empty if there is none.
 func (m *Monitor) Denied(rule Rule, reason error, request string) {
 	if m == nil {
 		return
@@ -64,7 +65,7 @@
 	m.log.Debug(eventDenial, "rule", string(rule), "reason", reason.Error(), "request", request)
 }
 
-// Violations returns how often a rule was broken.
+// Violations returns the number of violations of a rule.
 func (m *Monitor) Violations(rule Rule) int64 {
 	if m == nil {
 		return 0
@@ -72,7 +73,7 @@
 	return m.violations[rule].Load()
 }
 
-// Denials returns how often something was not done because of a rule.
+// Denials returns the number of denials because of a rule.
 func (m *Monitor) Denials(rule Rule) int64 {
 	if m == nil {
 		return 0
--- a/guard/request.go
+++ b/guard/request.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// The reasons for which something about a request is denied.
+// The denials of [MayStart], [MayCall], [MayShed] and [MayAnswer].
 var (
-	ErrAnswered      error = &DenialError{"the request has its final answer"}
-	ErrRunning       error = &DenialError{"the request is running"}
-	ErrAfterGrace    error = &DenialError{"the request came after the grace of the drain"}
-	ErrKeyRan        error = &DenialError{"another try of the key ran within its window"}
-	ErrMayHaveRun    error = &DenialError{"the request may have had its effect"}
-	ErrCallInFlight  error = &DenialError{"a call of the request is out"}
-	ErrCallNotNeeded error = &DenialError{"the request does not wait for a call"}
+	ErrAnswered      error = &DenialError{"the request is already answered"}
+	ErrRunning       error = &DenialError{"the request is already running"}
+	ErrAfterGrace    error = &DenialError{"the request was read after the grace period of the drain"}
+	ErrKeyRan        error = &DenialError{"another attempt of the idempotency key ran within its window"}
+	ErrMayHaveRun    error = &DenialError{"the request or call may already have had its effect"}
+	ErrCallInFlight  error = &DenialError{"a downstream call of the request is in flight"}
+	ErrCallNotNeeded error = &DenialError{"the request is not waiting for a downstream call"}
 )
 
-// Start is what the core knows of a request that is to be run. Times are on the process's
-// timeline (package clock).
+// Start is the state of a request that is to be run. Times are on the process's timeline
+// (package clock).
 type Start struct {
 	Answered bool
 	Running  bool
-	Resumed  bool          // it was started before and paused
-	KeyRan   bool          // an attempt of its key ran, and this one arrived in the key's window
+	Resumed  bool          // it was started earlier and then paused
+	KeyRan   bool          // an attempt of its idempotency key ran, and this one arrived in the key's window
 	ReadBy   time.Duration // the latest time at which its last byte may have been read
 	Draining bool
-	GraceEnd time.Duration // of the drain
+	GraceEnd time.Duration // end of the drain's grace period
 }
 
 // MayStart decides whether a run may begin.
 //
 // Inputs: the state of the request, its key and the drain. Rule: a request that is neither
-// answered nor running may start, unless its key ran or, while draining, it was read after
-// the grace period; one that was paused may always continue. Reason: a key runs once in its
-// window, and the process promised to take nothing new after the grace period. What was
-// read when counts, at the latest possible moment, and not what the caller claims.
+// answered nor running may start, unless its key ran or, while the process drains, it was
+// read after the grace period. A paused request may always resume. Reason: a key runs once
+// in its window, and the process has promised to start nothing that it reads after the
+// grace period. The latest possible time of the read counts, not a time that the caller
+// claims.
 func MayStart(s Start) error {
 	switch {
 	case s.Answered:
@@ -48,20 +49,20 @@
 	return nil
 }
 
-// Call is what the core knows of a downstream call that is to be made for a run.
+// Call is the state of a downstream call that is to be made for a run.
 type Call struct {
 	Needed              bool // the run waits for the call
-	InFlight            bool // the call was made and has not ended
+	InFlight            bool // the call was sent and has not ended
 	Idempotent          bool // the request's class is idempotent
-	Attempted           bool // the call was made before
+	Attempted           bool // the call was sent at least once
 	ProvenWithoutEffect bool // the last outcome proved that the call had no effect
 }
 
 // MayCall decides whether a downstream call may be made.
 //
 // Inputs: the state of the call, and whether its effect may be repeated. Rule: a call that
-// is needed and not in flight is made once; again only if its class is idempotent or the
-// last outcome proved that it had no effect. Reason: a call that ended without a proof may
+// is needed and not in flight is made once. It is repeated only if its class is idempotent
+// or the last outcome proved that it had no effect. Reason: without that proof, the call may
 // have had its effect.
 func MayCall(c Call) error {
 	switch {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// Shed is what the core knows of a request that is to be shed.
+// Shed is the state of a request that is to be shed.
 type Shed struct {
 	Idempotent bool // the request's class is idempotent
 	MayHaveRun bool // a run of it, or of another attempt of its key, may have had its effect
@@ -83,9 +84,9 @@
 
 // MayShed decides whether a request may be shed.
 //
-// Inputs: whether the request may have run, and whether it is idempotent. Rule: one that
-// may have run is shed only if it is idempotent. Reason: a shed request is reported as
-// never run, and its caller sends it elsewhere.
+// Inputs: whether the request may have run, and whether it is idempotent. Rule: a request
+// that may have run is shed only if it is idempotent. Reason: a shed request is reported as
+// never run, so its caller sends it to another server.
 func MayShed(s Shed) error {
 	if s.MayHaveRun && !s.Idempotent {
 		return ErrMayHaveRun
@@ -95,8 +96,8 @@
 
 // MayAnswer decides whether a request may be given a response.
 //
-// Input: whether it has one. Rule: it gets one response. Reason: a second one would be
-// taken for another request's.
+// Input: whether it is already answered. Rule: a request gets one response. Reason: the
+// peer would take a second one for the response to another request.
 func MayAnswer(answered bool) error {
 	if answered {
 		return ErrAnswered
--- a/limits/config.go
+++ b/limits/config.go
@@ -8,21 +8,21 @@
 	defaultMaxLimit     = 1000
 )
 
-// Class is what a pool needs to know of its class.
+// Class describes the class of a pool.
 type Class struct {
 	Name     string
-	Cheapest bool // it may take the reserved slots
+	Cheapest bool // its runs may take the reserved slots
 }
 
 // Config configures Pools. Limits are numbers of slots.
 type Config struct {
 	Classes       []Class
-	InitialLimit  float64 // of each pool; 0 for 4
-	MaxLimit      float64 // of each pool; 0 for 1,000
-	ReservedSlots int     // for the cheapest class alone, beyond its pool's limit
+	InitialLimit  float64 // of each pool; 0 means 4
+	MaxLimit      float64 // of each pool; 0 means 1,000
+	ReservedSlots int     // only for the cheapest class, in addition to its pool's limit
 }
 
-// ConfigError reports a configuration that makes no sense.
+// ConfigError reports an invalid configuration. Reason names the field.
 type ConfigError struct{ Reason string }
 
 // Error implements error.
@@ -38,13 +38,13 @@
 	return c
 }
 
-// validate returns a *ConfigError if the configuration makes no sense.
+// validate returns a *ConfigError if the configuration is invalid.
 func (c Config) validate() error {
 	if len(c.Classes) == 0 {
-		return &ConfigError{"no classes"}
+		return &ConfigError{"Classes is empty"}
 	}
 	if c.InitialLimit < minLimit || c.MaxLimit < c.InitialLimit || c.ReservedSlots < 0 {
-		return &ConfigError{fmt.Sprintf("start %v, most %v, reserve %d", c.InitialLimit, c.MaxLimit, c.ReservedSlots)}
+		return &ConfigError{fmt.Sprintf("InitialLimit %v, MaxLimit %v, ReservedSlots %d; want 1 <= InitialLimit <= MaxLimit and ReservedSlots >= 0", c.InitialLimit, c.MaxLimit, c.ReservedSlots)}
 	}
 	return nil
 }
--- a/limits/pools.go
+++ b/limits/pools.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Pools are the pools of one server. They are not safe for concurrent use: one goroutine,
-// the core's, owns them.
+// Pools holds one pool of slots for each class. It is not safe for concurrent use: only the
+// core's goroutine uses it.
 type Pools struct {
 	config        Config
 	pools         []*pool      // by class
-	reads         map[read]int // how many of each are in flight
+	reads         map[read]int // number of runs in flight for each read
 	reservedInUse int
 }
 
-// read is a request that changes nothing, by its class and what it reads: reads of the same
-// item at once are the same load downstream.
+// read identifies reads by their class and the item that they read. Concurrent reads of the
+// same item are coalesced: they are one load downstream.
 type read struct {
 	class int
 	item  string
@@ -25,14 +25,14 @@
 // pool is the pool of one class.
 type pool struct {
 	vegasLimit
-	inUse int      // slots of this pool's runs, borrowed ones among them
-	queue []queued // in the order in which they were queued
+	inUse int      // slots that the class's runs hold, including borrowed but not reserved ones
+	queue []queued // oldest first
 }
 
 // queued is a run that waits for a slot.
 type queued struct {
-	id    string
-	since time.Duration
+	id       string
+	queuedAt time.Duration
 }
 
 // source says where a run's slot comes from.
@@ -41,16 +41,16 @@
 const (
 	noSlot source = iota
 	ownSlot
-	borrowedSlot // other pools don't use it
+	borrowedSlot // unused by other pools
 	reservedSlot
 )
 
-// Permit is what a run holds while it is in flight: Release takes it back.
+// Permit allows a run to be in flight. Pass it to Release when the run ends.
 type Permit struct {
 	class     int
 	source    source
-	coalesced bool   // of a read that is in flight: it holds no slot, and its latency is not observed
-	item      string // what the run reads; empty if it is unknown, or a write
+	coalesced bool   // the same read was in flight already: holds no slot, and its latency is not observed
+	item      string // the item that the run reads; empty if unknown or if the run writes
 }
 
 // Admitted is a queued run that may start now.
@@ -59,7 +59,7 @@
 	Permit Permit
 }
 
-// New makes the pools, one for each class. Its errors are of type *ConfigError.
+// New returns pools for the classes of the configuration. Its errors are of type *ConfigError.
 func New(config Config) (*Pools, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -85,11 +85,11 @@
 // Queued returns the number of runs in the queue of a class's pool.
 func (p *Pools) Queued(class int) int { return len(p.pools[class].queue) }
 
-// TryAcquire acquires a slot for a run of a class that reads an item (empty if it is
-// unknown, or a write). It returns false if the run has to be queued or shed.
+// TryAcquire acquires a slot for a run of a class. item is what the run reads, or empty if
+// that is unknown or the run writes. TryAcquire returns false if there is no slot.
 //
-// A read of an item that is being read already needs no slot: the load downstream is the
-// same.
+// A run whose item is being read by another run of the class needs no slot, because the two
+// are one load downstream.
 func (p *Pools) TryAcquire(class int, item string) (Permit, bool) {
 	p.ensurePool(class)
 	r := read{class, item}
@@ -105,7 +105,8 @@
 	return permit, ok
 }
 
-// ensurePool adds pools up to a class that new settings have added; it is not the cheapest.
+// ensurePool adds pools up to a class that new settings have added. Added classes can't take
+// reserved slots.
 func (p *Pools) ensurePool(class int) {
 	for len(p.pools) <= class {
 		p.addPool()
@@ -113,13 +114,13 @@
 	}
 }
 
-// findSlot decides where a run of a class may get a slot.
+// findSlot decides which kind of slot a run of a class may take.
 //
-// Inputs: the slots in use and the capacities of all pools, the reserved slots, and whether
-// runs of the class wait downstream. Rule: its own pool first; then an idle slot of others,
-// unless its runs wait; then a reserved one, for the cheapest class. Reason: a pool whose
-// runs wait downstream would only overload it further, and the cheapest class has to run
-// under any load.
+// Inputs: the slots in use and the limits of all pools, the reserved slots, and whether runs
+// of the class wait downstream. Rule: a slot of the class's own pool comes first; then one
+// that other pools don't use, unless runs of the class wait downstream; then a reserved one,
+// if the class is the cheapest. Reason: a class whose runs wait downstream would only
+// overload it further, and the cheapest class must run under any load.
 func (p *Pools) findSlot(class int) source {
 	own := p.pools[class]
 	switch {
@@ -133,7 +134,7 @@
 	return noSlot
 }
 
-// takeSlot takes the slot that findSlot finds, if there is one.
+// takeSlot takes the slot that findSlot finds. It returns false if there is none.
 func (p *Pools) takeSlot(class int) (Permit, bool) {
 	permit := Permit{class: class, source: p.findSlot(class)}
 	switch permit.source {
@@ -147,7 +148,7 @@
 	return permit, true
 }
 
-// totalInUse is the number of slots in use in all pools, without the reserved ones.
+// totalInUse returns the number of slots in use in all pools, without the reserved ones.
 func (p *Pools) totalInUse() int {
 	total := 0
 	for _, pool := range p.pools {
@@ -156,7 +157,7 @@
 	return total
 }
 
-// totalSlots is the capacity of all pools, without the reserved slots.
+// totalSlots returns the sum of the pools' limits in whole slots, without the reserved slots.
 func (p *Pools) totalSlots() int {
 	total := 0
 	for _, pool := range p.pools {
@@ -165,25 +166,26 @@
 	return total
 }
 
-// Enqueue queues a run that got no slot. It returns false if the run is to be shed: it would
-// wait and run longer than its patience. now orders the queues, on any clock.
+// Enqueue queues a run that got no slot. It returns false without queueing the run if the run
+// is expected to end later than maxTime from now. now orders the queues; it may be of any
+// clock.
 //
-// The expected time is that of (queue length + 1) / limit round trips in the queue and one
-// for the run, each as long as the recent mean latency. Before the first latency is known,
-// every run is queued unless its patience is negative.
-func (p *Pools) Enqueue(class int, id string, now, patience time.Duration) bool {
+// The expected time is (queue length + 1) / limit round trips in the queue and one for the
+// run itself, each as long as the recent mean latency. Before the first latency is observed,
+// every run is queued unless maxTime is negative.
+func (p *Pools) Enqueue(class int, id string, now, maxTime time.Duration) bool {
 	pool := p.pools[class]
 	roundTrips := float64(len(pool.queue)+1)/max(pool.limit, minLimit) + 1
 	latency := time.Duration(pool.recentLatency)
-	if time.Duration(roundTrips*float64(latency)) > patience {
+	if time.Duration(roundTrips*float64(latency)) > maxTime {
 		return false
 	}
 	pool.queue = append(pool.queue, queued{id, now})
 	return true
 }
 
-// Cancel removes a run from its pool's queue: its request was answered or cancelled before
-// it started.
+// Cancel removes a run from its pool's queue, because its request was answered or cancelled
+// before the run started. It does nothing if the run is not queued.
 func (p *Pools) Cancel(class int, id string) {
 	pool := p.pools[class]
 	if i := slices.IndexFunc(pool.queue, func(q queued) bool { return q.id == id }); i >= 0 {
@@ -191,8 +193,9 @@
 	}
 }
 
-// Release returns a run's slot, with how long it ran and whether it succeeded (the latency
-// of a run that failed shows nothing). It returns the queued runs that may start now.
+// Release releases a run's slot, and returns the queued runs that may start now. The limit
+// adapts to the latency only if the run succeeded: that of a failed run says nothing about
+// the load downstream.
 func (p *Pools) Release(permit Permit, latency time.Duration, succeeded bool) []Admitted {
 	p.releaseRead(permit)
 	if permit.coalesced {
@@ -210,13 +213,13 @@
 	return p.admitQueued()
 }
 
-// wasUsed reports whether the pool used at least half of its limit until a run ended, which
-// has just returned its slot.
+// wasUsed reports whether the pool used at least half of its limit just before the run that
+// has just released its slot ended.
 func (p *pool) wasUsed() bool {
 	return len(p.queue) > 0 || float64(p.inUse+1) >= p.limit/2
 }
 
-// releaseRead counts one read of an item less.
+// releaseRead decrements the number of runs in flight for the permit's read.
 func (p *Pools) releaseRead(permit Permit) {
 	if permit.item == "" {
 		return
@@ -227,25 +230,25 @@
 	}
 }
 
-// admitQueued takes runs from the queues while there are slots for them.
+// admitQueued takes runs from the queues while there are slots for them, and returns them.
 func (p *Pools) admitQueued() (admitted []Admitted) {
 	for {
 		class, ok := p.longestQueued()
 		if !ok {
 			return admitted
 		}
-		permit, _ := p.takeSlot(class) // longestQueued has found one
+		permit, _ := p.takeSlot(class) // can't fail: longestQueued has found a slot
 		pool := p.pools[class]
 		admitted = append(admitted, Admitted{pool.queue[0].id, permit})
 		pool.queue = pool.queue[1:]
 	}
 }
 
-// longestQueued returns the class of the run that has been queued longest, of the classes
-// that may get a slot.
+// longestQueued returns the class of the run that has been queued longest, among the classes
+// for which there is a slot. It returns false if there is no such run.
 func (p *Pools) longestQueued() (class int, ok bool) {
 	for c, pool := range p.pools {
-		if len(pool.queue) == 0 || ok && pool.queue[0].since >= p.pools[class].queue[0].since {
+		if len(pool.queue) == 0 || ok && pool.queue[0].queuedAt >= p.pools[class].queue[0].queuedAt {
 			continue
 		}
 		if p.findSlot(c) != noSlot {
--- a/limits/simulation_test.go
+++ b/limits/simulation_test.go
@@ -7,85 +7,86 @@
 	"time"
 )
 
-// machine is a model of what is downstream of the pools, in simulated time: cores that
-// share their time among the runs, and whose total throughput falls with more than
-// thrashAt runs a core.
+// machine models the downstream of the pools in simulated time. Its cores share their time
+// among the runs, and thrash if there are more than thrashingThreshold runs per core: the
+// total throughput falls.
 type machine struct {
-	cores    float64
-	thrashAt float64 // runs a core from which on the throughput falls
-	thrash   float64 // the share of the throughput lost for each further run a core
+	cores              float64
+	thrashingThreshold float64 // runs per core
+	thrashingLoss      float64 // share of the throughput lost for each run per core above the threshold
 }
 
-// speed is each run's share of a core with that many in flight.
+// speed returns each run's share of a core if the given number of runs is in flight.
 func (m machine) speed(runs int) float64 {
 	if runs == 0 {
 		return 1
 	}
 	efficiency := 1.0
-	if excess := float64(runs)/m.cores - m.thrashAt; excess > 0 {
-		efficiency = max(0.1, 1-m.thrash*excess)
+	if excess := float64(runs)/m.cores - m.thrashingThreshold; excess > 0 {
+		efficiency = max(0.1, 1-m.thrashingLoss*excess)
 	}
 	return min(1, m.cores/float64(runs)) * efficiency
 }
 
-// job is a run on the machine.
+// job is a simulated request, which runs on the machine.
 type job struct {
 	id        string
 	class     int
-	remaining float64 // of its work, in core-seconds
+	remaining float64 // remaining work in core-seconds
 	startedAt time.Duration
 	arrivedAt time.Duration
 	permit    Permit
 }
 
-// load is an open stream of requests of a class.
+// load is an open-loop stream of the requests of one class.
 type load struct {
-	rate float64       // requests a second
-	work time.Duration // of a request on one core
-	cv   float64       // coefficient of variation of the work, which is lognormal
+	rate float64       // requests per second
+	work time.Duration // mean time that a request takes on one core
+	cv   float64       // coefficient of variation of the work, which is lognormally distributed
 }
 
-// result is what a simulation came to.
+// result holds the counts of a simulation. Served requests are those that ended within
+// requestTimeout.
 type result struct {
 	served, shed, late int
-	servedByClass      []int // within the patience
-	servedBySecond     []int // likewise
-	limits             []float64
+	servedByClass      []int
+	servedBySecond     []int
+	limits             []float64 // of class 0, one for each limitSampleInterval
 }
 
 const (
-	timeStep            = time.Millisecond       // of the simulated time
-	limitSampleInterval = 100 * time.Millisecond // between two records of the limit of class 0
-	patience            = time.Second            // of all requests
+	timeStep            = time.Millisecond // of the simulated time
+	limitSampleInterval = 100 * time.Millisecond
+	requestTimeout      = time.Second // of all requests
 )
 
-// simulation plays loads on a machine, with pools or without.
+// simulation runs loads on a machine, with pools or without.
 type simulation struct {
 	machine machine
 	loads   []load
-	pools   *Pools // nil: every run starts at once
+	pools   *Pools // nil if every request runs at once
 
 	random  *rand.Rand
 	running []*job
 	queued  map[string]*job
-	jobs    int
+	jobs    int // number of jobs so far
 	result  result
 }
 
-// play plays loads on a machine for a span, with pools or without (nil). change, if it
-// isn't nil, may change the machine at each step.
-func play(seed int64, m machine, loads []load, pools *Pools, span time.Duration, change func(now time.Duration, m *machine)) result {
+// simulate runs loads on a machine for a duration, with pools or, if pools is nil, without.
+// modify may change the machine before each step; it may be nil.
+func simulate(seed int64, m machine, loads []load, pools *Pools, duration time.Duration, modify func(now time.Duration, m *machine)) result {
 	s := &simulation{
 		machine: m, loads: loads, pools: pools,
 		random: rand.New(rand.NewSource(seed)), queued: map[string]*job{},
 		result: result{servedByClass: make([]int, len(loads))},
 	}
-	for now := time.Duration(0); now < span; now += timeStep {
-		if change != nil {
-			change(now, &s.machine)
+	for now := time.Duration(0); now < duration; now += timeStep {
+		if modify != nil {
+			modify(now, &s.machine)
 		}
-		s.arrive(now)
-		for _, j := range s.work() {
+		s.generateRequests(now)
+		for _, j := range s.advance() {
 			s.complete(j, now)
 		}
 		if pools != nil {
@@ -98,8 +99,8 @@
 	return s.result
 }
 
-// arrive submits the requests of one step.
-func (s *simulation) arrive(now time.Duration) {
+// generateRequests submits the requests that arrive in one step.
+func (s *simulation) generateRequests(now time.Duration) {
 	for class, l := range s.loads {
 		for n := poisson(s.random, l.rate*timeStep.Seconds()); n > 0; n-- {
 			s.jobs++
@@ -117,7 +118,7 @@
 	}
 	if permit, ok := s.pools.TryAcquire(j.class, ""); ok {
 		s.start(j, permit, now)
-	} else if s.pools.Enqueue(j.class, j.id, now, patience/2) { // half the latency objective, as the core does
+	} else if s.pools.Enqueue(j.class, j.id, now, requestTimeout/2) { // as the core does with half of the latency objective
 		s.queued[j.id] = j
 	} else {
 		s.result.shed++
@@ -129,8 +130,8 @@
 	s.running = append(s.running, j)
 }
 
-// work has the machine work for one step, and returns the jobs that ended.
-func (s *simulation) work() (ended []*job) {
+// advance runs the machine for one step, and returns the jobs that ended.
+func (s *simulation) advance() (ended []*job) {
 	speed := s.machine.speed(len(s.running))
 	remaining := s.running[:0]
 	for _, j := range s.running {
@@ -144,9 +145,9 @@
 	return ended
 }
 
-// complete counts a job that ended, and starts what its slot lets start.
+// complete counts a job that ended, and starts the jobs that its released slot admits.
 func (s *simulation) complete(j *job, now time.Duration) {
-	if took := now + timeStep - j.arrivedAt; took <= patience {
+	if took := now + timeStep - j.arrivedAt; took <= requestTimeout {
 		s.served(j.class, now)
 	} else {
 		s.result.late++
@@ -171,10 +172,10 @@
 	r.servedBySecond[now/time.Second]++
 }
 
-// expire cancels what is queued beyond its patience.
+// expire cancels the jobs that have been queued for longer than requestTimeout.
 func (s *simulation) expire(now time.Duration) {
 	for id, j := range s.queued {
-		if now-j.arrivedAt > patience {
+		if now-j.arrivedAt > requestTimeout {
 			s.pools.Cancel(j.class, id)
 			delete(s.queued, id)
 			s.result.late++
@@ -182,6 +183,7 @@
 	}
 }
 
+// poisson returns a Poisson-distributed random number.
 func poisson(rng *rand.Rand, mean float64) int {
 	n, p := 0, math.Exp(-mean)
 	for q := rng.Float64(); q > p; q *= rng.Float64() {
--- a/limits/vegas.go
+++ b/limits/vegas.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Constants of the algorithm: as in VegasLimit, except for the growth of the minimum.
+// Constants of the algorithm, as in VegasLimit except for minLatencyGrowth.
 const (
-	alpha                = 3    // the limit grows while fewer runs wait (times log10 of the limit)
-	beta                 = 6    // the limit shrinks while more runs wait (likewise)
-	minLatencyGrowth     = 1e-5 // of the minimum latency, with each run
-	recentLatencyWeight  = 0.05 // of the latest run in the recent mean latency: about 20 runs count
-	minLimit             = 1.0  // slots
-	maxLimitStep         = 0.5  // slots by which one run changes the limit at most
-	minMeasurableLatency = 100 * time.Microsecond
+	alpha                = 3                      // times log10 of the limit: the limit grows while fewer runs wait
+	beta                 = 6                      // times log10 of the limit: the limit shrinks while more runs wait
+	minLatencyGrowth     = 1e-5                   // relative growth of the minimum latency with each run
+	recentLatencyWeight  = 0.05                   // weight of the latest run in the recent mean latency, so about 20 runs count
+	minLimit             = 1.0                    // slots
+	maxLimitStep         = 0.5                    // slots; maximum change of the limit by one run
+	minMeasurableLatency = 100 * time.Microsecond // shorter latencies are ignored
 )
 
-// vegasLimit is a number of slots that follows the latencies of runs. See the package's
-// comment. Latencies are in nanoseconds.
+// vegasLimit is a limit of concurrent runs that adapts to their latencies. The package's
+// comment explains the algorithm. Latencies are in nanoseconds.
 type vegasLimit struct {
-	limit         float64
+	limit         float64 // slots
 	minLatency    float64
 	recentLatency float64 // exponentially weighted mean
 	samples       int
-	queueing      bool // the latencies show runs that wait downstream
+	queueing      bool // the latencies show that runs wait downstream
 }
 
-// slots is the limit in whole slots.
+// slots returns the limit in whole slots.
 func (l *vegasLimit) slots() int { return int(math.Floor(l.limit)) }
 
-// observe takes in the latency of a run that succeeded, and adapts the limit.
+// observe adapts the limit to the latency of a run that succeeded.
 //
-// Inputs: the latency; the bound of the limit; whether the pool used at least half of its
-// limit. Rule: by the number of runs that wait downstream, the limit grows, stays or
-// shrinks; it grows only while it is used. Reason: while the pool uses less than half of
-// its limit, latencies don't show whether more slots would help.
+// Inputs: the latency; the upper bound of the limit; whether the pool used at least half of
+// its limit. Rule: depending on how many runs wait downstream, the limit grows, stays or
+// shrinks. It grows only if the pool used at least half of it. Reason: while the pool uses
+// less, the latencies don't show whether more slots would increase the throughput.
 func (l *vegasLimit) observe(latency time.Duration, maxLimit float64, used bool) {
 	if latency < minMeasurableLatency {
 		return
@@ -53,7 +53,7 @@
 	l.limit = min(maxLimit, max(minLimit, l.limit))
 }
 
-// observeLatency updates the mean and the minimum.
+// observeLatency updates the recent mean latency and the minimum latency.
 func (l *vegasLimit) observeLatency(latency float64) {
 	if l.samples == 0 {
 		l.minLatency, l.recentLatency = latency, latency
