--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -7,11 +7,11 @@
 	"quincerail.example/quincerail/policy"
 )
 
-// moduleEvent passes an event to the decision module.
+// moduleEvent calls the decision module's method for an event.
 type moduleEvent func(*policy.Instance)
 
-// readEvent returns the event of a message, at a time.
-func readEvent(m *simwire.Message, now time.Duration) (moduleEvent, error) {
+// decodeEvent decodes the event of a message in the batch of the given time.
+func decodeEvent(m *simwire.Message, now time.Duration) (moduleEvent, error) {
 	var event moduleEvent
 	switch m.Name {
 	case simwire.RequestRead:
--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -9,21 +9,21 @@
 	"quincerail.example/quincerail/policy"
 )
 
-// instance is one instance of the decision module, with the actions of this batch.
+// instance is one instance of the decision module, with its actions in the current batch.
 type instance struct {
-	module    *policy.Instance
-	reply     simwire.Reply
-	addressed bool // it has an event in this batch
-	failed    bool // its module panicked: it does nothing any more
+	module  *policy.Instance
+	reply   simwire.Reply
+	inBatch bool // has an event in the current batch
+	failed  bool // the module panicked and is not called any more
 }
 
 func newInstance(id int64) *instance {
 	return &instance{reply: simwire.Reply{Instance: id}}
 }
 
-// start makes the module. Settings that make no sense are a failure of the instance.
+// start creates the module. Invalid settings are reported as a failure of the instance.
 func (i *instance) start(settings decision.Settings, seed int64) {
-	i.guard(func() {
+	i.callModule(func() {
 		module, err := policy.New(settings, seed, &i.reply)
 		if err != nil {
 			panic(err)
@@ -32,20 +32,20 @@
 	})
 }
 
-// do passes an event to the module.
-func (i *instance) do(event moduleEvent) {
-	i.guard(func() { event(i.module) })
+// handleEvent passes an event to the module.
+func (i *instance) handleEvent(event moduleEvent) {
+	i.callModule(func() { event(i.module) })
 }
 
-// decide has the module settle the batch, and returns its actions as lines.
+// decide calls the module's Decide at the end of a batch, and returns its actions as lines.
 func (i *instance) decide(now time.Duration) []byte {
-	i.guard(func() { i.module.Decide(now) })
+	i.callModule(func() { i.module.Decide(now) })
 	return i.reply.TakeLines()
 }
 
-// guard runs code of the module. A panic is reported in place of its actions, and is the
-// last that the instance does.
-func (i *instance) guard(f func()) {
+// callModule runs a function that calls the module. If the function panics, a failure is
+// reported in place of the module's actions, and the module isn't called any more.
+func (i *instance) callModule(f func()) {
 	if i.failed {
 		return
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost hosts instances of the decision module on the simulator's wire:
-// batches of events on standard input, a reply to each on standard output. It only
-// translates.
+// Command simhost hosts instances of the decision module for the simulator. It reads batches
+// of events from standard input, passes them to the instances, and writes a reply with their
+// actions to standard output for each batch. It makes no decisions itself.
 package main
 
 import (
--- a/cmd/simhost/server.go
+++ b/cmd/simhost/server.go
@@ -11,20 +11,20 @@
 	"quincerail.example/quincerail/internal/simwire"
 )
 
-// bufferSize is that of the input and of the output, in bytes.
+// bufferSize is the size in bytes of the input buffer and of the output buffer.
 const bufferSize = 1 << 20
 
 // server hosts instances, and passes batches of events to them.
 type server struct {
-	out       *bufio.Writer
-	instances map[int64]*instance
-	inBatch   bool
-	now       time.Duration // of the batch
-	addressed []*instance   // those with an event in the batch, in the order of their first
+	out            *bufio.Writer
+	instances      map[int64]*instance // by ID
+	inBatch        bool
+	now            time.Duration // time of the current batch
+	batchInstances []*instance   // those with an event in the batch, in the order of their first events
 }
 
-// serve reads batches of events and writes a reply to each, until the input ends. An
-// error names the line that it is about.
+// serve reads batches of events and writes a reply to each, until the input ends. An error
+// names the line of the input that caused it.
 func serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, bufferSize)
 	s := &server{out: bufio.NewWriterSize(w, bufferSize), instances: make(map[int64]*instance)}
@@ -34,7 +34,7 @@
 			return fmt.Errorf("reading line %d: %w", number, err)
 		}
 		if err != nil && line == "" {
-			return s.checkEnd(number)
+			return s.checkEOF(number)
 		}
 		if err := s.handleLine(number, strings.TrimRight(line, "\r\n")); err != nil {
 			return err
@@ -42,22 +42,22 @@
 	}
 }
 
-// checkEnd tells whether the input may end here.
-func (s *server) checkEnd(number int) error {
+// checkEOF returns an error if the input ends inside a batch.
+func (s *server) checkEOF(number int) error {
 	if s.inBatch {
 		return fmt.Errorf("line %d: the input ends inside a batch", number)
 	}
 	return nil
 }
 
-// handleLine takes in one line, and replies if it ends a batch. Empty lines are ignored.
+// handleLine handles one line, and replies if it ends a batch. It ignores empty lines.
 func (s *server) handleLine(number int, line string) error {
 	if line == "" {
 		return nil
 	}
 	message, err := simwire.Parse(line)
 	if err == nil {
-		err = s.handle(message)
+		err = s.handleMessage(message)
 	}
 	if err != nil {
 		return fmt.Errorf("line %d: %w", number, err)
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// handle takes in one message. Those of names that are not known come from a later
-// version of the wire, and are ignored.
-func (s *server) handle(m *simwire.Message) error {
+// handleMessage handles one message. It ignores messages with unknown names, which a later
+// version of the protocol may send.
+func (s *server) handleMessage(m *simwire.Message) error {
 	switch m.Name {
 	case simwire.BatchStart:
 		return s.startBatch(m)
@@ -106,8 +106,7 @@
 	return nil
 }
 
-// handleEvent takes in an event of an instance. Events of instances that have died are
-// ignored.
+// handleEvent handles an event of an instance. It ignores events of terminated instances.
 func (s *server) handleEvent(m *simwire.Message) error {
 	id := m.InstanceID()
 	if err := m.Err(); err != nil {
@@ -124,16 +123,16 @@
 	if i == nil {
 		return nil
 	}
-	event, err := readEvent(m, s.now)
+	event, err := decodeEvent(m, s.now)
 	if err != nil {
 		return err
 	}
-	s.address(i)
-	i.do(event)
+	s.addToBatch(i)
+	i.handleEvent(event)
 	return nil
 }
 
-// start makes an instance, in place of a former one of its id.
+// start starts an instance. An instance with the same ID is removed first.
 func (s *server) start(id int64, m *simwire.Message) error {
 	seed := m.Seed()
 	settings, err := m.Settings()
@@ -143,43 +142,43 @@
 	s.remove(id)
 	i := newInstance(id)
 	s.instances[id] = i
-	s.address(i)
+	s.addToBatch(i)
 	i.start(settings, seed)
 	return nil
 }
 
-// remove takes out an instance that has died, with what it was about to do.
+// remove removes a terminated instance, and discards its actions in the current batch.
 func (s *server) remove(id int64) {
 	i := s.instances[id]
 	if i == nil {
 		return
 	}
 	delete(s.instances, id)
-	for k, other := range s.addressed {
+	for k, other := range s.batchInstances {
 		if other == i {
-			s.addressed = append(s.addressed[:k], s.addressed[k+1:]...)
+			s.batchInstances = append(s.batchInstances[:k], s.batchInstances[k+1:]...)
 			return
 		}
 	}
 }
 
-// address notes that an instance has an event in this batch.
-func (s *server) address(i *instance) {
-	if !i.addressed {
-		i.addressed = true
-		s.addressed = append(s.addressed, i)
+// addToBatch records that an instance has an event in the current batch.
+func (s *server) addToBatch(i *instance) {
+	if !i.inBatch {
+		i.inBatch = true
+		s.batchInstances = append(s.batchInstances, i)
 	}
 }
 
-// reply lets every instance with an event decide, and writes what they do.
+// reply lets each instance with an event in the batch decide, and writes the reply.
 func (s *server) reply() error {
-	for _, i := range s.addressed {
-		i.addressed = false
+	for _, i := range s.batchInstances {
+		i.inBatch = false
 		if _, err := s.out.Write(i.decide(s.now)); err != nil {
 			return err
 		}
 	}
-	s.addressed = s.addressed[:0]
+	s.batchInstances = s.batchInstances[:0]
 	if _, err := s.out.WriteString(simwire.EndOfReply + "\n"); err != nil {
 		return err
 	}
--- a/cmd/simhost/wire_golden_test.go
+++ b/cmd/simhost/wire_golden_test.go
@@ -9,6 +9,7 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
+// fullHello starts an instance whose profile has nearly all fields.
 const fullHello = `HELLO instanceId=1 randomSeed=7 profileData={"servers": 10, "quantumUs": 2000, "familyInfo": {` +
 	`"cores": 4, "senders": 3, "memoryKb": 9000, "keyKb": 1, "runFactor": 4, "dependsOn": "common", "stopMode": "pause", ` +
 	`"say": "bias", "callsOut": 10, "callsOverUs": 5000000, "staysForUs": 200000, "heededUs": 1000000, "idleUs": 20000000, ` +
@@ -17,7 +18,8 @@
 	`{"goalTimeUs": 2000000, "hardLimitUs": 8000000, "gain": 2, "semantics": "guarded", "windowUs": 9000000}], ` +
 	`"obligations": {"fallMultiple": 5, "overloadForUs": 2000000, "answerSlackUs": 80000, "drainGraceUs": 100000}}` + "\n"
 
-// session has an instance take every kind of event and give nearly every kind of action.
+// session contains every kind of event, and makes an instance reply with nearly every kind of
+// action.
 var session = "CLOCK momentUs=1\n" + fullHello + "GO\n" +
 	"CLOCK momentUs=1000\n" +
 	"REQ instanceId=1 xid=a qos=0 heldKb=3 from=1\n" +
@@ -38,8 +40,8 @@
 	strings.Repeat("CLOCK momentUs=4260000\nREQ instanceId=1 xid=h qos=0 waitedUs=9000000\nRING instanceId=1\nGO\n", 30) +
 	"CLOCK momentUs=9000000\n" + strings.Repeat("RING instanceId=1\n", 3) + "GO\n"
 
-// TestSessionIsUnchanged pins the replies to a session, to the byte.
-func TestSessionIsUnchanged(t *testing.T) {
+// TestServe_SessionIsUnchanged pins the exact bytes of the replies to a session.
+func TestServe_SessionIsUnchanged(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(strings.NewReader(session), &out); err != nil {
 		t.Fatal(err)
@@ -47,7 +49,8 @@
 	golden.Equal(t, "session.txt", out.Bytes())
 }
 
-// malformedInputs are inputs that break the wire's form, each in one place.
+// malformedInputs returns inputs that are malformed or incomplete, mostly in one place each,
+// and some that are unusual but valid.
 func malformedInputs() []string {
 	inBatch := "CLOCK momentUs=1\n" + hello
 	inputs := []string{
@@ -84,9 +87,9 @@
 	return inputs
 }
 
-// TestMalformedInputIsUnchanged pins what malformed input gets: the reply so far and the
-// error that names the line.
-func TestMalformedInputIsUnchanged(t *testing.T) {
+// TestServe_MalformedInputIsUnchanged pins the reply that is written before the error, and the
+// error, for each malformed input.
+func TestServe_MalformedInputIsUnchanged(t *testing.T) {
 	var text strings.Builder
 	for _, input := range malformedInputs() {
 		var out bytes.Buffer
--- a/internal/simwire/doc.go
+++ b/internal/simwire/doc.go
@@ -1,5 +1,5 @@
-// Package simwire reads and writes the lines by which a host process passes events of the
-// simulator to instances of the decision module, and their actions back. It only
-// translates: names.go has each word of the wire once, with the term that the code uses
-// for it.
+// Package simwire is the codec of the line protocol between the simulator and a host of
+// decision module instances (command simhost). It decodes the simulator's events and
+// encodes the instances' actions. It only translates: names.go maps each name of the wire
+// to the term that the code uses for it.
 package simwire
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,41 +8,42 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// InstanceID returns the instance that a message is for, which must be given.
+// InstanceID returns the ID of the instance that the message is for. It is required.
 func (m *Message) InstanceID() int64 { return m.requiredInt(fieldInstance) }
 
-// Time returns the time of a batch, which must be given.
+// Time returns the time of a batch. It is required.
 func (m *Message) Time() time.Duration { return microseconds(m.requiredInt(fieldTime)) }
 
-// Seed returns the seed of an instance's random numbers.
+// Seed returns the seed of an instance's random numbers, 0 if absent.
 func (m *Message) Seed() int64 { return m.int(fieldSeed) }
 
-// Settings returns the settings of an instance.
+// Settings returns the settings of an instance. It reports errors like the function
+// [Settings], and not by Err.
 func (m *Message) Settings() (decision.Settings, error) { return Settings(m.fields[fieldSettings]) }
 
-// RequestID returns the request that an event is about, which must be given.
+// RequestID returns the ID of the request that an event is about. It is required.
 func (m *Message) RequestID() string { return m.id(fieldRequest) }
 
-// Took returns how long a run or a call took.
+// Took returns the duration of a run or a downstream call, 0 if absent.
 func (m *Message) Took() time.Duration { return m.time(fieldTook) }
 
-// StopAt returns when a draining instance's process ends.
+// StopAt returns the time at which a draining instance's process is stopped, 0 if absent.
 func (m *Message) StopAt() time.Duration { return m.time(fieldDeadline) }
 
-// Token returns the token of a timer.
+// Token returns the token of a timer, 0 if absent.
 func (m *Message) Token() int64 { return m.int(fieldToken) }
 
-// Outcome returns how a run or a call ended, which must be given.
+// Outcome returns the outcome of a run or a downstream call. It is required.
 func (m *Message) Outcome() decision.Outcome {
 	outcome, ok := outcomes[m.requiredInt(fieldOutcome)]
 	if !ok {
-		m.fail(fieldOutcome, m.fields[fieldOutcome], wantKnownOutcome)
+		m.setErr(fieldOutcome, m.fields[fieldOutcome], wantKnownOutcome)
 		return decision.Failed
 	}
 	return outcome
 }
 
-// Request returns the request that was read.
+// Request returns the request that was read. Only its ID is required.
 func (m *Message) Request() decision.Request {
 	r := decision.Request{
 		ID:          m.id(fieldRequest),
@@ -65,21 +66,22 @@
 	return r
 }
 
-// Gauges returns the readings that come with a timer; those of other names are ignored.
+// Gauges returns the gauges that come with a timer. A gauge that is absent is -1. Gauges with
+// unknown names are ignored.
 func (m *Message) Gauges() decision.Gauges {
-	readings := decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
+	values := decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
 	for rest := m.fields[fieldGauges]; rest != ""; {
 		var gauge string
 		gauge, rest, _ = strings.Cut(rest, gaugeSeparator)
 		name, text, ok := strings.Cut(gauge, gaugeAssignment)
 		value, err := strconv.ParseFloat(text, 64)
 		if !ok || err != nil {
-			m.fail(fieldGauges, gauge, wantGauge)
-			return readings
+			m.setErr(fieldGauges, gauge, wantGauge)
+			return values
 		}
-		if reading := gauges[name]; reading != nil {
-			*reading(&readings) = value
+		if field := gauges[name]; field != nil {
+			*field(&values) = value
 		}
 	}
-	return readings
+	return values
 }
--- a/internal/simwire/log.go
+++ b/internal/simwire/log.go
@@ -6,7 +6,7 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// LogText gives an event of the module as the line of text that the wire has for it.
+// LogText returns the text of an event of the decision module for the wire.
 func LogText(event decision.Event) string {
 	switch e := event.(type) {
 	case decision.DrainStarted:
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -8,12 +8,15 @@
 )
 
 const (
-	typicalFields    = 12 // of a message
-	maxQuotedLength  = 60 // bytes of a malformed input that an error shows
-	fieldSeparator   = " "
-	fieldAssignment  = "="
-	gaugeSeparator   = ","
-	gaugeAssignment  = ":"
+	typicalFields   = 12 // number of fields of a message for which Parse allocates space
+	maxQuotedLength = 60 // bytes of malformed input that an error quotes
+
+	fieldSeparator  = " "
+	fieldAssignment = "="
+	gaugeSeparator  = ","
+	gaugeAssignment = ":"
+
+	// What errors say that a field should be.
 	wantWholeNumber  = "a whole number"
 	wantNumber       = "a number"
 	wantRequestID    = "a request id"
@@ -22,15 +25,15 @@
 	wantKnownOutcome = "a known outcome"
 )
 
-// Message is one line: a name and its fields. Its accessors note the first field that is
-// malformed, which Err returns.
+// Message is a parsed line: a name and fields. Each accessor decodes a field. Err returns the
+// error of the first field that was malformed, or was required and absent.
 type Message struct {
 	Name   string
 	fields map[string]string
 	err    error
 }
 
-// Parse reads one line.
+// Parse parses one line without its line ending. Fields are decoded by the accessors.
 func Parse(line string) (*Message, error) {
 	name, rest, _ := strings.Cut(line, fieldSeparator)
 	if name == "" {
@@ -49,7 +52,8 @@
 	return m, nil
 }
 
-// parseField reads the first field of what is left of a line, and returns the rest.
+// parseField parses the first field of line, and returns the rest of the line. The settings
+// and the text of a log event extend to the end of the line.
 func (m *Message) parseField(line string) (rest string, err error) {
 	for _, name := range []string{fieldSettings, fieldText} {
 		if value, ok := strings.CutPrefix(line, name+fieldAssignment); ok {
@@ -66,7 +70,7 @@
 	return rest, nil
 }
 
-// shorten cuts a text that an error shows.
+// shorten truncates text that an error quotes.
 func shorten(text string) string {
 	if len(text) > maxQuotedLength {
 		return text[:maxQuotedLength] + "..."
@@ -74,25 +78,26 @@
 	return text
 }
 
-// Err is the first error met by the accessors.
+// Err returns the first error of the accessors, or nil.
 func (m *Message) Err() error { return m.err }
 
-func (m *Message) fail(key, value, want string) {
+// setErr sets the error of a field, unless another field's error is set already.
+func (m *Message) setErr(key, value, want string) {
 	if m.err == nil {
 		m.err = fmt.Errorf("%s: %s=%q is not %s", m.Name, key, shorten(value), want)
 	}
 }
 
-// id returns the id of a request, which must be given.
+// id decodes the ID of a request, which is required.
 func (m *Message) id(key string) string {
 	id := m.fields[key]
 	if id == "" {
-		m.fail(key, id, wantRequestID)
+		m.setErr(key, id, wantRequestID)
 	}
 	return id
 }
 
-// int returns a whole number, 0 when absent.
+// int decodes a whole number, 0 if absent.
 func (m *Message) int(key string) int64 {
 	text, ok := m.fields[key]
 	if !ok {
@@ -100,20 +105,20 @@
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		m.fail(key, text, wantWholeNumber)
+		m.setErr(key, text, wantWholeNumber)
 	}
 	return n
 }
 
-// requiredInt returns a whole number, which must be given.
+// requiredInt decodes a whole number, which is required.
 func (m *Message) requiredInt(key string) int64 {
 	if _, ok := m.fields[key]; !ok {
-		m.fail(key, "", wantWholeNumber)
+		m.setErr(key, "", wantWholeNumber)
 	}
 	return m.int(key)
 }
 
-// float returns a number, 0 when absent.
+// float decodes a number, 0 if absent.
 func (m *Message) float(key string) float64 {
 	text, ok := m.fields[key]
 	if !ok {
@@ -121,12 +126,12 @@
 	}
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		m.fail(key, text, wantNumber)
+		m.setErr(key, text, wantNumber)
 	}
 	return x
 }
 
-// bool returns a truth value, false when absent.
+// bool decodes "0" or "1", false if absent.
 func (m *Message) bool(key string) bool {
 	switch text := m.fields[key]; text {
 	case "", "0":
@@ -134,13 +139,13 @@
 	case "1":
 		return true
 	default:
-		m.fail(key, text, wantBool)
+		m.setErr(key, text, wantBool)
 		return false
 	}
 }
 
-// time returns a time, given in microseconds, 0 when absent.
+// time decodes a time in microseconds, 0 if absent.
 func (m *Message) time(key string) time.Duration { return microseconds(m.int(key)) }
 
-// microseconds returns a time of the wire.
+// microseconds converts a time of the wire.
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -2,23 +2,23 @@
 
 import "quincerail.example/quincerail/decision"
 
-// Names of the messages that come in.
+// Names of the messages that the simulator sends.
 const (
-	BatchStart  = "CLOCK"       // a batch of events begins, at a time
-	BatchEnd    = "GO"          // the batch is complete: decide
-	Start       = "HELLO"       // an instance starts
-	Stop        = "EXIT"        // an instance has died
+	BatchStart  = "CLOCK"       // starts a batch of events, with its time
+	BatchEnd    = "GO"          // ends the batch: the instances decide and the host replies
+	Start       = "HELLO"       // an instance is started
+	Stop        = "EXIT"        // an instance was terminated
 	RequestRead = "REQ"         // a request was read
 	RunDone     = "WORK_DONE"   // a run ended
-	CallerGone  = "CLIENT_GONE" // nobody waits for a request any more
-	CallNeeded  = "NEEDS_DEP"   // a run waits for a call to the dependency
-	CallDone    = "CAME_BACK"   // a call ended
-	Drain       = "LEAVING"     // the instance's process is being stopped
-	TimerDue    = "RING"        // a timer is due, with the gauges
+	CallerGone  = "CLIENT_GONE" // the caller of a request no longer waits for the response
+	CallNeeded  = "NEEDS_DEP"   // a run waits for a downstream call
+	CallDone    = "CAME_BACK"   // a downstream call ended
+	Drain       = "LEAVING"     // the instance has to drain, because its process will be stopped
+	TimerDue    = "RING"        // a timer is due; has the current gauges
 )
 
-// Names of the messages that go out: the actions of decision.Host, the end of a reply,
-// and the failure of an instance.
+// Names of the messages that the host sends: the actions of decision.Host, the failure of an
+// instance, and the end of a reply.
 const (
 	actionRun            = "START"
 	actionCancel         = "PREEMPT"
@@ -36,7 +36,7 @@
 	actionLog            = "SAY_LOG"
 	instanceFailed       = "BAIL_OUT"
 
-	// EndOfReply ends the reply to a batch.
+	// EndOfReply is the last line of the reply to a batch.
 	EndOfReply = "YIELD"
 )
 
@@ -58,7 +58,7 @@
 	fieldWrite       = "isWrite"
 	fieldCaller      = "from"
 	fieldWaited      = "waitedUs"
-	fieldDuplicateOf = "earlier" // noDuplicate where there is none
+	fieldDuplicateOf = "earlier" // noDuplicate if the request is no duplicate
 	fieldOutcome     = "outcome"
 	fieldTook        = "timeTakenUs"
 	fieldToken       = "cookie"
@@ -76,7 +76,7 @@
 	noDuplicate = "0"
 )
 
-// outcomes are the codes of runs and calls that ended.
+// outcomes maps the wire's codes to the outcomes of runs and downstream calls.
 var outcomes = map[int64]decision.Outcome{
 	200: decision.Succeeded,
 	502: decision.Failed,
@@ -88,7 +88,7 @@
 	409: decision.NotStarted,
 }
 
-// gauges are the names of the readings that come with a timer.
+// gauges maps the wire's names of gauges to their fields.
 var gauges = map[string]func(*decision.Gauges) *float64{
 	"core_use":   func(g *decision.Gauges) *float64 { return &g.CoreUtilization },
 	"on_cores":   func(g *decision.Gauges) *float64 { return &g.RunnableTasks },
@@ -96,21 +96,21 @@
 	"links":      func(g *decision.Gauges) *float64 { return &g.Connections },
 }
 
-// notGiven is the wire's word for a setting that has no value.
-const notGiven = "silent"
+// unset is the wire's word for a setting that has no value.
+const unset = "silent"
 
-// Words that the settings have for kinds.
+// The wire's words for the enumerated settings. An empty or absent word means the default.
 var (
 	dependencyKinds = map[string]decision.DependencyKind{
-		"": decision.NoDependency, notGiven: decision.NoDependency,
+		"": decision.NoDependency, unset: decision.NoDependency,
 		"common": decision.SharedDependency, "next_hop": decision.NextTier,
 	}
 	cancelModes = map[string]decision.CancelMode{
-		"": decision.CancelNever, notGiven: decision.CancelNever,
+		"": decision.CancelNever, unset: decision.CancelNever,
 		"drop": decision.CancelDiscard, "pause": decision.CancelPause,
 	}
 	loadReportModes = map[string]decision.LoadReportMode{
-		"": decision.LoadReportNone, notGiven: decision.LoadReportNone,
+		"": decision.LoadReportNone, unset: decision.LoadReportNone,
 		"min_rank": decision.LoadReportMinRank, "tokens": decision.LoadReportCredit, "bias": decision.LoadReportWeight,
 	}
 	effects = map[string]decision.Effect{
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,14 +8,15 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// Reply collects the actions of one instance as lines. It is a decision.Host.
+// Reply encodes the actions of one instance as lines and buffers them. It implements
+// decision.Host.
 type Reply struct {
-	Instance int64
+	Instance int64 // ID of the instance
 	buf      []byte
 }
 
-// TakeLines returns the lines collected so far and starts anew. The bytes are valid
-// until the next action.
+// TakeLines returns the buffered lines and empties the buffer. The bytes are valid until the
+// next action.
 func (r *Reply) TakeLines() []byte {
 	lines := r.buf
 	r.buf = r.buf[:0]
@@ -96,8 +97,7 @@
 // Log implements decision.Host.
 func (r *Reply) Log(event decision.Event) { r.textLine(actionLog, LogText(event)) }
 
-// ReportFailure replaces the actions collected so far by the report that the instance
-// has failed.
+// ReportFailure replaces the buffered actions by a message that the instance has failed.
 func (r *Reply) ReportFailure(cause string) {
 	r.buf = r.buf[:0]
 	r.textLine(instanceFailed, cause)
@@ -115,22 +115,23 @@
 	r.text(fieldRequest, id)
 }
 
-// requestLine adds a line that names a request alone.
+// requestLine adds a line whose only field, besides the instance, is a request.
 func (r *Reply) requestLine(name, id string) {
 	r.beginRequest(name, id)
 	r.end()
 }
 
-// textLine adds a line with a text, whose spaces and line ends become single spaces.
+// textLine adds a line with a text. Each sequence of white space in it becomes one space.
 func (r *Reply) textLine(name, text string) {
 	r.begin(name)
 	r.text(fieldText, strings.Join(strings.Fields(text), " "))
 	r.end()
 }
 
-// end ends a line.
+// end terminates a line.
 func (r *Reply) end() { r.buf = append(r.buf, '\n') }
 
+// key adds the name of a field.
 func (r *Reply) key(key string) {
 	r.buf = append(r.buf, fieldSeparator...)
 	r.buf = append(r.buf, key...)
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -7,9 +7,9 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// profile is the form in which the wire has the settings of an instance. Its fields have
-// the wire's names; the methods below map each to its term. Errors show the names and
-// types of these fields.
+// profile is the wire's form of the settings of an instance. The fields have the wire's
+// names, and the methods below map them to the code's terms. Decoding errors show the names
+// and types of the fields.
 type profile struct {
 	Servers   int `json:"servers"`
 	QuantumUs int64
@@ -41,18 +41,18 @@
 	OverShareWorth float64
 }
 
-// Settings reads the settings of an instance from JSON. With an error for a word that is
-// not known come the other settings.
+// Settings decodes the settings of an instance from JSON. If a word for an enumerated setting
+// is unknown, it returns an error together with the other settings.
 func Settings(text string) (decision.Settings, error) {
 	var p profile
 	if err := json.Unmarshal([]byte(text), &p); err != nil {
 		return decision.Settings{}, fmt.Errorf("profileData: %w", err)
 	}
-	s := p.instance()
-	p.addObligations(&s)
-	err := p.addKinds(&s)
+	s := p.instanceSettings()
+	p.setObligations(&s)
+	err := p.setEnums(&s)
 	for i := range p.Lanes {
-		class, classErr := p.class(i)
+		class, classErr := p.classSettings(i)
 		if err == nil {
 			err = classErr
 		}
@@ -64,8 +64,9 @@
 	return s, err
 }
 
-// instance returns the settings of the instance and of those around it.
-func (p *profile) instance() decision.Settings {
+// instanceSettings returns the settings of the instance, its callers and its dependency, without
+// those that the other methods set.
+func (p *profile) instanceSettings() decision.Settings {
 	info := &p.FamilyInfo
 	s := decision.Settings{
 		OverQuotaWeight:       p.OverShareWorth,
@@ -91,8 +92,8 @@
 	return s
 }
 
-// addObligations sets what the instance must keep to.
-func (p *profile) addObligations(s *decision.Settings) {
+// setObligations sets the rules that the instance must observe.
+func (p *profile) setObligations(s *decision.Settings) {
 	obligations := &p.Obligations
 	s.DeadlineSlack = microseconds(obligations.AnswerSlackUs)
 	s.DrainGrace = microseconds(obligations.DrainGraceUs)
@@ -102,8 +103,8 @@
 	s.SlowStartDuration = microseconds(obligations.ColdUs)
 }
 
-// addKinds sets the settings that are words. The error is of the first one not known.
-func (p *profile) addKinds(s *decision.Settings) error {
+// setEnums sets the enumerated settings. It returns the error of the first unknown word.
+func (p *profile) setEnums(s *decision.Settings) error {
 	var dependencyErr, cancelErr, reportErr error
 	s.Dependency, dependencyErr = lookUp("dependsOn", p.FamilyInfo.DependsOn, dependencyKinds)
 	s.CancelMode, cancelErr = lookUp("stopMode", p.FamilyInfo.StopMode, cancelModes)
@@ -116,9 +117,9 @@
 	return nil
 }
 
-// class returns the settings of a class, by its index. Lists that are too short leave the
-// setting out.
-func (p *profile) class(i int) (decision.Class, error) {
+// classSettings returns the settings of the class with an index. Where a list is too short, the
+// setting is left at zero.
+func (p *profile) classSettings(i int) (decision.Class, error) {
 	lane := &p.Lanes[i]
 	effect, err := lookUp("semantics", lane.Semantics, effects)
 	c := decision.Class{
@@ -139,7 +140,7 @@
 	return c, err
 }
 
-// lookUp returns the value that a word of the wire stands for.
+// lookUp returns the value for a word of the wire. key is the field that the error names.
 func lookUp[T any](key, word string, known map[string]T) (T, error) {
 	value, ok := known[word]
 	if !ok {
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -8,8 +8,8 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// everyField is a profile with a value of its own in each field.
-const everyField = `{"servers": 1, "quantumUs": 2, "overShareWorth": 3.5,
+// profileWithAllFields has a different value in each field.
+const profileWithAllFields = `{"servers": 1, "quantumUs": 2, "overShareWorth": 3.5,
 	"familyInfo": {"cores": 4, "senders": 5, "justStarted": true, "memoryKb": 6.5, "keyKb": 7.5, "runFactor": 8.5,
 		"callsOut": 9.5, "dependsOn": "next_hop", "stopMode": "drop", "say": "tokens", "callsOverUs": 10,
 		"staysForUs": 11, "freshUs": 12, "idleUs": 13, "heededUs": 14, "callsByClass": [false, true], "readiness": true,
@@ -21,8 +21,9 @@
 		{"semantics": "single_shot"}, {"semantics": "free"}, {"semantics": "silent"}],
 	"realms": [{"quotaRps": 29.5}, {}]}`
 
-// TestSettingsMapsEveryField has every field of the wire's profile arrive in its setting.
-func TestSettingsMapsEveryField(t *testing.T) {
+// TestSettings_MapsEveryField checks that each field of the wire's profile is mapped to its
+// setting.
+func TestSettings_MapsEveryField(t *testing.T) {
 	const us = time.Microsecond
 	want := decision.Settings{
 		Servers: 1, BatchInterval: 2 * us, OverQuotaWeight: 3.5, Cores: 4, Callers: 5, SlowStart: true, MemoryKB: 6.5, KeyMemoryKB: 7.5,
@@ -41,14 +42,14 @@
 		},
 		Tenants: []decision.Tenant{{Quota: 29.5}, {}},
 	}
-	got, err := Settings(everyField)
+	got, err := Settings(profileWithAllFields)
 	if err == nil {
-		t.Error(`semantics "silent" passed`)
+		t.Error(`Settings with semantics "silent" succeeded, want an error`)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v\nwant %+v", got, want)
+		t.Errorf("Settings = %+v\nwant %+v", got, want)
 	}
 	if s, err := Settings(`{"caps": {"maxRetryAfterUs": 16}}`); err != nil || s.MaxRetryAfter != 0 {
-		t.Errorf("advice without the capability: %v, %v", s.MaxRetryAfter, err)
+		t.Errorf("without caps.retryAfter, MaxRetryAfter = %v, error %v, want 0 and no error", s.MaxRetryAfter, err)
 	}
 }
