--- a/clock/clock.go
+++ b/clock/clock.go
@@ -7,14 +7,13 @@
 //
 // A [Clock] returns times on a timeline of its own: the Unix time at which it was created,
 // plus the monotonic time since. Unix time is used only in wire messages and stored data.
-// It is converted by its current offset from the timeline ([Clock.At]). A step of Unix time
+// It is converted by its current offset from the timeline ([Clock.FromTime]). A step of Unix time
 // has these effects:
 //
 //   - on requests in flight: none, because their times are on the timeline;
-//   - on the time at which a peer sent a message ([Clock.Received]): none, because it is
-//     converted by whichever of the last few offsets makes it closest to now. This is correct
-//     whether the peer read the time before or after the step, or from a clock that was not
-//     stepped;
+//   - on the time at which a peer sent a message ([Clock.FromPeerTime]): none, because it is
+//     converted by the one of the last few offsets that makes it closest to now, whether the
+//     peer read the time before the step, after it, or from a clock that was not stepped;
 //   - on the windows of idempotency keys in memory: none;
 //   - on Unix times that another process reports, or that a process has stored: they are
 //     converted by the current offset. If Unix time was stepped after such a time was written,
@@ -53,11 +52,11 @@
 // Now returns the current time on the timeline.
 func (c *Clock) Now() time.Duration { return c.originUnix + time.Since(c.origin) }
 
-// Observe compares Unix time with the timeline. It returns the step of Unix time since the
-// last comparison, or 0 if there was none. At and Unix compare them too, so Observe doesn't
-// return a step that they have found. Changes of less than minStep add up until they count as
-// a step.
-func (c *Clock) Observe() (step time.Duration) {
+// DetectStep compares Unix time with the timeline. It returns the step of Unix time since the
+// last comparison, or 0 if there was none. FromTime and Unix compare them too, and DetectStep
+// doesn't return a step that they have found. Changes of less than minStep add up until they
+// count as a step.
+func (c *Clock) DetectStep() (step time.Duration) {
 	now := time.Now()
 	timeline := c.originUnix + now.Sub(c.origin)
 	offset := time.Duration(now.UnixNano()) - timeline
@@ -84,22 +83,22 @@
 // currentOffsetLocked returns the current offset. c.mu must be held.
 func (c *Clock) currentOffsetLocked() time.Duration { return c.offsets[len(c.offsets)-1] }
 
-// At converts a time to the timeline: exactly if it has a monotonic reading, otherwise by
+// FromTime converts a time to the timeline: exactly if it has a monotonic reading, otherwise by
 // the current offset of Unix time.
-func (c *Clock) At(t time.Time) time.Duration {
+func (c *Clock) FromTime(t time.Time) time.Duration {
 	if hasMonotonic(t) {
 		return c.originUnix + t.Sub(c.origin)
 	}
-	c.Observe()
+	c.DetectStep()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Duration(t.UnixNano()) - c.currentOffsetLocked()
 }
 
-// Received converts the time at which a peer sent a message to the timeline. A time without a
-// monotonic reading is converted by the kept offset that makes it closest to now.
-func (c *Clock) Received(t time.Time) time.Duration {
-	closest, now := c.At(t), c.Now()
+// FromPeerTime converts the time at which a peer sent a message to the timeline. A time
+// without a monotonic reading is converted by the kept offset that makes it closest to now.
+func (c *Clock) FromPeerTime(t time.Time) time.Duration {
+	closest, now := c.FromTime(t), c.Now()
 	if hasMonotonic(t) {
 		return closest
 	}
@@ -125,7 +124,7 @@
 // Unix converts a time on the timeline to Unix time by the current offset, for wire messages
 // and stored data.
 func (c *Clock) Unix(at time.Duration) time.Time {
-	c.Observe()
+	c.DetectStep()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Unix(0, int64(at+c.currentOffsetLocked()))
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -24,27 +24,27 @@
 	for _, by := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		c := newSteppedClock(by)
 		now := c.Now()
-		if step := c.Observe(); !isNear(step, by) {
-			t.Errorf("step %v: Observe() = %v, want %v", by, step, by)
+		if step := c.DetectStep(); !isNear(step, by) {
+			t.Errorf("step %v: DetectStep() = %v, want %v", by, step, by)
 		}
-		if step := c.Observe(); step != 0 {
-			t.Errorf("step %v: second Observe() = %v, want 0", by, step)
+		if step := c.DetectStep(); step != 0 {
+			t.Errorf("step %v: second DetectStep() = %v, want 0", by, step)
 		}
-		if at := c.At(time.Now()); !isNear(at, now) {
-			t.Errorf("step %v: At(time with a monotonic reading) is off by %v", by, at-now)
+		if at := c.FromTime(time.Now()); !isNear(at, now) {
+			t.Errorf("step %v: FromTime(time with a monotonic reading) is off by %v", by, at-now)
 		}
-		if at := c.At(time.Now().Round(0)); !isNear(at, now) {
-			t.Errorf("step %v: At(Unix time after the step) is off by %v", by, at-now)
+		if at := c.FromTime(time.Now().Round(0)); !isNear(at, now) {
+			t.Errorf("step %v: FromTime(Unix time after the step) is off by %v", by, at-now)
 		}
 		if unix := c.Unix(now); !isNear(time.Until(unix), 0) {
 			t.Errorf("step %v: Unix(now) is off by %v", by, time.Until(unix))
 		}
-		if at := c.Received(time.Now().Round(0)); !isNear(at, now) {
-			t.Errorf("step %v: Received(time sent after the step) is off by %v", by, at-now)
+		if at := c.FromPeerTime(time.Now().Round(0)); !isNear(at, now) {
+			t.Errorf("step %v: FromPeerTime(time sent after the step) is off by %v", by, at-now)
 		}
 		before := time.Now().Round(0).Add(-by) // a time read just before the step
-		if at := c.Received(before); !isNear(at, now) {
-			t.Errorf("step %v: Received(time sent before the step) is off by %v", by, at-now)
+		if at := c.FromPeerTime(before); !isNear(at, now) {
+			t.Errorf("step %v: FromPeerTime(time sent before the step) is off by %v", by, at-now)
 		}
 	}
 }
@@ -57,26 +57,26 @@
 	}
 }
 
-// TestReceived_KeepsLastOffsets checks that only the last maxOffsets offsets are kept, and
+// TestFromPeerTime_KeepsLastOffsets checks that only the last maxOffsets offsets are kept, and
 // that an offset that becomes current again is kept once.
-func TestReceived_KeepsLastOffsets(t *testing.T) {
+func TestFromPeerTime_KeepsLastOffsets(t *testing.T) {
 	c := New()
 	for step := range 2 * maxOffsets {
 		c.originUnix -= time.Duration(step+1) * time.Minute
-		c.Observe()
+		c.DetectStep()
 	}
 	if len(c.offsets) != maxOffsets {
 		t.Errorf("%d offsets kept, want %d", len(c.offsets), maxOffsets)
 	}
 	c.originUnix += 2 * maxOffsets * time.Minute
-	c.Observe()
+	c.DetectStep()
 	c.originUnix -= 2 * maxOffsets * time.Minute
-	c.Observe()
+	c.DetectStep()
 	if len(c.offsets) != maxOffsets {
 		t.Errorf("%d offsets kept, want %d", len(c.offsets), maxOffsets)
 	}
 	old := time.Now().Round(0).Add(-10 * time.Hour)
-	if at := c.Received(old); c.Now()-at < 9*time.Hour {
-		t.Errorf("Received(10 hours ago) is %v ago, want at least 9h", c.Now()-at)
+	if at := c.FromPeerTime(old); c.Now()-at < 9*time.Hour {
+		t.Errorf("FromPeerTime(10 hours ago) is %v ago, want at least 9h", c.Now()-at)
 	}
 }
--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -18,7 +18,7 @@
 }
 
 func newInstance(id int64) *instance {
-	return &instance{reply: simwire.Reply{Instance: id}}
+	return &instance{reply: simwire.Reply{InstanceID: id}}
 }
 
 // start creates the module. Invalid settings are reported as a failure of the instance.
--- a/cmd/simhost/server.go
+++ b/cmd/simhost/server.go
@@ -79,7 +79,7 @@
 		return s.startBatch(m)
 	case simwire.BatchEnd:
 		return s.endBatch()
-	case simwire.Start, simwire.Stop, simwire.RequestRead, simwire.RunDone, simwire.CallerGone,
+	case simwire.InstanceStart, simwire.InstanceExit, simwire.RequestRead, simwire.RunDone, simwire.CallerGone,
 		simwire.CallNeeded, simwire.CallDone, simwire.Drain, simwire.TimerDue:
 		if !s.inBatch {
 			return fmt.Errorf("%s outside a batch", m.Name)
@@ -113,9 +113,9 @@
 		return err
 	}
 	switch m.Name {
-	case simwire.Start:
+	case simwire.InstanceStart:
 		return s.start(id, m)
-	case simwire.Stop:
+	case simwire.InstanceExit:
 		s.remove(id)
 		return nil
 	}
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -46,7 +46,7 @@
 		return
 	}
 	if err := guard.MayShed(a.shedFacts()); err != nil { // it may have had its effect
-		h.options.Monitor.Denied(guard.ShedAfterRun, err, id)
+		h.options.Monitor.RecordDenial(guard.ShedAfterRun, err, id)
 		h.respond(a, h.failure(a))
 		return
 	}
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -37,10 +37,10 @@
 	err := guard.MayStart(c.startFacts(a))
 	switch {
 	case errors.Is(err, guard.ErrAfterGrace):
-		c.options.Monitor.Denied(guard.DrainStart, err, a.ID)
+		c.options.Monitor.RecordDenial(guard.DrainStart, err, a.ID)
 		c.denyStart(a)
 	case errors.Is(err, guard.ErrKeyRan):
-		c.options.Monitor.Denied(guard.DuplicateRun, err, a.ID)
+		c.options.Monitor.RecordDenial(guard.DuplicateRun, err, a.ID)
 		c.awaitResult(a)
 	}
 	return err == nil
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -124,11 +124,11 @@
 // recoverKeys applies what a journal held.
 func (c *Core) recoverKeys() {
 	if !c.options.InDoubtUntil.IsZero() {
-		c.replication.inDoubtUntil = c.clock.At(c.options.InDoubtUntil)
+		c.replication.inDoubtUntil = c.clock.FromTime(c.options.InDoubtUntil)
 	}
 	now := c.clock.Now()
 	for _, state := range c.options.RecoveredKeys {
-		if expiresAt := c.clock.At(state.ExpiresAt); expiresAt > now {
+		if expiresAt := c.clock.FromTime(state.ExpiresAt); expiresAt > now {
 			state.Completed = true // a run without a recorded end has ended with its process
 			c.keys.Apply(state, expiresAt)
 		}
--- a/dispatch/downstream_calls.go
+++ b/dispatch/downstream_calls.go
@@ -51,7 +51,7 @@
 	}
 	if err := guard.MayCall(a.callFacts()); err != nil {
 		if errors.Is(err, guard.ErrMayHaveRun) {
-			h.options.Monitor.Denied(guard.RepeatedCall, err, id)
+			h.options.Monitor.RecordDenial(guard.RepeatedCall, err, id)
 			h.deferEvent(callDenied{id})
 		}
 		return
--- a/dispatch/drain.go
+++ b/dispatch/drain.go
@@ -29,7 +29,7 @@
 	if d.draining {
 		return
 	}
-	d.draining, d.noticeAt, d.stopAt = true, c.clock.At(e.notice), c.clock.At(e.stopAt.Add(-stopMargin))
+	d.draining, d.noticeAt, d.stopAt = true, c.clock.FromTime(e.notice), c.clock.FromTime(e.stopAt.Add(-stopMargin))
 	d.graceEnd = d.noticeAt + c.settings.DrainGrace
 	if c.module == nil {
 		c.setHealth(false, true)
@@ -54,7 +54,7 @@
 
 func (e handoverStarted) apply(c *Core) {
 	c.log.Info("handover", "open", len(c.attempts))
-	c.drain.stopAt, c.drain.idle = c.clock.At(e.stopAt.Add(-stopMargin)), e.idle
+	c.drain.stopAt, c.drain.idle = c.clock.FromTime(e.stopAt.Add(-stopMargin)), e.idle
 }
 
 // notifyIdle closes the channel of HandOver once no attempt is left.
--- a/dispatch/replication.go
+++ b/dispatch/replication.go
@@ -87,7 +87,7 @@
 }
 
 func (c *Core) applyKey(state KeyState) {
-	entry, waiting := c.keys.Apply(state, c.clock.At(state.ExpiresAt))
+	entry, waiting := c.keys.Apply(state, c.clock.FromTime(state.ExpiresAt))
 	if entry.RanAttemptID() != "" {
 		c.recordKey(entry, entry.Completed())
 	}
@@ -108,7 +108,7 @@
 		return
 	}
 	entry := c.keys.Lookup(e.state.Key)
-	granted := entry == nil || !entry.RanInWindow(c.clock.At(e.state.ArrivedAt))
+	granted := entry == nil || !entry.RanInWindow(c.clock.FromTime(e.state.ArrivedAt))
 	if granted {
 		c.applyKey(e.state)
 	} else {
@@ -217,5 +217,5 @@
 type unknownKeysInDoubt struct{ until time.Time }
 
 func (e unknownKeysInDoubt) apply(c *Core) {
-	c.replication.inDoubtUntil = max(c.replication.inDoubtUntil, c.clock.At(e.until))
+	c.replication.inDoubtUntil = max(c.replication.inDoubtUntil, c.clock.FromTime(e.until))
 }
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -77,7 +77,7 @@
 	if stalled > 0 && stalled >= c.settings.DrainGrace && !c.drain.draining {
 		c.drain.stallHoldUntil = c.now + stallHoldTime
 	}
-	if step := c.clock.Observe(); step != 0 {
+	if step := c.clock.DetectStep(); step != 0 {
 		c.log.Warn("clock_stepped", "by", step.Round(time.Millisecond).String())
 	}
 }
--- a/dispatch/start.go
+++ b/dispatch/start.go
@@ -36,7 +36,7 @@
 // it waited for its claim or a slot.
 func (c *Core) startBackend(a *attempt) {
 	if err := c.recheckStart(a); err != nil {
-		c.options.Monitor.Denied(guard.DrainStart, err, a.ID)
+		c.options.Monitor.RecordDenial(guard.DrainStart, err, a.ID)
 		c.denyStart(a)
 		return
 	}
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -90,15 +90,15 @@
 	class := c.settings.Classes[classIndex]
 	a := &attempt{
 		Request: r, classIndex: classIndex, tenantIndex: tenantIndex, classSettings: class,
-		arrivedAt:  min(c.clock.Received(r.ArrivedAt), c.now), // the caller's clock may be ahead
+		arrivedAt:  min(c.clock.FromPeerTime(r.ArrivedAt), c.now), // the caller's clock may be ahead
 		readBefore: c.now, backend: r.Backend,
 	}
 	a.readAfter = a.arrivedAt
 	if !r.ReadAfter.IsZero() {
-		a.readAfter = min(max(a.arrivedAt, c.clock.At(r.ReadAfter)), c.now)
+		a.readAfter = min(max(a.arrivedAt, c.clock.FromTime(r.ReadAfter)), c.now)
 	}
 	if !r.ReadBy.IsZero() {
-		a.readBefore = min(c.clock.At(r.ReadBy), c.now)
+		a.readBefore = min(c.clock.FromTime(r.ReadBy), c.now)
 	}
 	a.deadline = a.arrivedAt + class.Deadline
 	if !r.Deadline.IsZero() {
--- a/frontend/thrift/connection.go
+++ b/frontend/thrift/connection.go
@@ -84,7 +84,7 @@
 		return c.skip(bad.Head, c.badMessageOrder(bad.Head), err)
 	}
 	if guard.MayContinue(c.inputFacts()) != nil {
-		return fmt.Errorf("%w: %w", guard.ErrNoMessages, protocol.ErrMalformed)
+		return fmt.Errorf("%w: %w", guard.ErrTooManySkipped, protocol.ErrMalformed)
 	}
 	return err
 }
@@ -101,8 +101,8 @@
 
 // inputFacts returns the facts by which package guard decides whether the connection goes
 // on.
-func (c *connection) inputFacts() guard.Input {
-	return guard.Input{ValidMessages: c.validMessages, InvalidMessages: c.invalidMessages, SkippedBytes: c.reader.Scanned()}
+func (c *connection) inputFacts() guard.InputState {
+	return guard.InputState{ValidMessages: c.validMessages, InvalidMessages: c.invalidMessages, SkippedBytes: c.reader.Scanned()}
 }
 
 // skip resynchronizes behind a malformed message, or one whose sequence number does not
@@ -122,7 +122,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.monitor.Denied(guard.LostRequest, cause, "")
+	c.monitor.RecordDenial(guard.LostRequest, cause, "")
 	c.logSkippedLocked(isMalformed, cause)
 	if head != nil && head.Type == protocol.Call && order != duplicate {
 		c.sendException(*head, protocol.ProtocolError, cause.Error())
--- a/frontend/thrift/frontend.go
+++ b/frontend/thrift/frontend.go
@@ -94,7 +94,7 @@
 		f.options.Observer.ConnectionEnded(end, len(unanswered))
 	}
 	if end.Reason != transport.PeerFailed && len(unanswered) > 0 && end.UnsentBytes > 0 {
-		f.options.Monitor.Violated(guard.LostRequest, "peer", c.PeerAddr(), "reason", string(end.Reason))
+		f.options.Monitor.RecordViolation(guard.LostRequest, "peer", c.PeerAddr(), "reason", string(end.Reason))
 	}
 	ctx, level := context.Background(), endLevel(end, len(unanswered))
 	if !f.options.Log.Enabled(ctx, level) {
--- a/frontend/thrift/request.go
+++ b/frontend/thrift/request.go
@@ -69,7 +69,7 @@
 		return time.Time{}, fieldError(fields, protocol.FieldArrivedAt)
 	}
 	timeline := c.core.Clock()
-	arrived := timeline.Received(time.UnixMilli(unixMS))
+	arrived := timeline.FromPeerTime(time.UnixMilli(unixMS))
 	if arrived-timeline.Now() > maxClockSkew {
 		return time.Time{}, fieldError(fields, protocol.FieldArrivedAt)
 	}
--- a/guard/connection.go
+++ b/guard/connection.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Connection is the state of a connection that its owner wants to close.
-type Connection struct {
+// ConnectionState is the state of a connection that its owner wants to close.
+type ConnectionState struct {
 	SocketDrained    bool          // the socket was read empty after the owner decided to close it
 	ResponsesPending bool          // some requests were read whose responses are not written yet
 	MessagePartial   bool          // the last message was read in part only
@@ -11,7 +11,7 @@
 	MessageAge       time.Duration // time since the first byte of the partial message was read
 	StallTimeout     time.Duration // a partial message is abandoned when IdleFor reaches this
 	NoticeRemaining  time.Duration // time until a notified peer is sure to send no more requests
-	ProcessEnding    bool          // the process exits now, so the connection can't be closed later
+	ProcessExiting   bool          // the process exits now, so the connection can't be closed later
 }
 
 // MaxMessageTime is the maximum time from a message's first byte to its last. No client
@@ -43,11 +43,11 @@
 // MaxMessageTime to arrive, and a connection without one stays open for the notice period.
 // Reason: a request whose bytes have arrived must not be lost, and a peer that was just
 // notified may have sent a request that has not arrived yet.
-func MayClose(c Connection) (reason HoldReason, retryAfter time.Duration) {
+func MayClose(c ConnectionState) (reason HoldReason, retryAfter time.Duration) {
 	switch {
 	case !c.SocketDrained:
 		return SocketNotDrained, 0
-	case c.ProcessEnding:
+	case c.ProcessExiting:
 		return NotHeld, 0
 	case c.ResponsesPending:
 		return PendingResponses, recheckInterval
--- a/guard/exit.go
+++ b/guard/exit.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Exit is the state of a draining process whose planned exit time has passed.
-type Exit struct {
+// ExitState is the state of a draining process whose planned exit time has passed.
+type ExitState struct {
 	PendingConnections int // connections that wait, or may wait, to be accepted
 	OpenConnections    int // connections that are not drained, or whose responses are not all written
 	UnansweredRequests int
@@ -32,7 +32,7 @@
 // Rule: the process exits once none is left, or after maxExitChecks checks. Reason: the
 // process may have been suspended until the planned time, so the passed time doesn't show
 // that the requests were answered.
-func MayExit(e Exit) (reason HoldReason, retryAfter time.Duration) {
+func MayExit(e ExitState) (reason HoldReason, retryAfter time.Duration) {
 	switch {
 	case e.Checks >= maxExitChecks:
 		return NotHeld, 0
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -13,19 +13,19 @@
 
 func TestMayClose(t *testing.T) {
 	for name, x := range map[string]struct {
-		connection Connection
+		connection ConnectionState
 		reason     HoldReason
 		retryAfter time.Duration
 	}{
-		"socket not drained":                       {Connection{ProcessEnding: true}, SocketNotDrained, 0},
-		"idle":                                     {Connection{SocketDrained: true}, NotHeld, 0},
-		"response pending":                         {Connection{SocketDrained: true, ResponsesPending: true}, PendingResponses, recheckInterval},
-		"notice period":                            {Connection{SocketDrained: true, NoticeRemaining: time.Second}, NoticePeriod, time.Second},
-		"partial message":                          {Connection{SocketDrained: true, MessagePartial: true, IdleFor: 1, StallTimeout: 3}, PartialMessage, 2},
-		"partial message stalled":                  {Connection{SocketDrained: true, MessagePartial: true, IdleFor: 3, StallTimeout: 3}, NotHeld, 0},
-		"partial message too old":                  {Connection{SocketDrained: true, MessagePartial: true, StallTimeout: 3, MessageAge: MaxMessageTime}, NotHeld, 0},
-		"process exits, response pending":          {Connection{SocketDrained: true, ProcessEnding: true, ResponsesPending: true}, NotHeld, 0},
-		"partial message stalled in notice period": {Connection{SocketDrained: true, MessagePartial: true, NoticeRemaining: time.Second}, NotHeld, 0},
+		"socket not drained":                       {ConnectionState{ProcessExiting: true}, SocketNotDrained, 0},
+		"idle":                                     {ConnectionState{SocketDrained: true}, NotHeld, 0},
+		"response pending":                         {ConnectionState{SocketDrained: true, ResponsesPending: true}, PendingResponses, recheckInterval},
+		"notice period":                            {ConnectionState{SocketDrained: true, NoticeRemaining: time.Second}, NoticePeriod, time.Second},
+		"partial message":                          {ConnectionState{SocketDrained: true, MessagePartial: true, IdleFor: 1, StallTimeout: 3}, PartialMessage, 2},
+		"partial message stalled":                  {ConnectionState{SocketDrained: true, MessagePartial: true, IdleFor: 3, StallTimeout: 3}, NotHeld, 0},
+		"partial message too old":                  {ConnectionState{SocketDrained: true, MessagePartial: true, StallTimeout: 3, MessageAge: MaxMessageTime}, NotHeld, 0},
+		"process exits, response pending":          {ConnectionState{SocketDrained: true, ProcessExiting: true, ResponsesPending: true}, NotHeld, 0},
+		"partial message stalled in notice period": {ConnectionState{SocketDrained: true, MessagePartial: true, NoticeRemaining: time.Second}, NotHeld, 0},
 	} {
 		if reason, retryAfter := MayClose(x.connection); reason != x.reason || retryAfter != x.retryAfter {
 			t.Errorf("%s: MayClose = %q, %v, want %q, %v", name, reason, retryAfter, x.reason, x.retryAfter)
@@ -35,15 +35,15 @@
 
 func TestMayContinue(t *testing.T) {
 	for name, x := range map[string]struct {
-		input Input
+		input InputState
 		want  error
 	}{
-		"one invalid message":                      {Input{InvalidMessages: 1}, nil},
-		"all counts at the bounds":                 {Input{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages, SkippedBytes: MaxSkippedBytes}, nil},
-		"too many invalid messages":                {Input{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages + 1}, ErrTooManyInvalid},
-		"no valid message":                         {Input{InvalidMessages: InitialInvalidMessages + 1}, ErrTooManyInvalid},
-		"too many bytes skipped":                   {Input{ValidMessages: 1, SkippedBytes: MaxSkippedBytes + 1}, ErrNoMessages},
-		"too many bytes skipped, no valid message": {Input{SkippedBytes: InitialSkippedBytes + 1}, ErrNoMessages},
+		"one invalid message":                      {InputState{InvalidMessages: 1}, nil},
+		"all counts at the bounds":                 {InputState{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages, SkippedBytes: MaxSkippedBytes}, nil},
+		"too many invalid messages":                {InputState{ValidMessages: MaxInvalidMessages, InvalidMessages: MaxInvalidMessages + 1}, ErrTooManyInvalid},
+		"no valid message":                         {InputState{InvalidMessages: InitialInvalidMessages + 1}, ErrTooManyInvalid},
+		"too many bytes skipped":                   {InputState{ValidMessages: 1, SkippedBytes: MaxSkippedBytes + 1}, ErrTooManySkipped},
+		"too many bytes skipped, no valid message": {InputState{SkippedBytes: InitialSkippedBytes + 1}, ErrTooManySkipped},
 	} {
 		if err := MayContinue(x.input); !errors.Is(err, x.want) {
 			t.Errorf("%s: MayContinue = %v, want %v", name, err, x.want)
@@ -53,14 +53,14 @@
 
 func TestMayExit(t *testing.T) {
 	for name, x := range map[string]struct {
-		exit   Exit
+		exit   ExitState
 		reason HoldReason
 	}{
-		"nothing left":          {Exit{Checks: 1}, NotHeld},
-		"unaccepted connection": {Exit{PendingConnections: 1, OpenConnections: 1}, PendingConnections},
-		"open connection":       {Exit{OpenConnections: 1, UnansweredRequests: 1}, OpenConnections},
-		"unanswered request":    {Exit{UnansweredRequests: 1}, PendingResponses},
-		"too many checks":       {Exit{PendingConnections: 1, OpenConnections: 1, UnansweredRequests: 1, Checks: maxExitChecks}, NotHeld},
+		"nothing left":          {ExitState{Checks: 1}, NotHeld},
+		"unaccepted connection": {ExitState{PendingConnections: 1, OpenConnections: 1}, PendingConnections},
+		"open connection":       {ExitState{OpenConnections: 1, UnansweredRequests: 1}, OpenConnections},
+		"unanswered request":    {ExitState{UnansweredRequests: 1}, PendingResponses},
+		"too many checks":       {ExitState{PendingConnections: 1, OpenConnections: 1, UnansweredRequests: 1, Checks: maxExitChecks}, NotHeld},
 	} {
 		reason, retryAfter := MayExit(x.exit)
 		if reason != x.reason || (retryAfter > 0) != (reason != NotHeld) {
@@ -92,17 +92,17 @@
 
 func TestMayStart(t *testing.T) {
 	for name, x := range map[string]struct {
-		start Start
+		start StartState
 		want  error
 	}{
-		"queued":                               {Start{}, nil},
-		"answered":                             {Start{Answered: true}, ErrAnswered},
-		"running":                              {Start{Running: true}, ErrRunning},
-		"read at the grace period's end":       {Start{Draining: true, ReadBy: 5, GraceEnd: 5}, nil},
-		"read after the grace period":          {Start{Draining: true, ReadBy: 6, GraceEnd: 5}, ErrAfterGrace},
-		"resumed after the grace period":       {Start{Draining: true, ReadBy: 6, GraceEnd: 5, Resumed: true}, nil},
-		"key ran in its window":                {Start{KeyRan: true}, ErrKeyRan},
-		"read after the grace period, key ran": {Start{Draining: true, ReadBy: 6, GraceEnd: 5, KeyRan: true}, ErrKeyRan},
+		"queued":                               {StartState{}, nil},
+		"answered":                             {StartState{Answered: true}, ErrAnswered},
+		"running":                              {StartState{Running: true}, ErrRunning},
+		"read at the grace period's end":       {StartState{Draining: true, LatestReadTime: 5, GraceEnd: 5}, nil},
+		"read after the grace period":          {StartState{Draining: true, LatestReadTime: 6, GraceEnd: 5}, ErrAfterGrace},
+		"resumed after the grace period":       {StartState{Draining: true, LatestReadTime: 6, GraceEnd: 5, Resumed: true}, nil},
+		"key ran in its window":                {StartState{KeyRan: true}, ErrKeyRan},
+		"read after the grace period, key ran": {StartState{Draining: true, LatestReadTime: 6, GraceEnd: 5, KeyRan: true}, ErrKeyRan},
 	} {
 		if err := MayStart(x.start); !errors.Is(err, x.want) {
 			t.Errorf("%s: MayStart = %v, want %v", name, err, x.want)
@@ -112,15 +112,15 @@
 
 func TestMayCall(t *testing.T) {
 	for name, x := range map[string]struct {
-		call Call
+		call CallState
 		want error
 	}{
-		"first call":                        {Call{Needed: true}, nil},
-		"not needed":                        {Call{}, ErrCallNotNeeded},
-		"in flight":                         {Call{Needed: true, InFlight: true}, ErrCallInFlight},
-		"repeated, may have had its effect": {Call{Needed: true, Attempted: true}, ErrMayHaveRun},
-		"repeated, proven without effect":   {Call{Needed: true, Attempted: true, ProvenWithoutEffect: true}, nil},
-		"repeated, idempotent":              {Call{Needed: true, Attempted: true, Idempotent: true}, nil},
+		"first call":                        {CallState{Needed: true}, nil},
+		"not needed":                        {CallState{}, ErrCallNotNeeded},
+		"in flight":                         {CallState{Needed: true, InFlight: true}, ErrCallInFlight},
+		"repeated, may have had its effect": {CallState{Needed: true, Attempted: true}, ErrMayHaveRun},
+		"repeated, proven without effect":   {CallState{Needed: true, Attempted: true, ProvenWithoutEffect: true}, nil},
+		"repeated, idempotent":              {CallState{Needed: true, Attempted: true, Idempotent: true}, nil},
 	} {
 		if err := MayCall(x.call); !errors.Is(err, x.want) {
 			t.Errorf("%s: MayCall = %v, want %v", name, err, x.want)
@@ -129,10 +129,10 @@
 }
 
 func TestMayShedAndAnswer(t *testing.T) {
-	if err := MayShed(Shed{MayHaveRun: true}); !errors.Is(err, ErrMayHaveRun) {
+	if err := MayShed(ShedState{MayHaveRun: true}); !errors.Is(err, ErrMayHaveRun) {
 		t.Errorf("MayShed(may have run) = %v, want %v", err, ErrMayHaveRun)
 	}
-	if err := MayShed(Shed{MayHaveRun: true, Idempotent: true}); err != nil {
+	if err := MayShed(ShedState{MayHaveRun: true, Idempotent: true}); err != nil {
 		t.Errorf("MayShed(may have run, idempotent) = %v, want nil", err)
 	}
 	if err := MayAnswer(true); !errors.Is(err, ErrAnswered) {
@@ -149,7 +149,7 @@
 		ErrConnectionEnded: "guard: the connection has ended",
 		ErrTooManyFailures: "guard: too many consecutive reads or writes of the connection failed",
 		ErrTooManyInvalid:  "guard: too many invalid messages on the connection",
-		ErrNoMessages:      "guard: too many consecutive bytes on the connection without a message",
+		ErrTooManySkipped:  "guard: too many consecutive bytes on the connection without a message",
 		ErrAnswered:        "guard: the request is already answered",
 		ErrRunning:         "guard: the request is already running",
 		ErrAfterGrace:      "guard: the request was read after the grace period of the drain",
@@ -167,9 +167,9 @@
 
 func TestMonitor_CountsByRule(t *testing.T) {
 	m := NewMonitor(slog.New(slog.DiscardHandler))
-	m.Violated(LostRequest, "request", "a")
-	m.Denied(DrainStart, ErrAfterGrace, "b")
-	m.Denied(DrainStart, ErrAfterGrace, "c")
+	m.RecordViolation(LostRequest, "request", "a")
+	m.RecordDenial(DrainStart, ErrAfterGrace, "b")
+	m.RecordDenial(DrainStart, ErrAfterGrace, "c")
 	for _, rule := range Rules {
 		wantViolations, wantDenials := int64(0), int64(0)
 		switch rule {
@@ -183,8 +183,8 @@
 		}
 	}
 	var nilMonitor *Monitor
-	nilMonitor.Violated(LostRequest)
-	nilMonitor.Denied(LostRequest, ErrAnswered, "")
+	nilMonitor.RecordViolation(LostRequest)
+	nilMonitor.RecordDenial(LostRequest, ErrAnswered, "")
 	if nilMonitor.Violations(LostRequest) != 0 || nilMonitor.Denials(LostRequest) != 0 {
 		t.Error("a nil monitor counts violations or denials, want none")
 	}
--- a/guard/input.go
+++ b/guard/input.go
@@ -3,7 +3,7 @@
 // The denials of [MayContinue].
 var (
 	ErrTooManyInvalid error = &DenialError{"too many invalid messages on the connection"}
-	ErrNoMessages     error = &DenialError{"too many consecutive bytes on the connection without a message"}
+	ErrTooManySkipped error = &DenialError{"too many consecutive bytes on the connection without a message"}
 )
 
 // Bounds of invalid input. A connection that exceeds one is not read any further. The
@@ -16,8 +16,8 @@
 	InitialSkippedBytes    = 4 << 10  // the same before the first valid message
 )
 
-// Input counts what the owner of a connection has read from it.
-type Input struct {
+// InputState counts what the owner of a connection has read from it.
+type InputState struct {
 	ValidMessages   int
 	InvalidMessages int
 	SkippedBytes    int // consecutive bytes up to now in which no message started
@@ -29,12 +29,12 @@
 // Inputs: the numbers of valid messages, invalid messages, and consecutive skipped bytes.
 // Rule: the connection is read further within the bounds above. Reason: the requests before
 // and after an invalid message must still get their responses.
-func MayContinue(input Input) error {
+func MayContinue(input InputState) error {
 	switch {
 	case input.InvalidMessages > min(InitialInvalidMessages+input.ValidMessages, MaxInvalidMessages):
 		return ErrTooManyInvalid
 	case input.SkippedBytes > MaxSkippedBytes, input.ValidMessages == 0 && input.SkippedBytes > InitialSkippedBytes:
-		return ErrNoMessages
+		return ErrTooManySkipped
 	}
 	return nil
 }
--- a/guard/monitor.go
+++ b/guard/monitor.go
@@ -46,8 +46,8 @@
 	return m
 }
 
-// Violated counts and logs a violation of a rule. The attributes are added to the log event.
-func (m *Monitor) Violated(rule Rule, attributes ...any) {
+// RecordViolation counts and logs a violation of a rule. The attributes are added to the log event.
+func (m *Monitor) RecordViolation(rule Rule, attributes ...any) {
 	if m == nil {
 		return
 	}
@@ -55,9 +55,9 @@
 	m.log.Error(eventViolation, append([]any{"rule", string(rule)}, attributes...)...)
 }
 
-// Denied counts and logs that an action for a request was denied because it would have
+// RecordDenial counts and logs that an action for a request was denied because it would have
 // broken a rule. request is the request's ID, or empty if there is none.
-func (m *Monitor) Denied(rule Rule, reason error, request string) {
+func (m *Monitor) RecordDenial(rule Rule, reason error, request string) {
 	if m == nil {
 		return
 	}
--- a/guard/request.go
+++ b/guard/request.go
@@ -13,16 +13,16 @@
 	ErrCallNotNeeded error = &DenialError{"the request is not waiting for a downstream call"}
 )
 
-// Start is the state of a request that is to be run. Times are on the process's timeline
+// StartState is the state of a request that is to be run. Times are on the process's timeline
 // (package clock).
-type Start struct {
-	Answered bool
-	Running  bool
-	Resumed  bool          // it was started earlier and then paused
-	KeyRan   bool          // an attempt of its idempotency key ran, and this one arrived in the key's window
-	ReadBy   time.Duration // the latest time at which its last byte may have been read
-	Draining bool
-	GraceEnd time.Duration // end of the drain's grace period
+type StartState struct {
+	Answered       bool
+	Running        bool
+	Resumed        bool          // it was started earlier and then paused
+	KeyRan         bool          // an attempt of its idempotency key ran, and this one arrived in the key's window
+	LatestReadTime time.Duration // the latest time at which its last byte may have been read
+	Draining       bool
+	GraceEnd       time.Duration // end of the drain's grace period
 }
 
 // MayStart decides whether a run may begin.
@@ -33,7 +33,7 @@
 // in its window, and the process has promised to start nothing that it reads after the
 // grace period. The latest possible time of the read counts, not a time that the caller
 // claims.
-func MayStart(s Start) error {
+func MayStart(s StartState) error {
 	switch {
 	case s.Answered:
 		return ErrAnswered
@@ -43,14 +43,14 @@
 		return nil
 	case s.KeyRan:
 		return ErrKeyRan
-	case s.Draining && s.ReadBy > s.GraceEnd:
+	case s.Draining && s.LatestReadTime > s.GraceEnd:
 		return ErrAfterGrace
 	}
 	return nil
 }
 
-// Call is the state of a downstream call that is to be made for a run.
-type Call struct {
+// CallState is the state of a downstream call that is to be made for a run.
+type CallState struct {
 	Needed              bool // the run waits for the call
 	InFlight            bool // the call was sent and has not ended
 	Idempotent          bool // the request's class is idempotent
@@ -64,7 +64,7 @@
 // is needed and not in flight is made once. It is repeated only if its class is idempotent
 // or the last outcome proved that it had no effect. Reason: without that proof, the call may
 // have had its effect.
-func MayCall(c Call) error {
+func MayCall(c CallState) error {
 	switch {
 	case !c.Needed:
 		return ErrCallNotNeeded
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// Shed is the state of a request that is to be shed.
-type Shed struct {
+// ShedState is the state of a request that is to be shed.
+type ShedState struct {
 	Idempotent bool // the request's class is idempotent
 	MayHaveRun bool // a run of it, or of another attempt of its key, may have had its effect
 }
@@ -87,7 +87,7 @@
 // Inputs: whether the request may have run, and whether it is idempotent. Rule: a request
 // that may have run is shed only if it is idempotent. Reason: a shed request is reported as
 // never run, so its caller sends it to another server.
-func MayShed(s Shed) error {
+func MayShed(s ShedState) error {
 	if s.MayHaveRun && !s.Idempotent {
 		return ErrMayHaveRun
 	}
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -4,17 +4,17 @@
 
 // Names of the messages that the simulator sends.
 const (
-	BatchStart  = "CLOCK"       // starts a batch of events, with its time
-	BatchEnd    = "GO"          // ends the batch: the instances decide and the host replies
-	Start       = "HELLO"       // an instance is started
-	Stop        = "EXIT"        // an instance was terminated
-	RequestRead = "REQ"         // a request was read
-	RunDone     = "WORK_DONE"   // a run ended
-	CallerGone  = "CLIENT_GONE" // the caller of a request no longer waits for the response
-	CallNeeded  = "NEEDS_DEP"   // a run waits for a downstream call
-	CallDone    = "CAME_BACK"   // a downstream call ended
-	Drain       = "LEAVING"     // the instance has to drain, because its process will be stopped
-	TimerDue    = "RING"        // a timer is due; has the current gauges
+	BatchStart    = "CLOCK"       // starts a batch of events, with its time
+	BatchEnd      = "GO"          // ends the batch: the instances decide and the host replies
+	InstanceStart = "HELLO"       // an instance is started
+	InstanceExit  = "EXIT"        // an instance was terminated
+	RequestRead   = "REQ"         // a request was read
+	RunDone       = "WORK_DONE"   // a run ended
+	CallerGone    = "CLIENT_GONE" // the caller of a request no longer waits for the response
+	CallNeeded    = "NEEDS_DEP"   // a run waits for a downstream call
+	CallDone      = "CAME_BACK"   // a downstream call ended
+	Drain         = "LEAVING"     // the instance has to drain, because its process will be stopped
+	TimerDue      = "RING"        // a timer is due; has the current gauges
 )
 
 // Names of the messages that the host sends: the actions of decision.Host, the failure of an
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -11,8 +11,8 @@
 // Reply encodes the actions of one instance as lines and buffers them. It implements
 // decision.Host.
 type Reply struct {
-	Instance int64 // ID of the instance
-	buf      []byte
+	InstanceID int64 // ID of the instance
+	buf        []byte
 }
 
 // TakeLines returns the buffered lines and empties the buffer. The bytes are valid until the
@@ -106,7 +106,7 @@
 // begin starts a line.
 func (r *Reply) begin(name string) {
 	r.buf = append(r.buf, name...)
-	r.int(fieldInstance, r.Instance)
+	r.int(fieldInstance, r.InstanceID)
 }
 
 // beginRequest starts a line about a request.
--- a/limits/pools.go
+++ b/limits/pools.go
@@ -10,14 +10,14 @@
 // core's goroutine uses it.
 type Pools struct {
 	config        Config
-	pools         []*pool      // by class
-	reads         map[read]int // number of runs in flight for each read
+	pools         []*pool         // by class
+	reads         map[readKey]int // number of runs in flight for each read
 	reservedInUse int
 }
 
-// read identifies reads by their class and the item that they read. Concurrent reads of the
+// readKey identifies reads by their class and the item that they read. Concurrent reads of the
 // same item are coalesced: they are one load downstream.
-type read struct {
+type readKey struct {
 	class int
 	item  string
 }
@@ -35,11 +35,11 @@
 	queuedAt time.Duration
 }
 
-// source says where a run's slot comes from.
-type source uint8
+// slotSource says where a run's slot comes from.
+type slotSource uint8
 
 const (
-	noSlot source = iota
+	noSlot slotSource = iota
 	ownSlot
 	borrowedSlot // unused by other pools
 	reservedSlot
@@ -48,7 +48,7 @@
 // Permit allows a run to be in flight. Pass it to Release when the run ends.
 type Permit struct {
 	class     int
-	source    source
+	source    slotSource
 	coalesced bool   // the same read was in flight already: holds no slot, and its latency is not observed
 	item      string // the item that the run reads; empty if unknown or if the run writes
 }
@@ -65,7 +65,7 @@
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	p := &Pools{config: config, reads: map[read]int{}}
+	p := &Pools{config: config, reads: map[readKey]int{}}
 	for range config.Classes {
 		p.addPool()
 	}
@@ -76,8 +76,8 @@
 	p.pools = append(p.pools, &pool{vegasLimit: vegasLimit{limit: p.config.InitialLimit}})
 }
 
-// Capacity returns the limit of a class's pool, in slots.
-func (p *Pools) Capacity(class int) float64 { return p.pools[class].limit }
+// Limit returns the limit of a class's pool, in slots.
+func (p *Pools) Limit(class int) float64 { return p.pools[class].limit }
 
 // InUse returns the number of runs that hold a slot of a class's pool.
 func (p *Pools) InUse(class int) int { return p.pools[class].inUse }
@@ -92,7 +92,7 @@
 // are one load downstream.
 func (p *Pools) TryAcquire(class int, item string) (Permit, bool) {
 	p.ensurePool(class)
-	r := read{class, item}
+	r := readKey{class, item}
 	if item != "" && p.reads[r] > 0 {
 		p.reads[r]++
 		return Permit{class: class, coalesced: true, item: item}, true
@@ -121,7 +121,7 @@
 // that other pools don't use, unless runs of the class wait downstream; then a reserved one,
 // if the class is the cheapest. Reason: a class whose runs wait downstream would only
 // overload it further, and the cheapest class must run under any load.
-func (p *Pools) findSlot(class int) source {
+func (p *Pools) findSlot(class int) slotSource {
 	own := p.pools[class]
 	switch {
 	case own.inUse < own.slots():
@@ -208,14 +208,14 @@
 		pool.inUse--
 	}
 	if succeeded && latency > 0 {
-		pool.observe(latency, p.config.MaxLimit, pool.wasUsed())
+		pool.observe(latency, p.config.MaxLimit, pool.usedHalfOfLimit())
 	}
 	return p.admitQueued()
 }
 
-// wasUsed reports whether the pool used at least half of its limit just before the run that
-// has just released its slot ended.
-func (p *pool) wasUsed() bool {
+// usedHalfOfLimit reports whether the pool used at least half of its limit just before a run
+// ended. The run must have released its slot already.
+func (p *pool) usedHalfOfLimit() bool {
 	return len(p.queue) > 0 || float64(p.inUse+1) >= p.limit/2
 }
 
@@ -224,7 +224,7 @@
 	if permit.item == "" {
 		return
 	}
-	r := read{permit.class, permit.item}
+	r := readKey{permit.class, permit.item}
 	if p.reads[r]--; p.reads[r] <= 0 {
 		delete(p.reads, r)
 	}
--- a/limits/pools_test.go
+++ b/limits/pools_test.go
@@ -104,8 +104,8 @@
 			t.Errorf("%.0f slow requests per second: served %v in time of %v by class", c.slowRate, r.servedByClass,
 				[]float64{c.slowRate * 30, 400 * 30})
 		}
-		if pools.Capacity(0) == pools.Capacity(1) {
-			t.Errorf("both classes have the limit %.1f, want different ones", pools.Capacity(0))
+		if pools.Limit(0) == pools.Limit(1) {
+			t.Errorf("both classes have the limit %.1f, want different ones", pools.Limit(0))
 		}
 	}
 }
@@ -150,10 +150,10 @@
 	if !ok || !ok2 || !second.coalesced || p.InUse(0) != 1 {
 		t.Fatalf("acquired %t and %t, second run coalesced %t, %d slots in use, want true, true, true, 1", ok, ok2, second.coalesced, p.InUse(0))
 	}
-	limit := p.Capacity(0)
+	limit := p.Limit(0)
 	p.Release(second, time.Hour, true)
-	if p.Capacity(0) != limit {
-		t.Errorf("the latency of a coalesced run changed the limit from %v to %v", limit, p.Capacity(0))
+	if p.Limit(0) != limit {
+		t.Errorf("the latency of a coalesced run changed the limit from %v to %v", limit, p.Limit(0))
 	}
 	p.Release(first, 10*time.Millisecond, true)
 	if third, _ := p.TryAcquire(0, "kampanj-7"); third.coalesced || p.InUse(0) != 1 {
@@ -207,8 +207,8 @@
 // TestTryAcquire_AddsPoolForNewClass acquires a slot for a class that new settings have added.
 func TestTryAcquire_AddsPoolForNewClass(t *testing.T) {
 	p := newPools(t, 1, 0)
-	if _, ok := p.TryAcquire(3, ""); !ok || p.InUse(3) != 1 || p.Capacity(3) != 4 {
-		t.Errorf("new class: acquired %t, %d slots in use, limit %v, want true, 1, 4", ok, p.InUse(3), p.Capacity(3))
+	if _, ok := p.TryAcquire(3, ""); !ok || p.InUse(3) != 1 || p.Limit(3) != 4 {
+		t.Errorf("new class: acquired %t, %d slots in use, limit %v, want true, 1, 4", ok, p.InUse(3), p.Limit(3))
 	}
 }
 
--- a/limits/simulation_test.go
+++ b/limits/simulation_test.go
@@ -92,7 +92,7 @@
 		if pools != nil {
 			s.expire(now)
 			if now%limitSampleInterval == 0 {
-				s.result.limits = append(s.result.limits, pools.Capacity(0))
+				s.result.limits = append(s.result.limits, pools.Limit(0))
 			}
 		}
 	}
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -34,7 +34,7 @@
 	r.SetClasses([]string{"page", "gift"})
 	r.ObserveResponse("page", dispatch.Served, 200*time.Millisecond, true)
 	r.ObserveResponse("gift", dispatch.Shed, 0, false)
-	monitor.Denied(guard.LateAnswer, errors.New("late"), "")
+	monitor.RecordDenial(guard.LateAnswer, errors.New("late"), "")
 	r.ConnectionEnded(transport.Ending{Reason: transport.Idle, PartialBytes: 2, DiscardedBytes: 3}, 4)
 	got := scrape(t, r)
 	for _, line := range []string{
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -220,8 +220,8 @@
 }
 
 // exitFacts returns the facts by which package guard decides whether the process may end.
-func (s *Server) exitFacts(accepted <-chan struct{}, checks int) guard.Exit {
-	facts := guard.Exit{Checks: checks}
+func (s *Server) exitFacts(accepted <-chan struct{}, checks int) guard.ExitState {
+	facts := guard.ExitState{Checks: checks}
 	if !isClosed(accepted) {
 		facts.PendingConnections = 1
 	}
@@ -239,7 +239,7 @@
 func (s *Server) reportStopped(connections string) {
 	open := s.unanswered()
 	if open > 0 {
-		s.monitor.Violated(guard.LostRequest, "open_requests", open, "reason", "the process ends")
+		s.monitor.RecordViolation(guard.LostRequest, "open_requests", open, "reason", "the process ends")
 	}
 	s.log.Info("stopped", "connections", connections, "open_requests", open)
 }
--- a/transport/serve.go
+++ b/transport/serve.go
@@ -133,8 +133,8 @@
 // connectionFacts collects what guard.MayClose decides by. Where the connection may be about
 // to end for idling, it notifies the peer, as the time that the peer then has is one of the
 // facts.
-func (c *Conn) connectionFacts() guard.Connection {
-	facts := guard.Connection{
+func (c *Conn) connectionFacts() guard.ConnectionState {
+	facts := guard.ConnectionState{
 		SocketDrained: c.examined, ResponsesPending: c.hasResponsesPending(), MessagePartial: c.reader.Buffered() > 0, StallTimeout: c.stallTimeout,
 	}
 	now := time.Now()
--- a/transport/state.go
+++ b/transport/state.go
@@ -104,7 +104,7 @@
 
 // examination is what is known of an open connection whose socket was found empty.
 type examination struct {
-	facts          guard.Connection
+	facts          guard.ConnectionState
 	request        connRequest
 	untilDrain     time.Duration // until the drain deadline
 	deadlinePassed bool          // the read deadline
@@ -130,7 +130,7 @@
 		}
 		return verdict{requestDone: true}
 	case x.request == requestDrain:
-		x.facts.ProcessEnding = x.untilDrain <= 0
+		x.facts.ProcessExiting = x.untilDrain <= 0
 		reason, again := guard.MayClose(x.facts)
 		if reason == guard.NotHeld {
 			return verdict{end: Drained}
--- a/transport/state_test.go
+++ b/transport/state_test.go
@@ -35,7 +35,7 @@
 		notice = time.Second
 		later  = time.Minute
 	)
-	idle := guard.Connection{SocketDrained: true, StallTimeout: stall}
+	idle := guard.ConnectionState{SocketDrained: true, StallTimeout: stall}
 	pending, partial, stalled, notified := idle, idle, idle, idle
 	pending.ResponsesPending = true
 	partial.MessagePartial, partial.IdleFor = true, silent
@@ -50,34 +50,34 @@
 		request    connRequest
 		passed     bool          // the read deadline
 		untilDrain time.Duration // the drain deadline
-		want       map[*guard.Connection]verdict
+		want       map[*guard.ConnectionState]verdict
 	}{
-		{name: "none", request: requestNone, want: map[*guard.Connection]verdict{
+		{name: "none", request: requestNone, want: map[*guard.ConnectionState]verdict{
 			&idle: {}, &pending: {}, &partial: {}, &stalled: {}, &notified: {},
 		}},
-		{name: "none, deadline passed", request: requestNone, passed: true, want: map[*guard.Connection]verdict{
+		{name: "none, deadline passed", request: requestNone, passed: true, want: map[*guard.ConnectionState]verdict{
 			&idle: {end: ReadTimeout}, &pending: again(pendingCheckInterval), &partial: again(stall - silent),
 			&stalled: {end: ReadTimeout}, &notified: again(notice),
 		}},
-		{name: "mark", request: requestMark, passed: true, want: map[*guard.Connection]verdict{
+		{name: "mark", request: requestMark, passed: true, want: map[*guard.ConnectionState]verdict{
 			&idle: done, &pending: done, &partial: done, &stalled: done, &notified: done,
 		}},
-		{name: "close if idle", request: requestCloseIfIdle, passed: true, want: map[*guard.Connection]verdict{
+		{name: "close if idle", request: requestCloseIfIdle, passed: true, want: map[*guard.ConnectionState]verdict{
 			&idle: {end: Idle}, &pending: done, &partial: done, &stalled: done, &notified: done,
 		}},
-		{name: "drain", request: requestDrain, passed: true, untilDrain: later, want: map[*guard.Connection]verdict{
+		{name: "drain", request: requestDrain, passed: true, untilDrain: later, want: map[*guard.ConnectionState]verdict{
 			&idle: {end: Drained}, &pending: again(pendingAgain), &partial: again(stall - silent),
 			&stalled: {end: Drained}, &notified: again(notice),
 		}},
-		{name: "drain, soon", request: requestDrain, untilDrain: time.Millisecond, want: map[*guard.Connection]verdict{
+		{name: "drain, soon", request: requestDrain, untilDrain: time.Millisecond, want: map[*guard.ConnectionState]verdict{
 			&idle: {end: Drained}, &pending: again(time.Millisecond), &partial: again(time.Millisecond),
 			&stalled: {end: Drained}, &notified: again(time.Millisecond),
 		}},
-		{name: "drain, deadline passed", request: requestDrain, want: map[*guard.Connection]verdict{
+		{name: "drain, deadline passed", request: requestDrain, want: map[*guard.ConnectionState]verdict{
 			&idle: {end: Drained}, &pending: {end: Drained}, &partial: {end: Drained},
 			&stalled: {end: Drained}, &notified: {end: Drained},
 		}},
-		{name: "close, asked for meanwhile", request: requestClose, want: map[*guard.Connection]verdict{
+		{name: "close, asked for meanwhile", request: requestClose, want: map[*guard.ConnectionState]verdict{
 			&idle: {}, &pending: {}, &partial: {}, &stalled: {}, &notified: {},
 		}},
 	} {
