--- a/cmd/simhost/server.go
+++ b/cmd/simhost/server.go
@@ -28,30 +28,30 @@
 func serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, bufferSize)
 	s := &server{out: bufio.NewWriterSize(w, bufferSize), instances: make(map[int64]*instance)}
-	for number := 1; ; number++ {
+	for lineNumber := 1; ; lineNumber++ {
 		line, err := in.ReadString('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("reading line %d: %w", number, err)
+			return fmt.Errorf("reading line %d: %w", lineNumber, err)
 		}
 		if err != nil && line == "" {
-			return s.checkEOF(number)
+			return s.checkEOF(lineNumber)
 		}
-		if err := s.handleLine(number, strings.TrimRight(line, "\r\n")); err != nil {
+		if err := s.handleLine(lineNumber, strings.TrimRight(line, "\r\n")); err != nil {
 			return err
 		}
 	}
 }
 
 // checkEOF returns an error if the input ends inside a batch.
-func (s *server) checkEOF(number int) error {
+func (s *server) checkEOF(lineNumber int) error {
 	if s.inBatch {
-		return fmt.Errorf("line %d: the input ends inside a batch", number)
+		return fmt.Errorf("line %d: the input ends inside a batch", lineNumber)
 	}
 	return nil
 }
 
 // handleLine handles one line, and replies if it ends a batch. It ignores empty lines.
-func (s *server) handleLine(number int, line string) error {
+func (s *server) handleLine(lineNumber int, line string) error {
 	if line == "" {
 		return nil
 	}
@@ -60,7 +60,7 @@
 		err = s.handleMessage(message)
 	}
 	if err != nil {
-		return fmt.Errorf("line %d: %w", number, err)
+		return fmt.Errorf("line %d: %w", lineNumber, err)
 	}
 	if message.Name != simwire.BatchEnd {
 		return nil
@@ -119,16 +119,16 @@
 		s.remove(id)
 		return nil
 	}
-	i := s.instances[id]
-	if i == nil {
+	inst := s.instances[id]
+	if inst == nil {
 		return nil
 	}
 	event, err := decodeEvent(m, s.now)
 	if err != nil {
 		return err
 	}
-	s.addToBatch(i)
-	i.handleEvent(event)
+	s.addToBatch(inst)
+	inst.handleEvent(event)
 	return nil
 }
 
@@ -140,41 +140,41 @@
 		return fmt.Errorf("HELLO: %w", err)
 	}
 	s.remove(id)
-	i := newInstance(id)
-	s.instances[id] = i
-	s.addToBatch(i)
-	i.start(settings, seed)
+	inst := newInstance(id)
+	s.instances[id] = inst
+	s.addToBatch(inst)
+	inst.start(settings, seed)
 	return nil
 }
 
 // remove removes a terminated instance, and discards its actions in the current batch.
 func (s *server) remove(id int64) {
-	i := s.instances[id]
-	if i == nil {
+	inst := s.instances[id]
+	if inst == nil {
 		return
 	}
 	delete(s.instances, id)
-	for k, other := range s.batchInstances {
-		if other == i {
-			s.batchInstances = append(s.batchInstances[:k], s.batchInstances[k+1:]...)
+	for i, other := range s.batchInstances {
+		if other == inst {
+			s.batchInstances = append(s.batchInstances[:i], s.batchInstances[i+1:]...)
 			return
 		}
 	}
 }
 
 // addToBatch records that an instance has an event in the current batch.
-func (s *server) addToBatch(i *instance) {
-	if !i.inBatch {
-		i.inBatch = true
-		s.batchInstances = append(s.batchInstances, i)
+func (s *server) addToBatch(inst *instance) {
+	if !inst.inBatch {
+		inst.inBatch = true
+		s.batchInstances = append(s.batchInstances, inst)
 	}
 }
 
 // reply lets each instance with an event in the batch decide, and writes the reply.
 func (s *server) reply() error {
-	for _, i := range s.batchInstances {
-		i.inBatch = false
-		if _, err := s.out.Write(i.decide(s.now)); err != nil {
+	for _, inst := range s.batchInstances {
+		inst.inBatch = false
+		if _, err := s.out.Write(inst.decide(s.now)); err != nil {
 			return err
 		}
 	}
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -11,7 +11,7 @@
 // Reply encodes the actions of one instance as lines and buffers them. It implements
 // decision.Host.
 type Reply struct {
-	InstanceID int64 // ID of the instance
+	InstanceID int64
 	buf        []byte
 }
 
@@ -24,136 +24,137 @@
 }
 
 // Run implements decision.Host.
-func (r *Reply) Run(id string) { r.requestLine(actionRun, id) }
+func (r *Reply) Run(id string) { r.appendRequestLine(actionRun, id) }
 
 // Cancel implements decision.Host.
-func (r *Reply) Cancel(id string) { r.requestLine(actionCancel, id) }
+func (r *Reply) Cancel(id string) { r.appendRequestLine(actionCancel, id) }
 
 // Shed implements decision.Host.
 func (r *Reply) Shed(id string, retryAfter time.Duration, noRetry bool) {
-	r.beginRequest(actionShed, id)
-	r.time(fieldRetryAfter, retryAfter)
-	r.bool(fieldNoRetry, noRetry)
-	r.end()
+	r.beginRequestLine(actionShed, id)
+	r.appendTime(fieldRetryAfter, retryAfter)
+	r.appendBool(fieldNoRetry, noRetry)
+	r.endLine()
 }
 
 // Fail implements decision.Host.
-func (r *Reply) Fail(id string) { r.requestLine(actionFail, id) }
+func (r *Reply) Fail(id string) { r.appendRequestLine(actionFail, id) }
 
 // Call implements decision.Host.
 func (r *Reply) Call(id string, timeout time.Duration) {
-	r.beginRequest(actionCall, id)
-	r.time(fieldTimeout, timeout)
-	r.end()
+	r.beginRequestLine(actionCall, id)
+	r.appendTime(fieldTimeout, timeout)
+	r.endLine()
 }
 
 // SkipCall implements decision.Host.
-func (r *Reply) SkipCall(id string) { r.requestLine(actionSkipCall, id) }
+func (r *Reply) SkipCall(id string) { r.appendRequestLine(actionSkipCall, id) }
 
 // CacheResult implements decision.Host.
 func (r *Reply) CacheResult(id string, ttl time.Duration) {
-	r.beginRequest(actionCacheResult, id)
-	r.time(fieldTTL, ttl)
-	r.end()
+	r.beginRequestLine(actionCacheResult, id)
+	r.appendTime(fieldTTL, ttl)
+	r.endLine()
 }
 
 // EvictResult implements decision.Host.
-func (r *Reply) EvictResult(id string) { r.requestLine(actionEvictResult, id) }
+func (r *Reply) EvictResult(id string) { r.appendRequestLine(actionEvictResult, id) }
 
 // ServeCached implements decision.Host.
-func (r *Reply) ServeCached(id string) { r.requestLine(actionServeCached, id) }
+func (r *Reply) ServeCached(id string) { r.appendRequestLine(actionServeCached, id) }
 
 // SetHealth implements decision.Host.
 func (r *Reply) SetHealth(healthy, cached bool) {
-	r.begin(actionSetHealth)
-	r.bool(fieldCached, cached)
-	r.bool(fieldHealthy, healthy)
-	r.end()
+	r.beginLine(actionSetHealth)
+	r.appendBool(fieldCached, cached)
+	r.appendBool(fieldHealthy, healthy)
+	r.endLine()
 }
 
 // PublishLoad implements decision.Host.
 func (r *Reply) PublishLoad(value float64) {
-	r.begin(actionPublishLoad)
-	r.key(fieldLoad)
+	r.beginLine(actionPublishLoad)
+	r.appendKey(fieldLoad)
 	r.buf = strconv.AppendFloat(r.buf, value, 'f', -1, 64)
-	r.end()
+	r.endLine()
 }
 
 // SetIdleTimeout implements decision.Host.
 func (r *Reply) SetIdleTimeout(after time.Duration) {
-	r.begin(actionSetIdleTimeout)
-	r.time(fieldTTL, after)
-	r.end()
+	r.beginLine(actionSetIdleTimeout)
+	r.appendTime(fieldTTL, after)
+	r.endLine()
 }
 
 // SetTimer implements decision.Host.
 func (r *Reply) SetTimer(after time.Duration, token int64) {
-	r.begin(actionSetTimer)
-	r.time(fieldDelay, after)
-	r.int(fieldToken, token)
-	r.end()
+	r.beginLine(actionSetTimer)
+	r.appendTime(fieldDelay, after)
+	r.appendInt(fieldToken, token)
+	r.endLine()
 }
 
 // Log implements decision.Host.
-func (r *Reply) Log(event decision.Event) { r.textLine(actionLog, LogText(event)) }
+func (r *Reply) Log(event decision.Event) { r.appendTextLine(actionLog, LogText(event)) }
 
 // ReportFailure replaces the buffered actions by a message that the instance has failed.
 func (r *Reply) ReportFailure(cause string) {
 	r.buf = r.buf[:0]
-	r.textLine(instanceFailed, cause)
+	r.appendTextLine(instanceFailed, cause)
 }
 
-// begin starts a line.
-func (r *Reply) begin(name string) {
+// beginLine starts a line with the message's name and the instance.
+func (r *Reply) beginLine(name string) {
 	r.buf = append(r.buf, name...)
-	r.int(fieldInstance, r.InstanceID)
+	r.appendInt(fieldInstance, r.InstanceID)
 }
 
-// beginRequest starts a line about a request.
-func (r *Reply) beginRequest(name, id string) {
-	r.begin(name)
-	r.text(fieldRequest, id)
+// beginRequestLine starts a line about a request.
+func (r *Reply) beginRequestLine(name, id string) {
+	r.beginLine(name)
+	r.appendText(fieldRequest, id)
 }
 
-// requestLine adds a line whose only field, besides the instance, is a request.
-func (r *Reply) requestLine(name, id string) {
-	r.beginRequest(name, id)
-	r.end()
+// appendRequestLine appends a line whose only field, besides the instance, is a request.
+func (r *Reply) appendRequestLine(name, id string) {
+	r.beginRequestLine(name, id)
+	r.endLine()
 }
 
-// textLine adds a line with a text. Each sequence of white space in it becomes one space.
-func (r *Reply) textLine(name, text string) {
-	r.begin(name)
-	r.text(fieldText, strings.Join(strings.Fields(text), " "))
-	r.end()
+// appendTextLine appends a line with a text. Each sequence of white space in it becomes one
+// space.
+func (r *Reply) appendTextLine(name, text string) {
+	r.beginLine(name)
+	r.appendText(fieldText, strings.Join(strings.Fields(text), " "))
+	r.endLine()
 }
 
-// end terminates a line.
-func (r *Reply) end() { r.buf = append(r.buf, '\n') }
+// endLine terminates a line.
+func (r *Reply) endLine() { r.buf = append(r.buf, '\n') }
 
-// key adds the name of a field.
-func (r *Reply) key(key string) {
+// appendKey appends the name of a field.
+func (r *Reply) appendKey(key string) {
 	r.buf = append(r.buf, fieldSeparator...)
 	r.buf = append(r.buf, key...)
 	r.buf = append(r.buf, fieldAssignment...)
 }
 
-func (r *Reply) text(key, value string) {
-	r.key(key)
+func (r *Reply) appendText(key, value string) {
+	r.appendKey(key)
 	r.buf = append(r.buf, value...)
 }
 
-func (r *Reply) int(key string, value int64) {
-	r.key(key)
+func (r *Reply) appendInt(key string, value int64) {
+	r.appendKey(key)
 	r.buf = strconv.AppendInt(r.buf, value, 10)
 }
 
-func (r *Reply) bool(key string, value bool) {
+func (r *Reply) appendBool(key string, value bool) {
 	n := int64(0)
 	if value {
 		n = 1
 	}
-	r.int(key, n)
+	r.appendInt(key, n)
 }
 
-func (r *Reply) time(key string, value time.Duration) { r.int(key, value.Microseconds()) }
+func (r *Reply) appendTime(key string, value time.Duration) { r.appendInt(key, value.Microseconds()) }
