--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -9,13 +9,13 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// admit registers an attempt under its key, and reports it to the module. The module may
-// start, shed or fail it at any time from here on.
+// admit registers an attempt with its key and reports it to the module, which may start,
+// shed or fail it at any time from then on.
 func (c *Core) admit(a *attempt) {
 	duplicateOf := ""
 	if a.Key != "" {
 		a.bodyHash = hashBody(a.Payload.Body)
-		if !c.keys.Matches(a.keyAttempt(), c.mayShareKeys) { // the key's result is not for this caller
+		if !c.keys.Matches(a.keyAttempt(), c.mayShareKeys) { // another request has the key
 			c.respond(a, Outcome{Kind: Rejected})
 			return
 		}
@@ -25,56 +25,56 @@
 		ID: a.ID, Class: a.classIndex, Tenant: a.tenantIndex, CacheKey: a.CacheKey, ReservedKB: a.ReservedKB, Rank: a.Rank, Caller: a.Caller,
 		Write: a.classSettings.Effect != decision.Idempotent, Waited: c.now - a.readAfter, DuplicateOf: duplicateOf,
 	}
-	if a.deadline != a.readAfter+a.classSettings.Deadline { // the module counts the class's from readAfter
+	if a.deadline != a.readAfter+a.classSettings.Deadline { // the module counts the class's deadline from readAfter
 		r.Deadline = a.deadline
 	}
 	c.transition(a, stateQueued)
 	c.module.RequestReceived(c.now, r)
 }
 
-// hashBody returns a hash that is the same in every process, and that callers can't find
-// another body for.
+// hashBody returns a hash of a body. The hash is the same in every process, and
+// cryptographic: a caller can't find another body with the same hash.
 func hashBody(body []byte) uint64 {
 	sum := sha256.Sum256(body)
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// Shed has a request answered as shed, at once.
+// Shed answers a request as shed, or as failed if guard denies that.
 func (h host) Shed(id string, retryAfter time.Duration, noRetryElsewhere bool) {
 	a := h.attempts[id]
 	if a == nil {
 		return
 	}
-	if err := guard.MayShed(a.shedFacts()); err != nil { // it may have had its effect
+	if err := guard.MayShed(a.shedFacts()); err != nil { // the request may have had its effect
 		h.options.Monitor.Denied(guard.ShedAfterRun, err, id)
-		h.respond(a, h.failure(a))
+		h.respond(a, h.failureOutcome(a))
 		return
 	}
 	h.respond(a, Outcome{Kind: Shed, RetryAfter: retryAfter, NoRetryElsewhere: noRetryElsewhere})
 }
 
-// Fail has a request answered with an error, at once.
+// Fail answers a request as failed.
 func (h host) Fail(id string) {
 	if a := h.attempts[id]; a != nil {
-		h.respond(a, h.failure(a))
+		h.respond(a, h.failureOutcome(a))
 	}
 }
 
-// ServeCached has a duplicate answered with the result of the attempt that has its key,
-// once that has ended.
+// ServeCached answers a duplicate with the result of the attempt that owns its key, once
+// that has ended.
 func (h host) ServeCached(id string) {
 	if a := h.attempts[id]; a != nil {
 		h.awaitResult(a)
 	}
 }
 
-// awaitResult has an attempt wait for the one that has its key, or answers it if that has
-// ended.
+// awaitResult makes an attempt wait for the owner of its key, or answers it if the owner has
+// ended or it has no key.
 func (c *Core) awaitResult(a *attempt) {
 	if a.answered || a.entry != nil && a.entry.Await(a.ID) {
 		return
 	}
-	c.deferEvent(duplicateSettled{a, a.entry})
+	c.deferEvent(duplicateResolved{a, a.entry})
 }
 
 // CacheResult makes an attempt the owner of its key.
@@ -84,5 +84,6 @@
 	}
 }
 
-// EvictResult does nothing: the entry of an attempt that never ran goes with the attempt.
+// EvictResult does nothing: the key table removes the entry of a key that never ran together
+// with its last attempt.
 func (h host) EvictResult(string) {}
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -8,33 +8,34 @@
 	"quincerail.example/quincerail/limits"
 )
 
-// attempt is one attempt of a request: what its caller handed in, how the settings
-// in force at its arrival see it, and how far it has come.
+// attempt is one attempt of a request: the submitted request, its class settings at the
+// arrival, and its progress.
 //
-// Its life is a state machine. The decision module starts a queued or paused attempt
-// (host.Run); until the core reports the run's end (RunDone), the module counts it as
-// running, whatever the core still waits for before the backend may begin it.
+// Its lifecycle is a state machine. The decision module starts a queued or paused attempt
+// (host.Run). From then until the core reports the end of the run (RunDone), the module
+// counts the attempt as running, even while the core waits before the backend may start the
+// run.
 //
-//	state            leaves for                  when
-//	received         queued                      admitted: the decision module knows it
+//	from             to                          when
+//	received         queued                      admitted: reported to the decision module
 //	                 finished                    answered without being admitted
 //	queued           heldAfterStall              started right after a long stall of the process
-//	                 awaitingJournal             started; its key's claim has to be made durable
+//	                 awaitingJournal             started; the claim of its key has to be made durable
 //	                 awaitingPeer                started; its key is claimed from the predecessor
 //	                 awaitingPoolSlot            started; its class's pool is full
-//	                 startDenied                 started after the drain's grace, or no room in the pool's queue
-//	                 running                     started; the backend begins it
-//	                 finished                    answered, or its caller gave up, before it was started
+//	                 startDenied                 started after the drain's grace, or would wait too long for a slot
+//	                 running                     started; the backend starts the run
+//	                 finished                    answered, or its caller gave up, before the start
 //	heldAfterStall   as queued                   the hold is over
 //	                 finished                    its caller gave up during the hold
-//	awaitingJournal  awaitingPeer                claim durable; it is claimed from the predecessor as well
+//	awaitingJournal  awaitingPeer                claim durable; its key is claimed from the predecessor as well
 //	                 awaitingPoolSlot,
 //	                 startDenied, running        claim durable
-//	                 queued                      the predecessor has disconnected, and another attempt has the key
+//	                 queued                      the predecessor has disconnected, and another attempt has run for the key
 //	                 finished                    claim can't be made durable, or its caller gave up
 //	awaitingPeer     awaitingPoolSlot,
 //	                 startDenied, running        claim granted, or the predecessor has disconnected
-//	                 queued                      claim denied: it waits for the result of the attempt that has it
+//	                 queued                      claim denied: it waits for the result of the attempt that has the claim
 //	                 finished                    its caller gave up
 //	awaitingPoolSlot running                     a slot is free
 //	                 startDenied                 a slot is free, but the drain's grace is over
@@ -47,81 +48,81 @@
 //	                 queued                      the backend cancelled the run, and no answer was given
 //	                 finished                    the run has ended
 //	paused           running, awaitingPoolSlot,
-//	                 startDenied                 started again; its key's claim still holds
+//	                 startDenied                 started again; it still has the claim of its key
 //	                 finished                    answered, or its caller gave up
 //
-// The module has states of its own (policy/request.go). In its view an attempt that is
-// queued here is queued or coalesced; or running, if it was started and waits for the
-// result of another attempt, which has its key. One that is paused here is preempted, and
-// one that is started (attemptState.started) is running, awaitingCall or callInFlight.
+// The module has states of its own (policy/request.go). An attempt that is queued here is
+// queued or coalesced there, or running if it was started and waits for the result of
+// another attempt of its key. A paused attempt is preempted there, and a started one
+// (attemptState.started) is running, awaitingCall or callInFlight.
 //
-// An attempt is in Core.attempts from received to finished. Four facts do not follow
-// from the state, and are kept beside it: answered, mayHaveRun, holdsPoolSlot and resumed.
+// An attempt is in Core.attempts from received to finished. Four facts do not follow from
+// the state and have fields of their own: answered, mayHaveRun, holdsPoolSlot and resumed.
 type attempt struct {
 	Request
 	state attemptState
 
-	// answered is set with the one answer, or when the caller gives up. A run may go on
-	// after that.
+	// answered is set when the final answer is given or the caller gives up. The run may
+	// continue after that.
 	answered bool
-	// mayHaveRun is set once the backend gets the run, and unset if the backend proves
-	// that it did not begin. While it is set, the run may have had its effect.
+	// mayHaveRun is set when the backend gets the run, and reset if the backend proves that
+	// the run did not start. While it is set, the run may have had its effect.
 	mayHaveRun bool
-	// holdsPoolSlot is set while poolPermit is to be given back to the pools.
+	// holdsPoolSlot is set while poolPermit has to be released to the pools.
 	holdsPoolSlot bool
 	poolPermit    limits.Permit
-	// resumed is set from the moment at which a paused run is started again until the
-	// backend begins it.
+	// resumed is set from the restart of a paused run by the module until the backend starts
+	// it.
 	resumed bool
 
 	classIndex    int
 	tenantIndex   int
-	classSettings decision.Class // as they were when the request came
+	classSettings decision.Class // at the arrival of the request
 	arrivedAt     time.Duration
-	readAfter     time.Duration // its last byte came after this; arrivedAt at the earliest
-	readBefore    time.Duration // its last byte came before this
+	readAfter     time.Duration // lower bound of when its last byte arrived; at least arrivedAt
+	readBefore    time.Duration // upper bound of when its last byte arrived
 	deadline      time.Duration
 	backend       Backend
-	bodyHash      uint64 // of keyed requests
-	call          *downstreamCall
-	callsMade     int
+	bodyHash      uint64             // of keyed requests
+	call          *downstreamCall    // that the run waits for; nil for none
+	callsMade     int                // the number of the latest call
 	entry         *idempotency.Entry // of keyed requests
 }
 
-// attemptState is how far an attempt has come.
+// attemptState is a state of an attempt; see there for the transitions.
 type attemptState uint8
 
 const (
-	// stateReceived: read by a front and handed in, but not known to the decision module.
+	// stateReceived: submitted, but not reported to the decision module.
 	stateReceived attemptState = iota
-	// stateQueued: waits for the decision module to start it, or for the result of
-	// the attempt that it repeats.
+	// stateQueued: waits for the decision module to start it, or for the result of the
+	// attempt that it duplicates.
 	stateQueued
-	// stateHeldAfterStall: started, but held back until a drain notice that came while
-	// the process stood still would have been seen.
+	// stateHeldAfterStall: started; held until a drain notice that was sent during the stall
+	// would have been received.
 	stateHeldAfterStall
-	// stateAwaitingJournal: started; waits until its key's claim is durable.
+	// stateAwaitingJournal: started; waits until the claim of its key is durable.
 	stateAwaitingJournal
-	// stateAwaitingPeer: started; waits for the predecessor's decision on its key's claim.
+	// stateAwaitingPeer: started; waits for the predecessor's decision on the claim.
 	stateAwaitingPeer
 	// stateAwaitingPoolSlot: started; waits in the queue of its class's pool.
 	stateAwaitingPoolSlot
-	// stateStartDenied: started by the module, but it may not begin. It is shed, and
-	// its run reported as not started, as soon as the module's decision is over.
+	// stateStartDenied: started by the module, but may not run. Right after the module's
+	// decision, it is shed and its run is reported as not started.
 	stateStartDenied
-	// stateRunning: its backend has the run.
+	// stateRunning: the backend has the run.
 	stateRunning
-	// stateCancelling: its backend has the run and the order to cancel it.
+	// stateCancelling: the backend has the run and was asked to cancel it.
 	stateCancelling
-	// statePaused: its run is paused at the backend, and the module may start it again.
+	// statePaused: the run is paused at the backend, and the module may start it again.
 	statePaused
-	// stateFinished: answered, and nothing runs for it any more. It is forgotten.
+	// stateFinished: answered and not running. The attempt is removed from Core.attempts.
 	stateFinished
 
 	attemptStates = iota
 )
 
-// String names the state.
+// String returns the state's name in log events.
 func (s attemptState) String() string {
 	return [attemptStates]string{
 		stateReceived: "received", stateQueued: "queued", stateHeldAfterStall: "held_after_stall",
@@ -131,8 +132,8 @@
 	}[s]
 }
 
-// started tells whether the decision module counts the attempt as running, and is owed
-// a report of the run's end.
+// started reports whether the decision module counts the attempt as running, so that the end
+// of the run has to be reported to it.
 func (s attemptState) started() bool {
 	switch s {
 	case stateReceived, stateQueued, statePaused, stateFinished:
@@ -141,12 +142,12 @@
 	return true
 }
 
-// awaitsClaim tells whether the start waits until its key's claim is durable or granted.
+// awaitsClaim reports whether the start waits until the claim is durable or granted.
 func (s attemptState) awaitsClaim() bool {
 	return s == stateAwaitingJournal || s == stateAwaitingPeer
 }
 
-// stateSet is a set of states, a bit for each.
+// stateSet is a set of states, with one bit for each.
 type stateSet uint16
 
 func setOf(states ...attemptState) (set stateSet) {
@@ -158,7 +159,7 @@
 
 func (set stateSet) has(s attemptState) bool { return set&(1<<s) != 0 }
 
-// transitions is the table in attempt's comment: the states that may follow each.
+// transitions are the states that may follow each state, as in the table at attempt.
 var transitions = [attemptStates]stateSet{
 	stateReceived: setOf(stateQueued, stateFinished),
 	stateQueued: setOf(stateHeldAfterStall, stateAwaitingJournal, stateAwaitingPeer, stateAwaitingPoolSlot,
@@ -175,9 +176,9 @@
 	statePaused:           setOf(stateRunning, stateAwaitingPoolSlot, stateStartDenied, stateFinished),
 }
 
-// transition moves an attempt to another state, and is the only place that does. One that
-// is not in the table is a fault of the core: it is logged, and the attempt moves on, as
-// its caller is still owed an answer.
+// transition is the only function that changes the state of an attempt. A transition that is
+// not in the table is a bug of the core. It is logged and takes place nevertheless, because
+// the caller must still get an answer.
 func (c *Core) transition(a *attempt, to attemptState) {
 	from := a.state
 	a.state = to
--- a/dispatch/attempt_test.go
+++ b/dispatch/attempt_test.go
@@ -11,84 +11,85 @@
 	"quincerail.example/quincerail/internal/randomsteps"
 )
 
-// checkTransitions has a core's attempts fail the test where they leave the table of
-// transitions, or where a state contradicts the facts beside it.
+// checkTransitions makes the test fail if an attempt of the core makes a transition that is
+// not in the table, or if its new state contradicts its other fields.
 func checkTransitions(t *testing.T, c *Core) {
 	c.onTransition = func(a *attempt, from, to attemptState) {
 		if !transitions[from].has(to) {
-			t.Errorf("%s: %s follows %s", a.ID, to, from)
+			t.Errorf("attempt %s: transition from %s to %s is not in the table", a.ID, from, to)
 		}
 		if to == stateFinished && (!a.answered || a.holdsPoolSlot) {
-			t.Errorf("%s: finished after %s, answered %t, holds a pool slot %t", a.ID, from, a.answered, a.holdsPoolSlot)
+			t.Errorf("attempt %s: finished from %s with answered = %t, holdsPoolSlot = %t, want true, false", a.ID, from, a.answered, a.holdsPoolSlot)
 		}
 		if a.state != to || from == to {
-			t.Errorf("%s: %s after a transition from %s to %s", a.ID, a.state, from, to)
+			t.Errorf("attempt %s: state is %s after a transition from %s to %s", a.ID, a.state, from, to)
 		}
 	}
 }
 
-// checkAttempts compares the states of all attempts of a core with the facts beside them.
+// checkAttempts checks that the states of all attempts of a core agree with their other
+// fields.
 func (h *harness) checkAttempts(t *testing.T, c *Core) {
 	t.Helper()
-	h.inLoop(c, func() {
+	h.runInLoop(c, func() {
 		for id, a := range c.attempts {
 			inProgress := a.state == stateRunning || a.state == stateCancelling
 			switch {
 			case a.ID != id || a.state == stateReceived || a.state == stateFinished || a.state == stateStartDenied:
-				t.Errorf("%s: %s between two batches", id, a.state)
+				t.Errorf("attempt %s: state is %s between two batches", id, a.state)
 			case a.answered && !a.state.started():
-				t.Errorf("%s: answered, and still %s", id, a.state)
+				t.Errorf("attempt %s: answered and not removed, state %s", id, a.state)
 			case inProgress && !a.mayHaveRun, a.resumed && a.state != stateAwaitingPoolSlot:
-				t.Errorf("%s: %s, may have run %t, resumed %t", id, a.state, a.mayHaveRun, a.resumed)
+				t.Errorf("attempt %s: state %s with mayHaveRun = %t, resumed = %t", id, a.state, a.mayHaveRun, a.resumed)
 			case a.holdsPoolSlot != (inProgress && c.pools != nil):
-				t.Errorf("%s: %s, holds a pool slot: %t", id, a.state, a.holdsPoolSlot)
+				t.Errorf("attempt %s: state %s with holdsPoolSlot = %t", id, a.state, a.holdsPoolSlot)
 			}
 		}
 	})
 	h.wait()
 }
 
-// slowPredecessor is a peer that leaves claims for the test to decide.
-type slowPredecessor struct {
+// manualPredecessor is a Peer that records claim requests for the test to decide.
+type manualPredecessor struct {
 	mu     sync.Mutex
-	claims []string // ids of attempts
+	claims []string // ids of the attempts whose claims are not decided
 }
 
 // ReplicateKey implements Peer.
-func (*slowPredecessor) ReplicateKey(KeyState) {}
+func (*manualPredecessor) ReplicateKey(KeyState) {}
 
 // RequestClaim implements Peer.
-func (s *slowPredecessor) RequestClaim(k KeyState) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.claims = append(s.claims, k.RanAttemptID)
+func (p *manualPredecessor) RequestClaim(k KeyState) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.claims = append(p.claims, k.RanAttemptID)
 }
 
 // DecideClaim implements Peer.
-func (*slowPredecessor) DecideClaim(string, bool) {}
+func (*manualPredecessor) DecideClaim(string, bool) {}
 
 // EndKeyBatch implements Peer.
-func (*slowPredecessor) EndKeyBatch(bool) {}
+func (*manualPredecessor) EndKeyBatch(bool) {}
 
 // SetTrafficDisabled implements Peer.
-func (*slowPredecessor) SetTrafficDisabled(bool) {}
+func (*manualPredecessor) SetTrafficDisabled(bool) {}
 
-// next gives a claim that is not decided yet; "" where there is none.
-func (s *slowPredecessor) next() (id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.claims) > 0 {
-		id, s.claims = s.claims[0], s.claims[1:]
+// nextClaim removes and returns the oldest claim that is not decided; "" if there is none.
+func (p *manualPredecessor) nextClaim() (id string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.claims) > 0 {
+		id, p.claims = p.claims[0], p.claims[1:]
 	}
 	return id
 }
 
-// stateWalk plays all that can happen to attempts, in random order, to a core with some
-// of the parts that a start may have to wait for.
+// stateWalk applies random events to the attempts of a core that has some of the parts for
+// which a start may wait: a journal, pools, pausing and a predecessor.
 type stateWalk struct {
 	*harness
-	journal     *journal // nil for none
-	predecessor *slowPredecessor
+	journal     *journal           // nil for none
+	predecessor *manualPredecessor // nil while none is connected
 	inForce     decision.Settings
 	submitted   int
 	draining    bool
@@ -99,7 +100,7 @@
 	withJournal, withPools, withPause, withPeer := s.Pick(2) == 1, s.Pick(2) == 1, s.Pick(2) == 1, s.Pick(2) == 1
 	w.harness = newHarnessWith(t, func(o *Options) {
 		o.Settings.Classes = append([]decision.Class(nil), o.Settings.Classes...)
-		o.Settings.Classes[2].Weight = 10 // so that it displaces others
+		o.Settings.Classes[2].Weight = 10 // so that its runs preempt others
 		if withPools {
 			o.Pools, o.Settings.Cores = &PoolOptions{InitialLimit: 1}, 8
 		}
@@ -113,13 +114,13 @@
 		w.inForce = o.Settings
 	})
 	if withPeer {
-		w.predecessor = &slowPredecessor{}
+		w.predecessor = &manualPredecessor{}
 		must(t, w.ConnectPeer(w.predecessor, true))
 	}
 	return w
 }
 
-// step does one thing that a caller, a backend or another party may do.
+// step applies one random event of a caller, the backend or another party.
 func (w *stateWalk) step(t *testing.T, s *randomsteps.Source) {
 	id := fmt.Sprint("r", s.Pick(w.submitted+1))
 	_, runs := w.running[id]
@@ -128,7 +129,7 @@
 		w.submitNext(t, s)
 	case 4:
 		if runs {
-			w.complete(id, RunEnd(s.Pick(4)), "result of "+id)
+			w.completeRun(id, RunEnd(s.Pick(4)), "result of "+id)
 		}
 	case 5:
 		if s.Pick(2) == 0 {
@@ -137,13 +138,13 @@
 			w.CallerDisconnected(id, responder{w.harness})
 		}
 	case 6:
-		w.settleJournal(s)
+		w.completeJournalClaims(s)
 	case 7:
 		w.decideClaim(s)
 	case 8:
 		w.sleep(time.Duration(1+s.Pick(40)) * 2 * time.Millisecond)
 	case 9:
-		w.disturb(t, s)
+		w.doRareStep(t, s)
 	}
 	w.wait()
 }
@@ -164,28 +165,28 @@
 	return class, fmt.Sprint(class, s.Pick(12))
 }
 
-func (w *stateWalk) settleJournal(s *randomsteps.Source) {
+func (w *stateWalk) completeJournalClaims(s *randomsteps.Source) {
 	if w.journal == nil {
 		return
 	}
 	var err error
 	if s.Pick(4) == 0 {
-		err = errors.New("full")
+		err = errors.New("store full")
 	}
-	w.journal.settle(err)
+	w.journal.completeClaims(err)
 }
 
 func (w *stateWalk) decideClaim(s *randomsteps.Source) {
 	if w.predecessor == nil {
 		return
 	}
-	if id := w.predecessor.next(); id != "" {
+	if id := w.predecessor.nextClaim(); id != "" {
 		w.ClaimDecided(w.predecessor, id, s.Pick(3) > 0)
 	}
 }
 
-// runInPeer has a predecessor run a key, or end its run.
-func (w *stateWalk) runInPeer(s *randomsteps.Source) {
+// replicateKeyFromPeer reports that the predecessor runs a key or has completed its run.
+func (w *stateWalk) replicateKeyFromPeer(s *randomsteps.Source) {
 	if w.predecessor == nil {
 		return
 	}
@@ -196,7 +197,7 @@
 	})
 }
 
-// changeCancelMode changes what becomes of runs that are cancelled.
+// changeCancelMode switches between pausing and discarding cancelled runs.
 func (w *stateWalk) changeCancelMode(t *testing.T) {
 	if w.inForce.CancelMode == decision.CancelPause {
 		w.inForce.CancelMode = decision.CancelDiscard
@@ -206,9 +207,9 @@
 	must(t, w.updateSettings(w.inForce, "read", "gift", "receipt"))
 }
 
-// disturb does what seldom happens: the peer goes or comes or runs a key, the process
-// stands still or is to drain, the settings change.
-func (w *stateWalk) disturb(t *testing.T, s *randomsteps.Source) {
+// doRareStep applies one random rare event: the peer disconnects, connects or replicates a
+// key, the process stalls or drains, or the settings change.
+func (w *stateWalk) doRareStep(t *testing.T, s *randomsteps.Source) {
 	switch s.Pick(9) {
 	case 0:
 		if w.predecessor != nil {
@@ -217,11 +218,11 @@
 		}
 	case 1, 2:
 		if w.predecessor == nil {
-			w.predecessor = &slowPredecessor{}
+			w.predecessor = &manualPredecessor{}
 			must(t, w.ConnectPeer(w.predecessor, true))
 		}
 	case 3, 4:
-		w.standStill()
+		w.simulateStall()
 	case 5:
 		if !w.draining && s.Pick(2) == 0 {
 			w.draining = true
@@ -229,35 +230,35 @@
 			w.Drain(notice, time.Now().Add(30*time.Second))
 		}
 	case 6, 7:
-		w.runInPeer(s)
+		w.replicateKeyFromPeer(s)
 	case 8:
 		w.changeCancelMode(t)
 	}
 }
 
-// FuzzAttemptStates walks attempts through their states by random steps: each transition
-// is one of the table, the facts beside the state agree with it, and in the end no attempt
-// is left.
+// FuzzAttemptStates applies random events to attempts. Each transition has to be in the
+// table, the state of an attempt has to agree with its other fields, and every attempt has to
+// be answered after its deadline.
 func FuzzAttemptStates(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		w := newStateWalk(t, s)
-		defer w.end()
+		defer w.stop()
 		for s.More() && w.submitted < 80 {
 			w.step(t, s)
 			w.checkAttempts(t, w.Core)
 		}
 		if w.journal != nil {
-			w.journal.settle(nil)
+			w.journal.completeClaims(nil)
 		}
 		if w.predecessor != nil {
 			w.PeerDisconnected(w.predecessor)
 		}
 		w.sleep(testDeadline + time.Second)
 		w.checkAttempts(t, w.Core)
-		w.inLoop(w.Core, func() {
+		w.runInLoop(w.Core, func() {
 			for id, a := range w.attempts {
 				if !a.answered {
-					t.Errorf("%s: %s, and not answered after its deadline", id, a.state)
+					t.Errorf("attempt %s: not answered after its deadline, state %s", id, a.state)
 				}
 			}
 		})
--- a/dispatch/cancel.go
+++ b/dispatch/cancel.go
@@ -1,8 +1,7 @@
 package dispatch
 
-// CancelRequest reports that a caller no longer waits for the request that it handed in
-// with a Responder; no answer is owed. The Responder keeps others from cancelling it by
-// its id.
+// CancelRequest cancels a request that has no answer yet; it gets none. r must be the
+// Responder with which it was submitted, so that no other caller can cancel it by its id.
 func (c *Core) CancelRequest(id string, r Responder) { c.notify(requestCancelled{id, r}) }
 
 type requestCancelled struct {
@@ -12,13 +11,13 @@
 
 func (e requestCancelled) apply(c *Core) {
 	if a := c.unansweredAttempt(e.id, e.responder); a != nil {
-		c.giveUp(a)
+		c.cancelAttempt(a)
 	}
 }
 
-// CallerDisconnected reports that the caller's connection has ended; no answer is owed. It
-// may retry: a keyed run goes on, so that a retry gets its result, as it must not run a
-// second time.
+// CallerDisconnected reports that the connection of a request's caller has ended; the request
+// gets no answer. A keyed run continues: the caller may retry, and the retry must get its
+// result instead of running a second time. Any other request is cancelled.
 func (c *Core) CallerDisconnected(id string, r Responder) { c.notify(callerDisconnected{id, r}) }
 
 type callerDisconnected struct {
@@ -31,14 +30,14 @@
 	switch {
 	case a == nil:
 	case a.entry != nil && a.state.started():
-		c.markAnswered(a) // the module hears of the run's end as of any other's
+		c.markAnswered(a) // the end of the run is reported to the module as usual
 	default:
-		c.giveUp(a)
+		c.cancelAttempt(a)
 	}
 }
 
-// unansweredAttempt returns the attempt that was handed in with a Responder, if it has no
-// answer yet.
+// unansweredAttempt returns the attempt with that id if it was submitted with the Responder
+// and has no answer yet, else nil.
 func (c *Core) unansweredAttempt(id string, r Responder) *attempt {
 	if a := c.attempts[id]; a != nil && !a.answered && a.Responder == r {
 		return a
@@ -46,8 +45,8 @@
 	return nil
 }
 
-// giveUp ends an attempt that no caller waits for.
-func (c *Core) giveUp(a *attempt) {
+// cancelAttempt ends an attempt whose caller no longer waits.
+func (c *Core) cancelAttempt(a *attempt) {
 	c.markAnswered(a)
 	if c.module != nil {
 		c.module.CallerGone(c.now, a.ID)
@@ -55,8 +54,8 @@
 	c.removeIfDone(a)
 }
 
-// Cancel cancels a run. One that waits for its claim, or is held after a stall, can't be
-// cancelled; if it is answered by the time that its wait ends, it is not begun.
+// Cancel cancels a run. It has no effect on an attempt that waits for its claim or is held
+// after a stall: such an attempt does not run if it is answered when its wait ends.
 func (h host) Cancel(id string) {
 	a := h.attempts[id]
 	switch {
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -7,15 +7,15 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// Run starts an attempt, or resumes it, if guard allows it. It claims the attempt's key in
-// the table; what is still to be waited for before the backend begins the run follows in
-// this order: the hold after a stall, the journal, the predecessor, a pool's slot.
+// Run starts an attempt, or resumes a paused one, if guard allows it. It claims the attempt's
+// key in the table. Before the backend starts the run, the attempt then waits for the end of
+// the hold after a stall, the journal, the predecessor and a pool's slot, in this order.
 func (h host) Run(id string) {
 	a := h.attempts[id]
 	if a == nil || !h.admitStart(a) {
 		return
 	}
-	if a.state == statePaused { // its key's claim still holds
+	if a.state == statePaused { // it still has the claim of its key
 		a.resumed = true
 		h.acquirePoolSlot(a)
 		return
@@ -30,9 +30,9 @@
 	h.recordClaim(a)
 }
 
-// admitStart asks guard whether an attempt may be started. If it may not, the attempt is
-// shed (its drain's grace is over), waits for the result of the attempt whose key has run,
-// or is left as it is (it is answered or runs).
+// admitStart asks guard whether an attempt may be started. If the grace of a drain is over,
+// it sheds the attempt instead; if the key has run, it makes the attempt wait for the result
+// of that run. An attempt that is answered or running stays as it is.
 func (c *Core) admitStart(a *attempt) bool {
 	err := guard.MayStart(c.startFacts(a))
 	switch {
@@ -46,8 +46,8 @@
 	return err == nil
 }
 
-// holdAfterStall holds a start back for a time, as a notice to drain may have come during
-// the stall and not be seen yet.
+// holdAfterStall delays a start, because a drain notice that was sent during the stall may
+// not have been received yet.
 func (c *Core) holdAfterStall(a *attempt, hold time.Duration) {
 	c.transition(a, stateHeldAfterStall)
 	time.AfterFunc(hold, func() { c.notify(stallHoldEnded{a}) })
@@ -59,15 +59,15 @@
 	a := e.attempt
 	switch {
 	case a.state != stateHeldAfterStall || c.attempts[a.ID] != a:
-	case a.answered: // its caller gave up during the hold
+	case a.answered: // its caller cancelled it or disconnected during the hold
 		c.completeNotStarted(a)
 	default:
 		c.recordClaim(a)
 	}
 }
 
-// recordClaim makes the claim of a started attempt's key durable, where there is a
-// journal, and goes on when it is.
+// recordClaim makes the claim of a started attempt durable if there is a journal. The start
+// continues in claimFromPredecessor, after the journal has reported the claim as durable.
 func (c *Core) recordClaim(a *attempt) {
 	if a.entry == nil || c.options.Journal == nil {
 		c.claimFromPredecessor(a)
@@ -77,8 +77,8 @@
 	c.options.Journal.Record(c.keyState(a.entry), func(err error) { c.notify(claimRecorded{a, err}) })
 }
 
-// claimRecorded reports that a claim is durable, or can't be made durable. Then the run
-// must not begin, as a restart would not know of it.
+// claimRecorded reports that a claim is durable, or that it can't be made durable (err). In
+// that case the attempt is shed, because the key could run again after a restart.
 type claimRecorded struct {
 	attempt *attempt
 	err     error
@@ -89,18 +89,18 @@
 	switch {
 	case a.state != stateAwaitingJournal || c.attempts[a.ID] != a:
 	case e.err != nil:
-		c.log.Warn("journal_refused", "key", a.Key, "error", e.err.Error())
+		c.log.Warn("journal_claim_failed", "key", a.Key, "error", e.err.Error())
 		c.shedNotStarted(a)
-	case a.answered: // its caller gave up meanwhile
+	case a.answered: // its caller cancelled it or disconnected meanwhile
 		c.completeNotStarted(a)
 	default:
 		c.claimFromPredecessor(a)
 	}
 }
 
-// claimFromPredecessor asks the predecessor, where there is one, whether a started
-// attempt may run: settleClaim goes on when it has decided. A successor is told of the
-// claim.
+// claimFromPredecessor requests the claim of a started attempt from the predecessor, if there
+// is one; resolveClaim continues the start after its decision. Otherwise the start continues
+// at once, and the claim is replicated to a successor, if there is one.
 func (c *Core) claimFromPredecessor(a *attempt) {
 	if a.entry == nil {
 		c.acquirePoolSlot(a)
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -7,7 +7,8 @@
 	"quincerail.example/quincerail/idempotency"
 )
 
-// RunCompleted reports how a run ended.
+// RunCompleted reports how a run ended, after what time and with what result. The result of
+// a failed run goes into the answer as well.
 func (c *Core) RunCompleted(id string, end RunEnd, took time.Duration, result Payload) {
 	c.notify(runCompleted{id, end, took, result})
 }
@@ -19,7 +20,7 @@
 	result Payload
 }
 
-// runOutcomes are the ends of a run as the module knows them.
+// runOutcomes are the outcomes that the module gets for each end of a run.
 var runOutcomes = [...]decision.Outcome{
 	RunSucceeded: decision.Succeeded, RunFailed: decision.Failed,
 	RunCancelled: decision.Cancelled, RunNotStarted: decision.NotStarted,
@@ -51,27 +52,27 @@
 	c.removeIfDone(a)
 }
 
-// canResume reports whether a run that has ended was only paused: it was cancelled, its
-// request still waits for an answer, and the settings let cancelled runs go on later.
+// canResume reports whether a run that has ended is only paused: it was cancelled while its
+// request has no answer, and the settings have CancelPause.
 func (c *Core) canResume(a *attempt, end RunEnd) bool {
 	return end == RunCancelled && a.state == stateCancelling && !a.answered && c.settings.CancelMode == decision.CancelPause
 }
 
-// respondToRun answers an attempt whose run has ended. One whose run was cancelled is left
-// to the module, or has its answer already.
+// respondToRun answers an attempt whose run has ended. If the run was cancelled, the attempt
+// has its answer already or the module decides about it.
 func (c *Core) respondToRun(a *attempt, end RunEnd, result Payload) {
 	switch end {
 	case RunSucceeded:
 		c.respond(a, Outcome{Kind: Served, Result: result})
 	case RunFailed, RunNotStarted:
-		o := c.failure(a)
+		o := c.failureOutcome(a)
 		o.Result = result
 		c.respond(a, o)
 	}
 }
 
-// recordRun records how a keyed run ended, for its duplicates: in the table, at the peer
-// and in the journal.
+// recordRun records the end of a keyed run for its duplicates: in the table, at the peer and
+// in the journal.
 func (c *Core) recordRun(a *attempt, end RunEnd, result Payload) {
 	if a.entry == nil || a.entry.RanAttemptID() != a.ID {
 		return
@@ -86,9 +87,9 @@
 	c.recordKey(a.entry, true)
 }
 
-// recordKey has the journal, where there is one, record the state of a key; nothing waits
-// for it. If that fails, the claim stays in force, in doubt: its retries fail, and it does
-// not run again within its window.
+// recordKey records the state of a key in the journal, if there is one, without waiting for
+// it. If that fails, a claim that the journal holds has no recorded end. It is in doubt after a
+// restart: the key does not run again within its window, and its retries fail.
 func (c *Core) recordKey(e *idempotency.Entry, completed bool) {
 	if c.options.Journal == nil {
 		return
@@ -101,20 +102,21 @@
 	})
 }
 
-// settleDuplicates has the duplicates that waited for a key settled.
-func (c *Core) settleDuplicates(e *idempotency.Entry, waiting []string) {
+// resolveDuplicates schedules answers to the duplicates that waited for the run of a key.
+func (c *Core) resolveDuplicates(e *idempotency.Entry, waiting []string) {
 	for _, id := range waiting {
-		c.deferEvent(duplicateSettled{c.attempts[id], e})
+		c.deferEvent(duplicateResolved{c.attempts[id], e})
 	}
 }
 
-// duplicateSettled answers a duplicate with what the attempt that ran came to.
-type duplicateSettled struct {
+// duplicateResolved answers a duplicate with the result of the attempt that ran, or as failed
+// if there is none.
+type duplicateResolved struct {
 	attempt *attempt
 	entry   *idempotency.Entry
 }
 
-func (e duplicateSettled) apply(c *Core) {
+func (e duplicateResolved) apply(c *Core) {
 	a := e.attempt
 	if a.answered {
 		return
@@ -124,7 +126,7 @@
 		outcome = decision.Succeeded
 		c.respond(a, Outcome{Kind: Served, Result: *e.entry.Result()})
 	} else {
-		c.respond(a, c.failure(a))
+		c.respond(a, c.failureOutcome(a))
 	}
 	c.module.RunDone(c.now, a.ID, outcome, 0)
 	c.removeIfDone(a)
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -14,77 +14,78 @@
 	"quincerail.example/quincerail/policy"
 )
 
-// Options are what a core is made of. Settings and Classes are required.
+// Options configure a core. Settings and Classes are required.
 type Options struct {
 	Settings         decision.Settings
-	Classes          []string // names, in the order of the settings
-	Tenants          []string // likewise; nil where the settings have none
+	Classes          []string // names of Settings.Classes, in their order
+	Tenants          []string // names of Settings.Tenants, in their order; nil if there are none
 	Seed             int64
-	Backend          Backend     // for requests that name none
-	Machine          Machine     // nil: no gauges, and deep health checks report the module's view
-	Dependency       Dependency  // nil: downstream calls fail to connect
+	Backend          Backend     // runs requests that have no backend of their own
+	Machine          Machine     // nil for no gauges and no deep health checks
+	Dependency       Dependency  // if nil, all downstream calls end with decision.ConnectFailed
 	Registrar        Registrar   // may be nil
 	Connections      Connections // may be nil
-	MaxKeyTableBytes int         // bound on the key table with its results; 0 for none
+	MaxKeyTableBytes int         // bound on the key table including its results; 0 for none
 
-	// Journal makes states of keys durable; nil keeps them in memory only. A keyed run
-	// begins once its claim is durable.
+	// Journal makes key states durable; nil keeps them in memory only. A keyed run starts
+	// only after its claim is durable.
 	Journal Journal
-	// RecoveredKeys is what a journal held at the start. A run that began and has no
-	// recorded end is in doubt: it is not run again, and its retries fail.
+	// RecoveredKeys are the key states that the journal held at the start. A run without a
+	// recorded end is in doubt: it does not run again, and its retries fail.
 	RecoveredKeys []KeyState
-	// InDoubtUntil is set where a journal lost records: until then, a key that the table
-	// does not know may have run, and an attempt of it fails.
+	// InDoubtUntil is set if the journal has lost records. Until then, a key that the table
+	// does not know may have run, and attempts of it fail.
 	InDoubtUntil time.Time
-	// Pools, if not nil, bound the runs of each class below the module, with limits that
-	// adapt (package limits).
+	// Pools, if not nil, limit the concurrent runs of each class in addition to the module.
+	// Their limits adapt to the measured latency (package limits).
 	Pools *PoolOptions
-	// Logger takes the log events; nil for slog.Default().
+	// Logger receives the log events; nil for slog.Default().
 	Logger *slog.Logger
 	// Observer gets each final answer; may be nil.
 	Observer Observer
-	// Monitor counts violations of the rules, and what was denied to keep them; may be nil.
+	// Monitor counts violations of the guard's rules and denials; may be nil.
 	Monitor *guard.Monitor
 }
 
-// PoolOptions are what the pools are made of.
+// PoolOptions configure the pools.
 type PoolOptions struct {
 	CheapestClass string
-	ReservedSlots int // for the cheapest class alone
-	InitialLimit  float64
+	ReservedSlots int     // that only the cheapest class may use
+	InitialLimit  float64 // of each pool, in slots
 }
 
-// Core carries out the decisions of the decision module. Its methods may be called from
-// any goroutine while Run works.
+// Core executes the decisions of the decision module. Its methods may be called from any
+// goroutine.
 type Core struct {
 	options         Options
-	initialClasses  map[string]bool // names of the classes that were there from the start
+	initialClasses  map[string]bool // names of the classes that the core was created with
 	clock           *clock.Clock
 	log             *slog.Logger
 	stallDetector   stallDetector
-	currentSettings atomic.Pointer[settingsTable] // for Submit; Run's goroutine replaces it
-	loadReport      atomic.Pointer[float64]       // nil where the settings have none
-	inFlight        atomic.Int64                  // requests handed in and not yet answered
+	currentSettings atomic.Pointer[settingsTable] // read by Submit; only Run's goroutine replaces it
+	loadReport      atomic.Pointer[float64]       // nil if there is no load value
+	inFlight        atomic.Int64                  // requests received and not yet answered
 	loop            eventLoop
 
-	// All below belongs to Run's goroutine.
+	// Only Run's goroutine uses the fields below.
 
-	now         time.Duration // of the batch, on the clock's timeline
+	now         time.Duration // time of the current batch on the clock's timeline
 	settings    decision.Settings
 	module      *policy.Instance // nil until the backend is ready
-	gauges      decision.Gauges  // as read last
+	gauges      decision.Gauges  // the latest reading
 	fleetBounds *decision.FleetBounds
 	attempts    map[string]*attempt // by id, from received to finished
 	keys        *idempotency.Table
-	pools       *limits.Pools // nil where the module alone bounds runs
+	pools       *limits.Pools // nil if only the module limits concurrent runs
 	health      healthState
 	replication replicationState
 	drain       drainState
 
-	onTransition func(a *attempt, from, to attemptState) // set by tests only
+	onTransition func(a *attempt, from, to attemptState) // called by transition; only tests set it
 }
 
-// New makes a core. The error names the setting that is invalid.
+// New creates a core, which processes events once Run is called. Its error names the
+// invalid setting.
 func New(opt Options) (*Core, error) {
 	c := &Core{
 		options: opt, initialClasses: make(map[string]bool), clock: clock.New(), log: opt.Logger, loop: newEventLoop(),
@@ -121,7 +122,7 @@
 	return err
 }
 
-// recoverKeys applies what a journal held.
+// recoverKeys puts the key states that the journal held into the table.
 func (c *Core) recoverKeys() {
 	if !c.options.InDoubtUntil.IsZero() {
 		c.replication.inDoubtUntil = c.clock.At(c.options.InDoubtUntil)
@@ -129,14 +130,15 @@
 	now := c.clock.Now()
 	for _, state := range c.options.RecoveredKeys {
 		if expiresAt := c.clock.At(state.ExpiresAt); expiresAt > now {
-			state.Completed = true // a run without a recorded end has ended with its process
+			state.Completed = true // a run without a recorded end ended with its process
 			c.keys.Apply(state, expiresAt)
 		}
 	}
 }
 
-// BackendReady reports that the backend came up so long ago, and whether it is cold. The
-// module is created then: its slow start counts from there.
+// BackendReady reports that the backend became ready this long ago, and whether it is cold.
+// It creates the module; the slow start of a cold backend counts from when it became ready.
+// Further calls have no effect.
 func (c *Core) BackendReady(cold bool, ago time.Duration) {
 	c.notify(backendReady{cold, ago})
 }
@@ -153,7 +155,7 @@
 	s := c.settings
 	s.SlowStart = e.cold
 	module, err := policy.New(s, c.options.Seed, host{c})
-	if err != nil { // applySettings has tried the same settings
+	if err != nil { // unexpected: applySettings has validated the same settings
 		c.log.Error("module_failed", "error", err.Error())
 		return
 	}
@@ -168,9 +170,10 @@
 	}
 }
 
-// SetFleetBounds has the module keep to this server's part of what its fleet shares.
-// reportDemand gets how many calls are in flight or waited for, whatever the bounds; it is
-// called by Run's goroutine, as FleetBounds.AcquireRetry is, and must not block.
+// SetFleetBounds limits the module to this server's share of the fleet's resources.
+// reportDemand gets the number of calls that are in flight or waiting, regardless of the
+// bounds. It is called on Run's goroutine, as is FleetBounds.AcquireRetry, and must not
+// block.
 func (c *Core) SetFleetBounds(b decision.FleetBounds, reportDemand func(calls int)) error {
 	return c.enqueue(fleetBoundsSet{b, reportDemand})
 }
@@ -187,18 +190,18 @@
 	}
 }
 
-// host carries out the module's actions: it implements decision.Host. Its methods are in
-// the files of the stages that they belong to.
+// host implements decision.Host, the actions of the module. Each method is in the file of
+// the stage that it belongs to.
 type host struct{ *Core }
 
-// SetIdleTimeout sets how long connections may idle.
+// SetIdleTimeout sets how long connections may be idle before they are closed.
 func (h host) SetIdleTimeout(after time.Duration) {
 	if h.options.Connections != nil {
 		h.options.Connections.SetIdleTimeout(after)
 	}
 }
 
-// Log writes an event of the module to the log, under the event's name.
+// Log writes an event of the module to the log; the message is the event's name.
 func (h host) Log(event decision.Event) {
 	//nolint:sloglint // the message is the event's name, a constant of package decision
 	h.log.LogAttrs(context.Background(), slog.LevelInfo, event.Name(), event.Attributes()...)
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-func TestAnswersOnce(t *testing.T) {
+func TestRespond_AnswersOnce(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		h.submit(t, "a", "read", "")
-		h.complete("a", RunSucceeded, "page")
-		h.complete("a", RunSucceeded, "page again")
+		h.completeRun("a", RunSucceeded, "page")
+		h.completeRun("a", RunSucceeded, "page again")
 		h.CancelRequest("a", responder{h})
 		h.wait()
 		h.wantAnswer(t, "a", Served, "page")
 	})
 }
 
-// TestDeadlineCountsFromArrival: the deadline of a request that is read late counts from its
-// arrival at the machine.
-func TestDeadlineCountsFromArrival(t *testing.T) {
+// TestSubmit_DeadlineCountsFromArrival submits a request that is read 4 s late: its deadline
+// counts from its arrival at the machine.
+func TestSubmit_DeadlineCountsFromArrival(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
-		began := time.Now()
-		h.mustSubmit(t, h.Core, Request{ID: "a", Class: "gift", Key: "k", ArrivedAt: began.Add(-4 * time.Second)})
+		submittedAt := time.Now()
+		h.mustSubmit(t, h.Core, Request{ID: "a", Class: "gift", Key: "k", ArrivedAt: submittedAt.Add(-4 * time.Second)})
 		h.sleep(testDeadline)
 		h.wantAnswer(t, "a", TimedOut, "")
-		if took := h.answeredAt["a"].Sub(began); took > time.Second+testSlack {
-			t.Errorf("answered after %v", took)
+		if took := h.answeredAt["a"].Sub(submittedAt); took > time.Second+testSlack {
+			t.Errorf("answered after %v, want at most %v", took, time.Second+testSlack)
 		}
 		if len(h.cancelled) != 1 {
-			t.Errorf("cancelled %v", h.cancelled)
+			t.Errorf("cancelled = %v, want the run of a", h.cancelled)
 		}
 	})
 }
 
-// TestIDUsedAgain: a caller that uses an id again gets an answer, though the module ignores
-// the second request.
-func TestIDUsedAgain(t *testing.T) {
+// TestSubmit_AnswersReusedID submits a second request with the id of an answered one: it gets
+// an answer, although the module ignores it.
+func TestSubmit_AnswersReusedID(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		h.submit(t, "a", "gift", "k")
-		h.complete("a", RunSucceeded, "thanks")
+		h.completeRun("a", RunSucceeded, "thanks")
 		h.answers = make(map[string][]Outcome)
 		h.submit(t, "a", "read", "")
 		h.sleep(testDeadline + testSlack)
@@ -46,9 +46,10 @@
 	})
 }
 
-// TestDrainNoticeSeenLate: the drain notice is seen late, so that the grace seems to last
-// longer than it does; what comes in the last moments of it does not run.
-func TestDrainNoticeSeenLate(t *testing.T) {
+// TestDrain_ShedsBeforeGraceEndsIfNoticeIsLate submits requests shortly before the grace
+// ends. The drain notice may have been received up to drainNoticeDelay late, so the last one
+// does not run.
+func TestDrain_ShedsBeforeGraceEndsIfNoticeIsLate(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		h.Drain(time.Now(), time.Now().Add(10*time.Second))
 		h.sleep(testGrace - 100*time.Millisecond)
@@ -57,14 +58,14 @@
 		h.submit(t, "b", "read", "")
 		h.wantAnswer(t, "b", Shed, "")
 		if h.starts["a"] != 1 || h.starts["b"] != 0 || h.accepting[len(h.accepting)-1] {
-			t.Errorf("runs %v, accepting %v", h.starts, h.accepting)
+			t.Errorf("starts = %v, accepting = %v, want only a started and the last report false", h.starts, h.accepting)
 		}
 	})
 }
 
-// TestIDOfAnotherCaller: a caller that uses the id of another's open request is rejected, and
-// can't cancel it.
-func TestIDOfAnotherCaller(t *testing.T) {
+// TestSubmit_RejectsIDOfAnotherCaller submits a request with the id of another caller's open
+// request: it is rejected, and can't cancel the other one.
+func TestSubmit_RejectsIDOfAnotherCaller(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		h.submit(t, "a", "gift", "k")
 		other := responder{&harness{answers: make(map[string][]Outcome), answeredAt: make(map[string]time.Time)}}
@@ -73,22 +74,22 @@
 		h.wait()
 		other.wantAnswer(t, "a", Rejected, "")
 		if len(h.cancelled) > 0 {
-			t.Error("another caller has cancelled its run")
+			t.Errorf("another caller has cancelled %v", h.cancelled)
 		}
-		h.complete("a", RunSucceeded, "thanks")
+		h.completeRun("a", RunSucceeded, "thanks")
 		h.wantAnswer(t, "a", Served, "thanks")
 	})
 }
 
-// TestStaleArrivalTime: one request with a wrong arrival time must not make reads seem late
-// by years, and so the server unhealthy.
-func TestStaleArrivalTime(t *testing.T) {
+// TestSubmit_StaleArrivalTimeKeepsServerHealthy guards against a request with a wrong arrival
+// time: it must not count as a read lag of years, which would make the server unhealthy.
+func TestSubmit_StaleArrivalTimeKeepsServerHealthy(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		h.mustSubmit(t, h.Core, Request{ID: "a", Class: "read", ArrivedAt: time.UnixMilli(1)})
 		h.sleep(time.Second)
 		h.wantAnswer(t, "a", TimedOut, "")
 		if !h.accepting[len(h.accepting)-1] {
-			t.Error("the server reports itself as unhealthy")
+			t.Errorf("reports to the registrar = %v, want the last to be true", h.accepting)
 		}
 	})
 }
--- a/dispatch/downstream_calls.go
+++ b/dispatch/downstream_calls.go
@@ -8,20 +8,21 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// downstreamCall is the call to the shared dependency that a run waits for.
+// downstreamCall is the call to the shared dependency that a run waits for, with its retries.
 type downstreamCall struct {
-	notice      uint64 // the backend's number of the notice that asked for it
+	notice      uint64 // the number of the backend's notice that requested the call
 	body        []byte
 	inFlight    bool
-	abandoned   bool // while it is in flight: a reply comes too late
-	attempted   bool // at least once
-	hadNoEffect bool // the last attempt is proven to have had no effect
-	startedAt   time.Duration
-	timer       *time.Timer
+	abandoned   bool          // abandoned while in flight: a reply to it is ignored
+	attempted   bool          // made at least once
+	hadNoEffect bool          // the latest attempt is proven to have had no effect
+	startedAt   time.Duration // of the latest attempt
+	timer       *time.Timer   // for its timeout, or for its end once it is abandoned
 }
 
-// CallRequested reports that a run waits for a downstream call. notice grows with each
-// call of a run.
+// CallRequested reports that a run waits for a downstream call. notice increases with each
+// call of a run. A report is ignored if the run already waits for a call with an equal or
+// greater number.
 func (c *Core) CallRequested(id string, notice uint64, body []byte) {
 	c.notify(callRequested{id, notice, body})
 }
@@ -42,8 +43,8 @@
 	c.module.CallNeeded(c.now, e.id)
 }
 
-// Call makes the call that a run waits for, or a retry of it, if guard allows it. The
-// dependency keeps no time-out: after it the core abandons the call (callTimedOut).
+// Call makes the call that a run waits for, or retries it, if guard allows that. The core,
+// not the dependency, enforces the timeout (callTimedOut).
 func (h host) Call(id string, timeout time.Duration) {
 	a := h.attempts[id]
 	if a == nil {
@@ -61,7 +62,7 @@
 	a.callsMade++
 	number := a.callsMade
 	if h.options.Dependency == nil {
-		h.deferEvent(callEnded{a, number, decision.ConnectFailed})
+		h.deferEvent(callEndedByCore{a, number, decision.ConnectFailed})
 		return
 	}
 	c := h.Core
@@ -69,12 +70,12 @@
 	h.options.Dependency.Call(id, number, timeout, call.body)
 }
 
-// callDenied reports a call that was not made as failed.
+// callDenied reports to the module that a call which guard denied has failed.
 type callDenied struct{ id string }
 
 func (e callDenied) apply(c *Core) { c.module.CallDone(c.now, e.id, decision.Failed, 0) }
 
-// callTimedOut abandons a call.
+// callTimedOut abandons a call, and reports its end to the module after abandonedCallDelay.
 type callTimedOut struct {
 	attempt *attempt
 	call    *downstreamCall
@@ -89,32 +90,35 @@
 	call.abandoned = true
 	c.options.Dependency.Abandon(a.ID)
 	call.timer = time.AfterFunc(c.abandonedCallDelay(), func() {
-		c.notify(callEnded{a, e.number, decision.TimedOut})
+		c.notify(callEndedByCore{a, e.number, decision.TimedOut})
 	})
 }
 
-// abandonedCallBatches is for how many batches the end of an abandoned call is held back.
+// abandonedCallBatches is the number of batches by which the report of an abandoned call to
+// the module is delayed.
 const abandonedCallBatches = 2
 
-// abandonedCallDelay is how long after a call was abandoned the module hears of its end. The
-// dependency processes an abandonment once a batch: a call that is made again before that
-// would be abandoned together with the first one.
+// abandonedCallDelay returns how long after a call was abandoned its end is reported to the
+// module. The dependency processes abandonments once per batch; a retry that the module makes
+// before that would be abandoned as well.
 func (c *Core) abandonedCallDelay() time.Duration {
 	return abandonedCallBatches * c.settings.BatchInterval
 }
 
-// callEnded reports the end of a call that the core knows by itself.
-type callEnded struct {
+// callEndedByCore reports the end of a call that the dependency does not report: it was
+// abandoned, or there is no dependency.
+type callEndedByCore struct {
 	attempt *attempt
 	number  int
 	outcome CallOutcome
 }
 
-func (e callEnded) apply(c *Core) { c.finishCall(e.attempt, e.number, e.outcome, nil) }
+func (e callEndedByCore) apply(c *Core) { c.finishCall(e.attempt, e.number, e.outcome, nil) }
 
-// CallCompleted reports how the call of that number ended.
-func (c *Core) CallCompleted(id string, number int, end CallOutcome, reply []byte) {
-	c.notify(callCompleted{id, number, end, reply})
+// CallCompleted reports how the call of a run with that number ended. It is ignored if the
+// call was abandoned or is not the latest of its run.
+func (c *Core) CallCompleted(id string, number int, outcome CallOutcome, reply []byte) {
+	c.notify(callCompleted{id, number, outcome, reply})
 }
 
 type callCompleted struct {
@@ -130,11 +134,11 @@
 	}
 }
 
-// finishCall takes in how a call ended, passes a reply on to the backend, and reports the
-// end to the module, which decides whether the call is retried.
+// finishCall records how a call ended, passes the reply of a successful one to the backend,
+// and reports the end to the module, which decides about a retry.
 func (c *Core) finishCall(a *attempt, number int, outcome CallOutcome, reply []byte) {
 	call := a.call
-	if call == nil || !call.inFlight || a.callsMade != number { // it is late: another may be in flight
+	if call == nil || !call.inFlight || a.callsMade != number { // stale: another call may be in flight
 		return
 	}
 	call.inFlight, call.hadNoEffect = false, outcome.ProvesNoEffect()
@@ -148,7 +152,7 @@
 	c.module.CallDone(c.now, a.ID, outcome, c.now-call.startedAt)
 }
 
-// SkipCall has a run go on without its call.
+// SkipCall lets a run continue without the call that it waits for.
 func (h host) SkipCall(id string) {
 	if a := h.attempts[id]; a != nil && a.call != nil {
 		notice := a.call.notice
@@ -157,7 +161,7 @@
 	}
 }
 
-// dropCall forgets the call that a run waited for, and abandons it if it is in flight.
+// dropCall removes the call that a run waits for, and abandons it if it is in flight.
 func (c *Core) dropCall(a *attempt) {
 	call := a.call
 	a.call = nil
--- a/dispatch/drain.go
+++ b/dispatch/drain.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// stopMargin is how long before the process is stopped all requests are answered.
+// stopMargin is how long before the end of the process all requests are answered.
 const stopMargin = 250 * time.Millisecond
 
-// drainState is what is known of the process's end. Times are on the clock's timeline.
+// drainState holds the deadlines of a drain or handover. Times are on the clock's timeline.
 type drainState struct {
 	draining bool
-	noticeAt time.Duration // when the notice to drain came, at the earliest
-	graceEnd time.Duration // nothing that is read later is begun
-	stopAt   time.Duration // all is answered by then; 0 where no end is known
-	// stallHoldUntil is set after a stall: nothing is begun before, as a notice to drain
-	// may have come that is not seen yet.
+	noticeAt time.Duration // the earliest time at which the drain notice may have been sent
+	graceEnd time.Duration // requests that are read later are not started
+	stopAt   time.Duration // all requests are answered by then; 0 if no end is known
+	// stallHoldUntil is set after a stall. No request is started before, because a drain
+	// notice may have been sent that has not been received yet.
 	stallHoldUntil time.Duration
-	idle           chan struct{} // closed once no attempt is left; nil where nobody waits for that
+	idle           chan struct{} // closed once no attempt is left; nil without a handover
 }
 
-// Drain begins a graceful shutdown. The notice came at a time at the earliest
-// (DrainNoticeTime), and the process is stopped at another. From the end of the grace on,
-// nothing that is read is begun; all is answered a margin before the process is stopped.
-func (c *Core) Drain(notice, stopAt time.Time) { c.notify(drainNoticed{notice, stopAt}) }
+// Drain begins a graceful shutdown. noticeAt is the earliest time at which the drain notice
+// may have been sent (DrainNoticeTime), and stopAt is when the process is stopped. Requests
+// that are read after the end of the grace are not started. All requests are answered by
+// stopMargin before stopAt. Further calls have no effect.
+func (c *Core) Drain(noticeAt, stopAt time.Time) { c.notify(drainNoticed{noticeAt, stopAt}) }
 
-type drainNoticed struct{ notice, stopAt time.Time }
+type drainNoticed struct{ noticeAt, stopAt time.Time }
 
 func (e drainNoticed) apply(c *Core) {
 	d := &c.drain
 	if d.draining {
 		return
 	}
-	d.draining, d.noticeAt, d.stopAt = true, c.clock.At(e.notice), c.clock.At(e.stopAt.Add(-stopMargin))
+	d.draining, d.noticeAt, d.stopAt = true, c.clock.At(e.noticeAt), c.clock.At(e.stopAt.Add(-stopMargin))
 	d.graceEnd = d.noticeAt + c.settings.DrainGrace
 	if c.module == nil {
 		c.setHealth(false, true)
@@ -38,9 +39,9 @@
 	c.module.Drain(d.noticeAt, d.stopAt)
 }
 
-// HandOver reports that a successor takes the requests to come. What is open here goes on,
-// and is answered a margin before the process is stopped. The channel is closed once
-// nothing is open.
+// HandOver reports that a successor receives all further requests. The open ones continue,
+// and are answered by stopMargin before stopAt, when the process is stopped. The channel is
+// closed once no request is open.
 func (c *Core) HandOver(stopAt time.Time) <-chan struct{} {
 	idle := make(chan struct{})
 	c.notify(handoverStarted{stopAt, idle})
@@ -57,8 +58,8 @@
 	c.drain.stopAt, c.drain.idle = c.clock.At(e.stopAt.Add(-stopMargin)), e.idle
 }
 
-// notifyIdle closes the channel of HandOver once no attempt is left.
-func (c *Core) notifyIdle() {
+// closeIdle closes the channel of HandOver once no attempt is left.
+func (c *Core) closeIdle() {
 	if c.drain.idle != nil && len(c.attempts) == 0 {
 		close(c.drain.idle)
 		c.drain.idle = nil
--- a/dispatch/eventloop.go
+++ b/dispatch/eventloop.go
@@ -5,24 +5,24 @@
 	"errors"
 )
 
-// mailboxCapacity is how many events may wait. Whoever leaves more is blocked, and with it
-// the connection that the event came from.
+// mailboxCapacity is how many events may be queued. Beyond it, a sender blocks, and so does
+// the connection that it serves.
 const mailboxCapacity = 1024
 
-// ErrStopped is returned for what comes after the core has ended.
-var ErrStopped = errors.New("stopped")
+// ErrStopped is returned by the methods of a core after Run has returned.
+var ErrStopped = errors.New("core has stopped")
 
-// event is something that has happened. Run's goroutine applies it to the core.
+// event is an input of the core, which Run's goroutine applies.
 type event interface {
 	apply(c *Core)
 }
 
-// eventLoop is what Run takes events from.
+// eventLoop holds the events that Run has not applied yet.
 type eventLoop struct {
 	events chan event
-	done   chan struct{} // closed when Run ends
-	// deferred events are brought about by the module's own actions. They are applied
-	// right after its decision, as it must not be called in the middle of one.
+	done   chan struct{} // closed when Run returns
+	// deferred events follow from the module's own actions. They are applied right after
+	// its decision, because an action must not call the module back.
 	deferred []event
 }
 
@@ -30,8 +30,8 @@
 	return eventLoop{events: make(chan event, mailboxCapacity), done: make(chan struct{})}
 }
 
-// Run applies events until ctx ends. All that are ready form one batch, after which the
-// module decides once.
+// Run applies events until ctx is done. All events that are queued form one batch, after
+// which the module decides.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.loop.done)
 	for {
@@ -42,16 +42,16 @@
 			c.advanceClock()
 			e.apply(c)
 		}
-		c.applyReady()
+		c.applyQueued()
 		c.decide()
 	}
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run returns.
 func (c *Core) Done() <-chan struct{} { return c.loop.done }
 
-// applyReady applies the events that are there already.
-func (c *Core) applyReady() {
+// applyQueued applies the events that are in the mailbox, without waiting for more.
+func (c *Core) applyQueued() {
 	for {
 		select {
 		case e := <-c.loop.events:
@@ -62,8 +62,8 @@
 	}
 }
 
-// decide lets the module decide on the batch, and again on the events that its own
-// actions bring about.
+// decide lets the module decide after a batch, and again after each round of deferred
+// events, until there are none.
 func (c *Core) decide() {
 	for c.module != nil {
 		c.module.Decide(c.now)
@@ -73,7 +73,7 @@
 		c.applyDeferred()
 	}
 	c.keys.Expire(c.now)
-	c.notifyIdle()
+	c.closeIdle()
 }
 
 func (c *Core) applyDeferred() {
@@ -84,15 +84,16 @@
 	}
 }
 
-// deferEvent has an event applied after the module's present decision, or its next one.
+// deferEvent schedules an event to be applied right after the module's current or next
+// decision.
 func (c *Core) deferEvent(e event) {
 	c.loop.deferred = append(c.loop.deferred, e)
 }
 
-// enqueue leaves an event for Run, and waits while the mailbox is full.
+// enqueue puts an event into the mailbox, and blocks while that is full.
 func (c *Core) enqueue(e event) error {
 	select {
-	case <-c.loop.done: // even if there is room: nobody would take it
+	case <-c.loop.done: // checked first: the mailbox may have room, but its events are no longer applied
 		return ErrStopped
 	default:
 	}
@@ -104,7 +105,7 @@
 	}
 }
 
-// notify leaves an event whose sender need not know if the core has ended.
+// notify is enqueue for senders that need not know whether the core has stopped.
 func (c *Core) notify(e event) {
 	_ = c.enqueue(e)
 }
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -18,26 +18,26 @@
 	testSlack    = 60 * time.Millisecond
 )
 
-// harness is a core at work, with a fake backend, dependency, registrar and responder. It
-// records what the core does. Maps are by the attempt's id.
+// harness runs a core with a fake backend, dependency, registrar and responder, and records
+// the core's calls to them. Its maps are by the attempt's id.
 type harness struct {
 	*Core
-	successor     *Core          // takes over from the core, if there is one
-	changeOptions func(*Options) // of each core that is started
+	successor     *Core          // the second core of a takeover; nil for none
+	changeOptions func(*Options) // applied to the options of each core that is started
 	cancel        context.CancelFunc
 
-	mu              sync.Mutex           // the test holds it except while it sleeps
-	running         map[string]time.Time // when runs that have not ended began
-	starts          map[string]int       // how often a run began
-	bodies          map[string]string    // that a run began with last
-	cancelled       []string             // runs that the core cancelled
+	mu              sync.Mutex           // held by the test except while it sleeps
+	running         map[string]time.Time // start times of the runs that have not ended
+	starts          map[string]int       // number of times that a run was started
+	bodies          map[string]string    // body at the latest start of a run
+	cancelled       []string             // ids of the runs that the core cancelled
 	answers         map[string][]Outcome
 	answeredAt      map[string]time.Time
-	callInFlight    map[string]int // number of the call
+	callInFlight    map[string]int // number of the call that is in flight
 	callReplies     map[string]string
-	callAbandonedAt map[string]time.Time // when the last call of a run was abandoned
-	earlyCalls      []string             // runs that called again too soon after that
-	accepting       []bool               // as reported to the registrar
+	callAbandonedAt map[string]time.Time // when the latest call of a run was abandoned
+	earlyCalls      []string             // ids of runs whose next call came within a batch after that
+	accepting       []bool               // all reports to the registrar
 }
 
 func (h *harness) lock() (unlock func()) {
@@ -45,7 +45,7 @@
 	return h.mu.Unlock
 }
 
-// sleep lets time pass, and waits until all goroutines are blocked.
+// sleep advances the time, and waits until all goroutines are blocked.
 func (h *harness) sleep(d time.Duration) {
 	h.mu.Unlock()
 	defer h.mu.Lock()
@@ -70,7 +70,7 @@
 	h.cancelled = append(h.cancelled, id)
 	if _, ok := h.running[id]; ok {
 		delete(h.running, id)
-		go h.each(func(c *Core) { c.RunCompleted(id, RunCancelled, 0, Payload{}) })
+		go h.forEachCore(func(c *Core) { c.RunCompleted(id, RunCancelled, 0, Payload{}) })
 	}
 }
 
@@ -118,8 +118,8 @@
 	r.answeredAt[id] = time.Now()
 }
 
-// settings are those of a server with two cores and three classes: read, which may go on
-// without its downstream call, and the keyed classes gift and receipt.
+// settings returns settings with two cores and three classes: read, which may skip its
+// downstream call, and the keyed classes gift and receipt.
 func settings() decision.Settings {
 	class := decision.Class{
 		LatencyObjective: 2 * time.Second, Deadline: testDeadline, Weight: 1, KeyWindow: testWindow,
@@ -142,7 +142,7 @@
 
 func newHarness(t *testing.T) *harness { return newHarnessWith(t, nil) }
 
-// newHarnessWith makes a harness whose core has other options.
+// newHarnessWith creates a harness and applies change to the options of its cores.
 func newHarnessWith(t *testing.T, change func(*Options)) *harness {
 	t.Helper()
 	h := &harness{
@@ -159,7 +159,7 @@
 	return h
 }
 
-// start starts a core.
+// start starts a core with the harness's options.
 func (h *harness) start(t *testing.T, ctx context.Context) *Core {
 	t.Helper()
 	opt := Options{Settings: settings(), Classes: []string{"read", "gift", "receipt"}, Seed: 1, Backend: h, Dependency: h, Registrar: h}
@@ -176,23 +176,23 @@
 	return core
 }
 
-// end stops the core, and waits until its timers have fired.
-func (h *harness) end() {
+// stop stops the core, and waits until its timers have fired.
+func (h *harness) stop() {
 	h.cancel()
 	h.sleep(time.Minute)
 	h.mu.Unlock()
 }
 
-// funcEvent has a core's goroutine call a function.
+// funcEvent is an event that calls a function.
 type funcEvent func()
 
 func (f funcEvent) apply(*Core) { f() }
 
-// inLoop has a core's goroutine call a function between two events.
-func (h *harness) inLoop(c *Core, f func()) { c.notify(funcEvent(f)) }
+// runInLoop calls a function on the goroutine of a core, between two events.
+func (h *harness) runInLoop(c *Core, f func()) { c.notify(funcEvent(f)) }
 
-// each does something with both cores. One ignores what it does not know of.
-func (h *harness) each(do func(*Core)) {
+// forEachCore calls do with each core. A core ignores events of unknown attempts.
+func (h *harness) forEachCore(do func(*Core)) {
 	do(h.Core)
 	if h.successor != nil {
 		do(h.successor)
@@ -210,8 +210,8 @@
 	h.wait()
 }
 
-// withDefaults fills in what most requests have in common: they arrive now, and the harness
-// gets their answer.
+// withDefaults fills in the defaults of a request: it arrives now, and the harness gets its
+// answer.
 func (h *harness) withDefaults(r Request) Request {
 	if r.ArrivedAt.IsZero() {
 		r.ArrivedAt = time.Now()
@@ -223,7 +223,7 @@
 	return r
 }
 
-// mustSubmit hands in a request, with defaults, and does not wait.
+// mustSubmit submits a request with defaults, and does not wait for its events.
 func (h *harness) mustSubmit(t *testing.T, c *Core, r Request) {
 	t.Helper()
 	must(t, c.Submit(h.withDefaults(r)))
@@ -237,33 +237,33 @@
 	}
 }
 
-func (h *harness) complete(id string, end RunEnd, body string) {
+func (h *harness) completeRun(id string, end RunEnd, body string) {
 	delete(h.running, id)
-	h.each(func(c *Core) { c.RunCompleted(id, end, time.Second, Payload{Body: []byte(body)}) })
+	h.forEachCore(func(c *Core) { c.RunCompleted(id, end, time.Second, Payload{Body: []byte(body)}) })
 	h.wait()
 }
 
-// runTest plays a test with a harness, on a clock of its own.
-func runTest(t *testing.T, play func(t *testing.T, h *harness)) {
+// runTest runs a test function with a harness and a fake clock.
+func runTest(t *testing.T, test func(t *testing.T, h *harness)) {
 	t.Helper()
-	runTestWith(t, nil, play)
+	runTestWith(t, nil, test)
 }
 
-// runTestWith is runTest with other options.
-func runTestWith(t *testing.T, change func(*Options), play func(t *testing.T, h *harness)) {
+// runTestWith is runTest with changed options.
+func runTestWith(t *testing.T, change func(*Options), test func(t *testing.T, h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarnessWith(t, change)
-		defer h.end()
-		play(t, h)
+		defer h.stop()
+		test(t, h)
 	})
 }
 
-// wantAnswer checks the one answer of a request.
+// wantAnswer checks that a request has exactly one answer, of a kind and with a body.
 func (h *harness) wantAnswer(t *testing.T, id string, kind OutcomeKind, body string) {
 	t.Helper()
 	got := h.answers[id]
 	if len(got) != 1 || got[0].Kind != kind || string(got[0].Result.Body) != body {
-		t.Errorf("%s: answers %+v, want one of kind %d with %q", id, got, kind, body)
+		t.Errorf("request %s: got answers %+v, want one of kind %d with body %q", id, got, kind, body)
 	}
 }
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -6,53 +6,55 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// maxDeepCheckWait bounds how long a deep health check waits for the machine.
+// maxDeepCheckWait bounds how long a deep health check waits for the machine's report.
 const maxDeepCheckWait = time.Second
 
-// healthState decides what health checks and the discovery service report of this server.
+// healthState holds what the reports to health checks and the discovery service depend on.
 type healthState struct {
-	healthy bool // as the module sees it
-	// cached is set where healthy is all that checks report: deep checks don't try the
+	healthy bool // the module's view of this server
+	// cached is set if all checks are answered from healthy: deep checks don't check the
 	// machine.
 	cached          bool
-	trafficDisabled bool // by operators
+	trafficDisabled bool // set by operators
 }
 
-// SetHealth sets how health checks are answered.
-func (h host) SetHealth(on, cached bool) { h.setHealth(on, cached) }
+// SetHealth sets the answer to health checks.
+func (h host) SetHealth(healthy, cached bool) { h.setHealth(healthy, cached) }
 
 func (c *Core) setHealth(healthy, cached bool) {
 	c.health.healthy, c.health.cached = healthy, cached
 	c.reportToRegistrar()
 }
 
-// acceptsTraffic reports whether callers may send requests here, whatever this server's
-// health: not before the backend is ready, while draining, or where operators disabled it.
+// acceptsTraffic reports whether callers may send requests here, regardless of this server's
+// health: not before the backend is ready, during a drain, or after operators disabled
+// traffic.
 func (c *Core) acceptsTraffic() bool {
 	return c.module != nil && !c.health.trafficDisabled && !c.drain.draining
 }
 
-// shouldReceiveTraffic reports whether callers should send requests here: it is healthy and
-// accepts them. Ready reports less: that requests can be run.
+// shouldReceiveTraffic reports whether this server accepts traffic and is healthy. Ready
+// reports less: only that requests can be run.
 func (c *Core) shouldReceiveTraffic() bool { return c.health.healthy && c.acceptsTraffic() }
 
-// reportToRegistrar reports to the discovery service whether callers should send requests
-// here. With ListFollowsHealth that includes this server's health.
+// reportToRegistrar reports to the discovery service whether this server accepts traffic, and
+// with the setting ListFollowsHealth also whether it is healthy.
 func (c *Core) reportToRegistrar() {
 	if c.options.Registrar != nil {
 		c.options.Registrar.SetAccepting(c.acceptsTraffic() && (c.health.healthy || !c.settings.ListFollowsHealth))
 	}
 }
 
-// CheckHealth answers a health check: from the module's view, or, if it is deep and the
-// module has not settled it, by a trial of the machine.
-func (c *Core) CheckHealth(deep bool, reply func(good bool)) error {
+// CheckHealth answers a health check by calling reply. The answer follows the module's view;
+// a deep check also checks the machine, unless the answer is already negative or the module
+// has set cached answers.
+func (c *Core) CheckHealth(deep bool, reply func(healthy bool)) error {
 	return c.enqueue(healthCheckRequested{deep, reply})
 }
 
 type healthCheckRequested struct {
 	deep  bool
-	reply func(good bool)
+	reply func(healthy bool)
 }
 
 func (e healthCheckRequested) apply(c *Core) {
@@ -61,33 +63,33 @@
 		return
 	}
 	check := &deepCheck{reply: e.reply}
-	late := time.AfterFunc(maxDeepCheckWait, func() { c.notify(deepCheckCompleted{check, false}) })
-	c.options.Machine.CheckHealth(func(good bool) {
-		late.Stop()
-		c.notify(deepCheckCompleted{check, good})
+	timeout := time.AfterFunc(maxDeepCheckWait, func() { c.notify(deepCheckCompleted{check, false}) })
+	c.options.Machine.CheckHealth(func(healthy bool) {
+		timeout.Stop()
+		c.notify(deepCheckCompleted{check, healthy})
 	})
 }
 
-// deepCheck is a health check that waits for the machine.
+// deepCheck is a deep health check that waits for the machine's report.
 type deepCheck struct {
-	reply    func(good bool)
+	reply    func(healthy bool)
 	answered bool
 }
 
 type deepCheckCompleted struct {
-	check *deepCheck
-	good  bool
+	check   *deepCheck
+	healthy bool
 }
 
 func (e deepCheckCompleted) apply(c *Core) {
 	if !e.check.answered {
 		e.check.answered = true
-		e.check.reply(e.good && c.shouldReceiveTraffic())
+		e.check.reply(e.healthy && c.shouldReceiveTraffic())
 	}
 }
 
 // LoadReport returns the load value that is sent with answers and health checks; ok is
-// false where the settings have none.
+// false if there is none.
 func (c *Core) LoadReport() (value float64, ok bool) {
 	if v := c.loadReport.Load(); v != nil {
 		return *v, true
@@ -95,17 +97,19 @@
 	return 0, false
 }
 
-// PublishLoad changes the load value.
+// PublishLoad sets the load value.
 func (h host) PublishLoad(value float64) {
 	if h.settings.LoadReportMode != decision.LoadReportNone {
 		h.loadReport.Store(&value)
 	}
 }
 
-// SetTrafficDisabled has callers told to stay away, or to come again, whatever the
-// module's view of this server's health. What still comes is served.
-func (c *Core) SetTrafficDisabled(on bool, done func()) error {
-	return c.enqueue(trafficDisabledSet{on, done})
+// SetTrafficDisabled disables or enables traffic for operators: while disabled, health checks
+// and the discovery service report that callers should send no requests, regardless of this
+// server's health. Requests that arrive nevertheless are served. done is called once the
+// change is in force.
+func (c *Core) SetTrafficDisabled(disabled bool, done func()) error {
+	return c.enqueue(trafficDisabledSet{disabled, done})
 }
 
 type trafficDisabledSet struct {
@@ -124,13 +128,13 @@
 func (c *Core) setTrafficDisabled(disabled bool) {
 	if c.health.trafficDisabled != disabled {
 		c.health.trafficDisabled = disabled
-		c.log.Info("away", "on", disabled)
+		c.log.Info("traffic_disabled_changed", "disabled", disabled)
 		c.reportToRegistrar()
 	}
 }
 
-// Ready reports whether requests can be run here: the backend is ready, and no drain has
-// begun.
+// Ready calls reply with whether requests can be run here: the backend is ready, and no drain
+// has begun.
 func (c *Core) Ready(reply func(ready bool)) error { return c.enqueue(readinessRequested{reply}) }
 
 type readinessRequested struct{ reply func(ready bool) }
--- a/dispatch/invariants.go
+++ b/dispatch/invariants.go
@@ -7,10 +7,10 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// The facts that package guard decides by, and the checks after the fact: what breaks a
-// rule in spite of the guard is counted as a violation.
+// This file collects the inputs of package guard's decisions, and checks starts and answers
+// once more when they take place: a broken rule is counted as a violation.
 
-// startFacts are the facts by which an attempt may be started.
+// startFacts returns guard's input for the start of an attempt.
 func (c *Core) startFacts(a *attempt) guard.Start {
 	return guard.Start{
 		Answered: a.answered, Running: a.state.started(), Resumed: a.state == statePaused,
@@ -19,15 +19,15 @@
 	}
 }
 
-// recheckStart decides once more about an attempt that the module has started, right before
-// its backend begins it.
+// recheckStart asks guard again about an attempt that the module has started, right before the
+// backend starts the run.
 func (c *Core) recheckStart(a *attempt) error {
 	return guard.MayStart(guard.Start{
 		Resumed: a.resumed, ReadBy: a.readBefore, Draining: c.drain.draining, GraceEnd: c.drain.graceEnd,
 	})
 }
 
-// checkStart counts a violation if a run that begins breaks a rule.
+// checkStart counts a violation if a run that starts breaks a rule.
 func (c *Core) checkStart(a *attempt) {
 	switch {
 	case a.resumed:
@@ -38,7 +38,7 @@
 	}
 }
 
-// callFacts are the facts by which the call that a run waits for may be made.
+// callFacts returns guard's input for the call that a run waits for.
 func (a *attempt) callFacts() guard.Call {
 	call := a.call
 	if call == nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// shedFacts are the facts by which a request may be shed.
+// shedFacts returns guard's input for shedding a request.
 func (a *attempt) shedFacts() guard.Shed {
 	keyRan := a.entry != nil && a.entry.RanInWindow(a.arrivedAt)
 	return guard.Shed{Idempotent: a.classSettings.Effect == decision.Idempotent, MayHaveRun: keyRan || a.mayHaveRun}
--- a/dispatch/keys.go
+++ b/dispatch/keys.go
@@ -5,28 +5,28 @@
 // Field is a named part of a payload.
 type Field = idempotency.Field
 
-// Payload is what a request brings, or its result. The core only passes it on.
+// Payload is the content of a request or its result. The core does not interpret it.
 type Payload = idempotency.Payload
 
-// KeyState is what the core reports of a key to a peer and to the journal.
+// KeyState is the state of a key that the core sends to a peer and to the journal.
 type KeyState = idempotency.KeyState
 
-// Journal keeps states of keys durably.
+// Journal makes key states durable.
 type Journal = idempotency.Journal
 
-// keyAttempt is the attempt as the key table knows it.
+// keyAttempt returns the part of the attempt that the key table needs.
 func (a *attempt) keyAttempt() idempotency.Attempt {
 	return idempotency.Attempt{ID: a.ID, Key: a.Key, Class: a.Class, BodyHash: a.bodyHash, ArrivedAt: a.arrivedAt}
 }
 
-// keyStateWith is keyState with another value of Completed.
+// keyStateWith returns keyState with Completed set to a value.
 func (c *Core) keyStateWith(e *idempotency.Entry, completed bool) KeyState {
 	state := c.keyState(e)
 	state.Completed = completed
 	return state
 }
 
-// keyState is an entry as the peer and the journal get it.
+// keyState returns the state of an entry for the peer and the journal.
 func (c *Core) keyState(e *idempotency.Entry) KeyState {
 	return e.State(c.clock.Unix(e.ExpiresAt()))
 }
--- a/dispatch/observer_test.go
+++ b/dispatch/observer_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// observer records what is reported to it.
+// observer is an Observer that records all answers.
 type observer struct {
 	mu        sync.Mutex
 	responses []string
@@ -20,24 +20,24 @@
 	o.responses = append(o.responses, fmt.Sprintf("%s %d %t", class, kind, duplicate))
 }
 
-// TestObserver: each final answer is reported once, a duplicate's as such, and the number of
-// open requests returns to 0.
-func TestObserver(t *testing.T) {
+// TestObserver_GetsEachAnswerOnce checks that each answer is reported once, that of a
+// duplicate with duplicate set, and that InFlight returns to 0.
+func TestObserver_GetsEachAnswerOnce(t *testing.T) {
 	o := &observer{}
 	runTestWith(t, func(opt *Options) { opt.Observer = o }, func(t *testing.T, h *harness) {
 		h.submit(t, "a", "gift", "k")
 		h.submit(t, "b", "gift", "k")
 		if n := h.InFlight(); n != 2 {
-			t.Errorf("%d open", n)
+			t.Errorf("InFlight() = %d, want 2", n)
 		}
-		h.complete("a", RunSucceeded, "tack")
+		h.completeRun("a", RunSucceeded, "tack")
 		h.submit(t, "c", "read", "")
-		h.each(func(c *Core) { c.CancelRequest("c", responder{h}) })
+		h.forEachCore(func(c *Core) { c.CancelRequest("c", responder{h}) })
 		h.wait()
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if got := fmt.Sprint(o.responses); got != "[gift 0 false gift 0 true]" || h.InFlight() != 0 {
-			t.Errorf("reported %s, %d open", got, h.InFlight())
+			t.Errorf("observed %s with InFlight() = %d, want the answers to a and b, and 0", got, h.InFlight())
 		}
 	})
 }
--- a/dispatch/pools_test.go
+++ b/dispatch/pools_test.go
@@ -4,33 +4,33 @@
 	"testing"
 )
 
-// TestPools: pools bound runs below the module, which has 8 cores. With one slot for each of
-// three classes, three reads run: one in its own slot, two in borrowed ones. A fourth waits
-// in the queue, and one whose caller cancels it there never begins. Once a run has taken a
+// TestPools_BorrowQueueAndShed checks pools with one slot for each of three classes, while
+// the module has 8 cores. Three reads run: one in its own slot, two in borrowed ones. Two
+// more are queued, and the one that its caller cancels there never starts. After a run of one
 // second, a read that would wait for more than half its latency objective is shed at once,
-// and holds no slot to release.
-func TestPools(t *testing.T) {
+// and releases no slot.
+func TestPools_BorrowQueueAndShed(t *testing.T) {
 	runTestWith(t, func(o *Options) { o.Pools, o.Settings.Cores = &PoolOptions{InitialLimit: 1}, 8 }, func(t *testing.T, h *harness) {
 		for _, id := range []string{"a", "b", "c", "d", "e"} {
 			h.submit(t, id, "read", "")
 		}
 		if len(h.starts) != 3 || h.starts["d"] != 0 {
-			t.Fatalf("runs %v with three slots", h.starts)
+			t.Fatalf("starts = %v, want a, b and c with three slots", h.starts)
 		}
-		h.each(func(c *Core) { c.CancelRequest("d", responder{h}) }) // its caller leaves while it waits
+		h.forEachCore(func(c *Core) { c.CancelRequest("d", responder{h}) }) // while it is queued
 		h.wait()
-		h.complete("a", RunSucceeded, "one")
+		h.completeRun("a", RunSucceeded, "one")
 		if h.starts["d"] != 0 || h.starts["e"] != 1 {
-			t.Fatalf("runs %v once the first ended", h.starts)
+			t.Fatalf("starts = %v after the end of a, want e and not d", h.starts)
 		}
-		h.submit(t, "f", "read", "") // a run takes a second now, and all slots are taken
+		h.submit(t, "f", "read", "") // a run now takes a second, and no slot is free
 		h.wantAnswer(t, "f", Shed, "")
 		if h.starts["f"] != 0 {
-			t.Error("the read that was shed ran")
+			t.Errorf("read f started %d times after it was shed, want 0", h.starts["f"])
 		}
-		h.submit(t, "g", "read", "") // it held no slot, so it gave none back
+		h.submit(t, "g", "read", "") // f held no slot, so none is free
 		if h.starts["g"] != 0 {
-			t.Errorf("runs %v: a read that was shed freed a slot", h.starts)
+			t.Errorf("starts = %v, want not g: the shed read f has released no slot", h.starts)
 		}
 		h.wantAnswer(t, "a", Served, "one")
 	})
--- a/dispatch/races_test.go
+++ b/dispatch/races_test.go
@@ -10,82 +10,82 @@
 	"quincerail.example/quincerail/idempotency"
 )
 
-// submitKeyed hands in an attempt of a key that arrived at a time.
+// submitKeyed submits an attempt of the key k that arrived at a time.
 func (h *harness) submitKeyed(t *testing.T, id string, arrivedAt time.Time) {
 	t.Helper()
 	h.mustSubmit(t, h.Core, Request{ID: id, Class: "gift", Key: "k", ArrivedAt: arrivedAt})
 	h.wait()
 }
 
-// TestWindowEdges: a retry runs anew only if it arrived after the window of the run, which
-// counts from the arrival of the attempt that ran. One that arrived in its last moment
-// does not, however late it is read.
-func TestWindowEdges(t *testing.T) {
-	for _, x := range []struct {
-		name     string
-		arrives  time.Duration // after the first attempt
-		readLate time.Duration // after that
-		runs     bool
+// TestKeyWindow_RetriesAtItsEdges submits a retry around the edges of the key's window, which
+// counts from the arrival of the attempt that ran. The retry runs only if it arrived after the
+// window. A retry that arrived within it does not run, however late it is read.
+func TestKeyWindow_RetriesAtItsEdges(t *testing.T) {
+	for _, tc := range []struct {
+		name         string
+		arrivesAfter time.Duration // since the arrival of the first attempt
+		readAfter    time.Duration // since its own arrival
+		wantRun      bool
 	}{
-		{"at its start", 0, 0, false},
-		{"in its last moment", testWindow - time.Millisecond, 0, false},
-		{"read late", testWindow - time.Millisecond, testDeadline - time.Millisecond, false},
-		{"after it", testWindow + idempotency.WindowTolerance, 0, true},
-		{"long after it", testWindow + idempotency.WindowTolerance + 2*testDeadline, testDeadline / 2, true},
+		{"arrives with the first attempt", 0, 0, false},
+		{"arrives 1 ms before the end", testWindow - time.Millisecond, 0, false},
+		{"arrives 1 ms before the end and is read late", testWindow - time.Millisecond, testDeadline - time.Millisecond, false},
+		{"arrives after the window", testWindow + idempotency.WindowTolerance, 0, true},
+		{"arrives long after the window", testWindow + idempotency.WindowTolerance + 2*testDeadline, testDeadline / 2, true},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			runTest(t, func(t *testing.T, h *harness) {
 				first := time.Now()
 				h.submitKeyed(t, "first", first)
-				h.complete("first", RunSucceeded, "result")
-				h.sleep(x.arrives + x.readLate)
-				h.submit(t, "other", "read", "") // a batch, in which old entries go
-				h.submitKeyed(t, "repeat", first.Add(x.arrives))
-				if ran := h.starts["repeat"] == 1; ran != x.runs {
-					t.Errorf("it runs: %t, want %t", ran, x.runs)
+				h.completeRun("first", RunSucceeded, "result")
+				h.sleep(tc.arrivesAfter + tc.readAfter)
+				h.submit(t, "other", "read", "") // causes a batch, which expires old entries
+				h.submitKeyed(t, "retry", first.Add(tc.arrivesAfter))
+				if ran := h.starts["retry"] == 1; ran != tc.wantRun {
+					t.Errorf("retry runs = %t, want %t", ran, tc.wantRun)
 				} else if !ran {
-					h.wantAnswer(t, "repeat", Served, "result")
+					h.wantAnswer(t, "retry", Served, "result")
 				}
 			})
 		})
 	}
 }
 
-// TestRepeatCrossesAnswer: a retry that is received in one batch with the end of the first
-// run, before it or after it, gets its result and does not run.
-func TestRepeatCrossesAnswer(t *testing.T) {
-	for _, before := range []bool{true, false} {
+// TestDuplicate_InOneBatchWithEndOfRun submits a retry in one batch with the end of the first
+// run, before or after it: the retry gets the result and does not run.
+func TestDuplicate_InOneBatchWithEndOfRun(t *testing.T) {
+	for _, retryFirst := range []bool{true, false} {
 		runTest(t, func(t *testing.T, h *harness) {
 			h.submitKeyed(t, "first", time.Now())
 			gate := make(chan struct{})
-			h.inLoop(h.Core, func() { <-gate }) // what comes now is one batch
+			h.runInLoop(h.Core, func() { <-gate }) // the following events form one batch
 			complete := func() { h.RunCompleted("first", RunSucceeded, time.Second, Payload{Body: []byte("result")}) }
-			if !before {
+			if !retryFirst {
 				complete()
 			}
-			h.mustSubmit(t, h.Core, Request{ID: "repeat", Class: "gift", Key: "k"})
-			if before {
+			h.mustSubmit(t, h.Core, Request{ID: "retry", Class: "gift", Key: "k"})
+			if retryFirst {
 				complete()
 			}
 			close(gate)
 			h.wait()
 			h.wantAnswer(t, "first", Served, "result")
-			h.wantAnswer(t, "repeat", Served, "result")
-			if h.starts["repeat"] != 0 {
-				t.Error("it ran a second time")
+			h.wantAnswer(t, "retry", Served, "result")
+			if h.starts["retry"] != 0 {
+				t.Errorf("retry first = %t: the retry started %d times, want 0", retryFirst, h.starts["retry"])
 			}
 		})
 	}
 }
 
-// applySettingsBefore has settings change between the Submit of requests and the batch that
-// receives them.
-func (h *harness) applySettingsBefore(t *testing.T, s decision.Settings, classes, tenants []string, read func()) {
+// applySettingsBefore applies settings between the Submit calls in submit and the receipt of
+// their requests.
+func (h *harness) applySettingsBefore(t *testing.T, s decision.Settings, classes, tenants []string, submit func()) {
 	t.Helper()
 	gate, applied := make(chan struct{}), make(chan error, 1)
-	h.inLoop(h.Core, func() { <-gate })
-	h.inLoop(h.Core, func() { applied <- h.applySettings(s, classes, tenants) })
-	read()
+	h.runInLoop(h.Core, func() { <-gate })
+	h.runInLoop(h.Core, func() { applied <- h.applySettings(s, classes, tenants) })
+	submit()
 	close(gate)
 	h.wait()
 	if err := <-applied; err != nil {
@@ -93,53 +93,55 @@
 	}
 }
 
-// TestSettingsCrossRequest: requests that were handed in before the settings change come
-// under the new ones, and keep their class where it was removed. A keyed class takes none
-// without a key.
-func TestSettingsCrossRequest(t *testing.T) {
+// TestUpdateSettings_BetweenSubmitAndReceipt changes the settings after requests were
+// submitted and before they are received. The new settings apply to them, and a request of a
+// removed class keeps its class. A request without a key is rejected if its class is now
+// keyed.
+func TestUpdateSettings_BetweenSubmitAndReceipt(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		next := settings()
 		next.Classes = slices.Clone(next.Classes)
-		next.Classes[0].Effect = decision.Keyed // of read
-		next.Classes[1].Deadline = time.Second  // of pledge
+		next.Classes[0].Effect = decision.Keyed // read
+		next.Classes[1].Deadline = time.Second  // pledge
 		h.applySettingsBefore(t, next, []string{"read", "pledge", "receipt"}, nil, func() {
-			for _, r := range []Request{{ID: "keyless", Class: "read"}, {ID: "keyed", Class: "read", Key: "a"}, {ID: "dropped", Class: "gift", Key: "b"}} {
+			for _, r := range []Request{{ID: "keyless", Class: "read"}, {ID: "keyed", Class: "read", Key: "a"}, {ID: "removed", Class: "gift", Key: "b"}} {
 				h.mustSubmit(t, h.Core, r)
 			}
 		})
 		h.wantAnswer(t, "keyless", Rejected, "")
-		if h.starts["keyless"] != 0 || h.starts["keyed"] != 1 || h.starts["dropped"] != 1 {
-			t.Errorf("runs %v", h.starts)
+		if h.starts["keyless"] != 0 || h.starts["keyed"] != 1 || h.starts["removed"] != 1 {
+			t.Errorf("starts = %v, want keyed and removed once each", h.starts)
 		}
 		h.sleep(2 * time.Second)
-		if len(h.answers["dropped"]) > 0 {
-			t.Error("it comes under another class's deadline")
+		if len(h.answers["removed"]) > 0 {
+			t.Errorf("request of the removed class got answers %v after 2 s, want none before its own deadline", h.answers["removed"])
 		}
-		h.complete("dropped", RunSucceeded, "late")
-		h.wantAnswer(t, "dropped", Served, "late")
+		h.completeRun("removed", RunSucceeded, "late")
+		h.wantAnswer(t, "removed", Served, "late")
 	})
 }
 
-// TestFullTableKeepsRuns: with a full key table, new keys are shed, and retries of what has
-// run are not.
-func TestFullTableKeepsRuns(t *testing.T) {
+// TestKeyTableFull_ShedsOnlyNewKeys submits requests while the key table is full: new keys are
+// shed, and retries of keys that have run are not.
+func TestKeyTableFull_ShedsOnlyNewKeys(t *testing.T) {
 	change := func(o *Options) { o.MaxKeyTableBytes = idempotency.EntryOverheadBytes }
 	runTestWith(t, change, func(t *testing.T, h *harness) {
 		h.submit(t, "a", "gift", "a")
 		h.submit(t, "b", "gift", "b")
-		h.complete("a", RunFailed, "")
-		h.complete("b", RunFailed, "")
+		h.completeRun("a", RunFailed, "")
+		h.completeRun("b", RunFailed, "")
 		h.submit(t, "new", "gift", "c")
 		h.wantAnswer(t, "new", Shed, "")
-		h.submit(t, "repeat", "gift", "a")
-		h.wantAnswer(t, "repeat", Failed, "")
+		h.submit(t, "retry", "gift", "a")
+		h.wantAnswer(t, "retry", Failed, "")
 	})
 }
 
-// TestReadyOnlyWhenItCanServe: health is bad, and nothing is reported, until the
-// backend is up; after a drain notice that comes before, it never becomes good.
-func TestReadyOnlyWhenItCanServe(t *testing.T) {
-	for _, leaving := range []bool{false, true} {
+// TestCheckHealth_UnhealthyUntilBackendReady checks that health checks fail, and nothing is
+// reported to the registrar, until the backend is ready. After an earlier drain notice, checks
+// fail for good.
+func TestCheckHealth_UnhealthyUntilBackendReady(t *testing.T) {
+	for _, draining := range []bool{false, true} {
 		runTest(t, func(t *testing.T, h *harness) {
 			core, err := New(Options{Settings: settings(), Classes: []string{"read", "gift", "receipt"}, Backend: h, Registrar: h})
 			if err != nil {
@@ -149,21 +151,21 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go core.Run(ctx)
-			health := func() (good bool) {
-				must(t, core.CheckHealth(false, func(on bool) { good = on }))
+			health := func() (healthy bool) {
+				must(t, core.CheckHealth(false, func(result bool) { healthy = result }))
 				h.wait()
-				return good
+				return healthy
 			}
 			if health() || len(h.accepting) > 0 {
-				t.Errorf("before it can serve: good, or reported as %v", h.accepting)
+				t.Errorf("before the backend is ready: healthy, or reports to the registrar %v, want neither", h.accepting)
 			}
-			if leaving {
+			if draining {
 				core.Drain(time.Now(), time.Now().Add(10*time.Second))
 			}
 			core.BackendReady(true, 0)
 			h.wait()
-			if health() == leaving || slices.Contains(h.accepting, leaving) {
-				t.Errorf("leaving %t: reports %v", leaving, h.accepting)
+			if health() == draining || slices.Contains(h.accepting, draining) {
+				t.Errorf("draining = %t: health checks or reports to the registrar (%v) are %t, want %t", draining, h.accepting, draining, !draining)
 			}
 		})
 	}
--- a/dispatch/replication.go
+++ b/dispatch/replication.go
@@ -6,31 +6,35 @@
 	"quincerail.example/quincerail/idempotency"
 )
 
-// keyBatchSize is how many keys are replicated at a time to a successor that has just
-// connected.
+// keyBatchSize is the number of keys per batch in the initial replication to a successor.
 const keyBatchSize = 32
 
-// Peer is another process of the same app server, at work beside this one while
-// it takes over: a key that runs in one must not run in the other. The predecessor
-// decides who may run a key. Its methods must not block; their order is kept.
+// Peer is the other process of the same app server during an upgrade. A key that runs in one
+// process must not run in the other; the predecessor decides which one may run a key. The
+// methods must not block, and must deliver their messages in the order of the calls.
 type Peer interface {
-	ReplicateKey(state KeyState)                   // the state of a key has changed
-	RequestClaim(state KeyState)                   // to the predecessor: may this attempt run?
-	DecideClaim(ranAttemptID string, granted bool) // the predecessor's decision
-	EndKeyBatch(last bool)                         // a batch of the predecessor's keys is replicated
-	SetTrafficDisabled(on bool)                    // operators have callers sent away, or not any more
-}
-
-// replicationState is what is known of keys beyond this process.
+	// ReplicateKey sends the state of a key that has changed.
+	ReplicateKey(state KeyState)
+	// RequestClaim asks the predecessor whether the attempt state.RanAttemptID may run.
+	RequestClaim(state KeyState)
+	// DecideClaim sends the predecessor's answer to RequestClaim.
+	DecideClaim(ranAttemptID string, granted bool)
+	// EndKeyBatch ends a batch of the initial replication of the predecessor's keys.
+	EndKeyBatch(last bool)
+	// SetTrafficDisabled sends whether operators have disabled traffic.
+	SetTrafficDisabled(disabled bool)
+}
+
+// replicationState is the state of the replication of keys with a peer.
 type replicationState struct {
-	peer              Peer                 // nil where this process is alone
-	peerIsPredecessor bool                 // else it is the successor
-	pendingKeys       []*idempotency.Entry // still to be replicated to a successor; nil before the first batch
+	peer              Peer                 // nil if there is none
+	peerIsPredecessor bool                 // false if the peer is the successor
+	pendingKeys       []*idempotency.Entry // not yet replicated to the successor; nil before the first batch
 	inDoubtUntil      time.Duration        // until then, a key that the table does not know may have run
 }
 
-// ConnectPeer connects a peer; predecessor reports whether it was there first. There is
-// at most one at a time: a further one is ignored.
+// ConnectPeer connects a peer, which is the predecessor or the successor of this process. It
+// is ignored if another peer is connected.
 func (c *Core) ConnectPeer(p Peer, predecessor bool) error {
 	return c.enqueue(peerConnected{p, predecessor})
 }
@@ -46,7 +50,7 @@
 	}
 }
 
-// ReplicateKeys replicates the next batch of keys to a successor that has just connected.
+// ReplicateKeys sends the next batch of the initial replication to a successor.
 func (c *Core) ReplicateKeys(p Peer) { c.notify(keyBatchRequested{p}) }
 
 type keyBatchRequested struct{ peer Peer }
@@ -72,7 +76,7 @@
 	r.peer.EndKeyBatch(len(r.pendingKeys) == 0)
 }
 
-// ApplyKey applies the state of a key that a peer replicated.
+// ApplyKey applies the state of a key that a peer has replicated.
 func (c *Core) ApplyKey(p Peer, state KeyState) { c.notify(keyReplicated{p, state}) }
 
 type keyReplicated struct {
@@ -91,11 +95,12 @@
 	if entry.RanAttemptID() != "" {
 		c.recordKey(entry, entry.Completed())
 	}
-	c.settleDuplicates(entry, waiting)
+	c.resolveDuplicates(entry, waiting)
 }
 
-// ClaimRequested decides whether a successor may run an attempt: not if its key has run
-// here, and the attempt arrived within the window.
+// ClaimRequested decides whether the attempt of a successor may run, and sends it the
+// decision. The claim is denied if the key has run here and the attempt arrived within the
+// window of that run.
 func (c *Core) ClaimRequested(p Peer, state KeyState) { c.notify(claimRequested{p, state}) }
 
 type claimRequested struct {
@@ -117,7 +122,7 @@
 	e.peer.DecideClaim(e.state.RanAttemptID, granted)
 }
 
-// ClaimDecided reports the predecessor's decision on a claim.
+// ClaimDecided reports the predecessor's decision on the claim of an attempt.
 func (c *Core) ClaimDecided(p Peer, ranAttemptID string, granted bool) {
 	c.notify(claimDecided{p, ranAttemptID, granted})
 }
@@ -130,18 +135,18 @@
 
 func (e claimDecided) apply(c *Core) {
 	if a := c.attempts[e.ranAttemptID]; c.replication.peer == e.peer && a != nil && a.state.awaitsClaim() {
-		c.settleClaim(a, e.granted)
+		c.resolveClaim(a, e.granted)
 	}
 }
 
-// settleClaim goes on with a start that waited for its claim.
-func (c *Core) settleClaim(a *attempt, granted bool) {
+// resolveClaim continues or ends a start that waited for its claim.
+func (c *Core) resolveClaim(a *attempt, granted bool) {
 	switch {
 	case granted && !a.answered:
 		c.acquirePoolSlot(a)
-	case granted: // its caller gave up meanwhile
+	case granted: // its caller cancelled it or disconnected meanwhile
 		c.completeNotStarted(a)
-	default: // another attempt has the key: this one gets its result
+	default: // another attempt has the claim: this one waits for its result
 		c.keys.ReleaseClaim(a.entry, a.ID)
 		c.transition(a, stateQueued)
 		c.awaitResult(a)
@@ -149,8 +154,9 @@
 	}
 }
 
-// PeerDisconnected reports that the connection to a peer has ended. What it replicated
-// counts; what still ran there has no result that can be served here.
+// PeerDisconnected reports that the connection to a peer has ended. The key states that it
+// has replicated stay in force. A key that was running there counts as completed without a
+// result.
 func (c *Core) PeerDisconnected(p Peer) { c.notify(peerDisconnected{p}) }
 
 type peerDisconnected struct{ peer Peer }
@@ -166,14 +172,14 @@
 		}
 	}
 	for _, a := range c.attempts {
-		e.settleAwaitedClaim(c, a)
+		e.resolveAwaitedClaim(c, a)
 	}
 }
 
-// settleAwaitedClaim goes on with a start that waited for a claim when the peer
-// disconnected. One whose claim is not durable yet goes on waiting for that, unless the
-// peer replicated a run of its key.
-func (e peerDisconnected) settleAwaitedClaim(c *Core, a *attempt) {
+// resolveAwaitedClaim continues or ends a start that waited for its claim when the peer
+// disconnected. If the claim is not durable yet, the start still waits for that, unless the
+// peer has replicated a run of the key.
+func (e peerDisconnected) resolveAwaitedClaim(c *Core, a *attempt) {
 	if !a.state.awaitsClaim() {
 		return
 	}
@@ -181,10 +187,10 @@
 	if a.state == stateAwaitingJournal && hasKey {
 		return
 	}
-	c.settleClaim(a, hasKey)
+	c.resolveClaim(a, hasKey)
 }
 
-// ApplyTrafficDisabled applies what operators have set in a peer.
+// ApplyTrafficDisabled applies what operators have set in the peer's process.
 func (c *Core) ApplyTrafficDisabled(p Peer, disabled bool) {
 	c.notify(trafficDisabledReplicated{p, disabled})
 }
@@ -200,16 +206,16 @@
 	}
 }
 
-// replicateKey replicates to the peer, if there is one, a key that runs here or has run.
+// replicateKey sends the state of a key to the peer, if there is one.
 func (c *Core) replicateKey(e *idempotency.Entry, completed bool) {
 	if c.replication.peer != nil {
 		c.replication.peer.ReplicateKey(c.keyStateWith(e, completed))
 	}
 }
 
-// MarkUnknownKeysInDoubt has the core take keys that it does not know for ones that may
-// have run, until a time: their attempts fail, and are never run. It is for a process that
-// could not learn what its predecessor ran.
+// MarkUnknownKeysInDoubt makes attempts of keys that the table does not know fail without a
+// run, until a time. It is for a process that could not get its predecessor's keys: an unknown
+// key may have run there.
 func (c *Core) MarkUnknownKeysInDoubt(until time.Time) error {
 	return c.enqueue(unknownKeysInDoubt{until})
 }
--- a/dispatch/replication_test.go
+++ b/dispatch/replication_test.go
@@ -7,43 +7,45 @@
 	"time"
 )
 
-// loopbackPeer is a Peer that passes everything on to another core at once, which knows
-// this side as reverse.
+// loopbackPeer is a Peer that passes all messages to another core at once. That core knows
+// this side as the peer reverse.
 type loopbackPeer struct {
-	far     *Core
+	target  *Core
 	reverse *loopbackPeer
 }
 
 // ReplicateKey implements Peer.
-func (w *loopbackPeer) ReplicateKey(k KeyState) { w.far.ApplyKey(w.reverse, k) }
+func (p *loopbackPeer) ReplicateKey(k KeyState) { p.target.ApplyKey(p.reverse, k) }
 
 // RequestClaim implements Peer.
-func (w *loopbackPeer) RequestClaim(k KeyState) { w.far.ClaimRequested(w.reverse, k) }
+func (p *loopbackPeer) RequestClaim(k KeyState) { p.target.ClaimRequested(p.reverse, k) }
 
 // DecideClaim implements Peer.
-func (w *loopbackPeer) DecideClaim(ran string, granted bool) {
-	w.far.ClaimDecided(w.reverse, ran, granted)
+func (p *loopbackPeer) DecideClaim(ranAttemptID string, granted bool) {
+	p.target.ClaimDecided(p.reverse, ranAttemptID, granted)
 }
 
 // EndKeyBatch implements Peer.
-func (w *loopbackPeer) EndKeyBatch(last bool) {
+func (p *loopbackPeer) EndKeyBatch(last bool) {
 	if !last {
-		w.reverse.far.ReplicateKeys(w)
+		p.reverse.target.ReplicateKeys(p)
 	}
 }
 
 // SetTrafficDisabled implements Peer.
-func (w *loopbackPeer) SetTrafficDisabled(on bool) { w.far.ApplyTrafficDisabled(w.reverse, on) }
+func (p *loopbackPeer) SetTrafficDisabled(disabled bool) {
+	p.target.ApplyTrafficDisabled(p.reverse, disabled)
+}
 
-// connectSuccessor starts a second core that takes over from the harness's, and replicates
-// the keys to it.
+// connectSuccessor starts a second core as the successor of the harness's core, and
+// replicates the keys to it.
 func (h *harness) connectSuccessor(t *testing.T) (toPredecessor, toSuccessor *loopbackPeer) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	h.successor = h.start(t, ctx)
-	old := h.cancel
-	h.cancel = func() { old(); cancel() }
-	toPredecessor, toSuccessor = &loopbackPeer{far: h.Core}, &loopbackPeer{far: h.successor}
+	cancelPredecessor := h.cancel
+	h.cancel = func() { cancelPredecessor(); cancel() }
+	toPredecessor, toSuccessor = &loopbackPeer{target: h.Core}, &loopbackPeer{target: h.successor}
 	toPredecessor.reverse, toSuccessor.reverse = toSuccessor, toPredecessor
 	must(t, h.ConnectPeer(toSuccessor, false))
 	must(t, h.successor.ConnectPeer(toPredecessor, true))
@@ -52,103 +54,104 @@
 	return toPredecessor, toSuccessor
 }
 
-// TestTakeOver: while one process takes over from another, a key that ran or runs in one, or
-// that both are about to run, never runs in the other, whose attempts get its result.
-func TestTakeOver(t *testing.T) {
+// TestReplication_KeyRunsInOneProcess checks two processes during an upgrade. A key that has
+// run, is running or is about to run in one process does not run in the other, whose attempts
+// get its result.
+func TestReplication_KeyRunsInOneProcess(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		for i := range 2*keyBatchSize + 1 {
 			id := fmt.Sprint("before", i)
 			h.submit(t, id, "gift", "key of "+id)
-			h.complete(id, RunSucceeded, "thanks "+id)
+			h.completeRun(id, RunSucceeded, "thanks "+id)
 		}
-		h.submit(t, "predecessor's", "gift", "k")
+		h.submit(t, "at predecessor", "gift", "k")
 		toPredecessor, toSuccessor := h.connectSuccessor(t)
 		for i := range 2*keyBatchSize + 1 {
-			id, again := fmt.Sprint("before", i), fmt.Sprint("again", i)
-			h.submitTo(t, h.successor, again, "gift", "key of "+id)
-			h.wantAnswer(t, again, Served, "thanks "+id)
+			id, retry := fmt.Sprint("before", i), fmt.Sprint("retry", i)
+			h.submitTo(t, h.successor, retry, "gift", "key of "+id)
+			h.wantAnswer(t, retry, Served, "thanks "+id)
 		}
-		h.submitTo(t, h.successor, "its repeat", "gift", "k")
-		h.complete("predecessor's", RunSucceeded, "thanks")
-		h.wantAnswer(t, "its repeat", Served, "thanks")
+		h.submitTo(t, h.successor, "retry at successor", "gift", "k")
+		h.completeRun("at predecessor", RunSucceeded, "thanks")
+		h.wantAnswer(t, "retry at successor", Served, "thanks")
 
-		h.submitTo(t, h.successor, "successor's", "gift", "l")
-		h.submit(t, "repeat of that", "gift", "l")
-		h.complete("successor's", RunFailed, "")
-		h.wantAnswer(t, "repeat of that", Failed, "")
+		h.submitTo(t, h.successor, "at successor", "gift", "l")
+		h.submit(t, "retry at predecessor", "gift", "l")
+		h.completeRun("at successor", RunFailed, "")
+		h.wantAnswer(t, "retry at predecessor", Failed, "")
 
-		for id, core := range map[string]*Core{"one": h.Core, "other": h.successor} { // at the same moment
+		for id, core := range map[string]*Core{"one": h.Core, "other": h.successor} { // at the same time
 			h.mustSubmit(t, core, Request{ID: id, Class: "gift", Key: "m"})
 		}
 		h.wait()
 		if h.starts["one"]+h.starts["other"] != 1 {
-			t.Errorf("%d runs by one, %d by the other", h.starts["one"], h.starts["other"])
+			t.Errorf("starts of one = %d and of other = %d, want 1 in all", h.starts["one"], h.starts["other"])
 		}
-		h.complete("one", RunSucceeded, "thanks")
-		h.complete("other", RunSucceeded, "thanks")
+		h.completeRun("one", RunSucceeded, "thanks")
+		h.completeRun("other", RunSucceeded, "thanks")
 		h.wantAnswer(t, "one", Served, "thanks")
 		h.wantAnswer(t, "other", Served, "thanks")
 
 		h.submitTo(t, h.successor, "not started", "gift", "n")
-		h.complete("not started", RunNotStarted, "")
+		h.completeRun("not started", RunNotStarted, "")
 		h.submit(t, "started later", "gift", "n")
 		if h.starts["started later"] != 1 {
-			t.Error("a key that never ran is kept from running")
+			t.Errorf("run of a released key started %d times, want 1", h.starts["started later"])
 		}
 
-		h.submit(t, "hangs", "gift", "o")
-		h.submitTo(t, h.successor, "waits", "gift", "o")
+		h.submit(t, "hanging", "gift", "o")
+		h.submitTo(t, h.successor, "waiting", "gift", "o")
 		h.successor.PeerDisconnected(toPredecessor)
 		h.PeerDisconnected(toSuccessor)
 		h.wait()
-		h.wantAnswer(t, "waits", Failed, "")
-		h.submitTo(t, h.successor, "alone", "gift", "p")
-		if h.starts["alone"] != 1 {
-			t.Error("it waits for a peer that has disconnected")
+		h.wantAnswer(t, "waiting", Failed, "")
+		h.submitTo(t, h.successor, "without peer", "gift", "p")
+		if h.starts["without peer"] != 1 {
+			t.Errorf("run started %d times after the peer disconnected, want 1", h.starts["without peer"])
 		}
 	})
 }
 
-// TestClaimWithdrawn: an attempt that waits for the predecessor's decision does not begin if
-// it is cancelled before, and begins if the predecessor disconnects.
-func TestClaimWithdrawn(t *testing.T) {
+// TestClaim_CancelledOrPeerDisconnected checks attempts that wait for the predecessor's
+// decision when it disconnects: a cancelled one does not run, and any other one does.
+func TestClaim_CancelledOrPeerDisconnected(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
-		silent := &loopbackPeer{far: h.Core} // it never decides
-		silent.reverse = &loopbackPeer{far: h.Core}
+		silent := &loopbackPeer{target: h.Core} // never decides
+		silent.reverse = &loopbackPeer{target: h.Core}
 		must(t, h.ConnectPeer(silent, true))
-		for _, id := range []string{"gone", "stays"} {
+		for _, id := range []string{"cancelled", "waiting"} {
 			h.submit(t, id, "gift", id)
 		}
-		h.CancelRequest("gone", responder{h})
+		h.CancelRequest("cancelled", responder{h})
 		h.wait()
 		if len(h.starts) != 0 || len(h.cancelled) != 0 {
-			t.Errorf("runs %v, cancelled %v before the predecessor's decision", h.starts, h.cancelled)
+			t.Errorf("starts = %v, cancelled = %v before the predecessor's decision, want none", h.starts, h.cancelled)
 		}
 		h.PeerDisconnected(silent)
 		h.wait()
-		if h.starts["gone"] != 0 || h.starts["stays"] != 1 {
-			t.Errorf("runs %v, want that of what is waited for", h.starts)
+		if h.starts["cancelled"] != 0 || h.starts["waiting"] != 1 {
+			t.Errorf("starts = %v, want only waiting", h.starts)
 		}
-		h.submit(t, "again", "gift", "gone")
-		if h.starts["again"] != 1 {
-			t.Error("a key that never ran is kept from running")
+		h.submit(t, "retry", "gift", "cancelled")
+		if h.starts["retry"] != 1 {
+			t.Errorf("retry of a key that never ran started %d times, want 1", h.starts["retry"])
 		}
 	})
 }
 
-// TestTrafficDisabledIsReplicated: operators disable traffic in one of two processes, and
-// health checks of the other fail as well.
-func TestTrafficDisabledIsReplicated(t *testing.T) {
+// TestSetTrafficDisabled_IsReplicated disables traffic in one of two processes: health checks
+// of the other fail as well.
+func TestSetTrafficDisabled_IsReplicated(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		must(t, h.SetTrafficDisabled(true, func() {}))
 		h.connectSuccessor(t)
 		wantDisabled := func(want bool) {
 			t.Helper()
 			h.wait()
-			h.each(func(c *Core) {
-				must(t, c.CheckHealth(false, func(good bool) {
-					if good == want {
-						t.Errorf("checks are good: %t", good)
+			h.forEachCore(func(c *Core) {
+				must(t, c.CheckHealth(false, func(healthy bool) {
+					if healthy == want {
+						t.Errorf("health check = %t with traffic disabled = %t", healthy, want)
 					}
 				}))
 			})
@@ -162,21 +165,22 @@
 	})
 }
 
-// TestHandOverIdle: the channel is closed once no request is open.
-func TestHandOverIdle(t *testing.T) {
+// TestHandOver_ClosesChannelWhenIdle checks that the channel is closed once no request is
+// open, and that the registrar still reports this server as accepting.
+func TestHandOver_ClosesChannelWhenIdle(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		h.submit(t, "a", "read", "")
 		idle := h.HandOver(time.Now().Add(time.Minute))
 		h.wait()
 		select {
 		case <-idle:
-			t.Error("idle with a request open")
+			t.Error("channel closed while a request is open")
 		default:
 		}
-		h.complete("a", RunSucceeded, "page")
+		h.completeRun("a", RunSucceeded, "page")
 		<-idle
 		if last := h.accepting[len(h.accepting)-1]; !last {
-			t.Error("callers are sent away")
+			t.Errorf("reports to the registrar = %v, want the last to be true", h.accepting)
 		}
 	})
 }
--- a/dispatch/requests_fuzz_test.go
+++ b/dispatch/requests_fuzz_test.go
@@ -9,27 +9,27 @@
 	"quincerail.example/quincerail/internal/randomsteps"
 )
 
-// maxWalkedRequests bounds the requests of a walk.
+// maxWalkedRequests is the maximum number of requests in a walk.
 const maxWalkedRequests = 60
 
-// walkedRequest is a request of a walk, as its caller knows it.
+// walkedRequest is the caller's view of a request.
 type walkedRequest struct {
 	key       string
 	arrivedAt time.Time
 	cancelled bool
 }
 
-// requestWalk plays the callers, backend and dependency of one or two cores in random
-// order.
+// requestWalk applies random events of the callers, the backend and the dependency to one or
+// two cores.
 type requestWalk struct {
 	*harness
 	requests  map[string]*walkedRequest
-	order     []string // ids
-	notice    uint64   // number of the last call that was requested
-	drainedAt time.Time
+	order     []string  // ids in the order of submission
+	notice    uint64    // number of the latest call that was requested
+	drainedAt time.Time // zero while not draining
 }
 
-// step does one thing that a party may do.
+// step applies one random event.
 func (w *requestWalk) step(t *testing.T, s *randomsteps.Source) {
 	id := fmt.Sprintf("r%d", s.Pick(len(w.order)+1))
 	_, runs := w.running[id]
@@ -38,20 +38,20 @@
 		w.submitNext(t, s)
 	case 3:
 		if runs {
-			w.complete(id, RunEnd(s.Pick(3)), "result of "+id)
+			w.completeRun(id, RunEnd(s.Pick(3)), "result of "+id)
 		}
 	case 4:
 		w.cancelUnanswered(id, s)
 	case 5:
 		if runs {
 			w.notice++
-			w.each(func(c *Core) { c.CallRequested(id, w.notice, []byte("call")) })
+			w.forEachCore(func(c *Core) { c.CallRequested(id, w.notice, []byte("call")) })
 		}
 	case 6:
 		if n := w.callInFlight[id]; n != 0 {
 			delete(w.callInFlight, id)
 			end := decision.Outcome(s.Pick(6))
-			w.each(func(c *Core) { c.CallCompleted(id, n, end, []byte("reply")) })
+			w.forEachCore(func(c *Core) { c.CallCompleted(id, n, end, []byte("reply")) })
 		}
 	case 7:
 		w.sleep(time.Duration(1+s.Pick(200)) * 10 * time.Millisecond)
@@ -75,32 +75,32 @@
 }
 
 func (w *requestWalk) cancelUnanswered(id string, s *randomsteps.Source) {
-	x := w.requests[id]
-	if x == nil || len(w.answers[id]) > 0 {
+	request := w.requests[id]
+	if request == nil || len(w.answers[id]) > 0 {
 		return
 	}
-	x.cancelled = true
+	request.cancelled = true
 	if s.Pick(2) == 0 {
-		w.each(func(c *Core) { c.CancelRequest(id, responder{w.harness}) })
+		w.forEachCore(func(c *Core) { c.CancelRequest(id, responder{w.harness}) })
 	} else {
-		w.each(func(c *Core) { c.CallerDisconnected(id, responder{w.harness}) })
+		w.forEachCore(func(c *Core) { c.CallerDisconnected(id, responder{w.harness}) })
 	}
 }
 
 func (w *requestWalk) maybeDrain(s *randomsteps.Source) {
 	if s.Pick(40) == 0 && w.drainedAt.IsZero() {
 		w.drainedAt = time.Now()
-		w.each(func(c *Core) { c.Drain(w.drainedAt, w.drainedAt.Add(30*time.Second)) })
+		w.forEachCore(func(c *Core) { c.Drain(w.drainedAt, w.drainedAt.Add(30*time.Second)) })
 	}
 }
 
-// check judges the whole walk by the rules of the platform.
+// check checks the answers and runs of the whole walk against the platform's rules.
 func (w *requestWalk) check(t *testing.T) {
 	t.Helper()
 	if len(w.earlyCalls) > 0 {
-		t.Errorf("called again before it was taken in that the call was abandoned: %v", w.earlyCalls)
+		t.Errorf("calls retried before the dependency had processed the abandonment: %v", w.earlyCalls)
 	}
-	ran := make(map[string]time.Time) // arrival of the attempt that ran last, by key
+	ran := make(map[string]time.Time) // arrival of the latest attempt that ran, by key
 	for _, id := range w.order {
 		w.checkAnswer(t, id)
 		if w.requests[id].key != "" {
@@ -109,45 +109,46 @@
 	}
 }
 
-// checkAnswer wants one answer in time, and no run of what came after the grace.
+// checkAnswer checks that a request got one answer in time, and did not run if it arrived
+// after the grace of a drain.
 func (w *requestWalk) checkAnswer(t *testing.T, id string) {
 	t.Helper()
-	x, answers := w.requests[id], w.answers[id]
-	if len(answers) > 1 || len(answers) == 0 && !x.cancelled {
-		t.Errorf("%s: %d answers", id, len(answers))
+	request, answers := w.requests[id], w.answers[id]
+	if len(answers) > 1 || len(answers) == 0 && !request.cancelled {
+		t.Errorf("request %s: got %d answers, want 1, or at most 1 if cancelled", id, len(answers))
 	}
-	if late := w.answeredAt[id].Sub(x.arrivedAt.Add(testDeadline + testSlack)); late > 0 {
-		t.Errorf("%s: answered %v late", id, late)
+	if late := w.answeredAt[id].Sub(request.arrivedAt.Add(testDeadline + testSlack)); late > 0 {
+		t.Errorf("request %s: answered %v after its deadline and slack", id, late)
 	}
-	if w.starts[id] > 0 && !w.drainedAt.IsZero() && x.arrivedAt.After(w.drainedAt.Add(testGrace)) {
-		t.Errorf("%s: run though it came after the grace", id)
+	if w.starts[id] > 0 && !w.drainedAt.IsZero() && request.arrivedAt.After(w.drainedAt.Add(testGrace)) {
+		t.Errorf("request %s: ran although it arrived after the grace", id)
 	}
 }
 
-// checkKey wants a key to run once in its window, and no attempt that ran to be shed.
+// checkKey checks that a key ran once in its window, and that no attempt that ran was shed.
 func (w *requestWalk) checkKey(t *testing.T, id string, ran map[string]time.Time) {
 	t.Helper()
-	x, answers, starts := w.requests[id], w.answers[id], w.starts[id]
-	if first, ok := ran[x.key]; ok && starts > 0 && x.arrivedAt.Before(first.Add(testWindow)) {
-		t.Errorf("%s: key %s was run within its window", id, x.key)
+	request, answers, starts := w.requests[id], w.answers[id], w.starts[id]
+	if first, ok := ran[request.key]; ok && starts > 0 && request.arrivedAt.Before(first.Add(testWindow)) {
+		t.Errorf("request %s: key %s ran again within its window", id, request.key)
 	}
 	if starts > 0 {
-		ran[x.key] = x.arrivedAt
+		ran[request.key] = request.arrivedAt
 		if len(answers) == 1 && answers[0].Kind == Shed {
-			t.Errorf("%s: shed after it was run", id)
+			t.Errorf("request %s: shed after it ran", id)
 		}
 	}
 	if starts > 1 {
-		t.Errorf("%s: run %d times", id, starts)
+		t.Errorf("request %s: started %d times, want at most 1", id, starts)
 	}
 }
 
-// FuzzCore walks requests through their life in random order, and then judges the whole
-// by the rules.
+// FuzzCore applies random events to requests and then checks their answers and runs against
+// the platform's rules.
 func FuzzCore(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		w := &requestWalk{harness: newHarness(t), requests: make(map[string]*walkedRequest)}
-		defer w.end()
+		defer w.stop()
 		if s.Pick(2) == 1 {
 			w.connectSuccessor(t)
 		}
--- a/dispatch/respond.go
+++ b/dispatch/respond.go
@@ -8,8 +8,8 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// respond gives a request its final answer. All answers of attempts go through here, so
-// that there is one and no more.
+// respond gives an attempt its final answer, unless it has one. All answers to attempts go
+// through it, so that there is exactly one.
 func (c *Core) respond(a *attempt, o Outcome) {
 	if guard.MayAnswer(a.answered) != nil {
 		return
@@ -23,7 +23,7 @@
 	c.removeIfDone(a)
 }
 
-// markAnswered marks an attempt whose caller is owed no answer.
+// markAnswered marks an attempt as answered without an answer, as its caller no longer waits.
 func (c *Core) markAnswered(a *attempt) {
 	a.answered = true
 	c.inFlight.Add(-1)
@@ -51,33 +51,34 @@
 		"begun", a.state.started(), "ran", a.mayHaveRun, "draining", c.drain.draining)
 }
 
-// failure is the answer of a request that is to fail.
-func (c *Core) failure(a *attempt) Outcome {
+// failureOutcome returns the answer to a request that fails: TimedOut if its deadline has
+// passed or is at most the slack away, else Failed.
+func (c *Core) failureOutcome(a *attempt) Outcome {
 	if c.now+c.settings.DeadlineSlack >= a.deadline {
 		return Outcome{Kind: TimedOut}
 	}
 	return Outcome{Kind: Failed}
 }
 
-// overdueAfter returns how long after its deadline the core itself answers a request: later
-// than the module, which answers at half of the slack, and before the slack is over.
-func overdueAfter(slack time.Duration) time.Duration { return slack * 3 / 4 }
+// overdueDelay returns how long after its deadline the core itself answers a request. That is
+// after the module, which answers at half of the slack, and before the end of the slack.
+func overdueDelay(slack time.Duration) time.Duration { return slack * 3 / 4 }
 
-// respondOverdue answers requests that the module has not answered in time, or before the
-// end of a drain, so that every request is answered whatever the module does. The module
-// ignores a request whose id it still knows from an earlier one, for example.
+// respondOverdue answers the requests that the module has not answered in time or by the end
+// of a drain, so that every request gets an answer regardless of the module. For example, the
+// module ignores a request whose id it still knows from an earlier one.
 func (c *Core) respondOverdue() {
 	for id, a := range c.attempts {
-		overdue := c.now > a.deadline+overdueAfter(c.settings.DeadlineSlack) || c.drain.stopAt != 0 && c.now > c.drain.stopAt
+		overdue := c.now > a.deadline+overdueDelay(c.settings.DeadlineSlack) || c.drain.stopAt != 0 && c.now > c.drain.stopAt
 		if !a.answered && overdue {
-			c.respond(a, c.failure(a))
+			c.respond(a, c.failureOutcome(a))
 			c.module.CallerGone(c.now, id)
 		}
 	}
 }
 
-// removeIfDone removes an attempt that is answered and not started. One that still runs
-// is kept until the end of its run is reported.
+// removeIfDone removes an attempt that is answered and not started. A started one is kept
+// until the end of its run is reported.
 func (c *Core) removeIfDone(a *attempt) {
 	if !a.answered || a.state.started() || c.attempts[a.ID] != a {
 		return
@@ -93,15 +94,14 @@
 	if wasPaused {
 		c.recordRun(a, RunCancelled, Payload{})
 	}
-	c.settleDuplicates(a.entry, c.keys.Unregister(a.entry, a.ID))
+	c.resolveDuplicates(a.entry, c.keys.Unregister(a.entry, a.ID))
 }
 
-// InFlight is the number of requests handed in and not answered yet. It may be called from
-// any goroutine.
+// InFlight returns the number of requests that were received and have no answer yet.
 func (c *Core) InFlight() int64 { return c.inFlight.Load() }
 
-// Unanswered reports how many requests have no answer and a caller that waits for one, once
-// those that were handed in before are received.
+// Unanswered calls reply with the number of requests whose caller still waits for an answer,
+// after all requests that were submitted before it have been received.
 func (c *Core) Unanswered(reply func(requests int)) error {
 	return c.enqueue(unansweredRequested{reply})
 }
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -10,35 +10,35 @@
 	"quincerail.example/quincerail/policy"
 )
 
-// drainNoticeDelay is how long after it was sent a busy core may see the notice to drain.
-// DrainGrace, which counts from when the notice is seen, is shortened by it: so it never
-// ends later than a grace that is counted from when the notice was sent.
+// drainNoticeDelay is how long after its sending a busy core may receive a drain notice.
+// DrainGrace counts from the receipt and is shortened by this delay, so that it does not end
+// later than a grace that counts from the sending.
 const drainNoticeDelay = 30 * time.Millisecond
 
-// settingsTable is the classes and tenants in force. Each keeps its index for good, so that
-// an open request keeps its own whatever settings come.
+// settingsTable holds the classes and tenants in force. Each keeps its index for the life of
+// the core, so that the indexes of open requests stay valid when the settings change.
 type settingsTable struct {
 	classes indexedList[decision.Class]
-	tenants indexedList[decision.Tenant] // one without a name where the settings have none
+	tenants indexedList[decision.Tenant] // a single one with an empty name if the settings have none
 }
 
-// indexedList is a list of the settings, with the items that were removed from it.
+// indexedList is a list of the settings that also keeps its removed items.
 type indexedList[T any] struct {
 	names   []string       // by index
-	indexOf map[string]int // of the items that are in force
+	indexOf map[string]int // of the items in force, by name
 	items   []T            // by index
 }
 
-// update returns the list with other items in force; those with known names keep their
-// index. The error names what is invalid.
-func (l indexedList[T]) update(what string, names []string, items []T) (indexedList[T], error) {
+// update returns the list with new items in force. Items whose names the list has had before
+// keep their index. The error names the list and the fault.
+func (l indexedList[T]) update(listName string, names []string, items []T) (indexedList[T], error) {
 	if len(names) != len(items) {
-		return l, fmt.Errorf("%s: %d names for %d", what, len(names), len(items))
+		return l, fmt.Errorf("%s: got %d names for %d entries", listName, len(names), len(items))
 	}
 	next := indexedList[T]{names: slices.Clone(l.names), items: slices.Clone(l.items), indexOf: make(map[string]int)}
 	for i, name := range names {
 		if _, duplicate := next.indexOf[name]; duplicate {
-			return l, fmt.Errorf("%s: %q is there twice", what, name)
+			return l, fmt.Errorf("%s: duplicate name %q", listName, name)
 		}
 		index := slices.Index(next.names, name)
 		if index < 0 {
@@ -50,13 +50,13 @@
 	return next, nil
 }
 
-// update returns the table with other classes and tenants in force.
+// update returns the table with new classes and tenants in force.
 func (t settingsTable) update(s decision.Settings, classes, tenants []string) (next settingsTable, err error) {
 	if len(classes) == 0 {
-		return t, errors.New("classes: none, at least one is needed")
+		return t, errors.New("classes: at least one class is required")
 	}
 	if slices.Contains(classes, "") || slices.Contains(tenants, "") {
-		return t, errors.New("classes, tenants: one has no name")
+		return t, errors.New("classes or tenants: a name is empty")
 	}
 	if len(tenants) == 0 && len(s.Tenants) == 0 {
 		tenants, s.Tenants = []string{""}, []decision.Tenant{{}}
@@ -70,8 +70,8 @@
 	return next, nil
 }
 
-// tenantIndex returns the index of a request's tenant. Where the settings have no tenants,
-// the name is ignored.
+// tenantIndex returns the index of a request's tenant; ok is false if the tenant is unknown.
+// The name is ignored if the settings have no tenants.
 func (t *settingsTable) tenantIndex(name string) (index int, ok bool) {
 	if index, ok = t.tenants.indexOf[""]; !ok {
 		index, ok = t.tenants.indexOf[name]
@@ -79,16 +79,16 @@
 	return index, ok
 }
 
-// mayShareKeys reports whether attempts of one request may come in both classes. A class
-// that was added later may be another one under a new name, and callers may change over to
-// it between two attempts. Classes that were there from the start are known to differ.
+// mayShareKeys reports whether attempts of one request may arrive in both classes. A class
+// that was added by a settings update may be a renamed one, to which callers switch between
+// two attempts. Two classes that the core was created with are known to differ.
 func (c *Core) mayShareKeys(classA, classB string) bool {
 	return classA == classB || !c.initialClasses[classA] || !c.initialClasses[classB]
 }
 
-// UpdateSettings puts other settings in force, with the names of their classes and tenants.
-// Requests of removed classes are not accepted any more. After an error, which names what
-// is invalid, nothing has changed.
+// UpdateSettings puts new settings in force, with the names of their classes and tenants.
+// Requests of removed classes or tenants are no longer accepted. It returns ErrStopped, or an
+// error that names the invalid setting; in that case the former settings stay in force.
 func (c *Core) UpdateSettings(s decision.Settings, classes, tenants []string) error {
 	result := make(chan error, 1)
 	if err := c.enqueue(settingsUpdated{s, classes, tenants, result}); err != nil {
@@ -127,14 +127,14 @@
 	if err := c.updateModule(s); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	former := c.settings
+	previous := c.settings
 	c.settings = s
 	c.currentSettings.Store(&next)
-	c.settingsChanged(former)
+	c.updateDerivedState(previous)
 	return nil
 }
 
-// updateModule has the module take other settings, or validates them if there is none yet.
+// updateModule passes new settings to the module, or only validates them if there is none yet.
 func (c *Core) updateModule(s decision.Settings) (err error) {
 	if c.module != nil {
 		return c.module.UpdateSettings(c.now, s)
@@ -143,18 +143,18 @@
 	return err
 }
 
-// settingsChanged brings up to date what follows from the settings.
-func (c *Core) settingsChanged(former decision.Settings) {
-	if c.settings.LoadReportMode != former.LoadReportMode { // the value has another meaning, or none
+// updateDerivedState updates the state that depends on the settings.
+func (c *Core) updateDerivedState(previous decision.Settings) {
+	if c.settings.LoadReportMode != previous.LoadReportMode { // the value has a new meaning, or none
 		c.loadReport.Store(nil)
 	}
-	if c.drain.draining { // other settings may end the grace sooner, not later
+	if c.drain.draining { // new settings may only shorten the grace
 		c.drain.graceEnd = min(c.drain.graceEnd, c.drain.noticeAt+c.settings.DrainGrace)
 	}
 	for _, class := range c.settings.Classes {
 		c.keys.AllowLateness(class.Deadline)
 	}
-	if c.settings.ListFollowsHealth != former.ListFollowsHealth && c.module != nil {
+	if c.settings.ListFollowsHealth != previous.ListFollowsHealth && c.module != nil {
 		c.reportToRegistrar()
 	}
 }
--- a/dispatch/settings_test.go
+++ b/dispatch/settings_test.go
@@ -9,7 +9,7 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// updateSettings puts other settings in force, without tenants.
+// updateSettings puts settings without tenants in force.
 func (h *harness) updateSettings(s decision.Settings, names ...string) error {
 	return h.updateSettingsAndTenants(s, names, nil)
 }
@@ -21,80 +21,80 @@
 	return <-result
 }
 
-// submitRead hands in a tenant's request of the class read.
+// submitRead submits a tenant's request of the class read.
 func (h *harness) submitRead(id, tenant string) error {
 	return h.Submit(h.withDefaults(Request{ID: id, Class: "read", Tenant: tenant}))
 }
 
-// TestUpdateSettings: an open request keeps its class's deadline though the class is removed.
-// From then on the new classes are accepted and the removed one is not; a key's window goes
-// on where its class returns. Invalid settings change nothing.
-func TestUpdateSettings(t *testing.T) {
+// TestUpdateSettings_ChangesClasses removes a class and later adds it again. An open request
+// keeps the deadline of its removed class, whose further requests are not accepted. A key of
+// the class keeps its window. Invalid settings change nothing.
+func TestUpdateSettings_ChangesClasses(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		update := h.updateSettings
-		refused := func(class string) bool {
-			return h.Submit(h.withDefaults(Request{ID: "no " + class, Class: class, Key: "k"})) != nil
+		rejects := func(class string) bool {
+			return h.Submit(h.withDefaults(Request{ID: "rejected " + class, Class: class, Key: "k"})) != nil
 		}
 		h.submit(t, "open", "gift", "k")
 		s := settings()
 		s.Classes = slices.Clone(s.Classes)
-		s.Classes[1].Deadline = time.Second + testSlack // of what stands at gift's place in this list
+		s.Classes[1].Deadline = time.Second + testSlack // of pledge, which has gift's place in the list
 		if err := update(s, "read", "pledge", "receipt"); err != nil {
 			t.Fatal(err)
 		}
-		if !refused("gift") {
-			t.Error("a removed class is accepted")
+		if !rejects("gift") {
+			t.Error("request of a removed class was accepted")
 		}
 		h.submit(t, "new", "pledge", "k")
 		h.sleep(testDeadline - time.Second)
 		h.wantAnswer(t, "new", TimedOut, "")
-		h.complete("open", RunSucceeded, "thanks")
+		h.completeRun("open", RunSucceeded, "thanks")
 		h.wantAnswer(t, "open", Served, "thanks")
 
-		wrong := settings()
-		wrong.Classes = slices.Clone(wrong.Classes)
-		wrong.Classes[2].Deadline = 0
-		none := settings()
-		none.Classes = nil
-		for _, err := range []error{update(wrong, "read", "gift", "receipt"), update(s, "read", "read", "receipt"), update(s, "read"), update(none)} {
+		invalid := settings()
+		invalid.Classes = slices.Clone(invalid.Classes)
+		invalid.Classes[2].Deadline = 0
+		noClasses := settings()
+		noClasses.Classes = nil
+		for _, err := range []error{update(invalid, "read", "gift", "receipt"), update(s, "read", "read", "receipt"), update(s, "read"), update(noClasses)} {
 			if err == nil {
-				t.Error("invalid settings are accepted")
+				t.Error("UpdateSettings with invalid settings = nil, want an error")
 			}
 		}
-		if !refused("gift") {
-			t.Error("settings that were rejected have changed something")
+		if !rejects("gift") {
+			t.Error("request of a removed class was accepted after invalid settings with the class")
 		}
 		if err := update(settings(), "read", "gift", "receipt"); err != nil {
 			t.Fatal(err)
 		}
 		h.submit(t, "again", "gift", "k")
-		h.wantAnswer(t, "again", Served, "thanks") // the key's window goes on
+		h.wantAnswer(t, "again", Served, "thanks") // the key's window continues
 	})
 }
 
-// tenantIndexes checks the indexes of tenants across several sets of settings.
+// tenantIndexes checks the indexes of tenants across settings updates.
 type tenantIndexes struct {
 	*harness
-	byName map[string]int // of the tenants that have been in force
+	byName map[string]int // of all tenants that have been in force
 }
 
-// update puts settings with other tenants in force; the quota of each tells its place in
-// the list.
-func (x *tenantIndexes) update(names ...string) error {
+// update puts settings with these tenants in force; the quota of each is its position in the
+// list, from 1.
+func (ti *tenantIndexes) update(names ...string) error {
 	s := settings()
 	for i := range names {
 		s.Tenants = append(s.Tenants, decision.Tenant{Quota: float64(i + 1)})
 	}
-	return x.updateSettingsAndTenants(s, []string{"read", "gift", "receipt"}, names)
+	return ti.updateSettingsAndTenants(s, []string{"read", "gift", "receipt"}, names)
 }
 
-// check looks a tenant up, and compares its index with those of before.
-func (x *tenantIndexes) check(t *testing.T, inForce []string, name string) {
+// check looks up a tenant, and compares its index with the earlier ones.
+func (ti *tenantIndexes) check(t *testing.T, inForce []string, name string) {
 	t.Helper()
-	index, ok := x.currentSettings.Load().tenantIndex(name)
+	index, ok := ti.currentSettings.Load().tenantIndex(name)
 	i := slices.Index(inForce, name)
 	if ok != (i >= 0 || len(inForce) == 0) {
-		t.Errorf("%v: %s is accepted: %t", inForce, name, ok)
+		t.Errorf("tenants %v: tenantIndex(%q) ok = %t, want %t", inForce, name, ok, !ok)
 	}
 	if !ok {
 		return
@@ -102,46 +102,46 @@
 	if len(inForce) == 0 {
 		name = ""
 	}
-	if former, known := x.byName[name]; known && former != index {
-		t.Errorf("%v: %q moves from index %d to %d", inForce, name, former, index)
+	if previous, known := ti.byName[name]; known && previous != index {
+		t.Errorf("tenants %v: index of %q changed from %d to %d", inForce, name, previous, index)
 	}
-	for other, taken := range x.byName {
+	for other, taken := range ti.byName {
 		if other != name && taken == index {
-			t.Errorf("%v: %q and %q share index %d", inForce, name, other, index)
+			t.Errorf("tenants %v: %q and %q have the same index %d", inForce, name, other, index)
 		}
 	}
-	x.byName[name] = index
-	if quota := x.settings.Tenants[index].Quota; quota != float64(i+1) {
-		t.Errorf("%v: %s has the quota %v", inForce, name, quota)
+	ti.byName[name] = index
+	if quota := ti.settings.Tenants[index].Quota; quota != float64(i+1) {
+		t.Errorf("tenants %v: quota of %q = %v, want %d", inForce, name, quota, i+1)
 	}
 }
 
-// TestUpdateTenants: a tenant keeps its index whatever settings come, those without tenants
-// included, so that none is counted as another; names that are removed, empty or there
-// twice are rejected.
-func TestUpdateTenants(t *testing.T) {
+// TestUpdateSettings_TenantsKeepIndexes updates the tenants several times, also to none. Each
+// tenant keeps its index, so that none is counted as another. Removed names are unknown, and
+// duplicate or empty ones are rejected.
+func TestUpdateSettings_TenantsKeepIndexes(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
-		x := &tenantIndexes{harness: h, byName: map[string]int{"": 0}}
+		ti := &tenantIndexes{harness: h, byName: map[string]int{"": 0}}
 		for _, names := range [][]string{{"a", "b"}, {"b", "c", "a"}, {}, {"c"}, {"d", "b"}, {}} {
-			must(t, x.update(names...))
+			must(t, ti.update(names...))
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
-				x.check(t, names, name)
+				ti.check(t, names, name)
 			}
 		}
 		for _, names := range [][]string{{"a", "a"}, {"a", ""}, {""}} {
-			if x.update(names...) == nil {
-				t.Errorf("%q is accepted", names)
+			if ti.update(names...) == nil {
+				t.Errorf("UpdateSettings with tenants %q = nil, want an error", names)
 			}
 		}
 		if index, ok := h.currentSettings.Load().tenantIndex("a"); !ok || index != 0 {
-			t.Error("settings that were rejected have changed something")
+			t.Errorf("tenantIndex(%q) = %d, %t after rejected settings, want 0, true", "a", index, ok)
 		}
 	})
 }
 
-// TestTenantOfRequest: a request keeps its tenant, though the settings change before it is
-// received.
-func TestTenantOfRequest(t *testing.T) {
+// TestUpdateSettings_RequestKeepsTenant changes the settings after requests were submitted and
+// before they are received: each keeps its tenant.
+func TestUpdateSettings_RequestKeepsTenant(t *testing.T) {
 	runTestWith(t, func(o *Options) {
 		o.Settings.Tenants, o.Tenants = []decision.Tenant{{Quota: 1}, {Quota: 2}}, []string{"a", "b"}
 	}, func(t *testing.T, h *harness) {
@@ -154,22 +154,23 @@
 				}
 			}
 		})
-		for place, tenant := range []string{"a", "b"} {
-			if a := h.attempts["of "+tenant]; a == nil || a.tenantIndex != place {
-				t.Errorf("the request of %s is under another: %+v", tenant, a)
+		for index, tenant := range []string{"a", "b"} {
+			if a := h.attempts["of "+tenant]; a == nil || a.tenantIndex != index {
+				t.Errorf("attempt of tenant %s = %+v, want tenantIndex %d", tenant, a, index)
 			}
 		}
 		if h.submitRead("late", "a") == nil {
-			t.Error("a removed tenant is accepted")
+			t.Error("request of a removed tenant was accepted")
 		}
 	})
 }
 
-// TestTenantsShare: the module hears of each request's tenant. Requests of a tenant that is
-// far over its quota wait behind others of the same class, in whatever order they came.
-func TestTenantsShare(t *testing.T) {
+// TestTenants_OverQuotaWaitsBehindOthers checks that the module gets the tenant of each
+// request: a request of a tenant far over its quota waits behind a later one of another
+// tenant.
+func TestTenants_OverQuotaWaitsBehindOthers(t *testing.T) {
 	runTestWith(t, func(o *Options) {
-		o.Settings.Tenants, o.Tenants = []decision.Tenant{{Quota: 1}, {Quota: 1000}}, []string{"floods", "sparing"}
+		o.Settings.Tenants, o.Tenants = []decision.Tenant{{Quota: 1}, {Quota: 1000}}, []string{"over quota", "under quota"}
 		o.Settings.OverQuotaWeight = 0.05
 	}, func(t *testing.T, h *harness) {
 		read := func(id, tenant string) {
@@ -181,67 +182,67 @@
 		}
 		for i := range 40 {
 			id := fmt.Sprint("early ", i)
-			read(id, "floods")
-			h.complete(id, RunSucceeded, "")
+			read(id, "over quota")
+			h.completeRun(id, RunSucceeded, "")
 		}
 		for i := range h.settings.Cores {
-			read(fmt.Sprint("runs ", i), "floods")
+			read(fmt.Sprint("running ", i), "over quota")
 		}
-		read("waits", "floods")
+		read("first", "over quota")
 		h.sleep(time.Millisecond)
-		read("of another", "sparing")
-		if h.starts["waits"]+h.starts["of another"] > 0 {
-			t.Fatal("the cores are not full")
+		read("second", "under quota")
+		if h.starts["first"]+h.starts["second"] > 0 {
+			t.Fatalf("starts = %v, want neither first nor second while all cores are busy", h.starts)
 		}
-		h.complete("runs 0", RunSucceeded, "")
-		if h.starts["of another"] != 1 || h.starts["waits"] != 0 {
-			t.Errorf("runs %v", h.starts)
+		h.completeRun("running 0", RunSucceeded, "")
+		if h.starts["second"] != 1 || h.starts["first"] != 0 {
+			t.Errorf("starts = %v, want second before first", h.starts)
 		}
 	})
 }
 
-// TestListFollowsHealth: the registrar hears of a server's health where the settings have
-// that, and else only whether it runs or drains.
-func TestListFollowsHealth(t *testing.T) {
+// TestRegistrar_FollowsHealthIfSet checks that the reports to the registrar include the
+// server's health only with the setting ListFollowsHealth, and a drain in any case.
+func TestRegistrar_FollowsHealthIfSet(t *testing.T) {
 	for _, follows := range []bool{true, false} {
 		runTestWith(t, func(o *Options) { o.Settings.ListFollowsHealth = follows }, func(t *testing.T, h *harness) {
 			last := func() bool { return h.accepting[len(h.accepting)-1] }
-			h.inLoop(h.Core, func() { host{h.Core}.SetHealth(false, true) })
+			h.runInLoop(h.Core, func() { host{h.Core}.SetHealth(false, true) })
 			h.wait()
 			if last() == follows {
-				t.Errorf("follows %t: the registrar hears %t of an unhealthy server", follows, last())
+				t.Errorf("ListFollowsHealth = %t: report of an unhealthy server = %t, want %t", follows, last(), !follows)
 			}
-			other := settings()
-			other.ListFollowsHealth = !follows
-			if err := h.updateSettings(other, "read", "gift", "receipt"); err != nil {
+			changed := settings()
+			changed.ListFollowsHealth = !follows
+			if err := h.updateSettings(changed, "read", "gift", "receipt"); err != nil {
 				t.Fatal(err)
 			}
 			if last() != follows {
-				t.Errorf("no longer follows %t: the registrar hears %t", follows, last())
+				t.Errorf("ListFollowsHealth changed to %t: report of an unhealthy server = %t, want %t", !follows, last(), follows)
 			}
 			h.Drain(time.Now(), time.Now().Add(time.Minute))
 			h.wait()
 			if last() {
-				t.Error("the registrar does not hear of a drain")
+				t.Error("report after a drain = true, want false")
 			}
 		})
 	}
 }
 
-// TestLoadReportAcrossSettings: the load value is published while the settings give it a
-// meaning, and computed anew where they give it another.
-func TestLoadReportAcrossSettings(t *testing.T) {
+// TestLoadReport_FollowsSettings checks that there is a load value whenever the settings
+// define one, and that it is computed anew when its definition changes.
+func TestLoadReport_FollowsSettings(t *testing.T) {
 	runTestWith(t, func(o *Options) { o.Settings.LoadReportMode = decision.LoadReportMinRank }, func(t *testing.T, h *harness) {
-		for _, say := range []decision.LoadReportMode{decision.LoadReportMinRank, decision.LoadReportNone, decision.LoadReportMinRank, decision.LoadReportCredit, decision.LoadReportNone} {
+		for _, mode := range []decision.LoadReportMode{decision.LoadReportMinRank, decision.LoadReportNone, decision.LoadReportMinRank, decision.LoadReportCredit, decision.LoadReportNone} {
 			s := settings()
-			s.LoadReportMode = say
+			s.LoadReportMode = mode
 			if err := h.updateSettings(s, "read", "gift", "receipt"); err != nil {
 				t.Fatal(err)
 			}
 			h.sleep(time.Second)
 			value, ok := h.LoadReport()
-			if ok != (say != decision.LoadReportNone) || say == decision.LoadReportCredit && value < 1 {
-				t.Errorf("say %d: %v, %t", say, value, ok)
+			if ok != (mode != decision.LoadReportNone) || mode == decision.LoadReportCredit && value < 1 {
+				t.Errorf("mode %d: LoadReport() = %v, %t", mode, value, ok)
 			}
 		}
 	})
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -7,33 +7,33 @@
 	"quincerail.example/quincerail/clock"
 )
 
-// Bounds of stalls. The core is woken every few milliseconds: a longer gap between two
-// batches means that the process stood still.
+// A stall is a time in which the process did not run. The module's timers cause a batch every
+// few milliseconds, so a longer gap between two batches is a stall.
 const (
-	// minStall is the shortest gap between batches that counts as a stall.
+	// minStall is the shortest gap between two batches that counts as a stall.
 	minStall = 50 * time.Millisecond
-	// recentStall is how long after a stall a signal that is seen may have been sent during
-	// the stall.
+	// recentStall is how long after a stall a received signal may have been sent during the
+	// stall.
 	recentStall = 100 * time.Millisecond
 	// minLoggedStall is the shortest stall that is logged.
 	minLoggedStall = 250 * time.Millisecond
-	// stallHoldTime is how long nothing is begun after a stall that may have outlasted the
-	// grace of a drain: a drain notice that came during the stall is seen within it.
+	// stallHoldTime is how long no request is started after a stall of at least DrainGrace. A
+	// drain notice that was sent during the stall is received within this time.
 	stallHoldTime = 50 * time.Millisecond
 )
 
-// stallDetector knows when the process last stood still. The core's goroutine reports its
-// batches; any goroutine may ask.
+// stallDetector detects stalls of the process. Run's goroutine reports the batches; any
+// goroutine may call earliestSignal.
 type stallDetector struct {
 	mu         sync.Mutex
-	watching   bool // batches come regularly
+	watching   bool // batches are regular, so gaps count as stalls
 	lastBatch  time.Duration
-	stallStart time.Duration // of the last stall
-	stallEnd   time.Duration // 0 where there was none
+	stallStart time.Duration // of the latest stall
+	stallEnd   time.Duration // of the latest stall; 0 if there was none
 }
 
-// observeBatch reports a batch. It returns how long the process stood still before it, 0 if
-// it did not.
+// observeBatch reports a batch. It returns the length of the stall before it, or 0 if there
+// was none.
 func (d *stallDetector) observeBatch(now time.Duration) (stalled time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,16 +44,16 @@
 	return stalled
 }
 
-// start has gaps between batches count as stalls from the next batch on.
+// start makes gaps count as stalls from the next batch on.
 func (d *stallDetector) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.watching = true
 }
 
-// notBefore returns the earliest time at which a signal that is seen now may have been sent:
-// before that, the process ran and would have seen it.
-func (d *stallDetector) notBefore(now time.Duration) time.Duration {
+// earliestSignal returns the earliest time at which a signal that is received now may have
+// been sent: before that, the process was running and would have received it.
+func (d *stallDetector) earliestSignal(now time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -67,7 +67,7 @@
 	return now
 }
 
-// advanceClock reads the clock for a batch, and logs stalls and steps of the Unix time.
+// advanceClock reads the clock for a batch, and logs stalls and steps of Unix time.
 func (c *Core) advanceClock() {
 	c.now = c.clock.Now()
 	stalled := c.stallDetector.observeBatch(c.now)
@@ -85,8 +85,8 @@
 // Clock returns the core's clock.
 func (c *Core) Clock() *clock.Clock { return c.clock }
 
-// DrainNoticeTime gives the earliest moment at which a signal that is seen now may have been
-// sent: the process may have stood still when it came.
+// DrainNoticeTime returns the earliest time at which a drain notice that is received now may
+// have been sent. It is before now if the process has just been stalled.
 func (c *Core) DrainNoticeTime() time.Time {
-	return c.clock.Time(c.stallDetector.notBefore(c.clock.Now()))
+	return c.clock.Time(c.stallDetector.earliestSignal(c.clock.Now()))
 }
--- a/dispatch/stall_test.go
+++ b/dispatch/stall_test.go
@@ -5,28 +5,27 @@
 	"time"
 )
 
-// TestNoStartForWhatDrainOvertakes: a request that was started before the core heard of a
-// drain, whose grace was over by then, does not begin once its claim is durable: the claim
-// is released, and the request is shed.
-func TestNoStartForWhatDrainOvertakes(t *testing.T) {
+// TestDrain_ShedsStartThatAwaitsJournal starts a request before the core receives a drain
+// notice whose grace is already over. Once its claim is durable, the request does not run but
+// is shed.
+func TestDrain_ShedsStartThatAwaitsJournal(t *testing.T) {
 	j := &journal{}
 	runTestWith(t, func(o *Options) { o.Journal = j }, func(t *testing.T, h *harness) {
 		h.submit(t, "a", "gift", "k")
 		h.Drain(time.Now().Add(-time.Minute), time.Now().Add(time.Minute))
 		h.wait()
-		j.settle(nil)
+		j.completeClaims(nil)
 		h.wait()
 		h.wantAnswer(t, "a", Shed, "")
 		if h.starts["a"] != 0 {
-			t.Error("it ran after the grace")
+			t.Errorf("run started %d times after the grace, want 0", h.starts["a"])
 		}
 	})
 }
 
-// standStill has the core's next batch find that the process stood still for longer than a
-// drain's grace.
-func (h *harness) standStill() {
-	h.inLoop(h.Core, func() { // the batch before the next was so long ago
+// simulateStall makes the core detect a stall of longer than a drain's grace in its next batch.
+func (h *harness) simulateStall() {
+	h.runInLoop(h.Core, func() { // sets the time of the last batch back
 		h.stallDetector.mu.Lock()
 		h.stallDetector.lastBatch -= 2 * settings().DrainGrace
 		h.stallDetector.mu.Unlock()
@@ -34,12 +33,13 @@
 	h.wait()
 }
 
-// TestNoStartRightAfterAStall: the process stands still for longer than a drain's grace. What
-// it reads then does not begin before a drain notice that came meanwhile is seen.
-func TestNoStartRightAfterAStall(t *testing.T) {
+// TestStall_HoldsStartsForDrainNotice stalls the process for longer than a drain's grace. A
+// request that is read after that does not run if a drain notice was sent during the stall
+// and is received within stallHoldTime.
+func TestStall_HoldsStartsForDrainNotice(t *testing.T) {
 	for _, noticed := range []bool{true, false} {
 		runTest(t, func(t *testing.T, h *harness) {
-			h.standStill()
+			h.simulateStall()
 			h.mustSubmit(t, h.Core, Request{ID: "a", Class: "read"})
 			h.wait()
 			h.sleep(stallHoldTime / 2)
@@ -54,22 +54,22 @@
 				h.wantAnswer(t, "a", Shed, "")
 			}
 			if h.starts["a"] != want {
-				t.Errorf("noticed %t: it ran %d times, want %d", noticed, h.starts["a"], want)
+				t.Errorf("drain notice = %t: run started %d times, want %d", noticed, h.starts["a"], want)
 			}
 		})
 	}
 }
 
-// TestHoldOutlivesAPeer: a peer disconnects while an unkeyed attempt is held back after a
-// stall. It does not wait for the peer's decision, and begins once the hold is over.
-func TestHoldOutlivesAPeer(t *testing.T) {
+// TestStall_HoldContinuesAfterPeerDisconnects disconnects the peer while an unkeyed attempt is
+// held after a stall. The attempt has no claim to wait for, and runs once the hold is over.
+func TestStall_HoldContinuesAfterPeerDisconnects(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
-		h.standStill()
+		h.simulateStall()
 		h.submit(t, "a", "read", "")
-		h.PeerDisconnected(nil) // as the present peer, of which there is none
+		h.PeerDisconnected(nil) // there is no peer, so nil is the current one
 		h.sleep(2 * stallHoldTime)
 		if h.starts["a"] != 1 {
-			t.Errorf("it ran %d times, want 1", h.starts["a"])
+			t.Errorf("run started %d times, want 1", h.starts["a"])
 		}
 	})
 }
--- a/dispatch/start.go
+++ b/dispatch/start.go
@@ -7,12 +7,13 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// poolPatienceDivisor divides the latency objective: an attempt waits for a slot until so
-// long after its arrival, as the module too sheds at half the objective.
-const poolPatienceDivisor = 2
+// poolWaitDivisor bounds the wait for a slot: it ends at the latency objective divided by
+// this, counted from the attempt's arrival. The module also sheds at half the objective.
+const poolWaitDivisor = 2
 
-// acquirePoolSlot has a started attempt begin if its class's pool has a free slot. Else it
-// waits for one, or is shed at once where it would wait too long (poolPatienceDivisor).
+// acquirePoolSlot continues the start of an attempt if its class's pool has a free slot.
+// Otherwise the attempt is queued for one, or shed at once if it would wait too long
+// (poolWaitDivisor).
 func (c *Core) acquirePoolSlot(a *attempt) {
 	if c.pools == nil {
 		c.startBackend(a)
@@ -24,16 +25,16 @@
 		c.startBackend(a)
 		return
 	}
-	patience := a.arrivedAt + a.classSettings.LatencyObjective/poolPatienceDivisor - c.now
-	if !c.pools.Enqueue(a.classIndex, a.ID, c.now, patience) {
+	maxWait := a.arrivedAt + a.classSettings.LatencyObjective/poolWaitDivisor - c.now
+	if !c.pools.Enqueue(a.classIndex, a.ID, c.now, maxWait) {
 		c.denyStart(a)
 		return
 	}
 	c.transition(a, stateAwaitingPoolSlot)
 }
 
-// startBackend has the backend begin a run, unless a drain has overtaken the attempt while
-// it waited for its claim or a slot.
+// startBackend lets the backend start a run, unless the grace of a drain has ended while the
+// attempt waited for its claim or a slot.
 func (c *Core) startBackend(a *attempt) {
 	if err := c.recheckStart(a); err != nil {
 		c.options.Monitor.Denied(guard.DrainStart, err, a.ID)
@@ -44,13 +45,14 @@
 	c.checkStart(a)
 	a.resumed, a.mayHaveRun = false, true
 	a.backend.Start(Run{ID: a.ID, Class: a.Class, Deadline: c.clock.Time(a.deadline), Payload: a.Payload})
-	if c.settings.CancelMode != decision.CancelPause { // a paused run is begun again with its payload
-		a.Payload = Payload{} // the backend has it, and the attempt may be kept for long
+	if c.settings.CancelMode != decision.CancelPause { // a paused run is started again with its payload
+		a.Payload = Payload{} // the backend has it; frees the memory, as the attempt may be open for long
 	}
 }
 
-// denyStart has an attempt shed that the module has started and that may not begin. It is
-// shed after the module's decision, as the module must not be called in the middle of one.
+// denyStart schedules an attempt that the module has started, but that may not run, to be
+// shed. This happens after the module's current decision, because an action must not call the
+// module back.
 func (c *Core) denyStart(a *attempt) {
 	c.transition(a, stateStartDenied)
 	c.deferEvent(startDenied{a})
@@ -65,7 +67,7 @@
 	}
 }
 
-// shedNotStarted sheds an attempt that the module has started and that never began.
+// shedNotStarted sheds an attempt that the module has started and the backend has not.
 func (c *Core) shedNotStarted(a *attempt) {
 	if a.entry != nil {
 		c.keys.ReleaseClaim(a.entry, a.ID)
@@ -74,13 +76,14 @@
 	c.completeNotStarted(a)
 }
 
-// completeNotStarted ends an attempt that the module has started and that never began.
+// completeNotStarted ends an attempt that the module has started and the backend has not.
 func (c *Core) completeNotStarted(a *attempt) {
 	runCompleted{id: a.ID, end: RunNotStarted}.apply(c)
 }
 
-// releasePoolSlot returns the slot of a run that has ended, and begins the attempts that
-// the pools give a slot to. An attempt that waited for a slot, or was shed, holds none.
+// releasePoolSlot releases the slot of a run that has ended, and starts the queued attempts
+// that the pools admit in return. It does nothing for an attempt that holds no slot, such as
+// one that was queued or shed.
 func (c *Core) releasePoolSlot(a *attempt, took time.Duration, succeeded bool) {
 	if !a.holdsPoolSlot {
 		return
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -8,55 +8,56 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// maxKeyBytes bounds an idempotency key: the key table counts on it, and peers get it.
+// maxKeyBytes bounds the length of an idempotency key, because the key table counts a fixed
+// size for each entry (idempotency.EntryOverheadBytes) and keys are sent to peers.
 const maxKeyBytes = 256
 
-// NewID makes an id for a request that has none from its caller.
+// NewID returns a random id for a request whose caller has set none.
 func NewID() string {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // it never fails: see crypto/rand
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never fails
 	return hex.EncodeToString(b[:])
 }
 
-// Submit hands in a request. It returns an error if the class or tenant is unknown, a needed
-// key is missing or too long, or there is no id or memory; or ErrStopped. After an error its
-// Responder hears nothing. It waits while the mailbox is full.
+// Submit submits a request, whose Responder then gets exactly one answer unless its caller
+// cancels it or disconnects. It returns ErrStopped, or an error that names the invalid field;
+// then there is no answer. It blocks while the mailbox is full.
 func (c *Core) Submit(r Request) error {
 	current := c.currentSettings.Load()
 	class, ok := current.classes.indexOf[r.Class]
 	if !ok {
-		return fmt.Errorf("class %q is not known", r.Class)
+		return fmt.Errorf("unknown class %q", r.Class)
 	}
 	if err := r.checkKey(current.classes.items[class].Effect); err != nil {
 		return err
 	}
 	tenant, ok := current.tenantIndex(r.Tenant)
 	if !ok {
-		return fmt.Errorf("tenant %q is not known", r.Tenant)
+		return fmt.Errorf("unknown tenant %q", r.Tenant)
 	}
 	if r.ID == "" || !(r.ReservedKB > 0) {
-		return fmt.Errorf("id %q, memory %v: both are needed", r.ID, r.ReservedKB)
+		return fmt.Errorf("id %q, reserved memory %v kB: the id must not be empty and the memory must be over 0", r.ID, r.ReservedKB)
 	}
 	return c.enqueue(requestReceived{r, class, tenant})
 }
 
-// checkKey returns an error if a request of a class with that effect needs a key and has
-// none, or one that is too long.
+// checkKey returns an error if the request's class has the effect Keyed, but the request has
+// no key or one that is too long.
 func (r *Request) checkKey(effect decision.Effect) error {
 	if effect != decision.Keyed {
 		return nil
 	}
 	if r.Key == "" {
-		return fmt.Errorf("class %q needs a key", r.Class)
+		return fmt.Errorf("class %q requires an idempotency key", r.Class)
 	}
 	if len(r.Key) > maxKeyBytes {
-		return fmt.Errorf("a key of %d bytes, %d at most", len(r.Key), maxKeyBytes)
+		return fmt.Errorf("idempotency key has %d bytes, the limit is %d", len(r.Key), maxKeyBytes)
 	}
 	return nil
 }
 
-// requestReceived is a request with the indexes of its class and tenant. These keep
-// their meaning when the settings change.
+// requestReceived is a submitted request with the indexes of its class and tenant, which
+// stay valid when the settings change.
 type requestReceived struct {
 	request     Request
 	classIndex  int
@@ -65,8 +66,8 @@
 
 func (e requestReceived) apply(c *Core) {
 	r := e.request
-	// The settings may have changed since Submit: those in force now count, and the
-	// former ones of its class where that has been removed.
+	// The settings may have changed since Submit. The current ones apply; a class that was
+	// removed keeps its last settings.
 	class := c.settings.Classes[e.classIndex]
 	if class.Effect != decision.Keyed {
 		r.Key = ""
@@ -85,7 +86,7 @@
 	c.admit(a)
 }
 
-// newAttempt makes the attempt of a request, with its times on the clock's timeline.
+// newAttempt creates the attempt for a request, with its times on the clock's timeline.
 func (c *Core) newAttempt(r Request, classIndex, tenantIndex int) *attempt {
 	class := c.settings.Classes[classIndex]
 	a := &attempt{
@@ -110,24 +111,25 @@
 	return a
 }
 
-// outcomeAtArrival returns the answer of a request that the module does not hear of.
+// outcomeAtArrival returns the answer to an attempt that is not passed to the module; final
+// is false if the module decides about it.
 func (c *Core) outcomeAtArrival(a *attempt) (o Outcome, final bool) {
 	shed := Outcome{Kind: Shed, RetryAfter: c.settings.MaxRetryAfter}
 	entry := c.keys.Lookup(a.Key)
 	newKey := a.Key != "" && entry == nil
 	switch {
 	case c.now > a.deadline:
-		// The module would count the time since the arrival as read lag, and the server as
-		// unhealthy if it is long: one wrong arrival time must not have that effect.
+		// The module counts the time since the arrival as read lag, and a long lag as a sign
+		// of an unhealthy server. One wrong arrival time must not have that effect.
 		return Outcome{Kind: TimedOut}, true
 	case c.module == nil && entry != nil && entry.RanInWindow(a.arrivedAt):
-		return c.failure(a), true // it ran in another process
-	case c.module == nil: // nothing can run yet
+		return c.failureOutcome(a), true // the key has run in another process
+	case c.module == nil: // the backend is not ready
 		return shed, true
-	case newKey && c.keys.Full(): // no entry would keep it from running again
+	case newKey && c.keys.Full(): // without an entry, a retry would run the request again
 		return shed, true
-	case newKey && c.now < c.replication.inDoubtUntil: // it may have run, by a record that is lost
-		return c.failure(a), true
+	case newKey && c.now < c.replication.inDoubtUntil: // the key may have run: its record may be lost
+		return c.failureOutcome(a), true
 	}
 	return Outcome{}, false
 }
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -6,17 +6,17 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// maxGaugeWait bounds how long a tick of the module waits for the machine's gauges.
+// maxGaugeWait bounds how long a call of the module's Tick waits for the machine's gauges.
 const maxGaugeWait = 20 * time.Millisecond
 
-// SetTimer sets a timer of the module.
+// SetTimer sets a timer that calls the module's Tick with the token.
 func (h host) SetTimer(after time.Duration, token int64) {
 	c := h.Core
 	time.AfterFunc(after, func() { c.notify(timerFired{token}) })
 }
 
-// timerFired starts a tick of the module. It gets the gauges of the moment, or the last
-// ones if the machine does not report them in time.
+// timerFired answers overdue requests and calls the module's Tick with the current gauges,
+// or with the latest ones if the machine does not report within maxGaugeWait.
 type timerFired struct{ token int64 }
 
 func (e timerFired) apply(c *Core) {
@@ -25,21 +25,21 @@
 		c.module.Tick(c.now, e.token, c.gauges)
 		return
 	}
-	t := &tick{token: e.token}
-	late := time.AfterFunc(maxGaugeWait, func() { c.notify(gaugesLate{t}) })
+	t := &pendingTick{token: e.token}
+	timeout := time.AfterFunc(maxGaugeWait, func() { c.notify(gaugesTimedOut{t}) })
 	c.options.Machine.ReadGauges(func(g decision.Gauges) {
-		late.Stop()
+		timeout.Stop()
 		c.notify(gaugesRead{t, g})
 	})
 }
 
-// tick is one call of the module's Tick that waits for gauges.
-type tick struct {
+// pendingTick is a call of the module's Tick that waits for gauges.
+type pendingTick struct {
 	token int64
 	done  bool
 }
 
-func (t *tick) run(c *Core) {
+func (t *pendingTick) run(c *Core) {
 	if !t.done {
 		t.done = true
 		c.module.Tick(c.now, t.token, c.gauges)
@@ -47,7 +47,7 @@
 }
 
 type gaugesRead struct {
-	tick   *tick
+	tick   *pendingTick
 	gauges decision.Gauges
 }
 
@@ -56,6 +56,6 @@
 	e.tick.run(c)
 }
 
-type gaugesLate struct{ tick *tick }
+type gaugesTimedOut struct{ tick *pendingTick }
 
-func (e gaugesLate) apply(c *Core) { e.tick.run(c) }
+func (e gaugesTimedOut) apply(c *Core) { e.tick.run(c) }
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -6,36 +6,36 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// Request is one attempt of a request as a frontend read it.
+// Request is one attempt of a request, as a frontend has read it.
 type Request struct {
-	ID         string    // of this attempt: no two attempts have the same
-	Class      string    // by its name in the settings
-	Key        string    // idempotency key, of classes that need one: the same for all attempts
-	CacheKey   string    // what a read is about; may be empty
-	Tenant     string    // by its name in the settings; ignored where these have none
-	ArrivedAt  time.Time // when it reached the machine; its deadline counts from there
-	ReadAfter  time.Time // its last byte came after this, if it came in parts; else zero
-	ReadBy     time.Time // its last byte came before this; zero for now
-	Deadline   time.Time // when its caller gives up, if sooner than its class's deadline; else zero
+	ID         string    // of this attempt; no two attempts may have the same
+	Class      string    // name in the settings
+	Key        string    // idempotency key, the same for all attempts; ignored unless the class is keyed
+	CacheKey   string    // identifies the item that a read is about; may be empty
+	Tenant     string    // name in the settings; ignored if the settings have no tenants
+	ArrivedAt  time.Time // when it reached the machine; the deadline of its class counts from here
+	ReadAfter  time.Time // lower bound of when its last byte arrived, if it arrived in parts; else zero
+	ReadBy     time.Time // upper bound of when its last byte arrived; zero for now
+	Deadline   time.Time // when its caller gives up; zero for the deadline of its class, which is also an upper bound
 	Caller     int
-	ReservedKB float64 // memory that it takes while it is held
-	Rank       float64 // the caller's position among all, from 0 to under 1
+	ReservedKB float64 // memory in kB that it occupies; over 0
+	Rank       float64 // rank of the caller among all callers, in [0, 1)
 	Payload    Payload
 	Backend    Backend   // runs it; nil for Options.Backend
-	Responder  Responder // gets the answer
+	Responder  Responder // gets the answer; also identifies the caller that may cancel the request
 }
 
-// OutcomeKind is how a request was answered. How a run ended is RunEnd, how a call ended
-// decision.Outcome.
+// OutcomeKind is the kind of a request's final answer. RunEnd tells how a run ended, and
+// CallOutcome how a downstream call ended.
 type OutcomeKind int
 
 // The kinds of answers.
 const (
-	Served   OutcomeKind = iota // with the result of a run
-	Shed                        // this attempt never ran, or is idempotent: it may be retried
-	Failed                      // it may have run
-	TimedOut                    // failed, because its deadline has passed
-	Rejected                    // never run: its id is in use, or its key is another request's
+	Served   OutcomeKind = iota // answered with the result of a run
+	Shed                        // the attempt never ran, or is idempotent: the caller may retry it
+	Failed                      // the attempt may have run
+	TimedOut                    // failed because the deadline has passed
+	Rejected                    // never run: its id is in use, its key belongs to another request, or is missing or too long
 )
 
 // String returns the kind as metrics and logs name it: Shed is "refused", TimedOut "deadline".
@@ -43,15 +43,16 @@
 	return [...]string{Served: "served", Shed: "refused", Failed: "failed", TimedOut: "deadline", Rejected: "rejected"}[k]
 }
 
-// Outcome is a request's final answer.
+// Outcome is the final answer to a request.
 type Outcome struct {
 	Kind             OutcomeKind
-	Result           Payload       // of Served; of Failed: what the run reported, if anything
+	Result           Payload       // of Served; of Failed and TimedOut: what the failed run reported, if anything
 	RetryAfter       time.Duration // of Shed
-	NoRetryElsewhere bool          // of Shed: the caller is asked not to try another server
+	NoRetryElsewhere bool          // of Shed: the caller should not retry at another server
 }
 
-// Responder takes a request's one final answer. Its method must not block.
+// Responder receives the one final answer to a request. Its method is called on Run's
+// goroutine and must not block.
 type Responder interface {
 	Respond(id string, o Outcome)
 }
@@ -62,12 +63,12 @@
 // The ends of a run.
 const (
 	RunSucceeded  RunEnd = iota // with a result
-	RunFailed                   // it may have had its effect
-	RunCancelled                // it was cancelled, and may have had its effect
-	RunNotStarted               // it is proven to have had no effect
+	RunFailed                   // may have had its effect
+	RunCancelled                // cancelled; may have had its effect
+	RunNotStarted               // proven to have had no effect
 )
 
-// Run is an attempt as its backend gets it.
+// Run is the part of an attempt that the backend gets.
 type Run struct {
 	ID       string
 	Class    string
@@ -75,48 +76,57 @@
 	Payload  Payload
 }
 
-// Backend runs requests. It reports by [Core.RunCompleted] and [Core.CallRequested]. Its
-// methods must not block.
+// Backend runs requests. It reports by calling [Core.RunCompleted] and
+// [Core.CallRequested]. Its methods must not block.
 type Backend interface {
+	// Start starts a run.
 	Start(r Run)
+	// Cancel cancels a run, or pauses it if the settings have decision.CancelPause.
 	Cancel(id string)
-	ReplyToCall(id string, reply []byte) // to the downstream call that the run waits for
-	SkipCall(id string, notice uint64)   // the run goes on without that call
+	// ReplyToCall passes on the reply to the downstream call that the run waits for.
+	ReplyToCall(id string, reply []byte)
+	// SkipCall tells the run to continue without the call of that notice.
+	SkipCall(id string, notice uint64)
 }
 
-// Machine reports on the machine that a backend runs on. Its methods must not block.
+// Machine reports the state of the machine that the backend runs on. Its methods must not
+// block; they may call reply from any goroutine.
 type Machine interface {
 	ReadGauges(reply func(decision.Gauges))
-	CheckHealth(reply func(good bool))
+	CheckHealth(reply func(healthy bool))
 }
 
 // CallOutcome is how a downstream call ended.
 type CallOutcome = decision.Outcome
 
-// Dependency makes the downstream calls of runs. It reports by [Core.CallCompleted], with
-// the number that tells the calls of a run apart. Its methods must not block.
+// Dependency makes the downstream calls of runs. It reports by calling
+// [Core.CallCompleted] with the number, which identifies a call among those of its run. Its
+// methods must not block.
 type Dependency interface {
-	Call(id string, number int, wait time.Duration, body []byte)
+	// Call makes a call. The core abandons it after the timeout.
+	Call(id string, number int, timeout time.Duration, body []byte)
+	// Abandon abandons the call of a run that is in flight.
 	Abandon(id string)
 }
 
-// Registrar tells callers whether this server accepts requests. Its method must not block.
+// Registrar reports to the discovery service whether this server accepts requests. Its
+// method must not block.
 type Registrar interface {
-	SetAccepting(on bool)
+	SetAccepting(accepting bool)
 }
 
-// Connections closes connections that idle for too long. Its method must not block.
+// Connections closes connections that are idle for too long. Its method must not block.
 type Connections interface {
 	SetIdleTimeout(after time.Duration)
 }
 
-// Observer gets each final answer, for metrics: the class by its name, or
-// [RemovedClass], the kind, and the time since the request arrived. duplicate is set where
-// the answer is the result of another attempt. Its method must not block.
+// Observer gets each final answer, for metrics: the name of the class (or [RemovedClass]),
+// the kind, and the time since the request arrived. duplicate is set if the answer is the
+// result of another attempt. Its method must not block.
 type Observer interface {
 	ObserveResponse(class string, kind OutcomeKind, took time.Duration, duplicate bool)
 }
 
-// RemovedClass is reported to the Observer instead of a class that the settings had when
-// the request came and no longer have.
+// RemovedClass is what the Observer gets instead of a class that was removed from the
+// settings after the request arrived.
 const RemovedClass = "(dropped)"
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -1,52 +1,52 @@
-// Package idempotency keeps the table of idempotency keys: it makes sure that of all
-// attempts of one request, which carry the same key, only one runs within the key's
-// window, and that the others get its result.
+// Package idempotency implements the table of idempotency keys. It ensures that only one of the
+// attempts of a request, which all carry the same key, runs within the key's window, and that
+// the others get its result.
 //
-// # Life of a key
+// # Lifecycle of a key
 //
-// An attempt that arrives is registered ([Table.Register]); the table names the earlier
+// An attempt is registered when it arrives ([Table.Register]), which returns the earlier
 // attempt that it duplicates, if there is one. The first attempt of a key owns it: its
-// duplicates wait for it, whether it runs or not. An attempt that is to run claims the
-// key ([Table.Claim]), which starts the key's window, counted from the arrival of that
-// attempt. An attempt that is proven not to have begun releases its claim
-// ([Table.ReleaseClaim]). The result of a run that succeeded is stored
-// ([Table.StoreResult]). An attempt of which nothing more is to come leaves the table
-// ([Table.Unregister]); if it owned the key, the duplicates that wait for it
-// ([Entry.Await]) are returned, and its result is theirs.
-//
+// duplicates wait for it, whether it runs or not ([Entry.Await]). Before an attempt runs, it
+// claims the key ([Table.Claim]), which sets the key's window, counted from the arrival of
+// that attempt. An attempt that is proven not to have run releases its claim
+// ([Table.ReleaseClaim]). The result of a successful run is stored ([Table.StoreResult]). An
+// attempt that has ended is unregistered ([Table.Unregister]); if it owned the key, this
+// returns the duplicates that wait for it, and they get its result.
+//
+//	state      meaning
 //	not run    no attempt has claimed the key: the next one may
 //	claimed    an attempt runs, in this process or in a peer: others wait for it
-//	completed  the run ended: duplicates get its result, or fail without one
+//	completed  the run has ended: duplicates get its result, or fail if there is none
 //
-// [Entry.Completed] tells of the owner, not of a run: an entry whose owner was shed is
+// [Entry.Completed] is about the owner, not about a run: an entry whose owner was shed is
 // completed and not run.
 //
-// An entry is removed by [Table.Expire] once no attempt refers to it and its window is
-// over for every attempt that may still be read.
+// [Table.Expire] removes an entry once no attempt refers to it and its window is over for
+// every attempt that may still be read.
 //
 // # Bounds
 //
-// The table's size is bounded in bytes. Results are evicted first, the oldest first;
-// their duplicates then fail. What says that a key has run is never evicted, since it
-// is what keeps the key from running again. When even these fill the bound, the table
-// is full ([Table.Full]) and attempts of new keys have to be rejected.
+// The table's size is bounded in bytes. The oldest results are evicted first; duplicates of
+// their runs then fail. The record that a key has run is never evicted, because it prevents a
+// second run. If these records alone exceed the bound, the table is full ([Table.Full]), and
+// attempts of new keys must not be registered.
 //
-// # What keeps a key from running twice
+// # How a second run is prevented
 //
-//   - In one process: [Table.Register] names the earlier attempt, and guard.MayStart denies
-//     the start of an attempt for which [Entry.RanInWindow] holds.
-//   - Over a restart: the claim is durable in the journal before the run begins; package
-//     journal says what becomes of records that are lost or have no end.
-//   - During an upgrade with two processes: the successor asks the predecessor for each
-//     claim, which grants it only if the key has not run there (dispatch/replication.go).
+//   - In one process: [Table.Register] returns the earlier attempt, and guard.MayStart denies
+//     the start of an attempt if [Entry.RanInWindow] is true.
+//   - After a restart: the claim is durable in the journal before the run starts. Package
+//     journal describes how lost records and runs without a recorded end are handled.
+//   - During an upgrade with two processes: the successor requests each claim from the
+//     predecessor, which grants it only if the key has not run there (dispatch/replication.go).
 //
 // # Replication
 //
-// A [KeyState] is the form in which another process, or a [Journal] on disk, gets to
-// know a key ([Entry.State]); [Table.Apply] takes one over. Its JSON is stored.
+// A [KeyState] is the state of a key that is sent to another process or to a [Journal] on disk
+// ([Entry.State]); [Table.Apply] applies a received one. Its JSON is stored.
 //
 // # Goroutines and time
 //
-// A Table and its entries belong to one goroutine and read no clock. Times are on the
-// timeline of the caller's process, except in a KeyState.
+// A Table and its entries must be used by one goroutine. They read no clock. Times are on the
+// timeline of the process (package clock), except in a KeyState.
 package idempotency
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -6,42 +6,43 @@
 )
 
 const (
-	// WindowTolerance is added to the end of each window, for the difference of clocks
-	// and for rounding.
+	// WindowTolerance is added to the end of each window to allow for clock differences and
+	// rounding.
 	WindowTolerance = 100 * time.Millisecond
-	// EntryOverheadBytes is counted for each entry beside its result.
+	// EntryOverheadBytes is the size that is counted for each entry in addition to its
+	// result.
 	EntryOverheadBytes = 512
 
-	expireInterval = 250 * time.Millisecond // between two passes of Expire
+	expireInterval = 250 * time.Millisecond // minimum time between two passes of Expire
 )
 
-// Table links the attempts of keyed requests. It belongs to one goroutine.
+// Table maps idempotency keys to their entries. It must be used by one goroutine.
 type Table struct {
 	entries     map[string]*Entry
-	withResult  []*Entry      // in the order in which their results were stored
-	bytes       int           // entries' overhead and results
+	withResult  []*Entry      // entries with a result, the oldest result first
+	bytes       int           // size of all entries and results
 	maxBytes    int           // 0 for no bound
-	expiredAt   time.Duration // the last pass of Expire
-	maxLateness time.Duration // how long after its arrival an attempt may still be registered
+	expiredAt   time.Duration // time of the last pass of Expire
+	maxLateness time.Duration // longest time from an attempt's arrival to Register
 }
 
-// NewTable makes a table of at most maxBytes; 0 for no bound.
+// NewTable returns an empty table that is bounded to maxBytes; 0 is no bound.
 func NewTable(maxBytes int) *Table {
 	return &Table{entries: make(map[string]*Entry), maxBytes: maxBytes}
 }
 
-// AllowLateness raises how long after its arrival an attempt may still be registered:
-// for so long entries are kept beyond their window.
+// AllowLateness sets how long after its arrival an attempt may still be registered, unless a
+// longer time is set already. Entries are kept for this time after the end of their window.
 func (t *Table) AllowLateness(lateness time.Duration) {
 	t.maxLateness = max(t.maxLateness, lateness)
 }
 
-// Full reports whether there is no room for a further key, even without results.
+// Full reports whether the entries exceed the bound even without their results.
 func (t *Table) Full() bool {
 	return t.maxBytes > 0 && len(t.entries)*EntryOverheadBytes > t.maxBytes
 }
 
-// Lookup returns a key's entry, or nil if there is none.
+// Lookup returns the entry of a key, or nil if there is none.
 func (t *Table) Lookup(key string) *Entry { return t.entries[key] }
 
 // Entries returns all entries, in no particular order.
@@ -55,20 +56,20 @@
 
 // Matches decides whether an attempt may be registered with its key.
 //
-// Inputs: the key's entry, the attempt's body hash and class, and sameRequest, which tells
-// whether attempts of one request may come in both classes. Rule: the key is unused, or body and class match those of the
-// key. Reason: all attempts of one request carry the same; another request must not get
-// its result.
+// Inputs: the entry of the key, the attempt's body hash and class, and sameRequest, which
+// reports whether attempts of one request may arrive in both classes. Rule: the key is
+// unused, or the body and class match those of the entry. Reason: all attempts of a request
+// have the same body and class, and another request must not get its result.
 func (t *Table) Matches(a Attempt, sameRequest func(classA, classB string) bool) bool {
 	e := t.entries[a.Key]
 	return e == nil || e.unused(a.ArrivedAt) ||
 		e.bodyHash == a.BodyHash && sameRequest(e.class, a.Class)
 }
 
-// Register links an attempt to its key until Unregister. It returns the id of the
-// attempt that it duplicates: the one that has run within the window, or else the owner of
-// the key, if it has not ended. If there is neither, the attempt becomes the owner, and
-// duplicateOf is "".
+// Register registers an attempt with its key until Unregister. duplicateOf is the id of the
+// attempt that it duplicates: the one that has run, if this attempt arrived within the
+// window, or else the owner of the key, if that has not ended. If there is neither, the
+// attempt becomes the owner, and duplicateOf is "".
 func (t *Table) Register(a Attempt) (e *Entry, duplicateOf string) {
 	e = t.lookupOrAdd(a.Key)
 	if e.unused(a.ArrivedAt) {
@@ -86,35 +87,34 @@
 	return e, ""
 }
 
-// TakeOwnership makes an attempt the owner of its key, unless the key has run within the
-// window that the attempt arrived in, or the key's owner has not ended. It does not claim
-// the key.
+// TakeOwnership makes an attempt the owner of its key, unless the key has run and the attempt
+// arrived within its window, or the owner has not ended. It does not claim the key.
 func (t *Table) TakeOwnership(e *Entry, a Attempt) {
 	if !e.RanInWindow(a.ArrivedAt) && e.completed {
 		e.owner, e.completed = a.ID, false
 	}
 }
 
-// Claim makes an attempt the owner of its key and the one that runs, drops a result of an
-// earlier run, and sets the key's window, which counts from the attempt's arrival. The
-// caller has checked that the attempt did not arrive in the window of another one that has
-// run (guard.MayStart).
+// Claim makes an attempt the owner of its key and the one that runs, removes the result of an
+// earlier run, and sets the key's window, which counts from the attempt's arrival. The caller
+// must have checked that the attempt did not arrive within the window of another run
+// (guard.MayStart).
 func (t *Table) Claim(e *Entry, a Attempt, window time.Duration) {
 	t.evictResult(e)
 	e.owner, e.ranAttemptID, e.completed, e.remote = a.ID, a.ID, false, false
 	e.expiresAt = a.ArrivedAt + window + WindowTolerance
 }
 
-// ReleaseClaim undoes the claim of an attempt that is proven never to have run. It does
-// nothing if the attempt has no claim.
+// ReleaseClaim undoes the claim of an attempt that is proven not to have run. It does nothing
+// if the attempt has no claim.
 func (t *Table) ReleaseClaim(e *Entry, attemptID string) {
 	if e.ranAttemptID == attemptID {
 		e.ranAttemptID = ""
 	}
 }
 
-// Unregister ends the link of an attempt to its key, of which nothing more is to come. If
-// it owns the key, the ids of the duplicates that wait for it are returned.
+// Unregister ends the registration of an attempt that has ended. If the attempt owns the key,
+// it returns the ids of the duplicates that wait for it.
 func (t *Table) Unregister(e *Entry, attemptID string) (waiting []string) {
 	e.openAttempts--
 	e.stopWaiting(attemptID)
@@ -127,9 +127,9 @@
 	return waiting
 }
 
-// Apply replaces what is known of a key by the state that a peer or a journal has; its
-// window ends at expiresAt. A state without RanAttemptID releases the claim. If the run has
-// ended, the ids of the duplicates that waited are returned.
+// Apply replaces the state of a key by one from a peer or the journal; expiresAt is the end of
+// its window on this process's timeline. A state without RanAttemptID releases the claim. If
+// the run has ended, Apply returns the ids of the duplicates that wait for it.
 func (t *Table) Apply(state KeyState, expiresAt time.Duration) (e *Entry, waiting []string) {
 	e = t.lookupOrAdd(state.Key)
 	t.evictResult(e)
@@ -149,8 +149,8 @@
 	return e, waiting
 }
 
-// StoreResult stores the result of a run that succeeded. If the table then exceeds its
-// bound, the oldest results are evicted, this one last.
+// StoreResult stores the result of a successful run. If the table then exceeds its bound, it
+// evicts the oldest results first, and this one last.
 func (t *Table) StoreResult(e *Entry, result Payload) {
 	e.result, e.resultBytes = &result, result.sizeBytes()
 	t.bytes += e.resultBytes
@@ -160,9 +160,9 @@
 	}
 }
 
-// Expire removes the entries that no attempt refers to and whose window is over for all
-// attempts: one that arrived within it may be read later, as long as its deadline allows.
-// It does so at most once in expireInterval.
+// Expire removes the entries without a registered attempt whose window is over for all
+// attempts. An attempt that arrived within the window may be registered later
+// (AllowLateness). A call within expireInterval of the last pass does nothing.
 func (t *Table) Expire(now time.Duration) {
 	if now < t.expiredAt+expireInterval {
 		return
@@ -175,7 +175,7 @@
 	}
 }
 
-// lookupOrAdd returns a key's entry, a new one if there is none.
+// lookupOrAdd returns the entry of a key, and adds one if there is none.
 func (t *Table) lookupOrAdd(key string) *Entry {
 	e := t.entries[key]
 	if e == nil {
@@ -186,7 +186,7 @@
 	return e
 }
 
-// evictResult drops an entry's result, if it has one.
+// evictResult removes the result of an entry, if it has one.
 func (t *Table) evictResult(e *Entry) {
 	if e.result == nil {
 		return
