--- a/idempotency/table_test.go
+++ b/idempotency/table_test.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	testWindow   = 20 * time.Second // of the tests' keys
-	testLateness = 7 * time.Second  // how late an attempt may be registered
+	testWindow   = 20 * time.Second // window of the tests' keys
+	testLateness = 7 * time.Second  // longest time from an attempt's arrival to Register
 	testBodyHash = 7
 )
 
-// attempt is an attempt of the tests' key that arrived at a time.
+// attempt returns an attempt of the key k that arrived at a time.
 func attempt(id string, arrivedAt time.Duration) Attempt {
 	return Attempt{ID: id, Key: "k", Class: "gift", BodyHash: testBodyHash, ArrivedAt: arrivedAt}
 }
@@ -24,12 +24,12 @@
 	t.Helper()
 	e, duplicateOf := table.Register(a)
 	if duplicateOf != wantDuplicateOf {
-		t.Errorf("attempt %s duplicates %q, want %q", a.ID, duplicateOf, wantDuplicateOf)
+		t.Errorf("Register(%s): duplicateOf = %q, want %q", a.ID, duplicateOf, wantDuplicateOf)
 	}
 	return e
 }
 
-// run registers an attempt that claims its key and ends with a result.
+// run registers an attempt, claims its key, stores a result and unregisters the attempt.
 func run(t *testing.T, table *Table, a Attempt, result string) *Entry {
 	t.Helper()
 	e := register(t, table, a, "")
@@ -43,13 +43,13 @@
 func wantEmpty(t *testing.T, table *Table) {
 	t.Helper()
 	if len(table.entries) != 0 || table.bytes != 0 || len(table.withResult) != 0 {
-		t.Errorf("%d entries, %d results and %d bytes, want none", len(table.entries), len(table.withResult), table.bytes)
+		t.Errorf("table has %d entries, %d results and %d bytes, want none", len(table.entries), len(table.withResult), table.bytes)
 	}
 }
 
-// TestDuplicatesWait registers duplicates of an attempt that runs: those that still wait
-// when it ends are returned, in their order.
-func TestDuplicatesWait(t *testing.T) {
+// TestUnregister_ReturnsWaitingDuplicates registers duplicates of an attempt that runs: those
+// that still wait when it ends are returned, in the order in which they started to wait.
+func TestUnregister_ReturnsWaitingDuplicates(t *testing.T) {
 	table := NewTable(0)
 	owner := attempt("owner", 0)
 	e := register(t, table, owner, "")
@@ -57,27 +57,27 @@
 	for _, id := range []string{"a", "b", "c"} {
 		register(t, table, attempt(id, time.Second), "owner")
 		if !e.Await(id) {
-			t.Errorf("%s does not wait", id)
+			t.Errorf("Await(%s) = false, want true", id)
 		}
 	}
 	if e.Await("owner") {
-		t.Error("the owner waits for itself")
+		t.Error("Await(owner) = true, want false")
 	}
 	if waiting := table.Unregister(e, "b"); len(waiting) != 0 {
-		t.Errorf("a duplicate's end returns %v", waiting)
+		t.Errorf("Unregister of a duplicate = %v, want none", waiting)
 	}
 	table.StoreResult(e, Payload{Body: []byte("thanks")})
 	if waiting := table.Unregister(e, "owner"); !slices.Equal(waiting, []string{"a", "c"}) {
-		t.Errorf("the owner's end returns %v", waiting)
+		t.Errorf("Unregister of the owner = %v, want [a c]", waiting)
 	}
 	if !e.Completed() || string(e.Result().Body) != "thanks" || e.BodyHash() != testBodyHash || e.Await("a") {
-		t.Errorf("after the run: %+v", e)
+		t.Errorf("entry after the run = %+v, want it completed with its result", e)
 	}
 }
 
-// TestReusedAttemptID has an attempt that waited leave, and its id come again: the new
-// attempt is not among those that wait.
-func TestReusedAttemptID(t *testing.T) {
+// TestUnregister_RemovesWaitingAttempt unregisters a waiting attempt and registers another one
+// with its id: the new attempt is not among those that wait.
+func TestUnregister_RemovesWaitingAttempt(t *testing.T) {
 	table := NewTable(0)
 	owner := attempt("owner", 0)
 	e := register(t, table, owner, "")
@@ -87,15 +87,15 @@
 	table.Unregister(e, "a")
 	register(t, table, attempt("a", time.Second), "owner")
 	if waiting := table.Unregister(e, "owner"); len(waiting) != 0 {
-		t.Errorf("%v waited, want none", waiting)
+		t.Errorf("Unregister of the owner = %v, want none", waiting)
 	}
 }
 
-// TestWindow registers attempts around the end of a key's window: those that arrived in
-// it duplicate the run, later ones own the key anew.
-func TestWindow(t *testing.T) {
+// TestRegister_AtWindowEdges registers attempts around the end of a key's window: those that
+// arrived in it are duplicates of the run, and later ones become the owner.
+func TestRegister_AtWindowEdges(t *testing.T) {
 	const end = testWindow + WindowTolerance
-	for name, x := range map[string]struct {
+	for name, tc := range map[string]struct {
 		arrivedAt   time.Duration
 		duplicateOf string
 	}{
@@ -108,17 +108,17 @@
 		t.Run(name, func(t *testing.T) {
 			table := NewTable(0)
 			e := run(t, table, attempt("first", 0), "thanks")
-			if e.ExpiresAt() != end || e.RanInWindow(x.arrivedAt) != (x.duplicateOf != "") {
-				t.Errorf("expires at %v, ran in the window %t", e.ExpiresAt(), e.RanInWindow(x.arrivedAt))
+			if e.ExpiresAt() != end || e.RanInWindow(tc.arrivedAt) != (tc.duplicateOf != "") {
+				t.Errorf("ExpiresAt() = %v, want %v; RanInWindow(%v) = %t, want %t", e.ExpiresAt(), end, tc.arrivedAt, e.RanInWindow(tc.arrivedAt), tc.duplicateOf != "")
 			}
-			register(t, table, attempt("second", x.arrivedAt), x.duplicateOf)
+			register(t, table, attempt("second", tc.arrivedAt), tc.duplicateOf)
 		})
 	}
 }
 
-// TestReleaseClaim releases the claim of an attempt that never ran: the next attempt is
-// no duplicate of it, and without one the entry is removed.
-func TestReleaseClaim(t *testing.T) {
+// TestReleaseClaim_AllowsNextRun releases the claim of an attempt that never ran: the next
+// attempt can own the key, and the entry is removed with the last attempt.
+func TestReleaseClaim_AllowsNextRun(t *testing.T) {
 	table := NewTable(0)
 	first, second := attempt("first", 0), attempt("second", 0)
 	e := register(t, table, first, "")
@@ -126,12 +126,12 @@
 	register(t, table, second, "first")
 	table.ReleaseClaim(e, "second") // it has none
 	if e.RanAttemptID() != "first" {
-		t.Errorf("%q has the claim", e.RanAttemptID())
+		t.Errorf("RanAttemptID() = %q, want first", e.RanAttemptID())
 	}
 	table.ReleaseClaim(e, "first")
 	table.Unregister(e, "first")
 	if e.RanInWindow(0) {
-		t.Error("a released claim counts as run")
+		t.Error("RanInWindow(0) = true after ReleaseClaim, want false")
 	}
 	table.TakeOwnership(e, second)
 	register(t, table, attempt("third", 0), "second")
@@ -140,8 +140,9 @@
 	wantEmpty(t, table)
 }
 
-// TestRetain keeps the owner of a key that has run in its window, or has not ended.
-func TestRetain(t *testing.T) {
+// TestTakeOwnership_KeepsActiveOwner calls TakeOwnership for a key that has run in its window,
+// or whose owner has not ended: the owner stays.
+func TestTakeOwnership_KeepsActiveOwner(t *testing.T) {
 	table := NewTable(0)
 	e := register(t, table, attempt("first", 0), "")
 	second := attempt("second", 0)
@@ -154,9 +155,9 @@
 	register(t, table, attempt("fourth", 0), "first")
 }
 
-// TestMatches compares attempts with a key that has run: body and class have to match
-// until its window is over.
-func TestMatches(t *testing.T) {
+// TestMatches_BodyAndClassWithinWindow compares attempts with a key that has run: body and
+// class have to match until its window is over.
+func TestMatches_BodyAndClassWithinWindow(t *testing.T) {
 	sameClass := func(a, b string) bool { return a == b }
 	anyClass := func(string, string) bool { return true }
 	otherBody, otherClass, otherKey := attempt("a", 1), attempt("a", 1), attempt("a", 1)
@@ -165,7 +166,7 @@
 	otherKey.Key, otherKey.BodyHash = "other", 0
 	late := otherBody
 	late.ArrivedAt = testWindow + WindowTolerance
-	for name, x := range map[string]struct {
+	for name, tc := range map[string]struct {
 		attempt     Attempt
 		sameRequest func(a, b string) bool
 		want        bool
@@ -173,21 +174,21 @@
 		"same request":           {attempt("a", 1), sameClass, true},
 		"other body":             {otherBody, sameClass, false},
 		"other class":            {otherClass, sameClass, false},
-		"class of one request":   {otherClass, anyClass, true},
+		"renamed class":          {otherClass, anyClass, true},
 		"unknown key":            {otherKey, sameClass, true},
 		"other body, new window": {late, sameClass, true},
 	} {
 		table := NewTable(0)
 		run(t, table, attempt("first", 0), "thanks")
-		if got := table.Matches(x.attempt, x.sameRequest); got != x.want {
-			t.Errorf("%s: %t, want %t", name, got, x.want)
+		if got := table.Matches(tc.attempt, tc.sameRequest); got != tc.want {
+			t.Errorf("%s: Matches = %t, want %t", name, got, tc.want)
 		}
 	}
 }
 
-// TestExpire removes an entry once its window is over for attempts that are registered
-// as late as allowed, and none that an attempt refers to.
-func TestExpire(t *testing.T) {
+// TestExpire_AfterWindowAndLateness expires an entry: not before the window and the allowed
+// lateness are over, and not while an attempt is registered.
+func TestExpire_AfterWindowAndLateness(t *testing.T) {
 	table := NewTable(0)
 	table.AllowLateness(testLateness)
 	table.AllowLateness(testLateness / 2) // less than before: no change
@@ -195,74 +196,75 @@
 	const end = testWindow + WindowTolerance + testLateness
 	table.Expire(end - 1)
 	if table.Lookup("k") == nil {
-		t.Fatal("removed within the window")
+		t.Fatal("entry removed within the window and lateness")
 	}
 	table.Expire(end) // within expireInterval of the last pass
 	if table.Lookup("k") == nil {
-		t.Error("a pass within expireInterval of the last one")
+		t.Error("entry removed within expireInterval of the last pass")
 	}
 	e := register(t, table, attempt("open", 0), "first")
 	table.Expire(end + expireInterval)
 	if table.Lookup("k") == nil {
-		t.Error("removed with an attempt that refers to it")
+		t.Error("entry removed while an attempt is registered")
 	}
 	table.Unregister(e, "open")
 	table.Expire(end + 2*expireInterval)
 	wantEmpty(t, table)
 }
 
-// TestFull fills a table with keys: it is full beyond its bound even without results.
-func TestFull(t *testing.T) {
+// TestFull_CountsEntriesWithoutResults adds keys until the entries alone exceed the bound.
+func TestFull_CountsEntriesWithoutResults(t *testing.T) {
 	table := NewTable(2 * EntryOverheadBytes)
 	for i := range 3 {
 		if table.Full() {
-			t.Errorf("full with %d keys", i)
+			t.Errorf("Full() = true with %d keys, want false", i)
 		}
 		table.Register(Attempt{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i)})
 	}
 	if !table.Full() || len(table.Entries()) != 3 {
-		t.Errorf("full: %t with %d entries", table.Full(), len(table.Entries()))
+		t.Errorf("Full() = %t with %d entries, want true with 3", table.Full(), len(table.Entries()))
 	}
 	if NewTable(0).Full() {
-		t.Error("a table without a bound is full")
+		t.Error("Full() = true for a table without a bound, want false")
 	}
 }
 
-// TestApply replicates a key from one table to another in each of its states.
-func TestApply(t *testing.T) {
-	window := time.Unix(1_800_000_000, 0)
+// TestApply_ReplicatesEachState applies each state of a key in one table to another table.
+func TestApply_ReplicatesEachState(t *testing.T) {
+	expiresAt := time.Unix(1_800_000_000, 0)
 	source, target := NewTable(0), NewTable(0)
 	owner := attempt("owner", 0)
 	from := register(t, source, owner, "")
 	source.Claim(from, owner, testWindow)
 
-	to, waiting := target.Apply(from.State(window), testWindow)
+	to, waiting := target.Apply(from.State(expiresAt), testWindow)
 	if len(waiting) != 0 || !to.RunsRemotely() || to.Completed() || to.RanAttemptID() != "owner" {
-		t.Fatalf("claimed: %+v, %v waited", to, waiting)
+		t.Fatalf("claimed: entry = %+v, waiting = %v, want it running remotely and none", to, waiting)
 	}
-	register(t, target, attempt("waits", 0), "owner")
-	if !to.Await("waits") {
-		t.Error("a duplicate does not wait for what runs in a peer")
+	register(t, target, attempt("duplicate", 0), "owner")
+	if !to.Await("duplicate") {
+		t.Error("Await = false while the key runs in a peer, want true")
 	}
 
 	source.StoreResult(from, Payload{Body: []byte("thanks")})
 	source.Unregister(from, "owner")
-	to, waiting = target.Apply(from.State(window), testWindow)
-	if !slices.Equal(waiting, []string{"waits"}) || to.RunsRemotely() || !to.Completed() {
-		t.Errorf("completed: %+v, %v waited", to, waiting)
+	to, waiting = target.Apply(from.State(expiresAt), testWindow)
+	if !slices.Equal(waiting, []string{"duplicate"}) || to.RunsRemotely() || !to.Completed() {
+		t.Errorf("completed: entry = %+v, waiting = %v, want it completed and [duplicate]", to, waiting)
 	}
-	if got, want := to.State(window), from.State(window); !reflect.DeepEqual(got, want) {
-		t.Errorf("replicated as %+v, want %+v", got, want)
+	if got, want := to.State(expiresAt), from.State(expiresAt); !reflect.DeepEqual(got, want) {
+		t.Errorf("replicated state = %+v, want %+v", got, want)
 	}
 
-	target.Unregister(to, "waits")
-	target.Apply(KeyState{Key: "k", Class: "gift", Completed: true}, testWindow) // it never ran
+	target.Unregister(to, "duplicate")
+	target.Apply(KeyState{Key: "k", Class: "gift", Completed: true}, testWindow) // never ran
 	wantEmpty(t, target)
 }
 
-// TestResultsBounded stores more results than the table's bound allows: it is never
-// exceeded, the oldest result is evicted, and what says that its key has run stays.
-func TestResultsBounded(t *testing.T) {
+// TestStoreResult_EvictsOldestFirst stores more results than the table's bound allows. The
+// bound is never exceeded, the oldest result is evicted, and the record that its key has run
+// stays.
+func TestStoreResult_EvictsOldestFirst(t *testing.T) {
 	table := NewTable(10 * EntryOverheadBytes)
 	var first *Entry
 	for i := range 8 {
@@ -275,14 +277,14 @@
 		}
 		table.Unregister(e, a.ID)
 		if table.bytes > table.maxBytes {
-			t.Fatalf("%d bytes kept, %d at most", table.bytes, table.maxBytes)
+			t.Fatalf("table has %d bytes, want at most %d", table.bytes, table.maxBytes)
 		}
 	}
 	if first.Result() != nil || first.RanAttemptID() != "0" {
-		t.Errorf("the oldest entry has result %v and ran %q; its result had to go, and its mark to stay", first.Result(), first.RanAttemptID())
+		t.Errorf("oldest entry: Result() = %v, RanAttemptID() = %q, want nil and 0", first.Result(), first.RanAttemptID())
 	}
 	table.Expire(testWindow + time.Second)
 	if len(table.entries) != 0 || table.bytes != 0 {
-		t.Errorf("%d entries and %d bytes after the window", len(table.entries), table.bytes)
+		t.Errorf("table has %d entries and %d bytes after the window, want none", len(table.entries), table.bytes)
 	}
 }
--- a/internal/dispatchtest/dispatchtest.go
+++ b/internal/dispatchtest/dispatchtest.go
@@ -1,5 +1,5 @@
-// Package dispatchtest has what tests of the parties around the core share: a core
-// with the example's settings at work, and a Responder that collects its answers.
+// Package dispatchtest has helpers for tests of the packages that use the core: a running
+// core with the settings of the example, and a Responder that records answers.
 package dispatchtest
 
 import (
@@ -17,24 +17,25 @@
 	"quincerail.example/quincerail/internal/simwire"
 )
 
-// Answers collects what a core answers, each as the request's id and the kind.
+// Answers is a Responder that sends each answer to the channel, as "id kind".
 type Answers chan string
 
 // Respond implements dispatch.Responder.
 func (a Answers) Respond(id string, o dispatch.Outcome) { a <- fmt.Sprint(id, " ", o.Kind) }
 
-// Example gives the text of one of the example's files.
+// Example returns the text of a file in the folder example.
 func Example(t testing.TB, name string) string {
 	t.Helper()
-	_, here, _, _ := runtime.Caller(0)
-	text, err := os.ReadFile(filepath.Join(filepath.Dir(here), "..", "..", "example", name))
+	_, thisFile, _, _ := runtime.Caller(0)
+	text, err := os.ReadFile(filepath.Join(filepath.Dir(thisFile), "..", "..", "example", name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-// New starts a core with the example's settings, until the test ends.
+// New starts a core with the settings of the example config.json and opt. It runs until the
+// test ends.
 func New(t *testing.T, opt dispatch.Options) *dispatch.Core {
 	t.Helper()
 	var config struct {
@@ -48,8 +49,8 @@
 		t.Fatal(err)
 	}
 	opt.Settings.CacheTTL = 0
-	for _, lane := range gjson.GetBytes(config.Settings, "lanes").Array() {
-		opt.Classes = append(opt.Classes, lane.Get("name").String())
+	for _, class := range gjson.GetBytes(config.Settings, "lanes").Array() {
+		opt.Classes = append(opt.Classes, class.Get("name").String())
 	}
 	core, err := dispatch.New(opt)
 	if err != nil {
