--- a/backend/notice_test.go
+++ b/backend/notice_test.go
@@ -33,7 +33,7 @@
 			}
 		}()
 		link := NewProcessor(l.Addr().String(), nil, slog.Default())
-		core, got := dispatchtest.New(t, dispatch.Options{Backend: link, Machine: link}), make(dispatchtest.Answers, 2)
+		core, got := dispatchtest.StartCore(t, dispatch.Options{Backend: link, Machine: link}), make(dispatchtest.Answers, 2)
 		link.Attach(core)
 		ctx, cancel := context.WithCancel(t.Context())
 		go link.Run(ctx)
--- a/backend/processor_test.go
+++ b/backend/processor_test.go
@@ -51,7 +51,7 @@
 func newFakeProcessor(t *testing.T, registrar dispatch.Registrar) *fakeProcessor {
 	t.Helper()
 	backend := NewProcessor("", nil, slog.Default())
-	backend.core = dispatchtest.New(t, dispatch.Options{Backend: backend, Machine: backend, Registrar: registrar})
+	backend.core = dispatchtest.StartCore(t, dispatch.Options{Backend: backend, Machine: backend, Registrar: registrar})
 	f := &fakeProcessor{t: t, backend: backend}
 	f.open()
 	return f
--- a/cmd/quincerail/node_test.go
+++ b/cmd/quincerail/node_test.go
@@ -58,7 +58,7 @@
 func writeConfigOf(t *testing.T, example string, changes map[string]any) string {
 	t.Helper()
 	config := make(map[string]any)
-	must(t, 0, json.Unmarshal([]byte(dispatchtest.Example(t, example)), &config))
+	must(t, 0, json.Unmarshal([]byte(dispatchtest.ReadExample(t, example)), &config))
 	delete(config, "control") // a test asks for one if it calls it
 	for key, value := range changes {
 		config[key] = value
--- a/cmd/quincerail/versions_test.go
+++ b/cmd/quincerail/versions_test.go
@@ -118,7 +118,7 @@
 func exampleSettings(t *testing.T) map[string]any {
 	t.Helper()
 	var config map[string]any
-	must(t, 0, json.Unmarshal([]byte(dispatchtest.Example(t, "config.json")), &config))
+	must(t, 0, json.Unmarshal([]byte(dispatchtest.ReadExample(t, "config.json")), &config))
 	adjustSettings(config)
 	return object(config["settings"])
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestConfigFaults(t *testing.T) {
-	text := dispatchtest.Example(t, "config.json")
+	text := dispatchtest.ReadExample(t, "config.json")
 	if _, err := Parse(text); err != nil {
 		t.Fatalf("the example: %v", err)
 	}
@@ -45,7 +45,7 @@
 // TestTenantFaults has what makes no sense of tenants, and of the deployment that has
 // them, named by its key in one line; such a file is turned down whole.
 func TestTenantFaults(t *testing.T) {
-	text := dispatchtest.Example(t, "tenants.json")
+	text := dispatchtest.ReadExample(t, "tenants.json")
 	c, err := Parse(text)
 	if err != nil || !slices.Equal(c.Tenants, []string{"north", "coast", "lake"}) || c.Settings.Tenants[1].Quota != 36 {
 		t.Fatalf("%+v, %v", c, err)
@@ -72,7 +72,7 @@
 // TestConfigsOfTwoDeployments: either example follows the other by SIGHUP, though one
 // leaves out what deployments may.
 func TestConfigsOfTwoDeployments(t *testing.T) {
-	first, second := dispatchtest.Example(t, "config.json"), dispatchtest.Example(t, "tenants.json")
+	first, second := dispatchtest.ReadExample(t, "config.json"), dispatchtest.ReadExample(t, "tenants.json")
 	first = strings.Replace(first, `"gain": 2.0,`, `"gain": 2.0, "aimStretch": 1.5,`, 1)
 	first = strings.Replace(first, `"prices": {`, `"prices": {"fleet": 0.1, `, 1)
 	second = strings.Replace(second, `"passesDeadline": true,`, ``, 1)
@@ -94,7 +94,7 @@
 // TestConfigLacks guards a reload against a file with a key missing that the one
 // in force has, wherever it stands; a further class or key is none missing.
 func TestConfigLacks(t *testing.T) {
-	text := dispatchtest.Example(t, "config.json")
+	text := dispatchtest.ReadExample(t, "config.json")
 	parse := func(text string) *Config {
 		c, err := Parse(text)
 		if err != nil {
@@ -118,7 +118,7 @@
 
 // TestRestartKeys names what a reload can't change, and nothing else.
 func TestRestartKeys(t *testing.T) {
-	text := dispatchtest.Example(t, "config.json")
+	text := dispatchtest.ReadExample(t, "config.json")
 	parse := func(text string) *Config {
 		c, err := Parse(text)
 		if err != nil {
@@ -185,7 +185,7 @@
 // and the operator's rules lead to the same classes, and say of these what the
 // platform's settings do.
 func TestDeployDescriptions(t *testing.T) {
-	config, err := Parse(dispatchtest.Example(t, "config.json"))
+	config, err := Parse(dispatchtest.ReadExample(t, "config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -71,7 +71,7 @@
 // awaitResult makes an attempt wait for the owner of its key, or answers it if the owner has
 // ended or it has no key.
 func (c *Core) awaitResult(a *attempt) {
-	if a.answered || a.entry != nil && a.entry.Await(a.ID) {
+	if a.answered || a.entry != nil && a.entry.AwaitOwner(a.ID) {
 		return
 	}
 	c.deferEvent(duplicateResolved{a, a.entry})
--- a/dispatch/respond.go
+++ b/dispatch/respond.go
@@ -100,9 +100,9 @@
 // InFlight returns the number of requests that were received and have no answer yet.
 func (c *Core) InFlight() int64 { return c.inFlight.Load() }
 
-// Unanswered calls reply with the number of requests whose caller still waits for an answer,
+// CountUnanswered calls reply with the number of requests whose caller still waits for an answer,
 // after all requests that were submitted before it have been received.
-func (c *Core) Unanswered(reply func(requests int)) error {
+func (c *Core) CountUnanswered(reply func(requests int)) error {
 	return c.enqueue(unansweredRequested{reply})
 }
 
--- a/downstream/pool_test.go
+++ b/downstream/pool_test.go
@@ -88,7 +88,7 @@
 // newCore makes a core that is ready, whose runs call through a dependency over a pool.
 func newCore(t *testing.T, pool *Pool, dependency dispatch.Dependency, back *callingBackend) *dispatch.Core {
 	t.Helper()
-	core := dispatchtest.New(t, dispatch.Options{Backend: back, Dependency: dependency})
+	core := dispatchtest.StartCore(t, dispatch.Options{Backend: back, Dependency: dependency})
 	pool.core, back.core = core, core
 	core.BackendReady(false, 0)
 	return core
@@ -121,7 +121,7 @@
 func newFakeDependency(t *testing.T) *fakeDependency {
 	t.Helper()
 	b := &fakeDependency{t: t, pool: NewPool(""), posts: make(chan post, 100)}
-	b.pool.core = dispatchtest.New(t, dispatch.Options{})
+	b.pool.core = dispatchtest.StartCore(t, dispatch.Options{})
 	b.pool.connect = func(string) (net.Conn, error) {
 		near, far := net.Pipe()
 		b.conns++
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -318,7 +318,7 @@
 			Lanes []map[string]any `json:"lanes"`
 		} `json:"settings"`
 	}
-	if err := json.Unmarshal([]byte(dispatchtest.Example(t, "config.json")), &example); err != nil {
+	if err := json.Unmarshal([]byte(dispatchtest.ReadExample(t, "config.json")), &example); err != nil {
 		t.Fatal(err)
 	}
 	lanes := example.Settings.Lanes
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -6,7 +6,7 @@
 //
 // An attempt is registered when it arrives ([Table.Register]), which returns the earlier
 // attempt that it duplicates, if there is one. The first attempt of a key owns it: its
-// duplicates wait for it, whether it runs or not ([Entry.Await]). Before an attempt runs, it
+// duplicates wait for it, whether it runs or not ([Entry.AwaitOwner]). Before an attempt runs, it
 // claims the key ([Table.Claim]), which sets the key's window, counted from the arrival of
 // that attempt. An attempt that is proven not to have run releases its claim
 // ([Table.ReleaseClaim]). The result of a successful run is stored ([Table.StoreResult]). An
--- a/idempotency/entry.go
+++ b/idempotency/entry.go
@@ -60,10 +60,10 @@
 	return e.ranAttemptID != "" && arrivedAt < e.expiresAt
 }
 
-// Await makes an attempt wait for the end of the owner: its id is then among those that
+// AwaitOwner makes an attempt wait for the end of the owner: its id is then among those that
 // Unregister or Apply return. It returns false if the owner has ended or is the attempt
 // itself.
-func (e *Entry) Await(attemptID string) bool {
+func (e *Entry) AwaitOwner(attemptID string) bool {
 	if e.completed || e.owner == attemptID {
 		return false
 	}
--- a/idempotency/table_test.go
+++ b/idempotency/table_test.go
@@ -56,12 +56,12 @@
 	table.Claim(e, owner, testWindow)
 	for _, id := range []string{"a", "b", "c"} {
 		register(t, table, attempt(id, time.Second), "owner")
-		if !e.Await(id) {
-			t.Errorf("Await(%s) = false, want true", id)
+		if !e.AwaitOwner(id) {
+			t.Errorf("AwaitOwner(%s) = false, want true", id)
 		}
 	}
-	if e.Await("owner") {
-		t.Error("Await(owner) = true, want false")
+	if e.AwaitOwner("owner") {
+		t.Error("AwaitOwner(owner) = true, want false")
 	}
 	if waiting := table.Unregister(e, "b"); len(waiting) != 0 {
 		t.Errorf("Unregister of a duplicate = %v, want none", waiting)
@@ -70,7 +70,7 @@
 	if waiting := table.Unregister(e, "owner"); !slices.Equal(waiting, []string{"a", "c"}) {
 		t.Errorf("Unregister of the owner = %v, want [a c]", waiting)
 	}
-	if !e.Completed() || string(e.Result().Body) != "thanks" || e.BodyHash() != testBodyHash || e.Await("a") {
+	if !e.Completed() || string(e.Result().Body) != "thanks" || e.BodyHash() != testBodyHash || e.AwaitOwner("a") {
 		t.Errorf("entry after the run = %+v, want it completed with its result", e)
 	}
 }
@@ -83,7 +83,7 @@
 	e := register(t, table, owner, "")
 	table.Claim(e, owner, testWindow)
 	register(t, table, attempt("a", 0), "owner")
-	e.Await("a")
+	e.AwaitOwner("a")
 	table.Unregister(e, "a")
 	register(t, table, attempt("a", time.Second), "owner")
 	if waiting := table.Unregister(e, "owner"); len(waiting) != 0 {
@@ -242,8 +242,8 @@
 		t.Fatalf("claimed: entry = %+v, waiting = %v, want it running remotely and none", to, waiting)
 	}
 	register(t, target, attempt("duplicate", 0), "owner")
-	if !to.Await("duplicate") {
-		t.Error("Await = false while the key runs in a peer, want true")
+	if !to.AwaitOwner("duplicate") {
+		t.Error("AwaitOwner = false while the key runs in a peer, want true")
 	}
 
 	source.StoreResult(from, Payload{Body: []byte("thanks")})
--- a/internal/dispatchtest/dispatchtest.go
+++ b/internal/dispatchtest/dispatchtest.go
@@ -23,8 +23,8 @@
 // Respond implements dispatch.Responder.
 func (a Answers) Respond(id string, o dispatch.Outcome) { a <- fmt.Sprint(id, " ", o.Kind) }
 
-// Example returns the text of a file in the folder example.
-func Example(t testing.TB, name string) string {
+// ReadExample returns the text of a file in the folder example.
+func ReadExample(t testing.TB, name string) string {
 	t.Helper()
 	_, thisFile, _, _ := runtime.Caller(0)
 	text, err := os.ReadFile(filepath.Join(filepath.Dir(thisFile), "..", "..", "example", name))
@@ -34,14 +34,14 @@
 	return string(text)
 }
 
-// New starts a core with the settings of the example config.json and opt. It runs until the
+// StartCore starts a core with the settings of the example config.json and opt. It runs until the
 // test ends.
-func New(t *testing.T, opt dispatch.Options) *dispatch.Core {
+func StartCore(t *testing.T, opt dispatch.Options) *dispatch.Core {
 	t.Helper()
 	var config struct {
 		Settings json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal([]byte(Example(t, "config.json")), &config); err != nil {
+	if err := json.Unmarshal([]byte(ReadExample(t, "config.json")), &config); err != nil {
 		t.Fatal(err)
 	}
 	var err error
--- a/internal/frontendtest/frontendtest.go
+++ b/internal/frontendtest/frontendtest.go
@@ -21,7 +21,7 @@
 func NewBackend(t *testing.T) *Backend {
 	t.Helper()
 	b := &Backend{}
-	b.Core = dispatchtest.New(t, dispatch.Options{Backend: b})
+	b.Core = dispatchtest.StartCore(t, dispatch.Options{Backend: b})
 	b.Core.BackendReady(false, 0)
 	return b
 }
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -78,7 +78,7 @@
 	var running *config.Config
 	w := newHarness(t, func(c *config.Config) { running = c })
 	renamed := func(old, new string) *config.Config {
-		text := dispatchtest.Example(t, "config.json")
+		text := dispatchtest.ReadExample(t, "config.json")
 		c := must(config.Parse(strings.Replace(text, old, new, 1)))(t)
 		c.ProcessorAddress, c.DependencyAddress, c.DiscoveryAddress = running.ProcessorAddress, running.DependencyAddress, running.DiscoveryAddress
 		return c
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -248,7 +248,7 @@
 // of connections that came before.
 func (s *Server) unanswered() int {
 	reply := make(chan int, 1)
-	if s.core.Unanswered(func(requests int) { reply <- requests }) != nil {
+	if s.core.CountUnanswered(func(requests int) { reply <- requests }) != nil {
 		return int(s.core.InFlight())
 	}
 	select {
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -39,7 +39,7 @@
 // loadConfig gives the example's configuration, listening on any port.
 func loadConfig(t testing.TB) *config.Config {
 	t.Helper()
-	c := must(config.Parse(dispatchtest.Example(t, "config.json")))(t)
+	c := must(config.Parse(dispatchtest.ReadExample(t, "config.json")))(t)
 	c.ListenAddress, c.ControlAddress = "127.0.0.1:0", ""
 	return c
 }
--- a/server/tenants_test.go
+++ b/server/tenants_test.go
@@ -15,7 +15,7 @@
 // how long they wait, changed in places. The addresses stay.
 func withTenants(t testing.TB, change ...string) func(*config.Config) {
 	return func(c *config.Config) {
-		text := dispatchtest.Example(t, "tenants.json")
+		text := dispatchtest.ReadExample(t, "tenants.json")
 		next := must(config.Parse(strings.NewReplacer(change...).Replace(text)))(t)
 		next.ListenAddress, next.ControlAddress, next.ProcessorAddress, next.DependencyAddress, next.DiscoveryAddress =
 			c.ListenAddress, c.ControlAddress, c.ProcessorAddress, c.DependencyAddress, c.DiscoveryAddress
