--- a/admission/config.go
+++ b/admission/config.go
@@ -147,7 +147,7 @@
 		case class.LatencyObjective <= 0 || class.Deadline < class.LatencyObjective:
 			return nil, fmt.Errorf("%s: aim %v, deadline %v: an aim and a deadline no shorter are needed",
 				at, class.LatencyObjective, class.Deadline)
-		case class.Effect == decision.Keyed && class.KeyWindow <= 0:
+		case class.Idempotency == decision.Keyed && class.KeyWindow <= 0:
 			return nil, fmt.Errorf("%s: a keyed class needs a window", at)
 		}
 		known[class.Name] = true
--- a/admission/frameworks_test.go
+++ b/admission/frameworks_test.go
@@ -28,7 +28,7 @@
 			{Name: "sida", Class: decision.Class{LatencyObjective: time.Second, Deadline: 3 * time.Second, Weight: 1}},
 			{Name: "gava", Class: decision.Class{
 				LatencyObjective: time.Second, Deadline: 3 * time.Second, Weight: 3,
-				Effect: decision.Keyed, KeyWindow: 20 * time.Second,
+				Idempotency: decision.Keyed, KeyWindow: 20 * time.Second,
 			}},
 		},
 		Routes: describe.Routes{{Path: "/sida", Class: "sida"}, {Path: "/gava", Class: "gava"}},
--- a/cmd/quincerail/describe.go
+++ b/cmd/quincerail/describe.go
@@ -110,12 +110,12 @@
 func agrees(described, configured decision.Class) bool {
 	return described.LatencyObjective == configured.LatencyObjective &&
 		described.Deadline == configured.Deadline &&
-		described.Effect == configured.Effect &&
+		described.Idempotency == configured.Idempotency &&
 		described.Weight == configured.Weight &&
-		(described.Effect != decision.Keyed || described.KeyWindow == configured.KeyWindow)
+		(described.Idempotency != decision.Keyed || described.KeyWindow == configured.KeyWindow)
 }
 
 // brief formats the fields that agrees compares.
 func brief(c decision.Class) string {
-	return fmt.Sprintf("aim %v, deadline %v, worth %v, effect %d, window %v", c.LatencyObjective, c.Deadline, c.Weight, c.Effect, c.KeyWindow)
+	return fmt.Sprintf("aim %v, deadline %v, worth %v, effect %d, window %v", c.LatencyObjective, c.Deadline, c.Weight, c.Idempotency, c.KeyWindow)
 }
--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -22,7 +22,7 @@
 		event = func(module *policy.Instance) { module.RunDone(now, id, outcome, took) }
 	case simwire.CallerGone:
 		id := m.RequestID()
-		event = func(module *policy.Instance) { module.CallerGone(now, id) }
+		event = func(module *policy.Instance) { module.RequestCancelled(now, id) }
 	case simwire.CallNeeded:
 		id := m.RequestID()
 		event = func(module *policy.Instance) { module.CallNeeded(now, id) }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -217,7 +217,7 @@
 		for _, c := range doc.Classes {
 			want := config.Settings.Classes[slices.Index(config.Classes, c.Name)]
 			want.CallsDependency, want.DegradedWeight = false, 0 // of no concern outside the platform
-			if want.Effect != decision.Keyed {
+			if want.Idempotency != decision.Keyed {
 				want.KeyWindow = 0
 			}
 			if c.Class != want {
--- a/decision/events.go
+++ b/decision/events.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Event is a change of the module's state that its host writes to the log.
+// Event is a state change of the module that its host writes to the log.
 type Event interface {
-	// Name is the event's constant name, in snake_case.
+	// Name returns the event's constant name, in snake_case.
 	Name() string
-	// Attributes are the event's values; a value that has a unit names it in its key.
+	// Attributes returns the event's values. The key of a value with a unit ends in the unit.
 	Attributes() []slog.Attr
 }
 
-// DrainStarted tells that the process is being stopped.
+// DrainStarted reports that the process is shutting down.
 type DrainStarted struct {
-	StopsIn time.Duration // time left until the process ends
+	StopsIn time.Duration // time left until the process exits
 }
 
 // Name implements Event.
@@ -26,11 +26,11 @@
 	return []slog.Attr{slog.Int64("stops_in_ms", e.StopsIn.Milliseconds())}
 }
 
-// HealthChanged tells that the instance's judgement of its own health changed.
+// HealthChanged reports that the instance became healthy or unhealthy.
 type HealthChanged struct {
 	Healthy        bool
 	ErrorRate      float64 // moving average of own runs that failed or hung, 0 to 1
-	ReadLagSeconds float64 // moving average of the time from a request's arrival to its being read
+	ReadLagSeconds float64 // moving average of Request.ReadLag
 }
 
 // Name implements Event.
@@ -45,9 +45,10 @@
 	}
 }
 
-// CircuitBreakerChanged tells that the circuit breaker of the dependency opened or closed.
+// CircuitBreakerChanged reports that the circuit breaker for the dependency opened or
+// closed.
 type CircuitBreakerChanged struct {
-	Open bool // ordinary calls are stopped
+	Open bool // only diagnostic calls are made
 }
 
 // Name implements Event.
--- a/decision/host.go
+++ b/decision/host.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// Host carries out an instance's actions, in the order in which they come. It must not
-// call the instance back from within an action.
+// Host carries out the actions of an instance, in the order in which it calls the methods.
+// A method must not call the instance.
 type Host interface {
-	// Run starts the run of a request, or resumes it.
+	// Run starts or resumes the run of a request.
 	Run(id string)
-	// Cancel cancels a run, as CancelMode tells.
+	// Cancel cancels a run in the way that Settings.CancelMode selects.
 	Cancel(id string)
-	// Shed answers a request as not run. The caller should send nothing for retryAfter, and
-	// not retry the request at another server if noRetryElsewhere is set.
+	// Shed answers that a request was rejected and may be retried. The answer asks the
+	// caller to send nothing for retryAfter and, if noRetryElsewhere is set, not to retry
+	// the request at another server.
 	Shed(id string, retryAfter time.Duration, noRetryElsewhere bool)
 	// Fail answers a request with an error.
 	Fail(id string)
 	// Call makes the call that a run waits for, with a time-out.
 	Call(id string, timeout time.Duration)
-	// SkipCall has a run go on without the call that it waits for.
+	// SkipCall resumes a run without the call that it waits for.
 	SkipCall(id string)
-	// CacheResult keeps a request's result, once there is one, for later attempts.
+	// CacheResult keeps a request's result for later attempts until ttl after this call. The
+	// result may not exist yet.
 	CacheResult(id string, ttl time.Duration)
-	// EvictResult takes back CacheResult.
+	// EvictResult cancels CacheResult.
 	EvictResult(id string)
-	// ServeCached answers a request with the result of the one that it repeats, as soon
-	// as there is one.
+	// ServeCached answers a request with the result of the request that it duplicates, as
+	// soon as that result exists.
 	ServeCached(id string)
-	// SetHealth sets the answer to health checks. With cached they are answered from it
-	// alone; otherwise a check may do real work, and reach the dependency.
+	// SetHealth sets the answer to health checks. If cached is set, checks are answered from
+	// it alone; otherwise a check may do real work and call the dependency.
 	SetHealth(healthy, cached bool)
 	// PublishLoad sends callers a load report, in the unit of LoadReportMode.
 	PublishLoad(value float64)
-	// SetIdleTimeout sets after which idle time connections are closed.
+	// SetIdleTimeout sets the idle time after which connections are closed.
 	SetIdleTimeout(after time.Duration)
-	// SetTimer asks for a call of Instance.Tick after a time, with the token.
+	// SetTimer schedules a call of Instance.Tick with the token.
 	SetTimer(after time.Duration, token int64)
 	// Log writes an event to the host's log.
 	Log(event Event)
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Effect tells whether a request may be run more than once.
-type Effect int
+// Idempotency says whether a request may be run more than once.
+type Idempotency int
 
-// The effects of a request.
+// The kinds of idempotency.
 const (
-	Idempotent    Effect = iota // running it twice has the effect of running it once
-	Keyed                       // retries come with its idempotency key; it must run once in its window
-	NonIdempotent               // it must never run twice
+	Idempotent    Idempotency = iota // running it twice has the effect of running it once
+	Keyed                            // retries carry its idempotency key; it must run once in Class.KeyWindow
+	NonIdempotent                    // it must never run twice
 )
 
-// CancelMode tells what Host.Cancel does to a run.
+// CancelMode says what Host.Cancel does to a run.
 type CancelMode int
 
-// The ways in which a run can be cancelled.
+// The ways to cancel a run.
 const (
 	CancelNever   CancelMode = iota // a run can't be cancelled
-	CancelDiscard                   // what was done is lost
-	CancelPause                     // the run stays where it is, to be resumed by Host.Run
+	CancelDiscard                   // the run ends, and its work is lost
+	CancelPause                     // the run is paused, and Host.Run resumes it
 )
 
-// LoadReportMode tells how callers read the value given to Host.PublishLoad.
+// LoadReportMode says how callers interpret the value given to Host.PublishLoad.
 type LoadReportMode int
 
 // The meanings of a load report.
 const (
-	LoadReportNone    LoadReportMode = iota // there are no load reports
-	LoadReportMinRank                       // callers send no request of a lower rank
-	LoadReportCredit                        // requests that each caller may have in flight here
-	LoadReportWeight                        // probability that a caller does not pass over this instance
+	LoadReportNone    LoadReportMode = iota // no load reports are sent
+	LoadReportMinRank                       // callers send only requests of this rank or higher
+	LoadReportCredit                        // requests that each caller may have in flight at this instance
+	LoadReportWeight                        // probability that a caller which picked this instance uses it
 )
 
-// DependencyKind tells what requests call while they run.
+// DependencyKind says what requests call while they run.
 type DependencyKind int
 
 // The kinds of dependency.
@@ -45,58 +45,58 @@
 
 // Class describes a class of requests.
 type Class struct {
-	LatencyObjective time.Duration // an answer within it, from the first attempt on, earns full weight
-	ObjectivePerCost float64       // times a request's CostHint: added to its latency objective
+	LatencyObjective time.Duration // an answer this soon after the first attempt earns full weight
+	ObjectivePerCost float64       // this many times CostHint is added to a request's latency objective
 	Deadline         time.Duration // how long a caller waits for all attempts together
-	Weight           float64       // priority weight: what an answer counts when not all can be served
-	LateWeight       float64       // fraction of the weight that an answer after the objective earns
-	DegradedWeight   float64       // the same for an answer whose call was skipped; 0 if it needs the call
-	Effect           Effect
-	KeyWindow        time.Duration // keyed requests: how long after its arrival a retry may come
+	Weight           float64       // priority weight: value of an answer when not all requests can be served
+	LateWeight       float64       // fraction of Weight that a later answer earns
+	DegradedWeight   float64       // fraction that an answer without the call earns; 0 if the call is needed
+	Idempotency      Idempotency
+	KeyWindow        time.Duration // keyed requests: how long after the arrival a retry may come
 	CallsDependency  bool          // its requests may call the dependency
 }
 
 // Tenant describes a customer.
 type Tenant struct {
-	Quota float64 // requests a second over the whole fleet; 0 for no bound
+	Quota float64 // requests per second over the whole fleet; 0 for no limit
 }
 
-// Settings is what an instance starts with. Settings.Validate names what makes no sense.
+// Settings configures an instance. Settings.Validate rejects invalid values.
 type Settings struct {
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64 // fraction of its weight that a request beyond its tenant's quota keeps at least
+	OverQuotaWeight float64 // least factor on the weight of a request beyond its tenant's quota
 	Servers         int     // instances in the endpoint list
-	Callers         int     // callers that send to them
+	Callers         int     // callers that send to these instances
 
 	// The machine.
 	Cores               int
 	MemoryKB            float64
 	KeyMemoryKB         float64       // memory of one cached result
-	RunningMemoryFactor float64       // memory of a running request over that of a queued one
+	RunningMemoryFactor float64       // memory of a running request, as a multiple of Request.ReservedKB
 	OverloadRatio       float64       // runnable requests per core that a warm instance survives
-	OverloadWindow      time.Duration // over which OverloadRatio is averaged
-	SlowStart           bool          // it starts cold: slow, and with more calls to the dependency
-	SlowStartMinSpeed   float64       // fraction of its normal speed at a cold start
-	SlowStartDuration   time.Duration // until it has its normal speed at the latest
+	OverloadWindow      time.Duration // averaging window of OverloadRatio
+	SlowStart           bool          // a cold instance is slow and makes more calls to the dependency
+	SlowStartMinSpeed   float64       // fraction of normal speed at a cold start
+	SlowStartDuration   time.Duration // time until normal speed, at most
 
 	// The dependency.
 	Dependency            DependencyKind
-	CallQuota             float64       // calls in flight that a shared one can bear from this instance
-	CallQuotaWindow       time.Duration // over which CallQuota is averaged
-	AbandonedCallDuration time.Duration // how long a call may keep the dependency busy after it was abandoned
+	CallQuota             float64       // calls in flight that SharedDependency can bear from this instance
+	CallQuotaWindow       time.Duration // averaging window of CallQuota
+	AbandonedCallDuration time.Duration // how long the dependency may keep working on an abandoned call
 
-	CacheTTL   time.Duration // how long a read's result serves other requests; 0 for never
+	CacheTTL   time.Duration // how long a read's result serves other requests; 0 disables sharing
 	CancelMode CancelMode
 
-	// What callers are told.
-	LoadReportMode    LoadReportMode
-	LoadReportTTL     time.Duration // how long a caller acts on a load report
-	ListFollowsHealth bool          // the endpoint list leaves out instances of bad health
-	MaxRetryAfter     time.Duration // longest Retry-After that callers heed; 0 if they heed none
-	MaxIdleTime       time.Duration // after which callers close idle connections
+	// Load information for callers.
+	LoadReportMode             LoadReportMode
+	LoadReportTTL              time.Duration // how long a caller acts on a load report
+	EndpointListOmitsUnhealthy bool          // the endpoint list omits unhealthy instances
+	MaxRetryAfter              time.Duration // longest Retry-After that callers obey; 0 if they obey none
+	MaxIdleTime                time.Duration // idle time after which callers close connections
 
-	DeadlineSlack time.Duration // how long after its deadline an answer still counts
-	DrainGrace    time.Duration // after Drain: requests that arrive later than this must not run
+	DeadlineSlack time.Duration // an answer this long after the deadline still counts
+	DrainGrace    time.Duration // requests that arrive later than this after Drain must not run
 	BatchInterval time.Duration // shortest time between two batches of events
 }
--- a/decision/validate.go
+++ b/decision/validate.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// Validate names the first setting that makes no sense: a class list that is empty,
-// fewer than one core, a time, amount or fraction that is negative or NaN, or a class
-// whose objective or deadline is under a nanosecond.
+// Validate returns an error for the first invalid setting, or nil. Invalid are an empty
+// class list, fewer than one core, a class whose latency objective or deadline is under a
+// nanosecond, and a negative or NaN duration, amount or fraction.
 //
-// The errors name settings as earlier versions of the program did, since operators and
-// the simulator know them by these names.
+// The errors use the setting names of earlier versions of the program, because operators
+// and the simulator know these.
 func (s Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("classes: none, at least one is needed")
@@ -18,13 +18,13 @@
 	if err := checkAtLeast(1, setting{"Cores", float64(s.Cores)}); err != nil {
 		return err
 	}
-	checks := s.instanceSettings()
+	checks := s.nonNegativeSettings()
 	for i, c := range s.Classes {
 		path := fmt.Sprintf("Classes[%d].", i)
-		if err := checkAtLeast(1, c.times(path)...); err != nil {
+		if err := checkAtLeast(1, c.positiveSettings(path)...); err != nil {
 			return err
 		}
-		checks = append(checks, c.amounts(path)...)
+		checks = append(checks, c.nonNegativeSettings(path)...)
 	}
 	for i, t := range s.Tenants {
 		checks = append(checks, setting{fmt.Sprintf("Tenants[%d].Quota", i), t.Quota})
@@ -32,13 +32,13 @@
 	return checkAtLeast(0, checks...)
 }
 
-// setting is a setting's value under the name that errors give it.
+// setting is the value of a setting with the name that errors use for it.
 type setting struct {
 	name  string
 	value float64
 }
 
-// checkAtLeast returns an error that names the first setting below a limit, or NaN.
+// checkAtLeast returns an error that names the first setting that is below the limit or NaN.
 func checkAtLeast(limit float64, settings ...setting) error {
 	for _, s := range settings {
 		if !(s.value >= limit) {
@@ -48,8 +48,9 @@
 	return nil
 }
 
-// instanceSettings returns the settings of the whole instance that must not be negative.
-func (s *Settings) instanceSettings() []setting {
+// nonNegativeSettings returns the settings outside of classes and tenants that must not be
+// negative.
+func (s *Settings) nonNegativeSettings() []setting {
 	return []setting{
 		{"CallsOver", float64(s.CallQuotaWindow)},
 		{"Linger", float64(s.AbandonedCallDuration)},
@@ -74,16 +75,16 @@
 	}
 }
 
-// times returns the settings of a class that must be a nanosecond at least.
-func (c *Class) times(path string) []setting {
+// positiveSettings returns the settings of a class that must be at least one nanosecond.
+func (c *Class) positiveSettings(path string) []setting {
 	return []setting{
 		{path + "Aim", float64(c.LatencyObjective)},
 		{path + "Deadline", float64(c.Deadline)},
 	}
 }
 
-// amounts returns the settings of a class that must not be negative.
-func (c *Class) amounts(path string) []setting {
+// nonNegativeSettings returns the settings of a class that must not be negative.
+func (c *Class) nonNegativeSettings(path string) []setting {
 	return []setting{
 		{path + "Window", float64(c.KeyWindow)},
 		{path + "Worth", c.Weight},
--- a/describe/classes.go
+++ b/describe/classes.go
@@ -63,9 +63,9 @@
 	switch effect := value.Get("effect").String(); effect {
 	case "", effectSafe:
 	case effectKeyed:
-		class.Effect = decision.Keyed
+		class.Idempotency = decision.Keyed
 	case effectUnsafe:
-		class.Effect = decision.NonIdempotent
+		class.Idempotency = decision.NonIdempotent
 	default:
 		return class, &ClassError{name, "effect", fmt.Sprintf("%q", effect)}
 	}
@@ -84,7 +84,7 @@
 		return &ClassError{c.Name, "aim_ms", "a time wanted"}
 	case c.Deadline < c.LatencyObjective:
 		return &ClassError{c.Name, "deadline_ms", "at least aim_ms wanted"}
-	case c.Effect == decision.Keyed && c.KeyWindow <= 0:
+	case c.Idempotency == decision.Keyed && c.KeyWindow <= 0:
 		return &ClassError{c.Name, "window_ms", "a time wanted"}
 	}
 	return nil
--- a/describe/describe_test.go
+++ b/describe/describe_test.go
@@ -45,7 +45,7 @@
 		}
 		gift := Class{"ny-gava", decision.Class{
 			LatencyObjective: 1800 * time.Millisecond, Deadline: 6900 * time.Millisecond,
-			Weight: 3, LateWeight: 0.2, Effect: decision.Keyed, KeyWindow: 20706 * time.Millisecond,
+			Weight: 3, LateWeight: 0.2, Idempotency: decision.Keyed, KeyWindow: 20706 * time.Millisecond,
 		}}
 		if got := d.Classes[len(d.Classes)-1]; got != gift {
 			t.Errorf("%s: class %v, want %v", name, got, gift)
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -23,7 +23,7 @@
 	}
 	r := decision.Request{
 		ID: a.ID, Class: a.classIndex, Tenant: a.tenantIndex, CacheKey: a.CacheKey, ReservedKB: a.ReservedKB, Rank: a.Rank, Caller: a.Caller,
-		Write: a.classSettings.Effect != decision.Idempotent, Waited: c.now - a.readAfter, DuplicateOf: duplicateOf,
+		Write: a.classSettings.Idempotency != decision.Idempotent, ReadLag: c.now - a.readAfter, DuplicateOf: duplicateOf,
 	}
 	if a.deadline != a.readAfter+a.classSettings.Deadline { // the module counts the class's from readAfter
 		r.Deadline = a.deadline
--- a/dispatch/cancel.go
+++ b/dispatch/cancel.go
@@ -50,7 +50,7 @@
 func (c *Core) giveUp(a *attempt) {
 	c.markAnswered(a)
 	if c.module != nil {
-		c.module.CallerGone(c.now, a.ID)
+		c.module.RequestCancelled(c.now, a.ID)
 	}
 	c.removeIfDone(a)
 }
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -126,7 +126,7 @@
 		CallsDependency: true, LateWeight: 0.2,
 	}
 	keyed, degradable := class, class
-	keyed.Effect, degradable.DegradedWeight = decision.Keyed, 0.6
+	keyed.Idempotency, degradable.DegradedWeight = decision.Keyed, 0.6
 	return decision.Settings{
 		Classes: []decision.Class{degradable, keyed, keyed}, Servers: 1, Callers: 1, Cores: 2, MemoryKB: 10000,
 		KeyMemoryKB: 1, RunningMemoryFactor: 4,
@@ -136,7 +136,7 @@
 		DeadlineSlack: testSlack, DrainGrace: testGrace,
 		OverloadRatio: 8, OverloadWindow: 1500 * time.Millisecond,
 		SlowStartMinSpeed: 0.3, SlowStartDuration: 10 * time.Second,
-		BatchInterval: 4 * time.Millisecond, ListFollowsHealth: true,
+		BatchInterval: 4 * time.Millisecond, EndpointListOmitsUnhealthy: true,
 	}
 }
 
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -37,10 +37,10 @@
 func (c *Core) shouldReceiveTraffic() bool { return c.health.healthy && c.acceptsTraffic() }
 
 // reportToRegistrar reports to the discovery service whether callers should send requests
-// here. With ListFollowsHealth that includes this server's health.
+// here. With EndpointListOmitsUnhealthy that includes this server's health.
 func (c *Core) reportToRegistrar() {
 	if c.options.Registrar != nil {
-		c.options.Registrar.SetAccepting(c.acceptsTraffic() && (c.health.healthy || !c.settings.ListFollowsHealth))
+		c.options.Registrar.SetAccepting(c.acceptsTraffic() && (c.health.healthy || !c.settings.EndpointListOmitsUnhealthy))
 	}
 }
 
--- a/dispatch/invariants.go
+++ b/dispatch/invariants.go
@@ -31,7 +31,7 @@
 func (c *Core) checkStart(a *attempt) {
 	switch {
 	case a.resumed:
-	case a.entry != nil && a.entry.RanAttemptID() != a.ID, a.mayHaveRun && a.classSettings.Effect != decision.Idempotent:
+	case a.entry != nil && a.entry.RanAttemptID() != a.ID, a.mayHaveRun && a.classSettings.Idempotency != decision.Idempotent:
 		c.options.Monitor.Violated(guard.DuplicateRun, "request", a.ID, "key", a.Key)
 	case c.drain.draining && a.readBefore > c.drain.graceEnd:
 		c.options.Monitor.Violated(guard.DrainStart, "request", a.ID, "read_after_grace", (a.readBefore - c.drain.graceEnd).String())
@@ -46,14 +46,14 @@
 	}
 	return guard.Call{
 		Needed: true, InFlight: call.inFlight, Attempted: call.attempted, ProvenWithoutEffect: call.hadNoEffect,
-		Idempotent: a.classSettings.Effect == decision.Idempotent,
+		Idempotent: a.classSettings.Idempotency == decision.Idempotent,
 	}
 }
 
 // shedFacts are the facts by which a request may be shed.
 func (a *attempt) shedFacts() guard.Shed {
 	keyRan := a.entry != nil && a.entry.RanInWindow(a.arrivedAt)
-	return guard.Shed{Idempotent: a.classSettings.Effect == decision.Idempotent, MayHaveRun: keyRan || a.mayHaveRun}
+	return guard.Shed{Idempotent: a.classSettings.Idempotency == decision.Idempotent, MayHaveRun: keyRan || a.mayHaveRun}
 }
 
 // checkResponse counts a violation if an answer breaks a rule.
--- a/dispatch/respond.go
+++ b/dispatch/respond.go
@@ -71,7 +71,7 @@
 		overdue := c.now > a.deadline+overdueAfter(c.settings.DeadlineSlack) || c.drain.stopAt != 0 && c.now > c.drain.stopAt
 		if !a.answered && overdue {
 			c.respond(a, c.failure(a))
-			c.module.CallerGone(c.now, id)
+			c.module.RequestCancelled(c.now, id)
 		}
 	}
 }
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -154,7 +154,7 @@
 	for _, class := range c.settings.Classes {
 		c.keys.AllowLateness(class.Deadline)
 	}
-	if c.settings.ListFollowsHealth != former.ListFollowsHealth && c.module != nil {
+	if c.settings.EndpointListOmitsUnhealthy != former.EndpointListOmitsUnhealthy && c.module != nil {
 		c.reportToRegistrar()
 	}
 }
--- a/dispatch/settings_test.go
+++ b/dispatch/settings_test.go
@@ -204,7 +204,7 @@
 // that, and else only whether it runs or drains.
 func TestListFollowsHealth(t *testing.T) {
 	for _, follows := range []bool{true, false} {
-		runTestWith(t, func(o *Options) { o.Settings.ListFollowsHealth = follows }, func(t *testing.T, h *harness) {
+		runTestWith(t, func(o *Options) { o.Settings.EndpointListOmitsUnhealthy = follows }, func(t *testing.T, h *harness) {
 			last := func() bool { return h.accepting[len(h.accepting)-1] }
 			h.inLoop(h.Core, func() { host{h.Core}.SetHealth(false, true) })
 			h.wait()
@@ -212,7 +212,7 @@
 				t.Errorf("follows %t: the registrar hears %t of an unhealthy server", follows, last())
 			}
 			other := settings()
-			other.ListFollowsHealth = !follows
+			other.EndpointListOmitsUnhealthy = !follows
 			if err := h.updateSettings(other, "read", "gift", "receipt"); err != nil {
 				t.Fatal(err)
 			}
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -27,7 +27,7 @@
 	if !ok {
 		return fmt.Errorf("class %q is not known", r.Class)
 	}
-	if err := r.checkKey(current.classes.items[class].Effect); err != nil {
+	if err := r.checkKey(current.classes.items[class].Idempotency); err != nil {
 		return err
 	}
 	tenant, ok := current.tenantIndex(r.Tenant)
@@ -42,7 +42,7 @@
 
 // checkKey returns an error if a request of a class with that effect needs a key and has
 // none, or one that is too long.
-func (r *Request) checkKey(effect decision.Effect) error {
+func (r *Request) checkKey(effect decision.Idempotency) error {
 	if effect != decision.Keyed {
 		return nil
 	}
@@ -68,10 +68,10 @@
 	// The settings may have changed since Submit: those in force now count, and the
 	// former ones of its class where that has been removed.
 	class := c.settings.Classes[e.classIndex]
-	if class.Effect != decision.Keyed {
+	if class.Idempotency != decision.Keyed {
 		r.Key = ""
 	}
-	if c.attempts[r.ID] != nil || r.checkKey(class.Effect) != nil {
+	if c.attempts[r.ID] != nil || r.checkKey(class.Idempotency) != nil {
 		r.Responder.Respond(r.ID, Outcome{Kind: Rejected})
 		return
 	}
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -56,7 +56,7 @@
 		Retry:       m.bool(fieldRetry),
 		Write:       m.bool(fieldWrite),
 		Caller:      int(m.int(fieldCaller)),
-		Waited:      m.time(fieldWaited),
+		ReadLag:     m.time(fieldWaited),
 		DuplicateOf: m.fields[fieldDuplicateOf],
 	}
 	if r.DuplicateOf == noDuplicate {
--- a/internal/simwire/message_test.go
+++ b/internal/simwire/message_test.go
@@ -20,7 +20,7 @@
 	}
 	want := decision.Request{
 		ID: "5d3a", Class: 2, Deadline: 8652250 * time.Microsecond, CostHint: 12 * time.Millisecond, ReservedKB: 24.5,
-		Rank: 0.625, Retry: true, Waited: 1850 * time.Microsecond,
+		Rank: 0.625, Retry: true, ReadLag: 1850 * time.Microsecond,
 	}
 	if r != want {
 		t.Errorf("got %+v\nwant %+v", r, want)
@@ -62,7 +62,7 @@
 	}
 	if s.Servers != 11 || s.Cores != 6 || s.Dependency != decision.SharedDependency || s.CancelMode != decision.CancelPause ||
 		s.LoadReportMode != decision.LoadReportMinRank || s.LoadReportTTL != 900*time.Millisecond || s.AbandonedCallDuration != 200*time.Millisecond || len(s.Classes) != 2 ||
-		s.Classes[0].Effect != decision.NonIdempotent || !s.Classes[0].CallsDependency || s.Classes[1].Effect != decision.Keyed {
+		s.Classes[0].Idempotency != decision.NonIdempotent || !s.Classes[0].CallsDependency || s.Classes[1].Idempotency != decision.Keyed {
 		t.Errorf("%+v", s)
 	}
 	for _, bad := range []string{"{", `{"familyInfo": {"stopMode": "sideways"}}`} {
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -113,7 +113,7 @@
 		"": decision.LoadReportNone, notGiven: decision.LoadReportNone,
 		"min_rank": decision.LoadReportMinRank, "tokens": decision.LoadReportCredit, "bias": decision.LoadReportWeight,
 	}
-	effects = map[string]decision.Effect{
+	effects = map[string]decision.Idempotency{
 		"": decision.Idempotent, "free": decision.Idempotent,
 		"guarded": decision.Keyed, "single_shot": decision.NonIdempotent,
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -68,22 +68,22 @@
 func (p *profile) instance() decision.Settings {
 	info := &p.FamilyInfo
 	s := decision.Settings{
-		OverQuotaWeight:       p.OverShareWorth,
-		Servers:               p.Servers,
-		Callers:               info.Senders,
-		Cores:                 info.Cores,
-		SlowStart:             info.JustStarted,
-		MemoryKB:              info.MemoryKb,
-		KeyMemoryKB:           info.KeyKb,
-		RunningMemoryFactor:   info.RunFactor,
-		CallQuota:             info.CallsOut,
-		CallQuotaWindow:       microseconds(info.CallsOverUs),
-		AbandonedCallDuration: microseconds(info.StaysForUs),
-		CacheTTL:              microseconds(info.FreshUs),
-		LoadReportTTL:         microseconds(info.HeededUs),
-		MaxIdleTime:           microseconds(info.IdleUs),
-		BatchInterval:         microseconds(p.QuantumUs),
-		ListFollowsHealth:     info.Readiness,
+		OverQuotaWeight:            p.OverShareWorth,
+		Servers:                    p.Servers,
+		Callers:                    info.Senders,
+		Cores:                      info.Cores,
+		SlowStart:                  info.JustStarted,
+		MemoryKB:                   info.MemoryKb,
+		KeyMemoryKB:                info.KeyKb,
+		RunningMemoryFactor:        info.RunFactor,
+		CallQuota:                  info.CallsOut,
+		CallQuotaWindow:            microseconds(info.CallsOverUs),
+		AbandonedCallDuration:      microseconds(info.StaysForUs),
+		CacheTTL:                   microseconds(info.FreshUs),
+		LoadReportTTL:              microseconds(info.HeededUs),
+		MaxIdleTime:                microseconds(info.IdleUs),
+		BatchInterval:              microseconds(p.QuantumUs),
+		EndpointListOmitsUnhealthy: info.Readiness,
 	}
 	if p.Caps.RetryAfter {
 		s.MaxRetryAfter = microseconds(p.Caps.MaxRetryAfterUs)
@@ -128,7 +128,7 @@
 		Weight:           lane.Gain,
 		LateWeight:       lane.LateWorth,
 		KeyWindow:        microseconds(lane.WindowUs),
-		Effect:           effect,
+		Idempotency:      effect,
 	}
 	if i < len(p.FamilyInfo.CallsByClass) {
 		c.CallsDependency = p.FamilyInfo.CallsByClass[i]
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -28,14 +28,14 @@
 		Servers: 1, BatchInterval: 2 * us, OverQuotaWeight: 3.5, Cores: 4, Callers: 5, SlowStart: true, MemoryKB: 6.5, KeyMemoryKB: 7.5,
 		RunningMemoryFactor: 8.5, CallQuota: 9.5, Dependency: decision.NextTier, CancelMode: decision.CancelDiscard,
 		LoadReportMode: decision.LoadReportCredit, CallQuotaWindow: 10 * us, AbandonedCallDuration: 11 * us, CacheTTL: 12 * us,
-		MaxIdleTime: 13 * us, LoadReportTTL: 14 * us, ListFollowsHealth: true, MaxRetryAfter: 16 * us, DeadlineSlack: 17 * us,
+		MaxIdleTime: 13 * us, LoadReportTTL: 14 * us, EndpointListOmitsUnhealthy: true, MaxRetryAfter: 16 * us, DeadlineSlack: 17 * us,
 		DrainGrace: 18 * us, OverloadWindow: 19 * us, SlowStartDuration: 20 * us, OverloadRatio: 21.5, SlowStartMinSpeed: 22.5,
 		Classes: []decision.Class{
 			{
 				LatencyObjective: 23 * us, Deadline: 24 * us, KeyWindow: 25 * us, ObjectivePerCost: 26.5, LateWeight: 27.5, Weight: 28.5,
-				Effect: decision.Keyed, DegradedWeight: 15.5,
+				Idempotency: decision.Keyed, DegradedWeight: 15.5,
 			},
-			{Effect: decision.NonIdempotent, CallsDependency: true},
+			{Idempotency: decision.NonIdempotent, CallsDependency: true},
 			{},
 			{},
 		},
--- a/match/describe.go
+++ b/match/describe.go
@@ -30,7 +30,7 @@
 func (s *Set) Against(d *describe.Document) []string {
 	keyed := map[string]bool{}
 	for _, class := range d.Classes {
-		keyed[class.Name] = class.Effect == decision.Keyed
+		keyed[class.Name] = class.Idempotency == decision.Keyed
 	}
 	var disagreements []string
 	for _, route := range d.Routes {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,77 +8,78 @@
 )
 
 const (
-	shedOnsetFraction       = 0.5               // of the maximum queue wait, from which arrivals are shed
-	minRetryAfterScale      = shedOnsetFraction // of a shed arrival
-	retryWeightFactor       = 0.75
+	shedOnsetFraction       = 0.5               // of the maximum queue wait; a longer wait may shed arrivals
+	minRetryAfterScale      = shedOnsetFraction // least scale of Retry-After for a shed arrival
+	retryWeightFactor       = 0.75              // of the weight of a first attempt
 	arrivalRateTimeConstant = 5 * time.Second
-	quotaToleranceSigma     = 2 // standard deviations of a tenant's count that are not excess
-	tenantWeightSteps       = 4 // of a tenant's weight from 0 to 1; equal weights run in order of arrival
+	quotaToleranceSigma     = 2 // standard deviations that a tenant's arrivals may exceed its quota by
+	tenantWeightSteps       = 4 // steps of a tenant's weight factor; equal weights run in order of arrival
 )
 
-// admitReceived decides on the requests that were read since the last batch.
+// admitReceived admits or sheds the requests that were read since the last batch.
 func (in *Instance) admitReceived() {
-	for _, q := range in.live {
-		if q.state == received {
-			in.admit(q)
+	for _, req := range in.unfinished {
+		if req.state == received {
+			in.admit(req)
 		}
 	}
 }
 
-// admit queues a received request, has it wait for the result of the request that it
-// repeats, or sheds it.
+// admit queues a received request, coalesces it with the request that it duplicates, or
+// sheds it.
 //
-// It sheds a request when memory is short, and at random with two probabilities: one
-// grows with the waits in the queue, the other with the wait for a call. In the last case
-// Retry-After is 0 unless draining, as this instance has room for requests that call
-// nothing; but most callers are told not to retry elsewhere, as other instances lack
-// calls too.
-func (in *Instance) admit(q *request) {
-	if in.coalesce(q) {
+// It sheds a request when memory is short, and at random with two probabilities. One grows
+// with the waits in the queue, the other with the expected wait for a call. In the latter
+// case Retry-After is 0 unless the instance drains, because it has room for requests
+// without calls. But most callers are advised not to retry elsewhere, because the other
+// instances lack call quota too.
+func (in *Instance) admit(req *request) {
+	if in.coalesce(req) {
 		return
 	}
-	if in.arrivedAfterDrain(q) {
-		in.shedAtFullScale(q)
+	if in.arrivedAfterDrain(req) {
+		in.shedWithFullRetryAfter(req)
 		return
 	}
-	probability := in.shedProbability(q)
-	callProbability := in.callShedProbability(q)
-	in.load.observe(max(probability, in.waitShedProbability(q)))
+	probability := in.shedProbability(req)
+	callProbability := in.callShedProbability(req)
+	in.load.recordShedProbability(max(probability, in.waitShedProbability(req)))
 	if in.random.Float64() < probability || in.exceedsMemory(0) {
-		in.shed(q, max(probability, minRetryAfterScale), max(probability, in.load.pressure))
+		in.shed(req, max(probability, minRetryAfterScale), max(probability, in.load.pressure))
 		return
 	}
 	if in.random.Float64() < callProbability {
-		in.shed(q, 0, callProbability)
+		in.shed(req, 0, callProbability)
 		return
 	}
-	in.moveTo(q, queued)
-	in.cacheResult(q)
+	in.setState(req, queued)
+	in.cacheResult(req)
 }
 
-// coalesce has a request wait for the result of the request that it repeats, where that
-// one runs, has run, or still may run.
-func (in *Instance) coalesce(q *request) bool {
-	if q.DuplicateOf == "" {
+// coalesce lets a request wait for the result of the request that it duplicates, and
+// reports whether it did. It returns false if there is no such request, or if that one
+// finished without running.
+func (in *Instance) coalesce(req *request) bool {
+	if req.DuplicateOf == "" {
 		return false
 	}
-	original := in.requests[q.DuplicateOf]
+	original := in.requests[req.DuplicateOf]
 	if original != nil && !original.mayHaveRun && original.state == finished {
 		return false
 	}
-	in.host.ServeCached(q.ID)
-	q.mayHaveRun = q.class.Effect != decision.Idempotent // the original may have had the effect
-	in.moveTo(q, coalesced)
+	in.host.ServeCached(req.ID)
+	req.mayHaveRun = req.class.Idempotency != decision.Idempotent // the original may have had the effect
+	in.setState(req, coalesced)
 	return true
 }
 
 // shedProbability returns the probability of shedding an arrival, 0 to 1. It grows with
-// the longest wait among the requests that would run before it, so that old requests of
-// less weight shed nothing.
-func (in *Instance) shedProbability(q *request) float64 {
+// the longest wait among the requests that would run before the arrival. Old requests of
+// lower weight don't count.
+func (in *Instance) shedProbability(req *request) float64 {
 	probability := 0.0
 	for _, other := range in.queue {
-		if comparePriority(q, other) < 0 {
+		if comparePriority(req, other) < 0 {
 			break
 		}
 		probability = max(probability, in.waitShedProbability(other))
@@ -86,28 +87,29 @@
 	return probability
 }
 
-// waitShedProbability returns the probability of shedding for the time that a request has
-// waited since its arrival.
-func (in *Instance) waitShedProbability(q *request) float64 {
-	return linearRamp(in.now-q.arrivedAt, in.maxQueueWait(q))
+// waitShedProbability returns the probability of shedding that corresponds to the time
+// since a request's arrival.
+func (in *Instance) waitShedProbability(req *request) float64 {
+	return linearRamp(in.now-req.arrivedAt, in.maxQueueWait(req))
 }
 
-// callShedProbability returns the probability of shedding for the time that a request
-// would wait for a call. It is above 0 where that is more than shedOnsetFraction of the
-// maximum queue wait.
-func (in *Instance) callShedProbability(q *request) float64 {
-	return linearRamp(in.expectedCallWait(q), in.maxQueueWait(q))
+// callShedProbability returns the probability of shedding that corresponds to the time
+// that a request would wait for a call. It is above 0 if that time exceeds
+// shedOnsetFraction of the maximum queue wait.
+func (in *Instance) callShedProbability(req *request) float64 {
+	return linearRamp(in.expectedCallWait(req), in.maxQueueWait(req))
 }
 
 // linearRamp returns the probability of shedding for a wait: 0 up to shedOnsetFraction
-// of the longest wait allowed, 1 from that wait on, linear between.
+// of maxWait, 1 from maxWait on, linear in between.
 func linearRamp(wait, maxWait time.Duration) float64 {
 	used := float64(wait) / float64(maxWait)
 	return min(1, max(0, (used-shedOnsetFraction)/(1-shedOnsetFraction)))
 }
 
-// requestWeight returns the priority weight of an arrival: that of its class, less for a
-// tenant beyond its quota, and less for a retry, which has used part of its objective.
+// requestWeight returns the priority weight of an arrival: the weight of its class, reduced
+// for a tenant that exceeds its quota and for a retry, which has used part of its latency
+// objective.
 func (in *Instance) requestWeight(class *decision.Class, tenant int, retry bool) float64 {
 	weight := class.Weight * in.tenantWeight(tenant)
 	if retry {
@@ -116,12 +118,12 @@
 	return weight
 }
 
-// tenantWeight returns the factor on the weight of a tenant's requests: 1 within its
-// quota, the quota's fraction of its arrivals beyond, never less than OverQuotaWeight.
+// tenantWeight returns the factor on the weight of a tenant's requests. It is 1 within the
+// quota and quota/arrivals beyond it, but at least OverQuotaWeight.
 //
-// The quota is for the fleet, in requests a second. An instance sees its own arrivals
-// alone: it takes an even part of the quota, and counts as excess only what is beyond
-// the chance variation of a count of that size.
+// Tenant.Quota is for the whole fleet, in requests per second, but an instance sees only
+// its own arrivals. It therefore takes an equal part of the quota, and tolerates arrivals
+// above that part up to the random variation of such a count.
 func (in *Instance) tenantWeight(tenant int) float64 {
 	tenants := in.settings.Tenants
 	if tenant >= len(tenants) || tenants[tenant].Quota <= 0 {
@@ -137,20 +139,20 @@
 	return max(in.settings.OverQuotaWeight, inSteps)
 }
 
-// tenantArrivals counts the first attempts of each tenant, fading over
+// tenantArrivals counts the first attempts of each tenant. The counts decay with
 // arrivalRateTimeConstant.
 type tenantArrivals []float64
 
-// record counts an arrival. A retry is no further request of its tenant.
+// record counts an arrival, unless it is a retry.
 func (a tenantArrivals) record(tenant int, retry bool) {
 	if !retry {
 		a[tenant]++
 	}
 }
 
-// decay fades the counts after a span.
+// decay reduces the counts by the decay over the elapsed time.
 func (a tenantArrivals) decay(elapsed time.Duration) {
 	for tenant := range a {
-		a[tenant] *= decay(elapsed, arrivalRateTimeConstant)
+		a[tenant] *= decayFactor(elapsed, arrivalRateTimeConstant)
 	}
 }
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -6,49 +6,49 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// minRetryAfterJitter is the least factor of the random spread of Retry-After; the
-// greatest is 1 more. Without a spread all callers come back at once.
+// minRetryAfterJitter is the least random factor on Retry-After; the greatest is 1 more.
+// Without jitter all callers would retry at once.
 const minRetryAfterJitter = 0.5
 
-// fail answers a request with an error, unless it has its answer.
-func (in *Instance) fail(q *request) {
-	if q.answered {
+// fail answers a request with an error, unless it is already answered.
+func (in *Instance) fail(req *request) {
+	if req.answered {
 		return
 	}
-	q.answered = true
-	in.host.Fail(q.ID)
-	in.endAnswered(q)
+	req.answered = true
+	in.host.Fail(req.ID)
+	in.endWork(req)
 }
 
-// shed answers a request as not run. One that may have had its effect fails instead, as
-// its caller would run it again.
+// shed rejects a request with Host.Shed. A request that is not idempotent and may have had
+// its effect fails instead, because its caller would run it again.
 //
-// retryAfterScale, 0 to 1, scales the Retry-After; noRetryProbability is that of the advice
-// not to retry elsewhere.
-func (in *Instance) shed(q *request, retryAfterScale, noRetryProbability float64) {
-	if q.mayHaveRun && q.class.Effect != decision.Idempotent {
-		in.fail(q)
+// retryAfterScale, 0 to 1, scales the Retry-After. noRetryProbability is the probability of
+// advising against a retry elsewhere.
+func (in *Instance) shed(req *request, retryAfterScale, noRetryProbability float64) {
+	if req.mayHaveRun && req.class.Idempotency != decision.Idempotent {
+		in.fail(req)
 		return
 	}
-	q.answered = true
+	req.answered = true
 	retryAfter := in.retryAfter(retryAfterScale)
-	noRetryElsewhere := in.adviseNoRetry(q, noRetryProbability)
-	in.host.Shed(q.ID, retryAfter, noRetryElsewhere)
-	in.evictResult(q)
-	in.endAnswered(q)
+	noRetryElsewhere := in.adviseNoRetry(req, noRetryProbability)
+	in.host.Shed(req.ID, retryAfter, noRetryElsewhere)
+	in.evictResult(req)
+	in.endWork(req)
 }
 
-// shedAtFullScale sheds a request at the full scale of Retry-After: it waited too long, came
-// too long after the start of a drain, or has no room in memory.
-func (in *Instance) shedAtFullScale(q *request) { in.shed(q, 1, in.load.pressure) }
+// shedWithFullRetryAfter sheds a request with a Retry-After of full scale. It is used for
+// requests that waited too long, arrived too late in a drain, or lack memory.
+func (in *Instance) shedWithFullRetryAfter(req *request) { in.shed(req, 1, in.load.pressure) }
 
 // retryAfter returns how long a caller should send nothing, at most MaxRetryAfter. It is
-// proportional to the scale, to the part of the load that comes from reading requests
-// (their read lag, or their share of the runnable tasks), and to a random jitter. Where
-// runs are the load, cores may be idle a moment later, and a long Retry-After would keep
-// requests from them. While draining it is always MaxRetryAfter.
+// proportional to the scale, to a random jitter, and to the load that reading requests
+// causes: the larger of the read lag fraction and the read share. Load from runs does not
+// count, because cores may be idle soon after, and a long Retry-After would keep requests
+// from them. A draining instance always returns MaxRetryAfter.
 //
-// The random number is drawn while draining too: the draws that follow depend on it.
+// The random number is drawn while draining too, because later draws depend on it.
 func (in *Instance) retryAfter(scale float64) time.Duration {
 	readLoad := max(in.readLagFraction(), in.concurrency.readShare)
 	jitter := minRetryAfterJitter + in.random.Float64()
@@ -60,27 +60,28 @@
 	return min(advice, maxRetryAfter)
 }
 
-// adviseNoRetry decides whether a caller is told not to retry at another instance: at
-// random with a probability, or when too little of the latency objective is left. The
-// random advice is not given where runs are slow here, as other instances are likely
-// faster. A draining instance gives none, as its drain says nothing about the others.
-func (in *Instance) adviseNoRetry(q *request, probability float64) bool {
+// adviseNoRetry reports whether to advise a caller against a retry at another instance:
+// always if too little of the latency objective is left, and otherwise at random with the
+// given probability. The random advice is not given if runs are slow here, because other
+// instances are likely faster. A draining instance never advises against a retry, because
+// its drain says nothing about the load of the others.
+func (in *Instance) adviseNoRetry(req *request, probability float64) bool {
 	if in.drain.started {
 		return false
 	}
-	maxWait := in.latencyObjective(q) / queueWaitDivisor
+	maxWait := in.latencyObjective(req) / queueWaitDivisor
 	slowHere := in.concurrency.meanRunTime > maxWait
-	return in.random.Float64() < probability && !slowHere || in.now-q.arrivedAt > maxWait
+	return in.random.Float64() < probability && !slowHere || in.now-req.arrivedAt > maxWait
 }
 
-// endAnswered ends what an answered request still does, where that is possible.
-func (in *Instance) endAnswered(q *request) {
-	switch q.state {
+// endWork ends the remaining work of an answered request if it can be cancelled.
+func (in *Instance) endWork(req *request) {
+	switch req.state {
 	case received, queued, preempted, coalesced:
-		in.moveTo(q, finished)
+		in.setState(req, finished)
 	case running:
 		if in.settings.CancelMode != decision.CancelNever {
-			in.host.Cancel(q.ID)
+			in.host.Cancel(req.ID)
 		}
 	}
 }
--- a/policy/call_quota.go
+++ b/policy/call_quota.go
@@ -9,90 +9,93 @@
 )
 
 const (
-	callUtilizationTarget    = 0.4         // fraction of CallQuota that may be in flight on average
-	hungCallUtilizationLimit = 0.9         // fraction of CallQuota in flight, averaged, when all calls hang
-	minCallQuota             = 0.005       // calls in flight; a CallQuota of 0 is a rounded one
-	callCreditWindow         = time.Second // an idle instance saves up the call time of so long at the target
-	callBurstFactor          = 2.0         // times the target: calls in flight while all credit is saved
-	initialCallsPerRun       = 1           // assumed of classes with CallsDependency before their first run
+	callUtilizationTarget    = 0.4         // fraction of CallQuota in flight on average
+	hungCallUtilizationLimit = 0.9         // the same if all calls hang
+	minCallQuota             = 0.005       // calls in flight; a CallQuota of 0 may be a rounded value
+	callCreditWindow         = time.Second // an idle instance accrues credit for this long
+	callBurstFactor          = 2.0         // calls in flight at full credit, as a multiple of the target
+	initialCallsPerRun       = 1           // for classes with CallsDependency, before their first run
 )
 
-// callQuota is a token bucket of call time: it earns the target concurrency, in calls in
-// flight, and pays for the calls that are in flight. With a target below one call, no
-// call is made after each call until its time is earned.
+// callQuota is a token bucket of call time. It fills at the rate of the target concurrency
+// and drains at the rate of the calls in flight. If the target is below one call, each call
+// overdraws the bucket, and no other call is made until its time is earned.
 type callQuota struct {
-	credit       time.Duration // call time that may be spent; negative where it was overdrawn
-	accruedAt    time.Duration
-	abandoned    []time.Duration // abandoned calls still at the dependency: when each is gone
-	meanCallTime time.Duration   // moving average of the time that a call takes the dependency
-	callsPerRun  []float64       // by class: moving average of the calls that a run makes
-
-	expectedCalls           float64 // calls that requests in flight are still to make, counted
-	expectedCallsTransition int     // value of Instance.transitions when expectedCalls was counted
+	credit       time.Duration   // call time that may be spent; negative if overdrawn
+	accruedAt    time.Duration   // when credit was last updated
+	abandoned    []time.Duration // when the dependency stops working on each abandoned call
+	meanCallTime time.Duration   // moving average of the dependency's time for a call
+	callsPerRun  []float64       // moving average of the calls of a run, by class
+
+	expectedCalls   float64 // cached result of Instance.expectedCalls
+	expectedCallsAt int     // Instance.transitionCount when expectedCalls was computed
 }
 
-// accrue adds the credit earned since the last time, less that of the calls in flight.
+// accrue adds the credit earned since the last update, less the call time spent by the calls
+// in flight, and removes the abandoned calls that have ended.
 func (c *callQuota) accrue(now time.Duration, target float64, inFlight int) {
 	elapsed := now - c.accruedAt
 	earned := time.Duration((target - float64(inFlight)) * float64(elapsed))
 	c.credit = min(c.credit+earned, time.Duration(target*float64(callCreditWindow)))
 	c.accruedAt = now
-	c.abandoned = slices.DeleteFunc(c.abandoned, func(gone time.Duration) bool { return gone <= now })
+	c.abandoned = slices.DeleteFunc(c.abandoned, func(endsAt time.Duration) bool { return endsAt <= now })
 }
 
-// burst returns how many calls may be in flight at a time: the target, and more of it
-// the more credit is saved, up to callBurstFactor. So a few calls that hang don't delay
-// all others while the average is far below the quota.
+// burst returns the maximum number of calls in flight. It rises with the credit from the
+// target to callBurstFactor times the target, so that a few hung calls don't delay all
+// others while the average is far below the quota.
 func (c *callQuota) burst(target float64) float64 {
 	saved := float64(c.credit) / (target * float64(callCreditWindow))
 	return target * (1 + (callBurstFactor-1)*min(1, max(0, saved)))
 }
 
-// expectedWait returns how long a call waits for credit behind a number of other calls.
+// expectedWait returns how long a call waits for credit after callsBefore other calls.
 func (c *callQuota) expectedWait(callsBefore, target float64) time.Duration {
 	needed := callsBefore*float64(c.meanCallTime) - float64(c.credit)
 	return time.Duration(max(0, needed) / target)
 }
 
-// recordAbandoned takes in that a call was abandoned: the dependency still works on it
-// for a while.
-func (c *callQuota) recordAbandoned(now, staysFor time.Duration) {
-	c.abandoned = append(c.abandoned, now+staysFor)
+// recordAbandoned records that a call was abandoned, and that the dependency works on it for
+// a further duration.
+func (c *callQuota) recordAbandoned(now, duration time.Duration) {
+	c.abandoned = append(c.abandoned, now+duration)
 }
 
-// recordCallsPerRun takes in how many calls a run of a class made.
+// recordCallsPerRun records the number of calls that a run of a class made.
 func (c *callQuota) recordCallsPerRun(class, calls int) {
 	c.callsPerRun[class] = movingAverage(c.callsPerRun[class], float64(calls), ewmaWeight)
 }
 
-// callsLeft returns how many more calls a run is expected to make.
-func (c *callQuota) callsLeft(q *request) float64 {
-	return max(0, c.callsPerRun[q.Class]-float64(q.callCount))
+// remainingCalls returns the expected number of further calls of a run.
+func (c *callQuota) remainingCalls(req *request) float64 {
+	return max(0, c.callsPerRun[req.Class]-float64(req.callCount))
 }
 
-// callsInFlight counts the calls under way, with those abandoned that the dependency
-// still works on.
-func (in *Instance) callsInFlight() int { return in.count[callInFlight] + len(in.quota.abandoned) }
+// callsInFlight returns the number of calls in flight, including the abandoned calls that
+// the dependency still works on.
+func (in *Instance) callsInFlight() int {
+	return in.stateCount[callInFlight] + len(in.callQuota.abandoned)
+}
 
-// SetFleetBounds takes in this server's part of what its fleet shares. It returns how
-// many calls the instance has in flight or would make now, if only it might.
+// SetFleetBounds sets this server's part of the limits that its fleet shares. It returns the
+// number of calls that are in flight or waiting, whether or not the limits allow them.
 func (in *Instance) SetFleetBounds(b decision.FleetBounds) (wanted int) {
 	in.fleet = b
-	return in.callsInFlight() + in.count[awaitingCall]
+	return in.callsInFlight() + in.stateCount[awaitingCall]
 }
 
-// targetCallConcurrency returns how many calls may be in flight on average.
+// targetCallConcurrency returns the number of calls that may be in flight on average.
 func (in *Instance) targetCallConcurrency() float64 {
 	ownTarget := callUtilizationTarget * max(minCallQuota, in.settings.CallQuota)
 	return min(ownTarget, max(minCallQuota, in.fleet.MaxCalls))
 }
 
-// accrueCallCredit brings the call credit up to date.
+// accrueCallCredit updates the call credit to the current time.
 func (in *Instance) accrueCallCredit() {
-	in.quota.accrue(in.now, in.targetCallConcurrency(), in.callsInFlight())
+	in.callQuota.accrue(in.now, in.targetCallConcurrency(), in.callsInFlight())
 }
 
-// canCall tells whether one more call may be made.
+// canCall reports whether another call may be made.
 func (in *Instance) canCall() bool {
 	inFlight := float64(in.callsInFlight())
 	if inFlight >= in.fleet.MaxCalls {
@@ -101,12 +104,13 @@
 	if in.settings.Dependency != decision.SharedDependency {
 		return inFlight < in.concurrency.limit
 	}
-	return inFlight < max(1, in.quota.burst(in.targetCallConcurrency())) && in.quota.credit >= 0
+	return inFlight < max(1, in.callQuota.burst(in.targetCallConcurrency())) && in.callQuota.credit >= 0
 }
 
-// maxCallTimeout bounds a call's time-out so that the shared dependency survives when
-// the calls of all instances hang at once: what they may overdraw then, with what they
-// have saved, stays under hungCallUtilizationLimit of the quota, over CallQuotaWindow.
+// maxCallTimeout returns the longest time-out of a call. It ensures that the shared
+// dependency survives if the calls of all instances hang at once: the call time that an
+// instance spends then, from saved credit and by overdrawing, stays below
+// hungCallUtilizationLimit of its quota over CallQuotaWindow.
 func (in *Instance) maxCallTimeout() time.Duration {
 	if in.settings.Dependency != decision.SharedDependency {
 		return math.MaxInt64
@@ -120,41 +124,42 @@
 }
 
 // expectedCallWait returns how long a request would wait for a call to the shared
-// dependency, behind the calls of requests in flight and of those queued before it. A
-// request that can't get its call takes cores and memory for nothing.
+// dependency, after the calls of the requests in flight and of the requests queued before
+// it. A request that can't get its call uses cores and memory for nothing.
 //
-// It is 0 for requests that call nothing, and for those that may skip their calls until
+// It is 0 for requests without calls, and also for requests that may skip their call, until
 // they wait for one.
-func (in *Instance) expectedCallWait(q *request) time.Duration {
-	if !q.class.CallsDependency || in.settings.Dependency != decision.SharedDependency ||
-		q.class.DegradedWeight > 0 && q.state != awaitingCall {
+func (in *Instance) expectedCallWait(req *request) time.Duration {
+	if !req.class.CallsDependency || in.settings.Dependency != decision.SharedDependency ||
+		req.class.DegradedWeight > 0 && req.state != awaitingCall {
 		return 0
 	}
 	calls := in.expectedCalls()
 	for _, other := range in.queue {
-		if comparePriority(other, q) >= 0 {
+		if comparePriority(other, req) >= 0 {
 			break
 		}
 		if other.state == queued {
-			calls += in.quota.callsLeft(other)
+			calls += in.callQuota.remainingCalls(other)
 		}
 	}
-	return in.quota.expectedWait(calls, in.targetCallConcurrency())
+	return in.callQuota.expectedWait(calls, in.targetCallConcurrency())
 }
 
-// expectedCalls returns how many calls the requests in flight are still to make. It is
-// counted once between two transitions, as many ask for it where calls are scarce.
+// expectedCalls returns the expected number of further calls of the requests in flight. The
+// result is cached until the next state transition, because it is needed for each request
+// that waits while calls are scarce.
 func (in *Instance) expectedCalls() float64 {
-	if in.quota.expectedCallsTransition != in.transitions {
-		in.quota.expectedCallsTransition, in.quota.expectedCalls = in.transitions, 0
-		for _, q := range in.live {
-			switch q.state {
+	if in.callQuota.expectedCallsAt != in.transitionCount {
+		in.callQuota.expectedCallsAt, in.callQuota.expectedCalls = in.transitionCount, 0
+		for _, req := range in.unfinished {
+			switch req.state {
 			case awaitingCall:
-				in.quota.expectedCalls++
+				in.callQuota.expectedCalls++
 			case running:
-				in.quota.expectedCalls += in.quota.callsLeft(q)
+				in.callQuota.expectedCalls += in.callQuota.remainingCalls(req)
 			}
 		}
 	}
-	return in.quota.expectedCalls
+	return in.callQuota.expectedCalls
 }
--- a/policy/call_quota_test.go
+++ b/policy/call_quota_test.go
@@ -10,12 +10,12 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// TestAbandonedCallCountsAgainstTheQuota: a call whose request has failed keeps the
-// dependency busy for a while. The shared dependency fell over when it was not counted.
-func TestAbandonedCallCountsAgainstTheQuota(t *testing.T) {
-	s := settings()
+// A call whose request has failed keeps the dependency busy for a while. The shared
+// dependency was overloaded when such calls did not count.
+func TestCallQuota_CountsAbandonedCalls(t *testing.T) {
+	s := testSettings()
 	s.CallQuota = 1
-	in, r := start(t, s)
+	in, host := startInstance(t, s)
 	for _, id := range []string{"a", "b"} {
 		in.RequestReceived(0, decision.Request{ID: id, Class: 0, ReservedKB: 1, Deadline: 8 * time.Second})
 	}
@@ -25,117 +25,118 @@
 	in.CallNeeded(2*ms, "b")
 	in.RunDone(10*ms, "a", decision.Cancelled, 0)
 	in.Decide(10 * ms)
-	if r.count("call b") != 0 {
-		t.Errorf("b called while the abandoned call of a is at the dependency: %v", r.acts)
+	if host.count("call b") != 0 {
+		t.Errorf("call of b made while the dependency works on the abandoned call of a: %v", host.actions)
 	}
 	in.Decide(10*ms + s.AbandonedCallDuration)
 	in.Decide(time.Second)
-	if r.count("call b") != 1 {
-		t.Errorf("b not called after the call of a left: %v", r.acts)
+	if host.count("call b") != 1 {
+		t.Errorf("call of b not made after the abandoned call of a ended: %v", host.actions)
 	}
 }
 
-// TestQuotaBelowOneCallIsKeptOnAverage: one call at a time is more than a quota of 0.3. Over
-// a hundred servers that overloaded the dependency.
-func TestQuotaBelowOneCallIsKeptOnAverage(t *testing.T) {
-	s := settings()
+// One call at a time exceeds a quota of 0.3. With a hundred servers, that overloaded the
+// dependency.
+func TestCallQuota_BelowOneCallIsKeptOnAverage(t *testing.T) {
+	s := testSettings()
 	s.CallQuota, s.AbandonedCallDuration = 0.3, 0
-	in, r := start(t, s)
-	const took, day = 100 * ms, 60 * time.Second
+	in, host := startInstance(t, s)
+	const took, duration = 100 * ms, 60 * time.Second
 	busy := time.Duration(0)
-	for now := time.Duration(0); now < day; now += took {
-		for _, q := range in.live {
-			switch q.state {
+	for now := time.Duration(0); now < duration; now += took {
+		for _, req := range in.unfinished {
+			switch req.state {
 			case callInFlight:
 				busy += took
-				in.CallDone(now, q.ID, decision.Succeeded, took)
-				in.RunDone(now, q.ID, decision.Succeeded, took)
+				in.CallDone(now, req.ID, decision.Succeeded, took)
+				in.RunDone(now, req.ID, decision.Succeeded, took)
 			case running:
-				in.CallNeeded(now, q.ID)
+				in.CallNeeded(now, req.ID)
 			case awaitingCall:
-				if q.answered {
-					in.RunDone(now, q.ID, decision.Cancelled, 0)
+				if req.answered {
+					in.RunDone(now, req.ID, decision.Cancelled, 0)
 				}
 			}
 		}
-		in.RequestReceived(now, decision.Request{ID: fmt.Sprint(now), ReservedKB: 1, Deadline: now + 8*time.Second})
+		deadline := now + 8*time.Second
+		in.RequestReceived(now, decision.Request{ID: fmt.Sprint(now), ReservedKB: 1, Deadline: deadline})
 		in.Decide(now)
-		r.acts = nil
+		host.actions = nil
 	}
-	mean := float64(busy) / float64(day)
+	mean := float64(busy) / float64(duration)
 	if want := in.targetCallConcurrency(); mean > 1.1*want || mean < 0.7*want {
-		t.Errorf("mean of calls in flight %.3f, want about %.3f", mean, want)
+		t.Errorf("mean of calls in flight = %.3f, want 70%% to 110%% of %.3f", mean, want)
 	}
 }
 
-// TestHungCallsStayWithinTheQuota: if the dependency hangs, the calls of all servers hang at
-// once. Their time-outs, those of requests that are not idempotent included, must fit the
-// quota.
-func TestHungCallsStayWithinTheQuota(t *testing.T) {
-	for _, share := range []float64{0.44, 1, 4, 12} {
-		s := settings()
-		s.CallQuota = share
-		in, r := start(t, s)
+// If the dependency hangs, the calls of all servers hang at once. Their time-outs must fit
+// the quota, including those of requests that are not idempotent.
+func TestMaxCallTimeout_KeepsHungCallsWithinTheQuota(t *testing.T) {
+	for _, quota := range []float64{0.44, 1, 4, 12} {
+		s := testSettings()
+		s.CallQuota = quota
+		in, host := startInstance(t, s)
 		in.now = 10 * time.Second
-		in.accrueCallCredit() // saved as much as it may
-		held := 0.0
+		in.accrueCallCredit() // up to the maximum
+		busySeconds := 0.0
 		for i := 0; i < 20 && in.canCall(); i++ {
-			q := &request{class: &s.Classes[2], dueAt: time.Hour, state: awaitingCall}
-			q.ID = fmt.Sprint(i)
-			in.count[awaitingCall]++
-			in.call(q)
-			d, err := time.ParseDuration(strings.Fields(r.acts[len(r.acts)-1])[2])
+			req := &request{class: &s.Classes[2], dueAt: time.Hour, state: awaitingCall}
+			req.ID = fmt.Sprint(i)
+			in.stateCount[awaitingCall]++
+			in.call(req)
+			timeout, err := time.ParseDuration(strings.Fields(host.actions[len(host.actions)-1])[2])
 			if err != nil {
 				t.Fatal(err)
 			}
-			held += (d + s.AbandonedCallDuration).Seconds()
+			busySeconds += (timeout + s.AbandonedCallDuration).Seconds()
 		}
-		if most := share * s.CallQuotaWindow.Seconds(); held == 0 || held > most {
-			t.Errorf("share %v: calls that hang hold %.2f s of %.2f s", share, held, most)
+		if most := quota * s.CallQuotaWindow.Seconds(); busySeconds == 0 || busySeconds > most {
+			t.Errorf("quota %v: hung calls take %.2f s of call time, want above 0 and at most %.2f s",
+				quota, busySeconds, most)
 		}
 	}
 }
 
-// TestOverdrawnCreditHoldsCallsUntilItRecovers has calls made again in time at any quota:
-// one of 0 is a rounded one, and lets a call go now and then.
-func TestOverdrawnCreditHoldsCallsUntilItRecovers(t *testing.T) {
-	for _, share := range []float64{0, 0.3, 10} {
-		s := settings()
-		s.CallQuota = share
-		in, r := start(t, s)
-		in.quota.credit = -time.Second
-		q := &request{class: &s.Classes[2], dueAt: time.Hour, state: awaitingCall}
-		in.live, in.count[awaitingCall] = append(in.live, q), 1
-		if in.makeCalls(); r.count("call") != 0 {
-			t.Errorf("share %v: a call on an overdrawn account", share)
+// Overdrawn credit recovers at any quota. A quota of 0 may be a rounded value, and allows a
+// call from time to time.
+func TestMakeCalls_WaitsUntilOverdrawnCreditRecovers(t *testing.T) {
+	for _, quota := range []float64{0, 0.3, 10} {
+		s := testSettings()
+		s.CallQuota = quota
+		in, host := startInstance(t, s)
+		in.callQuota.credit = -time.Second
+		req := &request{class: &s.Classes[2], dueAt: time.Hour, state: awaitingCall}
+		in.unfinished, in.stateCount[awaitingCall] = append(in.unfinished, req), 1
+		if in.makeCalls(); host.count("call") != 0 {
+			t.Errorf("quota %v: call made with overdrawn credit", quota)
 		}
 		in.now = 30 * time.Minute
 		in.accrueCallCredit()
-		if in.makeCalls(); r.count("call") != 1 {
-			t.Errorf("share %v: no call half an hour later, credit %v", share, in.quota.credit)
+		if in.makeCalls(); host.count("call") != 1 {
+			t.Errorf("quota %v: no call half an hour later, at a credit of %v", quota, in.callQuota.credit)
 		}
 	}
 }
 
-// TestExpectedCallsAreCountedOnceBetweenTransitions: counted for each request that asked how
-// long it would wait, they made decisions the dearer the more requests waited.
-func TestExpectedCallsAreCountedOnceBetweenTransitions(t *testing.T) {
-	s := settings()
+// Counting the expected calls for every waiting request made the cost of a decision grow
+// with the number of waiting requests.
+func TestExpectedCalls_CountsOncePerTransition(t *testing.T) {
+	s := testSettings()
 	s.CallQuota = 1
-	in, _ := start(t, s)
+	in, _ := startInstance(t, s)
 	check := func() {
 		t.Helper()
 		want := 0.0
-		for _, q := range in.live {
-			switch q.state {
+		for _, req := range in.unfinished {
+			switch req.state {
 			case awaitingCall:
 				want++
 			case running:
-				want += max(0, in.quota.callsPerRun[q.Class]-float64(q.callCount))
+				want += max(0, in.callQuota.callsPerRun[req.Class]-float64(req.callCount))
 			}
 		}
 		if got := in.expectedCalls(); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v calls to come, want %v", got, want)
+			t.Errorf("expectedCalls = %v, want %v", got, want)
 		}
 	}
 	for i := range 6 {
@@ -149,9 +150,9 @@
 		in.Decide(ms)
 		check()
 	}
-	in.quota.expectedCalls = 1e6 // only a new count takes it away
+	in.callQuota.expectedCalls = 1e6 // only a new count overwrites it
 	if in.expectedCalls() != 1e6 {
-		t.Error("counted again without a move")
+		t.Error("expectedCalls counted again without a transition")
 	}
 	in.CallDone(2*ms, "0", decision.Succeeded, ms)
 	check()
@@ -159,92 +160,94 @@
 	check()
 }
 
-// TestCreditLetsCallsPassThoseThatHang: calls that hang or are abandoned filled the target
-// concurrency, and all others waited, though the average was far from the quota.
-func TestCreditLetsCallsPassThoseThatHang(t *testing.T) {
-	in, _ := start(t, settings()) // four in hand in the mean
+// Hung and abandoned calls reached the target concurrency, and all other calls waited,
+// although the average was far below the quota.
+func TestCanCall_SavedCreditAllowsMoreThanTheTarget(t *testing.T) {
+	in, _ := startInstance(t, testSettings()) // a target of four calls in flight
 	in.Decide(0)
 	for range 4 {
-		in.quota.abandoned = append(in.quota.abandoned, time.Hour)
+		in.callQuota.abandoned = append(in.callQuota.abandoned, time.Hour)
 	}
-	in.quota.credit = time.Duration(in.targetCallConcurrency() * float64(callCreditWindow))
+	in.callQuota.credit = time.Duration(in.targetCallConcurrency() * float64(callCreditWindow))
 	if !in.canCall() {
-		t.Error("nothing may be called behind four that hang, with all time saved up")
+		t.Error("canCall = false with four hung calls and full credit, want true")
 	}
 	for range 4 {
-		in.quota.abandoned = append(in.quota.abandoned, time.Hour)
+		in.callQuota.abandoned = append(in.callQuota.abandoned, time.Hour)
 	}
 	if in.canCall() {
-		t.Error("there is no bound to the calls in flight")
+		t.Error("canCall = true with eight hung calls and full credit, want false")
 	}
-	in.quota.credit, in.quota.abandoned = 0, in.quota.abandoned[:4]
+	in.callQuota.credit, in.callQuota.abandoned = 0, in.callQuota.abandoned[:4]
 	if in.canCall() {
-		t.Error("what is over the pace may be called with no time saved up")
+		t.Error("canCall = true with four hung calls and no credit, want false")
 	}
 }
 
-// TestCallsKeepToTheFleetsBound has the calls bounded at every instant by the server's part
-// of the fleet's budget, and the calls returned that it would make.
-func TestCallsKeepToTheFleetsBound(t *testing.T) {
-	s := settings()
+// The server's part of the fleet's quota limits the calls in flight at every instant.
+// SetFleetBounds returns the number of calls that the server would make without a limit.
+func TestSetFleetBounds_LimitsCallsInFlight(t *testing.T) {
+	s := testSettings()
 	s.Cores, s.CallQuota = 6, 20
-	in, r := start(t, s)
+	in, host := startInstance(t, s)
 	for i := range 6 {
 		id := string(rune('a' + i))
 		in.RequestReceived(0, decision.Request{ID: id, Caller: i, ReservedKB: 1})
 		in.Decide(0)
 	}
-	running := in.count[running]
+	running := in.stateCount[running]
 	if running < 3 {
-		t.Fatalf("%d run", running)
+		t.Fatalf("%d requests run, want at least 3", running)
 	}
 	in.SetFleetBounds(decision.FleetBounds{MaxCalls: 0})
 	for id := range in.requests {
 		in.CallNeeded(ms, id)
 	}
 	in.Decide(ms)
-	if n := r.count("call"); n != 0 {
-		t.Errorf("%d calls without a right", n)
+	if n := host.count("call"); n != 0 {
+		t.Errorf("%d calls made at MaxCalls 0", n)
 	}
 	if wanted := in.SetFleetBounds(decision.FleetBounds{MaxCalls: 2}); wanted != running {
-		t.Errorf("%d wanted of %d", wanted, running)
+		t.Errorf("SetFleetBounds = %d, want %d", wanted, running)
 	}
 	in.Decide(2 * ms)
-	if n := r.count("call"); n != 2 || in.targetCallConcurrency() > 2 {
-		t.Errorf("%d calls with two rights, at a pace of %v", n, in.targetCallConcurrency())
+	if n := host.count("call"); n != 2 || in.targetCallConcurrency() > 2 {
+		t.Errorf("MaxCalls 2: %d calls, target %v; want 2 calls, target at most 2",
+			n, in.targetCallConcurrency())
 	}
 	in.SetFleetBounds(decision.FleetBounds{MaxCalls: math.Inf(1)})
 	in.Decide(3 * ms)
-	if n := r.count("call"); n != running {
-		t.Errorf("%d calls of %d without a bound", n, running)
+	if n := host.count("call"); n != running {
+		t.Errorf("%d calls without a limit, want %d", n, running)
 	}
 }
 
-func TestCallQuotaAccruesCreditForTheTargetLessTheCallsInFlight(t *testing.T) {
+func TestCallQuota_AccruesTargetLessCallsInFlight(t *testing.T) {
 	const target = 2.0
-	q := callQuota{credit: -time.Second, abandoned: []time.Duration{250 * ms}}
-	q.accrue(500*ms, target, 1)
-	if want := -500 * ms; q.credit != want {
-		t.Errorf("credit %v with one call in flight, want %v", q.credit, want)
+	quota := callQuota{credit: -time.Second, abandoned: []time.Duration{250 * ms}}
+	quota.accrue(500*ms, target, 1)
+	if want := -500 * ms; quota.credit != want {
+		t.Errorf("credit = %v with one call in flight, want %v", quota.credit, want)
 	}
-	if len(q.abandoned) != 0 {
-		t.Error("an abandoned call is counted after its time")
+	if len(quota.abandoned) != 0 {
+		t.Error("abandoned call counted after its end")
 	}
-	q.accrue(time.Hour, target, 0)
-	if want := 2 * callCreditWindow; q.credit != want {
-		t.Errorf("credit %v saved up, want %v", q.credit, want)
+	quota.accrue(time.Hour, target, 0)
+	if want := 2 * callCreditWindow; quota.credit != want {
+		t.Errorf("credit = %v after an idle hour, want %v", quota.credit, want)
 	}
 	for credit, want := range map[time.Duration]float64{
-		-time.Second: target, 0: target, callCreditWindow: 1.5 * target, 2 * callCreditWindow: callBurstFactor * target,
+		-time.Second: target, 0: target,
+		callCreditWindow: 1.5 * target, 2 * callCreditWindow: callBurstFactor * target,
 	} {
-		if q.credit = credit; q.burst(target) != want {
-			t.Errorf("burst %v at credit %v, want %v", q.burst(target), credit, want)
+		if quota.credit = credit; quota.burst(target) != want {
+			t.Errorf("burst(%v) = %v at credit %v, want %v", target, quota.burst(target), credit, want)
 		}
 	}
 }
 
-func TestCallQuotaExpectedWait(t *testing.T) {
-	for _, c := range []struct {
+func TestCallQuota_ExpectedWait(t *testing.T) {
+	for _, test := range []struct {
 		credit time.Duration
 		calls  float64
 		want   time.Duration
@@ -254,9 +257,9 @@
 		{time.Second, 3, 0},
 		{-time.Second, 3, 650 * ms},
 	} {
-		q := callQuota{credit: c.credit, meanCallTime: 100 * ms}
-		if got := q.expectedWait(c.calls, 2); got != c.want {
-			t.Errorf("credit %v, %v calls: wait %v, want %v", c.credit, c.calls, got, c.want)
+		quota := callQuota{credit: test.credit, meanCallTime: 100 * ms}
+		if got := quota.expectedWait(test.calls, 2); got != test.want {
+			t.Errorf("credit %v: expectedWait(%v, 2) = %v, want %v", test.credit, test.calls, got, test.want)
 		}
 	}
 }
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -9,112 +9,114 @@
 )
 
 const (
-	minCallTimeout      = time.Millisecond // where hardly any time is left
-	typicalCallsWaiting = 16               // more need memory of their own
+	minCallTimeout  = time.Millisecond // even if less time remains until the deadline
+	typicalDueCalls = 16               // more of them cause a heap allocation
 )
 
-// CallNeeded takes in that the run of a request waits for a call to the dependency.
+// CallNeeded records that the run of a request waits for a call to the dependency.
 func (in *Instance) CallNeeded(now time.Duration, id string) {
 	in.now = now
-	q := in.requests[id]
-	if q == nil || q.state != running {
+	req := in.requests[id]
+	if req == nil || req.state != running {
 		return
 	}
-	q.call = callProgress{}
-	q.callCount++
-	q.preempting = false
-	in.moveTo(q, awaitingCall)
+	req.call = callProgress{}
+	req.callCount++
+	req.preempting = false
+	in.setState(req, awaitingCall)
 }
 
-// CallDone takes in how a call ended, and how long it took.
+// CallDone records how an attempt of a call ended, and how long it took.
 func (in *Instance) CallDone(now time.Duration, id string, outcome decision.Outcome, took time.Duration) {
 	in.now = now
-	q := in.requests[id]
-	if q == nil || q.state != callInFlight {
+	req := in.requests[id]
+	if req == nil || req.state != callInFlight {
 		return
 	}
-	in.recordCall(q, outcome, took)
+	in.recordCall(req, outcome, took)
 	if outcome == decision.Succeeded {
-		in.moveTo(q, running)
+		in.setState(req, running)
 		return
 	}
-	in.moveTo(q, awaitingCall)
-	if !q.answered {
-		in.retryOrSkipCall(q, outcome)
+	in.setState(req, awaitingCall)
+	if !req.answered {
+		in.retryOrSkipCall(req, outcome)
 	}
 }
 
-// makeCalls makes the calls that requests wait for, while the call quota has room. Those
-// come first that lose most without their call.
+// makeCalls makes the calls that requests wait for, as far as the call quota allows, in the
+// order of dueCalls. Without quota, it skips a call that would wait too long if the
+// request may be degraded.
 func (in *Instance) makeCalls() {
-	var buffer [typicalCallsWaiting]*request
-	for _, q := range in.callsWaiting(buffer[:0]) {
+	var buffer [typicalDueCalls]*request
+	for _, req := range in.dueCalls(buffer[:0]) {
 		if in.canCall() {
-			in.call(q)
-		} else if q.class.DegradedWeight > 0 && in.callShedProbability(q) > 0 {
-			in.skipCallOrFail(q)
+			in.call(req)
+		} else if req.class.DegradedWeight > 0 && in.callShedProbability(req) > 0 {
+			in.skipCallOrFail(req)
 		}
 	}
 }
 
-// callsWaiting appends the requests whose calls may be made now to an empty list, in the
-// order in which they are made.
-func (in *Instance) callsWaiting(waiting []*request) []*request {
-	for _, q := range in.live {
-		if q.state == awaitingCall && !q.answered && q.call.notBefore <= in.now {
-			waiting = append(waiting, q)
+// dueCalls returns the requests whose calls are due, appended to the empty slice waiting.
+// The requests that lose the most weight without their call come first.
+func (in *Instance) dueCalls(waiting []*request) []*request {
+	for _, req := range in.unfinished {
+		if req.state == awaitingCall && !req.answered && req.call.notBefore <= in.now {
+			waiting = append(waiting, req)
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(weightOfCall(b), weightOfCall(a)), comparePriority(a, b))
+		return cmp.Or(cmp.Compare(weightLostWithoutCall(b), weightLostWithoutCall(a)), comparePriority(a, b))
 	})
 	return waiting
 }
 
-// weightOfCall returns the weight that a request loses when it skips its call.
-func weightOfCall(q *request) float64 { return q.weight * (1 - q.class.DegradedWeight) }
+// weightLostWithoutCall returns the weight that a request loses if its call is skipped.
+func weightLostWithoutCall(req *request) float64 { return req.weight * (1 - req.class.DegradedWeight) }
 
-// call makes one call, unless the circuit breaker or the fleet's retry budget stops it.
-// Its time-out is at most the time left until the request's deadline.
-func (in *Instance) call(q *request) {
-	remaining := q.dueAt - in.now - in.timerInterval
-	q.call.timeout = in.chooseTimeout(q, remaining)
-	if in.updateBreaker() && !q.call.timeout.diagnostic {
-		in.waitOrSkipCall(q)
+// call makes one attempt of a call, unless the circuit breaker or the fleet's retry budget
+// prevents it. The call times out at least one timer interval before the request's deadline,
+// unless that leaves less than minCallTimeout.
+func (in *Instance) call(req *request) {
+	remaining := req.dueAt - in.now - in.timerInterval
+	req.call.timeout = in.chooseTimeout(req, remaining)
+	if in.updateBreaker() && !req.call.timeout.diagnostic {
+		in.waitOrSkipCall(req)
 		return
 	}
-	if !in.acquireFleetRetry(q) {
+	if !in.acquireFleetRetry(req) {
 		return
 	}
-	if q.call.attempts == 0 {
+	if req.call.attempts == 0 {
 		in.retries.deposit()
 	}
-	q.call.attempts++
-	timeout := min(q.call.timeout.duration, remaining, in.maxCallTimeout())
-	in.host.Call(q.ID, max(minCallTimeout, timeout))
-	in.moveTo(q, callInFlight)
+	req.call.attempts++
+	timeout := min(req.call.timeout.duration, remaining, in.maxCallTimeout())
+	in.host.Call(req.ID, max(minCallTimeout, timeout))
+	in.setState(req, callInFlight)
 }
 
-// skipCallOrFail has a request go on without its call where that still earns something
-// (DegradedWeight), and fails it otherwise.
-func (in *Instance) skipCallOrFail(q *request) {
-	if q.class.DegradedWeight > 0 {
-		in.host.SkipCall(q.ID)
-		in.moveTo(q, running)
+// skipCallOrFail resumes a request without its call if a degraded answer earns weight, and
+// fails it otherwise.
+func (in *Instance) skipCallOrFail(req *request) {
+	if req.class.DegradedWeight > 0 {
+		in.host.SkipCall(req.ID)
+		in.setState(req, running)
 		return
 	}
-	in.fail(q)
+	in.fail(req)
 }
 
-// recordCall takes in what a call's end shows of the dependency, and updates the breaker.
-// The breaker ignores a time-out that is neither the last of the sequence nor diagnostic:
-// a dependency that works well exceeds the short ones too.
-func (in *Instance) recordCall(q *request, outcome decision.Outcome, took time.Duration) {
+// recordCall updates the call time, the time-outs and the circuit breaker after a call. The
+// breaker ignores a time-out that is neither the last of the sequence nor diagnostic,
+// because calls to a healthy dependency also exceed the short time-outs.
+func (in *Instance) recordCall(req *request, outcome decision.Outcome, took time.Duration) {
 	in.recordCallTime(outcome, took)
-	choice := q.call.timeout
+	choice := req.call.timeout
 	timedOut := outcome == decision.TimedOut
-	if q.class.Effect == decision.Idempotent && choice.diagnostic {
-		in.timeouts.recordDiagnostic(outcome, took, q.class.Deadline)
+	if req.class.Idempotency == decision.Idempotent && choice.diagnostic {
+		in.timeouts.recordDiagnostic(outcome, took, req.class.Deadline)
 	}
 	if timedOut && !choice.final && !choice.diagnostic {
 		return
@@ -123,12 +125,12 @@
 	in.updateBreaker()
 }
 
-// recordCallTime takes in how long a call took the dependency. One that timed out is
-// abandoned, and takes it for a while longer.
+// recordCallTime records how long the dependency worked on a call. A call that timed out is
+// abandoned, and takes AbandonedCallDuration more.
 func (in *Instance) recordCallTime(outcome decision.Outcome, took time.Duration) {
-	if staysFor := in.settings.AbandonedCallDuration; outcome == decision.TimedOut && staysFor > 0 {
-		in.quota.recordAbandoned(in.now, staysFor)
-		took += staysFor
+	if extra := in.settings.AbandonedCallDuration; outcome == decision.TimedOut && extra > 0 {
+		in.callQuota.recordAbandoned(in.now, extra)
+		took += extra
 	}
-	in.quota.meanCallTime = movingAverageTime(in.quota.meanCallTime, took)
+	in.callQuota.meanCallTime = movingAverageTime(in.callQuota.meanCallTime, took)
 }
--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	breakerFailureRate  = 0.5 // of recent calls, beyond which the breaker opens
+	breakerFailureRate  = 0.5 // fraction of recent calls that failed, above which the breaker opens
 	breakerOpenDuration = time.Second
 )
 
-// circuitBreaker stops ordinary calls to a dependency that fails.
+// circuitBreaker prevents ordinary calls to a dependency that fails.
 //
-// It is closed while calls go through. When most recent calls failed it opens for
-// breakerOpenDuration. Diagnostic calls are made in either state, as those of a
-// half-open breaker: one that succeeds closes it at once, one that fails keeps it open.
+// A closed breaker allows all calls. If more than breakerFailureRate of the recent calls
+// failed, it opens for breakerOpenDuration. Diagnostic calls are allowed in both states, like
+// the probes of a half-open breaker: a success closes the breaker at once, and a failure
+// keeps it open.
 type circuitBreaker struct {
-	failureRate float64       // moving fraction of calls that failed, or timed out at the longest time-out
-	openUntil   time.Duration // it is open before then
-	open        bool          // as of the last update
+	failureRate float64       // moving average of the fraction of failed calls; see Instance.recordCall
+	openUntil   time.Duration // the breaker is open until this time
+	open        bool          // state at the last update
 }
 
-// record takes in how a call ended, and opens or closes the breaker.
+// record records whether a call succeeded, and opens or closes the breaker accordingly.
 func (b *circuitBreaker) record(now time.Duration, succeeded bool) {
 	b.failureRate = movingRate(b.failureRate, !succeeded)
 	switch {
@@ -33,7 +34,7 @@
 	}
 }
 
-// update brings the state up to date, and tells whether it changed.
+// update sets the state for the current time, and reports whether it changed.
 func (b *circuitBreaker) update(now time.Duration) (changed bool) {
 	open := now < b.openUntil
 	changed = open != b.open
@@ -41,8 +42,8 @@
 	return changed
 }
 
-// updateBreaker brings the breaker up to date and logs a change. It tells whether the
-// breaker is open, which stops all calls but diagnostic ones.
+// updateBreaker updates the breaker and logs a change. It reports whether the breaker is
+// open, which prevents all but diagnostic calls.
 func (in *Instance) updateBreaker() bool {
 	if in.breaker.update(in.now) {
 		in.host.Log(decision.CircuitBreakerChanged{Open: in.breaker.open})
@@ -50,13 +51,13 @@
 	return in.breaker.open
 }
 
-// waitOrSkipCall decides on a call that an open breaker stops. A request that is not
-// idempotent and earns nothing without its call waits until the breaker may close. Any
-// other skips its call, or fails if it earns nothing without it.
-func (in *Instance) waitOrSkipCall(q *request) {
-	if q.class.Effect != decision.Idempotent && q.class.DegradedWeight == 0 {
-		q.call.notBefore = in.breaker.openUntil
+// waitOrSkipCall handles a call that an open breaker prevents. A request that is not
+// idempotent and needs its call (DegradedWeight is 0) waits until the breaker may close. For
+// any other request the call is skipped, or the request fails if it needs the call.
+func (in *Instance) waitOrSkipCall(req *request) {
+	if req.class.Idempotency != decision.Idempotent && req.class.DegradedWeight == 0 {
+		req.call.notBefore = in.breaker.openUntil
 		return
 	}
-	in.skipCallOrFail(q)
+	in.skipCallOrFail(req)
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	inFlightUtilizationLimit = 0.85 // of the requests in flight that the cores survive
-	busyRunnablePerCore      = 1.5  // runnable tasks per core beyond which cores count as busy
-	idleCoreUtilization      = 0.95 // below it cores count as idle
-	concurrencyDecrease      = 0.05 // of the excess over the cores, each timer
-	concurrencyIncrease      = 0.25 // requests, each timer
-	preemptionWeightRatio    = 0.5  // of a newcomer's weight: runs of at most that are preempted for it
+	inFlightUtilizationLimit = 0.85 // fraction of the requests in flight that the cores survive
+	busyRunnablePerCore      = 1.5  // runnable tasks per core above which the cores count as busy
+	busyCoreUtilization      = 0.95 // utilization from which the cores count as busy
+	concurrencyDecrease      = 0.05 // fraction of the excess over the number of cores, per timer
+	concurrencyIncrease      = 0.25 // requests, per timer
+	preemptionWeightRatio    = 0.5  // largest weight of a preempted run, as a fraction of the other's
 )
 
-// concurrencyLimit holds how many requests run at a time, and what it is adjusted by.
+// concurrencyLimit is the number of requests that may run at a time, and related averages.
 type concurrencyLimit struct {
-	limit       float64       // running requests
-	meanRunTime time.Duration // moving average of the time that a run takes the cores
-	readShare   float64       // moving fraction of the runnable tasks that only read or shake hands
+	limit       float64       // in running requests
+	meanRunTime time.Duration // moving average of the time that a run spends in the state running
+	readShare   float64       // moving average of the fraction of runnable tasks that are not runs
 }
 
-// recordRunTime takes in the time of a run that ended.
+// recordRunTime records the time that a run spent in the state running.
 func (c *concurrencyLimit) recordRunTime(took time.Duration) {
 	c.meanRunTime = movingAverageTime(c.meanRunTime, took)
 }
 
-// recordReadShare takes in how many tasks are runnable, and how many of them are runs.
+// recordReadShare updates the read share: the fraction of the runnable tasks that read
+// requests or do handshakes instead of running requests.
 func (c *concurrencyLimit) recordReadShare(runnable, runs float64, interval time.Duration) {
 	share := max(0, runnable-runs) / max(1, runnable)
-	c.readShare = movingAverage(c.readShare, share, stepWeight(interval, pressureTimeConstant))
+	c.readShare = movingAverage(c.readShare, share, sampleWeight(interval, pressureTimeConstant))
 }
 
-// adjust raises the limit while cores idle and requests wait, and lowers it toward the
-// number of cores while they are busy. It stays between the cores and maxInFlight.
+// adjust raises the limit if cores are idle and requests wait, and lowers it toward the
+// number of cores if they are busy. The limit stays between cores and maxInFlight.
 func (c *concurrencyLimit) adjust(busy, waiting bool, cores, maxInFlight float64) {
 	switch {
 	case busy:
@@ -46,44 +47,44 @@
 	c.limit = min(max(c.limit, cores), max(cores, maxInFlight))
 }
 
-// adjustConcurrencyLimit adjusts the number of requests that may run, by the gauges.
+// adjustConcurrencyLimit adjusts the concurrency limit to the gauges.
 func (in *Instance) adjustConcurrencyLimit(g decision.Gauges) {
-	cores, runs := float64(in.settings.Cores), float64(in.count[running])
+	cores, runs := float64(in.settings.Cores), float64(in.stateCount[running])
 	runnable := g.RunnableTasks
-	if runnable < 0 { // not known
+	if runnable < 0 { // unknown
 		runnable = runs
 	}
-	in.recordLongRuns()
+	in.raiseMeanRunTime()
 	in.concurrency.recordReadShare(runnable, runs, in.timerInterval)
-	busy := runnable > busyRunnablePerCore*cores || g.CoreUtilization >= idleCoreUtilization
+	busy := runnable > busyRunnablePerCore*cores || g.CoreUtilization >= busyCoreUtilization
 	in.concurrency.adjust(busy, len(in.queue) > 0, cores, in.maxInFlight())
 }
 
-// recordLongRuns raises the mean run time to that of the shortest run under way where
-// all cores are taken: so a slow instance knows of it before a run has ended.
-func (in *Instance) recordLongRuns() {
-	if in.count[running] < in.settings.Cores {
+// raiseMeanRunTime raises the mean run time to that of the shortest current run if at least
+// Cores requests run. A slow instance thus detects its slowness before a run has ended.
+func (in *Instance) raiseMeanRunTime() {
+	if in.stateCount[running] < in.settings.Cores {
 		return
 	}
 	shortest := time.Duration(math.MaxInt64)
-	for _, q := range in.live {
-		if q.state == running {
-			shortest = min(shortest, q.runTime+in.now)
+	for _, req := range in.unfinished {
+		if req.state == running {
+			shortest = min(shortest, req.runTime+in.now)
 		}
 	}
 	in.concurrency.meanRunTime = max(in.concurrency.meanRunTime, shortest)
 }
 
-// maxInFlight returns how many requests may have begun and not ended, so that the
-// instance survives when all come back to the cores at once.
+// maxInFlight returns the maximum number of requests in flight (see requestsInFlight). The
+// instance survives if all of them need the cores at once.
 func (in *Instance) maxInFlight() float64 {
 	cores := float64(in.settings.Cores)
 	excess := max(0, in.settings.OverloadRatio-1) * in.slowStartSpeed()
 	return max(1, inFlightUtilizationLimit*cores*(1+excess))
 }
 
-// slowStartSpeed returns the fraction of its normal speed that an instance has: it rises
-// linearly from SlowStartMinSpeed to 1 in the time after a cold start.
+// slowStartSpeed returns the instance's speed as a fraction of its normal speed. After a cold
+// start it rises linearly from SlowStartMinSpeed to 1 within SlowStartDuration.
 func (in *Instance) slowStartSpeed() float64 {
 	age := in.now - in.startedAt
 	if !in.settings.SlowStart || age >= in.settings.SlowStartDuration {
@@ -93,58 +94,60 @@
 	return slowest + (1-slowest)*float64(age)/float64(in.settings.SlowStartDuration)
 }
 
-// requestsInFlight counts the requests that have begun to run and not ended.
+// requestsInFlight returns the number of requests that run or wait for a call. Preempted
+// requests don't count.
 func (in *Instance) requestsInFlight() int {
-	return in.count[running] + in.count[awaitingCall] + in.count[callInFlight]
+	return in.stateCount[running] + in.stateCount[awaitingCall] + in.stateCount[callInFlight]
 }
 
-// startQueued runs queued requests in the order of their priority, while the concurrency
-// limit, the requests in flight and the memory allow. It passes over requests that have
-// no room in memory, or would only wait for a call.
+// startQueued runs queued requests in order of priority while the concurrency limit and
+// maxInFlight allow it. It passes over requests that lack memory or would only wait for a
+// call (canRun).
 func (in *Instance) startQueued() {
 	for i := 0; i < len(in.queue); {
-		q := in.queue[i]
-		if !in.canRun(q) {
+		req := in.queue[i]
+		if !in.canRun(req) {
 			i++
 			continue
 		}
 		if float64(in.requestsInFlight()) >= in.maxInFlight() {
 			return
 		}
-		if float64(in.count[running]) >= in.effectiveLimit() && !in.preemptFor(q) {
+		if float64(in.stateCount[running]) >= in.effectiveLimit() && !in.preemptFor(req) {
 			return
 		}
-		q.mayHaveRun = true
-		in.host.Run(q.ID)
-		in.moveTo(q, running) // takes it out of the queue
+		req.mayHaveRun = true
+		in.host.Run(req.ID)
+		in.setState(req, running) // removes it from the queue
 	}
 }
 
-// canRun tells whether a queued request has room in memory and would get its call soon.
-func (in *Instance) canRun(q *request) bool {
-	more := in.reservedMemory(q, running) - in.reservedMemory(q, q.state)
+// canRun reports whether there is enough memory to run a queued request, and whether it would
+// get its call soon.
+func (in *Instance) canRun(req *request) bool {
+	more := in.reservedMemory(req, running) - in.reservedMemory(req, req.state)
 	if in.exceedsMemory(more) {
 		return false
 	}
-	waitsForCall := in.callShedProbability(q) > 0 // false for a NaN, where nothing may wait
+	waitsForCall := in.callShedProbability(req) > 0 // false for NaN, when both waits are 0
 	return !waitsForCall
 }
 
-// effectiveLimit returns the concurrency limit, lowered while reads lag: they share the
-// cores with the runs, and what is read late is useless.
+// effectiveLimit returns the concurrency limit, reduced by the read lag: reads share the
+// cores with runs, and a request that is read late is useless.
 func (in *Instance) effectiveLimit() float64 {
 	return max(1, in.concurrency.limit/(1+in.readLagFraction()))
 }
 
-// preemptFor cancels the running request of least priority, to be resumed later, for one
-// of far greater weight: with few cores a long run holds up all that come. It does so
-// only where nothing that was done is lost.
-func (in *Instance) preemptFor(q *request) bool {
+// preemptFor pauses the running request of lowest priority if the given request has far
+// more weight, and reports whether it did. With few cores a long run would delay all later
+// requests. Runs are preempted only in the mode CancelPause, which loses no work.
+func (in *Instance) preemptFor(req *request) bool {
 	if in.settings.CancelMode != decision.CancelPause {
 		return false
 	}
 	victim := in.lowestPriorityRun()
-	if victim == nil || victim.weight > q.weight*preemptionWeightRatio {
+	if victim == nil || victim.weight > req.weight*preemptionWeightRatio {
 		return false
 	}
 	victim.preempting = true
@@ -152,15 +155,16 @@
 	return true
 }
 
-// lowestPriorityRun returns the running request that would be preempted first, or nil.
+// lowestPriorityRun returns the running request with the lowest priority, or nil. It ignores
+// requests that are being preempted or are answered.
 func (in *Instance) lowestPriorityRun() *request {
 	var lowest *request
-	for _, q := range in.live {
-		if q.state != running || q.preempting || q.answered {
+	for _, req := range in.unfinished {
+		if req.state != running || req.preempting || req.answered {
 			continue
 		}
-		if lowest == nil || comparePriority(lowest, q) < 0 {
-			lowest = q
+		if lowest == nil || comparePriority(lowest, req) < 0 {
+			lowest = req
 		}
 	}
 	return lowest
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -6,29 +6,30 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// drainMarginTimers is how many timer intervals before the end of a drain all requests
-// have their answers.
+// drainMarginTimers is the number of timer intervals, before the end of a drain, at which
+// all requests have their answers.
 const drainMarginTimers = 2
 
-// drainState is the state of a drain: the process stops, admits nothing that arrives after
-// DrainGrace, and answers what it has. Functions that a drain changes: admit
-// (arrivedAfterDrain), answerBy (drainState.limit), retryAfter, adviseNoRetry, and
-// updateHealth, as health stays bad.
+// drainState is the state of a graceful shutdown. The instance sheds requests that arrive
+// more than DrainGrace after its start, and answers all others before its end. A drain
+// changes the results of admit (arrivedAfterDrain), answerDeadline (limitAnswerDeadline),
+// retryAfter and adviseNoRetry, and stops updateHealth, so that the health stays bad.
 type drainState struct {
 	started   bool
 	startedAt time.Duration
-	stopAt    time.Duration // when the process ends
+	stopAt    time.Duration // when the process exits
 }
 
-// limit returns an answer's latest time, moved before the end of the drain.
-func (d *drainState) limit(answerBy, timerInterval time.Duration) time.Duration {
+// limitAnswerDeadline returns the latest time for an answer, which a drain moves to before
+// its end.
+func (d *drainState) limitAnswerDeadline(answerBy, timerInterval time.Duration) time.Duration {
 	if !d.started {
 		return answerBy
 	}
 	return min(answerBy, d.stopAt-drainMarginTimers*timerInterval)
 }
 
-// Drain takes in that the process will be stopped at a time.
+// Drain starts a graceful shutdown. The process exits at stopAt.
 func (in *Instance) Drain(now, stopAt time.Duration) {
 	in.now = now
 	in.drain = drainState{started: true, startedAt: now, stopAt: stopAt}
@@ -36,8 +37,8 @@
 	in.host.Log(decision.DrainStarted{StopsIn: stopAt - now})
 }
 
-// arrivedAfterDrain tells whether a request arrived too late to be run: callers had
-// DrainGrace to hear of the drain.
-func (in *Instance) arrivedAfterDrain(q *request) bool {
-	return in.drain.started && q.arrivedAt > in.drain.startedAt+in.settings.DrainGrace
+// arrivedAfterDrain reports whether a request arrived too late to run. Callers have
+// DrainGrace to learn of the drain and stop sending.
+func (in *Instance) arrivedAfterDrain(req *request) bool {
+	return in.drain.started && req.arrivedAt > in.drain.startedAt+in.settings.DrainGrace
 }
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -7,32 +7,35 @@
 	"quincerail.example/quincerail/decision"
 )
 
-func TestDrainShedsArrivalsAfterTheGraceAndAnswersAll(t *testing.T) {
-	s := settings()
-	in, r := start(t, s)
+func TestDrain_ShedsArrivalsAfterGraceAndAnswersAllBeforeItsEnd(t *testing.T) {
+	s := testSettings()
+	in, host := startInstance(t, s)
 	in.Drain(0, 4*time.Second)
 	in.RequestReceived(time.Second, decision.Request{ID: "early", Class: 1, ReservedKB: 1})
 	in.Decide(time.Second)
 	in.RequestReceived(3*time.Second, decision.Request{ID: "late", Class: 1, ReservedKB: 1})
 	in.Decide(3 * time.Second)
-	if r.count("run early") != 1 || r.count("refuse late") != 1 {
-		t.Errorf("want early run and late shed: %v", r.acts)
+	if host.count("run early") != 1 || host.count("refuse late") != 1 {
+		t.Errorf("want the arrival within DrainGrace run and the later one shed: %v", host.actions)
 	}
 	in.Decide(4*time.Second - in.timerInterval)
-	if r.count("fail early") != 1 {
-		t.Errorf("running work without an answer at the stop: %v", r.acts)
+	if host.count("fail early") != 1 {
+		t.Errorf("running request not answered before the end of the drain: %v", host.actions)
 	}
 }
 
-func TestDrainMovesAnswersBeforeItsEnd(t *testing.T) {
-	d := drainState{stopAt: time.Second}
-	if got := d.limit(2*time.Second, 20*ms); got != 2*time.Second {
-		t.Errorf("answer by %v without a drain", got)
+func TestDrainState_LimitAnswerDeadline(t *testing.T) {
+	drain := drainState{stopAt: time.Second}
+	if got := drain.limitAnswerDeadline(2*time.Second, 20*ms); got != 2*time.Second {
+		t.Errorf("limitAnswerDeadline = %v without a drain, want it unchanged", got)
 	}
-	d.started = true
-	for answerBy, want := range map[time.Duration]time.Duration{2 * time.Second: 960 * ms, 500 * ms: 500 * ms} {
-		if got := d.limit(answerBy, 20*ms); got != want {
-			t.Errorf("answer by %v, want %v", got, want)
+	drain.started = true
+	for answerBy, want := range map[time.Duration]time.Duration{
+		2 * time.Second: 960 * ms,
+		500 * ms:        500 * ms,
+	} {
+		if got := drain.limitAnswerDeadline(answerBy, 20*ms); got != want {
+			t.Errorf("limitAnswerDeadline(%v) = %v, want %v", answerBy, got, want)
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,7 +8,7 @@
 	"quincerail.example/quincerail/policy"
 )
 
-// printer is a host that prints the actions on requests.
+// printer is a host that prints the answers and the runs of requests.
 type printer struct{}
 
 func (printer) Run(id string)                                 { fmt.Println("run", id) }
@@ -37,7 +37,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := 5 * time.Second // any clock that does not go back
+	now := 5 * time.Second // any monotonic clock
 	instance.RequestReceived(now, decision.Request{ID: "a", ReservedKB: 20})
 	instance.Decide(now)
 	// Output: run a
--- a/policy/histogram.go
+++ b/policy/histogram.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	timeoutCostSlope  = 0.4   // of g(t), the cost of a request by its time-out t, in the paper's section 3.6
-	histogramBins     = 40    // finer bins show the noise of latencyBufferSize values
-	minBinProbability = 0.001 // so that the density f is never 0, as equation 6 divides by it
+	timeoutCostSlope  = 0.4   // slope of g(t), the cost of a time-out t in the paper's section 3.6
+	histogramBins     = 40    // more bins would show the noise of latencyBufferSize values
+	minBinProbability = 0.001 // keeps the density f above 0, because equation 6 divides by it
 )
 
-// latencyHistogram is the density f of latencies from 0 to the greatest one, in bins of
-// equal width. It gives the terms of the paper's equations 3 to 6. Times are in
-// nanoseconds.
+// latencyHistogram is the probability density f of latencies from 0 to the greatest one, in
+// bins of equal width. Its methods compute the terms of the paper's equations 3 to 6. Times
+// are in nanoseconds.
 type latencyHistogram struct {
 	maxLatency  float64
 	binWidth    float64
-	probability [histogramBins]float64     // of a latency in the bin
+	probability [histogramBins]float64     // probability of a latency in the bin
 	beyond      [histogramBins + 1]float64 // probability of a latency beyond the bin's start
-	partialMean [histogramBins + 1]float64 // integral of x f(x) from 0 to the bin's start
+	partialMean [histogramBins + 1]float64 // integral of x*f(x) from 0 to the bin's start
 }
 
-// fill counts latencies, the oldest first. The i-th oldest has the weight i, so that
-// newer ones count more (section 4.5).
+// fill computes the histogram of latencies, which are ordered from oldest to newest. The
+// i-th oldest has the weight i, so that newer ones count more (section 4.5).
 func (h *latencyHistogram) fill(latencies []time.Duration) {
 	h.maxLatency = float64(slices.Max(latencies))
 	h.binWidth = h.maxLatency / histogramBins
@@ -37,8 +37,8 @@
 	h.integrate()
 }
 
-// normalize turns weights into probabilities, none of them under minBinProbability
-// before their sum is brought to 1 again.
+// normalize converts weights to probabilities. It raises each to at least
+// minBinProbability, and then scales their sum to 1.
 func (h *latencyHistogram) normalize(total float64) {
 	sum := 0.0
 	for k := range h.probability {
@@ -59,38 +59,39 @@
 	}
 }
 
-// bin returns the bin that a time falls in.
+// bin returns the index of the bin that contains a time.
 func (h *latencyHistogram) bin(t float64) int {
 	return min(int(t/h.binWidth), histogramBins-1)
 }
 
-// binStart returns the time at which a bin begins.
+// binStart returns the start of bin k.
 func (h *latencyHistogram) binStart(k int) float64 { return float64(k) * h.binWidth }
 
-// terms returns, for a time-out t, the probability b that a request times out, and the
-// expected cost a of one attempt: E = a + b × E of what follows (equations 4 and 5, with
-// the integral of b from t on).
-func (h *latencyHistogram) terms(t float64) (a, b float64) {
+// costTerms returns the costTerms a and b of the expected cost of an attempt with time-out t:
+// E = a + b × E(next attempts). b is the probability that the attempt times out, and a is
+// the cost of the attempt itself (equations 4 and 5, with the integral of b from t on).
+func (h *latencyHistogram) costTerms(t float64) (a, b float64) {
 	k := h.bin(t)
-	part := t/h.binWidth - float64(k)
-	b = max(0, h.beyond[k]-h.probability[k]*part)
-	meanUpTo := h.partialMean[k] + h.probability[k]*part*(h.binStart(k)+t)/2
+	fraction := t/h.binWidth - float64(k)
+	b = max(0, h.beyond[k]-h.probability[k]*fraction)
+	meanUpTo := h.partialMean[k] + h.probability[k]*fraction*(h.binStart(k)+t)/2
 	return meanUpTo + t*b + timeoutCostSlope*t, b
 }
 
-// finalTimeout returns the last time-out t_z, the greatest latency, with the expected cost
-// E_z = a_z / (1 - b_z) of a request that is retried with it until it succeeds.
+// finalTimeout returns the last time-out t_z, which is the greatest latency, and the expected
+// cost E_z = a_z / (1 - b_z) of a call that is retried with it until it succeeds.
 func (h *latencyHistogram) finalTimeout() (timeout, cost float64) {
-	a, b := h.terms(h.maxLatency)
+	a, b := h.costTerms(h.maxLatency)
 	return h.maxLatency, a / (1 - b)
 }
 
-// earlierTimeout returns the time-out before next that has the least expected cost, less
-// than the given one. retryCost is the cost when it is reached: that of the time-outs
-// which follow, and of the abandoned call.
+// earlierTimeout returns the time-out below next with the least expected cost, if that is
+// less than the given cost. retryCost is the cost after the attempt times out: that of the
+// time-outs which follow, plus that of the abandoned call.
 //
-// The cost is least where its slope turns from falling to rising. Inside a bin the slope
-// falls with t, so that is at the start of a bin that is thinner than the one before.
+// The cost has a local minimum where its slope changes from negative to positive. Inside a
+// bin the slope falls with t, so a minimum is at the start of a bin with a lower density
+// than the bin before.
 func (h *latencyHistogram) earlierTimeout(next, cost, retryCost float64) (t, least float64, found bool) {
 	t, least = 0, cost
 	for k := 1; k < histogramBins; k++ {
@@ -98,10 +99,10 @@
 		if start >= next {
 			break
 		}
-		if !h.costTurns(k, retryCost) {
+		if !h.isCostMinimum(k, retryCost) {
 			continue
 		}
-		a, b := h.terms(start)
+		a, b := h.costTerms(start)
 		if candidate := a + b*retryCost; candidate < least {
 			t, least, found = start, candidate, true
 		}
@@ -109,9 +110,9 @@
 	return t, least, found
 }
 
-// costTurns tells whether the expected cost falls before the start of a bin and rises
-// after it. The slope is that of equation 6: b(t) + g'(t) - E f(t).
-func (h *latencyHistogram) costTurns(k int, retryCost float64) bool {
+// isCostMinimum reports whether the expected cost has a local minimum at the start of bin k:
+// it falls before and rises after. The slope is that of equation 6: b(t) + g'(t) - E f(t).
+func (h *latencyHistogram) isCostMinimum(k int, retryCost float64) bool {
 	slopeBefore := h.beyond[k] + timeoutCostSlope - retryCost*h.probability[k-1]/h.binWidth
 	slopeAfter := h.beyond[k] + timeoutCostSlope - retryCost*(h.probability[k]/h.binWidth)
 	return slopeBefore <= 0 && slopeAfter >= 0
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -14,34 +14,34 @@
 
 const (
 	maxTimerInterval       = 25 * time.Millisecond
-	timersPerDeadlineSlack = 4 // so that an answer is not late by more than a part of it
+	timersPerDeadlineSlack = 4 // limits how late a timer makes an answer
 )
 
-// Instance decides for one server. It is not safe for concurrent use.
+// Instance makes the decisions of one server. It is not safe for concurrent use.
 type Instance struct {
 	settings decision.Settings
 	fleet    decision.FleetBounds
 	host     decision.Host
 	random   *rand.Rand
 
-	now               time.Duration // of the latest event
-	started           bool          // Decide was called
+	now               time.Duration // time of the latest event
+	started           bool          // Decide has been called
 	startedAt         time.Duration
-	decayedAt         time.Duration // when averages last faded
+	decayedAt         time.Duration // when the averages last decayed
 	timerInterval     time.Duration // between two calls of Tick
-	shortestObjective time.Duration // latency objective of the strictest class
+	shortestObjective time.Duration // shortest latency objective of all classes
 
-	requests    map[string]*request // by id; finished ones stay while their results are cached
-	live        []*request          // not finished, in the order of arrival
-	queue       priorityQueue       // queued and preempted ones
-	cached      []*request          // those whose results are cached
-	count       [finished + 1]int   // requests in each state
-	transitions int                 // between states, so far
-	reservedKB  float64             // memory of the requests and of the cached results
+	requests        map[string]*request // by id; a finished one stays until its cached result expires
+	unfinished      []*request          // requests that are not finished, in the order of arrival
+	queue           priorityQueue       // queued and preempted requests
+	cached          []*request          // requests whose results are cached
+	stateCount      [finished + 1]int   // number of requests in each state
+	transitionCount int                 // state transitions so far
+	reservedKB      float64             // reserved by requests and cached results
 
 	tenantArrivals tenantArrivals
 	concurrency    concurrencyLimit
-	quota          callQuota
+	callQuota      callQuota
 	timeouts       callTimeouts
 	retries        retryBudget
 	breaker        circuitBreaker
@@ -51,33 +51,36 @@
 	drain          drainState
 }
 
-// New makes an instance. The error names the first setting that makes no sense.
-func New(s decision.Settings, seed int64, host decision.Host) (*Instance, error) {
+// New returns an instance, or an error that names the first invalid setting.
+func New(settings decision.Settings, seed int64, host decision.Host) (*Instance, error) {
 	if host == nil {
-		return nil, errors.New("host: none, one is needed")
+		return nil, errors.New("host: must not be nil")
 	}
-	if err := s.Validate(); err != nil {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	in := &Instance{
-		settings: s, host: host, random: rand.New(rand.NewSource(seed)), requests: make(map[string]*request),
+		settings:       settings,
+		host:           host,
+		random:         rand.New(rand.NewSource(seed)),
+		requests:       make(map[string]*request),
 		fleet:          decision.FleetBounds{MaxCalls: math.Inf(1)},
-		tenantArrivals: make(tenantArrivals, max(1, len(s.Tenants))),
-		concurrency:    concurrencyLimit{limit: float64(s.Cores)},
-		quota:          callQuota{callsPerRun: make([]float64, len(s.Classes))},
+		tenantArrivals: make(tenantArrivals, max(1, len(settings.Tenants))),
+		concurrency:    concurrencyLimit{limit: float64(settings.Cores)},
+		callQuota:      callQuota{callsPerRun: make([]float64, len(settings.Classes))},
 		retries:        retryBudget{tokens: maxRetryBudget},
 		health:         healthMonitor{healthy: true},
 		load:           loadReport{published: neverPublished},
-		idle:           idleTimeout{timeout: s.MaxIdleTime},
+		idle:           idleTimeout{timeout: settings.MaxIdleTime},
 	}
-	in.applySettings(0)
+	in.computeDerivedSettings(0)
 	in.timeouts.controller.timeout = time.Duration(float64(in.shortestObjective) * initialTimeoutFraction)
 	return in, nil
 }
 
-// applySettings derives what follows from the settings. Classes from the given index on
-// are new.
-func (in *Instance) applySettings(firstNewClass int) {
+// computeDerivedSettings computes the fields that depend on the settings. Classes from the
+// index firstNewClass on are new.
+func (in *Instance) computeDerivedSettings(firstNewClass int) {
 	s := &in.settings
 	in.timerInterval = max(s.BatchInterval, min(maxTimerInterval, s.DeadlineSlack/timersPerDeadlineSlack))
 	in.shortestObjective = slices.MinFunc(s.Classes, func(a, b decision.Class) int {
@@ -85,117 +88,121 @@
 	}).LatencyObjective
 	for class := firstNewClass; class < len(s.Classes); class++ {
 		if s.Classes[class].CallsDependency {
-			in.quota.callsPerRun[class] = initialCallsPerRun
+			in.callQuota.callsPerRun[class] = initialCallsPerRun
 		}
 	}
 	in.timeouts.optimizer.abandonedCost = float64(s.AbandonedCallDuration)
 	in.timeouts.controller.minimum = s.AbandonedCallDuration
 }
 
-// UpdateSettings takes over other settings. Classes keep their places, and new ones
-// follow them; requests keep what their class was when they were read. What describes the
-// instance's cold start stays as it was.
-func (in *Instance) UpdateSettings(now time.Duration, s decision.Settings) error {
-	if err := s.Validate(); err != nil {
+// UpdateSettings replaces the settings. Existing classes must keep their indices; new ones
+// follow them. A request keeps the class settings with which it was read. The slow start
+// settings don't change.
+func (in *Instance) UpdateSettings(now time.Duration, settings decision.Settings) error {
+	if err := settings.Validate(); err != nil {
 		return err
 	}
 	classes := len(in.settings.Classes)
-	if len(s.Classes) < classes {
-		return fmt.Errorf("classes: %d, want at least the %d that there were", len(s.Classes), classes)
+	if len(settings.Classes) < classes {
+		return fmt.Errorf("classes: %d, want at least the current %d", len(settings.Classes), classes)
 	}
 	in.now = now
-	s.SlowStart = in.settings.SlowStart
-	s.SlowStartMinSpeed = in.settings.SlowStartMinSpeed
-	s.SlowStartDuration = in.settings.SlowStartDuration
-	if s.LoadReportMode != in.settings.LoadReportMode {
-		in.load.published = neverPublished // the former report means something else
-	}
-	in.settings = s
-	in.quota.callsPerRun = append(in.quota.callsPerRun, make([]float64, len(s.Classes)-classes)...)
-	newTenants := max(0, len(s.Tenants)-len(in.tenantArrivals))
+	settings.SlowStart = in.settings.SlowStart
+	settings.SlowStartMinSpeed = in.settings.SlowStartMinSpeed
+	settings.SlowStartDuration = in.settings.SlowStartDuration
+	if settings.LoadReportMode != in.settings.LoadReportMode {
+		in.load.published = neverPublished // the last report had another unit
+	}
+	in.settings = settings
+	in.callQuota.callsPerRun = append(
+		in.callQuota.callsPerRun, make([]float64, len(settings.Classes)-classes)...)
+	newTenants := max(0, len(settings.Tenants)-len(in.tenantArrivals))
 	in.tenantArrivals = append(in.tenantArrivals, make([]float64, newTenants)...)
-	in.applySettings(classes)
+	in.computeDerivedSettings(classes)
 	in.recountMemory()
 	return nil
 }
 
-// recountMemory computes the reserved memory anew.
+// recountMemory recomputes the reserved memory after a change of the memory settings.
 func (in *Instance) recountMemory() {
 	in.reservedKB = in.settings.KeyMemoryKB * float64(len(in.cached))
-	for _, q := range in.live {
-		in.reservedKB += in.reservedMemory(q, q.state)
+	for _, req := range in.unfinished {
+		in.reservedKB += in.reservedMemory(req, req.state)
 	}
 }
 
-// RequestReceived takes in a request that was read. Decide settles what becomes of it. A
-// request of an unknown class is ignored, as is one whose id is known from an earlier one.
-func (in *Instance) RequestReceived(now time.Duration, r decision.Request) {
+// RequestReceived records that a request was read. The next Decide admits or sheds it.
+// A request of an unknown class is ignored, and so is one with the id of a request that the
+// instance still holds.
+func (in *Instance) RequestReceived(now time.Duration, incoming decision.Request) {
 	in.now = now
-	if r.Class < 0 || r.Class >= len(in.settings.Classes) || in.requests[r.ID] != nil {
+	if incoming.Class < 0 || incoming.Class >= len(in.settings.Classes) || in.requests[incoming.ID] != nil {
 		return
 	}
-	if r.Tenant < 0 || r.Tenant >= len(in.tenantArrivals) {
-		r.Tenant = 0
+	if incoming.Tenant < 0 || incoming.Tenant >= len(in.tenantArrivals) {
+		incoming.Tenant = 0
 	}
 	in.idle.requestsRead++
-	in.health.recordRead(r.Waited)
-	in.load.recordCaller(r.Caller, now)
-	in.tenantArrivals.record(r.Tenant, r.Retry) // before the weight, which depends on it
-	q := in.newRequest(r)
-	in.requests[r.ID] = q
-	in.live = append(in.live, q)
-	in.count[received]++
-	in.reservedKB += in.reservedMemory(q, received)
+	in.health.recordRead(incoming.ReadLag)
+	in.load.recordCaller(incoming.Caller, now)
+	in.tenantArrivals.record(incoming.Tenant, incoming.Retry) // newRequest computes a weight from it
+	req := in.newRequest(incoming)
+	in.requests[incoming.ID] = req
+	in.unfinished = append(in.unfinished, req)
+	in.stateCount[received]++
+	in.reservedKB += in.reservedMemory(req, received)
 }
 
-// RunDone takes in that a run ended, or that a coalesced request got its result. Unless the
-// run was cancelled, the host has answered the request. The time that it took is not used.
+// RunDone records that a run ended, or that a coalesced request got its result. The host has
+// answered the request, unless the outcome is decision.Cancelled. The run's duration is not
+// used.
 func (in *Instance) RunDone(now time.Duration, id string, outcome decision.Outcome, _ time.Duration) {
 	in.now = now
-	q := in.requests[id]
-	if q == nil || q.state == finished {
+	req := in.requests[id]
+	if req == nil || req.state == finished {
 		return
 	}
-	if q.state == callInFlight && in.settings.AbandonedCallDuration > 0 { // nobody waits for its call
-		in.quota.recordAbandoned(now, in.settings.AbandonedCallDuration)
+	if req.state == callInFlight && in.settings.AbandonedCallDuration > 0 { // its call is abandoned
+		in.callQuota.recordAbandoned(now, in.settings.AbandonedCallDuration)
 	}
-	if q.preempting && outcome == decision.Cancelled && !q.answered {
-		q.preempting = false
-		in.moveTo(q, preempted)
+	if req.preempting && outcome == decision.Cancelled && !req.answered {
+		req.preempting = false
+		in.setState(req, preempted)
 		return
 	}
-	ranHere := q.state != coalesced
-	in.moveTo(q, finished)
+	ranHere := req.state != coalesced
+	in.setState(req, finished)
 	if ranHere && (outcome == decision.Succeeded || outcome == decision.Failed) {
-		in.recordRun(q, outcome)
+		in.recordRun(req, outcome)
 	}
 	if outcome != decision.Cancelled {
-		q.answered = true // by the host, with what the run came to
+		req.answered = true // by the host, with the result of the run
 	}
-	in.fail(q) // a run that was cancelled without the instance's asking has no answer yet
+	in.fail(req) // no answer yet if the run was cancelled, but not by the instance
 }
 
-// recordRun takes in what a run that ended by itself shows.
-func (in *Instance) recordRun(q *request, outcome decision.Outcome) {
+// recordRun updates the health, the mean run time and the calls per run after a run that
+// was not cancelled.
+func (in *Instance) recordRun(req *request, outcome decision.Outcome) {
 	in.health.recordRun(outcome == decision.Failed)
-	in.concurrency.recordRunTime(q.runTime)
-	in.quota.recordCallsPerRun(q.Class, q.callCount)
+	in.concurrency.recordRunTime(req.runTime)
+	in.callQuota.recordCallsPerRun(req.Class, req.callCount)
 }
 
-// CallerGone takes in that nobody waits for a request any more: it needs no answer.
-func (in *Instance) CallerGone(now time.Duration, id string) {
+// RequestCancelled records that a request needs no answer from the instance any more, because
+// its caller cancelled it or the host answered it.
+func (in *Instance) RequestCancelled(now time.Duration, id string) {
 	in.now = now
-	q := in.requests[id]
-	if q == nil || q.state == finished {
+	req := in.requests[id]
+	if req == nil || req.state == finished {
 		return
 	}
-	q.answered = true
-	in.endAnswered(q)
+	req.answered = true
+	in.endWork(req)
 }
 
-// Tick takes in that a timer is due, with the latest gauges, and asks for the next timer.
-// It adjusts what changes with time alone. The host passes back the timer's token, which
-// is not needed here.
+// Tick handles a timer that is due, and sets the next one. It updates the state that
+// changes with time and with the gauges. The timer's token is not used.
 func (in *Instance) Tick(now time.Duration, _ int64, g decision.Gauges) {
 	in.now = now
 	in.host.SetTimer(in.timerInterval, 0)
@@ -207,7 +214,7 @@
 	in.expireCachedResults()
 }
 
-// Decide settles one batch of events: each step below may give actions to the host.
+// Decide ends a batch of events. Each of its steps may call actions of the host.
 func (in *Instance) Decide(now time.Duration) {
 	in.now = now
 	in.startTimers()
@@ -216,35 +223,35 @@
 	in.admitReceived()
 	in.makeCalls()
 	in.startQueued()
-	in.dropStale()
+	in.shedStale()
 	in.shedForMemory()
-	in.forgetFinished()
+	in.removeFinished()
 }
 
-// startTimers asks for the first timer and reports good health, in the first batch.
+// startTimers sets the first timer and reports good health, in the first batch.
 func (in *Instance) startTimers() {
 	if in.started {
 		return
 	}
 	in.started, in.startedAt = true, in.now
-	in.quota.accruedAt, in.decayedAt = in.now, in.now
+	in.callQuota.accruedAt, in.decayedAt = in.now, in.now
 	in.host.SetTimer(in.timerInterval, 0)
 	in.host.SetHealth(true, true)
 }
 
-// forgetFinished drops the requests that are finished; those whose results are cached
-// are still found by their ids.
-func (in *Instance) forgetFinished() {
-	in.live = slices.DeleteFunc(in.live, func(q *request) bool {
-		if q.state == finished && q.cachedUntil == 0 {
-			delete(in.requests, q.ID)
+// removeFinished removes the finished requests. Those with cached results stay in
+// in.requests.
+func (in *Instance) removeFinished() {
+	in.unfinished = slices.DeleteFunc(in.unfinished, func(req *request) bool {
+		if req.state == finished && req.cachedUntil == 0 {
+			delete(in.requests, req.ID)
 		}
-		return q.state == finished
+		return req.state == finished
 	})
 }
 
-// decayAverages fades, by the time since the last timer, the averages that no event
-// would change otherwise.
+// decayAverages applies the time since the last timer to the averages that otherwise change
+// only with events.
 func (in *Instance) decayAverages() {
 	elapsed := in.now - in.decayedAt
 	in.decayedAt = in.now
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -10,54 +10,58 @@
 
 const (
 	pressureTimeConstant  = time.Second
-	minAdvertisedFraction = 0.1  // of the full load report that is left at any pressure
-	minAdvertisedChange   = 0.02 // of the full load report, for a new one to be sent
-	neverPublished        = -1   // load report before the first
-	handshakeStormOnset   = 0.6  // of the runnable tasks that only read or shake hands
-	handshakeStormClear   = handshakeStormOnset / 10
+	minAdvertisedFraction = 0.1  // least load report, as a fraction of the full one
+	minAdvertisedChange   = 0.02 // least change to publish, as a fraction of the full load report
+	neverPublished        = -1   // value of loadReport.published before the first report
 	minIdleTimeout        = 10 * time.Millisecond
+
+	// Read shares at which a handshake storm starts and ends.
+	handshakeStormOnset = 0.6
+	handshakeStormClear = handshakeStormOnset / 10
 )
 
-// loadReport holds what callers were told of the load, and what it is made of.
+// loadReport holds the load report that callers have, and the input of the next one.
 type loadReport struct {
 	pressure      float64      // smoothed probability of shedding, 0 to 1
 	peak          float64      // highest probability of shedding since the last timer
-	published     float64      // the latest report, or neverPublished
-	recentCallers []callerSeen // the latest last
+	published     float64      // the last report, or neverPublished
+	recentCallers []callerSeen // most recent last
 }
 
-// callerSeen is a caller, and when its latest request was read.
+// callerSeen is a caller and the time when its last request was read.
 type callerSeen struct {
 	caller int
-	at     time.Duration
+	readAt time.Duration
 }
 
-// observe takes in a probability of shedding.
-func (l *loadReport) observe(shedProbability float64) { l.peak = max(l.peak, shedProbability) }
+// recordShedProbability records a probability of shedding.
+func (l *loadReport) recordShedProbability(shedProbability float64) {
+	l.peak = max(l.peak, shedProbability)
+}
 
-// advance smooths the peak of the last interval into the pressure, and starts the next
-// interval at the present probability of shedding.
-func (l *loadReport) advance(shedProbability float64, interval time.Duration) {
-	l.pressure = movingAverage(l.pressure, l.peak, stepWeight(interval, pressureTimeConstant))
+// updatePressure updates the pressure with the peak of the last interval, and starts the next
+// interval with the current probability of shedding.
+func (l *loadReport) updatePressure(shedProbability float64, interval time.Duration) {
+	l.pressure = movingAverage(l.pressure, l.peak, sampleWeight(interval, pressureTimeConstant))
 	l.peak = shedProbability
 }
 
-// recordCaller takes in that a caller's request was read.
+// recordCaller records that a request of a caller was read.
 func (l *loadReport) recordCaller(caller int, now time.Duration) {
 	seenBefore := func(c callerSeen) bool { return c.caller == caller }
 	l.recentCallers = append(slices.DeleteFunc(l.recentCallers, seenBefore), callerSeen{caller, now})
 }
 
-// forgetCallers drops the callers that have not been seen since a time.
-func (l *loadReport) forgetCallers(since time.Duration) {
-	l.recentCallers = slices.DeleteFunc(l.recentCallers, func(c callerSeen) bool { return c.at < since })
+// removeCallersBefore removes the callers without a request since a time.
+func (l *loadReport) removeCallersBefore(since time.Duration) {
+	l.recentCallers = slices.DeleteFunc(l.recentCallers, func(c callerSeen) bool { return c.readAt < since })
 }
 
-// publishLoad sends callers a new load report when it differs enough from the last.
+// publishLoad publishes a new load report if it differs enough from the last.
 func (in *Instance) publishLoad() {
-	lowestPriority := &request{arrivedAt: math.MaxInt64} // it would run after all others
-	in.load.advance(in.shedProbability(lowestPriority), in.timerInterval)
-	in.load.forgetCallers(in.now - in.settings.LoadReportTTL)
+	lowestPriority := &request{arrivedAt: math.MaxInt64} // sorts after all others
+	in.load.updatePressure(in.shedProbability(lowestPriority), in.timerInterval)
+	in.load.removeCallersBefore(in.now - in.settings.LoadReportTTL)
 	report, full := in.loadReportValue()
 	if math.Abs(report-in.load.published) >= minAdvertisedChange*full {
 		in.load.published = report
@@ -65,11 +69,11 @@
 	}
 }
 
-// loadReportValue returns the load report and its greatest value, both in the unit of the
-// mode: a rank, a number of requests, or a probability.
+// loadReportValue returns the load report and its greatest possible value, both in the unit
+// of the mode: a rank, a number of requests, or a probability.
 //
-// The credit of LoadReportCredit is for each caller: those that will act on it are those
-// that were answered lately, so it is divided among them.
+// LoadReportCredit is a credit for each caller. It is divided among the callers of recent
+// requests, because only they will act on it.
 func (in *Instance) loadReportValue() (report, full float64) {
 	full = 1
 	switch in.settings.LoadReportMode {
@@ -84,28 +88,28 @@
 	return full * (1 - in.load.pressure*(1-minAdvertisedFraction)), full
 }
 
-// idleTimeout holds after which idle time connections are closed.
+// idleTimeout holds the idle time after which connections are closed, and its inputs.
 type idleTimeout struct {
-	timeout      time.Duration
-	requestsRead int
-	storm        bool // reads and handshakes take most of the cores
+	timeout        time.Duration
+	requestsRead   int  // so far
+	handshakeStorm bool // a handshake storm: reads and handshakes use most of the cores
 }
 
-// updateStorm takes in the fraction of the runnable tasks that only read or shake hands.
-// The storm ends at a far lower fraction than it begins at: a full connection table turns
-// most attempts away, and the fraction falls although callers keep trying.
-func (t *idleTimeout) updateStorm(readShare float64) {
-	t.storm = readShare > handshakeStormOnset || t.storm && readShare > handshakeStormClear
+// updateHandshakeStorm starts or ends a handshake storm, depending on the read share. The
+// storm ends at a much lower share than it starts at, because a full connection table rejects
+// most connection attempts, and the share falls although callers keep trying.
+func (t *idleTimeout) updateHandshakeStorm(readShare float64) {
+	t.handshakeStorm = readShare > handshakeStormOnset || t.handshakeStorm && readShare > handshakeStormClear
 }
 
-// adjustIdleTimeout keeps idle connections open for MaxIdleTime where callers come back
-// within it on average. Otherwise idle connections save hardly a handshake, fill the
-// connection table and keep new callers out, so they are closed after minIdleTimeout. In a
-// storm they are kept, since a full table turns attempts away before they cost any work.
+// adjustIdleTimeout sets the idle timeout to MaxIdleTime if callers send their next request
+// within it on average. Otherwise idle connections save few handshakes, fill the connection
+// table and keep new callers out, so the timeout is minIdleTimeout. During a handshake storm
+// it is MaxIdleTime, because a full table rejects attempts before they cost any work.
 func (in *Instance) adjustIdleTimeout() {
-	in.idle.updateStorm(in.concurrency.readShare)
+	in.idle.updateHandshakeStorm(in.concurrency.readShare)
 	timeout := in.settings.MaxIdleTime
-	if !in.callersComeBack(timeout) && !in.idle.storm {
+	if !in.callersSendWithin(timeout) && !in.idle.handshakeStorm {
 		timeout = min(timeout, minIdleTimeout)
 	}
 	if timeout != in.idle.timeout {
@@ -114,8 +118,8 @@
 	}
 }
 
-// callersComeBack tells whether a caller sends its next request within a span on average.
-func (in *Instance) callersComeBack(within time.Duration) bool {
+// callersSendWithin reports whether a caller sends its next request within a time, on average.
+func (in *Instance) callersSendWithin(within time.Duration) bool {
 	age := in.now - in.startedAt
 	return float64(in.settings.Callers)*float64(age) <= float64(within)*float64(in.idle.requestsRead)
 }
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -10,90 +10,89 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// TestCreditIsDividedAmongRecentCallersAndFollowsThePressure: an even part for each of a
-// thousand callers let nobody send, and so small a value never changed by an absolute step.
-func TestCreditIsDividedAmongRecentCallersAndFollowsThePressure(t *testing.T) {
-	s := settings()
+// A credit divided among all of a thousand callers was too small for any of them to send, and
+// never changed by an absolute minimum step.
+func TestPublishLoad_DividesCreditAmongRecentCallersAndFollowsPressure(t *testing.T) {
+	s := testSettings()
 	s.LoadReportMode, s.Callers, s.LoadReportTTL = decision.LoadReportCredit, 1000, time.Second
-	in, r := start(t, s)
+	in, host := startInstance(t, s)
 	for i := range 3 {
 		in.RequestReceived(0, decision.Request{ID: string(rune('a' + i)), Caller: i, ReservedKB: 1})
 	}
 	in.Decide(0)
 	in.Tick(ms, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 	if want := in.maxInFlight() / 3; in.load.published != want {
-		t.Fatalf("published %v to three callers, want %v each", in.load.published, want)
+		t.Fatalf("credit = %v with three recent callers, want %v", in.load.published, want)
 	}
-	said := r.count("say")
+	published := host.count("say")
 	for now := in.timerInterval; now < 300*ms; now += in.timerInterval {
 		in.load.peak = 1
 		in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: 4})
 	}
-	if r.count("say") < said+5 {
-		t.Errorf("said %d times while the pressure rose", r.count("say")-said)
+	if host.count("say") < published+5 {
+		t.Errorf("%d load reports while the pressure rose, want at least 5", host.count("say")-published)
 	}
 	in.Tick(3*time.Second, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 	if len(in.load.recentCallers) != 0 {
-		t.Errorf("%d callers counted long after they were heard", len(in.load.recentCallers))
+		t.Errorf("%d recent callers long after LoadReportTTL, want 0", len(in.load.recentCallers))
 	}
 }
 
-// TestCallersAreForgotten: callers that restart come with new numbers. Without a credit to
-// divide they were kept for good, and each request searched all of them.
-func TestCallersAreForgotten(t *testing.T) {
-	in, _ := start(t, settings())
+// Callers that restart have new numbers. Old ones were removed only in LoadReportCredit mode,
+// so in other modes each request searched all callers ever seen.
+func TestPublishLoad_ForgetsCallersInEveryMode(t *testing.T) {
+	in, _ := startInstance(t, testSettings())
 	for i := range 1000 {
 		now := time.Duration(i) * in.timerInterval
 		in.RequestReceived(now, decision.Request{ID: string(rune('a' + i)), Caller: i, ReservedKB: 1})
 		in.Tick(now, 0, decision.Gauges{CoreUtilization: 0.5, RunnableTasks: 1})
 	}
 	if len(in.load.recentCallers) > 100 {
-		t.Errorf("%d callers are remembered", len(in.load.recentCallers))
+		t.Errorf("%d recent callers, want at most 100", len(in.load.recentCallers))
 	}
 }
 
-// TestIdleConnectionsAreKeptInAHandshakeStorm: a handshake for each attempt of many callers
-// took two thirds of the cores. A full connection table turns attempts away unread; it is
-// kept until the storm is over.
-func TestIdleConnectionsAreKeptInAHandshakeStorm(t *testing.T) {
-	s := settings()
+// A handshake for each attempt of many callers used two thirds of the cores. A full connection
+// table rejects attempts unread, so idle connections are kept until the storm ends.
+func TestAdjustIdleTimeout_KeepsConnectionsDuringHandshakeStorm(t *testing.T) {
+	s := testSettings()
 	s.Callers = 1000
-	in, r := start(t, s)
-	last := func(from, to time.Duration, on float64) string {
+	in, host := startInstance(t, s)
+	lastTimeout := func(from, to time.Duration, runnable float64) string {
 		for now := from; now < to; now += in.timerInterval {
-			in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: on})
+			in.Tick(now, 0, decision.Gauges{CoreUtilization: 1, RunnableTasks: runnable})
 		}
-		act := ""
-		for _, a := range r.acts {
-			if len(a) > 4 && a[:4] == "idle" {
-				act = a
+		last := ""
+		for _, action := range host.actions {
+			if len(action) > 4 && action[:4] == "idle" {
+				last = action
 			}
 		}
-		return act
+		return last
 	}
-	in.count[running] = 1
+	in.stateCount[running] = 1
 	in.idle.requestsRead = 1
-	if got := last(time.Second, 4*time.Second, 1); got != "idle 10ms" {
-		t.Fatalf("no storm: %q", got)
+	if got := lastTimeout(time.Second, 4*time.Second, 1); got != "idle 10ms" {
+		t.Fatalf("idle timeout without a storm: %q, want 10ms", got)
 	}
-	if got := last(4*time.Second, 8*time.Second, 9); got != "idle 20s" {
-		t.Fatalf("storm: %q", got)
+	if got := lastTimeout(4*time.Second, 8*time.Second, 9); got != "idle 20s" {
+		t.Fatalf("idle timeout in a storm: %q, want 20s", got)
 	}
-	if got := last(8*time.Second, 12*time.Second, 1.3); got != "idle 20s" {
-		t.Errorf("some reads are left: %q", got)
+	if got := lastTimeout(8*time.Second, 12*time.Second, 1.3); got != "idle 20s" {
+		t.Errorf("idle timeout at a reduced read share: %q, want 20s", got)
 	}
-	if got := last(12*time.Second, 20*time.Second, 1); got != "idle 10ms" {
-		t.Errorf("after the storm: %q", got)
+	if got := lastTimeout(12*time.Second, 20*time.Second, 1); got != "idle 10ms" {
+		t.Errorf("idle timeout after the storm: %q, want 10ms", got)
 	}
 }
 
-// TestIdleConnectionsAreKeptOnlyForCallersThatComeBack: a connection table costs cores and
-// is full long before a thousand callers come back; a few callers reuse theirs.
-func TestIdleConnectionsAreKeptOnlyForCallersThatComeBack(t *testing.T) {
+// Connections use cores, and the connection table is full long before a thousand callers send
+// again. A few callers reuse their connections.
+func TestAdjustIdleTimeout_KeepsConnectionsForFewCallers(t *testing.T) {
 	for callers, want := range map[int]string{3: "", 1000: "idle 10ms"} {
-		s := settings()
+		s := testSettings()
 		s.Callers = callers
-		in, r := start(t, s)
+		in, host := startInstance(t, s)
 		for i := range 50 {
 			now := time.Duration(i+1) * 200 * ms
 			in.RequestReceived(now, decision.Request{ID: fmt.Sprint(i), ReservedKB: 1})
@@ -101,20 +100,20 @@
 			in.Decide(now)
 		}
 		last := ""
-		for _, a := range r.acts {
-			if strings.HasPrefix(a, "idle") {
-				last = a
+		for _, action := range host.actions {
+			if strings.HasPrefix(action, "idle") {
+				last = action
 			}
 		}
 		if last != want {
-			t.Errorf("%d callers: %q, want %q", callers, last, want)
+			t.Errorf("%d callers: last idle timeout %q, want %q", callers, last, want)
 		}
 	}
 }
 
-func TestIdleTimeoutStormHasHysteresis(t *testing.T) {
+func TestIdleTimeout_StormHasHysteresis(t *testing.T) {
 	var idle idleTimeout
-	for _, c := range []struct {
+	for _, test := range []struct {
 		readShare float64
 		want      bool
 	}{
@@ -124,22 +123,23 @@
 		{handshakeStormClear, false},
 		{0.07, false},
 	} {
-		if idle.updateStorm(c.readShare); idle.storm != c.want {
-			t.Errorf("storm %v at a share of %v, want %v", idle.storm, c.readShare, c.want)
+		if idle.updateHandshakeStorm(test.readShare); idle.handshakeStorm != test.want {
+			t.Errorf("storm = %v at read share %v, want %v", idle.handshakeStorm, test.readShare, test.want)
 		}
 	}
 }
 
-func TestLoadReportRemembersACallerOnceWithItsLatestTime(t *testing.T) {
-	var l loadReport
-	l.recordCaller(1, time.Second)
-	l.recordCaller(2, 2*time.Second)
-	l.recordCaller(1, 3*time.Second)
-	if want := []callerSeen{{2, 2 * time.Second}, {1, 3 * time.Second}}; !slices.Equal(l.recentCallers, want) {
-		t.Errorf("%v, want %v", l.recentCallers, want)
-	}
-	l.forgetCallers(3 * time.Second)
-	if want := []callerSeen{{1, 3 * time.Second}}; !slices.Equal(l.recentCallers, want) {
-		t.Errorf("%v, want %v", l.recentCallers, want)
+func TestLoadReport_KeepsTheLatestTimeOfEachCaller(t *testing.T) {
+	var report loadReport
+	report.recordCaller(1, time.Second)
+	report.recordCaller(2, 2*time.Second)
+	report.recordCaller(1, 3*time.Second)
+	want := []callerSeen{{2, 2 * time.Second}, {1, 3 * time.Second}}
+	if !slices.Equal(report.recentCallers, want) {
+		t.Errorf("recentCallers = %v, want %v", report.recentCallers, want)
+	}
+	report.removeCallersBefore(3 * time.Second)
+	if want := []callerSeen{{1, 3 * time.Second}}; !slices.Equal(report.recentCallers, want) {
+		t.Errorf("recentCallers = %v after removeCallersBefore, want %v", report.recentCallers, want)
 	}
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -8,71 +8,74 @@
 
 const (
 	queueWaitDivisor       = 2    // a request may wait for its latency objective divided by this
-	memoryUtilizationLimit = 0.92 // of MemoryKB that may be reserved; reads in progress need the rest
-	lateAnswerDivisor      = 2    // answers go out DeadlineSlack, divided by this, after the deadline
+	memoryUtilizationLimit = 0.92 // fraction of MemoryKB to reserve; reads in progress need the rest
+	lateAnswerDivisor      = 2    // answers are due at the deadline plus DeadlineSlack divided by this
 )
 
-// latencyObjective returns the span after its arrival in which a request's answer earns
-// full weight: that of its class, more for a costly request, never beyond its deadline.
-func (in *Instance) latencyObjective(q *request) time.Duration {
-	forCost := time.Duration(q.class.ObjectivePerCost * float64(q.CostHint))
-	return min(q.dueAt-q.arrivedAt, q.class.LatencyObjective+forCost)
+// latencyObjective returns the time after a request's arrival within which its answer earns
+// full weight: the objective of its class plus a part that grows with CostHint, but not
+// beyond the deadline.
+func (in *Instance) latencyObjective(req *request) time.Duration {
+	forCost := time.Duration(req.class.ObjectivePerCost * float64(req.CostHint))
+	return min(req.dueAt-req.arrivedAt, req.class.LatencyObjective+forCost)
 }
 
-// maxQueueWait returns how long a request may wait before it runs: the part of its
-// latency objective that its run does not need. Where runs take most of it, as cores
-// are slow or overloaded, nothing may wait.
-func (in *Instance) maxQueueWait(q *request) time.Duration {
-	objective := in.latencyObjective(q)
+// maxQueueWait returns how long a request may wait before it runs: the part of its latency
+// objective that its run does not need, but at most the objective divided by
+// queueWaitDivisor. If runs take most of the objective, because cores are slow or
+// overloaded, requests may wait for one timer interval only.
+func (in *Instance) maxQueueWait(req *request) time.Duration {
+	objective := in.latencyObjective(req)
 	return min(objective/queueWaitDivisor, max(in.timerInterval, objective-in.concurrency.meanRunTime))
 }
 
-// dropStale sheds queued requests that can no longer meet their latency objective. Run
-// late, they would make others late too.
+// shedStale sheds queued requests that have waited longer than maxQueueWait. They would miss
+// their latency objective, and delay others too.
 //
-// Decide calls it after startQueued. When reads lag, all requests are old once they are
-// read: an instance that shed them first would run none.
-func (in *Instance) dropStale() {
+// Decide calls it after startQueued. When reads lag, every request is old by the time it is
+// read, so an instance that shed stale requests first would run none.
+func (in *Instance) shedStale() {
 	for i := len(in.queue) - 1; i >= 0; i-- {
-		if q := in.queue[i]; q.state == queued && in.now-q.arrivedAt > in.maxQueueWait(q) {
-			in.shedAtFullScale(q)
+		if req := in.queue[i]; req.state == queued && in.now-req.arrivedAt > in.maxQueueWait(req) {
+			in.shedWithFullRetryAfter(req)
 		}
 	}
 }
 
-// expireDeadlines answers the requests whose time ends before the next timer. A run that
-// can't be cancelled goes on, and takes cores and memory until it ends.
+// expireDeadlines answers the requests whose answer is due before the next timer. A run that
+// can't be cancelled continues to use cores and memory until it ends.
 func (in *Instance) expireDeadlines() {
-	for _, q := range in.live {
-		if q.answered || in.answerBy(q) > in.now+in.timerInterval {
+	for _, req := range in.unfinished {
+		if req.answered || in.answerDeadline(req) > in.now+in.timerInterval {
 			continue
 		}
-		if q.state == running { // it hangs, or the cores are far too slow
+		if req.state == running { // it hangs, or the cores are much too slow
 			in.health.recordRun(true)
 		}
-		if in.shedsAtDeadline(q) {
-			in.shedAtFullScale(q)
+		if in.shedsAtDeadline(req) {
+			in.shedWithFullRetryAfter(req)
 		} else {
-			in.fail(q)
+			in.fail(req)
 		}
 	}
 }
 
-// answerBy returns when a request must have its answer at the latest: somewhat after its
-// deadline, as an early answer would cut runs short; at the end of its latency objective
-// where a late answer earns nothing and ending it frees a core; before a drain ends.
-func (in *Instance) answerBy(q *request) time.Duration {
-	by := q.dueAt + in.settings.DeadlineSlack/lateAnswerDivisor
-	objectiveEnd := q.arrivedAt + in.latencyObjective(q)
-	if q.class.LateWeight == 0 && objectiveEnd < q.dueAt && in.canEnd(q) {
+// answerDeadline returns the latest time for a request's answer. It is a part of DeadlineSlack
+// after the deadline, because an earlier answer would cut runs short. It is the end of the
+// latency objective if a late answer earns nothing and answering ends the work of the request
+// (answerEndsWork). During a drain, it is before the end of the drain.
+func (in *Instance) answerDeadline(req *request) time.Duration {
+	by := req.dueAt + in.settings.DeadlineSlack/lateAnswerDivisor
+	objectiveEnd := req.arrivedAt + in.latencyObjective(req)
+	if req.class.LateWeight == 0 && objectiveEnd < req.dueAt && in.answerEndsWork(req) {
 		by = objectiveEnd
 	}
-	return in.drain.limit(by, in.timerInterval)
+	return in.drain.limitAnswerDeadline(by, in.timerInterval)
 }
 
-// canEnd tells whether answering a request ends what it still does.
-func (in *Instance) canEnd(q *request) bool {
-	switch q.state {
+// answerEndsWork reports whether answering a request also ends its work.
+func (in *Instance) answerEndsWork(req *request) bool {
+	switch req.state {
 	case coalesced, callInFlight:
 		return false
 	case running:
@@ -82,27 +85,28 @@
 	}
 }
 
-// shedsAtDeadline tells whether a request whose time is up is shed, so that its caller
-// may retry it, or fails.
-func (in *Instance) shedsAtDeadline(q *request) bool {
-	return q.state == received && q.DuplicateOf == "" || q.state == queued ||
-		q.mayHaveRun && q.class.Effect == decision.Idempotent
+// shedsAtDeadline reports whether a request is shed at its deadline, so that its caller may
+// retry it. Otherwise it fails.
+func (in *Instance) shedsAtDeadline(req *request) bool {
+	return req.state == received && req.DuplicateOf == "" || req.state == queued ||
+		req.mayHaveRun && req.class.Idempotency == decision.Idempotent
 }
 
-// exceedsMemory tells whether the reserved memory and more, in KB, are over the limit.
-func (in *Instance) exceedsMemory(moreKB float64) bool {
-	return in.reservedKB+moreKB > in.settings.MemoryKB*memoryUtilizationLimit
+// exceedsMemory reports whether the reserved memory plus extraKB exceeds the limit.
+func (in *Instance) exceedsMemory(extraKB float64) bool {
+	return in.reservedKB+extraKB > in.settings.MemoryKB*memoryUtilizationLimit
 }
 
-// shedForMemory sheds requests that only wait, the newest first, while the requests and
-// the cached results need more memory than there is.
+// shedForMemory sheds or fails waiting requests, newest first, until the reserved memory is
+// within its limit. Coalesced requests fail, because the request that they duplicate may
+// have run.
 func (in *Instance) shedForMemory() {
-	for i := len(in.live) - 1; i >= 0 && in.exceedsMemory(0); i-- {
-		switch q := in.live[i]; q.state {
+	for i := len(in.unfinished) - 1; i >= 0 && in.exceedsMemory(0); i-- {
+		switch req := in.unfinished[i]; req.state {
 		case queued, preempted:
-			in.shedAtFullScale(q)
+			in.shedWithFullRetryAfter(req)
 		case coalesced:
-			in.fail(q)
+			in.fail(req)
 		}
 	}
 }
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -14,80 +14,100 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// A recording pins what the module decides: random events in, actions out. The golden
-// files were written by the module of revision af00f38; each has the number of actions
-// of every kind and a hash of all of them, for each block of a recording.
+// A recording feeds random events to the module and pins its actions. The golden files were
+// written by the module of revision af00f38. Each has one line per block of actions, with the
+// number of actions of each kind and a hash of the block.
 const (
 	recordingSeeds    = 12
-	recordedTime      = 150 * time.Second // a sixth of it where requests come in each step
+	recordedTime      = 150 * time.Second // a sixth of it if requests may arrive in every step
 	actionsPerBlock   = 2000
-	recordedDrain     = 6 * time.Second // the last part of it
-	recordingStopTime = 5 * time.Second
-	gaugePhase        = 4 * time.Second
+	recordedDrain     = 6 * time.Second // from the start of the drain to the end of the recording
+	recordingStopTime = 5 * time.Second // from the start of the drain to its end
+	gaugePhase        = 4 * time.Second // time between changes of the gauges' range
 )
 
-// transcript is a Host that writes down each action with all its digits. It follows the
-// state of each request so that the events which the recording sends make sense.
-type transcript struct {
-	recorder
-	state map[string]attemptState // of each request by its id: what the module last asked for
-	wakes []time.Duration
-	now   time.Duration
+// transcriptHost is a Host that records actions in full precision. It tracks the state of each
+// request, so that the recording sends only events that fit it.
+type transcriptHost struct {
+	recordingHost
+	state  map[string]attemptState // by request id, as of the last action or event
+	timers []time.Duration         // when they are due
+	now    time.Duration
 }
 
-func (h *transcript) set(id string, state attemptState) { h.state[id] = state }
+func (h *transcriptHost) setState(id string, state attemptState) { h.state[id] = state }
 
-func (h *transcript) Run(id string)    { h.recorder.Run(id); h.set(id, isRunning) }
-func (h *transcript) Cancel(id string) { h.recorder.Cancel(id); h.set(id, isPreempting) }
-func (h *transcript) Shed(id string, away time.Duration, last bool) {
-	h.recorder.Shed(id, away, last)
-	h.finish(id)
+func (h *transcriptHost) Run(id string) { h.recordingHost.Run(id); h.setState(id, isRunning) }
+
+func (h *transcriptHost) Cancel(id string) { h.recordingHost.Cancel(id); h.setState(id, isPreempting) }
+
+func (h *transcriptHost) Shed(id string, retryAfter time.Duration, noRetryElsewhere bool) {
+	h.recordingHost.Shed(id, retryAfter, noRetryElsewhere)
+	h.recordAnswer(id)
+}
+
+func (h *transcriptHost) Fail(id string) { h.recordingHost.Fail(id); h.recordAnswer(id) }
+
+func (h *transcriptHost) Call(id string, d time.Duration) {
+	h.recordingHost.Call(id, d)
+	h.setState(id, isInCall)
 }
-func (h *transcript) Fail(id string)                  { h.recorder.Fail(id); h.finish(id) }
-func (h *transcript) Call(id string, d time.Duration) { h.recorder.Call(id, d); h.set(id, isInCall) }
 
-func (h *transcript) SkipCall(id string) { h.recorder.SkipCall(id); h.set(id, isRunning) }
+func (h *transcriptHost) SkipCall(id string) { h.recordingHost.SkipCall(id); h.setState(id, isRunning) }
 
-func (h *transcript) ServeCached(id string) { h.recorder.ServeCached(id); h.set(id, isCoalesced) }
-func (h *transcript) PublishLoad(v float64) { h.add("say %.17g", v) }
-func (h *transcript) SetTimer(d time.Duration, token int64) {
-	h.recorder.SetTimer(d, token)
-	h.wakes = append(h.wakes, h.now+d)
+func (h *transcriptHost) ServeCached(id string) {
+	h.recordingHost.ServeCached(id)
+	h.setState(id, isCoalesced)
 }
 
-// finish notes that a request has its answer: what had not begun is over.
-func (h *transcript) finish(id string) {
+func (h *transcriptHost) PublishLoad(value float64) { h.add("say %.17g", value) }
+
+func (h *transcriptHost) SetTimer(d time.Duration, token int64) {
+	h.recordingHost.SetTimer(d, token)
+	h.timers = append(h.timers, h.now+d)
+}
+
+// recordAnswer records an answer to a request. A request that does not run is finished by it.
+func (h *transcriptHost) recordAnswer(id string) {
 	switch h.state[id] {
 	case isQueued, isCoalesced, isPreempted:
-		h.set(id, isFinished)
+		h.setState(id, isFinished)
 	}
 }
 
-// recording plays random events to an instance and keeps its actions.
+// recording sends random events to an instance and records its actions.
 type recording struct {
 	seed     int64
 	rng      *rand.Rand
-	host     *transcript
+	host     *transcriptHost
 	module   *Instance
 	settings decision.Settings
-	ids      []string // of all requests
-	open     []string // of those that are not over
-	class    map[string]int
+	ids      []string       // ids of all requests
+	open     []string       // ids of the requests that are not finished
+	class    map[string]int // index of each request's class, by id
 }
 
-// recordedSettings varies every setting that the module reads.
+// recordedSettings returns settings that vary with the seed.
 func recordedSettings(seed int64, rng *rand.Rand) decision.Settings {
-	s := settings()
+	s := testSettings()
 	s.Classes = append(s.Classes, decision.Class{
-		LatencyObjective: time.Second, ObjectivePerCost: 2, Deadline: 5 * time.Second, Weight: 1.5, LateWeight: 0.3,
-		DegradedWeight: 0.6, CallsDependency: true,
+		LatencyObjective: time.Second, ObjectivePerCost: 2, Deadline: 5 * time.Second,
+		Weight: 1.5, LateWeight: 0.3, DegradedWeight: 0.6, CallsDependency: true,
 	})
-	s.CancelMode = []decision.CancelMode{decision.CancelNever, decision.CancelDiscard, decision.CancelPause, decision.CancelPause}[seed%4]
-	s.LoadReportMode = []decision.LoadReportMode{decision.LoadReportNone, decision.LoadReportMinRank, decision.LoadReportCredit, decision.LoadReportWeight}[seed/2%4]
-	s.Dependency = []decision.DependencyKind{decision.NoDependency, decision.SharedDependency, decision.SharedDependency, decision.NextTier}[seed/3%4]
+	s.CancelMode = []decision.CancelMode{
+		decision.CancelNever, decision.CancelDiscard, decision.CancelPause, decision.CancelPause,
+	}[seed%4]
+	s.LoadReportMode = []decision.LoadReportMode{
+		decision.LoadReportNone, decision.LoadReportMinRank,
+		decision.LoadReportCredit, decision.LoadReportWeight,
+	}[seed/2%4]
+	s.Dependency = []decision.DependencyKind{
+		decision.NoDependency, decision.SharedDependency, decision.SharedDependency, decision.NextTier,
+	}[seed/3%4]
 	s.Callers = []int{3, 300, 3000}[seed/4%3]
-	s.SlowStart, s.ListFollowsHealth = rng.Intn(2) == 0, rng.Intn(2) == 0
-	s.CacheTTL, s.LoadReportTTL = time.Duration(rng.Intn(2))*time.Second, time.Duration(1+rng.Intn(3))*time.Second
+	s.SlowStart, s.EndpointListOmitsUnhealthy = rng.Intn(2) == 0, rng.Intn(2) == 0
+	s.CacheTTL = time.Duration(rng.Intn(2)) * time.Second
+	s.LoadReportTTL = time.Duration(1+rng.Intn(3)) * time.Second
 	s.CallQuota, s.Cores, s.MemoryKB = 0.5+30*rng.Float64(), 1+rng.Intn(8), 400+8000*rng.Float64()
 	if rng.Intn(2) == 0 {
 		s.Tenants = []decision.Tenant{{Quota: 50}, {Quota: 1000}, {}}
@@ -100,8 +120,8 @@
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
 	p := &recording{
-		seed: seed, rng: rng, host: &transcript{state: map[string]attemptState{}}, settings: recordedSettings(seed, rng),
-		class: map[string]int{},
+		seed: seed, rng: rng, host: &transcriptHost{state: map[string]attemptState{}},
+		settings: recordedSettings(seed, rng), class: map[string]int{},
 	}
 	var err error
 	if p.module, err = New(p.settings, seed, p.host); err != nil {
@@ -111,13 +131,13 @@
 	return p
 }
 
-// play sends events for recordedTime and gives the actions.
+// play sends events for recordedTime and returns the actions.
 func (p *recording) play(t *testing.T) []string {
 	t.Helper()
 	drained := false
-	arrivalOdds := []int{1, 6, 15}[p.seed%3] // a burst of requests in one of so many steps
+	stepsPerArrival := []int{1, 6, 15}[p.seed%3] // average number of steps between bursts of requests
 	end := recordedTime
-	if arrivalOdds == 1 {
+	if stepsPerArrival == 1 {
 		end /= 6
 	}
 	for p.host.now < end {
@@ -129,49 +149,54 @@
 			p.module.Drain(now, now+recordingStopTime)
 		}
 		if p.rng.Intn(3000) == 0 {
-			p.retune(t, now)
+			p.updateSettings(t, now)
 		}
 		if p.rng.Intn(200) == 0 {
-			p.bound()
+			p.setFleetBounds()
 		}
-		if p.rng.Intn(arrivalOdds) == 0 && (!drained || p.rng.Intn(4) == 0) {
+		if p.rng.Intn(stepsPerArrival) == 0 && (!drained || p.rng.Intn(4) == 0) {
 			for range p.rng.Intn(3) {
-				p.request(now)
+				p.sendRequest(now)
 			}
 		}
 		p.open = slices.DeleteFunc(p.open, func(id string) bool {
-			p.progress(now, id)
+			p.sendNextEvent(now, id)
 			return p.host.state[id] == isFinished
 		})
 		p.module.Decide(now)
 	}
-	return p.host.acts
+	return p.host.actions
 }
 
-// tick sends the timers that are due, with gauges that are known or not.
+// tick sends the timers that are due, with random gauges, some of them unknown.
 func (p *recording) tick(now time.Duration) {
-	due := p.host.wakes
-	p.host.wakes = nil
+	due := p.host.timers
+	p.host.timers = nil
 	for _, at := range due {
 		if at > now {
-			p.host.wakes = append(p.host.wakes, at)
+			p.host.timers = append(p.host.timers, at)
 			continue
 		}
-		gauges := decision.Gauges{CoreUtilization: p.rng.Float64(), RunnableTasks: 8 * p.rng.Float64(), MemoryUtilization: p.rng.Float64(), Connections: 9}
-		if phase := int(now/gaugePhase) % 3; phase == 1 { // reads take the cores
+		gauges := decision.Gauges{
+			CoreUtilization: p.rng.Float64(), RunnableTasks: 8 * p.rng.Float64(),
+			MemoryUtilization: p.rng.Float64(), Connections: 9,
+		}
+		if phase := int(now/gaugePhase) % 3; phase == 1 { // most runnable tasks read requests
 			gauges.RunnableTasks = 40 * p.rng.Float64()
 		} else if phase == 2 {
 			gauges.RunnableTasks = 0
 		}
 		if p.rng.Intn(10) == 0 {
-			gauges = decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
+			gauges = decision.Gauges{
+				CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1,
+			}
 		}
 		p.module.Tick(now, 0, gauges)
 	}
 }
 
-// retune changes settings, and now and then adds a class.
-func (p *recording) retune(t *testing.T, now time.Duration) {
+// updateSettings changes settings, and adds a class while there are fewer than six.
+func (p *recording) updateSettings(t *testing.T, now time.Duration) {
 	t.Helper()
 	p.settings.CallQuota = 0.5 + 30*p.rng.Float64()
 	p.settings.MemoryKB = 400 + 4000*p.rng.Float64()
@@ -185,8 +210,8 @@
 	}
 }
 
-// bound gives the instance its part of what a fleet shares.
-func (p *recording) bound() {
+// setFleetBounds sets random fleet limits.
+func (p *recording) setFleetBounds() {
 	bounds := decision.FleetBounds{MaxCalls: 30 * p.rng.Float64()}
 	if p.rng.Intn(2) == 0 {
 		bounds.AcquireRetry = func() bool { return p.rng.Intn(2) == 0 }
@@ -194,13 +219,14 @@
 	p.host.add("wanted %d", p.module.SetFleetBounds(bounds))
 }
 
-// request sends a request, or a retry of an earlier one.
-func (p *recording) request(now time.Duration) {
+// sendRequest sends a random sendRequest. One in five duplicates an earlier sendRequest.
+func (p *recording) sendRequest(now time.Duration) {
 	id := fmt.Sprint(len(p.ids))
 	class := p.rng.Intn(len(p.settings.Classes))
 	r := decision.Request{
-		ID: id, Class: class, ReservedKB: 5 + 20*p.rng.Float64(), Waited: time.Duration(p.rng.Int63n(int64(40 * ms))),
-		Rank: p.rng.Float64(), Retry: p.rng.Intn(4) == 0, Write: p.rng.Intn(3) == 0, Caller: p.rng.Intn(5),
+		ID: id, Class: class, ReservedKB: 5 + 20*p.rng.Float64(),
+		ReadLag: time.Duration(p.rng.Int63n(int64(40 * ms))), Rank: p.rng.Float64(),
+		Retry: p.rng.Intn(4) == 0, Write: p.rng.Intn(3) == 0, Caller: p.rng.Intn(5),
 		CostHint: time.Duration(p.rng.Int63n(int64(100 * ms))), Tenant: p.rng.Intn(4),
 	}
 	if p.rng.Intn(2) == 0 {
@@ -213,24 +239,24 @@
 		r.DuplicateOf = p.ids[max(0, len(p.ids)-1-p.rng.Intn(40))]
 	}
 	p.ids, p.open, p.class[id] = append(p.ids, id), append(p.open, id), class
-	p.host.set(id, isQueued)
+	p.host.setState(id, isQueued)
 	p.module.RequestReceived(now, r)
 }
 
-// progress lets the world go on with one request.
-func (p *recording) progress(now time.Duration, id string) {
+// sendNextEvent sends the next event of a request, at random, if its state allows one.
+func (p *recording) sendNextEvent(now time.Duration, id string) {
 	switch p.host.state[id] {
 	case isRunning:
-		p.progressRun(now, id)
+		p.sendRunEvent(now, id)
 	case isPreempting:
-		p.host.set(id, isFinished)
+		p.host.setState(id, isFinished)
 		if p.settings.CancelMode == decision.CancelPause {
-			p.host.set(id, isPreempted)
+			p.host.setState(id, isPreempted)
 		}
 		p.module.RunDone(now, id, decision.Cancelled, 0)
 	case isAwaitingCall:
 		if p.rng.Intn(400) == 0 {
-			p.host.set(id, isFinished)
+			p.host.setState(id, isFinished)
 			p.module.RunDone(now, id, decision.Failed, 0)
 		}
 	case isInCall:
@@ -239,60 +265,66 @@
 		}
 	case isCoalesced:
 		if p.rng.Intn(60) == 0 {
-			p.host.set(id, isFinished)
-			p.module.RunDone(now, id, []decision.Outcome{decision.Succeeded, decision.Failed}[p.rng.Intn(2)], 0)
+			p.host.setState(id, isFinished)
+			outcomes := []decision.Outcome{decision.Succeeded, decision.Failed}
+			p.module.RunDone(now, id, outcomes[p.rng.Intn(2)], 0)
 		}
 	case isQueued:
 		if p.rng.Intn(3000) == 0 {
-			p.host.set(id, isFinished)
-			p.module.CallerGone(now, id)
+			p.host.setState(id, isFinished)
+			p.module.RequestCancelled(now, id)
 		}
 	}
 }
 
-// progressRun ends a run, has it ask for a call, or has its caller go.
-func (p *recording) progressRun(now time.Duration, id string) {
+// sendRunEvent makes a run need a call, ends it, or cancels its request.
+func (p *recording) sendRunEvent(now time.Duration, id string) {
 	switch p.rng.Intn(30) {
 	case 0, 3, 4, 5:
 		if p.settings.Classes[p.class[id]].CallsDependency {
-			p.host.set(id, isAwaitingCall)
+			p.host.setState(id, isAwaitingCall)
 			p.module.CallNeeded(now, id)
 		}
 	case 1:
-		p.host.set(id, isFinished)
-		ends := []decision.Outcome{decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Failed, decision.Cancelled, decision.NotStarted}
-		p.module.RunDone(now, id, ends[p.rng.Intn(len(ends))], 20*ms)
+		p.host.setState(id, isFinished)
+		outcomes := []decision.Outcome{
+			decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Failed,
+			decision.Cancelled, decision.NotStarted,
+		}
+		p.module.RunDone(now, id, outcomes[p.rng.Intn(len(outcomes))], 20*ms)
 	case 2:
 		if p.rng.Intn(20) == 0 {
-			p.module.CallerGone(now, id)
+			p.module.RequestCancelled(now, id)
 		}
 	}
 }
 
-// endCall ends a call; more often than not with a reply.
+// endCall ends a call with a random outcome; half of the calls succeed.
 func (p *recording) endCall(now time.Duration, id string) {
-	ends := []decision.Outcome{
-		decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Failed, decision.Rejected,
-		decision.TimedOut, decision.ConnectFailed, decision.ConnectionReset,
+	outcomes := []decision.Outcome{
+		decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Succeeded,
+		decision.Failed, decision.Rejected, decision.TimedOut, decision.ConnectFailed,
+		decision.ConnectionReset,
 	}
-	end := ends[p.rng.Intn(len(ends))]
-	p.host.set(id, isAwaitingCall)
-	if end == decision.Succeeded {
-		p.host.set(id, isRunning)
+	outcome := outcomes[p.rng.Intn(len(outcomes))]
+	p.host.setState(id, isAwaitingCall)
+	if outcome == decision.Succeeded {
+		p.host.setState(id, isRunning)
 	}
-	took := ms << p.rng.Intn(10) // from 1 ms to 0.5 s, long ones as often as short ones
+	took := ms << p.rng.Intn(10) // a power of two from 1 ms to 512 ms, all equally likely
 	took += time.Duration(p.rng.Int63n(int64(took)))
-	p.module.CallDone(now, id, end, took)
+	p.module.CallDone(now, id, outcome, took)
 }
 
-// digest gives a recording's blocks: how many actions of each kind, and their hash.
-func digest(acts []string) string {
+// digest returns a line for each block of actions: the index of its first action, the number
+// of actions of each kind, and the hash of the block.
+func digest(actions []string) string {
 	var text strings.Builder
-	for first := 0; first < len(acts); first += actionsPerBlock {
-		block := acts[first:min(len(acts), first+actionsPerBlock)]
+	for first := 0; first < len(actions); first += actionsPerBlock {
+		block := actions[first:min(len(actions), first+actionsPerBlock)]
 		kinds := map[string]int{}
-		for _, act := range block {
-			kind, _, _ := strings.Cut(act, " ")
+		for _, action := range block {
+			kind, _, _ := strings.Cut(action, " ")
 			kinds[kind]++
 		}
 		names := make([]string, 0, len(kinds))
@@ -309,21 +341,20 @@
 	return text.String()
 }
 
-// TestRecordingIsUnchanged plays the recordings and wants the actions that the module
-// of revision af00f38 gave, to the last digit.
-func TestRecordingIsUnchanged(t *testing.T) {
+// The actions must be the same, to the last digit, as those of the module of revision af00f38.
+func TestInstance_ActionsMatchTheRecordings(t *testing.T) {
 	for seed := int64(1); seed <= recordingSeeds; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			acts := newRecording(t, seed).play(t)
-			golden.Equal(t, fmt.Sprintf("recording-%d.txt", seed), []byte(digest(acts)))
+			actions := newRecording(t, seed).play(t)
+			golden.Equal(t, fmt.Sprintf("recording-%d.txt", seed), []byte(digest(actions)))
 		})
 	}
 }
 
-// TestSequencesAreUnchanged wants the sequences of time-outs that the module of revision
-// af00f38 solved from latencies with one to four modes, to the nanosecond.
-func TestSequencesAreUnchanged(t *testing.T) {
+// The sequences of time-outs must be the same, to the nanosecond, as those that the module of
+// revision af00f38 computed from latency distributions with one to four modes.
+func TestOptimizer_SequencesMatchTheRecording(t *testing.T) {
 	var text strings.Builder
 	for seed := int64(1); seed <= recordingSeeds; seed++ {
 		rng := rand.New(rand.NewSource(seed))
--- a/policy/result_cache.go
+++ b/policy/result_cache.go
@@ -7,52 +7,53 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// cacheResult has the host keep the result of an admitted request for later attempts of
-// it, where its class or its kind asks for that.
-func (in *Instance) cacheResult(q *request) {
-	ttl := in.resultTTL(q)
+// cacheResult asks the host to cache the result of an admitted request if resultTTL returns
+// a time for it.
+func (in *Instance) cacheResult(req *request) {
+	ttl := in.resultTTL(req)
 	if ttl <= 0 {
 		return
 	}
-	ttl += in.timerInterval // until the timer that takes it out
-	in.host.CacheResult(q.ID, ttl)
-	q.cachedUntil = in.now + ttl
-	in.cached = append(in.cached, q)
+	ttl += in.timerInterval // entries expire at timers
+	in.host.CacheResult(req.ID, ttl)
+	req.cachedUntil = in.now + ttl
+	in.cached = append(in.cached, req)
 	in.reservedKB += in.settings.KeyMemoryKB
 }
 
-// resultTTL returns how long a request's result is kept: a keyed one's for the rest of
-// its window, a read's for as long as it serves others, any other's not at all.
-func (in *Instance) resultTTL(q *request) time.Duration {
-	switch q.class.Effect {
+// resultTTL returns how long a request's result is cached: for the rest of the KeyWindow of
+// a keyed request; for the latency objective plus CacheTTL of a read with a CacheKey; and 0
+// for other requests.
+func (in *Instance) resultTTL(req *request) time.Duration {
+	switch req.class.Idempotency {
 	case decision.Idempotent:
-		if in.settings.CacheTTL > 0 && q.CacheKey != "" && !q.Write {
-			return q.class.LatencyObjective + in.settings.CacheTTL
+		if in.settings.CacheTTL > 0 && req.CacheKey != "" && !req.Write {
+			return req.class.LatencyObjective + in.settings.CacheTTL
 		}
 	case decision.Keyed:
-		return q.class.KeyWindow - (in.now - q.arrivedAt)
+		return req.class.KeyWindow - (in.now - req.arrivedAt)
 	}
 	return 0
 }
 
-// evictResult gives up the entry of a request that was shed before it ran.
-func (in *Instance) evictResult(q *request) {
-	if q.cachedUntil != 0 && !q.mayHaveRun {
-		in.host.EvictResult(q.ID)
-		q.cachedUntil = in.now // the next timer takes it out
+// evictResult evicts the cache entry of a request that is shed and has not run.
+func (in *Instance) evictResult(req *request) {
+	if req.cachedUntil != 0 && !req.mayHaveRun {
+		in.host.EvictResult(req.ID)
+		req.cachedUntil = in.now // the next timer removes it
 	}
 }
 
-// expireCachedResults takes out the entries whose time has passed.
+// expireCachedResults removes the cache entries that have expired.
 func (in *Instance) expireCachedResults() {
-	in.cached = slices.DeleteFunc(in.cached, func(q *request) bool {
-		if q.cachedUntil > in.now {
+	in.cached = slices.DeleteFunc(in.cached, func(req *request) bool {
+		if req.cachedUntil > in.now {
 			return false
 		}
-		q.cachedUntil = 0
+		req.cachedUntil = 0
 		in.reservedKB -= in.settings.KeyMemoryKB
-		if q.state == finished {
-			delete(in.requests, q.ID)
+		if req.state == finished {
+			delete(in.requests, req.ID)
 		}
 		return true
 	})
--- a/policy/result_cache_test.go
+++ b/policy/result_cache_test.go
@@ -7,18 +7,17 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// TestKeyedRequestRunsOnceAndIsNotShedAfterwards sends retries in the same batch and after
-// the run.
-func TestKeyedRequestRunsOnceAndIsNotShedAfterwards(t *testing.T) {
-	in, r := start(t, settings())
+// Retries arrive in the same batch and after the run.
+func TestCacheResult_KeyedRequestRunsOnceAndRetriesAreNotShed(t *testing.T) {
+	in, host := startInstance(t, testSettings())
 	in.RequestReceived(0, decision.Request{ID: "a", Class: 1, ReservedKB: 1})
-	in.RequestReceived(0, decision.Request{ID: "b", Class: 1, ReservedKB: 1, DuplicateOf: "a"}) // in the same batch
+	in.RequestReceived(0, decision.Request{ID: "b", Class: 1, ReservedKB: 1, DuplicateOf: "a"})
 	in.Decide(0)
 	in.RunDone(500*ms, "a", decision.Succeeded, 500*ms)
 	in.Decide(500 * ms)
 	in.RequestReceived(time.Second, decision.Request{ID: "c", Class: 1, ReservedKB: 1, DuplicateOf: "a"})
 	in.Decide(time.Second)
-	if r.count("run") != 1 || r.count("reuse") != 2 || r.count("refuse") != 0 {
-		t.Errorf("want one run, two coalesced, none shed; got %v", r.acts)
+	if host.count("run") != 1 || host.count("reuse") != 2 || host.count("refuse") != 0 {
+		t.Errorf("want one request run, two coalesced and none shed: %v", host.actions)
 	}
 }
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -2,26 +2,26 @@
 
 import "testing"
 
-func TestRetryBudgetIsEarnedByCallsAndBounded(t *testing.T) {
-	b := retryBudget{}
-	if b.tryWithdraw() {
-		t.Fatal("a retry from an empty budget")
+func TestRetryBudget_DepositsAndWithdrawals(t *testing.T) {
+	budget := retryBudget{}
+	if budget.tryWithdraw() {
+		t.Fatal("tryWithdraw from an empty budget = true")
 	}
-	const callsPerRetry = 11 // ten tenths sum up to a little less than one
+	const callsPerRetry = 11 // ten times 0.1 is slightly less than 1 in floating point
 	for range callsPerRetry {
-		b.deposit()
+		budget.deposit()
 	}
-	if !b.tryWithdraw() || b.tryWithdraw() {
-		t.Errorf("%v left, want one retry for %d calls", b.tokens, callsPerRetry)
+	if !budget.tryWithdraw() || budget.tryWithdraw() {
+		t.Errorf("not exactly one retry after %d deposits: %v tokens left", callsPerRetry, budget.tokens)
 	}
-	b.withdraw()
-	if b.tokens != 0 {
-		t.Errorf("%v left, want nothing below an empty budget", b.tokens)
+	budget.withdraw()
+	if budget.tokens != 0 {
+		t.Errorf("tokens = %v after withdraw from an empty budget, want 0", budget.tokens)
 	}
 	for range 1000 {
-		b.deposit()
+		budget.deposit()
 	}
-	if b.tokens != maxRetryBudget {
-		t.Errorf("%v saved up, want %v", b.tokens, maxRetryBudget)
+	if budget.tokens != maxRetryBudget {
+		t.Errorf("tokens = %v after 1000 deposits, want %v", budget.tokens, maxRetryBudget)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -8,39 +8,39 @@
 	"quincerail.example/quincerail/decision"
 )
 
-func TestEmptyRetryBudgetFailsOrSkipsTheCall(t *testing.T) {
-	for _, skip := range []float64{0, 0.5} {
-		s := settings()
-		s.Classes[0].DegradedWeight = skip
-		in, r := start(t, s)
+func TestRetryOrSkipCall_WithEmptyBudgetFailsOrSkips(t *testing.T) {
+	for _, degradedWeight := range []float64{0, 0.5} {
+		s := testSettings()
+		s.Classes[0].DegradedWeight = degradedWeight
+		in, host := startInstance(t, s)
 		in.RequestReceived(0, decision.Request{ID: "a", ReservedKB: 1})
 		in.Decide(0)
 		in.CallNeeded(0, "a")
 		in.Decide(0)
 		in.CallDone(500*ms, "a", decision.TimedOut, 500*ms)
 		in.Decide(500 * ms)
-		if r.count("call a") != 2 {
-			t.Fatalf("no retry within the budget: %v", r.acts)
+		if host.count("call a") != 2 {
+			t.Fatalf("call not retried within the budget: %v", host.actions)
 		}
 		in.retries.tokens = 0
 		in.CallDone(700*ms, "a", decision.TimedOut, 200*ms)
 		in.Decide(700 * ms)
 		want := "fail a"
-		if skip > 0 {
+		if degradedWeight > 0 {
 			want = "skip a"
 		}
-		if r.count("call a") != 2 || r.count(want) != 1 {
-			t.Errorf("want %q: %v", want, r.acts)
+		if host.count("call a") != 2 || host.count(want) != 1 {
+			t.Errorf("DegradedWeight %v, no budget: want %q, no call: %v", degradedWeight, want, host.actions)
 		}
 	}
 }
 
-// TestKeyedRequestRetriesRejectedCalls: a request that nobody can run again does not fail
-// because its call was rejected while the retry budget was empty.
-func TestKeyedRequestRetriesRejectedCalls(t *testing.T) {
-	s := settings()
+// A keyed request can't be run again by its caller. It must not fail only because its call was
+// rejected while the retry budget was empty.
+func TestRetryOrSkipCall_KeyedRequestRetriesRejectedCallWithoutBudget(t *testing.T) {
+	s := testSettings()
 	s.Classes[1].CallsDependency = true
-	in, r := start(t, s)
+	in, host := startInstance(t, s)
 	in.retries.tokens = 0
 	in.RequestReceived(0, decision.Request{ID: "a", Class: 1, ReservedKB: 1})
 	in.Decide(0)
@@ -49,22 +49,25 @@
 	in.CallDone(5*ms, "a", decision.Rejected, 5*ms)
 	in.Decide(5 * ms)
 	in.Decide(time.Second)
-	if r.count("call a") != 2 || r.count("fail a") != 0 {
-		t.Errorf("want a second call: %v", r.acts)
+	if host.count("call a") != 2 || host.count("fail a") != 0 {
+		t.Errorf("want a second call and no failure: %v", host.actions)
 	}
 	in.CallDone(1100*ms, "a", decision.TimedOut, 100*ms)
 	in.Decide(2 * time.Second)
-	if r.count("call a") != 2 || r.count("fail a") != 1 {
-		t.Errorf("a call that may have had its effect is retried: %v", r.acts)
+	if host.count("call a") != 2 || host.count("fail a") != 1 {
+		t.Errorf("want the request failed after a call that may have had its effect: %v", host.actions)
 	}
 }
 
-// TestRetriesKeepToTheFleetsBound has a retry that the fleet has no room for wait and tried
-// again; each that is made takes one of the fleet's.
-func TestRetriesKeepToTheFleetsBound(t *testing.T) {
-	in, r := start(t, settings())
+// Without a fleet retry, the retry of a call waits and is attempted again. Each retry that is
+// made takes one fleet retry.
+func TestAcquireFleetRetry_DelaysRetriesBeyondTheFleetBudget(t *testing.T) {
+	in, host := startInstance(t, testSettings())
 	left := 0
-	in.SetFleetBounds(decision.FleetBounds{MaxCalls: math.Inf(1), AcquireRetry: func() bool { left--; return left >= 0 }})
+	in.SetFleetBounds(decision.FleetBounds{
+		MaxCalls:     math.Inf(1),
+		AcquireRetry: func() bool { left--; return left >= 0 },
+	})
 	in.RequestReceived(0, decision.Request{ID: "a", ReservedKB: 1})
 	in.Decide(0)
 	in.CallNeeded(0, "a")
@@ -77,12 +80,12 @@
 		}
 	}
 	run(ms, 400*ms)
-	if n := r.count("call"); n != 1 || left > -2 {
-		t.Fatalf("%d calls, asked %d times", n, -left)
+	if n := host.count("call"); n != 1 || left > -2 {
+		t.Fatalf("%d calls and %d requests for a fleet retry, want 1 call and at least 2 requests", n, -left)
 	}
 	left = 1
 	run(400*ms, 800*ms)
-	if n := r.count("call"); n != 2 {
-		t.Errorf("%d calls once there was room", n)
+	if n := host.count("call"); n != 2 {
+		t.Errorf("%d calls after a fleet retry was available, want 2", n)
 	}
 }
--- a/policy/timeouts.go
+++ b/policy/timeouts.go
@@ -10,43 +10,43 @@
 
 const (
 	latencyBufferSize      = 200 // diagnostic latencies that the Optimizer keeps
-	diagnosticInterval     = 5   // every so many idempotent calls one is diagnostic
-	callsPerSolve          = 20  // idempotent calls between two solutions of the sequence
-	maxSequenceLength      = 5   // time-outs: a call has no time left for more
+	diagnosticInterval     = 5   // one in this many idempotent calls is diagnostic
+	callsPerSolve          = 20  // idempotent calls between two computations of the sequence
+	maxSequenceLength      = 5   // time-outs; a call has no time for more
 	minRecordedLatency     = time.Microsecond
-	timeoutGrowthFactor    = 1.5  // of the Controller's time-out, after a time-out
-	timeoutGain            = 0.1  // of the distance to the latency, per success
-	streakTolerance        = 0.2  // of the streak's mean latency
-	timeoutHeadroom        = 0.3  // of the streak's mean latency, added with each step
-	initialTimeoutFraction = 0.25 // of the shortest latency objective
+	timeoutGrowthFactor    = 1.5  // factor on the Controller's time-out after a call timed out
+	timeoutGain            = 0.1  // fraction of the difference to the latency, per success
+	streakTolerance        = 0.2  // fraction of the streak's mean latency
+	timeoutHeadroom        = 0.3  // fraction of the streak's mean latency, added with each step
+	initialTimeoutFraction = 0.25 // fraction of the shortest latency objective
 )
 
-// timeoutChoice is the time-out of one attempt of a call, and what its end will show.
+// timeoutChoice is the time-out of one attempt of a call, with the reason for its choice.
 type timeoutChoice struct {
 	duration   time.Duration
-	diagnostic bool // it has the Controller's time-out, and its latency goes to the Optimizer
-	final      bool // no longer time-out follows in the sequence
+	diagnostic bool // it is the Controller's; the latency is recorded for the Optimizer
+	final      bool // the sequence has no longer one
 }
 
-// callTimeouts chooses the time-outs of idempotent calls, by the Combined System of the
-// paper's section 4.5: those of the Optimizer's sequence, and now and then the
-// Controller's for a diagnostic call, so that the Optimizer sees latencies beyond its own
-// time-outs.
+// callTimeouts chooses the time-outs of idempotent calls with the Combined System of the
+// paper's section 4.5. Most calls use the Optimizer's sequence. Every diagnosticInterval-th
+// call is diagnostic and uses the Controller's time-out, which lets the Optimizer measure
+// latencies beyond its own time-outs.
 type callTimeouts struct {
 	optimizer       optimizer
 	controller      controller
-	idempotentCalls int // so far
+	idempotentCalls int // attempts counted by nextDiagnostic
 }
 
-// chooseTimeout returns the time-out of a call, and counts the call if its request is
-// idempotent (nextDiagnostic). Other calls are made once, unless they had no effect: they
-// have all the time that remains.
+// chooseTimeout returns the time-out of an attempt of a call, and counts the attempt if its
+// request is idempotent (nextDiagnostic). The call of another request gets all remaining
+// time, because it is retried only if it had no effect.
 //
-// A time-out before the last of the sequence is chosen only while the budget can pay for
-// a retry. Otherwise the last one is, or all the time that remains if the request would
-// fail without its call.
-func (in *Instance) chooseTimeout(q *request, remaining time.Duration) timeoutChoice {
-	if q.class.Effect != decision.Idempotent {
+// A time-out before the last of the sequence requires that the budget has a retry left.
+// Otherwise the call gets the last time-out, or all remaining time if the request would fail
+// without the call.
+func (in *Instance) chooseTimeout(req *request, remaining time.Duration) timeoutChoice {
+	if req.class.Idempotency != decision.Idempotent {
 		return timeoutChoice{duration: remaining}
 	}
 	if choice, diagnostic := in.timeouts.nextDiagnostic(); diagnostic {
@@ -56,30 +56,32 @@
 	last := len(sequence) - 1
 	canRetry := in.retries.available()
 	switch {
-	case !canRetry && q.class.DegradedWeight == 0:
+	case !canRetry && req.class.DegradedWeight == 0:
 		return timeoutChoice{duration: remaining, final: true}
-	case !canRetry || q.call.step >= last:
+	case !canRetry || req.call.sequenceIndex >= last:
 		return timeoutChoice{duration: sequence[last], final: true}
 	default:
-		return timeoutChoice{duration: sequence[q.call.step]}
+		return timeoutChoice{duration: sequence[req.call.sequenceIndex]}
 	}
 }
 
-// nextDiagnostic counts an idempotent call, has the Optimizer solve its sequence anew
-// every callsPerSolve calls, and returns the time-out if the call is diagnostic. Until the
-// Optimizer has a sequence all are.
+// nextDiagnostic counts an idempotent call, and reports whether it is diagnostic and the
+// time-out for that case. All calls are diagnostic until the Optimizer has a sequence. Every
+// callsPerSolve calls the Optimizer recomputes the sequence.
 func (t *callTimeouts) nextDiagnostic() (timeoutChoice, bool) {
 	t.idempotentCalls++
 	if t.idempotentCalls%callsPerSolve == 0 {
 		t.optimizer.solve()
 	}
-	choice := timeoutChoice{duration: t.controller.timeout, diagnostic: true, final: !t.optimizer.full()}
-	return choice, !t.optimizer.full() || t.idempotentCalls%diagnosticInterval == 0
+	choice := timeoutChoice{
+		duration: t.controller.timeout, diagnostic: true, final: !t.optimizer.bufferFull(),
+	}
+	return choice, !t.optimizer.bufferFull() || t.idempotentCalls%diagnosticInterval == 0
 }
 
-// recordDiagnostic takes in how a diagnostic call ended; those that were neither answered
-// nor timed out show no latency. A time-out counts as a latency of the time-out that the
-// Controller now allows, as the true one is not known.
+// recordDiagnostic records the latency of a diagnostic call. A call that timed out counts
+// with the Controller's updated time-out, because its real latency is unknown. Other
+// failures have no latency and are ignored.
 func (t *callTimeouts) recordDiagnostic(outcome decision.Outcome, took, maxTimeout time.Duration) {
 	switch outcome {
 	case decision.Succeeded:
@@ -91,24 +93,25 @@
 	}
 }
 
-// controller holds the time-out of diagnostic calls, as the Controller of the paper's
-// section 4.4 does. A success never moves it below minimum, how long the dependency
-// works on an abandoned call: giving up sooner frees nothing there.
+// controller computes the time-out of diagnostic calls: it is the Controller of the paper's
+// section 4.4. A success never reduces the time-out below minimum. That is the time for which
+// the dependency works on an abandoned call, so a shorter time-out would free no capacity
+// there.
 type controller struct {
 	timeout time.Duration
 	minimum time.Duration
-	mean    float64 // of the latencies of the streak, in nanoseconds
-	streak  int     // successive calls of like latency
+	mean    float64 // mean latency of the streak, in nanoseconds
+	streak  int     // consecutive calls of similar latency
 }
 
-// recordTimeout lengthens the time-out after a call that timed out.
+// recordTimeout increases the time-out after a call timed out.
 func (c *controller) recordTimeout(maxTimeout time.Duration) {
 	c.streak = 0
 	c.timeout = min(time.Duration(float64(c.timeout)*timeoutGrowthFactor), maxTimeout)
 }
 
-// recordSuccess moves the time-out toward a latency, with headroom on top. The longer the
-// streak of like latencies, the smaller the step.
+// recordSuccess moves the time-out toward the latency of a call plus headroom. The step gets
+// smaller as the streak of similar latencies gets longer.
 func (c *controller) recordSuccess(took, maxTimeout time.Duration) {
 	latency := float64(took)
 	if c.streak > 0 && math.Abs(latency-c.mean) > streakTolerance*c.mean {
@@ -121,33 +124,33 @@
 	c.timeout = min(max(c.timeout+time.Duration(step), c.minimum, minCallTimeout), maxTimeout)
 }
 
-// optimizer holds the latencies of diagnostic calls and the sequence of time-outs solved
-// from them, as the Optimizer of the paper's sections 3.6 and 4.3 does.
+// optimizer computes a sequence of time-outs from the latencies of diagnostic calls: it is
+// the Optimizer of the paper's sections 3.6 and 4.3.
 type optimizer struct {
-	buffer        []time.Duration // oldest first
-	sequence      []time.Duration // rising; nil until the buffer is full
-	abandonedCost float64         // time that an abandoned call still takes the dependency, in nanoseconds
+	buffer        []time.Duration // latencies, oldest first
+	sequence      []time.Duration // strictly rising; nil until the buffer is full
+	abandonedCost float64         // Settings.AbandonedCallDuration, in nanoseconds
 }
 
-// full tells whether there are enough latencies for a sequence.
-func (o *optimizer) full() bool { return len(o.buffer) >= latencyBufferSize }
+// bufferFull reports whether there are enough latencies to compute a sequence.
+func (o *optimizer) bufferFull() bool { return len(o.buffer) >= latencyBufferSize }
 
-// add takes in a latency, in place of the oldest where the buffer is full.
+// add adds a latency, which replaces the oldest if the buffer is full.
 func (o *optimizer) add(latency time.Duration) {
-	if o.full() {
+	if o.bufferFull() {
 		o.buffer = o.buffer[1:]
 	}
 	o.buffer = append(o.buffer, max(latency, minRecordedLatency))
-	if o.full() && o.sequence == nil {
+	if o.bufferFull() && o.sequence == nil {
 		o.solve()
 	}
 }
 
-// solve computes the sequence from the latencies in the buffer. It works back from the
-// last time-out t_z, the greatest latency seen: each earlier one minimizes the expected
-// cost where the ones after it are given (the paper's equation 6).
+// solve computes the sequence from the latencies in the buffer. It works backward from the
+// last time-out t_z, the greatest latency in the buffer. Each earlier time-out minimizes the
+// expected cost, given the ones after it (the paper's equation 6).
 func (o *optimizer) solve() {
-	if !o.full() {
+	if !o.bufferFull() {
 		return
 	}
 	var histogram latencyHistogram
