--- a/policy/walk_test.go
+++ b/policy/walk_test.go
@@ -10,26 +10,30 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// ruleChecker is a Host that checks the four rules: a request that must run once runs
-// once; none is shed after it may have had its effect; each is answered, once, by its
-// deadline; memory and the requests in flight stay within what the instance survives. It
-// knows nothing of cores or load.
-type ruleChecker struct {
-	recorder
-	t         *testing.T
-	s         decision.Settings
-	now       time.Duration
-	attempts  map[string]*attempt
-	order     []*attempt
-	keyed     []*attempt               // those with a key, which may be retried
-	entries   map[string]time.Duration // when the cached result of a request expires
-	wakes     []time.Duration
-	drainedAt time.Duration
-	drained   bool
-	stopAt    time.Duration
+// invariantChecker is a Host that checks four invariants:
+//
+//   - a request that must run at most once does so;
+//   - no request is shed after it may have had its effect;
+//   - each request is answered once, by its deadline;
+//   - memory and requests in flight stay within the limits that the instance survives.
+//
+// It does not simulate cores or load.
+type invariantChecker struct {
+	recordingHost
+	t           *testing.T
+	settings    decision.Settings
+	now         time.Duration
+	attempts    map[string]*attempt
+	sent        []*attempt               // in the order in which they were read
+	keyed       []*attempt               // keyed ones, which may be retried
+	cachedUntil map[string]time.Duration // when each cached result expires
+	timers      []time.Duration          // when they are due
+	drainedAt   time.Duration
+	drained     bool
+	stopAt      time.Duration
 }
 
-// attemptState is where an attempt is, as the actions on it tell.
+// attemptState is the state of an attempt, as of the last action or event.
 type attemptState string
 
 const (
@@ -43,397 +47,419 @@
 	isFinished     attemptState = "finished"
 )
 
-// attempt is what the checker knows of an attempt of a request.
+// attempt is the checker's view of an attempt of a request.
 type attempt struct {
 	id, duplicateOf string
-	original        int // number of the request that it is an attempt of
+	original        int // index in invariantChecker.sent of the first attempt of the request
 	class           decision.Class
-	kb              float64
+	reservedKB      float64
 	arrived, due    time.Duration
 	readAt          time.Duration
-	at              attemptState
+	state           attemptState
 	answered        bool
 	ran             bool
 	callEndsAt      time.Duration
-	mayHaveCalled   bool // its call was made, and may have had its effect
+	mayHaveCalled   bool // its current call was made and may have had its effect
 }
 
-func (c *ruleChecker) get(id, action string) *attempt {
-	q := c.attempts[id]
-	if q == nil {
-		c.t.Fatalf("%v: %s names %s, which was never read", c.now, action, id)
+func (c *invariantChecker) get(id, action string) *attempt {
+	req := c.attempts[id]
+	if req == nil {
+		c.t.Fatalf("%v: action %s for request %s, which was never read", c.now, action, id)
 	}
-	return q
+	return req
 }
 
-func (c *ruleChecker) answer(q *attempt, action string) {
-	if q.answered {
-		c.t.Fatalf("%v: %s answers %s again", c.now, action, q.id)
+func (c *invariantChecker) answer(req *attempt, action string) {
+	if req.answered {
+		c.t.Fatalf("%v: %s answers request %s, which is already answered", c.now, action, req.id)
 	}
-	q.answered = true
+	req.answered = true
 }
 
-func (c *ruleChecker) Run(id string) {
-	c.recorder.Run(id)
-	q := c.get(id, "run")
-	if q.at != isQueued && q.at != isPreempted || q.answered {
-		c.t.Fatalf("%v: run of %s, which is %s", c.now, id, q.at)
-	}
-	if c.drained && q.arrived > c.drainedAt+c.s.DrainGrace {
-		c.t.Fatalf("%v: %s run, which came after the grace", c.now, id)
-	}
-	for _, o := range c.order {
-		if o != q && o.ran && o.original == q.original && q.class.Effect != decision.Idempotent &&
-			(q.class.Effect == decision.NonIdempotent || q.arrived <= o.arrived+q.class.KeyWindow) {
-			c.t.Fatalf("%v: %s and %s both run, attempts of one request", c.now, o.id, id)
+func (c *invariantChecker) Run(id string) {
+	c.recordingHost.Run(id)
+	req := c.get(id, "run")
+	if req.state != isQueued && req.state != isPreempted || req.answered {
+		c.t.Fatalf("%v: run of request %s, which is answered or %s", c.now, id, req.state)
+	}
+	if c.drained && req.arrived > c.drainedAt+c.settings.DrainGrace {
+		c.t.Fatalf("%v: run of request %s, which arrived after DrainGrace", c.now, id)
+	}
+	for _, other := range c.sent {
+		if other != req && other.ran && other.original == req.original &&
+			req.class.Idempotency != decision.Idempotent &&
+			(req.class.Idempotency == decision.NonIdempotent ||
+				req.arrived <= other.arrived+req.class.KeyWindow) {
+			c.t.Fatalf("%v: run of %s after %s, an attempt of the same request, ran", c.now, id, other.id)
 		}
 	}
-	q.at, q.ran = isRunning, true
+	req.state, req.ran = isRunning, true
 }
 
-func (c *ruleChecker) Shed(id string, away time.Duration, last bool) {
-	c.recorder.Shed(id, away, last)
-	q := c.get(id, "shed")
-	c.answer(q, "shed")
-	for _, o := range c.order {
-		if o.ran && o.original == q.original && q.class.Effect != decision.Idempotent && (o == q || q.arrived <= o.arrived+q.class.KeyWindow) {
-			c.t.Fatalf("%v: %s shed after an attempt of it ran", c.now, id)
+func (c *invariantChecker) Shed(id string, retryAfter time.Duration, noRetryElsewhere bool) {
+	c.recordingHost.Shed(id, retryAfter, noRetryElsewhere)
+	req := c.get(id, "shed")
+	c.answer(req, "shed")
+	for _, other := range c.sent {
+		if other.ran && other.original == req.original &&
+			req.class.Idempotency != decision.Idempotent &&
+			(other == req || req.arrived <= other.arrived+req.class.KeyWindow) {
+			c.t.Fatalf("%v: request %s shed after its attempt %s ran", c.now, id, other.id)
 		}
 	}
-	if q.at == isQueued || q.at == isCoalesced || q.at == isPreempted {
-		q.at = isFinished
+	if req.state == isQueued || req.state == isCoalesced || req.state == isPreempted {
+		req.state = isFinished
 	}
 }
 
-func (c *ruleChecker) Fail(id string) {
-	c.recorder.Fail(id)
-	q := c.get(id, "fail")
-	c.answer(q, "fail")
-	if q.at == isQueued || q.at == isCoalesced || q.at == isPreempted {
-		q.at = isFinished
+func (c *invariantChecker) Fail(id string) {
+	c.recordingHost.Fail(id)
+	req := c.get(id, "fail")
+	c.answer(req, "fail")
+	if req.state == isQueued || req.state == isCoalesced || req.state == isPreempted {
+		req.state = isFinished
 	}
 }
 
-func (c *ruleChecker) Call(id string, d time.Duration) {
-	c.recorder.Call(id, d)
-	q := c.get(id, "call")
-	if q.mayHaveCalled && q.class.Effect != decision.Idempotent {
-		c.t.Fatalf("%v: the call of %s is retried", c.now, id)
+func (c *invariantChecker) Call(id string, d time.Duration) {
+	c.recordingHost.Call(id, d)
+	req := c.get(id, "call")
+	if req.mayHaveCalled && req.class.Idempotency != decision.Idempotent {
+		c.t.Fatalf("%v: retry of the call of request %s, which is not idempotent", c.now, id)
 	}
-	if q.at == isAwaitingCall {
-		q.at, q.mayHaveCalled, q.callEndsAt = isInCall, true, c.now+d
+	if req.state == isAwaitingCall {
+		req.state, req.mayHaveCalled, req.callEndsAt = isInCall, true, c.now+d
 	}
 }
 
-func (c *ruleChecker) SkipCall(id string) {
-	c.recorder.SkipCall(id)
-	q := c.get(id, "skip")
-	if q.class.DegradedWeight == 0 {
-		c.t.Fatalf("%v: the call of %s may not be skipped", c.now, id)
+func (c *invariantChecker) SkipCall(id string) {
+	c.recordingHost.SkipCall(id)
+	req := c.get(id, "skip")
+	if req.class.DegradedWeight == 0 {
+		c.t.Fatalf("%v: call of request %s skipped, but its DegradedWeight is 0", c.now, id)
 	}
-	q.at = isRunning
+	req.state = isRunning
 }
 
-func (c *ruleChecker) CacheResult(id string, ttl time.Duration) {
-	c.recorder.CacheResult(id, ttl)
-	c.entries[id] = c.now + ttl
+func (c *invariantChecker) CacheResult(id string, ttl time.Duration) {
+	c.recordingHost.CacheResult(id, ttl)
+	c.cachedUntil[id] = c.now + ttl
 }
 
-func (c *ruleChecker) EvictResult(id string) {
-	c.recorder.EvictResult(id)
-	delete(c.entries, id)
+func (c *invariantChecker) EvictResult(id string) {
+	c.recordingHost.EvictResult(id)
+	delete(c.cachedUntil, id)
 }
 
-func (c *ruleChecker) ServeCached(id string) {
-	c.recorder.ServeCached(id)
-	q := c.get(id, "coalesce")
-	if q.duplicateOf == "" {
-		c.t.Fatalf("%v: %s is coalesced, and repeats nothing", c.now, id)
+func (c *invariantChecker) ServeCached(id string) {
+	c.recordingHost.ServeCached(id)
+	req := c.get(id, "coalesce")
+	if req.duplicateOf == "" {
+		c.t.Fatalf("%v: request %s coalesced without DuplicateOf", c.now, id)
 	}
-	q.at = isCoalesced
+	req.state = isCoalesced
 }
 
-func (c *ruleChecker) Cancel(id string) {
-	c.recorder.Cancel(id)
-	if c.s.CancelMode == decision.CancelNever {
-		c.t.Fatalf("%v: %s is cancelled, where runs can't be", c.now, id)
+func (c *invariantChecker) Cancel(id string) {
+	c.recordingHost.Cancel(id)
+	if c.settings.CancelMode == decision.CancelNever {
+		c.t.Fatalf("%v: run of request %s cancelled with CancelNever", c.now, id)
 	}
-	if q := c.get(id, "cancel"); q.at == isRunning && !q.answered {
-		if c.s.CancelMode != decision.CancelPause {
-			c.t.Fatalf("%v: what was done of %s is lost", c.now, id)
+	if req := c.get(id, "cancel"); req.state == isRunning && !req.answered {
+		if c.settings.CancelMode != decision.CancelPause {
+			c.t.Fatalf("%v: unanswered run of request %s cancelled without CancelPause", c.now, id)
 		}
-		q.at = isPreempting
+		req.state = isPreempting
 	}
 }
 
-func (c *ruleChecker) PublishLoad(v float64) {
-	c.recorder.PublishLoad(v)
-	if c.s.LoadReportMode == decision.LoadReportNone || v < 0 {
-		c.t.Fatalf("%v: says %v", c.now, v)
+func (c *invariantChecker) PublishLoad(value float64) {
+	c.recordingHost.PublishLoad(value)
+	if c.settings.LoadReportMode == decision.LoadReportNone || value < 0 {
+		c.t.Fatalf("%v: load report %v in mode %d", c.now, value, c.settings.LoadReportMode)
 	}
 }
 
-func (c *ruleChecker) SetTimer(d time.Duration, token int64) {
-	c.recorder.SetTimer(d, token)
-	c.wakes = append(c.wakes, c.now+d)
+func (c *invariantChecker) SetTimer(d time.Duration, token int64) {
+	c.recordingHost.SetTimer(d, token)
+	c.timers = append(c.timers, c.now+d)
 }
 
-// check asserts what must hold after each batch.
-func (c *ruleChecker) check() {
-	kb := 0.0
-	for id, till := range c.entries {
-		if till <= c.now {
-			delete(c.entries, id)
+// check checks the invariants that must hold after each batch.
+func (c *invariantChecker) check() {
+	reservedKB := 0.0
+	for id, expiresAt := range c.cachedUntil {
+		if expiresAt <= c.now {
+			delete(c.cachedUntil, id)
 			continue
 		}
-		kb += c.s.KeyMemoryKB
+		reservedKB += c.settings.KeyMemoryKB
 	}
 	inFlight := 0
-	for _, q := range c.order {
-		switch q.at {
+	for _, req := range c.sent {
+		switch req.state {
 		case isQueued, isCoalesced:
-			kb += q.kb
+			reservedKB += req.reservedKB
 		case isPreempted:
-			kb += q.kb * c.s.RunningMemoryFactor
+			reservedKB += req.reservedKB * c.settings.RunningMemoryFactor
 		case isRunning, isAwaitingCall, isInCall, isPreempting:
-			kb += q.kb * c.s.RunningMemoryFactor
+			reservedKB += req.reservedKB * c.settings.RunningMemoryFactor
 			inFlight++
 		}
-		due := q.due
+		due := req.due
 		if c.drained {
 			due = min(due, c.stopAt)
 		}
-		if !q.answered && c.now > due+c.s.DeadlineSlack {
-			c.t.Fatalf("%v: %s lost, due at %v, is %s", c.now, q.id, due, q.at)
+		if !req.answered && c.now > due+c.settings.DeadlineSlack {
+			c.t.Fatalf("%v: request %s not answered by %v, it is %s", c.now, req.id, due, req.state)
 		}
 	}
-	if kb > c.s.MemoryKB {
-		c.t.Fatalf("%v: %v KB needed of %v", c.now, kb, c.s.MemoryKB)
+	if reservedKB > c.settings.MemoryKB {
+		c.t.Fatalf("%v: %v KB reserved, want at most %v", c.now, reservedKB, c.settings.MemoryKB)
 	}
-	if limit := float64(c.s.Cores) * c.s.OverloadRatio; float64(inFlight) > limit {
-		c.t.Fatalf("%v: %d in hand, %v survive", c.now, inFlight, limit)
+	if limit := float64(c.settings.Cores) * c.settings.OverloadRatio; float64(inFlight) > limit {
+		c.t.Fatalf("%v: %d requests in flight, want at most %v", c.now, inFlight, limit)
 	}
 }
 
-// walkDay is how long a random walk lasts, and walkDrain the last part of it.
+// Parts of a random walk.
 const (
-	walkDay      = 20 * time.Second
-	walkDrain    = 8 * time.Second
-	walkStopTime = 5 * time.Second
+	walkDuration = 20 * time.Second
+	walkDrain    = 8 * time.Second // from the start of the drain to the end of the walk
+	walkStopTime = 5 * time.Second // from the start of the drain to its end
 )
 
-// walk plays a random but legal day and returns the actions. Requests come in one of thin
-// steps: at a hundred, a couple a second.
-func walk(t *testing.T, s decision.Settings, seed int64, thin int) []string {
+// randomWalk sends a random but valid sequence of events and returns the actions. On average,
+// requests arrive in one of stepsPerArrival steps. With 100 steps, that is about two requests
+// per second.
+func randomWalk(t *testing.T, s decision.Settings, seed int64, stepsPerArrival int) []string {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
-	c := &ruleChecker{t: t, s: s, attempts: map[string]*attempt{}, entries: map[string]time.Duration{}}
+	c := &invariantChecker{
+		t: t, settings: s, attempts: map[string]*attempt{}, cachedUntil: map[string]time.Duration{},
+	}
 	in, err := New(s, seed, c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	in.Decide(0)
-	for c.now < walkDay {
+	for c.now < walkDuration {
 		c.now += s.BatchInterval + time.Duration(rng.Int63n(int64(8*ms)))
 		c.tick(in, rng)
-		if !c.drained && c.now > walkDay-walkDrain {
+		if !c.drained && c.now > walkDuration-walkDrain {
 			c.drained, c.drainedAt, c.stopAt = true, c.now, c.now+walkStopTime
 			in.Drain(c.now, c.stopAt)
 		}
 		if c.drained && c.now > c.stopAt {
 			break
 		}
-		for n := rng.Intn(3); n > 0 && rng.Intn(thin) == 0; n-- {
+		for n := rng.Intn(3); n > 0 && rng.Intn(stepsPerArrival) == 0; n-- {
 			c.send(in, rng)
 		}
-		for _, q := range c.order {
-			c.progress(in, q, rng)
+		for _, req := range c.sent {
+			c.sendNextEvent(in, req, rng)
 		}
 		in.Decide(c.now)
 		c.check()
 	}
-	return c.acts
+	return c.actions
 }
 
-// tick passes the timers that are due to the instance.
-func (c *ruleChecker) tick(in *Instance, rng *rand.Rand) {
-	wakes := c.wakes
-	c.wakes = nil
-	for _, at := range wakes {
+// tick sends the timers that are due.
+func (c *invariantChecker) tick(in *Instance, rng *rand.Rand) {
+	timers := c.timers
+	c.timers = nil
+	for _, at := range timers {
 		if at > c.now {
-			c.wakes = append(c.wakes, at)
+			c.timers = append(c.timers, at)
 			continue
 		}
 		in.Tick(c.now, 0, decision.Gauges{
-			CoreUtilization: rng.Float64(), RunnableTasks: 8 * rng.Float64(), MemoryUtilization: 0.5, Connections: 9,
+			CoreUtilization: rng.Float64(), RunnableTasks: 8 * rng.Float64(),
+			MemoryUtilization: 0.5, Connections: 9,
 		})
 	}
 }
 
-// send passes a request to the instance: a keyed one is a retry as often as not.
-func (c *ruleChecker) send(in *Instance, rng *rand.Rand) {
-	class := rng.Intn(len(c.s.Classes))
-	q := &attempt{
-		id: fmt.Sprint(len(c.order)), original: len(c.order), class: c.s.Classes[class], at: isQueued, readAt: c.now,
-		kb: 10 + 20*rng.Float64(), arrived: c.now - time.Duration(rng.Int63n(int64(20*ms))),
+// send sends a random request. Half of the keyed requests are retries.
+func (c *invariantChecker) send(in *Instance, rng *rand.Rand) {
+	class := rng.Intn(len(c.settings.Classes))
+	req := &attempt{
+		id: fmt.Sprint(len(c.sent)), original: len(c.sent), class: c.settings.Classes[class],
+		state: isQueued, readAt: c.now, reservedKB: 10 + 20*rng.Float64(),
+		arrived: c.now - time.Duration(rng.Int63n(int64(20*ms))),
 	}
-	keyed := q.class.Effect == decision.Keyed
+	keyed := req.class.Idempotency == decision.Keyed
 	if len(c.keyed) > 0 && keyed && rng.Intn(2) == 0 {
-		c.repeat(q, c.keyed[rng.Intn(len(c.keyed))])
+		c.makeRetry(req, c.keyed[rng.Intn(len(c.keyed))])
 	}
-	q.due = q.arrived + time.Duration(float64(q.class.Deadline)*(0.3+0.7*rng.Float64()))
-	c.attempts[q.id], c.order = q, append(c.order, q)
+	req.due = req.arrived + time.Duration(float64(req.class.Deadline)*(0.3+0.7*rng.Float64()))
+	c.attempts[req.id], c.sent = req, append(c.sent, req)
 	if keyed {
-		c.keyed = append(c.keyed, q)
+		c.keyed = append(c.keyed, req)
 	}
 	in.RequestReceived(c.now, decision.Request{
-		ID: q.id, Class: class, Deadline: q.due, ReservedKB: q.kb, Waited: c.now - q.arrived, DuplicateOf: q.duplicateOf,
-		Rank: rng.Float64(),
+		ID: req.id, Class: class, Deadline: req.due, ReservedKB: req.reservedKB,
+		ReadLag: c.now - req.arrived, DuplicateOf: req.duplicateOf, Rank: rng.Float64(),
 	})
 }
 
-// repeat makes a request a retry of another, with the link that the key table gives.
-func (c *ruleChecker) repeat(q, earlier *attempt) {
-	q.original = earlier.original
-	for _, o := range c.order {
-		if o.original == earlier.original && (o.readAt == c.now || c.entries[o.id] > q.arrived) {
-			q.duplicateOf = o.id
+// makeRetry makes a request a retry of an earlier one, and sets duplicateOf as the key table
+// does.
+func (c *invariantChecker) makeRetry(req, earlier *attempt) {
+	req.original = earlier.original
+	for _, other := range c.sent {
+		if other.original == earlier.original &&
+			(other.readAt == c.now || c.cachedUntil[other.id] > req.arrived) {
+			req.duplicateOf = other.id
 		}
 	}
 }
 
-// progress lets the world go on with one request.
-func (c *ruleChecker) progress(in *Instance, q *attempt, rng *rand.Rand) {
+// sendNextEvent sends the next event of a request, at random, if its state allows one.
+func (c *invariantChecker) sendNextEvent(in *Instance, req *attempt, rng *rand.Rand) {
 	outcome := decision.Succeeded
 	if rng.Intn(8) == 0 {
 		outcome = decision.Failed
 	}
-	if c.progressState(in, q, rng, outcome) || q.answered || rng.Intn(2000) != 0 {
+	if c.endState(in, req, rng, outcome) || req.answered || rng.Intn(2000) != 0 {
 		return
 	}
-	q.answered = true
-	if q.at == isQueued || q.at == isCoalesced {
-		q.at = isFinished
+	req.answered = true
+	if req.state == isQueued || req.state == isCoalesced {
+		req.state = isFinished
 	}
-	in.CallerGone(c.now, q.id)
+	in.RequestCancelled(c.now, req.id)
 }
 
-// progressState lets a request leave its state, and tells whether nothing else happens to
-// it in this step.
-func (c *ruleChecker) progressState(in *Instance, q *attempt, rng *rand.Rand, outcome decision.Outcome) bool {
-	switch q.at {
+// endState sends the event that ends a request's state, at random. It reports whether the
+// request gets no other event in this step.
+func (c *invariantChecker) endState(
+	in *Instance, req *attempt, rng *rand.Rand, outcome decision.Outcome,
+) bool {
+	switch req.state {
 	case isFinished:
 		return true
 	case isPreempting:
-		q.at = isPreempted
-		if q.answered {
-			q.at = isFinished
+		req.state = isPreempted
+		if req.answered {
+			req.state = isFinished
 		}
-		in.RunDone(c.now, q.id, decision.Cancelled, 0)
+		in.RunDone(c.now, req.id, decision.Cancelled, 0)
 		return true
 	case isRunning:
-		return c.progressRun(in, q, rng, outcome)
+		return c.sendRunEvent(in, req, rng, outcome)
 	case isAwaitingCall, isInCall:
-		return c.progressCall(in, q, rng)
+		return c.sendCallEvent(in, req, rng)
 	case isCoalesced:
 		if rng.Intn(50) != 0 {
 			return false
 		}
-		c.endRun(in, q, outcome)
+		c.endRun(in, req, outcome)
 		return true
 	default:
 		return false
 	}
 }
 
-// progressRun lets a run come to its call, or end.
-func (c *ruleChecker) progressRun(in *Instance, q *attempt, rng *rand.Rand, outcome decision.Outcome) bool {
-	if rng.Intn(60) == 0 && q.class.CallsDependency && !q.answered {
-		q.at, q.mayHaveCalled = isAwaitingCall, false
-		in.CallNeeded(c.now, q.id)
+// sendRunEvent makes a run need a call, or ends it.
+func (c *invariantChecker) sendRunEvent(
+	in *Instance, req *attempt, rng *rand.Rand, outcome decision.Outcome,
+) bool {
+	if rng.Intn(60) == 0 && req.class.CallsDependency && !req.answered {
+		req.state, req.mayHaveCalled = isAwaitingCall, false
+		in.CallNeeded(c.now, req.id)
 		return true
 	}
 	if rng.Intn(60) == 0 {
-		c.endRun(in, q, outcome)
+		c.endRun(in, req, outcome)
 		return true
 	}
 	return false
 }
 
-// endRun ends a run, or the wait of a joined request, with an answer.
-func (c *ruleChecker) endRun(in *Instance, q *attempt, outcome decision.Outcome) {
-	q.at, q.answered = isFinished, true
-	in.RunDone(c.now, q.id, outcome, 0)
+// endRun ends a run, or the wait of a coalesced request, with an answer.
+func (c *invariantChecker) endRun(in *Instance, req *attempt, outcome decision.Outcome) {
+	req.state, req.answered = isFinished, true
+	in.RunDone(c.now, req.id, outcome, 0)
 }
 
-// progressCall lets a call end: with its request, at its time-out, or in any other way.
-func (c *ruleChecker) progressCall(in *Instance, q *attempt, rng *rand.Rand) bool {
+// sendCallEvent ends the call of an answered request together with its run, and any other call
+// at its time-out or at random.
+func (c *invariantChecker) sendCallEvent(in *Instance, req *attempt, rng *rand.Rand) bool {
 	switch {
-	case q.answered:
-		q.at = isFinished
-		in.RunDone(c.now, q.id, decision.Cancelled, 0)
-	case q.at == isInCall && c.now >= q.callEndsAt:
-		q.at = isAwaitingCall
-		in.CallDone(c.now, q.id, decision.TimedOut, c.now)
-	case q.at == isInCall && rng.Intn(40) == 0:
-		c.endCall(in, q, callOutcomes[rng.Intn(len(callOutcomes))])
+	case req.answered:
+		req.state = isFinished
+		in.RunDone(c.now, req.id, decision.Cancelled, 0)
+	case req.state == isInCall && c.now >= req.callEndsAt:
+		req.state = isAwaitingCall
+		in.CallDone(c.now, req.id, decision.TimedOut, c.now)
+	case req.state == isInCall && rng.Intn(40) == 0:
+		c.endCall(in, req, callOutcomes[rng.Intn(len(callOutcomes))])
 	default:
 		return false
 	}
 	return true
 }
 
-// callOutcomes are how calls end that do not time out: half of them succeed.
+// callOutcomes are the outcomes of calls that don't time out. Half of the calls succeed.
 var callOutcomes = []decision.Outcome{
 	decision.Succeeded, decision.Succeeded, decision.Succeeded, decision.Succeeded,
 	decision.Failed, decision.Rejected, decision.ConnectFailed, decision.ConnectionReset,
 }
 
 // endCall ends a call with an outcome.
-func (c *ruleChecker) endCall(in *Instance, q *attempt, outcome decision.Outcome) {
-	q.at = isAwaitingCall
+func (c *invariantChecker) endCall(in *Instance, req *attempt, outcome decision.Outcome) {
+	req.state = isAwaitingCall
 	if outcome == decision.Succeeded {
-		q.at = isRunning
+		req.state = isRunning
 	}
 	if outcome == decision.Rejected || outcome == decision.ConnectFailed {
-		q.mayHaveCalled = false
+		req.mayHaveCalled = false
 	}
-	in.CallDone(c.now, q.id, outcome, 50*ms)
+	in.CallDone(c.now, req.id, outcome, 50*ms)
 }
 
-func TestRandomWalkKeepsTheFourRules(t *testing.T) {
-	for i, change := range []func(*decision.Settings){
-		func(*decision.Settings) {},
-		func(s *decision.Settings) {
-			s.CancelMode, s.LoadReportMode, s.SlowStart = decision.CancelDiscard, decision.LoadReportWeight, true
-		},
-		func(s *decision.Settings) {
+func TestInstance_RandomWalkKeepsInvariants(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		change func(*decision.Settings)
+	}{
+		{"defaults", func(*decision.Settings) {}},
+		{"cold instance", func(s *decision.Settings) {
+			s.CancelMode, s.LoadReportMode = decision.CancelDiscard, decision.LoadReportWeight
+			s.SlowStart = true
+		}},
+		{"little memory", func(s *decision.Settings) {
 			s.CancelMode, s.LoadReportMode, s.MemoryKB = decision.CancelPause, decision.LoadReportMinRank, 600
-		},
-		func(s *decision.Settings) {
-			s.Dependency, s.LoadReportMode, s.Classes[0].DegradedWeight = decision.NextTier, decision.LoadReportCredit, 0.5
-		},
-		func(s *decision.Settings) {
+		}},
+		{"next tier", func(s *decision.Settings) {
+			s.Dependency, s.LoadReportMode = decision.NextTier, decision.LoadReportCredit
+			s.Classes[0].DegradedWeight = 0.5
+		}},
+		{"tenants", func(s *decision.Settings) {
 			s.Dependency = decision.NoDependency
 			s.Tenants = []decision.Tenant{{Quota: 10}, {Quota: 500}}
 			s.OverQuotaWeight = 0.1
-		},
-		func(s *decision.Settings) { s.CallQuota, s.Servers, s.Callers = 0.2, 3000, 1200 },
-		func(s *decision.Settings) {
+		}},
+		{"large fleet", func(s *decision.Settings) { s.CallQuota, s.Servers, s.Callers = 0.2, 3000, 1200 }},
+		{"zero quota", func(s *decision.Settings) {
 			s.CallQuota, s.Servers, s.Callers, s.CancelMode = 0, 1, 0, decision.CancelDiscard
-		},
+		}},
 	} {
 		for seed := int64(1); seed <= 3; seed++ {
-			s := settings()
-			change(&s)
-			thin := []int{1, 1, 100}[seed-1]
-			t.Run(fmt.Sprintf("settings %d seed %d", i, seed), func(t *testing.T) {
-				acts := walk(t, s, seed, thin)
-				if r := (&recorder{acts: acts}); r.count("run") == 0 || r.count("refuse") == 0 {
-					t.Fatal("nothing was run, or nothing shed")
+			s := testSettings()
+			test.change(&s)
+			stepsPerArrival := []int{1, 1, 100}[seed-1]
+			t.Run(fmt.Sprintf("%s, seed %d", test.name, seed), func(t *testing.T) {
+				actions := randomWalk(t, s, seed, stepsPerArrival)
+				host := &recordingHost{actions: actions}
+				if host.count("run") == 0 || host.count("refuse") == 0 {
+					t.Fatal("no request was run, or none was shed")
 				}
-				if !reflect.DeepEqual(acts, walk(t, s, seed, thin)) {
-					t.Fatal("the same events and seed gave other actions")
+				if !reflect.DeepEqual(actions, randomWalk(t, s, seed, stepsPerArrival)) {
+					t.Fatal("a second walk with the same settings and seed gave different actions")
 				}
 			})
 		}
