--- a/decision/request.go
+++ b/decision/request.go
@@ -15,7 +15,7 @@
 	Retry       bool          // this is not the first attempt
 	Write       bool          // running it changes state
 	Caller      int           // identifies the caller in load reports
-	ReadLag     time.Duration // read lag: time from its arrival at the machine until it was read
+	ReadLag     time.Duration // time from its arrival at the machine until it was read
 	DuplicateOf string        // id of an earlier attempt whose result this one may use; may be empty
 }
 
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -76,7 +76,7 @@
 	RunningMemoryFactor float64       // memory of a running request, as a multiple of Request.ReservedKB
 	OverloadRatio       float64       // runnable requests per core that a warm instance survives
 	OverloadWindow      time.Duration // averaging window of OverloadRatio
-	SlowStart           bool          // a cold instance is slow and makes more calls to the dependency
+	SlowStart           bool          // the instance starts cold: slow, with more calls to the dependency
 	SlowStartMinSpeed   float64       // fraction of normal speed at a cold start
 	SlowStartDuration   time.Duration // time until normal speed, at most
 
--- a/dispatch/races_test.go
+++ b/dispatch/races_test.go
@@ -101,7 +101,7 @@
 		next := settings()
 		next.Classes = slices.Clone(next.Classes)
 		next.Classes[0].Idempotency = decision.Keyed // of read
-		next.Classes[1].Deadline = time.Second  // of pledge
+		next.Classes[1].Deadline = time.Second       // of pledge
 		h.applySettingsBefore(t, next, []string{"read", "pledge", "receipt"}, nil, func() {
 			for _, r := range []Request{{ID: "keyless", Class: "read"}, {ID: "keyed", Class: "read", Key: "a"}, {ID: "dropped", Class: "gift", Key: "b"}} {
 				h.mustSubmit(t, h.Core, r)
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -178,11 +178,11 @@
 	if outcome != decision.Cancelled {
 		req.answered = true // by the host, with the result of the run
 	}
-	in.fail(req) // no answer yet if the run was cancelled, but not by the instance
+	in.fail(req) // unanswered only if its run was cancelled, but not by the instance
 }
 
 // recordRun updates the health, the mean run time and the calls per run after a run that
-// was not cancelled.
+// succeeded or failed.
 func (in *Instance) recordRun(req *request, outcome decision.Outcome) {
 	in.health.recordRun(outcome == decision.Failed)
 	in.concurrency.recordRunTime(req.runTime)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -98,8 +98,7 @@
 }
 
 // shedForMemory sheds or fails waiting requests, newest first, until the reserved memory is
-// within its limit. Coalesced requests fail, because the request that they duplicate may
-// have run.
+// within its limit. It sheds queued and preempted requests, and fails coalesced ones.
 func (in *Instance) shedForMemory() {
 	for i := len(in.unfinished) - 1; i >= 0 && in.exceedsMemory(0); i-- {
 		switch req := in.unfinished[i]; req.state {
--- a/policy/request.go
+++ b/policy/request.go
@@ -13,7 +13,7 @@
 //	from                          on                                          to
 //	-                             RequestReceived                             received
 //	received                      admission                                   queued
-//	received                      admission, with a known DuplicateOf         coalesced
+//	received                      admission, with DuplicateOf (coalesce)      coalesced
 //	queued, preempted             Host.Run                                    running
 //	running                       RunDone after preemption                    preempted
 //	running                       CallNeeded                                  awaitingCall
