--- a/dispatch/cancel.go
+++ b/dispatch/cancel.go
@@ -49,7 +49,7 @@
 func (c *Core) cancelAttempt(a *attempt) {
 	c.markAnswered(a)
 	if c.module != nil {
-		c.module.CallerGone(c.now, a.ID)
+		c.module.RequestCancelled(c.now, a.ID)
 	}
 	c.removeIfDone(a)
 }
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -38,10 +38,10 @@
 func (c *Core) shouldReceiveTraffic() bool { return c.health.healthy && c.acceptsTraffic() }
 
 // reportToRegistrar reports to the discovery service whether this server accepts traffic, and
-// with the setting ListFollowsHealth also whether it is healthy.
+// with the setting EndpointListOmitsUnhealthy also whether it is healthy.
 func (c *Core) reportToRegistrar() {
 	if c.options.Registrar != nil {
-		c.options.Registrar.SetAccepting(c.acceptsTraffic() && (c.health.healthy || !c.settings.ListFollowsHealth))
+		c.options.Registrar.SetAccepting(c.acceptsTraffic() && (c.health.healthy || !c.settings.EndpointListOmitsUnhealthy))
 	}
 }
 
--- a/dispatch/races_test.go
+++ b/dispatch/races_test.go
@@ -101,8 +101,8 @@
 	runTest(t, func(t *testing.T, h *harness) {
 		next := settings()
 		next.Classes = slices.Clone(next.Classes)
-		next.Classes[0].Effect = decision.Keyed // read
-		next.Classes[1].Deadline = time.Second  // pledge
+		next.Classes[0].Idempotency = decision.Keyed // read
+		next.Classes[1].Deadline = time.Second       // pledge
 		h.applySettingsBefore(t, next, []string{"read", "pledge", "receipt"}, nil, func() {
 			for _, r := range []Request{{ID: "keyless", Class: "read"}, {ID: "keyed", Class: "read", Key: "a"}, {ID: "removed", Class: "gift", Key: "b"}} {
 				h.mustSubmit(t, h.Core, r)
--- a/dispatch/respond.go
+++ b/dispatch/respond.go
@@ -72,7 +72,7 @@
 		overdue := c.now > a.deadline+overdueDelay(c.settings.DeadlineSlack) || c.drain.stopAt != 0 && c.now > c.drain.stopAt
 		if !a.answered && overdue {
 			c.respond(a, c.failureOutcome(a))
-			c.module.CallerGone(c.now, id)
+			c.module.RequestCancelled(c.now, id)
 		}
 	}
 }
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -154,7 +154,7 @@
 	for _, class := range c.settings.Classes {
 		c.keys.AllowLateness(class.Deadline)
 	}
-	if c.settings.ListFollowsHealth != previous.ListFollowsHealth && c.module != nil {
+	if c.settings.EndpointListOmitsUnhealthy != previous.EndpointListOmitsUnhealthy && c.module != nil {
 		c.reportToRegistrar()
 	}
 }
--- a/dispatch/settings_test.go
+++ b/dispatch/settings_test.go
@@ -205,7 +205,7 @@
 // server's health only with the setting ListFollowsHealth, and a drain in any case.
 func TestRegistrar_FollowsHealthIfSet(t *testing.T) {
 	for _, follows := range []bool{true, false} {
-		runTestWith(t, func(o *Options) { o.Settings.ListFollowsHealth = follows }, func(t *testing.T, h *harness) {
+		runTestWith(t, func(o *Options) { o.Settings.EndpointListOmitsUnhealthy = follows }, func(t *testing.T, h *harness) {
 			last := func() bool { return h.accepting[len(h.accepting)-1] }
 			h.runInLoop(h.Core, func() { host{h.Core}.SetHealth(false, true) })
 			h.wait()
@@ -213,7 +213,7 @@
 				t.Errorf("ListFollowsHealth = %t: report of an unhealthy server = %t, want %t", follows, last(), !follows)
 			}
 			changed := settings()
-			changed.ListFollowsHealth = !follows
+			changed.EndpointListOmitsUnhealthy = !follows
 			if err := h.updateSettings(changed, "read", "gift", "receipt"); err != nil {
 				t.Fatal(err)
 			}
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -28,7 +28,7 @@
 	if !ok {
 		return fmt.Errorf("unknown class %q", r.Class)
 	}
-	if err := r.checkKey(current.classes.items[class].Effect); err != nil {
+	if err := r.checkKey(current.classes.items[class].Idempotency); err != nil {
 		return err
 	}
 	tenant, ok := current.tenantIndex(r.Tenant)
@@ -43,7 +43,7 @@
 
 // checkKey returns an error if the request's class has the effect Keyed, but the request has
 // no key or one that is too long.
-func (r *Request) checkKey(effect decision.Effect) error {
+func (r *Request) checkKey(effect decision.Idempotency) error {
 	if effect != decision.Keyed {
 		return nil
 	}
@@ -69,10 +69,10 @@
 	// The settings may have changed since Submit. The current ones apply; a class that was
 	// removed keeps its last settings.
 	class := c.settings.Classes[e.classIndex]
-	if class.Effect != decision.Keyed {
+	if class.Idempotency != decision.Keyed {
 		r.Key = ""
 	}
-	if c.attempts[r.ID] != nil || r.checkKey(class.Effect) != nil {
+	if c.attempts[r.ID] != nil || r.checkKey(class.Idempotency) != nil {
 		r.Responder.Respond(r.ID, Outcome{Kind: Rejected})
 		return
 	}
