--- a/downstream/pool.go
+++ b/downstream/pool.go
@@ -139,7 +139,7 @@
 // may have forgotten them: a call would be lost. The lock is held.
 func (p *Pool) closeIdleLocked() {
 	p.conns = slices.DeleteFunc(p.conns, func(c *poolConn) bool {
-		stale := len(c.calls) == 0 && time.Since(c.conn.IdleSince()) > maxIdle
+		stale := len(c.calls) == 0 && time.Since(c.conn.LastActive()) > maxIdle
 		if stale {
 			c.conn.Close()
 		}
--- a/frontend/connset_test.go
+++ b/frontend/connset_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestConnSet adds and removes connections, also while they are visited.
-func TestConnSet(t *testing.T) {
+// TestConnSet_ChangesDuringEach adds and removes connections, also while Each visits them.
+func TestConnSet_ChangesDuringEach(t *testing.T) {
 	var s ConnSet[int]
 	s.Remove(1)
 	for c := range 5 {
@@ -13,7 +13,7 @@
 	s.Remove(2)
 	isOdd := func(c int) bool { return c%2 == 1 }
 	if got := s.Count(isOdd); got != 2 {
-		t.Errorf("%d odd connections, want 2", got)
+		t.Errorf("Count(isOdd) = %d, want 2", got)
 	}
 	visited := 0
 	s.Each(func(c int) {
@@ -22,9 +22,9 @@
 		s.Add(c + 10)
 	})
 	if visited != 4 {
-		t.Errorf("%d connections visited, want 4", visited)
+		t.Errorf("Each visited %d connections, want 4", visited)
 	}
 	if got := s.Count(func(c int) bool { return c >= 10 }); got != 4 {
-		t.Errorf("%d connections that were added, want 4", got)
+		t.Errorf("Count of the connections added during Each = %d, want 4", got)
 	}
 }
--- a/frontend/thrift/connection.go
+++ b/frontend/thrift/connection.go
@@ -18,24 +18,24 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// The methods that balancers call.
+// Thrift methods that balancers call.
 const (
 	methodExecute   = "execute"
 	methodCheck     = "check"
 	methodInterrupt = "interrupt"
 )
 
-// maxOpenRequests is how many requests may be open on one connection.
+// maxOpenRequests bounds the open requests on one connection.
 const maxOpenRequests = 32
 
-// noRetryElsewhereSet is the value of protocol.FieldNoRetryElsewhere; the field is absent
-// otherwise.
+// noRetryElsewhereSet is the value of protocol.FieldNoRetryElsewhere when it is set. If it is
+// not set, the field is absent.
 const noRetryElsewhereSet = "1"
 
-// loadReportDecimals is how many decimals the load in protocol.FieldLoadReport has.
+// loadReportDecimals is the number of decimals of the value in protocol.FieldLoadReport.
 const loadReportDecimals = 4
 
-// connection is one connection of a balancer. It implements dispatch.Responder.
+// connection is one connection from a balancer. It implements dispatch.Responder.
 type connection struct {
 	core    *dispatch.Core
 	rules   *match.Rules
@@ -43,20 +43,20 @@
 	monitor *guard.Monitor
 	log     *slog.Logger
 
-	// Used by the connection's goroutine alone.
+	// Used only by the goroutine that serves the connection.
 	reader          protocol.Reader
-	sequence        sequence
+	sequence        sequenceTracker
 	validMessages   int
 	invalidMessages int
 
-	// An open request is removed under the lock under which its answer is sent, so that
-	// the connection never ends between the two.
+	// An open request is removed and its response sent while mu is held, so that the
+	// connection cannot close between the two.
 	mu            sync.Mutex
 	seqByRequest  map[string]int32 // sequence numbers of the open requests, by request ID
 	requestBySeq  map[int32]string // the inverse of seqByRequest
-	pendingChecks int              // health checks without an answer
-	notifiedAt    time.Time        // when the peer was told that nothing new is wanted; zero before
-	noticePeriod  time.Duration    // that the peer has from then on
+	pendingChecks int              // health checks without a response
+	notifiedAt    time.Time        // when the peer was notified to send no new request; zero if it was not
+	noticePeriod  time.Duration    // how long after notifiedAt an idle connection stays open
 }
 
 func newConnection(f *Frontend, c *transport.Conn) *connection {
@@ -72,52 +72,52 @@
 	}
 }
 
-// step reads the next message and handles it. An error other than
-// transport.ErrMessageSkipped ends the connection.
-func (c *connection) step(r *bufio.Reader) error {
+// handleNext reads the next message and handles it. It is the handler for
+// transport.Conn.Serve: an error other than transport.ErrMessageSkipped closes the connection.
+func (c *connection) handleNext(r *bufio.Reader) error {
 	m, err := c.reader.Read(r)
 	if err == nil {
 		return c.receive(m)
 	}
 	var bad *protocol.BadMessageError
 	if errors.As(err, &bad) {
-		return c.skip(bad.Head, c.badMessageOrder(bad.Head), err)
+		return c.skip(bad.Head, c.recordBadMessage(bad.Head), err)
 	}
-	if guard.MayContinue(c.inputFacts()) != nil {
+	if guard.MayContinue(c.guardInput()) != nil {
 		return fmt.Errorf("%w: %w", guard.ErrNoMessages, protocol.ErrMalformed)
 	}
 	return err
 }
 
-// badMessageOrder takes the sequence number of a message that could not be decoded. Only
-// a call is owed an answer: what is not known to be one counts as a duplicate, which gets
-// none.
-func (c *connection) badMessageOrder(head *protocol.Head) sequenceOrder {
+// recordBadMessage records the sequence number of a message that could not be decoded, and
+// returns its order. Only calls get a reply. A message that is not known to be a call counts
+// as a duplicate, which gets none.
+func (c *connection) recordBadMessage(head *protocol.Head) sequenceOrder {
 	if head == nil || head.Type != protocol.Call {
 		return duplicate
 	}
-	return c.sequence.call(head.Seq)
+	return c.sequence.recordCall(head.Seq)
 }
 
-// inputFacts returns the facts by which package guard decides whether the connection goes
-// on.
-func (c *connection) inputFacts() guard.Input {
+// guardInput returns the inputs of guard.MayContinue, which decides whether the connection is
+// read further.
+func (c *connection) guardInput() guard.Input {
 	return guard.Input{ValidMessages: c.validMessages, InvalidMessages: c.invalidMessages, SkippedBytes: c.reader.Scanned()}
 }
 
-// skip resynchronizes behind a malformed message, or one whose sequence number does not
-// follow: a call whose number was not used before gets an exception. A peer that has sent
-// valid messages is notified to use another connection; valid messages that still come on
-// this one are handled. skip returns an error that ends the connection if package guard
-// denies going on, else transport.ErrMessageSkipped.
+// skip handles a message that is malformed or out of order. If it is a call whose sequence
+// number was not used before, skip sends an exception. If the peer has sent valid messages,
+// skip notifies it to use another connection; valid messages that still arrive on this one
+// are handled. skip returns transport.ErrMessageSkipped, or another error, which closes the
+// connection, if guard.MayContinue denies reading further.
 func (c *connection) skip(head *protocol.Head, order sequenceOrder, cause error) error {
-	// A message out of order that follows valid ones shows that an earlier message was
-	// malformed, and is not malformed itself.
+	// A message that is out of order after valid ones shows that an earlier message was
+	// malformed. It is not malformed itself.
 	isMalformed := order != outOfOrder || c.validMessages == 0
 	if isMalformed {
 		c.invalidMessages++
 	}
-	if err := guard.MayContinue(c.inputFacts()); err != nil {
+	if err := guard.MayContinue(c.guardInput()); err != nil {
 		return fmt.Errorf("%w: %w", err, cause)
 	}
 	c.mu.Lock()
@@ -133,8 +133,8 @@
 	return transport.ErrMessageSkipped
 }
 
-// logSkippedLocked logs a skipped message, at level info if it is the first malformed one of
-// a peer that has sent valid ones, else at debug. The lock is held.
+// logSkippedLocked logs a skipped message: at level info if it is the first malformed one
+// from a peer that has sent valid ones, else at level debug. The caller holds mu.
 func (c *connection) logSkippedLocked(isMalformed bool, cause error) {
 	level := slog.LevelDebug
 	if c.invalidMessages == 1 && isMalformed && c.validMessages > 0 {
@@ -148,12 +148,12 @@
 	c.conn.Send(protocol.AppendException(nil, head.Name, head.Seq, kind, text))
 }
 
-// receive handles a message that was decoded. A call of an unknown method gets an exception;
-// other messages that are not known are ignored.
+// receive handles a decoded message. A call of an unknown method gets an exception. Other
+// unknown messages are ignored.
 func (c *connection) receive(m *protocol.Message) error {
 	if m.Type == protocol.Oneway {
-		c.sequence.oneway(m.Seq)
-	} else if order := c.sequence.call(m.Seq); order != inOrder {
+		c.sequence.recordOneway(m.Seq)
+	} else if order := c.sequence.recordCall(m.Seq); order != inOrder {
 		return c.skip(&m.Head, order, fmt.Errorf("%w: sequence number %d after %d", protocol.ErrMalformed, m.Seq, c.sequence.highest))
 	}
 	c.validMessages++
@@ -163,56 +163,56 @@
 			c.sendException(m.Head, protocol.ProtocolError, err.Error())
 		}
 	case m.Name == methodCheck && m.Type == protocol.Call:
-		c.check(m)
+		c.checkHealth(m)
 	case m.Name == methodInterrupt && m.Type == protocol.Oneway:
-		c.cancel(m.CanceledSeq)
+		c.cancelRequest(m.CanceledSeq)
 	case m.Type == protocol.Call:
 		c.sendException(m.Head, protocol.UnknownMethod, "unknown method")
 	}
 	return nil
 }
 
-// execute submits a call's request to the core, which calls Respond once. After an error
-// the request was not submitted, and Respond is not called.
+// execute submits the request of a call to the core, which calls Respond once. If execute
+// returns an error, the request was not submitted and Respond is not called.
 func (c *connection) execute(m *protocol.Message) error {
 	request, err := c.parseRequest(m)
 	if err != nil {
 		return err
 	}
-	if err := c.open(request.ID, m.Seq); err != nil {
+	if err := c.addOpenRequest(request.ID, m.Seq); err != nil {
 		return err
 	}
 	if err := c.core.Submit(request); err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.closeLocked(request.ID, m.Seq)
+		c.removeOpenRequestLocked(request.ID, m.Seq)
 		return err
 	}
 	return nil
 }
 
-// check answers a health check.
-func (c *connection) check(m *protocol.Message) {
+// checkHealth responds to a health checkHealth.
+func (c *connection) checkHealth(m *protocol.Message) {
 	c.mu.Lock()
 	c.pendingChecks++
 	c.mu.Unlock()
-	answer := func(healthy bool) {
+	respond := func(healthy bool) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.pendingChecks--
 		c.conn.Send(protocol.AppendAnswer(nil, m.Name, m.Seq, protocol.Answer{OK: healthy, Fields: c.loadReport()}))
 	}
-	if c.core.CheckHealth(m.Probe, answer) != nil { // it has stopped
-		answer(false)
+	if c.core.CheckHealth(m.Probe, respond) != nil { // the core has stopped
+		respond(false)
 	}
 }
 
-// cancel cancels the request of a call, if it is open. It is owed no answer then.
-func (c *connection) cancel(seq int32) {
+// cancelRequest cancels the request of a call if it is open. The call then gets no reply.
+func (c *connection) cancelRequest(seq int32) {
 	c.mu.Lock()
 	id, ok := c.requestBySeq[seq]
 	if ok {
-		c.closeLocked(id, seq)
+		c.removeOpenRequestLocked(id, seq)
 	}
 	c.mu.Unlock()
 	if ok {
@@ -220,8 +220,9 @@
 	}
 }
 
-// open adds a request to the open ones.
-func (c *connection) open(id string, seq int32) error {
+// addOpenRequest records an addOpenRequest request. It returns an error if too many requests are addOpenRequest
+// or if the ID is in use.
+func (c *connection) addOpenRequest(id string, seq int32) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.seqByRequest) >= maxOpenRequests {
@@ -234,15 +235,16 @@
 	return nil
 }
 
-// closeLocked removes an open request. The lock is held.
-func (c *connection) closeLocked(id string, seq int32) {
+// removeOpenRequestLocked removes an open request. The caller holds mu.
+func (c *connection) removeOpenRequestLocked(id string, seq int32) {
 	delete(c.seqByRequest, id)
 	delete(c.requestBySeq, seq)
 }
 
-// failOpen answers the open requests with a fault as the connection ends, and returns
-// their IDs. The faults reach a peer that has shut down only its writing direction.
-func (c *connection) failOpen() (ids []string) {
+// failOpenRequests sends a fault for each open request when the connection closes, reports
+// to the core that their caller has disconnected, and returns their IDs. A peer that has
+// shut down only its write side receives the faults.
+func (c *connection) failOpenRequests() (ids []string) {
 	c.mu.Lock()
 	unanswered := c.seqByRequest
 	c.seqByRequest, c.requestBySeq = make(map[string]int32), make(map[int32]string)
@@ -262,15 +264,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	seq, ok := c.seqByRequest[id]
-	c.closeLocked(id, seq)
+	c.removeOpenRequestLocked(id, seq)
 	if ok {
-		c.conn.Send(c.reply(seq, outcome))
+		c.conn.Send(c.encodeReply(seq, outcome))
 	}
 }
 
-// reply is the message that answers a call with a request's outcome.
-func (c *connection) reply(seq int32, outcome dispatch.Outcome) []byte {
-	if len(outcome.Result.Body) > protocol.MaxResult { // a key's result from the uwsgi front, which allows more
+// encodeReply returns the encodeReply to a call for the outcome of its request.
+func (c *connection) encodeReply(seq int32, outcome dispatch.Outcome) []byte {
+	if len(outcome.Result.Body) > protocol.MaxResult { // a stored result of the uwsgi frontend, which allows larger ones
 		outcome = dispatch.Outcome{Kind: dispatch.Failed}
 	}
 	switch outcome.Kind {
@@ -286,8 +288,8 @@
 	}
 }
 
-// shedFields returns the fields of a refusal. FieldRetryAfter is always among them, with 1 ms
-// where the caller may retry at once.
+// shedFields returns the fields of the reply to a shed request. They always include
+// FieldRetryAfter, which is 1 ms if the caller may retry at once.
 func (c *connection) shedFields(outcome dispatch.Outcome) map[string]string {
 	retryAfter := max(1, outcome.RetryAfter.Milliseconds())
 	fields := map[string]string{protocol.FieldRetryAfter: strconv.FormatInt(retryAfter, 10)}
@@ -298,8 +300,7 @@
 	return fields
 }
 
-// loadReport returns the field that every answer has while the core reports its load, nil
-// while it does not.
+// loadReport returns the field with the load report, or nil if the core reports no load.
 func (c *connection) loadReport() map[string]string {
 	load, ok := c.core.LoadReport()
 	if !ok {
@@ -308,9 +309,9 @@
 	return map[string]string{protocol.FieldLoadReport: strconv.FormatFloat(max(0, load), 'f', loadReportDecimals, 64)}
 }
 
-// notify tells the peer, once, to send no new request on the connection, and returns how
-// long the peer still has to close it. A peer that has sent only malformed messages is not
-// told, and 0 is returned. Only the connection's goroutine may call it.
+// notify notifies the peer, once, to send no new request on the connection, and returns the
+// rest of the notice period. If the peer has sent only malformed messages, notify does
+// nothing and returns 0. Only the goroutine that serves the connection may call it.
 func (c *connection) notify() time.Duration {
 	if c.invalidMessages > 0 && c.validMessages == 0 {
 		return 0
@@ -321,7 +322,7 @@
 	return c.noticePeriod - time.Since(c.notifiedAt)
 }
 
-// notifyLocked notifies the peer, once. The lock is held.
+// notifyLocked notifies the peer, once, to send no new request. The caller holds mu.
 func (c *connection) notifyLocked() {
 	if c.notifiedAt.IsZero() {
 		c.notifiedAt = time.Now()
@@ -329,9 +330,9 @@
 	}
 }
 
-// notifyOrClose tells the peer, once, to send no new request on the connection: a balancer
-// closes it then, when all its requests are answered. If the peer was told longer ago than
-// the period, an idle connection is closed from this end.
+// notifyOrClose notifies the peer, once, to send no new request on the connection. A balancer
+// then closes the connection when all its requests have responses. If the peer was notified
+// more than period ago and nothing is pending, notifyOrClose closes the connection.
 func (c *connection) notifyOrClose(period time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -342,7 +343,7 @@
 	c.notifyLocked()
 }
 
-// hasPending reports whether a request or a health check has no answer yet.
+// hasPending reports whether a request or a health check has no response yet.
 func (c *connection) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -351,16 +352,17 @@
 
 func (c *connection) hasPendingLocked() bool { return len(c.seqByRequest)+c.pendingChecks > 0 }
 
-// isNotified reports whether the peer was told that nothing new is wanted.
+// isNotified reports whether the peer was notified to send no new request.
 func (c *connection) isNotified() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.notifiedAt.IsZero()
 }
 
-// isIdle reports whether nothing is pending and nothing was read or written for a time.
-func (c *connection) isIdle(after time.Duration) bool {
+// isIdle reports whether nothing is pending and no message was read or queued for longer
+// than the given time.
+func (c *connection) isIdle(timeout time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.hasPendingLocked() && time.Since(c.conn.IdleSince()) > after
+	return !c.hasPendingLocked() && time.Since(c.conn.LastActive()) > timeout
 }
--- a/frontend/thrift/connection_test.go
+++ b/frontend/thrift/connection_test.go
@@ -17,19 +17,20 @@
 	"quincerail.example/quincerail/transport"
 )
 
+// newFrontend returns a frontend with the core of b and without operator rules.
 func newFrontend(b *frontendtest.Backend) *Frontend {
 	return New(Options{Core: b.Core, Rules: &match.Rules{}, Log: slog.Default()})
 }
 
-// TestLargeResult: a result that the platform's protocol does not allow,
-// as a run for the other front may have left it, fails its repeat over Thrift.
-func TestLargeResult(t *testing.T) {
+// TestRespond_FaultForTooLargeResult: a request gets a fault if its result is larger than the
+// Thrift protocol allows. A run for the uwsgi frontend may have stored such a result.
+func TestRespond_FaultForTooLargeResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
-		caller := &frontendtest.Caller{Conn: far}
+		local, remote := net.Pipe()
+		caller := &frontendtest.Caller{Conn: remote}
 		defer caller.Disconnect()
 		c := &connection{
-			core: &dispatch.Core{}, conn: transport.NewConn(near),
+			core: &dispatch.Core{}, conn: transport.NewConn(local),
 			seqByRequest: map[string]int32{"a": 1}, requestBySeq: map[int32]string{1: "a"},
 		}
 		c.Respond("a", dispatch.Outcome{Kind: dispatch.Served, Result: dispatch.Payload{Body: make([]byte, protocol.MaxResult+1)}})
@@ -37,24 +38,25 @@
 			_ = c.conn.Serve(func(r *bufio.Reader) error { _, err := r.ReadByte(); return err })
 		}()
 		if reply, err := fakes.ReadReply(bufio.NewReader(caller)); err != nil || reply.ResultField != 2 {
-			t.Errorf("%+v, %v, want Fault", reply, err)
+			t.Errorf("ReadReply() = %+v, %v, want a fault (result field 2)", reply, err)
 		}
 	})
 }
 
-// peers are the peers of a front's connections, by name. Each keeps the messages that it
-// gets, and "ended" for the end of its connection.
+// peers holds the peers of the frontend's connections by name. For each it records the names
+// of the messages received, and connectionEnded when the connection has closed.
 type peers struct {
 	t        *testing.T
-	front    *Frontend
+	frontend *Frontend
 	received map[string]chan string
 }
 
+// connectionEnded is recorded when a connection has closed.
 const connectionEnded = "ended"
 
 // connect opens a connection and sends a message on it.
 func (p *peers) connect(name string, message []byte) {
-	caller, _ := frontendtest.Dial(p.front.Serve)
+	caller, _ := frontendtest.Dial(p.frontend.Serve)
 	received := make(chan string, 9)
 	p.received[name] = received
 	go func() {
@@ -72,32 +74,32 @@
 	time.Sleep(10 * time.Millisecond)
 }
 
-// want checks that a peer has got these messages and no others.
-func (p *peers) want(name string, messages ...string) {
+// checkReceived checks that a peer has received exactly these messages since the last check.
+func (p *peers) checkReceived(name string, messages ...string) {
 	p.t.Helper()
 	synctest.Wait()
 	for _, want := range messages {
 		select {
 		case got := <-p.received[name]:
 			if got != want {
-				p.t.Errorf("%s gets %s, want %s", name, got, want)
+				p.t.Errorf("peer %q received %q, want %q", name, got, want)
 			}
 		default:
-			p.t.Errorf("%s gets nothing, want %s", name, want)
+			p.t.Errorf("peer %q received nothing, want %q", name, want)
 		}
 	}
 	if len(p.received[name]) > 0 {
-		p.t.Errorf("%s also gets %s", name, <-p.received[name])
+		p.t.Errorf("peer %q received %q, want nothing more", name, <-p.received[name])
 	}
 }
 
-// TestMakeRoom guards the table of connections against callers that ask once and keep
-// theirs, or send nothing: the silent are notified and then closed, the one that has idled
-// longest is notified and then closed, and one with an open call stays.
-func TestMakeRoom(t *testing.T) {
+// TestReclaimConnections guards the connection limit against callers that send one request and
+// keep their connection, or send nothing. A silent connection and the one that has been idle
+// longest are notified and then closed. One with an open call stays open.
+func TestReclaimConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		front := newFrontend(frontendtest.NewBackend(t))
-		p := &peers{t: t, front: front, received: make(map[string]chan string)}
+		frontend := newFrontend(frontendtest.NewBackend(t))
+		p := &peers{t: t, frontend: frontend, received: make(map[string]chan string)}
 		p.connect("busy", fakes.AppendExecute(nil, 1, map[string]string{
 			protocol.FieldClass:          "kampanjsida",
 			protocol.FieldAttemptID:      "0000000000000001",
@@ -108,43 +110,42 @@
 		p.connect("idle", fakes.AppendCheck(nil, 1, false))
 		p.connect("later", fakes.AppendCheck(nil, 1, false))
 		p.connect("silent", nil)
-		p.want("idle", "check")
-		p.want("later", "check")
-		front.MakeRoom()
-		p.want("silent")
-		time.Sleep(silentTimeout)
-		front.MakeRoom()
-		p.want("silent", "leaving") // a request of its own may be on its way
-		p.want("idle")
-		time.Sleep(noticePeriodWhenFull - time.Millisecond)
-		front.MakeRoom()
-		p.want("silent")
-		time.Sleep(idleTimeoutWhenFull)
-		front.MakeRoom()
-		p.want("silent", connectionEnded)
-		p.want("idle", "leaving")
-		front.MakeRoom() // at once: room was just made
-		time.Sleep(noticePeriodWhenFull + time.Millisecond)
-		front.CloseIdle(time.Hour)
-		p.want("idle") // it has a second where there is room
-		front.MakeRoom()
-		p.want("idle", connectionEnded)
-		p.want("later", "leaving")
-		p.want("busy")
-		front.connections.Each(func(c *connection) { c.conn.Close() })
+		p.checkReceived("idle", "check")
+		p.checkReceived("later", "check")
+		frontend.ReclaimConnections()
+		p.checkReceived("silent")
+		time.Sleep(silentTimeoutNearLimit)
+		frontend.ReclaimConnections()
+		p.checkReceived("silent", "leaving") // not closed yet, because a request may be on the way
+		p.checkReceived("idle")
+		time.Sleep(noticePeriodNearLimit - time.Millisecond)
+		frontend.ReclaimConnections()
+		p.checkReceived("silent")
+		time.Sleep(idleTimeoutNearLimit)
+		frontend.ReclaimConnections()
+		p.checkReceived("silent", connectionEnded)
+		p.checkReceived("idle", "leaving")
+		frontend.ReclaimConnections() // within reclaimInterval: no effect
+		time.Sleep(noticePeriodNearLimit + time.Millisecond)
+		frontend.CloseIdle(time.Hour)
+		p.checkReceived("idle") // the notice period is longer when the frontend is not near the limit
+		frontend.ReclaimConnections()
+		p.checkReceived("idle", connectionEnded)
+		p.checkReceived("later", "leaving")
+		p.checkReceived("busy")
+		frontend.connections.Each(func(c *connection) { c.conn.Close() })
 		synctest.Wait()
 	})
 }
 
-// TestMalformedFields sees that an intact call with wrong contents gets an
-// application exception and the connection goes on, and that too many open
-// calls are not taken.
-func TestMalformedFields(t *testing.T) {
+// TestExecute_ExceptionForInvalidFields: a well-formed call with an invalid field gets an
+// exception, as does a call beyond maxOpenRequests. The connection stays open.
+func TestExecute_ExceptionForInvalidFields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := frontendtest.NewBackend(t)
-		caller, ended := frontendtest.Dial(newFrontend(b).Serve)
+		caller, served := frontendtest.Dial(newFrontend(b).Serve)
 		r := bufio.NewReader(caller)
-		good := map[string]string{
+		validFields := map[string]string{
 			protocol.FieldClass:          "kampanjsida",
 			protocol.FieldAttemptID:      "0000000000000001",
 			protocol.FieldCaller:         "1",
@@ -161,27 +162,27 @@
 		} {
 			seq++
 			fields := map[string]string{field: value}
-			for name, v := range good {
+			for name, v := range validFields {
 				if name != field {
 					fields[name] = v
 				}
 			}
 			go caller.Send(fakes.AppendExecute(nil, seq, fields, nil))
 			if reply, err := fakes.ReadReply(r); err != nil || reply.Type != protocol.Exception || reply.Seq != seq {
-				t.Errorf("%s %q: %+v, %v, want an exception", field, value, reply, err)
+				t.Errorf("call with %s = %q: reply %+v, %v, want an exception", field, value, reply, err)
 			}
 		}
 		var calls []byte
 		for range maxOpenRequests + 1 {
 			seq++
-			good[protocol.FieldAttemptID] = fmt.Sprintf("%016x", seq)
-			calls = fakes.AppendExecute(calls, seq, good, []byte(frontendtest.HangingBody))
+			validFields[protocol.FieldAttemptID] = fmt.Sprintf("%016x", seq)
+			calls = fakes.AppendExecute(calls, seq, validFields, []byte(frontendtest.HangingBody))
 		}
 		go caller.Send(calls)
 		if reply, err := fakes.ReadReply(r); err != nil || reply.Type != protocol.Exception || reply.Seq != seq {
-			t.Errorf("one call too many: %+v, %v, want an exception", reply, err)
+			t.Errorf("call beyond %d open requests: reply %+v, %v, want an exception", maxOpenRequests, reply, err)
 		}
 		caller.Disconnect()
-		<-ended
+		<-served
 	})
 }
--- a/frontend/thrift/fields_test.go
+++ b/frontend/thrift/fields_test.go
@@ -6,9 +6,9 @@
 	protocol "quincerail.example/quincerail/protocol/thrift"
 )
 
-// TestFieldKeys keeps the keys of the fields as the balancers write and read them. The other
-// tests of this package use the constants, and would not see a changed key.
-func TestFieldKeys(t *testing.T) {
+// TestFieldKeys_MatchWireNames pins the field keys that balancers write and read. The other
+// tests of this package use the constants, so they would not detect a changed key.
+func TestFieldKeys_MatchWireNames(t *testing.T) {
 	for constant, key := range map[string]string{
 		protocol.FieldClass:            "verb",
 		protocol.FieldTenant:           "team",
@@ -25,7 +25,7 @@
 		protocol.FieldLoadReport:       "feedback",
 	} {
 		if constant != key {
-			t.Errorf("a field has the key %q, want %q", constant, key)
+			t.Errorf("field key = %q, want %q", constant, key)
 		}
 	}
 }
--- a/frontend/thrift/frontend.go
+++ b/frontend/thrift/frontend.go
@@ -1,5 +1,5 @@
-// Package thrift is the front for the balancers' protocol: it reads Thrift messages,
-// submits their requests to the core, and writes the outcomes as replies.
+// Package thrift is the frontend for balancers. It reads Thrift messages, submits their
+// requests to the core, and writes the outcomes as Thrift replies.
 package thrift
 
 import (
@@ -24,181 +24,186 @@
 	noticePeriod        = time.Second             // from the notification until an idle connection is closed
 )
 
-// Bounds near the limit of connections, and of one log event.
+// Bounds that apply near the connection limit, and the size of a log event.
 const (
-	makeRoomInterval     = 10 * time.Millisecond  // at least, between two searches for idle connections
-	silentTimeout        = 50 * time.Millisecond  // until a connection without any message is notified
-	idleTimeoutWhenFull  = 250 * time.Millisecond // until another idle connection may be notified
-	noticePeriodWhenFull = 100 * time.Millisecond // in place of noticePeriod
-	maxLoggedRequests    = 8                      // ids of requests in one log event
+	reclaimInterval        = 10 * time.Millisecond  // minimum time between two searches for idle connections
+	silentTimeoutNearLimit = 50 * time.Millisecond  // until a connection that has sent no message is notified
+	idleTimeoutNearLimit   = 250 * time.Millisecond // until any other idle connection may be notified
+	noticePeriodNearLimit  = 100 * time.Millisecond // replaces noticePeriod
+	maxLoggedRequests      = 8                      // request IDs in one log event
 )
 
-// ConnectionObserver is told of each end of a connection, with the number of requests on
-// it that had no answer then.
+// ConnectionObserver observes connections that close.
 type ConnectionObserver interface {
-	ConnectionEnded(end transport.Ending, unanswered int)
+	// ConnectionClosed is called once for each connection, with the number of its requests
+	// that had no response.
+	ConnectionClosed(info transport.CloseInfo, unanswered int)
 }
 
-// Options are what a Frontend is made of.
+// Options configure a Frontend.
 type Options struct {
 	Core     *dispatch.Core
-	Rules    *match.Rules // the operator's; asked for a request's class and key first
+	Rules    *match.Rules // operator rules, which take precedence over the class and key in a message
 	Log      *slog.Logger
-	Monitor  *guard.Monitor     // nil counts nothing
-	Observer ConnectionObserver // nil for none
+	Monitor  *guard.Monitor     // counts rule violations and denials; may be nil
+	Observer ConnectionObserver // may be nil
 }
 
-// Frontend serves the balancers' connections. Its methods may be called from any
-// goroutine, but for MakeRoom.
+// Frontend serves the connections of balancers. Its methods may be called from any
+// goroutine, except ReclaimConnections.
 type Frontend struct {
-	options     Options
-	connections frontend.ConnSet[*connection]
-	draining    atomic.Bool               // all peers are notified, those to come included
-	drainBy     atomic.Pointer[time.Time] // when all connections end, those to come included; nil before Drain
-
-	// Used by the accepting goroutine alone.
-	newcomers  int // connections accepted since room was made
-	roomMadeAt time.Time
+	options       Options
+	connections   frontend.ConnSet[*connection]
+	draining      atomic.Bool               // all peers are notified, also those of new connections
+	drainDeadline atomic.Pointer[time.Time] // the deadline of Drain, also for new connections; nil before Drain
+
+	// Used only by the goroutine that accepts connections.
+	acceptedSinceReclaim int // connections accepted since lastReclaim
+	lastReclaim          time.Time
 }
 
-// New returns a front that has no connection yet.
+// New returns a frontend without connections.
 func New(options Options) *Frontend { return &Frontend{options: options} }
 
-// Serve works one connection until it ends. The core is told of requests that are still
-// open then.
+// Serve serves one connection until it closes. It then reports to the core that the caller of
+// the requests that are still open has disconnected.
 func (f *Frontend) Serve(transportConn *transport.Conn) {
 	c := newConnection(f, transportConn)
 	f.connections.Add(c)
 	defer f.connections.Remove(c)
-	if f.draining.Load() { // if it is set later, NotifyDraining finds the connection in the set
+	if f.draining.Load() { // if it is set after this, NotifyDraining finds the connection in the set
 		c.notifyOrClose(noticePeriod)
 	}
-	if by := f.drainBy.Load(); by != nil { // likewise
-		transportConn.Drain(*by)
+	if deadline := f.drainDeadline.Load(); deadline != nil { // if it is set after this, Drain finds the connection in the set
+		transportConn.Drain(*deadline)
 	}
 	transportConn.SetReceiveTimeouts(firstMessageTimeout, messageStallTimeout, c.hasPending)
 	transportConn.NotifyBeforeClose(c.notify)
 	var unanswered []string
-	transportConn.OnClose(func(error) { unanswered = c.failOpen() })
-	_ = transportConn.Serve(c.step)                  // its ending has the reason
-	unanswered = append(unanswered, c.failOpen()...) // also where a write failed
-	f.reportEnd(transportConn, unanswered)
+	transportConn.OnClose(func(error) { unanswered = c.failOpenRequests() })
+	_ = transportConn.Serve(c.handleNext)                    // CloseInfo has the reason
+	unanswered = append(unanswered, c.failOpenRequests()...) // after a failed write OnClose was not called
+	f.reportClose(transportConn, unanswered)
 }
 
-// reportEnd reports how a connection ended, with the ids of the requests that had no
-// answer by then. These fail as the connection ends; where that could not be written
-// though the peer did not break the connection, requests are lost.
-func (f *Frontend) reportEnd(c *transport.Conn, unanswered []string) {
-	end := c.End()
+// reportClose reports how a connection closed, with the IDs of the requests that had no
+// response. The peer was sent a fault for each of them. If queued bytes could not be written
+// although the connection did not fail on the peer's side, requests are lost, which violates
+// guard.LostRequest.
+func (f *Frontend) reportClose(c *transport.Conn, unanswered []string) {
+	info := c.CloseInfo()
 	if f.options.Observer != nil {
-		f.options.Observer.ConnectionEnded(end, len(unanswered))
+		f.options.Observer.ConnectionClosed(info, len(unanswered))
 	}
-	if end.Reason != transport.PeerFailed && len(unanswered) > 0 && end.UnsentBytes > 0 {
-		f.options.Monitor.Violated(guard.LostRequest, "peer", c.PeerAddr(), "reason", string(end.Reason))
+	if info.Reason != transport.PeerFailed && len(unanswered) > 0 && info.UnsentBytes > 0 {
+		f.options.Monitor.Violated(guard.LostRequest, "peer", c.PeerAddr(), "reason", string(info.Reason))
 	}
-	ctx, level := context.Background(), endLevel(end, len(unanswered))
+	ctx, level := context.Background(), closeLogLevel(info, len(unanswered))
 	if !f.options.Log.Enabled(ctx, level) {
 		return
 	}
 	errorText := ""
-	if end.Err != nil {
-		errorText = end.Err.Error()
+	if info.Err != nil {
+		errorText = info.Err.Error()
 	}
 	logged := unanswered[:min(len(unanswered), maxLoggedRequests)]
 	f.options.Log.Log(ctx, level, "connection_ended",
-		"reason", string(end.Reason),
+		"reason", string(info.Reason),
 		"error", errorText,
 		"peer", c.PeerAddr(),
 		"open_for", c.Age().Round(time.Millisecond).String(),
-		"since_active", end.SinceActive.Round(time.Millisecond).String(),
-		"messages", end.Messages,
+		"since_active", info.SinceActive.Round(time.Millisecond).String(),
+		"messages", info.Messages,
 		"unanswered", len(unanswered),
 		"requests", strings.Join(logged, ","),
-		"unsent_bytes", end.UnsentBytes,
-		"partial_bytes", end.PartialBytes,
-		"discarded_bytes", end.DiscardedBytes,
+		"unsent_bytes", info.UnsentBytes,
+		"partial_bytes", info.PartialBytes,
+		"discarded_bytes", info.DiscardedBytes,
 	)
 }
 
-// endLevel returns the level at which a connection's end is logged: debug where nothing was
-// lost or the peer never sent a valid message, info where the peer ended the connection,
-// else warn.
-func endLevel(end transport.Ending, unanswered int) slog.Level {
-	lostNothing := unanswered == 0 && end.PartialBytes == 0 && end.DiscardedBytes == 0 && end.UnsentBytes == 0
-	neverValid := end.Reason == transport.BadMessage && end.Messages == 0
+// closeLogLevel returns the level at which the close of a connection is logged: debug if
+// nothing was lost or if the peer sent an invalid message and no valid one, info if the peer
+// closed the connection or it failed on the peer's side, else warn.
+func closeLogLevel(info transport.CloseInfo, unanswered int) slog.Level {
+	lostNothing := unanswered == 0 && info.PartialBytes == 0 && info.DiscardedBytes == 0 && info.UnsentBytes == 0
+	neverValid := info.Reason == transport.BadMessage && info.Messages == 0
 	switch {
 	case lostNothing, neverValid:
 		return slog.LevelDebug
-	case end.Reason == transport.PeerClosed, end.Reason == transport.PeerFailed:
+	case info.Reason == transport.PeerClosed, info.Reason == transport.PeerFailed:
 		return slog.LevelInfo
 	}
 	return slog.LevelWarn
 }
 
-// NotifyDraining has all peers, those to come included, send no new requests here.
+// NotifyDraining notifies all peers, also those of new connections, to send no new request on
+// their connections.
 func (f *Frontend) NotifyDraining() {
 	f.draining.Store(true)
 	f.connections.Each(func(c *connection) { c.notifyOrClose(noticePeriod) })
 }
 
-// Drain ends all connections, those to come included, each once nothing is pending on it,
-// at the latest at a time.
-func (f *Frontend) Drain(by time.Time) {
-	f.drainBy.Store(&by)
-	f.connections.Each(func(c *connection) { c.conn.Drain(by) })
+// Drain closes all connections, also new ones, as soon as nothing is pending on them, at the
+// latest at the deadline.
+func (f *Frontend) Drain(deadline time.Time) {
+	f.drainDeadline.Store(&deadline)
+	f.connections.Each(func(c *connection) { c.conn.Drain(deadline) })
 }
 
-// PendingConns counts the connections that have not ended.
+// PendingConns returns the number of connections that still read messages or have bytes to
+// write.
 func (f *Frontend) PendingConns() int {
-	return f.connections.Count(func(c *connection) bool { return !c.conn.Ended() })
+	return f.connections.Count(func(c *connection) bool { return !c.conn.Finished() })
 }
 
-// EndGrace has each connection mark what has arrived by now: the grace of a drain is over,
-// and the core sheds requests that arrive later.
+// EndGrace is called when the grace period of a drain is over. It makes all connections read
+// the bytes that have arrived by now, so that the core can shed requests that arrive later.
 func (f *Frontend) EndGrace() {
-	f.connections.Each(func(c *connection) { c.conn.Mark() })
+	f.connections.Each(func(c *connection) { c.conn.ReadAvailable() })
 }
 
-// CloseIdle notifies the peers of connections that have idled for a time, and closes
-// those whose peers were notified before.
-func (f *Frontend) CloseIdle(after time.Duration) {
+// CloseIdle notifies the peers of connections that have been idle for longer than timeout,
+// and closes the idle connections whose peers were notified more than noticePeriod ago.
+func (f *Frontend) CloseIdle(timeout time.Duration) {
 	f.connections.Each(func(c *connection) {
-		if c.isNotified() || c.isIdle(after) {
+		if c.isNotified() || c.isIdle(timeout) {
 			c.notifyOrClose(noticePeriod)
 		}
 	})
 }
 
-// MakeRoom has connections end near the limit: those without any message, and for each
-// newcomer one of those that have idled longest, as some callers send one request and never
-// close their connection. Only the accepting goroutine may call it.
-func (f *Frontend) MakeRoom() {
-	f.newcomers++
-	if time.Since(f.roomMadeAt) < makeRoomInterval {
+// ReclaimConnections frees connections when their number is near the limit. It notifies, and
+// later closes, connections without any message, and for each connection accepted since the
+// last time the one that has been idle longest, because some callers send one request and
+// never close their connection. Only the goroutine that accepts connections may call it.
+func (f *Frontend) ReclaimConnections() {
+	f.acceptedSinceReclaim++
+	if time.Since(f.lastReclaim) < reclaimInterval {
 		return
 	}
-	idle := f.endSilent()
+	idle := f.reclaimSilent()
 	slices.SortFunc(idle, func(a, b *connection) int {
-		return a.conn.IdleSince().Compare(b.conn.IdleSince())
+		return a.conn.LastActive().Compare(b.conn.LastActive())
 	})
-	for _, c := range idle[:min(f.newcomers, len(idle))] {
-		c.notifyOrClose(noticePeriodWhenFull)
+	for _, c := range idle[:min(f.acceptedSinceReclaim, len(idle))] {
+		c.notifyOrClose(noticePeriodNearLimit)
 	}
-	f.newcomers, f.roomMadeAt = 0, time.Now()
+	f.acceptedSinceReclaim, f.lastReclaim = 0, time.Now()
 }
 
-// endSilent notifies the peers that have not sent a message, goes on with ending the
-// connections whose peers were notified before, and returns the other idle connections.
-func (f *Frontend) endSilent() (idle []*connection) {
+// reclaimSilent notifies the peers that have sent no message, closes the idle connections
+// whose notice period is over, and returns the other idle connections.
+func (f *Frontend) reclaimSilent() (idle []*connection) {
 	f.connections.Each(func(c *connection) {
 		switch {
 		case c.isNotified():
-			c.notifyOrClose(noticePeriodWhenFull)
+			c.notifyOrClose(noticePeriodNearLimit)
 		case !c.conn.ReceivedMessage():
-			if c.isIdle(silentTimeout) {
-				c.notifyOrClose(noticePeriodWhenFull)
+			if c.isIdle(silentTimeoutNearLimit) {
+				c.notifyOrClose(noticePeriodNearLimit)
 			}
-		case c.isIdle(idleTimeoutWhenFull):
+		case c.isIdle(idleTimeoutNearLimit):
 			idle = append(idle, c)
 		}
 	})
--- a/frontend/thrift/model_test.go
+++ b/frontend/thrift/model_test.go
@@ -13,23 +13,23 @@
 	protocol "quincerail.example/quincerail/protocol/thrift"
 )
 
-// connectionModel is what a balancer knows of its connection.
+// connectionModel models a connection as its balancer sees it.
 type connectionModel struct {
-	t     *testing.T
-	steps *randomsteps.Source
-	front *Frontend
+	t        *testing.T
+	steps    *randomsteps.Source
+	frontend *Frontend
 
 	caller  *frontendtest.Caller
-	ended   <-chan struct{}
-	replies <-chan map[int32]int // by sequence number, once the connection has ended
-
-	seq       int32
-	owed      map[int32]bool // calls that get one reply
-	cancelled map[int32]bool // of them, those that may get none
-	hanging   int            // calls whose runs don't end
-	notified  bool
-	over      bool // the connection has ended
-	silent    bool // nothing was sent
+	served  <-chan struct{}      // closed when the frontend's Serve returns
+	replies <-chan map[int32]int // receives the number of replies by sequence number when the connection has closed
+
+	seq       int32          // of the last call
+	calls     map[int32]bool // calls sent, each of which gets one reply
+	cancelled map[int32]bool // calls that may get no reply
+	hanging   int            // calls whose runs do not complete
+	notified  bool           // the peer was notified to send no new request
+	closed    bool           // the connection has closed
+	silent    bool           // the balancer has sent nothing
 	openedAt  time.Time
 }
 
@@ -39,30 +39,31 @@
 	modelSteps      = 6
 )
 
-// FuzzConnection checks a balancer's connection against a model: silent, open with
-// calls that wait or were cancelled, notified, and ended, by the front's own choice only
-// if the peer was notified before or silent for too long, or by a broken sequence. Each
-// call has one reply; one that was cancelled may have none.
+// FuzzConnection checks a connection from a balancer against a model. The connection may be
+// silent, have pending or cancelled calls, or be notified. The frontend may close it only if
+// the peer was notified before or was silent for too long, or if a sequence number is wrong.
+// Each call must get one reply; a cancelled one may get none.
 func FuzzConnection(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, steps *randomsteps.Source) {
-		front := newFrontend(frontendtest.NewBackend(t))
-		caller, ended := frontendtest.Dial(front.Serve)
+		frontend := newFrontend(frontendtest.NewBackend(t))
+		caller, served := frontendtest.Dial(frontend.Serve)
 		m := &connectionModel{
-			t: t, steps: steps, front: front, caller: caller, ended: ended, replies: countReplies(caller),
-			owed: make(map[int32]bool), cancelled: make(map[int32]bool), silent: true, openedAt: time.Now(),
+			t: t, steps: steps, frontend: frontend, caller: caller, served: served, replies: countReplies(caller),
+			calls: make(map[int32]bool), cancelled: make(map[int32]bool), silent: true, openedAt: time.Now(),
 		}
-		for steps.More() && m.seq < maxModelCalls && !m.over {
+		for steps.More() && m.seq < maxModelCalls && !m.closed {
 			m.step()
 		}
-		if !m.over && !m.silent {
+		if !m.closed && !m.silent {
 			m.breakSequence()
 		}
-		<-ended
+		<-served
 		m.checkReplies(<-m.replies)
 	})
 }
 
-// countReplies reads replies until the connection ends.
+// countReplies reads replies until the connection closes. The channel then receives their
+// number by sequence number.
 func countReplies(caller *frontendtest.Caller) <-chan map[int32]int {
 	result := make(chan map[int32]int, 1)
 	go func() {
@@ -79,6 +80,7 @@
 	return result
 }
 
+// step performs one random step.
 func (m *connectionModel) step() {
 	step := m.steps.Pick(modelSteps)
 	m.silent = m.silent && step == 5
@@ -98,7 +100,7 @@
 	}
 }
 
-// fields are those of the next call.
+// fields returns valid fields for the next call.
 func (m *connectionModel) fields(class string) map[string]string {
 	return map[string]string{
 		protocol.FieldClass:          class,
@@ -109,15 +111,15 @@
 	}
 }
 
-// call sends a call with the next number.
+// call sends a call, whose message has the next sequence number.
 func (m *connectionModel) call(message []byte) {
 	m.seq++
-	m.owed[m.seq] = true
+	m.calls[m.seq] = true
 	m.send(message)
 }
 
-// callThatHangs sends a call whose run does not end, or, after some of these, one of an
-// unknown class.
+// callThatHangs sends a call whose run does not complete. After maxHangingCalls of them it
+// sends a call with an unknown class instead.
 func (m *connectionModel) callThatHangs() {
 	if m.hanging >= maxHangingCalls {
 		m.call(fakes.AppendExecute(nil, m.seq+1, m.fields("okänd"), nil))
@@ -127,46 +129,49 @@
 	m.call(fakes.AppendExecute(nil, m.seq+1, m.fields("givarhistorik"), []byte(frontendtest.HangingBody)))
 }
 
+// send sends a message and waits until the frontend has handled it.
 func (m *connectionModel) send(message []byte) {
 	m.caller.Send(message)
 	synctest.Wait()
 }
 
-// waitAndDrain has the front notify the peer after a while.
+// waitAndDrain calls NotifyDraining after a random time, and checks whether the connection
+// was allowed to close before.
 func (m *connectionModel) waitAndDrain() {
 	time.Sleep(time.Duration(m.steps.Pick(30)) * 100 * time.Millisecond)
-	m.front.NotifyDraining()
+	m.frontend.NotifyDraining()
 	synctest.Wait()
 	select {
-	case <-m.ended:
-		m.over = true
+	case <-m.served:
+		m.closed = true
 		silentForTooLong := m.silent && time.Since(m.openedAt) >= firstMessageTimeout
 		if !m.notified && !silentForTooLong {
-			m.t.Error("it ended before the peer was notified")
+			m.t.Error("the connection closed before the peer was notified")
 		}
 	default:
 		m.notified = true
 	}
 }
 
-// breakSequence ends the connection, beyond the class's deadline, by a number that came
-// before or one that is left out.
+// breakSequence waits for the deadline of the class and sends two calls, the second with a
+// sequence number that was used before or that skips one.
 func (m *connectionModel) breakSequence() {
 	time.Sleep(5 * time.Second)
 	m.call(fakes.AppendCheck(nil, m.seq+1, false))
 	m.send(fakes.AppendCheck(nil, m.seq+int32(2*m.steps.Pick(2)), false))
 }
 
+// checkReplies checks the number of replies to each call.
 func (m *connectionModel) checkReplies(replies map[int32]int) {
 	delete(replies, 0) // the notification
-	for seq := range m.owed {
+	for seq := range m.calls {
 		got := replies[seq]
 		if got != 1 && (got != 0 || !m.cancelled[seq]) {
-			m.t.Errorf("call %d: %d replies", seq, got)
+			m.t.Errorf("call %d got %d replies, want 1 (cancelled: %t)", seq, got, m.cancelled[seq])
 		}
 		delete(replies, seq)
 	}
 	if len(replies) > 0 {
-		m.t.Errorf("replies to nothing: %v", replies)
+		m.t.Errorf("replies to sequence numbers that were not sent: %v", replies)
 	}
 }
--- a/frontend/thrift/request.go
+++ b/frontend/thrift/request.go
@@ -11,25 +11,25 @@
 	protocol "quincerail.example/quincerail/protocol/thrift"
 )
 
-// The bounds of a request's fields.
+// Bounds of request fields.
 const (
-	maxClockSkew    = 5 * time.Second     // how far a caller's clock may be ahead of this one
-	maxTimeoutMS    = 24 * 60 * 60 * 1000 // longer timeouts are cut to it; every class's deadline is shorter
-	maxReservedKB   = 2000                // exclusive
-	attemptIDDigits = 16                  // in hex
+	maxClockSkew    = 5 * time.Second     // how far the clock of a caller may be ahead of this process's clock
+	maxTimeoutMS    = 24 * 60 * 60 * 1000 // longer timeouts are reduced to it; the deadline of every class is shorter
+	maxReservedKB   = 2000                // exclusive bound
+	attemptIDDigits = 16                  // hexadecimal
 )
 
-// FieldError reports that a field of a request makes no sense.
+// FieldError reports a field of a request with a missing or invalid value.
 type FieldError struct {
-	Field string // its key on the wire
+	Field string // the key of the field on the wire
 	Value string
 }
 
-// Error returns the key and the value.
+// Error implements error. The text is sent to the peer.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s %q", e.Field, e.Value) }
 
-// parseRequest reads the fields of a call. The error is the message's own, or a
-// *FieldError.
+// parseRequest returns the request of an execute call. The error is m.Err if the message has
+// one, else a *FieldError.
 func (c *connection) parseRequest(m *protocol.Message) (dispatch.Request, error) {
 	if m.Err != nil {
 		return dispatch.Request{}, m.Err
@@ -62,21 +62,21 @@
 	return &FieldError{Field: key, Value: fields[key]}
 }
 
-// parseArrival returns when the request reached the machine, in this process's time.
+// parseArrival returns when the request arrived at the machine, on this process's clock.
 func (c *connection) parseArrival(fields map[string]string) (time.Time, error) {
 	unixMS, err := strconv.ParseInt(fields[protocol.FieldArrivedAt], 10, 64)
 	if err != nil || unixMS < 0 {
 		return time.Time{}, fieldError(fields, protocol.FieldArrivedAt)
 	}
-	timeline := c.core.Clock()
-	arrived := timeline.Received(time.UnixMilli(unixMS))
-	if arrived-timeline.Now() > maxClockSkew {
+	clock := c.core.Clock()
+	arrived := clock.Received(time.UnixMilli(unixMS))
+	if arrived-clock.Now() > maxClockSkew {
 		return time.Time{}, fieldError(fields, protocol.FieldArrivedAt)
 	}
-	return timeline.Time(arrived), nil
+	return clock.Time(arrived), nil
 }
 
-// parseNumbers reads the fields that are numbers. The request's arrival must be set.
+// parseNumbers sets the numeric fields of the request. ArrivedAt must be set before.
 func parseNumbers(fields map[string]string, request *dispatch.Request) (err error) {
 	request.ReservedKB, err = strconv.ParseFloat(fields[protocol.FieldReservedMemory], 64)
 	if err != nil || !(request.ReservedKB > 0 && request.ReservedKB < maxReservedKB) {
@@ -94,14 +94,14 @@
 	return err
 }
 
-// parseDeadline returns when the caller stops waiting, zero where it does not say: the
-// class's deadline holds then, as it does where the caller claims to wait longer.
+// parseDeadline returns when the caller stops waiting, or zero if the message does not say.
+// The deadline of the class applies if it is earlier or if this one is zero.
 func parseDeadline(arrivedAt time.Time, fields map[string]string) (time.Time, error) {
-	text := fields[protocol.FieldTimeout]
-	if text == "" {
+	timeout := fields[protocol.FieldTimeout]
+	if timeout == "" {
 		return time.Time{}, nil
 	}
-	ms, err := strconv.ParseFloat(text, 64)
+	ms, err := strconv.ParseFloat(timeout, 64)
 	if err != nil || !(ms >= 0) || math.IsInf(ms, 0) {
 		return time.Time{}, fieldError(fields, protocol.FieldTimeout)
 	}
@@ -116,8 +116,8 @@
 	return err == nil && len(id) == attemptIDDigits
 }
 
-// classify returns a request's class and idempotency key: by the operator's rules if one
-// of them takes it, else by its fields.
+// classify returns the class and the idempotency key of a request: those of the first
+// matching operator rule, else those in the message's fields.
 func (c *connection) classify(m *protocol.Message) (class, key string) {
 	if set := c.rules.Load(); set != nil {
 		if result, ok := set.Classify(match.FromFields(m.Fields, m.Body)); ok {
--- a/frontend/thrift/sequence.go
+++ b/frontend/thrift/sequence.go
@@ -1,36 +1,37 @@
 package thrift
 
-// sequenceOrder is how the sequence number of a call follows those before it.
+// sequenceOrder classifies the sequence number of a call relative to earlier ones.
 type sequenceOrder int
 
 const (
-	inOrder    sequenceOrder = iota // the next number, or one that an earlier call left out
-	outOfOrder                      // numbers before it are missing, or it is out of bounds
-	duplicate                       // it was used before: an answer would be the second to one number
+	inOrder    sequenceOrder = iota // the next number, or one that earlier calls skipped
+	outOfOrder                      // earlier numbers are missing, or the number is out of range
+	duplicate                       // the number was used before, so a reply would be the second one with it
 )
 
-// sequenceWindow is how many of the last numbers a sequence remembers, and how far a call may
-// be ahead of them: the bits of sequence.received.
+// sequenceWindow is the number of latest sequence numbers that are remembered, and the most
+// that a call may be ahead of the highest one. It is the number of bits of
+// sequenceTracker.received.
 const sequenceWindow = 64
 
-// sequence tracks the sequence numbers of the calls on one connection, which start at 1 and
-// count up. Its zero value is ready for use.
-type sequence struct {
-	highest       int32  // of the calls
+// sequenceTracker checks the sequenceTracker numbers of the calls on one connection, which start at
+// 1 and increase by 1. The zero value is ready for use.
+type sequenceTracker struct {
+	highest       int32  // highest number of a call
 	received      uint64 // bit i is set if highest-i was received
-	highestOneway int32  // of the oneway messages that continued the count; may be below highest
+	highestOneway int32  // highest number of a oneway message that continued the count; may be below highest
 }
 
-// oneway takes the number of a oneway message. Some peers count these along with the calls,
-// others don't: both are in order.
-func (s *sequence) oneway(number int32) {
+// recordOneway records the number of a recordOneway message. Some peers number these messages
+// together with the calls and others do not; both are accepted.
+func (s *sequenceTracker) recordOneway(number int32) {
 	if number == max(s.highest, s.highestOneway)+1 {
 		s.highestOneway = number
 	}
 }
 
-// call takes the number of a call, and returns how it follows.
-func (s *sequence) call(number int32) sequenceOrder {
+// recordCall records the number of a recordCall and returns its order.
+func (s *sequenceTracker) recordCall(number int32) sequenceOrder {
 	ahead := int64(number) - int64(s.highest)
 	switch {
 	case ahead > sequenceWindow, number < 1:
@@ -44,8 +45,8 @@
 	return inOrder
 }
 
-// advance takes a number that is ahead of the highest one. Those in between may still come.
-func (s *sequence) advance(number int32, ahead int64) sequenceOrder {
+// advance records a number above the highest one. The numbers in between may still arrive.
+func (s *sequenceTracker) advance(number int32, ahead int64) sequenceOrder {
 	followsOneway := s.highestOneway > s.highest && number == s.highestOneway+1
 	s.highest = number
 	s.received = s.received<<ahead | 1
--- a/frontend/uwsgi/connection.go
+++ b/frontend/uwsgi/connection.go
@@ -16,39 +16,39 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// connection is one connection and its request. It implements dispatch.Responder.
+// connection is one connection with its request. It implements dispatch.Responder.
 type connection struct {
 	frontend *Frontend
 	conn     *transport.Conn
-	decoder  protocol.Decoder // used by the connection's goroutine alone
+	decoder  protocol.Decoder // used only by the goroutine that serves the connection
 
 	mu        sync.Mutex
 	requestID string // "" until the request is read
-	closing   bool   // the connection ends once what is queued is written
-	graceOver bool   // the grace of a drain is over: a request that is not read in time is rejected
+	closing   bool   // the connection closes once all queued bytes are written
+	graceOver bool   // the grace period of a drain is over: a request that is not read in time is rejected
 }
 
-// step reads the request and submits it.
-func (c *connection) step(r *bufio.Reader) error {
+// handleNext reads the request and submits it. It is the handler for transport.Conn.Serve.
+func (c *connection) handleNext(r *bufio.Reader) error {
 	c.mu.Lock()
-	awaitingAnswer, graceOver := c.requestID != "" || c.closing, c.graceOver
+	requestRead, graceOver := c.requestID != "" || c.closing, c.graceOver
 	c.mu.Unlock()
-	if awaitingAnswer {
+	if requestRead {
 		return discard(r)
 	}
 	request, err := c.decoder.Read(r)
 	if err != nil {
-		return c.fail(err, graceOver)
+		return c.respondToReadError(err, graceOver)
 	}
 	if request.Modifier1 == protocol.ModifierPing {
-		c.ping()
+		c.respondToPing()
 	} else {
-		c.take(request)
+		c.submit(request)
 	}
 	return nil
 }
 
-// discard reads what comes after the request until the connection ends.
+// discard reads and discards bytes after the request until the connection closes.
 func discard(r *bufio.Reader) error {
 	if _, err := r.Peek(1); err != nil {
 		return err
@@ -57,16 +57,16 @@
 	return err
 }
 
-// fail responds to a request that could not be read. It returns the error where no response
-// is due: no byte of the request has arrived, or the connection itself has failed or was only
-// interrupted.
-func (c *connection) fail(err error, graceOver bool) error {
+// respondToReadError responds to a request that could not be read. It returns err if there is
+// no response to send: the connection has failed, the read was only interrupted, or no byte
+// of the request has arrived.
+func (c *connection) respondToReadError(err error, graceOver bool) error {
 	switch {
 	case errors.Is(err, protocol.ErrMalformed):
 		c.respond(http.StatusBadRequest)
 	case errors.Is(err, protocol.ErrTooLarge):
 		c.respond(http.StatusRequestEntityTooLarge)
-	case !errors.Is(err, os.ErrDeadlineExceeded) || !c.conn.Expired() || !c.decoder.Started():
+	case !errors.Is(err, os.ErrDeadlineExceeded) || !c.conn.ReadDeadlineExceeded() || !c.decoder.Started():
 		return err
 	case graceOver:
 		c.reject(0)
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// ping answers a ping if the server is healthy.
-func (c *connection) ping() {
+// respondToPing sends a pong if the server is healthy, and closes the connection.
+func (c *connection) respondToPing() {
 	c.checkHealth(func(healthy bool) {
 		if healthy {
 			c.conn.Send(protocol.AppendPong(nil))
@@ -86,20 +86,20 @@
 	})
 }
 
-// checkHealth calls reply once with the server's health. If the core has stopped it never
-// does, as the process ends then.
-func (c *connection) checkHealth(reply func(healthy bool)) {
-	_ = c.frontend.core.CheckHealth(false, reply)
+// checkHealth calls respond once with the health of the server. It never calls respond if the
+// core has stopped, because the process then exits.
+func (c *connection) checkHealth(respond func(healthy bool)) {
+	_ = c.frontend.core.CheckHealth(false, respond)
 }
 
-// take submits a request. The protocol has no arrival time: a request counts as arrived when
-// its last byte is read.
-func (c *connection) take(r *protocol.Request) {
+// submit submits a request. The protocol has no arrival time, so the request's arrival is the
+// time at which its last byte was read.
+func (c *connection) submit(r *protocol.Request) {
 	config, path := c.frontend.config.Load(), requestPath(r)
 	id := dispatch.NewID()
 	c.mu.Lock()
 	c.requestID = id
-	c.conn.SetReadDeadline(time.Time{}) // from here on the core answers by the request's deadline
+	c.conn.SetReadDeadline(time.Time{}) // from here on the core responds by the request's deadline
 	c.mu.Unlock()
 	if config.HealthPath != "" && path == config.HealthPath {
 		c.respondHealth()
@@ -123,7 +123,7 @@
 		Backend:    c.frontend.backend,
 		Responder:  c,
 	})
-	if err != nil { // a keyed class without its key
+	if err != nil { // the class requires an idempotency key and the request has none
 		c.respond(http.StatusBadRequest)
 	}
 }
@@ -138,7 +138,8 @@
 	})
 }
 
-// requestPath returns the path without a query: PATH_INFO, or else that of REQUEST_URI.
+// requestPath returns PATH_INFO, or the path of REQUEST_URI without the query if PATH_INFO is
+// empty.
 func requestPath(r *protocol.Request) string {
 	if path := r.Get(variablePath); path != "" {
 		return path
@@ -147,7 +148,7 @@
 	return path
 }
 
-// requestPayload returns what the backend gets, and its size in bytes.
+// requestPayload returns the payload for the backend, and its size in bytes.
 func requestPayload(r *protocol.Request) (payload dispatch.Payload, size int) {
 	payload, size = dispatch.Payload{Body: r.Body}, len(r.Body)
 	for _, v := range r.Vars {
@@ -157,8 +158,9 @@
 	return payload, size
 }
 
-// classify returns a request's class and idempotency key: by the operator's rules if one
-// of them takes it, else by the routes; false where none leads to a class.
+// classify returns the class and the idempotency key of a request: those of the first
+// matching operator rule, else those of the matching route. It returns false if neither
+// matches.
 func (f *Frontend) classify(r *protocol.Request, path string) (class, key string, ok bool) {
 	if set := f.rules.Load(); set != nil {
 		if result, ok := set.Classify(ruleRequest(r, path)); ok {
@@ -169,10 +171,10 @@
 	return route.Class, r.Get(route.KeyHeader), ok
 }
 
-// ruleRequest returns a request in the form that the operator's rules read.
+// ruleRequest returns a request in the form that operator rules evaluate.
 func ruleRequest(r *protocol.Request, path string) match.Request {
 	request := match.Request{
-		Front:   frontName,
+		Front:   frontendName,
 		Method:  r.Get(variableMethod),
 		Path:    path,
 		Headers: make(map[string]string, len(r.Vars)),
@@ -207,13 +209,13 @@
 	return response
 }
 
-// reject responds that the request did not run, and after how long the caller may retry.
+// reject responds that the request did not run and when the caller may retry.
 func (c *connection) reject(retryAfter time.Duration) {
 	header := protocol.Var{Name: "Retry-After", Value: httpresult.RetryAfter(retryAfter)}
 	c.respond(http.StatusServiceUnavailable, header)
 }
 
-// respond sends a response of the front's own, whose body is the status's text.
+// respond sends a response of the frontend itself, with the text of the status as the body.
 func (c *connection) respond(status int, headers ...protocol.Var) {
 	headers = append(headers, protocol.Var{Name: "Content-Type", Value: "text/plain"})
 	c.send(protocol.Response{Status: status, Headers: headers, Body: []byte(http.StatusText(status) + "\n")})
@@ -224,7 +226,7 @@
 	c.close()
 }
 
-// close ends the connection once what is queued is written.
+// close closes the connection once all queued bytes are written.
 func (c *connection) close() {
 	c.mu.Lock()
 	c.closing = true
@@ -232,21 +234,22 @@
 	c.conn.Close()
 }
 
-// unansweredRequest returns the request that was submitted, if it has no answer.
+// unansweredRequest returns the ID of the request that was read, if it has no response.
 func (c *connection) unansweredRequest() (id string, unanswered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requestID, c.requestID != "" && !c.closing
 }
 
-// isPending reports whether the request was read and its answer is not written.
+// isPending reports whether the request was read and its response is not written.
 func (c *connection) isPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return (c.requestID != "" || c.closing) && !c.conn.Ended()
+	return (c.requestID != "" || c.closing) && !c.conn.Finished()
 }
 
-// endGrace gives a request that is not read yet requestTimeoutAfterGrace to arrive.
+// endGrace limits the time until a request that is not read yet must have arrived to
+// requestTimeoutAfterGrace.
 func (c *connection) endGrace() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/frontend/uwsgi/connection_test.go
+++ b/frontend/uwsgi/connection_test.go
@@ -15,6 +15,7 @@
 	protocol "quincerail.example/quincerail/protocol/uwsgi"
 )
 
+// newFrontend returns a frontend with the core of b, two routes, and a health path.
 func newFrontend(b *frontendtest.Backend) *Frontend {
 	const keyVariable = "HTTP_IDEMPOTENCY_KEY"
 	routes := describe.Routes{
@@ -27,15 +28,15 @@
 	})
 }
 
-// FuzzConnection checks a uwsgi connection against a model: nothing read, half
-// read, whole, answered. However a request is cut up, and whatever wakes the
-// connection, it has one response; half of it has one too when the grace of a
-// drain is over, and none of it has none.
+// FuzzConnection checks a uwsgi connection against a model: no byte of the request sent, a
+// part sent, all sent, response received. In whatever pieces a request is sent, and whatever
+// interrupts the reads, it gets one response. A part of a request also gets one after a
+// timeout or after the grace period of a drain. Without any byte there is no response.
 func FuzzConnection(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		b := frontendtest.NewBackend(t)
-		front := newFrontend(b)
-		caller, ended := frontendtest.Dial(front.Serve)
+		frontend := newFrontend(b)
+		caller, served := frontendtest.Dial(frontend.Serve)
 		packet, err := protocol.AppendRequest(nil, []protocol.Var{
 			{Name: "REQUEST_METHOD", Value: "POST"},
 			{Name: "PATH_INFO", Value: "/gavor"},
@@ -60,26 +61,26 @@
 				caller.Send(packet[sent : sent+n])
 				sent += n
 			case 2:
-				front.connections.Each(func(c *connection) { c.conn.Wake() })
+				frontend.connections.Each(func(c *connection) { c.conn.Wake() })
 			case 3:
 				graceOver = s.Pick(12) == 0
 			}
 			synctest.Wait()
 		}
 		if graceOver {
-			front.EndGrace()
+			frontend.EndGrace()
 		} else if sent < len(packet) {
 			time.Sleep(requestTimeout)
 		}
 		if got, want := <-status, wantStatus(sent, len(packet), graceOver); got != want {
-			t.Errorf("status %d with %d of %d bytes sent, grace over %t, want %d", got, sent, len(packet), graceOver, want)
+			t.Errorf("status = %d with %d of %d bytes sent and grace over = %t, want %d", got, sent, len(packet), graceOver, want)
 		}
 		caller.Disconnect()
-		<-ended
+		<-served
 	})
 }
 
-// wantStatus is the status that a request gets, 0 for none.
+// wantStatus returns the status that a request must get, or 0 for no response.
 func wantStatus(sentBytes, allBytes int, graceOver bool) int {
 	switch {
 	case sentBytes == 0:
@@ -92,8 +93,8 @@
 	return http.StatusOK
 }
 
-// TestStatuses has requests end in each way.
-func TestStatuses(t *testing.T) {
+// TestStatus_ByRequest checks the status of the response for each outcome of a request.
+func TestStatus_ByRequest(t *testing.T) {
 	vars := func(method, path, key string) []protocol.Var {
 		v := []protocol.Var{{Name: "REQUEST_METHOD", Value: method}, {Name: "PATH_INFO", Value: path}}
 		if key != "" {
@@ -101,7 +102,7 @@
 		}
 		return v
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		vars   []protocol.Var
 		body   string
@@ -111,41 +112,42 @@
 		{"served by URI", []protocol.Var{{Name: "REQUEST_METHOD", Value: "GET"}, {Name: "REQUEST_URI", Value: "/k/jul?x=1"}}, "", 200},
 		{"healthy", vars("GET", "/health", ""), "", 200},
 		{"no route", vars("GET", "/om", ""), "", 404},
-		{"no key", vars("POST", "/gavor", ""), "10 kr", 400},
-		{"too large", vars("POST", "/gavor", "k"), strings.Repeat("x", 65), 413},
-		{"out of time", vars("GET", "/k/jul", ""), frontendtest.HangingBody, 503}, // the module turns safe work away when its time is over
-		{"out of time", vars("POST", "/gavor", "k"), frontendtest.HangingBody, 504},
+		{"idempotency key missing", vars("POST", "/gavor", ""), "10 kr", 400},
+		{"body too large", vars("POST", "/gavor", "k"), strings.Repeat("x", 65), 413},
+		{"deadline passed, idempotent", vars("GET", "/k/jul", ""), frontendtest.HangingBody, 503}, // shed, because it is safe to retry
+		{"deadline passed, not idempotent", vars("POST", "/gavor", "k"), frontendtest.HangingBody, 504},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := frontendtest.NewBackend(t)
-				caller, ended := frontendtest.Dial(newFrontend(b).Serve)
-				packet, err := protocol.AppendRequest(nil, x.vars, []byte(x.body))
+				caller, served := frontendtest.Dial(newFrontend(b).Serve)
+				packet, err := protocol.AppendRequest(nil, test.vars, []byte(test.body))
 				if err != nil {
 					t.Fatal(err)
 				}
 				go caller.Send(packet)
 				resp, err := protocol.ReadResponse(bufio.NewReader(caller), "POST")
-				if err != nil || resp.Status != x.status {
-					t.Errorf("%+v, %v, want status %d", resp, err, x.status)
+				if err != nil || resp.Status != test.status {
+					t.Errorf("ReadResponse() = %+v, %v, want status %d", resp, err, test.status)
 				}
 				caller.Disconnect()
-				<-ended
+				<-served
 			})
 		})
 	}
 }
 
-func TestPing(t *testing.T) {
+// TestPing_GetsPong: a healthy server responds to a ping with a pong.
+func TestPing_GetsPong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := frontendtest.NewBackend(t)
-		caller, ended := frontendtest.Dial(newFrontend(b).Serve)
+		caller, served := frontendtest.Dial(newFrontend(b).Serve)
 		go caller.Send([]byte{protocol.ModifierPing, 0, 0, 0})
 		pong := make([]byte, 4)
 		if _, err := caller.Read(pong); err != nil || string(pong) != string(protocol.AppendPong(nil)) {
-			t.Errorf("%v, %v", pong, err)
+			t.Errorf("Read() = %v, %v, want a pong", pong, err)
 		}
 		caller.Disconnect()
-		<-ended
+		<-served
 	})
 }
--- a/frontend/uwsgi/frontend.go
+++ b/frontend/uwsgi/frontend.go
@@ -1,5 +1,5 @@
-// Package uwsgi is the front for web servers that speak the uwsgi protocol: it reads a
-// request for each connection, submits it to the core, and writes the outcome as an HTTP
+// Package uwsgi is the frontend for web servers that speak the uwsgi protocol. It reads one
+// request from each connection, submits it to the core, and writes the outcome as an HTTP
 // response.
 package uwsgi
 
@@ -16,38 +16,38 @@
 )
 
 const (
-	requestTimeout           = 10 * time.Second       // for a request to arrive
-	requestTimeoutAfterGrace = 100 * time.Millisecond // for the rest of a request, once the grace of a drain is over
-	requestOverheadKB        = 16                     // of memory that a request takes beside its size
-	frontName                = "uwsgi"                // in the operator's rules
-	noBalancer               = -1                     // dispatch.Request.Caller of requests that no balancer sent
+	requestTimeout           = 10 * time.Second       // until a request has arrived completely
+	requestTimeoutAfterGrace = 100 * time.Millisecond // until the rest of a request has arrived, after the grace period of a drain
+	requestOverheadKB        = 16                     // memory reserved for a request in addition to its size
+	frontendName             = "uwsgi"                // of this frontend in operator rules
+	noBalancer               = -1                     // dispatch.Request.Caller of requests that were not sent by a balancer
 	bytesPerKB               = 1024
 )
 
-// The variables of a request that the front reads.
+// CGI variables of a request that the frontend reads.
 const (
 	variableMethod = "REQUEST_METHOD"
 	variablePath   = "PATH_INFO"
 	variableURI    = "REQUEST_URI"
 )
 
-// Config is the part of the front's configuration that a reload may change.
+// Config is the part of the configuration that a reload may change.
 type Config struct {
 	Routes       *describe.Table
-	HealthPath   string // answered by the front itself; "" for none
-	MaxBodyBytes int    // of a request; connections keep the limit that they began with
+	HealthPath   string // path of health checks, which do not run as requests; "" for none
+	MaxBodyBytes int    // maximum size of a request body; a reload applies to new connections
 }
 
-// Options are what a Frontend is made of.
+// Options configure a Frontend.
 type Options struct {
 	Core    *dispatch.Core
-	Backend dispatch.Backend // where the requests run
-	Rules   *match.Rules     // the operator's; asked for a request's class and key first
+	Backend dispatch.Backend // runs the requests
+	Rules   *match.Rules     // operator rules, which take precedence over the routes
 	Config  Config
 }
 
-// Frontend serves web servers, one request a connection. Its methods may be called from
-// any goroutine.
+// Frontend serves the connections of web servers, each with one request. Its methods may be
+// called from any goroutine.
 type Frontend struct {
 	core        *dispatch.Core
 	backend     dispatch.Backend
@@ -56,18 +56,19 @@
 	connections frontend.ConnSet[*connection]
 }
 
-// New returns a front that has no connection yet.
+// New returns a frontend without connections.
 func New(options Options) *Frontend {
 	f := &Frontend{core: options.Core, backend: options.Backend, rules: options.Rules}
 	f.SetConfig(options.Config)
 	return f
 }
 
-// SetConfig puts a configuration in force for the requests to come.
+// SetConfig replaces the configuration for future requests. MaxBodyBytes applies only to new
+// connections.
 func (f *Frontend) SetConfig(config Config) { f.config.Store(&config) }
 
-// Serve serves one connection until it ends. If it ends before the answer, the core is
-// told that the caller has disconnected.
+// Serve serves one connection until it closes. If the request has no response then, Serve
+// reports to the core that the caller has disconnected.
 func (f *Frontend) Serve(transportConn *transport.Conn) {
 	c := &connection{
 		frontend: f,
@@ -77,25 +78,27 @@
 	f.connections.Add(c)
 	defer f.connections.Remove(c)
 	transportConn.SetReadDeadline(time.Now().Add(requestTimeout))
-	_ = transportConn.Serve(c.step) // a caller that is still connected has its response
+	_ = transportConn.Serve(c.handleNext) // a caller that is still connected has received its response
 	if id, unanswered := c.unansweredRequest(); unanswered {
 		f.core.CallerDisconnected(id, c)
 	}
 }
 
-// MakeRoom does nothing: no connection idles, as each has a request or requestTimeout to send
-// one.
-func (f *Frontend) MakeRoom() {}
+// ReclaimConnections does nothing: no connection is idle, because each one has a request or
+// must send one within requestTimeout.
+func (f *Frontend) ReclaimConnections() {}
 
-// NotifyDraining does nothing: a connection ends with its answer.
+// NotifyDraining does nothing: each connection closes after its response.
 func (f *Frontend) NotifyDraining() {}
 
-// Drain does nothing: a connection ends with its answer, which the core gives in time.
+// Drain does nothing: each connection closes after its response, which the core sends in time.
 func (f *Frontend) Drain(time.Time) {}
 
-// PendingConns counts the connections with a request whose answer is not written.
+// PendingConns returns the number of connections with a request whose response is not
+// written.
 func (f *Frontend) PendingConns() int { return f.connections.Count((*connection).isPending) }
 
-// EndGrace has requests rejected that are not read when the grace of a drain is over: by the
-// core those that arrive within requestTimeoutAfterGrace, by the front the others.
+// EndGrace is called when the grace period of a drain is over. It rejects the requests that
+// are not read by then. The core sheds those that arrive within requestTimeoutAfterGrace; the
+// frontend rejects the others.
 func (f *Frontend) EndGrace() { f.connections.Each((*connection).endGrace) }
--- a/internal/frontendtest/frontendtest.go
+++ b/internal/frontendtest/frontendtest.go
@@ -1,5 +1,5 @@
-// Package frontendtest has what the fronts' tests share: a core whose runs end at once,
-// and connections without a network.
+// Package frontendtest has helpers shared by the tests of the frontends: a backend with a
+// core, whose runs complete at once, and in-memory connections.
 package frontendtest
 
 import (
@@ -11,13 +11,15 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// HangingBody is the body of a request whose run ends only when it is cancelled.
+// HangingBody is the body of a request whose run completes only when it is cancelled.
 const HangingBody = "hang"
 
-// Backend is a backend whose runs end at once, but for those with HangingBody.
+// Backend is a fake dispatch.Backend. Its runs succeed at once and return the payload of the
+// request as the result, except for requests with HangingBody.
 type Backend struct{ Core *dispatch.Core }
 
-// NewBackend returns a backend with a core that uses it, until the test ends.
+// NewBackend returns a Backend with a core that uses it. The core is stopped when the test
+// ends.
 func NewBackend(t *testing.T) *Backend {
 	t.Helper()
 	b := &Backend{}
@@ -47,21 +49,21 @@
 // Caller is a caller's end of a connection.
 type Caller struct{ net.Conn }
 
-// Send writes bytes. That fails where the front has ended the connection, which a test
-// sees by what it reads.
+// Send writes p. It ignores errors: if the frontend has closed the connection, the test
+// notices when it reads.
 func (c *Caller) Send(p []byte) { _, _ = c.Write(p) }
 
-// Disconnect ends the connection.
+// Disconnect closes the connection.
 func (c *Caller) Disconnect() { _ = c.Close() }
 
-// Dial has a connection served. It returns the caller's end, and a channel that is closed
-// when serve returns.
-func Dial(serve func(*transport.Conn)) (caller *Caller, ended <-chan struct{}) {
-	near, far := net.Pipe()
+// Dial calls serve in a new goroutine with one end of an in-memory connection. It returns the
+// caller's end, and a channel that is closed when serve returns.
+func Dial(serve func(*transport.Conn)) (caller *Caller, served <-chan struct{}) {
+	local, remote := net.Pipe()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		serve(transport.NewConn(near))
+		serve(transport.NewConn(local))
 	}()
-	return &Caller{far}, done
+	return &Caller{remote}, done
 }
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -163,9 +163,9 @@
 	}
 }
 
-// ConnectionEnded counts a connection's end, with the number of requests on it that had
+// ConnectionClosed counts a closed connection, with the number of requests on it that had
 // no answer then.
-func (r *Recorder) ConnectionEnded(end transport.Ending, unanswered int) {
+func (r *Recorder) ConnectionClosed(end transport.CloseInfo, unanswered int) {
 	reason := string(end.Reason)
 	r.connectionsEnded.WithLabelValues(reason).Inc()
 	r.unansweredAtEnd.WithLabelValues(reason).Add(float64(unanswered))
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -35,7 +35,7 @@
 	r.ObserveResponse("page", dispatch.Served, 200*time.Millisecond, true)
 	r.ObserveResponse("gift", dispatch.Shed, 0, false)
 	monitor.Denied(guard.LateAnswer, errors.New("late"), "")
-	r.ConnectionEnded(transport.Ending{Reason: transport.Idle, PartialBytes: 2, DiscardedBytes: 3}, 4)
+	r.ConnectionClosed(transport.CloseInfo{Reason: transport.Idle, PartialBytes: 2, DiscardedBytes: 3}, 4)
 	got := scrape(t, r)
 	for _, line := range []string{
 		`quincerail_answers_total{class="page",kind="served"} 1`,
--- a/server/listeners.go
+++ b/server/listeners.go
@@ -44,7 +44,7 @@
 // front is what the server needs of a front.
 type front interface {
 	Serve(c *transport.Conn) // serves a connection until it ends
-	MakeRoom()               // has connections end near the limit
+	ReclaimConnections()     // has connections end near the limit
 	NotifyDraining()         // tells callers to use other servers
 	EndGrace()               // has requests rejected that have not arrived by now
 	Drain(by time.Time)      // ends connections once nothing is pending on them, at the latest at a time
@@ -87,7 +87,7 @@
 
 // addFront adds a front with its listener, on which nothing is accepted yet.
 func (s *Server) addFront(key string, l net.Listener, maxConns int, f front) {
-	server := transport.NewServer(l, maxConns, f.Serve, f.MakeRoom)
+	server := transport.NewServer(l, maxConns, f.Serve, f.ReclaimConnections)
 	server.OnAcceptFailures(func(last error, failures int) {
 		s.log.Warn("accept_failed", "listener", key, "failures", failures, "error", last.Error())
 	})
--- a/transport/bench_test.go
+++ b/transport/bench_test.go
@@ -7,24 +7,24 @@
 	"testing"
 )
 
-// BenchmarkConn measures a message and its response over a loopback socket.
+// BenchmarkConn measures the round trip of a message and its response over a loopback socket.
 func BenchmarkConn(b *testing.B) {
 	l, err := (&net.ListenConfig{}).Listen(b.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	far, err := (&net.Dialer{}).DialContext(b.Context(), "tcp", l.Addr().String())
+	remote, err := (&net.Dialer{}).DialContext(b.Context(), "tcp", l.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	near, err := l.Accept()
+	local, err := l.Accept()
 	if err != nil {
 		b.Fatal(err)
 	}
-	c, message, response := NewConn(near), []byte("one"), make([]byte, 3)
-	ended := make(chan error, 1)
+	c, message, response := NewConn(local), []byte("one"), make([]byte, 3)
+	served := make(chan error, 1)
 	go func() {
-		ended <- c.Serve(func(r *bufio.Reader) error {
+		served <- c.Serve(func(r *bufio.Reader) error {
 			m, err := r.Peek(len(message))
 			if err != nil {
 				return err
@@ -36,19 +36,19 @@
 	}()
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := far.Write(message); err != nil {
+		if _, err := remote.Write(message); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := io.ReadFull(far, response); err != nil {
+		if _, err := io.ReadFull(remote, response); err != nil {
 			b.Fatal(err)
 		}
 	}
 	b.StopTimer()
-	if err := far.Close(); err != nil {
+	if err := remote.Close(); err != nil {
 		b.Error(err)
 	}
-	if err := <-ended; err == nil {
-		b.Error("it ends before its peer")
+	if err := <-served; err == nil {
+		b.Error("Serve() = nil, want an error because the peer has closed")
 	}
 	if err := l.Close(); err != nil {
 		b.Error(err)
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -7,61 +7,62 @@
 	"time"
 )
 
-// The limits of one connection.
+// Limits of one connection.
 const (
-	// readBufferSize bounds a message: a step peeks at a complete one.
+	// readBufferSize bounds the size of a message, because a handler peeks at all of it.
 	readBufferSize = 16 << 10
 
-	// maxQueuedBytes bounds what a peer may leave unread before its connection is aborted.
+	// maxQueuedBytes bounds the bytes queued for a peer. Beyond it the connection is aborted.
 	maxQueuedBytes = 512 << 10
 
-	// defaultLingerTimeout bounds how long a half-closed connection waits for the peer to
-	// close its side.
+	// defaultLingerTimeout bounds how long a half-closed connection waits for its peer to
+	// close.
 	defaultLingerTimeout = 200 * time.Millisecond
 
-	// pendingCheckInterval is how often a connection whose deadline has passed looks
-	// whether its responses are still pending.
+	// pendingCheckInterval is how often a connection whose read deadline has passed checks
+	// whether responses are still pending.
 	pendingCheckInterval = 250 * time.Millisecond
 
-	// skippedMessageGrace is how long a connection on which bytes were skipped waits for a
-	// message before it closes.
-	skippedMessageGrace = 50 * time.Millisecond
+	// skippedMessageTimeout is how long a connection waits for a message after it has
+	// skipped bytes, before it closes.
+	skippedMessageTimeout = 50 * time.Millisecond
 )
 
 // Conn is a network connection served by one goroutine, the one that calls Serve. That
-// goroutine reads, and also writes what others queue: Send and the other requests interrupt
-// its read by a deadline in the past. All methods may be called from any goroutine, except
-// those that say otherwise.
+// goroutine reads messages and writes the bytes that other goroutines queue. Send, Close and
+// similar methods interrupt its read by setting a read deadline in the past. All methods may
+// be called from any goroutine unless their comment says otherwise.
 type Conn struct {
 	netConn   net.Conn
 	source    *source
 	reader    *bufio.Reader
 	createdAt time.Time
 
-	// Set before Serve and not changed by it.
-	stallTimeout     time.Duration        // how long a message may stand incomplete without a further byte; 0 for no limit
-	responsesPending func() bool          // nil where no response ever is
-	notifyPeer       func() time.Duration // nil where the peer is not notified
-	onClose          func(error)          // nil where nobody is told
+	// Set before Serve is called and constant from then on.
+	stallTimeout     time.Duration        // how long an incomplete message may go without another byte; 0 for no limit
+	responsesPending func() bool          // nil if responses are never pending
+	notifyPeer       func() time.Duration // nil if the peer is not notified
+	onClose          func(error)          // called when reading has ended; may be nil
 	lingerTimeout    time.Duration
 
-	// Used by the goroutine of Serve alone.
-	examined bool // the last read found the socket empty
-	ending   Ending
+	// Used only by the goroutine of Serve.
+	socketDrained bool // the last read found the socket empty
+	closeInfo     CloseInfo
 
 	mu              sync.Mutex
 	state           connState
-	request         connRequest
-	drainDeadline   time.Time // of requestDrain
+	command         connCommand
+	drainDeadline   time.Time // for commandDrain
 	sendQueue       []byte
-	aborted         bool      // ends without writing what is queued
+	aborted         bool      // closes without writing the queue
 	readDeadline    time.Time // zero for none
-	woken           bool      // the next read is interrupted
+	woken           bool      // the next read is to be interrupted
 	lastActive      time.Time // when a message was last read or queued
 	receivedMessage bool      // a complete message was read
 }
 
-// NewConn makes a Conn of a network connection. The caller must call Serve, which closes it.
+// NewConn returns a Conn for a network connection. The caller must call Serve, which closes
+// it.
 func NewConn(nc net.Conn) *Conn {
 	now := time.Now()
 	src := &source{netConn: nc, lastReadAt: now}
@@ -73,31 +74,33 @@
 	return c
 }
 
-// SetReceiveTimeouts sets how long the first message may take to begin, and for how long
-// any message may stand incomplete without a further byte. The connection is ended with
-// ReadTimeout after that, but not while pending reports that responses are still to be sent.
-// It must be called before Serve.
-func (c *Conn) SetReceiveTimeouts(begins, stalls time.Duration, pending func() bool) {
-	c.stallTimeout, c.responsesPending = stalls, pending
-	c.SetReadDeadline(time.Now().Add(begins))
+// SetReceiveTimeouts sets how long the peer may take to start its first message, and how
+// long an incomplete message may go without another byte. After these times the connection
+// closes with ReadTimeout, but not while pending reports that responses are still to be
+// sent. SetReceiveTimeouts must be called before Serve.
+func (c *Conn) SetReceiveTimeouts(firstMessage, stall time.Duration, pending func() bool) {
+	c.stallTimeout, c.responsesPending = stall, pending
+	c.SetReadDeadline(time.Now().Add(firstMessage))
 }
 
-// NotifyBeforeClose has f called before the connection is ended for idling. f may notify
-// the peer, once, that the connection is about to close; it returns for how long the peer
-// is still to be waited for. It must be called before Serve.
+// NotifyBeforeClose sets a function that is called, possibly repeatedly, before the
+// connection closes because it is idle. f may notify the peer once that the connection is
+// about to close. It returns how long the connection must still wait for the peer.
+// NotifyBeforeClose must be called before Serve.
 func (c *Conn) NotifyBeforeClose(f func() time.Duration) { c.notifyPeer = f }
 
-// OnClose has f called once no more messages are read and before the last write, with the
-// error that Serve will return: what f sends still goes out, if the peer reads. It must be
-// called before Serve.
+// OnClose sets a function that is called when reading has ended and before the last write,
+// with the error that ended reading, or nil. Bytes that f sends are still written if the
+// peer reads. f is not called if a write failed before. OnClose must be called before Serve.
 func (c *Conn) OnClose(f func(error)) { c.onClose = f }
 
-// Send queues bytes to be written. It never blocks, and reports false if the connection is
-// ending. A peer that leaves more than half a megabyte unread has its connection aborted.
+// Send queues bytes to be written. It never blocks. It returns false, and queues nothing, if
+// the connection is closing. If more than 512 KiB would be queued, because the peer does not
+// read, Send aborts the connection and returns false.
 func (c *Conn) Send(p []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state >= stateClosing || c.request == requestClose || c.aborted {
+	if c.state >= stateClosing || c.command == commandClose || c.aborted {
 		return false
 	}
 	if len(c.sendQueue)+len(p) > maxQueuedBytes {
@@ -110,50 +113,51 @@
 	return true
 }
 
-// Close ends the connection once everything that is queued is written.
+// Close closes the connection once all queued bytes are written.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requestLocked(requestClose)
+	c.setCommandLocked(commandClose)
 }
 
-// CloseIfIdle ends the connection if no part of a message has arrived and no response is
-// pending. A message that has arrived but was not read yet is read, and the connection goes
-// on, as it does with one of which a part was read.
+// CloseIfIdle closes the connection if no part of a message has arrived and no response is
+// pending. Otherwise the connection stays open. A message that has arrived and was not yet
+// read is read first, and also keeps the connection open.
 func (c *Conn) CloseIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requestLocked(requestCloseIfIdle)
+	c.setCommandLocked(commandCloseIfIdle)
 }
 
-// Drain ends the connection as soon as no response is pending and no part of a message has
-// arrived, and at the deadline in any case. Messages are read as before until then. Of
-// several deadlines the earliest holds.
+// Drain closes the connection as soon as no response is pending and no part of a message
+// has arrived, and at the deadline at the latest. Until then messages are read as before. If
+// Drain is called several times, the earliest deadline applies.
 func (c *Conn) Drain(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.request < requestDrain || deadline.Before(c.drainDeadline) {
+	if c.command < commandDrain || deadline.Before(c.drainDeadline) {
 		c.drainDeadline = deadline
 	}
-	c.requestLocked(requestDrain)
+	c.setCommandLocked(commandDrain)
 }
 
-// Abort ends the connection at once, without writing what is queued.
+// Abort closes the connection at once, without writing the queued bytes.
 func (c *Conn) Abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.abortLocked()
 }
 
-// Mark has everything read that has arrived by now. For a message that is still incomplete
-// after that read, ReadAfter returns a time that is not before the call of Mark.
-func (c *Conn) Mark() {
+// ReadAvailable makes the goroutine of Serve read all bytes that have arrived by now. If a
+// message is still incomplete after that read, ReadAfter later returns a time for it that is
+// not before the call of ReadAvailable.
+func (c *Conn) ReadAvailable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requestLocked(requestMark)
+	c.setCommandLocked(commandReadAvailable)
 }
 
-// Wake interrupts the read of the current step, which is then called again.
+// Wake interrupts the read of the current handler call. Serve then calls the handler again.
 func (c *Conn) Wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,61 +165,63 @@
 	c.interruptReadLocked()
 }
 
-// SetReadDeadline sets when the connection is ended with ReadTimeout if no complete message
-// was read and nothing forbids that; zero for never.
+// SetReadDeadline sets the time at which the connection closes with ReadTimeout if no
+// complete message was read by then and guard.MayClose allows it. Zero means no deadline.
 func (c *Conn) SetReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readDeadline = t
-	if len(c.sendQueue) == 0 && c.request == requestNone && !c.woken && c.state < stateHalfClosed {
-		c.applyReadDeadline(t)
+	if len(c.sendQueue) == 0 && c.command == commandNone && !c.woken && c.state < stateHalfClosed {
+		c.setSocketReadDeadline(t)
 	}
 }
 
-// ReceivedMessage reports whether a complete message was ever read.
+// ReceivedMessage reports whether a complete message has been read.
 func (c *Conn) ReceivedMessage() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.receivedMessage
 }
 
-// Ended reports whether no more messages are read and everything queued is written. The
-// socket may still be open: see stateHalfClosed.
-func (c *Conn) Ended() bool {
+// Finished reports whether the connection reads no more messages and has written all queued
+// bytes. The socket may still be open: see stateHalfClosed.
+func (c *Conn) Finished() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state >= stateHalfClosed
 }
 
-// Expired reports whether the read deadline has passed and the socket was found empty
-// after that. It may only be called within a step, to tell this time-out from a read that
-// was interrupted.
-func (c *Conn) Expired() bool {
+// ReadDeadlineExceeded reports whether the read deadline has passed and the socket was found
+// empty after that. It distinguishes this timeout from an interrupted read, and may only be
+// called by the handler.
+func (c *Conn) ReadDeadlineExceeded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return (c.source.nonBlocking || c.examined) && c.expiredLocked()
+	return (c.source.nonBlocking || c.socketDrained) && c.deadlinePassedLocked()
 }
 
-// ReadAfter returns a lower bound of the arrival of the message that the step has read: only
-// a part of the message had arrived by then. It is zero for a message that was read in one
-// piece, of which no lower bound is known. It may only be called within a step.
-func (c *Conn) ReadAfter() time.Time { return c.source.partReadAt }
+// ReadAfter returns a lower bound on the arrival time of the message that the handler has
+// read: the message was still incomplete at that time. It returns zero for a message that
+// was read in one piece, for which no lower bound is known. It may only be called by the
+// handler.
+func (c *Conn) ReadAfter() time.Time { return c.source.partialReadAt }
 
-// ReadBy returns an upper bound of the arrival of the message that the step has read: all of
-// the message had arrived by then. It may only be called within a step.
+// ReadBy returns an upper bound on the arrival time of the message that the handler has
+// read: the message was complete at that time. It may only be called by the handler.
 func (c *Conn) ReadBy() time.Time { return c.source.lastReadAt }
 
-// IdleSince returns when a message was last read or queued.
-func (c *Conn) IdleSince() time.Time {
+// LastActive returns when a message was last read or queued, or when the connection was
+// made if none was.
+func (c *Conn) LastActive() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastActive
 }
 
-// Age returns how long ago the connection was made.
+// Age returns the time since the connection was made.
 func (c *Conn) Age() time.Duration { return time.Since(c.createdAt) }
 
-// PeerAddr returns the peer's address, or "" where it has none.
+// PeerAddr returns the peer's address, or "" if it has none.
 func (c *Conn) PeerAddr() string {
 	if addr := c.netConn.RemoteAddr(); addr != nil {
 		return addr.String()
@@ -223,38 +229,39 @@
 	return ""
 }
 
-// requestLocked leaves a request for the goroutine of Serve. The lock is held.
-func (c *Conn) requestLocked(r connRequest) {
-	c.request = max(c.request, r)
+// setCommandLocked sets a command for the goroutine of Serve, unless one with a higher
+// precedence is set, and interrupts its read. The caller holds mu.
+func (c *Conn) setCommandLocked(command connCommand) {
+	c.command = max(c.command, command)
 	c.interruptReadLocked()
 }
 
-// abortLocked ends the connection at once. The close also ends a write that is blocked by
-// the peer's full window. The lock is held.
+// abortLocked closes the socket at once. That also ends a write that is blocked because the
+// peer's receive window is full. The caller holds mu.
 func (c *Conn) abortLocked() {
 	c.aborted = true
 	c.closeSocket()
 }
 
-// interruptReadLocked ends a read that is under way. This and the setting of the next
-// read's deadline are both done under the lock, so no interruption is lost. A half-closed
-// connection is not interrupted: its wait for the peer must not be cut short. The lock is
-// held.
+// interruptReadLocked interrupts a read in progress. The deadline of the next read is set
+// under the same lock, so no interruption is lost. A half-closed connection is not
+// interrupted, because it must wait for its peer until the linger timeout. The caller holds
+// mu.
 func (c *Conn) interruptReadLocked() {
 	if c.state < stateHalfClosed {
-		c.applyReadDeadline(time.Unix(1, 0))
+		c.setSocketReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// expiredLocked reports whether the read deadline has passed. The lock is held.
-func (c *Conn) expiredLocked() bool {
+// deadlinePassedLocked reports whether the read deadline has passed. The caller holds mu.
+func (c *Conn) deadlinePassedLocked() bool {
 	return !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline)
 }
 
-// applyReadDeadline sets the socket's deadline. That fails only on a closed socket, which
-// the next read reports.
-func (c *Conn) applyReadDeadline(t time.Time) { _ = c.netConn.SetReadDeadline(t) }
+// setSocketReadDeadline sets the read deadline of the socket. That fails only on a closed
+// socket, which the next read reports.
+func (c *Conn) setSocketReadDeadline(t time.Time) { _ = c.netConn.SetReadDeadline(t) }
 
-// closeSocket closes the socket. It may be closed already, and an error of the close tells
-// nothing that the read or write before has not.
+// closeSocket closes the socket, which may already be closed. It ignores the error, which
+// adds nothing to the errors of earlier reads and writes.
 func (c *Conn) closeSocket() { _ = c.netConn.Close() }
--- a/transport/conn_test.go
+++ b/transport/conn_test.go
@@ -15,27 +15,30 @@
 	"quincerail.example/quincerail/internal/randomsteps"
 )
 
-// peer is the other side of a connection, with what was received from it.
+// peer is the remote side of a connection under test.
 type peer struct {
 	net.Conn
 	conn     *Conn
-	received []byte // by the connection's steps
-	ended    chan error
+	received []byte     // the messages that conn's handler has read
+	served   chan error // the result of Serve
 
-	endedAt time.Time
+	servedAt time.Time // when Serve returned
 }
 
+// newIdlePeer returns the peer of a connection that is not served yet.
 func newIdlePeer() *peer {
-	near, far := net.Pipe()
-	return &peer{Conn: far, conn: NewConn(near), ended: make(chan error, 1)}
+	local, remote := net.Pipe()
+	return &peer{Conn: remote, conn: NewConn(local), served: make(chan error, 1)}
 }
 
+// newPeer returns the peer of a connection that is served.
 func newPeer() *peer {
 	p := newIdlePeer()
 	p.serve()
 	return p
 }
 
+// serve starts a goroutine that serves the connection.
 func (p *peer) serve() {
 	go func() {
 		err := p.conn.Serve(func(r *bufio.Reader) error {
@@ -43,14 +46,14 @@
 			p.received = append(p.received, m...)
 			return err
 		})
-		p.endedAt = time.Now()
-		p.ended <- err
+		p.servedAt = time.Now()
+		p.served <- err
 	}()
 }
 
-// FuzzConn checks a connection against a model: open, closing, closed. All that
-// was accepted for sending arrives in order, and all that arrived is read in order,
-// whatever interrupts what.
+// FuzzConn checks a connection against a model with the states open, closing and closed.
+// All bytes that Send accepted arrive in order, and all complete messages that arrived are
+// read in order, in whatever order reads, writes and interruptions occur.
 func FuzzConn(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		p := newPeer()
@@ -64,7 +67,7 @@
 			case 0:
 				m := bytes.Repeat([]byte{n}, 1+s.Pick(5))
 				if !p.conn.Send(m) {
-					t.Fatal("an open connection refuses to send")
+					t.Fatal("Send() = false on an open connection, want true")
 				}
 				sent = append(sent, m...)
 			case 1:
@@ -73,7 +76,7 @@
 					t.Fatal(err)
 				}
 				if _, err := p.Write(m); err != nil {
-					t.Fatalf("the peer can't write: %v", err)
+					t.Fatalf("the peer's Write failed: %v", err)
 				}
 				written = append(written, m...)
 			case 2:
@@ -87,23 +90,23 @@
 		synctest.Wait()
 		p.conn.Close()
 		if p.conn.Send([]byte("late")) {
-			t.Error("a closing connection accepts more")
+			t.Error("Send() = true after Close, want false")
 		}
-		if err := <-p.ended; err != nil {
-			t.Errorf("it ends with %v", err)
+		if err := <-p.served; err != nil {
+			t.Errorf("Serve() = %v after Close, want nil", err)
 		}
 		if got = <-received; !bytes.Equal(got, sent) {
-			t.Errorf("arrived %v, sent %v", got, sent)
+			t.Errorf("the peer received %v, want %v", got, sent)
 		}
 		if complete := written[:len(written)/frameSize*frameSize]; !bytes.Equal(p.received, complete) {
-			t.Errorf("received %v, written %v", p.received, complete)
+			t.Errorf("the connection received %v, want %v", p.received, complete)
 		}
 	})
 }
 
-// TestPeerNotReadingAborts guards the sender's memory and time against a peer that stops
-// reading.
-func TestPeerNotReadingAborts(t *testing.T) {
+// TestSend_AbortsWhenPeerStopsReading guards against a peer that stops reading and makes the
+// send queue grow without bound.
+func TestSend_AbortsWhenPeerStopsReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
 		closeLater(t, p)
@@ -113,31 +116,32 @@
 				accepted++
 			}
 		}
-		if most := maxQueuedBytes / 1024; accepted > 2*most { // one part may be on its way out
-			t.Errorf("%d kB were queued, %d at most", accepted, 2*most)
+		if most := maxQueuedBytes / 1024; accepted > 2*most { // one full queue may already be in a write
+			t.Errorf("Send accepted %d KiB, want at most %d KiB", accepted, 2*most)
 		}
-		if err := <-p.ended; err == nil {
-			t.Error("it ends without an error")
+		if err := <-p.served; err == nil {
+			t.Error("Serve() = nil, want an error because the peer does not read")
 		}
 	})
 }
 
-// TestSlowWriteEnds: a peer that reads nothing holds a write only so long.
-func TestSlowWriteEnds(t *testing.T) {
+// TestWrite_FailsAfterTimeout: a write to a peer that reads nothing fails within
+// writeTimeout.
+func TestWrite_FailsAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
 		closeLater(t, p)
 		began := time.Now()
 		p.conn.Send([]byte("unread"))
-		if err := <-p.ended; err == nil || time.Since(began) > writeTimeout {
-			t.Errorf("it ends with %v after %v", err, time.Since(began))
+		if err := <-p.served; err == nil || time.Since(began) > writeTimeout {
+			t.Errorf("Serve() = %v after %v, want an error within %v", err, time.Since(began), writeTimeout)
 		}
 	})
 }
 
-// TestCloseIfIdle guards against an end that loses a part of a message: it may be a request,
-// which must get a response once it is complete.
-func TestCloseIfIdle(t *testing.T) {
+// TestCloseIfIdle_KeepsPartialMessage guards against a close that loses a part of a message.
+// It may be a request, which must get a response once it is complete.
+func TestCloseIfIdle_KeepsPartialMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
 		closeLater(t, p)
@@ -147,43 +151,43 @@
 		write(t, p, "l")
 		synctest.Wait()
 		if string(p.received) != "hal" {
-			t.Fatalf("received %q", p.received)
+			t.Fatalf("received %q, want %q", p.received, "hal")
 		}
 		select {
-		case err := <-p.ended:
-			t.Fatalf("it ends with %v", err)
+		case err := <-p.served:
+			t.Fatalf("Serve() = %v after a partial message, want an open connection", err)
 		default:
 		}
 		p.conn.CloseIfIdle()
-		if err := <-p.ended; err != nil {
-			t.Errorf("it ends with %v", err)
+		if err := <-p.served; err != nil {
+			t.Errorf("Serve() = %v after CloseIfIdle, want nil", err)
 		}
 	})
 }
 
-// TestReadDeadline: the deadline ends a connection without messages, and Wake does not
-// extend it.
-func TestReadDeadline(t *testing.T) {
+// TestReadDeadline_NotExtendedByWake: the read deadline closes a connection without messages,
+// and Wake does not extend it.
+func TestReadDeadline_NotExtendedByWake(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer()
 		closeLater(t, p)
 		p.conn.SetReadDeadline(time.Now().Add(time.Second))
 		p.conn.Wake() // must not extend the deadline
-		err := <-p.ended
-		if !errors.Is(err, os.ErrDeadlineExceeded) || !p.conn.Expired() {
-			t.Errorf("it ends with %v", err)
+		err := <-p.served
+		if !errors.Is(err, os.ErrDeadlineExceeded) || !p.conn.ReadDeadlineExceeded() {
+			t.Errorf("Serve() = %v with ReadDeadlineExceeded() = %t, want %v with true", err, p.conn.ReadDeadlineExceeded(), os.ErrDeadlineExceeded)
 		}
 	})
 }
 
-// TestReceiveTimeouts guards the limit on connections against peers that send nothing, and
-// against messages that never end. A connection that has received a message may idle, and
-// pending responses still go out.
+// TestReceiveTimeouts guards against peers that hold connections open without sending a
+// message, or with a message that they never complete. A connection that has received a
+// message may stay idle, and pending responses are still sent.
 func TestReceiveTimeouts(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		sends   string
-		pending time.Duration // how long a response is
-		want    time.Duration // when it ends; 0: it stays open
+		pending time.Duration // how long a response is pending
+		want    time.Duration // when the connection closes; 0 if it stays open
 	}{
 		{"", 0, time.Second},
 		{"ha", 0, time.Second},
@@ -191,29 +195,29 @@
 		{"hal", 0, 0},
 		{"halha", 0, 4 * time.Second},
 	} {
-		t.Run(fmt.Sprint(x.sends, x.pending), func(t *testing.T) {
+		t.Run(fmt.Sprintf("sends=%q/pending=%v", test.sends, test.pending), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newIdlePeer()
 				closeLater(t, p)
 				began := time.Now()
-				p.conn.SetReceiveTimeouts(time.Second, time.Second, func() bool { return time.Since(began) < x.pending })
+				p.conn.SetReceiveTimeouts(time.Second, time.Second, func() bool { return time.Since(began) < test.pending })
 				p.serve()
-				complete := min(len(x.sends), frameSize)
-				write(t, p, x.sends[:complete])
+				complete := min(len(test.sends), frameSize)
+				write(t, p, test.sends[:complete])
 				synctest.Wait()
-				if complete == frameSize { // idle for longer than a message may take
+				if complete == frameSize { // stay idle for longer than the stall timeout
 					time.Sleep(3 * time.Second)
-					write(t, p, x.sends[complete:])
+					write(t, p, test.sends[complete:])
 				}
 				time.Sleep(10 * time.Second)
 				select {
-				case err := <-p.ended:
-					if took := p.endedAt.Sub(began); !errors.Is(err, os.ErrDeadlineExceeded) || took != x.want {
-						t.Errorf("it ends with %v after %v, want %v", err, took, x.want)
+				case err := <-p.served:
+					if took := p.servedAt.Sub(began); !errors.Is(err, os.ErrDeadlineExceeded) || took != test.want {
+						t.Errorf("Serve() = %v after %v, want %v after %v", err, took, os.ErrDeadlineExceeded, test.want)
 					}
 				default:
-					if x.want != 0 {
-						t.Error("it stays open")
+					if test.want != 0 {
+						t.Errorf("the connection stays open, want a close after %v", test.want)
 					}
 				}
 			})
--- a/transport/crossing_test.go
+++ b/transport/crossing_test.go
@@ -10,87 +10,89 @@
 	"time"
 )
 
-// TestEndCrossesMessage: a message arrives on an idle connection just as it is asked to end,
-// before the message is read. It is read and answered. After CloseIfIdle the connection
-// stays open then, after Drain it ends.
-func TestEndCrossesMessage(t *testing.T) {
-	for name, end := range map[string]func(*Conn){"CloseIfIdle": (*Conn).CloseIfIdle, "Drain": drainNow} {
+// TestClose_RespondsToUnreadMessage: a message has arrived on a connection and was not yet
+// read when CloseIfIdle or Drain is called. It must get its response. After that the
+// connection stays open for CloseIfIdle and closes for Drain.
+func TestClose_RespondsToUnreadMessage(t *testing.T) {
+	for name, closeConn := range map[string]func(*Conn){"CloseIfIdle": (*Conn).CloseIfIdle, "Drain": drainNow} {
 		t.Run(name, func(t *testing.T) {
-			g, c, far, serve := socketPair(t, func(c *Conn, m string) { c.Send([]byte("re " + m)) })
-			ended := serve() // its read waits at the gate
-			write(t, far, "one")
-			end(c)
+			g, c, remote, serve := socketPair(t, func(c *Conn, m string) { c.Send([]byte("re " + m)) })
+			served := serve() // the first read blocks at the gate
+			write(t, remote, "one")
+			closeConn(c)
 			close(g.gate)
-			read(t, far, "re one", name == "Drain")
+			read(t, remote, "re one", name == "Drain")
 			if name == "CloseIfIdle" {
-				write(t, far, "two")
-				read(t, far, "re two", false)
-				c.CloseIfIdle() // now it is idle
-				read(t, far, "", true)
+				write(t, remote, "two")
+				read(t, remote, "re two", false)
+				c.CloseIfIdle() // the connection is idle now
+				read(t, remote, "", true)
 			}
-			closeNow(t, far)
-			if err := <-ended; err != nil {
-				t.Errorf("it ends with %v", err)
+			closeNow(t, remote)
+			if err := <-served; err != nil {
+				t.Errorf("Serve() = %v, want nil", err)
 			}
 		})
 	}
 }
 
-// TestEndCrossesHalfMessage: half a message has arrived. CloseIfIdle gives it its time;
-// Drain at once does not, and the close over the rest of it destroys no response.
-func TestEndCrossesHalfMessage(t *testing.T) {
-	g, c, far, serve := socketPair(t, func(c *Conn, m string) { c.Send([]byte("re " + m)) })
-	ended := serve()
-	write(t, far, "oneha")
+// TestClose_PartialMessage: a part of a message has arrived. CloseIfIdle keeps the connection
+// open until the message is complete. Drain with a passed deadline does not, and reads the
+// rest of the message after the half-close so that no response is lost.
+func TestClose_PartialMessage(t *testing.T) {
+	g, c, remote, serve := socketPair(t, func(c *Conn, m string) { c.Send([]byte("re " + m)) })
+	served := serve()
+	write(t, remote, "oneha")
 	c.CloseIfIdle()
 	close(g.gate)
-	read(t, far, "re one", false)
-	write(t, far, "ltw")
-	read(t, far, "re hal", false)
+	read(t, remote, "re one", false)
+	write(t, remote, "ltw")
+	read(t, remote, "re hal", false)
 	c.Drain(time.Now())
-	read(t, far, "", true)
-	write(t, far, "o and more that nobody takes")
-	closeWrite(t, far)
-	if err := <-ended; err != nil {
-		t.Errorf("it ends with %v", err)
+	read(t, remote, "", true)
+	write(t, remote, "o and more that no handler reads")
+	closeWrite(t, remote)
+	if err := <-served; err != nil {
+		t.Errorf("Serve() = %v after Drain, want nil", err)
 	}
 }
 
-// TestDrainIsNotCutShort: what the peer still sends after the half-close is read until it
-// closes, whoever wakes or ends the connection meanwhile. A close over unread bytes would
-// reset the connection, and destroy the last response.
-func TestDrainIsNotCutShort(t *testing.T) {
-	g, c, far, serve := socketPair(t, nil)
+// TestHalfClose_ReadsUntilPeerCloses: after the half-close the connection reads what the peer
+// still sends until the peer closes, even if Close, Wake or Drain is called meanwhile. Closing
+// the socket with unread bytes would reset the connection, and the last response could be
+// lost.
+func TestHalfClose_ReadsUntilPeerCloses(t *testing.T) {
+	g, c, remote, serve := socketPair(t, nil)
 	close(g.gate)
-	ended := serve()
+	served := serve()
 	c.Send([]byte("last"))
 	c.Close()
-	read(t, far, "last", true)
-	for _, again := range []func(*Conn){(*Conn).Close, (*Conn).Wake, (*Conn).CloseIfIdle, drainNow} {
-		again(c)
-		write(t, far, "unread")
+	read(t, remote, "last", true)
+	for _, interrupt := range []func(*Conn){(*Conn).Close, (*Conn).Wake, (*Conn).CloseIfIdle, drainNow} {
+		interrupt(c)
+		write(t, remote, "unread")
 		select {
 		case <-g.seen:
 		case <-g.closed:
-			t.Fatal("it closes before its peer has")
+			t.Fatal("the connection closed before its peer did")
 		}
 	}
 	c.SetReadDeadline(time.Unix(1, 0))
-	write(t, far, "unread") // over a connection that was reset it would fail
-	closeWrite(t, far)
-	if err := <-ended; err != nil {
-		t.Errorf("it ends with %v", err)
+	write(t, remote, "unread") // fails on a connection that was reset
+	closeWrite(t, remote)
+	if err := <-served; err != nil {
+		t.Errorf("Serve() = %v after Close, want nil", err)
 	}
 	<-g.closed
-	read(t, far, "", true)
+	read(t, remote, "", true)
 }
 
-// TestSkippedMessageKeepsOthers: messages before and after skipped bytes are read and
-// answered, and then the connection ends.
-func TestSkippedMessageKeepsOthers(t *testing.T) {
+// TestSkippedMessage_OtherMessagesGetResponses: messages before and after skipped bytes get
+// their responses. The connection closes when it is idle after that.
+func TestSkippedMessage_OtherMessagesGetResponses(t *testing.T) {
 	var mu sync.Mutex
 	var received []string
-	g, c, far, serve := socketPair(t, func(c *Conn, m string) {
+	g, c, remote, serve := socketPair(t, func(c *Conn, m string) {
 		mu.Lock()
 		defer mu.Unlock()
 		received = append(received, m)
@@ -98,74 +100,75 @@
 	})
 	c.SetReceiveTimeouts(time.Minute, time.Minute, func() bool { return false })
 	close(g.gate)
-	ended := serve()
-	write(t, far, "onebadbadtwo")
-	read(t, far, "re onere two", false)
+	served := serve()
+	write(t, remote, "onebadbadtwo")
+	read(t, remote, "re onere two", false)
 	c.CloseIfIdle()
-	read(t, far, "", true)
-	closeNow(t, far)
-	if err := <-ended; err != nil {
-		t.Errorf("it ends with %v", err)
+	read(t, remote, "", true)
+	closeNow(t, remote)
+	if err := <-served; err != nil {
+		t.Errorf("Serve() = %v after CloseIfIdle, want nil", err)
 	}
 	if !slices.Equal(received, []string{"one", "two"}) {
-		t.Errorf("received %v", received)
+		t.Errorf("the handler received %q, want one and two", received)
 	}
 }
 
-// TestSkippedMessageEnds: a connection on which nothing but skipped bytes arrived ends by
-// itself, without anything from its peer.
-func TestSkippedMessageEnds(t *testing.T) {
-	g, c, far, serve := socketPair(t, nil)
+// TestSkippedMessage_ClosesWithoutValidMessage: a connection that has received only skipped
+// bytes closes after a timeout, without any action of its peer.
+func TestSkippedMessage_ClosesWithoutValidMessage(t *testing.T) {
+	g, c, remote, serve := socketPair(t, nil)
 	c.SetReceiveTimeouts(time.Minute, time.Minute, func() bool { return false })
 	close(g.gate)
-	ended := serve()
-	write(t, far, "bad")
-	read(t, far, "", true)
-	closeNow(t, far)
-	if err := <-ended; !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("it ends with %v", err)
+	served := serve()
+	write(t, remote, "bad")
+	read(t, remote, "", true)
+	closeNow(t, remote)
+	if err := <-served; !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("Serve() = %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 }
 
-// TestUnreadableEndsAtOnce: where no message can be read any more, the connection ends at
-// once, whatever responses are pending. What OnClose sends still goes out.
-func TestUnreadableEndsAtOnce(t *testing.T) {
-	g, c, far, serve := socketPair(t, nil)
+// TestHandlerError_ClosesAtOnce: a connection closes at once after an error of its handler,
+// even if responses are pending. Bytes that the OnClose function sends are still written.
+func TestHandlerError_ClosesAtOnce(t *testing.T) {
+	g, c, remote, serve := socketPair(t, nil)
 	c.SetReceiveTimeouts(time.Minute, time.Minute, func() bool { return true })
-	c.OnClose(func(why error) {
-		if !errors.Is(why, errBad) {
-			t.Errorf("it ends for %v", why)
+	c.OnClose(func(cause error) {
+		if !errors.Is(cause, errUnreadable) {
+			t.Errorf("the OnClose function got %v, want %v", cause, errUnreadable)
 		}
 		c.Send([]byte("given up"))
 	})
 	close(g.gate)
-	ended := serve()
-	write(t, far, "oneendtwo")
-	read(t, far, "given up", true)
-	closeNow(t, far)
-	if err := <-ended; !errors.Is(err, errBad) {
-		t.Errorf("it ends with %v", err)
+	served := serve()
+	write(t, remote, "oneendtwo")
+	read(t, remote, "given up", true)
+	closeNow(t, remote)
+	if err := <-served; !errors.Is(err, errUnreadable) {
+		t.Errorf("Serve() = %v, want %v", err, errUnreadable)
 	}
 }
 
-// TestPeerHalfCloses: a peer that shuts its writing side still gets what OnClose sends.
-func TestPeerHalfCloses(t *testing.T) {
-	g, c, far, serve := socketPair(t, nil)
-	c.OnClose(func(why error) {
-		if !errors.Is(why, io.EOF) {
-			t.Errorf("it ends for %v", why)
+// TestPeerHalfCloses_StillReceives: a peer that shuts down its write side still receives the
+// bytes that the OnClose function sends.
+func TestPeerHalfCloses_StillReceives(t *testing.T) {
+	g, c, remote, serve := socketPair(t, nil)
+	c.OnClose(func(cause error) {
+		if !errors.Is(cause, io.EOF) {
+			t.Errorf("the OnClose function got %v, want %v", cause, io.EOF)
 		}
 		c.Send([]byte("given up"))
 	})
 	close(g.gate)
-	ended := serve()
-	write(t, far, "one")
-	closeWrite(t, far)
-	read(t, far, "given up", true)
-	if err := <-ended; !errors.Is(err, io.EOF) {
-		t.Errorf("it ends with %v", err)
+	served := serve()
+	write(t, remote, "one")
+	closeWrite(t, remote)
+	read(t, remote, "given up", true)
+	if err := <-served; !errors.Is(err, io.EOF) {
+		t.Errorf("Serve() = %v, want %v", err, io.EOF)
 	}
 	if c.Send([]byte("late")) {
-		t.Error("a connection that has ended accepts more")
+		t.Error("Send() = true on a closed connection, want false")
 	}
 }
--- a/transport/doc.go
+++ b/transport/doc.go
@@ -1,10 +1,10 @@
-// Package transport owns connections: listening sockets and their limits, the states of
-// a connection, its deadlines, bounded writes, and the redialling of outgoing ones. It
-// knows no protocol: a caller hands [Conn.Serve] a function that reads one message.
+// Package transport manages connections: it accepts them up to a limit, tracks their
+// states and deadlines, bounds their writes, and redials outgoing ones. It knows no
+// protocol: [Conn.Serve] calls a handler that reads one message.
 //
-// Words and division follow net/http. [Server] accepts and counts connections
-// (server.go, listener.go). [Conn] is one connection: what other goroutines ask of it
-// (conn.go), its states and what is decided from them (state.go), the loop that reads
-// (serve.go, source.go) and writes (write.go), and how it ends (ending.go). [Redialer]
-// keeps one outgoing connection (redial.go).
+// Names follow net/http. [Server] accepts and counts connections (server.go, listener.go).
+// [Conn] is one connection: the methods for other goroutines (conn.go), the state machine
+// and the rules for closing (state.go), the loop that reads (serve.go, source.go) and
+// writes (write.go), and the half-close with the close reasons (ending.go). [Redialer]
+// keeps one outgoing connection open (redial.go).
 package transport
--- a/transport/ending.go
+++ b/transport/ending.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// EndReason says why a connection ended. Its values are labels of metrics and logs.
-type EndReason string
+// CloseReason says why a connection closed. Its values are metric labels and log attributes.
+type CloseReason string
 
-// The reasons.
+// Reasons why a connection closed.
 const (
-	PeerClosed  EndReason = "peer_closed"  // the peer shut its writing side
-	PeerFailed  EndReason = "peer_failed"  // the connection was reset, or a read failed
-	BadMessage  EndReason = "bad_message"  // the peer sent what is not a message: a step failed
-	ReadTimeout EndReason = "read_timeout" // no complete message arrived in time
-	Idle        EndReason = "idle"         // CloseIfIdle, with no response pending and no part of a message
-	Drained     EndReason = "drained"      // Drain, and guard.MayClose allowed it or the drain deadline had passed
-	Closed      EndReason = "closed"       // Close
-	WriteFailed EndReason = "write_failed" // what was queued could not be written
-	Aborted     EndReason = "cut_off"      // Abort, or the peer left too much unread
+	PeerClosed  CloseReason = "peer_closed"  // the peer shut down its write side
+	PeerFailed  CloseReason = "peer_failed"  // the connection was reset, or a read failed
+	BadMessage  CloseReason = "bad_message"  // the handler returned an error, because the peer sent an invalid message
+	ReadTimeout CloseReason = "read_timeout" // no complete message arrived in time
+	Idle        CloseReason = "idle"         // CloseIfIdle was called, no response was pending and no message was partially read
+	Drained     CloseReason = "drained"      // Drain was called, and guard.MayClose allowed the close or the drain deadline had passed
+	Closed      CloseReason = "closed"       // Close was called
+	WriteFailed CloseReason = "write_failed" // queued bytes could not be written
+	Aborted     CloseReason = "cut_off"      // Abort was called, or the peer left too many bytes unread
 )
 
-// IsLocal reports whether this process ended the connection, and not what its peer did.
-func (r EndReason) IsLocal() bool {
+// IsLocal reports whether this process closed the connection, and not an action of its peer.
+func (r CloseReason) IsLocal() bool {
 	switch r {
 	case PeerClosed, PeerFailed, BadMessage:
 		return false
@@ -34,24 +34,25 @@
 	return true
 }
 
-// Ending describes how a connection ended. Where bytes were discarded or not sent, a
-// request may have been lost with them.
-type Ending struct {
-	Reason           EndReason
-	Err              error         // what ended the reading or writing; nil where the connection was asked to end
-	ResponsesPending bool          // when reading ended
-	PartialBytes     int           // of an incomplete message that was buffered when reading ended
-	DiscardedBytes   int64         // that arrived later
-	UnsentBytes      int           // that were queued and not written
-	Messages         int           // complete messages that were read
-	SinceActive      time.Duration // from the last message read or queued to the end
+// CloseInfo describes how a connection closed. If bytes were discarded or not sent, a
+// request or a response may have been lost.
+type CloseInfo struct {
+	Reason           CloseReason
+	Err              error         // the error that ended reading or writing; nil after Close, CloseIfIdle or Drain
+	ResponsesPending bool          // responses were pending when reading ended
+	PartialBytes     int           // of an incomplete message, buffered when reading ended
+	DiscardedBytes   int64         // received after reading ended, and discarded
+	UnsentBytes      int           // queued but not written
+	Messages         int           // complete messages read
+	SinceActive      time.Duration // from the last message read or queued until the close
 }
 
-// End returns how the connection ended. It may only be called once Serve has returned.
-func (c *Conn) End() Ending { return c.ending }
+// CloseInfo returns how the connection closed. It may only be called after Serve has
+// returned.
+func (c *Conn) CloseInfo() CloseInfo { return c.closeInfo }
 
-// readEndReason classifies the error that ended the reading.
-func (c *Conn) readEndReason(err error) EndReason {
+// readErrorReason returns the close reason for an error that ended reading.
+func (c *Conn) readErrorReason(err error) CloseReason {
 	switch {
 	case errors.Is(err, io.EOF):
 		return PeerClosed
@@ -63,76 +64,77 @@
 	return BadMessage
 }
 
-// endError is what Serve returns for a connection that this process ends.
-func endError(reason EndReason) error {
+// closeError returns the error of Serve for a connection that this process closes.
+func closeError(reason CloseReason) error {
 	if reason == ReadTimeout {
 		return os.ErrDeadlineExceeded
 	}
 	return nil
 }
 
-// recordWriteFailure records that the connection ends because a flush failed. It returns
-// the error that it is called with.
+// recordWriteFailure records that the connection closes because a flush failed. It returns
+// err.
 func (c *Conn) recordWriteFailure(err error) error {
-	c.ending.Reason, c.ending.Err = WriteFailed, err
+	c.closeInfo.Reason, c.closeInfo.Err = WriteFailed, err
 	switch {
 	case errors.Is(err, ErrPeerNotReading):
-		c.ending.Reason = Aborted
+		c.closeInfo.Reason = Aborted
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		c.ending.Reason = PeerFailed
+		c.closeInfo.Reason = PeerFailed
 	}
 	return err
 }
 
-// halfClose ends the reading, writes what is queued, shuts the writing side, and reads until the peer closes
-// or the linger time-out has passed: a close over unread bytes would reset the connection
-// and could destroy the last responses. It returns the error that it is called with.
-func (c *Conn) halfClose(reason EndReason, why error) error {
+// halfClose ends reading, writes the queued bytes, shuts down the write side, and reads until
+// the peer closes or the linger timeout has passed. Closing a socket with unread bytes would
+// reset the connection, and the peer could lose the last responses. halfClose returns cause,
+// or the error of the write if cause is nil.
+func (c *Conn) halfClose(reason CloseReason, cause error) error {
 	c.source.nonBlocking = false
-	c.ending.Reason, c.ending.Err, c.ending.PartialBytes = reason, why, c.reader.Buffered()
-	c.ending.ResponsesPending = c.hasResponsesPending()
+	c.closeInfo.Reason, c.closeInfo.Err, c.closeInfo.PartialBytes = reason, cause, c.reader.Buffered()
+	c.closeInfo.ResponsesPending = c.hasResponsesPending()
 	if c.onClose != nil {
-		c.onClose(why)
+		c.onClose(cause)
 	}
 	c.mu.Lock()
-	c.moveStateLocked(readingEnded) // Send refuses from here on
+	c.transitionLocked(readingEnded) // from here on Send returns false
 	c.mu.Unlock()
 	if err := c.flush(); err != nil {
-		return cmp.Or(why, c.recordWriteFailure(err))
+		return cmp.Or(cause, c.recordWriteFailure(err))
 	}
 	c.mu.Lock()
-	c.moveStateLocked(queueFlushed)
+	c.transitionLocked(queueFlushed)
 	if c.aborted {
 		c.mu.Unlock()
-		return why
+		return cause
 	}
 	deadline := time.Now().Add(c.lingerTimeout)
-	c.applyReadDeadline(deadline)
+	c.setSocketReadDeadline(deadline)
 	c.mu.Unlock()
-	if half, ok := c.netConn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+	if writeCloser, ok := c.netConn.(interface{ CloseWrite() error }); ok && writeCloser.CloseWrite() == nil {
 		c.discardUntil(deadline)
 	}
-	return why
+	return cause
 }
 
-// discardUntil reads and drops what arrives until the peer closes, or the deadline.
+// discardUntil reads and discards bytes until the peer closes or the deadline has passed.
 func (c *Conn) discardUntil(deadline time.Time) {
 	for {
 		n, err := io.Copy(io.Discard, c.source)
-		c.ending.DiscardedBytes += n
+		c.closeInfo.DiscardedBytes += n
 		if !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(deadline) {
 			return
 		}
 	}
 }
 
-// close closes the socket and completes the Ending. Serve calls it as it returns.
+// close closes the socket and completes the CloseInfo. Serve calls it when it returns.
 func (c *Conn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.moveStateLocked(serveReturned)
+	c.transitionLocked(serveReturned)
 	c.aborted = true
-	c.ending.UnsentBytes += len(c.sendQueue)
-	c.ending.SinceActive = time.Since(c.lastActive)
+	c.closeInfo.UnsentBytes += len(c.sendQueue)
+	c.closeInfo.SinceActive = time.Since(c.lastActive)
 	c.closeSocket()
 }
--- a/transport/errors.go
+++ b/transport/errors.go
@@ -2,11 +2,11 @@
 
 import "errors"
 
-// ErrMessageSkipped is returned by the function given to Conn.Serve after it has skipped
-// bytes that are not a message. The connection goes on with what follows, and closes soon
-// if nothing follows and no response is pending.
-var ErrMessageSkipped = errors.New("no message: passed over")
+// ErrMessageSkipped is returned by the handler of Conn.Serve after it has skipped bytes
+// that are not a message. The connection then reads the bytes that follow. It closes after
+// a short timeout if no message follows and no response is pending.
+var ErrMessageSkipped = errors.New("skipped bytes that are not a message")
 
-// ErrPeerNotReading is wrapped by the error of Conn.Serve for an aborted connection: its
-// peer left too much unread, or Conn.Abort was called, whatever its caller's reason.
-var ErrPeerNotReading = errors.New("peer stopped reading")
+// ErrPeerNotReading is wrapped by the error that Conn.Serve returns for an aborted
+// connection: the peer left too many bytes unread, or Conn.Abort was called for any reason.
+var ErrPeerNotReading = errors.New("connection aborted: peer stopped reading")
--- a/transport/helpers_test.go
+++ b/transport/helpers_test.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// frameSize is the bytes of a message in these tests.
+// frameSize is the size in bytes of a message in these tests.
 const frameSize = 3
 
-// errBad is what the step of socketPair returns for the message "end".
-var errBad = errors.New("no message")
+// errUnreadable is the error that the handler of socketPair returns for the message "end".
+var errUnreadable = errors.New("unreadable message")
 
-// closeLater closes c at the end of the test, if the test has not.
+// closeLater closes c at the end of the test, unless the test has closed it.
 func closeLater(t testing.TB, c io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = c.Close() })
 }
 
-// closeNow closes c, which is open.
+// closeNow closes c and fails the test if that returns an error.
 func closeNow(t testing.TB, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
-		t.Errorf("closing: %v", err)
+		t.Errorf("Close() = %v, want nil", err)
 	}
 }
 
-// listen opens a listening socket.
+// listen opens a listening socket on the loopback interface.
 func listen(t testing.TB) *net.TCPListener {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 	closeLater(t, l)
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
-		t.Fatalf("a listener of type %T", l)
+		t.Fatalf("the listener has type %T, want *net.TCPListener", l)
 	}
 	return tcp
 }
@@ -56,13 +56,13 @@
 	return tcpConn(t, nc)
 }
 
-// refuses checks that a listening socket is closed.
-func refuses(t testing.TB, address net.Addr) {
+// checkRefused checks that connections to an address are refused.
+func checkRefused(t testing.TB, address net.Addr) {
 	t.Helper()
 	nc, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address.String())
 	if err == nil {
 		_ = nc.Close()
-		t.Error("a closed server takes connections")
+		t.Errorf("dialing %v succeeded, want an error because the server is closed", address)
 	}
 }
 
@@ -70,12 +70,12 @@
 	t.Helper()
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
-		t.Fatalf("a connection of type %T", nc)
+		t.Fatalf("the connection has type %T, want *net.TCPConn", nc)
 	}
 	return tcp
 }
 
-// write writes s.
+// write writes s to a connection.
 func write(t testing.TB, nc net.Conn, s string) {
 	t.Helper()
 	if _, err := io.WriteString(nc, s); err != nil {
@@ -83,7 +83,8 @@
 	}
 }
 
-// read reads what is wanted, then the end where eof says so.
+// read checks that the connection receives want, and then the end of the stream if eof is
+// set.
 func read(t testing.TB, nc net.Conn, want string, eof bool) {
 	t.Helper()
 	if err := nc.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
@@ -91,16 +92,16 @@
 	}
 	b := make([]byte, len(want))
 	if _, err := io.ReadFull(nc, b); err != nil || string(b) != want {
-		t.Fatalf("read %q, %v, want %q", b, err, want)
+		t.Fatalf("received %q, %v, want %q", b, err, want)
 	}
 	if eof {
 		if n, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Fatalf("read %d bytes, %v, want the end", n, err)
+			t.Fatalf("received %d bytes, %v after %q, want %v", n, err, want, io.EOF)
 		}
 	}
 }
 
-// closeWrite shuts the writing side of a connection.
+// closeWrite shuts down the write side of a connection.
 func closeWrite(t testing.TB, nc *net.TCPConn) {
 	t.Helper()
 	if err := nc.CloseWrite(); err != nil {
@@ -108,7 +109,7 @@
 	}
 }
 
-// readFrame is a step that reads one message.
+// readFrame reads one message.
 func readFrame(r *bufio.Reader) (string, error) {
 	b, err := r.Peek(frameSize)
 	if err != nil {
@@ -119,9 +120,9 @@
 	return m, err
 }
 
-// echo answers each message of a connection.
+// echo serves a connection and responds to each message.
 func echo(c *Conn) {
-	_ = c.Serve(func(r *bufio.Reader) error { // it ends as its test has it
+	_ = c.Serve(func(r *bufio.Reader) error { // the test decides how the connection closes
 		m, err := readFrame(r)
 		if err == nil {
 			c.Send([]byte("re " + m))
@@ -130,16 +131,17 @@
 	})
 }
 
-// drainNow ends a connection at once, but for messages that have arrived completely.
+// drainNow drains a connection with a deadline that has passed: the connection reads the
+// messages that have arrived completely, and closes.
 func drainNow(c *Conn) { c.Drain(time.Now()) }
 
-// gatedConn is a socket at which the test stands between a connection and the system:
-// reads wait at a gate, and what is called is reported.
+// gatedConn is a socket whose reads block until the test opens a gate. It reports reads and
+// the close to the test.
 type gatedConn struct {
 	*net.TCPConn
-	gate      chan struct{} // closed: reads go on
-	seen      chan struct{} // something was read
-	closed    chan struct{}
+	gate      chan struct{} // reads block until it is closed
+	seen      chan struct{} // receives an element when a read has returned bytes
+	closed    chan struct{} // closed by Close
 	closeOnce sync.Once
 }
 
@@ -150,7 +152,7 @@
 	if n > 0 {
 		select {
 		case g.seen <- struct{}{}:
-		default: // nobody looks
+		default: // a report is already pending
 		}
 	}
 	return n, err
@@ -162,29 +164,31 @@
 	return g.TCPConn.Close()
 }
 
-// socketPair returns a connection on a real socket, behind a gate, and its peer. A message
-// is a frame; answer, where not nil, is called for each.
-func socketPair(t testing.TB, answer func(c *Conn, m string)) (g *gatedConn, c *Conn, far *net.TCPConn, serve func() (ended chan error)) {
+// socketPair returns a connection on a TCP socket behind a gate, its remote side, and a
+// function that starts to serve the connection. A message is a frame of frameSize bytes;
+// respond, if not nil, is called for each message.
+func socketPair(t testing.TB, respond func(c *Conn, m string)) (g *gatedConn, c *Conn, remote *net.TCPConn, serve func() (served chan error)) {
 	t.Helper()
 	l := listen(t)
-	far = dial(t, l.Addr())
-	near, err := l.Accept()
+	remote = dial(t, l.Addr())
+	local, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeLater(t, near)
-	g = &gatedConn{TCPConn: tcpConn(t, near), gate: make(chan struct{}), seen: make(chan struct{}, 1), closed: make(chan struct{})}
+	closeLater(t, local)
+	g = &gatedConn{TCPConn: tcpConn(t, local), gate: make(chan struct{}), seen: make(chan struct{}, 1), closed: make(chan struct{})}
 	c = NewConn(g)
-	c.lingerTimeout = time.Minute // the tests end it
-	return g, c, far, func() chan error {
-		ended := make(chan error, 1)
-		go func() { ended <- c.Serve(frameStep(c, answer)) }()
-		return ended
+	c.lingerTimeout = time.Minute // longer than any test takes
+	return g, c, remote, func() chan error {
+		served := make(chan error, 1)
+		go func() { served <- c.Serve(frameHandler(c, respond)) }()
+		return served
 	}
 }
 
-// frameStep reads frames. It skips "bad", and fails for "end".
-func frameStep(c *Conn, answer func(c *Conn, m string)) func(*bufio.Reader) error {
+// frameHandler returns a handler that reads frames. It skips the frame "bad" and fails for
+// the frame "end".
+func frameHandler(c *Conn, respond func(c *Conn, m string)) func(*bufio.Reader) error {
 	return func(r *bufio.Reader) error {
 		m, err := readFrame(r)
 		switch {
@@ -193,9 +197,9 @@
 		case m == "bad":
 			return ErrMessageSkipped
 		case m == "end":
-			return errBad
-		case answer != nil:
-			answer(c, m)
+			return errUnreadable
+		case respond != nil:
+			respond(c, m)
 		}
 		return nil
 	}
--- a/transport/listener.go
+++ b/transport/listener.go
@@ -9,35 +9,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// InheritListener takes over the listening socket with a descriptor that the process was
-// started with. Closing the listener leaves the socket open for other processes that hold
-// it. It is an error if the descriptor is not open or not a listening socket.
+// InheritListener returns a listener for the listening socket whose descriptor the process
+// inherited. It closes fd. Closing the listener leaves the socket open for other processes
+// that hold it. It returns an error if fd is not open or is not a listening socket.
 func InheritListener(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "listener")
 	if f == nil {
-		return nil, fmt.Errorf("descriptor %d is none", fd)
+		return nil, fmt.Errorf("listening socket: descriptor %d is invalid", fd)
 	}
-	defer func() { _ = f.Close() }() // the listener has a copy of the descriptor
+	defer func() { _ = f.Close() }() // net.FileListener has duplicated the descriptor
 	l, err := net.FileListener(f)
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
+		return nil, fmt.Errorf("listening socket: descriptor %d: %w", fd, err)
 	}
 	return l, nil
 }
 
-// hasWaiting reports whether connections wait in a listener's accept queue. Where that is
-// unknown because polling fails, it reports true.
-func hasWaiting(l net.Listener) bool {
-	waiting := false
+// hasPendingConn reports whether the accept queue of a listener holds a connection. It
+// reports true if polling fails, because the queue may then hold one.
+func hasPendingConn(l net.Listener) bool {
+	pending := false
 	withDescriptor(l, func(fd int) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		n, err := unix.Poll(fds, 0)
-		waiting = err != nil || n == 1 && fds[0].Revents&unix.POLLIN != 0
+		pending = err != nil || n == 1 && fds[0].Revents&unix.POLLIN != 0
 	})
-	return waiting
+	return pending
 }
 
-// withDescriptor calls f with a listener's descriptor, if it has one and is open.
+// withDescriptor calls f with the descriptor of a listener. It does nothing if the listener
+// has no descriptor or is closed.
 func withDescriptor(l net.Listener, f func(fd int)) {
 	conn, ok := l.(syscall.Conn)
 	if !ok {
@@ -47,5 +48,5 @@
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(fd uintptr) { f(int(fd)) }) // it fails for a closed listener, at which nothing waits
+	_ = raw.Control(func(fd uintptr) { f(int(fd)) }) // fails only for a closed listener, whose accept queue is empty
 }
--- a/transport/redial.go
+++ b/transport/redial.go
@@ -8,49 +8,49 @@
 	"time"
 )
 
-// The limits of dialling. The pause between two attempts doubles from the first to the
-// longest.
+// Limits for dialing. The pause between attempts doubles from minRedialPause to
+// maxRedialPause.
 const (
 	dialTimeout    = time.Second
 	minRedialPause = 10 * time.Millisecond
 	maxRedialPause = 250 * time.Millisecond
 )
 
-// Redialer keeps one connection to an address, and dials again after every break. If the
-// address changes, the current connection stays open until the next one is.
+// Redialer keeps one connection open to an address and redials whenever it closes. After a
+// change of address the current connection stays open until the new one is established.
 type Redialer struct {
-	onOpen  func(*Conn) (step func(*bufio.Reader) error)
+	onOpen  func(*Conn) (handler func(*bufio.Reader) error)
 	onClose func(*Conn, error)
 
-	mu      sync.Mutex
-	address string
-	moved   chan struct{} // closed when the address changes
+	mu             sync.Mutex
+	address        string
+	addressChanged chan struct{} // closed and replaced when the address changes
 }
 
-// NewRedialer makes a redialer, which the caller starts with Run. onOpen is called with
-// each new connection and returns the step to serve it with (see Conn.Serve); onClose is
-// called when that connection has ended, with the error of Conn.Serve.
-func NewRedialer(address string, onOpen func(*Conn) (step func(*bufio.Reader) error), onClose func(*Conn, error)) *Redialer {
-	return &Redialer{onOpen: onOpen, onClose: onClose, address: address, moved: make(chan struct{})}
+// NewRedialer returns a redialer that the caller starts with Run. onOpen is called with
+// each new connection and returns its handler (see Conn.Serve). onClose is called once that
+// connection has closed, with the error of Conn.Serve.
+func NewRedialer(address string, onOpen func(*Conn) (handler func(*bufio.Reader) error), onClose func(*Conn, error)) *Redialer {
+	return &Redialer{onOpen: onOpen, onClose: onClose, address: address, addressChanged: make(chan struct{})}
 }
 
-// SetAddress changes the address. It is dialled at once.
+// SetAddress changes the address. A running redialer dials the new address at once.
 func (r *Redialer) SetAddress(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if address != r.address {
 		r.address = address
-		close(r.moved)
-		r.moved = make(chan struct{})
+		close(r.addressChanged)
+		r.addressChanged = make(chan struct{})
 	}
 }
 
-// Run keeps a connection open until ctx is done, and closes it then.
+// Run keeps a connection open until ctx is done, then closes it.
 func (r *Redialer) Run(ctx context.Context) {
 	pause := minRedialPause
 	var current *Conn
 	for ctx.Err() == nil {
-		address, moved := r.target()
+		address, addressChanged := r.target()
 		nc, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 		if err == nil {
 			pause = minRedialPause
@@ -58,17 +58,17 @@
 				current.Close()
 			}
 			current = NewConn(nc)
-			ended := r.serve(current)
+			closed := r.serve(current)
 			select {
 			case <-ctx.Done():
-			case <-moved:
+			case <-addressChanged:
 				continue
-			case <-ended:
+			case <-closed:
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-moved:
+		case <-addressChanged:
 		case <-time.After(pause):
 		}
 		pause = min(2*pause, maxRedialPause)
@@ -78,20 +78,20 @@
 	}
 }
 
-// target returns the address to dial, and a channel that is closed when it changes.
-func (r *Redialer) target() (address string, moved <-chan struct{}) {
+// target returns the address to dial and a channel that is closed when the address changes.
+func (r *Redialer) target() (address string, addressChanged <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.address, r.moved
+	return r.address, r.addressChanged
 }
 
-// serve serves a connection in a goroutine of its own. The channel is closed when it has
-// ended.
-func (r *Redialer) serve(c *Conn) (ended <-chan struct{}) {
-	done, step := make(chan struct{}), r.onOpen(c)
+// serve serves a connection in a goroutine of its own. It returns a channel that is closed
+// when the connection has closed.
+func (r *Redialer) serve(c *Conn) (closed <-chan struct{}) {
+	done, handler := make(chan struct{}), r.onOpen(c)
 	go func() {
 		defer close(done)
-		r.onClose(c, c.Serve(step))
+		r.onClose(c, c.Serve(handler))
 	}()
 	return done
 }
--- a/transport/serve.go
+++ b/transport/serve.go
@@ -10,18 +10,19 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// Serve calls step for each message until the connection ends, and writes what is queued in
-// between. It returns nil where the connection was asked to end, else the error that ended
-// it: that of step (io.EOF where the peer closed), os.ErrDeadlineExceeded after a time-out,
-// or the error of a write. The connection is closed when Serve returns.
+// Serve calls handler for each message until the connection closes, and writes queued bytes
+// between the calls. It returns nil if the connection was closed by Close, CloseIfIdle or
+// Drain, else the error that ended it: the error of handler (io.EOF if the peer closed),
+// os.ErrDeadlineExceeded after a timeout, or the error of a write. The connection is closed
+// when Serve returns.
 //
-// A read that was interrupted fails with os.ErrDeadlineExceeded, and step is called again.
-// So step must be resumable: it peeks, and discards only once a complete message is there. It
-// returns ErrMessageSkipped after it has discarded bytes that are not a message; any other
-// error ends the connection.
+// An interrupted read fails with os.ErrDeadlineExceeded, and Serve calls handler again.
+// Therefore handler must be resumable: it peeks, and discards bytes only once a complete
+// message is buffered. It returns ErrMessageSkipped after it has discarded bytes that are
+// not a message. Any other error closes the connection.
 //
-// A deadline that has passed ends nothing by itself: see connState.
-func (c *Conn) Serve(step func(r *bufio.Reader) error) error {
+// A passed deadline alone does not close the connection: see connState.
+func (c *Conn) Serve(handler func(r *bufio.Reader) error) error {
 	defer c.close()
 	for {
 		if err := c.flush(); err != nil {
@@ -32,7 +33,7 @@
 		}
 		err := c.awaitMessage()
 		if err == nil {
-			err = step(c.reader)
+			err = handler(c.reader)
 		}
 		nonBlocking := c.source.nonBlocking
 		c.source.nonBlocking = false
@@ -42,29 +43,29 @@
 		case errors.Is(err, ErrMessageSkipped):
 			c.messageSkipped()
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.examined = nonBlocking && !c.source.lastReadFailed()
-			if reason := c.decideEnd(); reason != "" {
-				return c.halfClose(reason, endError(reason))
+			c.socketDrained = nonBlocking && !c.source.lastReadFailed()
+			if reason := c.decideClose(); reason != "" {
+				return c.halfClose(reason, closeError(reason))
 			}
 		default:
-			return c.halfClose(c.readEndReason(err), err)
+			return c.halfClose(c.readErrorReason(err), err)
 		}
 	}
 }
 
-// prepareRead sets whether the next read only examines the socket without blocking: where
-// there is a request, or the deadline has passed, and the socket was not examined since. It
-// reports whether requestClose ends the connection.
+// prepareRead makes the next read non-blocking if a command is set or the read deadline has
+// passed, unless the last read has just found the socket empty. It reports whether
+// commandClose is set.
 func (c *Conn) prepareRead() (closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	due := c.request != requestNone || c.expiredLocked()
-	c.source.nonBlocking = due && !c.examined
-	c.examined = false
-	return c.request == requestClose
+	due := c.command != commandNone || c.deadlinePassedLocked()
+	c.source.nonBlocking = due && !c.socketDrained
+	c.socketDrained = false
+	return c.command == commandClose
 }
 
-// awaitMessage waits for the first byte of a message and starts the message's time-out.
+// awaitMessage waits for the first byte of a message and starts the timeout of the message.
 func (c *Conn) awaitMessage() error {
 	if c.stallTimeout == 0 {
 		return nil
@@ -72,8 +73,8 @@
 	if _, err := c.reader.Peek(1); err != nil {
 		return err
 	}
-	if c.source.messageBeganAt.IsZero() {
-		c.source.messageBeganAt = c.source.lastByteAt
+	if c.source.messageStartedAt.IsZero() {
+		c.source.messageStartedAt = c.source.lastByteAt
 	}
 	c.mu.Lock()
 	hasDeadline := !c.readDeadline.IsZero()
@@ -84,85 +85,85 @@
 	return nil
 }
 
-// messageReceived records that a step has read a complete message. That cancels
-// requestCloseIfIdle and the message's time-out.
+// messageReceived records that the handler has read a complete message. It cancels
+// commandCloseIfIdle and the timeout of the message.
 func (c *Conn) messageReceived() {
-	c.ending.Messages++
+	c.closeInfo.Messages++
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastActive, c.receivedMessage = time.Now(), true
 	c.source.resetMessageTimes()
-	if c.request == requestCloseIfIdle {
-		c.request = requestNone
+	if c.command == commandCloseIfIdle {
+		c.command = commandNone
 	}
-	if c.stallTimeout > 0 && c.request != requestDrain {
+	if c.stallTimeout > 0 && c.command != commandDrain {
 		c.readDeadline = time.Time{} // applied by the next flush
 	}
 }
 
-// messageSkipped records that a step has discarded bytes that are not a message.
+// messageSkipped records that the handler has discarded bytes that are not a message.
 func (c *Conn) messageSkipped() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.source.resetMessageTimes()
-	if c.request != requestDrain {
-		c.readDeadline = time.Now().Add(skippedMessageGrace) // applied by the next flush
+	if c.command != commandDrain {
+		c.readDeadline = time.Now().Add(skippedMessageTimeout) // applied by the next flush
 	}
 }
 
-// decideEnd carries out what was asked for, or what a passed deadline demands, after a read
-// that returned no complete message. It returns why the connection is to end, or "".
-func (c *Conn) decideEnd() EndReason {
-	if !c.examined { // the read was interrupted: the next one examines the socket if need be
+// decideClose carries out the command or handles a passed read deadline, after a read that
+// completed no message. It returns why the connection is to close, or "" if it stays open.
+func (c *Conn) decideClose() CloseReason {
+	if !c.socketDrained { // the read was interrupted; the next one does not block if a check is due
 		return ""
 	}
-	x := examination{facts: c.connectionFacts()}
+	check := closeCheck{facts: c.closeFacts()}
 	c.mu.Lock()
-	x.request, x.untilDrain, x.deadlinePassed = c.request, time.Until(c.drainDeadline), c.expiredLocked()
+	check.command, check.untilDrain, check.deadlinePassed = c.command, time.Until(c.drainDeadline), c.deadlinePassedLocked()
 	c.mu.Unlock()
-	v := x.decide()
-	if v.requestDone {
-		c.clearRequest(x.request)
+	decision := check.decide()
+	if decision.commandDone {
+		c.clearCommand(check.command)
 	}
-	if v.examineAgain {
-		c.examineAfter(v.examineAfter)
+	if decision.recheck {
+		c.scheduleCheck(decision.recheckAfter)
 	}
-	return v.end
+	return decision.reason
 }
 
-// connectionFacts collects what guard.MayClose decides by. Where the connection may be about
-// to end for idling, it notifies the peer, as the time that the peer then has is one of the
-// facts.
-func (c *Conn) connectionFacts() guard.Connection {
+// closeFacts returns the inputs of guard.MayClose. If the connection may be about to close
+// because it is idle, closeFacts notifies the peer, because the remaining notice period is
+// one of the inputs.
+func (c *Conn) closeFacts() guard.Connection {
 	facts := guard.Connection{
-		SocketDrained: c.examined, ResponsesPending: c.hasResponsesPending(), MessagePartial: c.reader.Buffered() > 0, StallTimeout: c.stallTimeout,
+		SocketDrained: c.socketDrained, ResponsesPending: c.hasResponsesPending(), MessagePartial: c.reader.Buffered() > 0, StallTimeout: c.stallTimeout,
 	}
 	now := time.Now()
 	if facts.MessagePartial {
 		facts.IdleFor = now.Sub(c.source.lastByteAt)
-		facts.MessageAge = now.Sub(cmp.Or(c.source.messageBeganAt, c.source.lastByteAt))
+		facts.MessageAge = now.Sub(cmp.Or(c.source.messageStartedAt, c.source.lastByteAt))
 	}
 	c.mu.Lock()
-	request := c.request
+	request := c.command
 	c.mu.Unlock()
-	idle := request == requestNone && !facts.MessagePartial && !facts.ResponsesPending
-	if c.notifyPeer != nil && (request == requestCloseIfIdle || idle) {
+	idle := request == commandNone && !facts.MessagePartial && !facts.ResponsesPending
+	if c.notifyPeer != nil && (request == commandCloseIfIdle || idle) {
 		facts.NoticeRemaining = c.notifyPeer()
 	}
 	return facts
 }
 
-// clearRequest forgets a request that was carried out, unless a later one has replaced it.
-func (c *Conn) clearRequest(done connRequest) {
+// clearCommand clears a command that was carried out, unless another one has replaced it.
+func (c *Conn) clearCommand(done connCommand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.request == done {
-		c.request = requestNone
+	if c.command == done {
+		c.command = commandNone
 	}
 }
 
-// examineAfter has the socket examined again after a time.
-func (c *Conn) examineAfter(d time.Duration) {
+// scheduleCheck sets the read deadline so that the socket is checked again after d.
+func (c *Conn) scheduleCheck(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readDeadline = time.Now().Add(d)
--- a/transport/server.go
+++ b/transport/server.go
@@ -8,52 +8,54 @@
 	"time"
 )
 
-// The pause after an accept that failed. It is short after the first failures in a row, so
-// that a brief shortage costs little time, and doubles after each further one.
+// The pause after a failed accept. It stays at the minimum for the first consecutive
+// failures, so that a brief shortage of descriptors costs little time, and then doubles
+// with each failure up to the maximum.
 const (
 	minAcceptPause          = 100 * time.Microsecond
 	maxAcceptPause          = 5 * time.Millisecond
-	briefAcceptFailures     = 8 // failures in a row with the shortest pause
-	maxAcceptPauseDoublings = 6 // enough to reach the longest pause
+	failuresBeforeBackoff   = 8 // consecutive failures followed by the minimum pause
+	maxAcceptPauseDoublings = 6 // enough to reach maxAcceptPause
 )
 
-// The limits of accepting connections.
+// Limits for accepting connections.
 const (
-	shutdownAcceptTimeout = 20 * time.Millisecond // how long Shutdown goes on accepting
-	maxExcessOnClose      = 16                    // connections over the limit that Close still admits
-	nearCapacityShare     = 0.75                  // part of the limit from which on the server is near capacity
-	nearCapacityInterval  = 10 * time.Millisecond // between two calls of nearCapacity while a connection waits for a slot
+	shutdownAcceptTimeout = 20 * time.Millisecond // how long Shutdown continues to accept
+	maxOverLimitOnClose   = 16                    // connections over the limit that Close still admits
+	nearCapacityFraction  = 0.75                  // nearCapacity is called while more than this fraction of the limit is in use
+	nearCapacityInterval  = 10 * time.Millisecond // between calls of nearCapacity while a connection waits for a slot
 )
 
-// Server accepts connections from a listener up to a limit, and counts those that are open.
+// Server accepts connections from a listener up to a limit, and counts the open ones.
 //
-// It has the verbs of http.Server, with one difference: neither Shutdown nor Close ends
-// connections that are open. Done tells when the last of them has ended.
+// Its methods are named like those of http.Server, but neither Shutdown nor Close closes
+// open connections. Done reports when the last of them has closed.
 type Server struct {
 	listener         net.Listener
 	serveConn        func(*Conn)
 	nearCapacity     func()
-	onAcceptFailures func(last error, failures int)
+	onAcceptFailures func(lastErr error, failures int)
 
-	mu      sync.Mutex
-	limit   int
-	open    int           // connections, including one that waits for a slot
-	serving chan struct{} // closed when Serve returns; nil before it is called
-	closed  bool
+	mu        sync.Mutex
+	limit     int
+	open      int           // connections counted, including one that waits for a slot
+	serveDone chan struct{} // closed when Serve returns; nil until Serve is called
+	closed    bool
 
-	slotFreed chan struct{} // holds an element after a connection has ended
-	closing   chan struct{} // closed by Close: no connection waits for a slot any more
-	done      chan struct{} // closed when no connection is open after Close
+	slotFreed chan struct{} // receives an element when a slot is released
+	closing   chan struct{} // closed by Close, which ends the wait for a slot
+	done      chan struct{} // closed once Close was called and no connection is open
 }
 
-// NewServer makes a server of a listener, which the caller starts with Serve. Each
-// connection gets a goroutine that calls serve; at most limit run at a time. One more
-// connection is accepted and waits until another ends, while those behind it wait in the
-// system's accept queue: if they were closed unread, each would lose a request that its
-// peer has written already.
+// NewServer returns a server for a listener. The caller starts it with Serve. The server
+// calls serve for each connection in a goroutine of its own, for at most limit connections
+// at a time. It accepts one more connection, which waits until another closes; further ones
+// wait in the kernel's accept queue. Closing them unread would lose requests that their
+// peers have already written.
 //
 // nearCapacity is called for each new connection while more than three quarters of the
-// limit are open, and again while one waits, so that the caller can close some.
+// limit are in use, and again at intervals while a connection waits for a slot, so that the
+// caller can close other connections.
 func NewServer(l net.Listener, limit int, serve func(*Conn), nearCapacity func()) *Server {
 	return &Server{
 		listener: l, limit: limit, serveConn: serve, nearCapacity: nearCapacity,
@@ -61,12 +63,12 @@
 	}
 }
 
-// OnAcceptFailures has f called with the last error and the number of failures when
-// accepting succeeds again after failures in a row, or when the server ends after such. It
-// must be called before Serve.
-func (s *Server) OnAcceptFailures(f func(last error, failures int)) { s.onAcceptFailures = f }
+// OnAcceptFailures sets a function that is called after a series of failed accepts, with
+// the last error and the number of failures: when an accept succeeds again, or when Serve
+// stops accepting. It must be called before Serve.
+func (s *Server) OnAcceptFailures(f func(lastErr error, failures int)) { s.onAcceptFailures = f }
 
-// SetLimit changes the limit for future connections.
+// SetLimit changes the limit. It does not close connections that exceed the new limit.
 func (s *Server) SetLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,26 +78,26 @@
 // Addr returns the listener's address.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Done returns a channel that is closed once the server is closed and its last connection
-// has ended.
+// Done returns a channel that is closed once Close was called and the last connection has
+// closed.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Serve accepts connections until Shutdown or Close, and returns nil then. An accept that
-// fails, for want of descriptors say, is retried after a pause that grows: it neither ends
-// the server nor keeps a core busy.
+// Serve accepts connections until Shutdown or Close is called, and then returns nil. It
+// retries a failed accept, for example when the process is out of descriptors, after a
+// growing pause, so that failures neither stop the server nor keep a core busy.
 func (s *Server) Serve() error {
 	serving := make(chan struct{})
 	defer close(serving)
 	s.mu.Lock()
-	s.serving = serving
+	s.serveDone = serving
 	s.mu.Unlock()
-	var last error
+	var lastErr error
 	failures := 0
 	for {
 		nc, err := s.listener.Accept()
-		if err != nil && s.goesOnAfter(err) {
+		if err != nil && s.shouldContinueAfter(err) {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
-				last = err
+				lastErr = err
 				s.nearCapacity()
 				failures++
 				time.Sleep(acceptPause(failures))
@@ -103,59 +105,60 @@
 			continue
 		}
 		if failures > 0 && s.onAcceptFailures != nil {
-			s.onAcceptFailures(last, failures)
+			s.onAcceptFailures(lastErr, failures)
 		}
 		failures = 0
 		if err != nil {
 			return nil
 		}
-		s.start(nc)
+		s.startConn(nc)
 	}
 }
 
-// start serves a connection in a goroutine of its own once there is a slot for it.
-func (s *Server) start(nc net.Conn) {
-	if !s.waitForSlot() {
-		_ = nc.Close() // it is refused whatever the close returns
+// startConn waits for a slot and then serves the connection in a goroutine of its own.
+func (s *Server) startConn(nc net.Conn) {
+	if !s.acquireSlot() {
+		_ = nc.Close() // the connection is refused either way
 		return
 	}
 	go func() {
 		s.serveConn(NewConn(nc))
-		s.connectionEnded()
+		s.releaseSlot()
 	}()
 }
 
-// acceptPause returns how long accepting pauses after so many failures in a row.
+// acceptPause returns the pause after the given number of consecutive failures.
 func acceptPause(failures int) time.Duration {
-	doublings := min(max(0, failures-briefAcceptFailures), maxAcceptPauseDoublings)
+	doublings := min(max(0, failures-failuresBeforeBackoff), maxAcceptPauseDoublings)
 	return min(minAcceptPause<<doublings, maxAcceptPause)
 }
 
-// goesOnAfter reports whether Serve goes on after an error of Accept. It does not if the
-// listener is closed, or if the deadline set by Shutdown has passed and no connection waits.
-// If one waits at the deadline, the process may have been suspended until then, or accepting
-// may have failed: the deadline is extended.
-func (s *Server) goesOnAfter(err error) bool {
+// shouldContinueAfter reports whether Serve continues after an error of Accept. It stops if
+// the listener is closed, or if the deadline set by Shutdown has passed and the accept queue
+// is empty. If the queue is not empty at the deadline, the process may have been suspended
+// or accepts may have failed, so shouldContinueAfter extends the deadline.
+func (s *Server) shouldContinueAfter(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return true
 	}
-	return hasWaiting(s.listener) && s.extendDeadline()
+	return hasPendingConn(s.listener) && s.extendAcceptDeadline()
 }
 
-// extendDeadline sets the deadline until which a server that shuts down accepts:
-// shutdownAcceptTimeout from now. It reports false if the listener has no deadlines.
-func (s *Server) extendDeadline() bool {
+// extendAcceptDeadline sets the deadline for accepting during Shutdown to
+// shutdownAcceptTimeout from now. It returns false if the listener does not support
+// deadlines.
+func (s *Server) extendAcceptDeadline() bool {
 	l, ok := s.listener.(interface{ SetDeadline(time.Time) error })
 	return ok && l.SetDeadline(time.Now().Add(shutdownAcceptTimeout)) == nil
 }
 
-// waitForSlot counts a connection, and reports true once there is a slot for it. Close ends
-// the wait: a few connections over the limit are admitted then, and false is reported for
-// further ones, which are not counted.
-func (s *Server) waitForSlot() bool {
+// acquireSlot counts a connection and waits until the number of open connections is within
+// the limit. It returns false if Close ends the wait and more than maxOverLimitOnClose
+// connections exceed the limit; the connection is then no longer counted.
+func (s *Server) acquireSlot() bool {
 	s.mu.Lock()
 	s.open++
 	s.mu.Unlock()
@@ -163,7 +166,7 @@
 		s.mu.Lock()
 		open, limit := s.open, s.limit
 		s.mu.Unlock()
-		if float64(open) > nearCapacityShare*float64(limit) {
+		if float64(open) > nearCapacityFraction*float64(limit) {
 			s.nearCapacity()
 		}
 		if open <= limit {
@@ -172,9 +175,9 @@
 		select {
 		case <-s.slotFreed:
 		case <-s.closing:
-			admitted := open <= limit+maxExcessOnClose
+			admitted := open <= limit+maxOverLimitOnClose
 			if !admitted {
-				s.connectionEnded()
+				s.releaseSlot()
 			}
 			return admitted
 		case <-time.After(nearCapacityInterval):
@@ -182,8 +185,8 @@
 	}
 }
 
-// connectionEnded frees a connection's slot.
-func (s *Server) connectionEnded() {
+// releaseSlot releases the slot of a connection.
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open--
@@ -194,32 +197,33 @@
 	}
 }
 
-// checkDoneLocked closes done if the server is closed and no connection is open. The lock
-// is held.
+// checkDoneLocked closes done if the server is closed and no connection is open. The caller
+// holds mu.
 func (s *Server) checkDoneLocked() {
 	if s.closed && s.open == 0 {
 		closeOnce(s.done)
 	}
 }
 
-// Shutdown accepts all connections that were made before, then closes the server and
-// returns. Those over the limit wait for a slot as before, until Close is called. Open
-// connections are not ended. Where other processes hold the socket too, Close leaves them
-// what waits in its accept queue; Shutdown takes it first.
+// Shutdown accepts all connections that are in the accept queue, closes the server and
+// returns. Connections over the limit still wait for a slot until Close is called. Shutdown
+// does not close open connections. If other processes also hold the socket, Close leaves
+// the connections in the accept queue to them; Shutdown accepts those first.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
-	serving := s.serving
+	serving := s.serveDone
 	s.mu.Unlock()
-	if serving != nil && s.extendDeadline() {
+	if serving != nil && s.extendAcceptDeadline() {
 		<-serving
 	}
 	s.Close()
 }
 
-// Close stops accepting at once. Of the connections that wait for a slot a few over the
-// limit are admitted, and the others reset. Open connections are not ended.
+// Close stops accepting at once. It admits waiting connections as long as at most
+// maxOverLimitOnClose connections exceed the limit, and resets the others. It does not close
+// open connections.
 func (s *Server) Close() {
-	_ = s.listener.Close() // it may be closed already
+	_ = s.listener.Close() // may already be closed
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -227,7 +231,8 @@
 	s.checkDoneLocked()
 }
 
-// closeOnce closes a channel that may be closed already; the caller's lock is held.
+// closeOnce closes a channel unless it is already closed. The caller holds the lock that
+// guards the channel.
 func closeOnce(c chan struct{}) {
 	select {
 	case <-c:
--- a/transport/server_test.go
+++ b/transport/server_test.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// run serves in a goroutine of its own; the channel is closed when Serve has returned.
+// run calls Serve in a goroutine of its own. It returns a channel that is closed when Serve
+// has returned.
 func run(t *testing.T, s *Server) (returned <-chan struct{}) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		if err := s.Serve(); err != nil {
-			t.Errorf("Serve returns %v", err)
+			t.Errorf("Serve() = %v, want nil", err)
 		}
 	}()
 	return done
 }
 
-// connCounter counts the connections that a server serves at a time.
+// connCounter counts the connections that a server serves concurrently.
 type connCounter struct {
-	serving chan *Conn
-	open    atomic.Int32
-	most    atomic.Int32
+	serving chan *Conn   // receives each connection when it is served
+	open    atomic.Int32 // connections being served
+	most    atomic.Int32 // maximum of open
 }
 
 func (n *connCounter) serve(c *Conn) {
@@ -36,10 +37,10 @@
 	echo(c)
 }
 
-// TestServer sees that a connection over the limit waits until another ends, and is
-// served then with what it wrote; that the one that waits as the server closes is let
-// in; and that Done tells when a closed server's last one has ended.
-func TestServer(t *testing.T) {
+// TestServer_LimitsConnections: a connection over the limit waits until another closes, and
+// is then served with the bytes it has written. A connection that waits when the server
+// closes is admitted. Done is closed when the last connection of a closed server has closed.
+func TestServer_LimitsConnections(t *testing.T) {
 	count := connCounter{serving: make(chan *Conn)}
 	nearCapacity := make(chan struct{}, 1)
 	s := NewServer(listen(t), 1, count.serve, func() {
@@ -58,33 +59,33 @@
 	first := request()
 	<-count.serving
 	read(t, first, "re one", false)
-	<-nearCapacity // called for the first, which takes the whole limit
+	<-nearCapacity // called for the first connection, which uses the whole limit
 	second := request()
-	<-nearCapacity // called for the second, which waits
+	<-nearCapacity // called for the second connection, which waits
 	if n := count.open.Load(); n != 1 {
-		t.Errorf("%d are served, the limit is 1", n)
+		t.Errorf("%d connections are served, want 1", n)
 	}
 	closeNow(t, first)
-	c := <-count.serving
+	secondConn := <-count.serving
 	read(t, second, "re one", false)
 	if count.most.Load() != 1 {
-		t.Errorf("%d were served at a time, the limit is 1", count.most.Load())
+		t.Errorf("%d connections were served concurrently, want at most 1", count.most.Load())
 	}
 
 	s.SetLimit(2)
 	third := request()
-	d := <-count.serving
+	thirdConn := <-count.serving
 	read(t, third, "re one", false)
-	waits := request()
+	waiting := request()
 	<-nearCapacity
 	s.Close()
-	e := <-count.serving
-	read(t, waits, "re one", false)
-	refuses(t, s.Addr())
-	checkDone(t, s, c, d, e)
+	waitingConn := <-count.serving
+	read(t, waiting, "re one", false)
+	checkRefused(t, s.Addr())
+	checkDone(t, s, secondConn, thirdConn, waitingConn)
 }
 
-// checkDone ends connections, and sees that Done waits for the first, the last to end.
+// checkDone closes connections, and checks that Done waits for the one that closes last.
 func checkDone(t *testing.T, s *Server, last *Conn, others ...*Conn) {
 	t.Helper()
 	for _, c := range others {
@@ -92,24 +93,24 @@
 	}
 	select {
 	case <-s.Done():
-		t.Error("done with a connection open")
+		t.Error("Done is closed while a connection is open")
 	default:
 	}
 	last.Close()
 	<-s.Done()
 	if last.Send([]byte("x")) {
-		t.Error("a connection that has ended takes more")
+		t.Error("Send() = true on a closed connection, want false")
 	}
 }
 
-// heldListener is a listener at which connections wait until its server shuts down; it
-// holds so many.
+// heldListener is a listener whose Accept blocks until its server shuts down, and then
+// returns a given number of connections.
 type heldListener struct {
 	*net.TCPListener
-	accepting    chan struct{} // closed when the server first accepts
+	accepting    chan struct{} // closed by the first Accept
 	once         sync.Once
-	shuttingDown chan struct{}
-	waiting      int
+	shuttingDown chan struct{} // closed by SetDeadline
+	waiting      int           // connections that Accept has still to return
 }
 
 // Accept implements net.Listener.
@@ -123,16 +124,16 @@
 	return l.TCPListener.Accept()
 }
 
-// SetDeadline is called by a server that shuts down.
+// SetDeadline is called by Server.Shutdown.
 func (l *heldListener) SetDeadline(time.Time) error {
 	close(l.shuttingDown)
 	return nil
 }
 
-// TestShutdownAcceptsWaiting: connections that the system has accepted are let in before
-// the listener closes: closed with it, they would be reset with all that was written to
-// them.
-func TestShutdownAcceptsWaiting(t *testing.T) {
+// TestShutdown_ServesAcceptQueue: connections in the accept queue are served before the
+// listener closes. Closing the listener first would reset them, and the requests that their
+// peers have written would be lost.
+func TestShutdown_ServesAcceptQueue(t *testing.T) {
 	const waiting = 3
 	l := &heldListener{
 		TCPListener: listen(t), waiting: waiting,
@@ -156,21 +157,21 @@
 	<-s.Done()
 }
 
-// TestShutdownWaitsForSlots: connections that wait for a slot as their server shuts down
-// are let in one after the other, with what was written to them, and new ones are refused
-// then.
-func TestShutdownWaitsForSlots(t *testing.T) {
+// TestShutdown_WaitsForSlots: connections that wait for a slot when their server shuts down
+// are served one after the other, with the bytes that their peers have written. New
+// connections are refused after that.
+func TestShutdown_WaitsForSlots(t *testing.T) {
 	l := listen(t)
 	s := NewServer(l, 1, echo, func() {})
 	run(t, s)
-	const waiting = 2 * maxExcessOnClose
+	const waiting = 2 * maxOverLimitOnClose
 	var conns []net.Conn
 	for range waiting {
 		nc := dial(t, l.Addr())
 		write(t, nc, "one")
 		conns = append(conns, nc)
 	}
-	read(t, conns[0], "re one", false) // the others wait
+	read(t, conns[0], "re one", false) // the others wait for a slot
 	shut := make(chan struct{})
 	go func() { s.Shutdown(); close(shut) }()
 	for _, nc := range conns[1:] {
@@ -181,10 +182,11 @@
 	closeNow(t, conns[0])
 	<-shut
 	<-s.Done()
-	refuses(t, l.Addr())
+	checkRefused(t, l.Addr())
 }
 
-// suspendedListener stands still past the first deadline that it is given.
+// suspendedListener simulates a process that is suspended past its first deadline: it
+// replaces that deadline by one in the past.
 type suspendedListener struct {
 	*net.TCPListener
 	suspended bool
@@ -198,15 +200,15 @@
 	return l.TCPListener.SetDeadline(t)
 }
 
-// TestShutdownAfterSuspension: a server whose process is suspended past the deadline of its
-// last accepts still lets in what has connected.
-func TestShutdownAfterSuspension(t *testing.T) {
+// TestShutdown_AfterSuspension: a server whose process is suspended past the accept deadline
+// of Shutdown still serves the connections in the accept queue.
+func TestShutdown_AfterSuspension(t *testing.T) {
 	l := listen(t)
 	served := make(chan *Conn, 9)
 	s := NewServer(&suspendedListener{TCPListener: l}, 9, func(c *Conn) { served <- c }, func() {})
 	dial(t, l.Addr())
-	s.serving = make(chan struct{}) // as if Serve had been called
-	s.extendDeadline()
+	s.serveDone = make(chan struct{}) // as if Serve had been called
+	s.extendAcceptDeadline()
 	returned := run(t, s)
 	<-served
 	<-returned
--- a/transport/source.go
+++ b/transport/source.go
@@ -11,40 +11,40 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// source is a connection's stream of bytes, with the times at which they were read. It
-// belongs to the goroutine of Serve.
+// source reads the bytes of a connection and records when they were read. Only the
+// goroutine that runs Serve uses it.
 type source struct {
 	netConn             net.Conn
-	nonBlocking         bool  // Read returns only what has arrived already
-	streamErr           error // what ended the stream
-	consecutiveFailures int   // reads in a row that failed and are retried
+	nonBlocking         bool  // Read returns only bytes that have already arrived
+	streamErr           error // the error that ended the stream
+	consecutiveFailures int   // consecutive reads that failed and were retried
 
-	hasPartialMessage func() bool // a part of a message was read before
-	lastByteAt        time.Time   // when bytes were last read; zero for never
-	messageBeganAt    time.Time   // when the first byte of the current message was seen; zero between messages
+	hasPartialMessage func() bool // reports whether a part of a message is buffered
+	lastByteAt        time.Time   // when bytes were last read; zero if none were
+	messageStartedAt  time.Time   // when the first byte of the current message was read; zero between messages
 	lastReadAt        time.Time   // when a read last returned bytes or found the socket empty
-	partReadAt        time.Time   // the latest time by which only a part of the current message was read; zero for none
+	partialReadAt     time.Time   // the latest time at which the current message was known to be incomplete; zero if unknown
 }
 
-// resetMessageTimes prepares for the next message.
-func (s *source) resetMessageTimes() { s.partReadAt, s.messageBeganAt = time.Time{}, time.Time{} }
+// resetMessageTimes clears the times of the current message before the next one is read.
+func (s *source) resetMessageTimes() { s.partialReadAt, s.messageStartedAt = time.Time{}, time.Time{} }
 
-// Read implements io.Reader. It fails with os.ErrDeadlineExceeded where it was interrupted,
-// where it must not block and nothing has arrived, and after a failure that is to be
-// retried; lastReadFailed tells the last case from the others.
+// Read implements io.Reader. It returns os.ErrDeadlineExceeded if the read was interrupted,
+// if it must not block and nothing has arrived, or if it failed with an error that the
+// caller is to retry. lastReadFailed identifies the last case.
 func (s *source) Read(p []byte) (n int, err error) {
 	partial := s.hasPartialMessage()
 	if s.nonBlocking {
-		n, err = readNow(s.netConn, p)
+		n, err = readNonBlocking(s.netConn, p)
 	} else {
 		n, err = s.netConn.Read(p)
 	}
-	if n == 0 && s.nonBlocking && errors.Is(err, os.ErrDeadlineExceeded) { // everything was read that had arrived
+	if n == 0 && s.nonBlocking && errors.Is(err, os.ErrDeadlineExceeded) { // all bytes that had arrived were read
 		s.lastReadAt = time.Now()
 	}
 	if n > 0 {
 		if partial {
-			s.partReadAt = s.lastReadAt
+			s.partialReadAt = s.lastReadAt
 		}
 		s.lastReadAt = time.Now()
 		s.lastByteAt = s.lastReadAt
@@ -61,13 +61,13 @@
 	return n, err
 }
 
-// lastReadFailed reports whether the last read failed with an error that is retried: such a
-// read says nothing about what has arrived.
+// lastReadFailed reports whether the last read failed with an error that is retried. Such a
+// read does not show whether the socket is empty.
 func (s *source) lastReadFailed() bool { return s.consecutiveFailures > 0 }
 
-// readNow reads what has arrived on a socket, whatever its deadline. On a connection that is
-// not a socket it finds nothing.
-func readNow(nc net.Conn, p []byte) (n int, err error) {
+// readNonBlocking reads bytes that have already arrived on a socket, regardless of the read
+// deadline. It returns os.ErrDeadlineExceeded if there are none, or if nc is not a socket.
+func readNonBlocking(nc net.Conn, p []byte) (n int, err error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return 0, os.ErrDeadlineExceeded
@@ -77,7 +77,7 @@
 		return 0, err
 	}
 	var readErr error
-	err = raw.Control(func(fd uintptr) { // the runtime has made the socket non-blocking
+	err = raw.Control(func(fd uintptr) { // the Go runtime has put the socket into non-blocking mode
 		for {
 			if n, readErr = syscall.Read(int(fd), p); readErr != syscall.EINTR {
 				return
--- a/transport/state.go
+++ b/transport/state.go
@@ -6,9 +6,9 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// connState is the state of a connection, in the sense of net/http's ConnState. The
-// goroutine of Serve owns it and changes it in one place, moveStateLocked. Other goroutines only
-// leave a connRequest, which that goroutine reads.
+// connState is the state of a connection, like net/http's ConnState. Only the goroutine of
+// Serve changes it, in transitionLocked. Other goroutines set a connCommand, which that
+// goroutine carries out.
 //
 // # States and transitions
 //
@@ -17,54 +17,54 @@
 //	stateClosing     queueFlushed    stateHalfClosed
 //	any              serveReturned   stateClosed
 //
-// Any other event leaves the state as it is.
+// Any other event leaves the state unchanged.
 //
-// # What ends the reading of an open connection
+// # When reading of an open connection ends
 //
-// A failed step and requestClose end the reading at once. Everything else is decided by
-// examination.decide, and only after a read without blocking has found the socket empty:
-// the process may have been suspended while a message arrived, so a timer proves nothing.
-// Whether a connection may end is up to guard.MayClose.
+// An error of the handler and commandClose end reading at once. All other cases are decided
+// by closeCheck.decide, and only after a non-blocking read has found the socket empty: a
+// message may have arrived while the process was suspended, so an expired timer does not
+// prove that the connection is idle. guard.MayClose decides whether it may close.
 //
-//	request              the guard allows the end    the guard forbids it
-//	requestNone          stays open                  stays open
-//	  deadline passed    ends: ReadTimeout           is examined again later
-//	requestMark          stays open, request done    stays open, request done
-//	requestCloseIfIdle   ends: Idle (*)              stays open, request done
-//	requestDrain         ends: Drained               is examined again, at the latest at
-//	                                                 the drain deadline, which always ends it
-//	requestClose         ends: Closed, without being examined
+//	command                MayClose allows it        MayClose denies it
+//	commandNone            stays open                stays open
+//	  deadline passed      closes: ReadTimeout       is checked again later
+//	commandReadAvailable   stays open, command done  stays open, command done
+//	commandCloseIfIdle     closes: Idle (*)          stays open, command done
+//	commandDrain           closes: Drained           is checked again, at the latest at the
+//	                                                 drain deadline, when it always closes
+//	commandClose           closes: Closed, without a check
 //
-// (*) Only where no part of a message is buffered, even one that has stalled.
+// (*) Only if no part of a message is buffered, not even of a stalled one.
 type connState int
 
 const (
-	// stateOpen: messages are read and given to the step; what is queued is written.
+	// stateOpen: messages are read by the handler, and queued bytes are written.
 	stateOpen connState = iota
 
-	// stateClosing: no more messages are read and Send refuses; what was queued before is
-	// being written.
+	// stateClosing: no more messages are read and Send returns false. Bytes queued before
+	// are being written.
 	stateClosing
 
-	// stateHalfClosed: the writing side is shut; what the peer still sends is read and
-	// dropped, because a close over unread bytes would reset the connection and the peer
-	// could lose the last responses.
+	// stateHalfClosed: the write side is shut down. Bytes that the peer still sends are read
+	// and discarded, because closing a socket with unread bytes resets the connection and
+	// the peer could lose the last responses.
 	stateHalfClosed
 
 	// stateClosed: the socket is closed.
 	stateClosed
 )
 
-// connEvent is what moves a connection from a state to the next.
+// connEvent is an event that may change the state of a connection.
 type connEvent int
 
 const (
-	readingEnded  connEvent = iota // no further message is read
-	queueFlushed                   // everything that was queued is written
-	serveReturned                  // Serve returns, for whatever reason
+	readingEnded  connEvent = iota // no more messages are read
+	queueFlushed                   // all queued bytes are written
+	serveReturned                  // Serve returns, for any reason
 )
 
-// next returns the state that follows an event.
+// next returns the state after an event.
 func (s connState) next(e connEvent) connState {
 	switch {
 	case e == serveReturned:
@@ -77,80 +77,82 @@
 	return s
 }
 
-// moveStateLocked changes the state. Only the goroutine of Serve calls it; the lock is held.
-func (c *Conn) moveStateLocked(e connEvent) { c.state = c.state.next(e) }
+// transitionLocked applies an event to the state. Only the goroutine of Serve calls it. The
+// caller holds mu.
+func (c *Conn) transitionLocked(e connEvent) { c.state = c.state.next(e) }
 
-// connRequest is what another goroutine has asked of a connection. A later constant takes
-// precedence over an earlier one.
-type connRequest int
+// connCommand is a command that another goroutine has set for the goroutine of Serve. A
+// later constant takes precedence over an earlier one.
+type connCommand int
 
 const (
-	// requestNone: nothing is asked for.
-	requestNone connRequest = iota
+	// commandNone: no command is set.
+	commandNone connCommand = iota
 
-	// requestMark: read what has arrived by now, so that a message that completes later
-	// is known to have done so.
-	requestMark
+	// commandReadAvailable: read all bytes that have arrived by now, so that a message that
+	// completes later is known to have done so.
+	commandReadAvailable
 
-	// requestCloseIfIdle: end, unless a part of a message is there or a response is pending.
-	requestCloseIfIdle
+	// commandCloseIfIdle: close, unless a part of a message has arrived or a response is
+	// pending.
+	commandCloseIfIdle
 
-	// requestDrain: end as soon as that is allowed, and at the drain deadline in any case.
-	requestDrain
+	// commandDrain: close as soon as that is allowed, at the latest at the drain deadline.
+	commandDrain
 
-	// requestClose: end once what is queued is written.
-	requestClose
+	// commandClose: close once all queued bytes are written.
+	commandClose
 )
 
-// examination is what is known of an open connection whose socket was found empty.
-type examination struct {
+// closeCheck holds the inputs for the decision whether an open connection closes. It is made
+// after a non-blocking read has found the socket empty.
+type closeCheck struct {
 	facts          guard.Connection
-	request        connRequest
+	command        connCommand
 	untilDrain     time.Duration // until the drain deadline
-	deadlinePassed bool          // the read deadline
+	deadlinePassed bool          // the read deadline has passed
 }
 
-// verdict is what becomes of an examined connection.
-type verdict struct {
-	end          EndReason // why it ends; empty if it stays open
-	requestDone  bool      // the request was carried out
-	examineAgain bool      // after examineAfter
-	examineAfter time.Duration
+// closeDecision is the result of a closeCheck.
+type closeDecision struct {
+	reason       CloseReason // why the connection closes; empty if it stays open
+	commandDone  bool        // the command is carried out
+	recheck      bool        // the socket is to be checked again after recheckAfter
+	recheckAfter time.Duration
 }
 
-// decide applies the table of connState to a connection that was examined. It changes
-// nothing.
-func (x examination) decide() verdict {
+// decide applies the table in the comment of connState. It has no side effects.
+func (x closeCheck) decide() closeDecision {
 	switch {
-	case x.request == requestMark:
-		return verdict{requestDone: true}
-	case x.request == requestCloseIfIdle:
+	case x.command == commandReadAvailable:
+		return closeDecision{commandDone: true}
+	case x.command == commandCloseIfIdle:
 		if reason, _ := guard.MayClose(x.facts); reason == guard.NotHeld && !x.facts.MessagePartial {
-			return verdict{end: Idle}
+			return closeDecision{reason: Idle}
 		}
-		return verdict{requestDone: true}
-	case x.request == requestDrain:
+		return closeDecision{commandDone: true}
+	case x.command == commandDrain:
 		x.facts.ProcessEnding = x.untilDrain <= 0
-		reason, again := guard.MayClose(x.facts)
+		reason, retryAfter := guard.MayClose(x.facts)
 		if reason == guard.NotHeld {
-			return verdict{end: Drained}
+			return closeDecision{reason: Drained}
 		}
-		return verdict{examineAgain: true, examineAfter: min(again, x.untilDrain)}
+		return closeDecision{recheck: true, recheckAfter: min(retryAfter, x.untilDrain)}
 	case x.deadlinePassed:
 		return x.decideAfterDeadline()
 	}
-	return verdict{}
+	return closeDecision{}
 }
 
-// decideAfterDeadline decides about a connection that nothing was asked of and whose read
-// deadline has passed.
-func (x examination) decideAfterDeadline() verdict {
-	reason, again := guard.MayClose(x.facts)
+// decideAfterDeadline decides for a connection that has no command and whose read deadline
+// has passed.
+func (x closeCheck) decideAfterDeadline() closeDecision {
+	reason, retryAfter := guard.MayClose(x.facts)
 	switch reason {
 	case guard.NotHeld:
-		return verdict{end: ReadTimeout}
+		return closeDecision{reason: ReadTimeout}
 	case guard.PendingResponses:
-		again = pendingCheckInterval
+		retryAfter = pendingCheckInterval
 	}
-	return verdict{examineAgain: true, examineAfter: again}
+	return closeDecision{recheck: true, recheckAfter: retryAfter}
 }
