--- a/transport/state_test.go
+++ b/transport/state_test.go
@@ -10,8 +10,8 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// TestStateTransitions walks the table of states and events.
-func TestStateTransitions(t *testing.T) {
+// TestConnState_Transitions checks the next state for every state and event.
+func TestConnState_Transitions(t *testing.T) {
 	next := map[connState]map[connEvent]connState{
 		stateOpen:       {readingEnded: stateClosing, queueFlushed: stateOpen, serveReturned: stateClosed},
 		stateClosing:    {readingEnded: stateClosing, queueFlushed: stateHalfClosed, serveReturned: stateClosed},
@@ -21,111 +21,114 @@
 	for state, events := range next {
 		for event, want := range events {
 			if got := state.next(event); got != want {
-				t.Errorf("state %d, event %d: state %d, want %d", state, event, got, want)
+				t.Errorf("connState(%d).next(%d) = %d, want %d", state, event, got, want)
 			}
 		}
 	}
 }
 
-// TestDecide walks the table of requests and of what the guard says.
-func TestDecide(t *testing.T) {
+// TestCloseCheck_Decide checks the decision for every command and every result of
+// guard.MayClose.
+func TestCloseCheck_Decide(t *testing.T) {
 	const (
-		stall  = 8 * time.Second
-		silent = 3 * time.Second
-		notice = time.Second
+		stall  = 8 * time.Second // stall timeout
+		quiet  = 3 * time.Second // since the last byte of a partial message
+		notice = time.Second     // the rest of the notice period
 		later  = time.Minute
 	)
 	idle := guard.Connection{SocketDrained: true, StallTimeout: stall}
 	pending, partial, stalled, notified := idle, idle, idle, idle
 	pending.ResponsesPending = true
-	partial.MessagePartial, partial.IdleFor = true, silent
+	partial.MessagePartial, partial.IdleFor = true, quiet
 	stalled.MessagePartial, stalled.IdleFor = true, stall
 	notified.NoticeRemaining = notice
-	again := func(d time.Duration) verdict { return verdict{examineAgain: true, examineAfter: d} }
-	done := verdict{requestDone: true}
-	_, pendingAgain := guard.MayClose(pending)
+	recheck := func(d time.Duration) closeDecision { return closeDecision{recheck: true, recheckAfter: d} }
+	done := closeDecision{commandDone: true}
+	_, pendingRetryAfter := guard.MayClose(pending)
 
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name       string
-		request    connRequest
-		passed     bool          // the read deadline
-		untilDrain time.Duration // the drain deadline
-		want       map[*guard.Connection]verdict
+		command    connCommand
+		passed     bool          // the read deadline has passed
+		untilDrain time.Duration // until the drain deadline
+		want       map[*guard.Connection]closeDecision
 	}{
-		{name: "none", request: requestNone, want: map[*guard.Connection]verdict{
+		{name: "no command", command: commandNone, want: map[*guard.Connection]closeDecision{
 			&idle: {}, &pending: {}, &partial: {}, &stalled: {}, &notified: {},
 		}},
-		{name: "none, deadline passed", request: requestNone, passed: true, want: map[*guard.Connection]verdict{
-			&idle: {end: ReadTimeout}, &pending: again(pendingCheckInterval), &partial: again(stall - silent),
-			&stalled: {end: ReadTimeout}, &notified: again(notice),
+		{name: "no command, read deadline passed", command: commandNone, passed: true, want: map[*guard.Connection]closeDecision{
+			&idle: {reason: ReadTimeout}, &pending: recheck(pendingCheckInterval), &partial: recheck(stall - quiet),
+			&stalled: {reason: ReadTimeout}, &notified: recheck(notice),
 		}},
-		{name: "mark", request: requestMark, passed: true, want: map[*guard.Connection]verdict{
+		{name: "read available", command: commandReadAvailable, passed: true, want: map[*guard.Connection]closeDecision{
 			&idle: done, &pending: done, &partial: done, &stalled: done, &notified: done,
 		}},
-		{name: "close if idle", request: requestCloseIfIdle, passed: true, want: map[*guard.Connection]verdict{
-			&idle: {end: Idle}, &pending: done, &partial: done, &stalled: done, &notified: done,
+		{name: "close if idle", command: commandCloseIfIdle, passed: true, want: map[*guard.Connection]closeDecision{
+			&idle: {reason: Idle}, &pending: done, &partial: done, &stalled: done, &notified: done,
 		}},
-		{name: "drain", request: requestDrain, passed: true, untilDrain: later, want: map[*guard.Connection]verdict{
-			&idle: {end: Drained}, &pending: again(pendingAgain), &partial: again(stall - silent),
-			&stalled: {end: Drained}, &notified: again(notice),
+		{name: "drain", command: commandDrain, passed: true, untilDrain: later, want: map[*guard.Connection]closeDecision{
+			&idle: {reason: Drained}, &pending: recheck(pendingRetryAfter), &partial: recheck(stall - quiet),
+			&stalled: {reason: Drained}, &notified: recheck(notice),
 		}},
-		{name: "drain, soon", request: requestDrain, untilDrain: time.Millisecond, want: map[*guard.Connection]verdict{
-			&idle: {end: Drained}, &pending: again(time.Millisecond), &partial: again(time.Millisecond),
-			&stalled: {end: Drained}, &notified: again(time.Millisecond),
+		{name: "drain, deadline in 1 ms", command: commandDrain, untilDrain: time.Millisecond, want: map[*guard.Connection]closeDecision{
+			&idle: {reason: Drained}, &pending: recheck(time.Millisecond), &partial: recheck(time.Millisecond),
+			&stalled: {reason: Drained}, &notified: recheck(time.Millisecond),
 		}},
-		{name: "drain, deadline passed", request: requestDrain, want: map[*guard.Connection]verdict{
-			&idle: {end: Drained}, &pending: {end: Drained}, &partial: {end: Drained},
-			&stalled: {end: Drained}, &notified: {end: Drained},
+		{name: "drain, drain deadline passed", command: commandDrain, want: map[*guard.Connection]closeDecision{
+			&idle: {reason: Drained}, &pending: {reason: Drained}, &partial: {reason: Drained},
+			&stalled: {reason: Drained}, &notified: {reason: Drained},
 		}},
-		{name: "close, asked for meanwhile", request: requestClose, want: map[*guard.Connection]verdict{
+		{name: "close, set after the last read", command: commandClose, want: map[*guard.Connection]closeDecision{
 			&idle: {}, &pending: {}, &partial: {}, &stalled: {}, &notified: {},
 		}},
 	} {
-		for facts, want := range x.want {
-			got := examination{facts: *facts, request: x.request, untilDrain: x.untilDrain, deadlinePassed: x.passed}.decide()
+		for facts, want := range test.want {
+			got := closeCheck{facts: *facts, command: test.command, untilDrain: test.untilDrain, deadlinePassed: test.passed}.decide()
 			if got != want {
-				t.Errorf("%s, %+v: %+v, want %+v", x.name, *facts, got, want)
+				t.Errorf("%s: decide() with facts %+v = %+v, want %+v", test.name, *facts, got, want)
 			}
 		}
 	}
 }
 
-// TestRequestsOnConnections puts every request to connections in every condition, and sees
-// whether they end at once, why, and in which state they are.
-func TestRequestsOnConnections(t *testing.T) {
-	const open = EndReason("")
+// TestConn_CloseReasonByCommand calls every method that can close a connection, on connections
+// with and without a partial message and a pending response. It checks whether the connection
+// closes at once, the reason, and the state.
+func TestConn_CloseReasonByCommand(t *testing.T) {
+	const open = CloseReason("")
 	type condition struct{ partial, pending bool }
 	conditions := []condition{{false, false}, {true, false}, {false, true}, {true, true}}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name string
-		ask  func(*Conn)
-		want [4]EndReason // by condition
+		call func(*Conn)
+		want [4]CloseReason // by condition
 	}{
-		{"nothing", func(*Conn) {}, [4]EndReason{open, open, open, open}},
-		{"Wake", (*Conn).Wake, [4]EndReason{open, open, open, open}},
-		{"Mark", (*Conn).Mark, [4]EndReason{open, open, open, open}},
-		{"CloseIfIdle", (*Conn).CloseIfIdle, [4]EndReason{Idle, open, open, open}},
-		{"Drain", func(c *Conn) { c.Drain(time.Now().Add(time.Minute)) }, [4]EndReason{Drained, open, open, open}},
-		{"Drain at once", drainNow, [4]EndReason{Drained, Drained, Drained, Drained}},
-		{"Close", (*Conn).Close, [4]EndReason{Closed, Closed, Closed, Closed}},
-		{"Abort", (*Conn).Abort, [4]EndReason{Aborted, Aborted, Aborted, Aborted}},
+		{"nothing", func(*Conn) {}, [4]CloseReason{open, open, open, open}},
+		{"Wake", (*Conn).Wake, [4]CloseReason{open, open, open, open}},
+		{"ReadAvailable", (*Conn).ReadAvailable, [4]CloseReason{open, open, open, open}},
+		{"CloseIfIdle", (*Conn).CloseIfIdle, [4]CloseReason{Idle, open, open, open}},
+		{"Drain", func(c *Conn) { c.Drain(time.Now().Add(time.Minute)) }, [4]CloseReason{Drained, open, open, open}},
+		{"Drain, deadline passed", drainNow, [4]CloseReason{Drained, Drained, Drained, Drained}},
+		{"Close", (*Conn).Close, [4]CloseReason{Closed, Closed, Closed, Closed}},
+		{"Abort", (*Conn).Abort, [4]CloseReason{Aborted, Aborted, Aborted, Aborted}},
 		{
-			"read deadline", func(c *Conn) { c.SetReadDeadline(time.Now()) },
-			[4]EndReason{ReadTimeout, open, open, open},
+			"read deadline passed", func(c *Conn) { c.SetReadDeadline(time.Now()) },
+			[4]CloseReason{ReadTimeout, open, open, open},
 		},
 	} {
-		for i, now := range conditions {
-			t.Run(fmt.Sprintf("%s/partial=%t/pending=%t", x.name, now.partial, now.pending), func(t *testing.T) {
+		for i, given := range conditions {
+			t.Run(fmt.Sprintf("%s/partial=%t/pending=%t", test.name, given.partial, given.pending), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					requestOnConnection(t, x.ask, now.partial, now.pending, x.want[i])
+					checkCloseReason(t, test.call, given.partial, given.pending, test.want[i])
 				})
 			})
 		}
 	}
 }
 
-// requestOnConnection does one case of TestRequestsOnConnections.
-func requestOnConnection(t *testing.T, ask func(*Conn), partial, pending bool, want EndReason) {
+// checkCloseReason runs one case of TestConn_CloseReasonByCommand. An empty want means that
+// the connection stays open.
+func checkCloseReason(t *testing.T, call func(*Conn), partial, pending bool, want CloseReason) {
 	t.Helper()
 	p := newIdlePeer()
 	closeLater(t, p)
@@ -137,40 +140,40 @@
 		write(t, p, "ha")
 	}
 	synctest.Wait()
-	ask(p.conn)
+	call(p.conn)
 	synctest.Wait()
 	if want == "" {
 		checkOpen(t, p)
 		isPending.Store(false)
 		drainNow(p.conn)
-		if err := <-p.ended; err != nil {
-			t.Errorf("it ends with %v", err)
+		if err := <-p.served; err != nil {
+			t.Errorf("Serve() = %v after Drain, want nil", err)
 		}
 		return
 	}
 	select {
-	case err := <-p.ended:
-		if asked := want == Idle || want == Drained || want == Closed; asked != (err == nil) {
-			t.Errorf("it ends with %v", err)
+	case err := <-p.served:
+		if wantNil := want == Idle || want == Drained || want == Closed; wantNil != (err == nil) {
+			t.Errorf("Serve() = %v for close reason %q, want nil: %t", err, want, wantNil)
 		}
 	default:
-		t.Fatal("it stays open")
+		t.Fatalf("the connection stays open, want close reason %q", want)
 	}
-	if end := p.conn.End(); end.Reason != want || end.ResponsesPending != pending || (end.PartialBytes > 0) != partial {
-		t.Errorf("it ends with %+v, want %q", end, want)
+	if info := p.conn.CloseInfo(); info.Reason != want || info.ResponsesPending != pending || (info.PartialBytes > 0) != partial {
+		t.Errorf("CloseInfo() = %+v, want reason %q, responses pending %t, partial message %t", info, want, pending, partial)
 	}
 	if p.conn.state != stateClosed {
-		t.Errorf("state %d, want %d", p.conn.state, stateClosed)
+		t.Errorf("connection state = %d, want %d", p.conn.state, stateClosed)
 	}
 }
 
-// checkOpen sees that a connection is open, and that no request but Drain is left on it.
+// checkOpen checks that a connection is open and has no command left except commandDrain.
 func checkOpen(t *testing.T, p *peer) {
 	t.Helper()
 	if p.conn.state != stateOpen {
-		t.Fatalf("state %d, want %d", p.conn.state, stateOpen)
+		t.Fatalf("connection state = %d, want %d", p.conn.state, stateOpen)
 	}
-	if p.conn.request != requestNone && p.conn.request != requestDrain {
-		t.Errorf("request %d is still there", p.conn.request)
+	if p.conn.command != commandNone && p.conn.command != commandDrain {
+		t.Errorf("connection command = %d, want %d or %d", p.conn.command, commandNone, commandDrain)
 	}
 }
--- a/transport/write.go
+++ b/transport/write.go
@@ -9,26 +9,26 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// The limits of writing to a peer that does not read. Attempts are counted, each with a
-// deadline of its own: a process that is suspended past a single deadline has not tried.
+// Limits for writing to a peer that does not read. The limit is a number of attempts, each
+// with its own deadline, and not one deadline for all: a process that was suspended past
+// that deadline would give up without having tried.
 const (
-	// writeAttemptTimeout is the deadline of one attempt.
+	// writeAttemptTimeout bounds one attempt.
 	writeAttemptTimeout = 500 * time.Millisecond
 
-	// writeTimeout is how long a flush waits in all while nothing is written. A client may
-	// wait as long before it reads.
+	// writeTimeout bounds the total wait of a flush while no byte is written. A client may
+	// wait this long before it reads.
 	writeTimeout = guard.MaxMessageTime
 
-	// maxIdleWriteAttempts is after how many attempts in a row that write nothing a flush
-	// fails.
-	maxIdleWriteAttempts = int(writeTimeout / writeAttemptTimeout)
+	// maxStalledWriteAttempts is the number of consecutive attempts without a written byte
+	// after which a flush fails.
+	maxStalledWriteAttempts = int(writeTimeout / writeAttemptTimeout)
 
-	// retryPause is how long a connection rests after a failed read or write that is
-	// retried.
+	// retryPause is the pause before a failed read or write is retried.
 	retryPause = 2 * time.Millisecond
 )
 
-// flush writes what is queued and sets the deadline of the next read.
+// flush writes all queued bytes and then sets the deadline of the next read.
 func (c *Conn) flush() error {
 	for {
 		c.mu.Lock()
@@ -38,7 +38,7 @@
 		}
 		if len(c.sendQueue) == 0 {
 			c.woken = false
-			c.applyReadDeadline(c.readDeadline)
+			c.setSocketReadDeadline(c.readDeadline)
 			c.mu.Unlock()
 			return nil
 		}
@@ -46,17 +46,17 @@
 		c.sendQueue = nil
 		c.mu.Unlock()
 		if unsent, err := c.write(out); err != nil {
-			c.ending.UnsentBytes += unsent
-			return fmt.Errorf("writing: %w", err)
+			c.closeInfo.UnsentBytes += unsent
+			return fmt.Errorf("writing queued bytes: %w", err)
 		}
 	}
 }
 
-// write writes all of p, and retries what the system refuses temporarily from the first byte
-// that was not written. It returns how many bytes were not written.
+// write writes all of p. After a temporary error it continues with the first unwritten
+// byte. It returns the number of bytes that were not written.
 func (c *Conn) write(p []byte) (unsent int, err error) {
 	for attempts, failures := 0, 0; len(p) > 0; {
-		_ = c.netConn.SetWriteDeadline(time.Now().Add(writeAttemptTimeout)) // where it fails, so does the write
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(writeAttemptTimeout)) // if this fails, so does the write
 		n, err := c.netConn.Write(p)
 		p = p[n:]
 		if n > 0 {
@@ -65,7 +65,7 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if attempts++; attempts == maxIdleWriteAttempts {
+			if attempts++; attempts == maxStalledWriteAttempts {
 				return len(p), err
 			}
 		case guard.MayRetry(err, failures+1) == nil:
