--- a/transport/serve.go
+++ b/transport/serve.go
@@ -144,10 +144,10 @@
 		facts.MessageAge = now.Sub(cmp.Or(c.source.messageStartedAt, c.source.lastByteAt))
 	}
 	c.mu.Lock()
-	request := c.command
+	command := c.command
 	c.mu.Unlock()
-	idle := request == commandNone && !facts.MessagePartial && !facts.ResponsesPending
-	if c.notifyPeer != nil && (request == commandCloseIfIdle || idle) {
+	idle := command == commandNone && !facts.MessagePartial && !facts.ResponsesPending
+	if c.notifyPeer != nil && (command == commandCloseIfIdle || idle) {
 		facts.NoticeRemaining = c.notifyPeer()
 	}
 	return facts
--- a/transport/server.go
+++ b/transport/server.go
@@ -86,10 +86,10 @@
 // retries a failed accept, for example when the process is out of descriptors, after a
 // growing pause, so that failures neither stop the server nor keep a core busy.
 func (s *Server) Serve() error {
-	serving := make(chan struct{})
-	defer close(serving)
+	serveDone := make(chan struct{})
+	defer close(serveDone)
 	s.mu.Lock()
-	s.serveDone = serving
+	s.serveDone = serveDone
 	s.mu.Unlock()
 	var lastErr error
 	failures := 0
@@ -211,10 +211,10 @@
 // the connections in the accept queue to them; Shutdown accepts those first.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
-	serving := s.serveDone
+	serveDone := s.serveDone
 	s.mu.Unlock()
-	if serving != nil && s.extendAcceptDeadline() {
-		<-serving
+	if serveDone != nil && s.extendAcceptDeadline() {
+		<-serveDone
 	}
 	s.Close()
 }
