--- a/frontend/thrift/frontend.go
+++ b/frontend/thrift/frontend.go
@@ -58,8 +58,8 @@
 	drainDeadline atomic.Pointer[time.Time] // the deadline of Drain, also for new connections; nil before Drain
 
 	// Used only by the goroutine that accepts connections.
-	acceptedSinceReclaim int // connections accepted since lastReclaim
-	lastReclaim          time.Time
+	callsSinceReclaim int // calls of ReclaimConnections since lastReclaim
+	lastReclaim       time.Time
 }
 
 // New returns a frontend without connections.
@@ -87,9 +87,8 @@
 }
 
 // reportClose reports how a connection closed, with the IDs of the requests that had no
-// response. The peer was sent a fault for each of them. If queued bytes could not be written
-// although the connection did not fail on the peer's side, requests are lost, which violates
-// guard.LostRequest.
+// response. These requests fail. If queued bytes could not be written although the connection
+// did not fail on the peer's side, requests are lost, which violates guard.LostRequest.
 func (f *Frontend) reportClose(c *transport.Conn, unanswered []string) {
 	info := c.CloseInfo()
 	if f.options.Observer != nil {
@@ -173,12 +172,13 @@
 	})
 }
 
-// ReclaimConnections frees connections when their number is near the limit. It notifies, and
-// later closes, connections without any message, and for each connection accepted since the
-// last time the one that has been idle longest, because some callers send one request and
+// ReclaimConnections frees connections when their number is near the limit. transport.Server
+// calls it for each new connection, and again while one waits. It notifies, and later closes,
+// connections without any message. It also notifies the connections that have been idle
+// longest, one for each call since the last search, because some callers send one request and
 // never close their connection. Only the goroutine that accepts connections may call it.
 func (f *Frontend) ReclaimConnections() {
-	f.acceptedSinceReclaim++
+	f.callsSinceReclaim++
 	if time.Since(f.lastReclaim) < reclaimInterval {
 		return
 	}
@@ -186,10 +186,10 @@
 	slices.SortFunc(idle, func(a, b *connection) int {
 		return a.conn.LastActive().Compare(b.conn.LastActive())
 	})
-	for _, c := range idle[:min(f.acceptedSinceReclaim, len(idle))] {
+	for _, c := range idle[:min(f.callsSinceReclaim, len(idle))] {
 		c.notifyOrClose(noticePeriodNearLimit)
 	}
-	f.acceptedSinceReclaim, f.lastReclaim = 0, time.Now()
+	f.callsSinceReclaim, f.lastReclaim = 0, time.Now()
 }
 
 // reclaimSilent notifies the peers that have sent no message, closes the idle connections
