--- a/backend/commands.go
+++ b/backend/commands.go
@@ -10,55 +10,55 @@
 	"quincerail.example/quincerail/protocol/processor"
 )
 
-// commandKind is what a command is for.
+// commandKind is the purpose of a command.
 type commandKind int
 
 const (
 	startRun commandKind = iota
 	cancelRun
-	resumeRun // with the reply to its call, or without the call
+	resumeRun // delivers the reply to the run's downstream call, or skips the call
 )
 
-// pendingCommand is a command that the processor may not have read yet. It is dropped once it
-// need not be sent again: when a question that was sent after it on the same connection is
-// answered, as the processor reads in order, or when a later notice of its run shows that it
-// was read or has no use any more.
+// pendingCommand is a command that the processor may not have read yet. It is dropped when
+// it need not be sent again. That is the case when the processor answers a query that was
+// sent after the command on the same connection, because the processor reads in order. It
+// is also the case when a later notice of its run shows that the command was read or is
+// obsolete.
 type pendingCommand struct {
-	text  []byte
-	runID string
-	kind  commandKind
-	after uint64 // number of the last question that was sent before it; a later one proves that it was read
-	sent  bool   // on the current connection
+	encoded        []byte
+	runID          string
+	kind           commandKind
+	precedingQuery uint64 // number of the last query before the command; the answer to a later one proves that it was read
+	sent           bool   // on the current connection
 }
 
-// send sends a command if the connection is ready, and keeps it until it is proved to be
-// read.
-func (p *Processor) send(kind commandKind, runID string, text []byte) {
+// send sends a command if the connection is ready. It keeps the command as pending until it
+// need not be sent again.
+func (p *Processor) send(kind commandKind, runID string, encoded []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := pendingCommand{text: text, runID: runID, kind: kind, after: p.questions}
-	if p.ready != nil {
+	c := pendingCommand{encoded: encoded, runID: runID, kind: kind, precedingQuery: p.lastQuery}
+	if p.readyConn != nil {
 		c.sent = true
-		p.ready.Send(text)
+		p.readyConn.Send(encoded)
 	}
 	p.pending = append(p.pending, c)
 }
 
-// resendLocked sends the commands that may have been lost, and those that were given while
-// no connection was ready. The lock is held.
+// resendLocked sends all pending commands on a new connection: those that may have been lost
+// and those that were issued while no connection was ready. p.mu is held.
 func (p *Processor) resendLocked() {
-	if p.wasReady {
+	if p.everReady {
 		p.log.Info("processor_link_restored", "commands_sent_again", len(p.pending))
 	}
-	p.wasReady = true
+	p.everReady = true
 	for i := range p.pending {
-		p.pending[i].sent, p.pending[i].after = true, p.questions
-		p.ready.Send(p.pending[i].text)
+		p.pending[i].sent, p.pending[i].precedingQuery = true, p.lastQuery
+		p.readyConn.Send(p.pending[i].encoded)
 	}
 }
 
-// dropPendingLocked forgets the commands for which drop reports that they need not be sent
-// again. The lock is held.
+// dropPendingLocked removes the pending commands for which drop returns true. p.mu is held.
 func (p *Processor) dropPendingLocked(drop func(pendingCommand) bool) {
 	p.pending = slices.DeleteFunc(p.pending, drop)
 }
@@ -83,36 +83,37 @@
 	p.send(resumeRun, id, processor.AppendSkipCall(nil, id, notice))
 }
 
-// ReadGauges implements dispatch.Machine. reply is not called if the connection breaks, or
-// is not ready.
+// ReadGauges implements dispatch.Machine. It does not call reply if the connection is not
+// ready or breaks before the answer. It aborts the connection if more than
+// maxUnansweredQueries calls in a row got no notice.
 func (p *Processor) ReadGauges(reply func(decision.Gauges)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.unanswered++; p.unanswered > maxUnanswered && p.greeted && p.current != nil {
-		p.log.Warn("processor_link_silent", "unanswered", p.unanswered)
-		p.unanswered = 0
-		p.current.Abort() // the address is dialled again
+	if p.unansweredQueries++; p.unansweredQueries > maxUnansweredQueries && p.everGreeted && p.currentConn != nil {
+		p.log.Warn("processor_link_silent", "unanswered", p.unansweredQueries)
+		p.unansweredQueries = 0
+		p.currentConn.Abort() // the redialer opens a new one
 		return
 	}
-	if p.ready == nil {
+	if p.readyConn == nil {
 		return
 	}
-	p.questions++
-	p.gaugeReaders[p.questions] = reply
-	p.ready.Send(processor.AppendReadGauges(nil, strconv.FormatUint(p.questions, 10)))
+	p.lastQuery++
+	p.gaugeCallbacks[p.lastQuery] = reply
+	p.readyConn.Send(processor.AppendReadGauges(nil, strconv.FormatUint(p.lastQuery, 10)))
 }
 
-// CheckHealth implements dispatch.Machine. The result is false if the connection breaks, or
-// is not ready.
+// CheckHealth implements dispatch.Machine. The result is false if the connection is not ready
+// or breaks before the answer.
 func (p *Processor) CheckHealth(reply func(healthy bool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ready == nil {
-		time.AfterFunc(0, func() { reply(false) }) // the caller must not be called back from within
+	if p.readyConn == nil {
+		time.AfterFunc(0, func() { reply(false) }) // reply must not be called synchronously
 		return
 	}
-	p.questions++
-	tag := strconv.FormatUint(p.questions, 10)
-	p.healthWaiters[tag] = reply
-	p.ready.Send(processor.AppendHealthCheck(nil, tag))
+	p.lastQuery++
+	tag := strconv.FormatUint(p.lastQuery, 10)
+	p.healthCallbacks[tag] = reply
+	p.readyConn.Send(processor.AppendHealthCheck(nil, tag))
 }
--- a/backend/doc.go
+++ b/backend/doc.go
@@ -1,4 +1,4 @@
-// Package backend runs requests: at the processor, over a connection that may break
-// ([Processor], in processor.go and commands.go), and at a uwsgi application server
-// ([UWSGI], in uwsgi.go).
+// Package backend implements the backends that run requests. [Processor] runs them at the
+// processor over one connection, which it redials after a break (processor.go and
+// commands.go). [UWSGI] runs them at a uwsgi application server (uwsgi.go).
 package backend
--- a/backend/processor.go
+++ b/backend/processor.go
@@ -17,73 +17,76 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// maxUnanswered is how many questions for the gauges in a row may stay without any notice
-// before the connection is aborted and dialled again: about two seconds at the interval at
-// which the module asks. A new connection replaces the old one and runs go on, so it costs little
-// where the processor is only slow. Questions are counted and not time, because a process
-// that is suspended does not notice time.
-const maxUnanswered = 80
-
-// errReplaced ends a connection that a newer one has replaced.
-var errReplaced = errors.New("replaced by a newer link")
-
-// Processor is the backend that runs requests at the processor. A connection that breaks
-// may have lost what was written last, so commands are kept until the processor has proved
-// that it read them; see pendingCommand. On a new connection the processor first sends all
-// notices that were missed; then unproven commands are sent again.
+// maxUnansweredQueries is how many gauge queries in a row may pass without any notice from
+// the processor. One more aborts the connection, and the address is redialled. At the interval
+// of the decision module's queries that is about two seconds. Runs continue across a
+// reconnect, so it costs little if the processor is only slow. The limit counts queries and
+// not time, because a suspended process does not notice that time passes.
+const maxUnansweredQueries = 80
+
+// errReplaced closes a connection that a newer one has replaced.
+var errReplaced = errors.New("processor connection replaced by a newer one")
+
+// Processor is the backend that runs requests at the processor. A break of the connection
+// may lose the bytes that were written last. Processor therefore keeps each command until a
+// message from the processor shows that it need not be sent again (see pendingCommand). On a
+// new connection the processor first sends all notices that this side has not read; after
+// them Processor sends the pending commands again.
 //
-// The address may change while the old connection is open. Notices on it are ignored then:
-// the processor sends them again on the new one.
+// The address may change while the old connection is still open. Processor then ignores
+// notices on the old connection, because the processor sends them again on the new one.
 type Processor struct {
 	core     *dispatch.Core
 	log      *slog.Logger
 	gauges   []string
 	redialer *transport.Redialer
 
-	mu         sync.Mutex
-	current    *transport.Conn // the newest connection, ready or not; nil between a break and the next
-	ready      *transport.Conn // the same, once all missed notices are in; else nil
-	greeting   *transport.Conn // the same, until then; else nil
-	marker     uint64          // the question whose answer proves that all missed notices are in; 0 for none
-	lastNotice uint64          // number of the last notice read
-	questions  uint64          // number of the last question; questions are tagged with their numbers
-	unanswered int             // questions for gauges since the last notice, including those that could not be sent
-	greeted    bool            // the processor has answered on some connection
-	wasReady   bool            // a connection has been ready
-
-	pending       []pendingCommand
-	gaugeReaders  map[uint64]func(decision.Gauges) // by question
-	healthWaiters map[string]func(healthy bool)    // by tag
+	mu                sync.Mutex
+	currentConn       *transport.Conn // the newest connection, ready or not; nil between a break and the next connection
+	readyConn         *transport.Conn // currentConn after all missed notices were read; else nil
+	greetingConn      *transport.Conn // currentConn before that; else nil
+	greetingQuery     uint64          // the query whose answer proves that all missed notices were read; 0 for none
+	lastNotice        uint64          // number of the last notice read
+	lastQuery         uint64          // number of the last gauge query or health check, which is also its tag
+	unansweredQueries int             // calls of ReadGauges since the last notice, including those that sent no query
+	everGreeted       bool            // the processor has answered a hello on some connection
+	everReady         bool            // some connection has been ready
+
+	pending         []pendingCommand
+	gaugeCallbacks  map[uint64]func(decision.Gauges) // by query number
+	healthCallbacks map[string]func(healthy bool)    // by tag
 }
 
-// NewProcessor makes a backend that connects to an address. gauges names the processor's
-// gauges in their order. Attach and Run must be called.
+// NewProcessor returns a backend that runs requests at the processor at address. gauges holds
+// the names of the processor's gauges in the order of their values. The caller must call
+// Attach and then Run.
 func NewProcessor(address string, gauges []string, log *slog.Logger) *Processor {
 	p := &Processor{
 		log: log, gauges: gauges,
-		gaugeReaders: make(map[uint64]func(decision.Gauges)), healthWaiters: make(map[string]func(bool)),
+		gaugeCallbacks: make(map[uint64]func(decision.Gauges)), healthCallbacks: make(map[string]func(bool)),
 	}
-	p.redialer = transport.NewRedialer(address, p.opened, p.closed)
+	p.redialer = transport.NewRedialer(address, p.connOpened, p.connClosed)
 	return p
 }
 
-// Attach sets the core that runs are reported to. It must be called before Run.
+// Attach sets the core that the backend reports to. It must be called before Run.
 func (p *Processor) Attach(core *dispatch.Core) { p.core = core }
 
-// Run keeps the connection until ctx is done.
+// Run keeps a connection to the processor open until ctx is done.
 func (p *Processor) Run(ctx context.Context) { p.redialer.Run(ctx) }
 
-// SetAddress changes the address, which is dialled at once.
+// SetAddress changes the processor's address and dials the new one at once.
 func (p *Processor) SetAddress(address string) { p.redialer.SetAddress(address) }
 
-// opened starts a new connection. It returns the step that reads it.
-func (p *Processor) opened(c *transport.Conn) func(*bufio.Reader) error {
+// connOpened makes c the current connection and sends the hello. It returns the function that
+// reads and handles the next notice.
+func (p *Processor) connOpened(c *transport.Conn) func(*bufio.Reader) error {
 	p.mu.Lock()
-	waiters := p.disconnectLocked() // where the address has changed, the old connection is still open
-	p.current, p.greeting, p.unanswered = c, c, 0
+	checks := p.disconnectLocked() // the old connection is still open if the address has changed
+	p.currentConn, p.greetingConn, p.unansweredQueries = c, c, 0
 	c.Send(processor.AppendHello(nil, p.lastNotice))
 	p.mu.Unlock()
-	reportUnhealthy(waiters)
+	reportUnhealthy(checks)
 	return func(r *bufio.Reader) error {
 		n, err := processor.Read(r)
 		if err != nil {
@@ -93,64 +96,63 @@
 	}
 }
 
-// closed records that a connection has ended. One that was replaced before leaves nothing
-// behind.
-func (p *Processor) closed(c *transport.Conn, err error) {
+// connClosed records that c was closed. It does nothing if a newer connection has replaced c.
+func (p *Processor) connClosed(c *transport.Conn, err error) {
 	p.mu.Lock()
-	if p.current != c {
+	if p.currentConn != c {
 		p.mu.Unlock()
 		return
 	}
-	waiters := p.disconnectLocked()
+	checks := p.disconnectLocked()
 	p.mu.Unlock()
-	if err != nil { // else it was closed here
+	if err != nil { // nil if this side closed it
 		p.log.Warn("processor_link_lost", "error", err.Error())
 	}
-	reportUnhealthy(waiters)
+	reportUnhealthy(checks)
 }
 
-// disconnectLocked forgets the current connection. It returns the health checks that stay
-// without a result. The lock is held.
-func (p *Processor) disconnectLocked() (waiters map[string]func(healthy bool)) {
-	p.current, p.ready, p.greeting, p.marker = nil, nil, nil, 0
-	for i := range p.pending { // an answer on the next connection proves nothing of what was sent on this one
+// disconnectLocked resets the state of the current connection. It returns the callbacks of
+// the health checks that have no result yet. p.mu is held.
+func (p *Processor) disconnectLocked() (checks map[string]func(healthy bool)) {
+	p.currentConn, p.readyConn, p.greetingConn, p.greetingQuery = nil, nil, nil, 0
+	for i := range p.pending { // an answer on the next connection does not prove that this one's commands were read
 		p.pending[i].sent = false
 	}
-	clear(p.gaugeReaders)
-	waiters = p.healthWaiters
-	p.healthWaiters = make(map[string]func(bool))
-	return waiters
+	clear(p.gaugeCallbacks)
+	checks = p.healthCallbacks
+	p.healthCallbacks = make(map[string]func(bool))
+	return checks
 }
 
-// reportUnhealthy fails the health checks of a connection that has ended.
-func reportUnhealthy(waiters map[string]func(healthy bool)) {
-	for _, reply := range waiters {
+// reportUnhealthy reports false for health checks whose connection was closed.
+func reportUnhealthy(checks map[string]func(healthy bool)) {
+	for _, reply := range checks {
 		reply(false)
 	}
 }
 
-// receive handles a notice. The core is told outside of the lock, because it may be waiting
-// for it.
+// receive handles a notice. It calls the core without holding p.mu, because the core may be
+// waiting for p.mu.
 func (p *Processor) receive(c *transport.Conn, n processor.Notice) error {
-	event, err := p.handle(c, n)
+	report, err := p.handle(c, n)
 	if err != nil {
 		return err
 	}
-	if event != nil {
-		event.report(p.core)
+	if report != nil {
+		report.send(p.core)
 	}
 	return nil
 }
 
-// handle updates what is known of the connection by a notice. It returns what the core is
-// to be told, or nil.
-func (p *Processor) handle(c *transport.Conn, n processor.Notice) (coreEvent, error) {
+// handle updates the connection's state for a notice. It returns the report to the core, or
+// nil if there is none.
+func (p *Processor) handle(c *transport.Conn, n processor.Notice) (coreReport, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.current != c { // with its number as lastNotice, earlier notices on the new connection would be ignored
+	if p.currentConn != c { // its number in lastNotice would suppress earlier notices on the new connection
 		return nil, errReplaced
 	}
-	p.unanswered = 0
+	p.unansweredQueries = 0
 	switch n.Kind {
 	case processor.RunCompleted, processor.CallRequested, processor.Remark:
 		if n.Number <= p.lastNotice { // sent again after a break
@@ -165,7 +167,7 @@
 		p.dropPendingLocked(func(command pendingCommand) bool { return command.runID == n.RunID })
 		return runCompleted{n.RunID, runEnd(n.End), n.Took, dispatch.Payload{Body: n.Payload}}, nil
 	case processor.CallRequested:
-		p.dropPendingLocked(func(command pendingCommand) bool { // a cancellation may still be on its way
+		p.dropPendingLocked(func(command pendingCommand) bool { // the processor may not have read a cancel command yet
 			return command.runID == n.RunID && command.kind != cancelRun
 		})
 		return callRequested{n.RunID, n.Number, n.Payload}, nil
@@ -179,51 +181,51 @@
 	return nil, nil
 }
 
-// handleGreetingLocked handles the answer to the hello. The missed notices follow it. The
-// question that is sent now is answered after them, so its answer tells that they are in
-// (see handleGaugesLocked). The lock is held.
-func (p *Processor) handleGreetingLocked(n processor.Notice) (coreEvent, error) {
-	if p.greeting == nil || p.marker != 0 {
-		return nil, fmt.Errorf("%w: hi without hello", lines.ErrMalformed)
+// handleGreetingLocked handles the answer to the hello. The processor sends the missed
+// notices after it. The processor answers the query that is sent here after those notices,
+// so the answer proves that they were read (see handleGaugesLocked). p.mu is held.
+func (p *Processor) handleGreetingLocked(n processor.Notice) (coreReport, error) {
+	if p.greetingConn == nil || p.greetingQuery != 0 {
+		return nil, fmt.Errorf("%w: unexpected greeting (hi)", lines.ErrMalformed)
 	}
-	p.questions++
-	p.greeted = true
-	p.marker = p.questions
-	p.greeting.Send(processor.AppendReadGauges(nil, strconv.FormatUint(p.marker, 10)))
+	p.lastQuery++
+	p.everGreeted = true
+	p.greetingQuery = p.lastQuery
+	p.greetingConn.Send(processor.AppendReadGauges(nil, strconv.FormatUint(p.greetingQuery, 10)))
 	return backendReady{n.Cold, n.Took}, nil
 }
 
-// handleGaugesLocked handles the answer to a question, which proves that all commands sent
-// before the question were read. The lock is held.
-func (p *Processor) handleGaugesLocked(n processor.Notice) coreEvent {
-	question, _ := strconv.ParseUint(n.Tag, 10, 64) // 0 for a tag that is not a number
-	p.dropPendingLocked(func(command pendingCommand) bool { return command.sent && command.after < question })
-	if p.greeting != nil && question == p.marker {
-		p.ready, p.greeting, p.marker = p.greeting, nil, 0
+// handleGaugesLocked handles the answer to a gauge query, which proves that the processor has
+// read all commands sent before the query. p.mu is held.
+func (p *Processor) handleGaugesLocked(n processor.Notice) coreReport {
+	query, _ := strconv.ParseUint(n.Tag, 10, 64) // 0 if the tag is not a number
+	p.dropPendingLocked(func(command pendingCommand) bool { return command.sent && command.precedingQuery < query })
+	if p.greetingConn != nil && query == p.greetingQuery {
+		p.readyConn, p.greetingConn, p.greetingQuery = p.greetingConn, nil, 0
 		p.resendLocked()
 	}
-	reply := p.gaugeReaders[question]
+	reply := p.gaugeCallbacks[query]
 	if reply == nil {
 		return nil
 	}
-	delete(p.gaugeReaders, question)
+	delete(p.gaugeCallbacks, query)
 	return gaugesRead{reply, p.namedGauges(n.Gauges)}
 }
 
-// handleHealthLocked handles the result of a health check. The lock is held.
-func (p *Processor) handleHealthLocked(n processor.Notice) coreEvent {
-	reply := p.healthWaiters[n.Tag]
+// handleHealthLocked handles the result of a health check. p.mu is held.
+func (p *Processor) handleHealthLocked(n processor.Notice) coreReport {
+	reply := p.healthCallbacks[n.Tag]
 	if reply == nil {
 		return nil
 	}
-	delete(p.healthWaiters, n.Tag)
+	delete(p.healthCallbacks, n.Tag)
 	return healthChecked{reply, n.Healthy}
 }
 
-// handleRejectedLocked handles a command that was not carried out. After a rejected start
-// nothing ran: neither does the idempotency key count as used, nor the run as failed. The
-// lock is held.
-func (p *Processor) handleRejectedLocked(n processor.Notice) coreEvent {
+// handleRejectedLocked handles a command that the processor did not carry out. After a
+// rejected start nothing ran, so the idempotency key does not count as used and the run does
+// not count as failed. p.mu is held.
+func (p *Processor) handleRejectedLocked(n processor.Notice) coreReport {
 	if n.Command != processor.Start {
 		p.log.Warn("processor_reject", "command", string(n.Command), "id", n.RunID)
 		return nil
@@ -231,7 +233,7 @@
 	return startRejected{n.RunID}
 }
 
-// runEnd translates how a run ended.
+// runEnd converts the processor's word for how a run ended.
 func runEnd(end processor.RunEnd) dispatch.RunEnd {
 	switch end {
 	case processor.RunSucceeded:
@@ -244,7 +246,7 @@
 	return dispatch.RunFailed
 }
 
-// The names of the processor's gauges, as the settings have them.
+// The names of the processor's gauges in the settings.
 const (
 	gaugeCoreUtilization   = "core_use"
 	gaugeRunnableTasks     = "on_cores"
@@ -252,8 +254,8 @@
 	gaugeConnections       = "links"
 )
 
-// namedGauges assigns the values of gauges by their names. A gauge that the processor does
-// not have is -1.
+// namedGauges assigns the values to gauges by the names in p.gauges. A gauge that the
+// processor does not have is -1.
 func (p *Processor) namedGauges(values []float64) decision.Gauges {
 	g := decision.Gauges{CoreUtilization: -1, RunnableTasks: -1, MemoryUtilization: -1, Connections: -1}
 	for i, name := range p.gauges[:min(len(p.gauges), len(values))] {
@@ -271,20 +273,20 @@
 	return g
 }
 
-// coreEvent is what the core is to be told of a notice.
-type coreEvent interface {
-	report(core *dispatch.Core)
+// coreReport is a report to the core that results from a notice.
+type coreReport interface {
+	send(core *dispatch.Core)
 }
 
-// backendReady: the processor has answered on a new connection.
+// backendReady reports that the processor has answered the hello on a new connection.
 type backendReady struct {
 	cold       bool
 	sinceStart time.Duration
 }
 
-func (e backendReady) report(core *dispatch.Core) { core.BackendReady(e.cold, e.sinceStart) }
+func (e backendReady) send(core *dispatch.Core) { core.BackendReady(e.cold, e.sinceStart) }
 
-// runCompleted: a run is over.
+// runCompleted reports the end of a run.
 type runCompleted struct {
 	id     string
 	end    dispatch.RunEnd
@@ -292,38 +294,38 @@
 	result dispatch.Payload
 }
 
-func (e runCompleted) report(core *dispatch.Core) {
+func (e runCompleted) send(core *dispatch.Core) {
 	core.RunCompleted(e.id, e.end, e.took, e.result)
 }
 
-// startRejected: a run was not started.
+// startRejected reports that the processor did not start a run.
 type startRejected struct{ id string }
 
-func (e startRejected) report(core *dispatch.Core) {
+func (e startRejected) send(core *dispatch.Core) {
 	core.RunCompleted(e.id, dispatch.RunNotStarted, 0, dispatch.Payload{})
 }
 
-// callRequested: a run waits for a call.
+// callRequested reports that a run waits for a downstream call.
 type callRequested struct {
 	runID  string
 	notice uint64
 	body   []byte
 }
 
-func (e callRequested) report(core *dispatch.Core) { core.CallRequested(e.runID, e.notice, e.body) }
+func (e callRequested) send(core *dispatch.Core) { core.CallRequested(e.runID, e.notice, e.body) }
 
-// gaugesRead: a question for the gauges is answered.
+// gaugesRead passes the answer of a gauge query to its callback.
 type gaugesRead struct {
 	reply  func(decision.Gauges)
 	gauges decision.Gauges
 }
 
-func (e gaugesRead) report(*dispatch.Core) { e.reply(e.gauges) }
+func (e gaugesRead) send(*dispatch.Core) { e.reply(e.gauges) }
 
-// healthChecked: a health check is done.
+// healthChecked passes the result of a health check to its callback.
 type healthChecked struct {
 	reply   func(healthy bool)
 	healthy bool
 }
 
-func (e healthChecked) report(*dispatch.Core) { e.reply(e.healthy) }
+func (e healthChecked) send(*dispatch.Core) { e.reply(e.healthy) }
--- a/backend/processor_test.go
+++ b/backend/processor_test.go
@@ -21,10 +21,11 @@
 	"quincerail.example/quincerail/transport"
 )
 
-func submit(t *testing.T, core *dispatch.Core, id, class string, sink dispatch.Responder) {
+// submit submits a request with an idempotency key and waits until the core has handled it.
+func submit(t *testing.T, core *dispatch.Core, id, class string, responder dispatch.Responder) {
 	t.Helper()
 	err := core.Submit(dispatch.Request{
-		ID: id, Class: class, Key: "key of " + id, ArrivedAt: time.Now(), ReservedKB: 1, Responder: sink,
+		ID: id, Class: class, Key: "key of " + id, ArrivedAt: time.Now(), ReservedKB: 1, Responder: responder,
 		Payload: dispatch.Payload{Body: []byte("body of " + id)},
 	})
 	if err != nil {
@@ -33,21 +34,21 @@
 	synctest.Wait()
 }
 
-// fakeProcessor is the processor's side of a connection that breaks: it may lose what was
-// written last, and sends notices again.
+// fakeProcessor is the processor's side of a connection that may break. A break may lose the
+// bytes written last; fakeProcessor sends missed notices again on the next connection.
 type fakeProcessor struct {
 	t       *testing.T
 	backend *Processor
 	near    *transport.Conn
 	far     net.Conn
-	done    chan struct{} // closed when no more commands are read
+	done    chan struct{} // closed when the connection's command reader has returned
 	started []string
 	notices []string
-	lossy   bool // what is written now is lost with the connection
+	lossy   bool // commands and notices are lost from now on, until the connection breaks
 	mute    bool // hello gets no answer
 }
 
-// newFakeProcessor returns a processor and the core whose backend is connected to it.
+// newFakeProcessor returns a processor with a connected backend and the backend's core.
 func newFakeProcessor(t *testing.T, registrar dispatch.Registrar) *fakeProcessor {
 	t.Helper()
 	backend := NewProcessor("", nil, slog.Default())
@@ -69,20 +70,21 @@
 			if err != nil {
 				return
 			}
-			f.command(words)
+			f.handle(words)
 		}
 	}()
-	go func(c *transport.Conn) { _ = c.Serve(f.backend.opened(c)) }(f.near) // the test breaks it
+	go func(c *transport.Conn) { _ = c.Serve(f.backend.connOpened(c)) }(f.near) // the error is ignored: the test breaks the connection
 	synctest.Wait()
 }
 
-// write writes to the connection, which breaks while it is written to in some tests.
+// write writes to the connection. It ignores errors, because some tests break the connection
+// during a write.
 func (f *fakeProcessor) write(format string, args ...any) {
 	_, _ = fmt.Fprintf(f.far, format, args...)
 }
 
-// command carries out a command.
-func (f *fakeProcessor) command(words []string) {
+// handle handles a command from the backend.
+func (f *fakeProcessor) handle(words []string) {
 	if f.lossy {
 		return
 	}
@@ -90,7 +92,7 @@
 	case "hello":
 		last, err := strconv.Atoi(words[1])
 		if err != nil {
-			f.t.Errorf("hello %q", words)
+			f.t.Errorf("hello command %q has no notice number: %v", words, err)
 		}
 		if f.mute {
 			return
@@ -99,41 +101,41 @@
 	case "usage":
 		f.write("used %s 0 0 0 0\r\n", words[1])
 	case "begin":
-		if !slices.Contains(f.started, words[1]) { // for one that runs already nothing happens
+		if !slices.Contains(f.started, words[1]) { // a second start of a run has no effect
 			f.started = append(f.started, words[1])
 		}
 	}
 }
 
-// complete ends a run.
+// complete completes a run and sends its notice.
 func (f *fakeProcessor) complete(id string) {
 	text := fmt.Sprintf("complete %d %s good 1 2\r\nok\r\n", len(f.notices)+1, id)
 	f.notices = append(f.notices, text)
-	if !f.lossy { // else the connection breaks before it is read
+	if !f.lossy { // else the notice is lost
 		f.write("%s", text)
 	}
 	synctest.Wait()
 }
 
-// breakConn breaks the connection.
+// breakConn breaks the connection and reports that to the backend.
 func (f *fakeProcessor) breakConn() {
 	if err := f.far.Close(); err != nil {
 		f.t.Error(err)
 	}
 	<-f.done
 	synctest.Wait()
-	f.backend.closed(f.near, io.EOF)
+	f.backend.connClosed(f.near, io.EOF)
 }
 
-// reconnect breaks the connection and opens the next.
+// reconnect breaks the connection and opens the next one.
 func (f *fakeProcessor) reconnect() {
 	f.breakConn()
 	f.open()
 }
 
-// FuzzProcessor checks the backend against a model of the connection: up, lossy (about to
-// break), down. Every run is started, in order, and its end is reported once, however often
-// the connection breaks and whatever is lost with it.
+// FuzzProcessor breaks the connection at random points and loses what was sent shortly before.
+// Every run must be started once, in the order of submission, and every request must get
+// exactly one response.
 func FuzzProcessor(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		f := newFakeProcessor(t, nil)
@@ -142,7 +144,7 @@
 		for s.More() && len(sent) < 20 {
 			switch s.Pick(4) {
 			case 0, 1:
-				if len(open) < 4 { // so that all run at once
+				if len(open) < 4 { // few enough to run at the same time
 					id := fmt.Sprint("r", len(sent))
 					sent, open = append(sent, id), append(open, id)
 					submit(t, f.backend.core, id, "ny-gava", got)
@@ -164,33 +166,33 @@
 			f.reconnect()
 		}
 		if !slices.Equal(f.started, sent) {
-			t.Errorf("started %v, sent %v", f.started, sent)
+			t.Errorf("started runs %v, want %v", f.started, sent)
 		}
 		for _, id := range open {
 			f.complete(id)
 		}
 		if len(got) != len(sent) {
-			t.Errorf("%d answers to %d requests", len(got), len(sent))
+			t.Errorf("%d responses to %d requests", len(got), len(sent))
 		}
 		wantServed(t, got, len(sent))
 		f.breakConn()
 	})
 }
 
-// wantServed sees that the next answers are that requests were served.
+// wantServed checks that the next responses report requests that were served.
 func wantServed(t *testing.T, got dispatchtest.Answers, requests int) {
 	t.Helper()
 	for range requests {
-		if a := <-got; !strings.HasSuffix(a, fmt.Sprint(" ", dispatch.Served)) {
-			t.Errorf("answer %s", a)
+		if response := <-got; !strings.HasSuffix(response, fmt.Sprint(" ", dispatch.Served)) {
+			t.Errorf("response %s, want outcome %v", response, dispatch.Served)
 		}
 	}
 }
 
-// TestProcessorMove guards a change of the address: while the new connection brings the
-// notices that were missed, a later one that still comes over the old one would hide them
-// by its number.
-func TestProcessorMove(t *testing.T) {
+// TestProcessor_IgnoresOldConnectionAfterAddressChange sends a notice over the old connection
+// while the new one has not delivered the missed notices yet. If the backend accepted that
+// notice, its higher number would suppress the earlier notices.
+func TestProcessor_IgnoresOldConnectionAfterAddressChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeProcessor(t, nil)
 		got := make(dispatchtest.Answers, 2)
@@ -198,12 +200,12 @@
 		submit(t, f.backend.core, "r1", "kampanjsida", got)
 		old := f.far
 		f.lossy = true
-		f.complete("r0") // lost on its way
+		f.complete("r0") // the notice is lost
 		f.complete("r1")
 		late := f.notices[1]
-		f.mute = true // the new connection's notices are held back
+		f.mute = true // delays the notices of the new connection
 		f.open()
-		go func() { _, _ = io.WriteString(old, late) }() // the backend may close it first
+		go func() { _, _ = io.WriteString(old, late) }() // the error is ignored: the backend may close the connection first
 		synctest.Wait()
 		f.mute = false
 		f.write("hi old 5\r\n%s", strings.Join(f.notices, ""))
@@ -216,45 +218,45 @@
 	})
 }
 
-// health records whether a core last reported that it accepts requests.
-type health struct{ on atomic.Bool }
+// health records whether the core last reported that it accepts requests.
+type health struct{ accepting atomic.Bool }
 
 // SetAccepting implements dispatch.Registrar.
-func (h *health) SetAccepting(on bool) { h.on.Store(on) }
+func (h *health) SetAccepting(on bool) { h.accepting.Store(on) }
 
-// TestProcessorReject sees that a rejected start fails its request at once, and that such
-// requests, which only a faulty client sends, don't count as failures of the server's own
-// runs.
-func TestProcessorReject(t *testing.T) {
+// TestProcessor_FailsRequestsOfRejectedStarts checks that a rejected start fails its request at
+// once. Only a faulty client causes rejected starts, so they must not count as failures of
+// the server's own runs.
+func TestProcessor_FailsRequestsOfRejectedStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		self := &health{}
-		f := newFakeProcessor(t, self)
+		registrar := &health{}
+		f := newFakeProcessor(t, registrar)
 		got := make(dispatchtest.Answers, 1)
 		for i := range 12 {
 			id := fmt.Sprint("r", i)
 			submit(t, f.backend.core, id, "kampanjsida", got)
 			f.write("reject begin %s\r\n", id)
-			if a := <-got; a != fmt.Sprint(id, " ", dispatch.Failed) {
-				t.Errorf("answer %s", a)
+			if response, want := <-got, fmt.Sprint(id, " ", dispatch.Failed); response != want {
+				t.Errorf("response %s, want %s", response, want)
 			}
 		}
 		time.Sleep(time.Second)
-		if !self.on.Load() {
-			t.Error("it reports itself as unhealthy")
+		if !registrar.accepting.Load() {
+			t.Error("the server reports that it does not accept requests after rejected starts")
 		}
 		f.breakConn()
 	})
 }
 
-// TestProcessorOutOfTurn sees that bytes which are not the protocol's end the connection and
-// not the program.
-func TestProcessorOutOfTurn(t *testing.T) {
-	for _, bytes := range []string{"hi old 5\r\n", "used 1 0\r\nhi new 5\r\n", "sing\r\n", "complete 1 a good 1 99999999\r\n"} {
+// TestProcessor_ClosesConnectionOnProtocolError checks that unexpected, unknown and oversized
+// notices close the connection and do not crash the program.
+func TestProcessor_ClosesConnectionOnProtocolError(t *testing.T) {
+	for _, notices := range []string{"hi old 5\r\n", "used 1 0\r\nhi new 5\r\n", "sing\r\n", "complete 1 a good 1 99999999\r\n"} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFakeProcessor(t, nil)
-			go f.write("%s", bytes)
-			<-f.done // the link is closed
-			f.backend.closed(f.near, io.EOF)
+			go f.write("%s", notices)
+			<-f.done // the backend has closed the connection
+			f.backend.connClosed(f.near, io.EOF)
 		})
 	}
 }
--- a/backend/uwsgi.go
+++ b/backend/uwsgi.go
@@ -14,20 +14,21 @@
 	"quincerail.example/quincerail/protocol/uwsgi"
 )
 
-// methodVar is the variable that holds a request's HTTP method.
+// methodVar is the uwsgi variable that holds a request's HTTP method.
 const methodVar = "REQUEST_METHOD"
 
-// UWSGI is the backend that runs requests at a uwsgi application server, with a connection
-// for each. A run is sent once: after a break nobody knows whether it had its effect.
+// UWSGI is the backend that runs requests at a uwsgi application server, each over its own
+// connection. It sends each run once: after a connection breaks, it is unknown whether the
+// run had its effect.
 type UWSGI struct {
 	core *dispatch.Core
 
 	mu      sync.Mutex
 	address string
-	cancels map[string]context.CancelFunc // by run
+	cancels map[string]context.CancelFunc // by run ID
 }
 
-// NewUWSGI makes a backend that runs requests at an address and reports to the core.
+// NewUWSGI returns a backend that runs requests at the server at address and reports to core.
 func NewUWSGI(core *dispatch.Core, address string) *UWSGI {
 	return &UWSGI{core: core, address: address, cancels: make(map[string]context.CancelFunc)}
 }
@@ -47,7 +48,7 @@
 	address := b.address
 	b.mu.Unlock()
 	go func() {
-		began := time.Now()
+		startedAt := time.Now()
 		end, result := run(ctx, address, r)
 		b.mu.Lock()
 		delete(b.cancels, r.ID)
@@ -56,12 +57,13 @@
 			end = dispatch.RunCancelled
 		}
 		cancel()
-		b.core.RunCompleted(r.ID, end, time.Since(began), result)
+		b.core.RunCompleted(r.ID, end, time.Since(startedAt), result)
 	}()
 }
 
-// run sends a request and reads the response. Where the request can't be encoded, or no
-// connection be made, nothing ran.
+// run sends a request and reads the response. The end is RunNotStarted if the request can't
+// be encoded or the server can't be dialled, and RunFailed if the connection breaks, ctx ends
+// or the response's status is 500 or above.
 func run(ctx context.Context, address string, r dispatch.Run) (dispatch.RunEnd, dispatch.Payload) {
 	packet, method, err := encodeRequest(r.Payload)
 	if err != nil {
@@ -71,7 +73,7 @@
 	if err != nil {
 		return dispatch.RunNotStarted, dispatch.Payload{}
 	}
-	defer func() { _ = nc.Close() }() // an error changes nothing about the response that was read
+	defer func() { _ = nc.Close() }() // an error does not affect the response, which was read before
 	response, err := roundTrip(ctx, nc, r.Deadline, packet, method)
 	if err != nil {
 		return dispatch.RunFailed, dispatch.Payload{}
@@ -87,7 +89,7 @@
 	return dispatch.RunSucceeded, result
 }
 
-// encodeRequest returns the packet for a request, and its HTTP method.
+// encodeRequest returns the uwsgi packet for a request, and the request's HTTP method.
 func encodeRequest(p dispatch.Payload) (packet []byte, method string, err error) {
 	var vars []uwsgi.Var
 	for _, f := range p.Fields {
@@ -100,10 +102,10 @@
 	return packet, method, err
 }
 
-// roundTrip writes a packet and reads the response, until the deadline or until ctx is
-// done.
+// roundTrip writes a packet and reads the response. It returns an error if the deadline passes
+// or ctx is done before the response is complete.
 func roundTrip(ctx context.Context, nc net.Conn, deadline time.Time, packet []byte, method string) (*uwsgi.Response, error) {
-	setDeadline := func(t time.Time) { _ = nc.SetDeadline(t) } // it fails on a closed connection, as does its use
+	setDeadline := func(t time.Time) { _ = nc.SetDeadline(t) } // fails only on a closed connection, where Write and Read fail too
 	setDeadline(deadline)
 	defer context.AfterFunc(ctx, func() { setDeadline(time.Unix(1, 0)) })()
 	if _, err := nc.Write(packet); err != nil {
@@ -121,8 +123,10 @@
 	}
 }
 
-// ReplyToCall implements dispatch.Backend: these runs make no calls.
+// ReplyToCall implements dispatch.Backend. It does nothing, because uwsgi runs make no
+// downstream calls.
 func (b *UWSGI) ReplyToCall(string, []byte) {}
 
-// SkipCall implements dispatch.Backend: these runs make no calls.
+// SkipCall implements dispatch.Backend. It does nothing, because uwsgi runs make no
+// downstream calls.
 func (b *UWSGI) SkipCall(string, uint64) {}
--- a/handover/peer.go
+++ b/handover/peer.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Ended returns a channel that is closed once the other process has disconnected.
-func (p *Peer) Ended() <-chan struct{} { return p.ended }
+// Disconnected returns a channel that is closed once the other process has disconnected.
+func (p *Peer) Disconnected() <-chan struct{} { return p.ended }
 
 // Close ends the connection once what is queued is written, and waits for that for at most
 // closeTimeout.
--- a/handover/peer_test.go
+++ b/handover/peer_test.go
@@ -115,7 +115,7 @@
 			t.Errorf("the predecessor has connected with %v, the successor with %v", predecessorKeys.roles, successorKeys.roles)
 		}
 		successor.Close()
-		<-peer.Ended()
+		<-peer.Disconnected()
 		synctest.Wait()
 		if serving.Successor() != nil {
 			t.Error("a successor after its connection has ended")
--- a/metrics/fleet.go
+++ b/metrics/fleet.go
@@ -9,9 +9,9 @@
 // dependencyStates are the values of quincerail_fleet_dependency; 0 stands for unknown.
 var dependencyStates = map[fleet.State]float64{fleet.Good: 1, fleet.Slow: 2, fleet.Down: 3}
 
-// ObserveFleet adds the collectors of a member of a fleet, and of the fleet's budgets that it
+// RegisterFleet adds the collectors of a member of a fleet, and of the fleet's budgets that it
 // has.
-func (r *Recorder) ObserveFleet(member *fleet.Fleet) {
+func (r *Recorder) RegisterFleet(member *fleet.Fleet) {
 	gauge := func(name, help string, value func(fleet.Stats) float64) prometheus.Collector {
 		return newGauge(name, help, nil, func() float64 { return value(member.Stats()) })
 	}
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -54,7 +54,7 @@
 //	quincerail_fleet_answers{kind}          final answers of the whole fleet, as far as this member knows
 //	quincerail_fleet_stale_total            pieces of fleet work refused for their token
 //
-// ObserveFleet, ObserveRules and the first SetClasses must be called before the first
+// RegisterFleet, RegisterRules and the first SetClasses must be called before the first
 // request, and SetClasses by one goroutine at a time. The other methods may be called
 // from any goroutine.
 type Recorder struct {
@@ -74,7 +74,7 @@
 }
 
 // NewRecorder returns a recorder with the collectors of one process. Those of the
-// fleet and of the rules are added by ObserveFleet and ObserveRules.
+// fleet and of the rules are added by RegisterFleet and RegisterRules.
 func NewRecorder() *Recorder {
 	r := &Recorder{
 		registry:         prometheus.NewRegistry(),
@@ -149,9 +149,9 @@
 	}
 }
 
-// ObserveRules adds the counts of rules that were broken, and of what was denied to
+// RegisterRules adds the counts of rules that were broken, and of what was denied to
 // keep them.
-func (r *Recorder) ObserveRules(monitor *guard.Monitor) {
+func (r *Recorder) RegisterRules(monitor *guard.Monitor) {
 	for _, rule := range guard.Rules {
 		labels := prometheus.Labels{labelRule: string(rule)}
 		r.registry.MustRegister(
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -30,7 +30,7 @@
 func TestNames(t *testing.T) {
 	r := NewRecorder()
 	monitor := guard.NewMonitor(logging.Discard())
-	r.ObserveRules(monitor)
+	r.RegisterRules(monitor)
 	r.SetClasses([]string{"page", "gift"})
 	r.ObserveResponse("page", dispatch.Served, 200*time.Millisecond, true)
 	r.ObserveResponse("gift", dispatch.Shed, 0, false)
--- a/server/start.go
+++ b/server/start.go
@@ -81,7 +81,7 @@
 	if c.MetricsAddress != "" {
 		s.recorder = metrics.NewRecorder()
 		s.recorder.SetClasses(c.Classes)
-		s.recorder.ObserveRules(s.monitor)
+		s.recorder.RegisterRules(s.monitor)
 	}
 	if c.Fleet != nil && c.Fleet.Window > 0 {
 		s.outcomes = &outcomeCounter{}
@@ -181,7 +181,7 @@
 	}
 	s.fleet = member
 	if s.recorder != nil {
-		s.recorder.ObserveFleet(member)
+		s.recorder.RegisterFleet(member)
 	}
 	return nil
 }
@@ -350,7 +350,7 @@
 	platform := s.listeners[0].server
 	platform.SetLimit(connectionLimit(c, platformDescriptorShareBeside))
 	s.openToCallers(c)
-	<-predecessor.Ended()
+	<-predecessor.Disconnected()
 	platform.SetLimit(connectionLimit(c, platformDescriptorShare))
 }
 
