--- a/downstream/bench_test.go
+++ b/downstream/bench_test.go
@@ -11,15 +11,15 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// completions passes on how calls ended.
-type completions chan decision.Outcome
+// outcomeChan is a CallObserver that sends the outcomes of calls to a channel.
+type outcomeChan chan decision.Outcome
 
 // CallCompleted implements CallObserver.
-func (c completions) CallCompleted(_ string, _ int, end decision.Outcome, _ []byte) { c <- end }
+func (c outcomeChan) CallCompleted(_ string, _ int, outcome decision.Outcome, _ []byte) { c <- outcome }
 
-// BenchmarkPool measures a call and its reply.
+// BenchmarkPool measures one call with its reply over an in-memory connection.
 func BenchmarkPool(b *testing.B) {
-	pool, done := NewPool(""), make(completions)
+	pool, done := NewPool(""), make(outcomeChan)
 	pool.Attach(done)
 	pool.connect = func(string) (net.Conn, error) {
 		near, far := net.Pipe()
@@ -36,12 +36,12 @@
 		}()
 		return near, nil
 	}
-	ids := []string{"a", "b"} // a run's next call goes over another connection
+	ids := []string{"a", "b"} // two runs, because consecutive calls of a run use different connections
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		pool.Call(ids[i%2], i, time.Second, []byte("body"))
-		if end := <-done; end != decision.Succeeded {
-			b.Fatalf("call %d ended with %v", i, end)
+		if outcome := <-done; outcome != decision.Succeeded {
+			b.Fatalf("call %d: outcome %v, want %v", i, outcome, decision.Succeeded)
 		}
 	}
 }
--- a/downstream/doc.go
+++ b/downstream/doc.go
@@ -1,4 +1,4 @@
-// Package downstream makes the calls to the shared dependency that runs ask for: over a
-// pool of connections ([Pool], in pool.go and conn.go), and within the member's part of the
-// fleet's quota ([QuotaLimiter], in quota.go).
+// Package downstream makes the calls to the shared dependency that runs request. [Pool] makes
+// them over a pool of connections (pool.go and conn.go). [QuotaLimiter] limits them to this
+// member's part of the fleet's quota (quota.go).
 package downstream
--- a/downstream/pool.go
+++ b/downstream/pool.go
@@ -14,59 +14,59 @@
 
 // The limits of the pool.
 const (
-	// maxExclusiveConns is up to how many connections a call gets one to itself; with more
-	// calls in flight they are shared.
+	// maxExclusiveConns is the number of connections below which the pool opens a new one
+	// rather than share one between calls in flight.
 	maxExclusiveConns = 24
 
-	// maxIdle is how long an unused connection may still get a call: the dependency was
-	// seen to forget a connection after 108 ms.
+	// maxIdle is how long a connection without calls may idle and still get a call. The
+	// dependency was seen to drop an idle connection after 108 ms.
 	maxIdle = 50 * time.Millisecond
 
-	// dialTimeout bounds how long opening a connection may take.
+	// dialTimeout bounds the dial of a connection.
 	dialTimeout = time.Second
 )
 
-// CallObserver is told how calls ended; *dispatch.Core is one.
+// CallObserver receives the outcomes of calls; *dispatch.Core implements it.
 type CallObserver interface {
-	CallCompleted(id string, number int, end dispatch.CallOutcome, reply []byte)
+	CallCompleted(id string, number int, outcome dispatch.CallOutcome, reply []byte)
 }
 
-// Pool makes calls to the shared dependency. It implements dispatch.Dependency, and reports
-// every call that was not abandoned exactly once. It does not bound the calls in flight;
-// QuotaLimiter does. Up to maxExclusiveConns calls in flight have a connection each: of the
-// calls on a connection that breaks or falls silent, nobody knows whether they ran.
+// Pool makes calls to the shared dependency. It implements dispatch.Dependency. It reports
+// every call that is not abandoned exactly once. It does not limit the calls in flight;
+// QuotaLimiter does. Up to maxExclusiveConns calls in flight have a connection each, because
+// a connection that breaks or stalls leaves unknown whether the calls on it ran.
 type Pool struct {
-	core    CallObserver
-	connect func(address string) (net.Conn, error)
+	observer CallObserver
+	connect  func(address string) (net.Conn, error)
 
-	mu      sync.Mutex
-	address string
-	conns   []*poolConn          // that may get calls; the last used last
-	connOf  map[string]*poolConn // by the id of a call in flight
+	mu       sync.Mutex
+	address  string
+	conns    []*poolConn          // connections that may get calls, the most recently used last
+	connByID map[string]*poolConn // connections of the calls in flight, by run ID
 }
 
 // poolCall is a call in flight.
 type poolCall struct {
-	number int    // tells the calls of one run apart
-	post   []byte // as it is sent
+	number int    // distinguishes the calls of one run
+	post   []byte // the encoded message
 }
 
-// NewPool makes a pool of connections to an address. Attach must be called before the first
+// NewPool returns a pool of connections to address. Attach must be called before the first
 // call.
 func NewPool(address string) *Pool {
-	return &Pool{address: address, connOf: make(map[string]*poolConn), connect: connect}
+	return &Pool{address: address, connByID: make(map[string]*poolConn), connect: connect}
 }
 
-// connect opens a connection to an address.
+// connect dials an address. dialTimeout bounds the dial.
 func connect(address string) (net.Conn, error) {
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext(context.Background(), "tcp", address)
 }
 
-// Attach sets who is told how calls end. It must be called before the first call.
-func (p *Pool) Attach(core CallObserver) { p.core = core }
+// Attach sets the observer of the calls' outcomes. It must be called before the first call.
+func (p *Pool) Attach(observer CallObserver) { p.observer = observer }
 
-// SetAddress changes the address for future calls. Those in flight are waited for on their
-// connections.
+// SetAddress changes the address for future calls. Calls in flight finish on their
+// connections, which then close.
 func (p *Pool) SetAddress(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,10 +84,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	post := ledger.AppendPost(nil, id, wait, body)
-	c := p.pickLocked(id)
-	for c != nil && c.conn != nil && !c.conn.Send(post) { // it has just ended
+	c := p.chooseConnLocked(id)
+	for c != nil && c.conn != nil && !c.conn.Send(post) { // it is closing
 		p.retireLocked(c)
-		c = p.pickLocked(id)
+		c = p.chooseConnLocked(id)
 	}
 	if c == nil {
 		c = &poolConn{calls: make(map[string]poolCall)}
@@ -96,100 +96,100 @@
 	}
 	c.lastID = id
 	c.calls[id] = poolCall{number, post}
-	p.connOf[id] = c
+	p.connByID[id] = c
 }
 
-// Abandon implements dispatch.Dependency. A connection on which a call was abandoned may
-// have fallen silent for good, so it is retired.
+// Abandon implements dispatch.Dependency. It retires the call's connection, because the
+// connection may never deliver a reply again.
 func (p *Pool) Abandon(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.connOf[id]
+	c := p.connByID[id]
 	if c == nil {
 		return
 	}
 	delete(c.calls, id)
-	delete(p.connOf, id)
+	delete(p.connByID, id)
 	if c.conn != nil {
 		c.conn.Send(ledger.AppendAbandon(nil, id))
 	}
 	p.retireLocked(c)
 }
 
-// pickLocked chooses a connection for a call: the one with the fewest calls in flight, and
-// of several the one used last, which the dependency is least likely to have forgotten. It
-// returns nil if a new one is to be opened. It excludes the one that the run's last call
-// went over, so that a late or duplicate reply can't be taken for the reply to this call.
-// The lock is held.
-func (p *Pool) pickLocked(id string) *poolConn {
+// chooseConnLocked chooses a connection for a call of the run id: the one with the fewest calls
+// in flight and, among equals, the most recently used one, which the dependency is least
+// likely to have dropped. It excludes a connection whose last call was of the same run, so
+// that a late or duplicate reply can't be mistaken for the reply to the new call. It returns
+// nil if a new connection must be opened. p.mu is held.
+func (p *Pool) chooseConnLocked(id string) *poolConn {
 	p.closeIdleLocked()
-	var least *poolConn
+	var leastLoaded *poolConn
 	for _, c := range slices.Backward(p.conns) {
-		if c.lastID != id && (least == nil || len(c.calls) < len(least.calls)) {
-			least = c
+		if c.lastID != id && (leastLoaded == nil || len(c.calls) < len(leastLoaded.calls)) {
+			leastLoaded = c
 		}
 	}
-	if least != nil && len(least.calls) > 0 && len(p.conns) < maxExclusiveConns {
+	if leastLoaded != nil && len(leastLoaded.calls) > 0 && len(p.conns) < maxExclusiveConns {
 		return nil
 	}
-	return least
+	return leastLoaded
 }
 
-// closeIdleLocked closes the connections that have idled for so long that the dependency
-// may have forgotten them: a call would be lost. The lock is held.
+// closeIdleLocked closes connections that have idled for longer than maxIdle. The dependency
+// may have dropped them, and a call on one would be lost. p.mu is held.
 func (p *Pool) closeIdleLocked() {
 	p.conns = slices.DeleteFunc(p.conns, func(c *poolConn) bool {
-		stale := len(c.calls) == 0 && time.Since(c.conn.IdleSince()) > maxIdle
-		if stale {
+		expired := len(c.calls) == 0 && time.Since(c.conn.IdleSince()) > maxIdle
+		if expired {
 			c.conn.Close()
 		}
-		return stale
+		return expired
 	})
 }
 
-// retireLocked excludes a connection from future calls, and closes it after its last one.
-// The lock is held.
+// retireLocked excludes a connection from future calls and closes it after its last call in
+// flight. p.mu is held.
 func (p *Pool) retireLocked(c *poolConn) {
 	c.retired = true
-	p.conns = slices.DeleteFunc(p.conns, func(o *poolConn) bool { return o == c })
-	c.closeIfUnusedLocked()
+	p.conns = slices.DeleteFunc(p.conns, func(other *poolConn) bool { return other == c })
+	c.closeIfDoneLocked()
 }
 
-// receive handles a reply. One to a call that was abandoned, a duplicate, or one to an
-// unknown call is ignored.
-func (p *Pool) receive(c *poolConn, reply ledger.Reply) {
+// handleReply reports the outcome of a call. It ignores duplicate replies and replies to
+// abandoned or unknown calls.
+func (p *Pool) handleReply(c *poolConn, reply ledger.Reply) {
 	p.mu.Lock()
 	call, ok := c.calls[reply.ID]
 	if ok {
 		delete(c.calls, reply.ID)
-		delete(p.connOf, reply.ID)
-		c.closeIfUnusedLocked()
+		delete(p.connByID, reply.ID)
+		c.closeIfDoneLocked()
 		if i := slices.Index(p.conns, c); i >= 0 {
 			p.conns = append(slices.Delete(p.conns, i, i+1), c)
 		}
 	}
 	p.mu.Unlock()
 	if ok {
-		p.core.CallCompleted(reply.ID, call.number, outcome(reply.Status), reply.Body)
+		p.observer.CallCompleted(reply.ID, call.number, outcome(reply.Status), reply.Body)
 	}
 }
 
-// connEnded reports the calls on a connection that has ended.
-func (p *Pool) connEnded(c *poolConn, end dispatch.CallOutcome) {
+// connClosed retires a closed connection and reports o as the outcome of the calls on it.
+func (p *Pool) connClosed(c *poolConn, o dispatch.CallOutcome) {
 	p.mu.Lock()
 	p.retireLocked(c)
 	calls := c.calls
 	c.calls = make(map[string]poolCall)
 	for id := range calls {
-		delete(p.connOf, id)
+		delete(p.connByID, id)
 	}
 	p.mu.Unlock()
 	for id, call := range calls {
-		p.core.CallCompleted(id, call.number, end, nil)
+		p.observer.CallCompleted(id, call.number, o, nil)
 	}
 }
 
-// outcome translates the status of a reply.
+// outcome returns the outcome of a call whose reply has status s.
 func outcome(s ledger.Status) dispatch.CallOutcome {
 	switch s {
 	case ledger.Succeeded:
--- a/downstream/pool_test.go
+++ b/downstream/pool_test.go
@@ -15,10 +15,10 @@
 	"quincerail.example/quincerail/internal/dispatchtest"
 )
 
-// callingBackend is a backend whose runs wait for a call.
+// callingBackend is a backend whose runs each make one downstream call and then complete.
 type callingBackend struct {
 	core    *dispatch.Core
-	resumed chan string
+	resumed chan string // the reply that each run resumed with
 }
 
 // Start implements dispatch.Backend.
@@ -38,18 +38,19 @@
 // SkipCall implements dispatch.Backend.
 func (b *callingBackend) SkipCall(id string, _ uint64) { b.ReplyToCall(id, []byte("without")) }
 
-// TestOutcomes maps the dependency's reply, or its absence, to the outcome of a request with
-// a key, which calls once and never again after an unclear end.
-func TestOutcomes(t *testing.T) {
-	for _, x := range []struct{ reply, want string }{
-		{"posted 2\r\nok", fmt.Sprint("r ", dispatch.Served)},
-		{"error", fmt.Sprint("r ", dispatch.Failed)},
-		{"expired", fmt.Sprint("r ", dispatch.Failed)},
-		{"moot", fmt.Sprint("r ", dispatch.Failed)},
-		{"", fmt.Sprint("r ", dispatch.Failed)}, // the connection breaks
-		{"sing", fmt.Sprint("r ", dispatch.Failed)},
+// TestPool_ReportsOutcomeOfReply checks the outcome of a request with an idempotency key for
+// each reply of the dependency, and for a missing reply. The request's call is made once: it
+// must not be made again after an unclear outcome.
+func TestPool_ReportsOutcomeOfReply(t *testing.T) {
+	for _, x := range []struct{ name, reply, want string }{
+		{"succeeded", "posted 2\r\nok", fmt.Sprint("r ", dispatch.Served)},
+		{"failed", "error", fmt.Sprint("r ", dispatch.Failed)},
+		{"timed out", "expired", fmt.Sprint("r ", dispatch.Failed)},
+		{"not started", "moot", fmt.Sprint("r ", dispatch.Failed)},
+		{"no reply", "", fmt.Sprint("r ", dispatch.Failed)}, // the connection breaks
+		{"unknown reply", "sing", fmt.Sprint("r ", dispatch.Failed)},
 	} {
-		t.Run(x.reply, func(t *testing.T) {
+		t.Run(x.name, func(t *testing.T) {
 			l := listen(t)
 			go func() {
 				for nc, err := l.Accept(); err == nil; nc, err = l.Accept() {
@@ -60,15 +61,15 @@
 			core := newCore(t, pool, pool, back)
 			got := make(dispatchtest.Answers, 1)
 			submit(t, core, "r", got)
-			if a := <-got; a != x.want {
-				t.Errorf("answer %s, want %s", a, x.want)
+			if response := <-got; response != x.want {
+				t.Errorf("response %s, want %s", response, x.want)
 			}
 		})
 	}
 }
 
-// serveOutcome replies to the first call on a connection, if there is a reply, and closes
-// it unless the call succeeded.
+// serveOutcome reads the first call on a connection and sends reply unless it is empty. It
+// closes the connection unless the call succeeded.
 func serveOutcome(t *testing.T, nc net.Conn, reply string) {
 	words, err := readPost(bufio.NewReader(nc))
 	if err != nil {
@@ -85,16 +86,17 @@
 	}
 }
 
-// newCore makes a core that is ready, whose runs call through a dependency over a pool.
+// newCore returns a core that is ready to run requests. Its downstream calls go through
+// dependency, which uses pool.
 func newCore(t *testing.T, pool *Pool, dependency dispatch.Dependency, back *callingBackend) *dispatch.Core {
 	t.Helper()
 	core := dispatchtest.New(t, dispatch.Options{Backend: back, Dependency: dependency})
-	pool.core, back.core = core, core
+	pool.observer, back.core = core, core
 	core.BackendReady(false, 0)
 	return core
 }
 
-// submit submits a request with a key.
+// submit submits a request with an idempotency key.
 func submit(t *testing.T, core *dispatch.Core, id string, responder dispatch.Responder) {
 	t.Helper()
 	err := core.Submit(dispatch.Request{ID: id, Class: "ny-gava", Key: "key of " + id, ArrivedAt: time.Now(), ReservedKB: 1, Responder: responder})
@@ -103,8 +105,8 @@
 	}
 }
 
-// fakeDependency is the dependency's side of a pool: which calls come, and over which
-// connection.
+// fakeDependency is the dependency's side of a pool. It records the calls that arrive, each
+// with its connection.
 type fakeDependency struct {
 	t     *testing.T
 	pool  *Pool
@@ -112,16 +114,18 @@
 	conns int
 }
 
+// post is a call that has arrived.
 type post struct {
 	id   string
-	conn int
+	conn int // number of the connection, from 1
 	net.Conn
 }
 
+// newFakeDependency returns a dependency that a pool is connected to.
 func newFakeDependency(t *testing.T) *fakeDependency {
 	t.Helper()
 	b := &fakeDependency{t: t, pool: NewPool(""), posts: make(chan post, 100)}
-	b.pool.core = dispatchtest.New(t, dispatch.Options{})
+	b.pool.observer = dispatchtest.New(t, dispatch.Options{})
 	b.pool.connect = func(string) (net.Conn, error) {
 		near, far := net.Pipe()
 		b.conns++
@@ -131,8 +135,9 @@
 	return b
 }
 
+// read sends the calls that arrive on a connection to posts until the connection closes.
 func (b *fakeDependency) read(far net.Conn, conn int) {
-	defer func() { _ = far.Close() }() // a test may have closed it
+	defer func() { _ = far.Close() }() // the error is ignored: a test may have closed it
 	r := bufio.NewReader(far)
 	for {
 		words, err := readPost(r)
@@ -145,14 +150,14 @@
 	}
 }
 
-// call makes a call that reaches the dependency.
+// call makes a call and returns it as it arrived at the dependency.
 func (b *fakeDependency) call(id string, number int) post {
 	b.pool.Call(id, number, time.Second, nil)
 	synctest.Wait()
 	return <-b.posts
 }
 
-// reply answers a call, with a number of copies.
+// reply sends a number of copies of the reply to a call.
 func (p post) reply(copies int) {
 	for range copies {
 		replyTo(p, p.id, "posted 2\r\nok")
@@ -160,11 +165,11 @@
 	synctest.Wait()
 }
 
-// end closes all connections.
-func (b *fakeDependency) end() {
+// close abandons all calls and closes all connections.
+func (b *fakeDependency) close() {
 	b.pool.SetAddress("elsewhere")
 	b.pool.mu.Lock()
-	ids := slices.Collect(maps.Keys(b.pool.connOf))
+	ids := slices.Collect(maps.Keys(b.pool.connByID))
 	b.pool.mu.Unlock()
 	for _, id := range ids {
 		b.pool.Abandon(id)
@@ -172,36 +177,38 @@
 	time.Sleep(time.Second)
 }
 
-// TestConnections sees over which connection a call goes. None may share one that breaks or
-// falls silent, as long as there are few; a late or duplicate reply must not be taken for
-// that to the run's next call; and the dependency forgets connections that idle.
-func TestConnections(t *testing.T) {
+// TestPool_ChoosesConnection checks whether a second call reuses the connection of the first.
+// While there are few calls, they must not share a connection, because it may break or stall.
+// A run's next call must not use the same connection, because a late or duplicate reply could
+// be mistaken for its reply. Connections that idled are not reused, because the dependency
+// drops them.
+func TestPool_ChoosesConnection(t *testing.T) {
 	for name, play := range map[string]func(b *fakeDependency) (first, second post){
-		"used again": func(b *fakeDependency) (first, second post) {
+		"reused after a reply": func(b *fakeDependency) (first, second post) {
 			first = b.call("a", 1)
 			first.reply(1)
 			return first, b.call("b", 1)
 		},
-		"at once": func(b *fakeDependency) (first, second post) {
+		"not shared while in flight": func(b *fakeDependency) (first, second post) {
 			return b.call("a", 1), b.call("b", 1)
 		},
-		"silent": func(b *fakeDependency) (first, second post) {
+		"not reused after an abandoned call": func(b *fakeDependency) (first, second post) {
 			first = b.call("a", 1)
 			b.pool.Abandon("a")
 			return first, b.call("b", 1)
 		},
-		"second copy": func(b *fakeDependency) (first, second post) {
+		"not reused by the same run": func(b *fakeDependency) (first, second post) {
 			first = b.call("a", 1)
 			first.reply(2)
 			return first, b.call("a", 2)
 		},
-		"idle": func(b *fakeDependency) (first, second post) {
+		"not reused after idling": func(b *fakeDependency) (first, second post) {
 			first = b.call("a", 1)
 			first.reply(1)
 			time.Sleep(maxIdle + time.Millisecond)
 			return first, b.call("b", 1)
 		},
-		"closed while idle": func(b *fakeDependency) (first, second post) {
+		"not reused after the dependency closed it": func(b *fakeDependency) (first, second post) {
 			first = b.call("a", 1)
 			first.reply(1)
 			if err := first.Close(); err != nil {
@@ -214,32 +221,33 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newFakeDependency(t)
-				defer b.end()
+				defer b.close()
 				first, second := play(b)
-				if same := first.conn == second.conn; same != (name == "used again") {
-					t.Errorf("connections %d and %d", first.conn, second.conn)
+				if reused, want := first.conn == second.conn, name == "reused after a reply"; reused != want {
+					t.Errorf("calls on connections %d and %d, want the same connection: %v", first.conn, second.conn, want)
 				}
 			})
 		})
 	}
 }
 
-// TestSharedConnections sees that no more than so many connections are opened, and that a
-// late reply can't be taken for that to the next call even then.
-func TestSharedConnections(t *testing.T) {
+// TestPool_SharesConnectionsAboveLimit checks that at most maxExclusiveConns connections are
+// opened, and that consecutive calls of a run use different connections even when calls share
+// connections.
+func TestPool_SharesConnectionsAboveLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFakeDependency(t)
-		defer b.end()
+		defer b.close()
 		for i := range 2 * maxExclusiveConns {
 			b.call(fmt.Sprint("other", i), 1)
 		}
 		if b.conns != maxExclusiveConns {
-			t.Errorf("%d connections for %d calls", b.conns, 2*maxExclusiveConns)
+			t.Errorf("%d connections for %d calls, want %d", b.conns, 2*maxExclusiveConns, maxExclusiveConns)
 		}
 		for number, last := 1, 0; number <= 8; number++ {
 			p := b.call("r", number)
 			if p.conn == last {
-				t.Errorf("call %d comes over the same connection as the one before", number)
+				t.Errorf("call %d uses connection %d, as does the run's previous call", number, p.conn)
 			}
 			last = p.conn
 			b.pool.Abandon("r")
@@ -247,9 +255,10 @@
 	})
 }
 
-// TestConnectionRefused sees that a refused connection counts as a call that never ran: the
-// call is made again, and served once the dependency is up.
-func TestConnectionRefused(t *testing.T) {
+// TestPool_RetriesCallAfterRefusedConnection checks that a call whose connection was refused
+// counts as one that never ran: the call is made again, and the request is served once the
+// dependency listens.
+func TestPool_RetriesCallAfterRefusedConnection(t *testing.T) {
 	l := listen(t)
 	address := l.Addr().String()
 	if err := l.Close(); err != nil {
@@ -261,10 +270,10 @@
 	got := make(dispatchtest.Answers, 1)
 	submit(t, core, "r", got)
 	<-called
-	<-called // again: it has not been failed by the first
+	<-called // the second call: the first one did not fail the request
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
 	if err != nil {
-		t.Skipf("the port was taken meanwhile: %v", err)
+		t.Skipf("another process has taken the port: %v", err)
 	}
 	defer func() { _ = l.Close() }()
 	go func() {
@@ -272,12 +281,12 @@
 			serveOutcome(t, nc, "posted 2\r\nok")
 		}
 	}()
-	if a := <-got; a != fmt.Sprint("r ", dispatch.Served) {
-		t.Errorf("answer %s", a)
+	if response, want := <-got, fmt.Sprint("r ", dispatch.Served); response != want {
+		t.Errorf("response %s, want %s", response, want)
 	}
 }
 
-// reportingPool reports each call that it has passed to the pool.
+// reportingPool signals on called after it has passed a call to the pool.
 type reportingPool struct {
 	*Pool
 	called chan struct{}
@@ -292,15 +301,15 @@
 	}
 }
 
-// servePosts sends the calls on all connections of a listener to posts, and each connection
-// that ends to ended.
-func servePosts(l net.Listener, posts chan<- post, ended chan<- net.Conn) {
+// servePosts sends the calls that arrive on a listener's connections to posts, and each
+// connection that was closed to closed.
+func servePosts(l net.Listener, posts chan<- post, closed chan<- net.Conn) {
 	for nc, err := l.Accept(); err == nil; nc, err = l.Accept() {
 		go func() {
 			for r := bufio.NewReader(nc); ; {
 				words, err := readPost(r)
 				if err != nil {
-					ended <- nc
+					closed <- nc
 					return
 				}
 				posts <- post{words[1], 0, nc}
@@ -309,14 +318,14 @@
 	}
 }
 
-// TestAddressChange sees that a call in flight when the address changes is waited for on its
-// connection, that the next one goes to the new address, and that the old connection then
-// ends.
-func TestAddressChange(t *testing.T) {
-	posts, ended := make(chan post, 2), make(chan net.Conn, 2)
+// TestPool_MovesToNewAddress changes the address while a call is in flight. That call must
+// finish on its connection, the next call must go to the new address, and the old connection
+// must then be closed.
+func TestPool_MovesToNewAddress(t *testing.T) {
+	posts, closed := make(chan post, 2), make(chan net.Conn, 2)
 	first, second := listen(t), listen(t)
-	go servePosts(first, posts, ended)
-	go servePosts(second, posts, ended)
+	go servePosts(first, posts, closed)
+	go servePosts(second, posts, closed)
 	pool, back := NewPool(first.Addr().String()), &callingBackend{resumed: make(chan string, 2)}
 	core := newCore(t, pool, pool, back)
 	got := make(dispatchtest.Answers, 2)
@@ -329,15 +338,15 @@
 	submit(t, core, "b", got)
 	b := <-posts
 	if b.LocalAddr().String() != second.Addr().String() {
-		t.Errorf("the call after the change comes to %s", b.LocalAddr())
+		t.Errorf("the call after the change goes to %s, want %s", b.LocalAddr(), second.Addr())
 	}
 	for _, p := range []post{a, b} {
 		replyTo(p, p.id, "posted 2\r\nok")
-		if answer := <-got; answer != fmt.Sprint(p.id, " ", dispatch.Served) {
-			t.Errorf("answer %s", answer)
+		if response, want := <-got, fmt.Sprint(p.id, " ", dispatch.Served); response != want {
+			t.Errorf("response %s, want %s", response, want)
 		}
 	}
-	if nc := <-ended; nc != a.Conn {
-		t.Error("the connection that ends is not the old one")
+	if nc := <-closed; nc != a.Conn {
+		t.Errorf("the pool closed its connection to %s, want the one to %s", nc.LocalAddr(), first.Addr())
 	}
 }
--- a/downstream/quota.go
+++ b/downstream/quota.go
@@ -11,81 +11,82 @@
 	"quincerail.example/quincerail/fleet"
 )
 
-// Quota is the member's part of the calls that the whole fleet may have in flight;
-// *fleet.QuotaAgent is one.
+// Quota is this member's part of the calls that the fleet may have in flight;
+// *fleet.QuotaAgent implements it.
 type Quota interface {
-	// TryAcquire acquires the right to one call, if there is one. release gives it back.
+	// TryAcquire acquires the right to one call. ok is false if no right is available.
+	// release returns the right.
 	TryAcquire() (release func(), ok bool)
 
-	// OnRelease has f called whenever there may be rights again.
+	// OnRelease sets a function that is called whenever rights may be available again.
 	OnRelease(f func())
 }
 
-// QuotaLimiter is a dispatch.Dependency that makes calls through another one, and only
-// within a quota. Calls without a right wait in the order of their arrival; the core abandons
-// them at their time-outs, as it does any call. The decision module plans by what it was last
-// told of the quota (ApplyFleetBounds), which may be out of date; the limiter asks the quota
-// at every call.
+// QuotaLimiter is a dispatch.Dependency that passes calls to another dependency within a
+// quota. Calls for which no right is available wait in the order of their arrival. The core
+// abandons them at their time-outs, like any other call. The decision module plans with the
+// last quota that ApplyFleetBounds passed to it, which may be out of date; QuotaLimiter
+// acquires a right from the quota for each call.
 //
-// A call that was abandoned, or whose connection broke, may go on running at the dependency.
-// Its right is released only after the duration that NewQuotaLimiter is given.
+// A call that was abandoned, or whose connection broke, may still run at the dependency. Its
+// right is released after the duration that is passed to NewQuotaLimiter.
 type QuotaLimiter struct {
 	next                  dispatch.Dependency
-	core                  CallObserver
+	observer              CallObserver
 	quota                 Quota
 	abandonedCallDuration func() time.Duration
 
 	mu       sync.Mutex
-	waiting  []limitedCall // in the order of their arrival
-	inFlight map[string]limitedCall
+	waiting  []limitedCall          // in the order of their arrival
+	inFlight map[string]limitedCall // by run ID
 }
 
-// limitedCall is a call that waits or is in flight.
+// limitedCall is a call that waits for a right or is in flight.
 type limitedCall struct {
-	id       string
-	number   int // tells the calls of one run apart
+	id       string // of the run
+	number   int    // distinguishes the calls of one run
 	deadline time.Time
 	body     []byte
-	release  func() // nil while it waits
+	release  func() // nil while the call waits
 }
 
-// NewQuotaLimiter makes a limiter of the calls to next. Calls of which nobody knows whether
-// they still run count for abandonedCallDuration() longer. Attach must be called before the
-// first call.
+// NewQuotaLimiter returns a limiter of the calls to next. A call that was abandoned or whose
+// connection broke holds its right for abandonedCallDuration() longer. Attach must be called
+// before the first call.
 func NewQuotaLimiter(next dispatch.Dependency, quota Quota, abandonedCallDuration func() time.Duration) *QuotaLimiter {
 	l := &QuotaLimiter{
 		next: next, quota: quota, abandonedCallDuration: abandonedCallDuration, inFlight: make(map[string]limitedCall),
 	}
-	quota.OnRelease(l.makeWaitingCalls)
+	quota.OnRelease(l.startWaitingCalls)
 	return l
 }
 
-// Attach sets who is told how calls end. It must be called before the first call.
-func (l *QuotaLimiter) Attach(core CallObserver) { l.core = core }
+// Attach sets the observer of the calls' outcomes. It must be called before the first call.
+func (l *QuotaLimiter) Attach(observer CallObserver) { l.observer = observer }
 
 // Call implements dispatch.Dependency.
 func (l *QuotaLimiter) Call(id string, number int, wait time.Duration, body []byte) {
 	l.mu.Lock()
 	l.waiting = append(l.waiting, limitedCall{id: id, number: number, deadline: time.Now().Add(wait), body: body})
 	l.mu.Unlock()
-	l.makeWaitingCalls()
+	l.startWaitingCalls()
 }
 
-// makeWaitingCalls makes the waiting calls for which there are rights.
-func (l *QuotaLimiter) makeWaitingCalls() {
+// startWaitingCalls starts waiting calls in order while rights are available.
+func (l *QuotaLimiter) startWaitingCalls() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.waiting) > 0 {
 		c := l.waiting[0]
 		remaining := time.Until(c.deadline)
-		if remaining > 0 { // else the core is about to abandon it
+		if remaining > 0 { // else the call is dropped here: the core is about to abandon it
 			release, ok := l.quota.TryAcquire()
 			if !ok {
 				return
 			}
 			c.release = release
 			l.inFlight[c.id] = c
-			l.next.Call(c.id, c.number, remaining, c.body) // it does not block, so the lock may be held
+			l.next.Call(c.id, c.number, remaining, c.body) // does not block, so l.mu may be held
 		}
 		l.waiting = l.waiting[1:]
 	}
@@ -104,39 +105,40 @@
 	}
 }
 
-// CallCompleted implements CallObserver: the limiter stands between the dependency and the
-// core.
-func (l *QuotaLimiter) CallCompleted(id string, number int, end dispatch.CallOutcome, reply []byte) {
+// CallCompleted implements CallObserver. The limiter observes the calls of next, releases
+// their rights and passes the outcomes to its own observer.
+func (l *QuotaLimiter) CallCompleted(id string, number int, outcome dispatch.CallOutcome, reply []byte) {
 	l.mu.Lock()
 	c, ok := l.inFlight[id]
-	if ok = ok && c.number == number; ok { // else it is late, or a duplicate
+	if ok = ok && c.number == number; ok { // else the reply is late or a duplicate
 		delete(l.inFlight, id)
 	}
 	l.mu.Unlock()
-	l.core.CallCompleted(id, number, end, reply)
+	l.observer.CallCompleted(id, number, outcome, reply)
 	switch {
-	case ok && end == decision.ConnectionReset: // nobody knows whether it still runs
+	case ok && outcome == decision.ConnectionReset: // the call may still run at the dependency
 		l.releaseLater(c)
 	case ok:
 		l.release(c)
 	}
 }
 
-// release gives a call's right back.
+// release returns a call's right and starts waiting calls.
 func (l *QuotaLimiter) release(c limitedCall) {
 	c.release()
-	l.makeWaitingCalls()
+	l.startWaitingCalls()
 }
 
-// releaseLater gives a call's right back after abandonedCallDuration: by then the dependency
-// is taken to have ended the call.
+// releaseLater returns a call's right after abandonedCallDuration. The call is assumed to have
+// ended at the dependency by then.
 func (l *QuotaLimiter) releaseLater(c limitedCall) {
 	time.AfterFunc(l.abandonedCallDuration(), func() { l.release(c) })
 }
 
-// ApplyFleetBounds has the core keep to this member's part of the fleet's quotas, and follow
-// its changes, in a goroutine of its own until the core has stopped. It reports to the fleet
-// how many calls the core would have in flight without the quotas.
+// ApplyFleetBounds sets the core's fleet bounds to this member's part of the fleet's quotas.
+// It starts a goroutine that applies changes of the quota of calls until the core has
+// stopped, and reports to the fleet how many calls the core would have in flight without the
+// quota.
 func ApplyFleetBounds(core *dispatch.Core, member *fleet.Fleet) {
 	bounds := decision.FleetBounds{MaxCalls: math.Inf(1)}
 	if member.QuotaAgent(fleet.Repeats) != nil {
@@ -145,19 +147,19 @@
 	calls := member.QuotaAgent(fleet.Calls)
 	if calls == nil {
 		if bounds.AcquireRetry != nil {
-			_ = core.SetFleetBounds(bounds, func(int) {}) // it fails once the core has stopped
+			_ = core.SetFleetBounds(bounds, func(int) {}) // fails only if the core has stopped
 		}
 		return
 	}
-	latest := make(chan uint64, 1) // a busy core must not block the fleet's goroutine
+	updates := make(chan uint64, 1) // an update is dropped if the core is busy: the fleet's goroutine must not block
 	calls.OnAvailable(func(rights uint64) {
 		select {
-		case latest <- rights:
+		case updates <- rights:
 		default:
 		}
 	})
 	go func() {
-		for rights := range latest {
+		for rights := range updates {
 			bounds.MaxCalls = float64(rights)
 			if core.SetFleetBounds(bounds, calls.ReportDemand) != nil {
 				return // the core has stopped
--- a/downstream/quota_test.go
+++ b/downstream/quota_test.go
@@ -11,7 +11,7 @@
 	"quincerail.example/quincerail/dispatch"
 )
 
-// fixedQuota is a quota of so many calls.
+// fixedQuota is a quota with a number of available rights.
 type fixedQuota struct {
 	mu        sync.Mutex
 	available int
@@ -38,16 +38,16 @@
 // OnRelease implements Quota.
 func (q *fixedQuota) OnRelease(f func()) { q.onRelease = f }
 
-// recorder is a dependency and a core that record their calls.
+// recorder records what a limiter calls. It is both the limiter's dependency and its observer.
 type recorder struct {
 	mu       sync.Mutex
 	recorded []string
 }
 
-func (r *recorder) record(what string) {
+func (r *recorder) record(event string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.recorded = append(r.recorded, what)
+	r.recorded = append(r.recorded, event)
 }
 
 // Call implements dispatch.Dependency.
@@ -60,13 +60,14 @@
 
 // CallCompleted implements CallObserver.
 func (r *recorder) CallCompleted(id string, number int, _ dispatch.CallOutcome, _ []byte) {
-	r.record(fmt.Sprint("called ", id, number))
+	r.record(fmt.Sprint("completed ", id, number))
 }
 
-// TestQuotaLimiter has calls wait for rights in order, and for what is left of their time;
-// abandoned and broken ones keep their rights for as long as they may still run, and more
-// rights let more calls start.
-func TestQuotaLimiter(t *testing.T) {
+// TestQuotaLimiter_MakesCallsWithinQuota checks that calls wait for rights in order and start
+// with the remaining part of their time-outs, that abandoned calls and calls on broken
+// connections keep their rights while they may still run, and that additional rights start
+// more calls.
+func TestQuotaLimiter_MakesCallsWithinQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, q := &recorder{}, &fixedQuota{available: 2}
 		l := NewQuotaLimiter(d, q, func() time.Duration { return 200 * time.Millisecond })
@@ -86,11 +87,11 @@
 		check("call a1 1s", "call b1 1s")
 		time.Sleep(300 * time.Millisecond)
 		l.CallCompleted("a", 1, decision.Succeeded, nil)
-		check("called a1", "call c1 700ms")
-		l.CallCompleted("a", 1, decision.Succeeded, nil) // a second reply gives nothing back
-		check("called a1")
-		l.Abandon("d") // it waits
-		l.Abandon("b") // it is in flight, and may run on
+		check("completed a1", "call c1 700ms")
+		l.CallCompleted("a", 1, decision.Succeeded, nil) // a duplicate reply releases no right
+		check("completed a1")
+		l.Abandon("d") // waiting
+		l.Abandon("b") // in flight: may still run at the dependency
 		check("abandon b")
 		time.Sleep(199 * time.Millisecond)
 		synctest.Wait()
@@ -98,14 +99,14 @@
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
 		check("call e1 500ms")
-		l.CallCompleted("c", 1, decision.ConnectionReset, nil) // it may run on
-		check("called c1")
+		l.CallCompleted("c", 1, decision.ConnectionReset, nil) // may still run at the dependency
+		check("completed c1")
 		q.add(1)
 		q.onRelease()
 		check("call f1 500ms")
 		time.Sleep(time.Second)
 		synctest.Wait()
-		l.Call("g", 1, 0, nil) // no time left: the core abandons it
+		l.Call("g", 1, 0, nil) // no time left: the call is not made
 		check()
 	})
 }
--- a/downstream/reply_test.go
+++ b/downstream/reply_test.go
@@ -12,38 +12,38 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// listen opens a listening socket.
+// listen opens a listening TCP socket on the loopback interface.
 func listen(t testing.TB) net.Listener {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() }) // some tests close it before
+	t.Cleanup(func() { _ = l.Close() }) // the error is ignored: some tests close it earlier
 	return l
 }
 
-// readPost reads the next message of a pool.
+// readPost reads the next message from a pool.
 func readPost(r *bufio.Reader) (words []string, err error) {
 	words, _, err = lines.Read(r, func(w []string) bool { return w[0] == "post" })
 	return words, err
 }
 
-// replyTo writes a reply, which the pool may not wait for any more.
+// replyTo writes a reply. It ignores errors, because the pool may have closed the connection.
 func replyTo(nc net.Conn, id, reply string) { _, _ = fmt.Fprintf(nc, "%s %s\r\n", id, reply) }
 
-// outcomes records how calls ended, each with its number.
+// outcomes is a CallObserver that records each call's number, outcome and reply.
 type outcomes chan string
 
 // CallCompleted implements CallObserver.
-func (o outcomes) CallCompleted(_ string, number int, end dispatch.CallOutcome, reply []byte) {
-	o <- fmt.Sprintf("%d: %d %q", number, end, reply)
+func (o outcomes) CallCompleted(_ string, number int, outcome dispatch.CallOutcome, reply []byte) {
+	o <- fmt.Sprintf("%d: %d %q", number, outcome, reply)
 }
 
-// TestReplyCutAtEveryByte has a reply cut off after each of its bytes by the connection's
-// end: nothing is known of such a call, and it ends once. A complete reply is what the
-// dependency sent. The next call goes over another connection.
-func TestReplyCutAtEveryByte(t *testing.T) {
+// TestPool_ReportsReplyCutAtEveryByteAsReset closes the connection after each byte of a reply.
+// Each call must be completed once: with ConnectionReset if the reply was incomplete, else
+// with the reply that the dependency sent. The next call must use another connection.
+func TestPool_ReportsReplyCutAtEveryByteAsReset(t *testing.T) {
 	l := listen(t)
 	const reply = "r posted 5\r\nhello\r\n"
 	go func() {
@@ -53,13 +53,13 @@
 				return
 			}
 			if _, err := readPost(bufio.NewReader(nc)); err != nil {
-				t.Errorf("call %d: %v", n, err)
+				t.Errorf("reading call %d: %v", n, err)
 			}
 			if _, err := nc.Write([]byte(reply[:min(n, len(reply))])); err != nil {
-				t.Errorf("reply %d: %v", n, err)
+				t.Errorf("writing reply %d: %v", n, err)
 			}
 			if err := nc.Close(); err != nil {
-				t.Errorf("closing %d: %v", n, err)
+				t.Errorf("closing connection %d: %v", n, err)
 			}
 		}
 	}()
@@ -71,11 +71,11 @@
 			want = fmt.Sprintf("%d: %d %q", n, decision.Succeeded, "hello")
 		}
 		pool.Call("r", n, time.Minute, []byte("body"))
-		if end := <-got; end != want {
-			t.Errorf("cut after %d bytes: %s, want %s", n, end, want)
+		if completed := <-got; completed != want {
+			t.Errorf("reply cut after %d bytes: call completed with %s, want %s", n, completed, want)
 		}
 	}
 	if len(got) > 0 {
-		t.Errorf("a call ended twice: %s", <-got)
+		t.Errorf("a call was completed twice, the second time with %s", <-got)
 	}
 }
