--- a/handover/endpoint_test.go
+++ b/handover/endpoint_test.go
@@ -15,10 +15,10 @@
 	"quincerail.example/quincerail/logging"
 )
 
-// TestHandoverRefused plays a platform that refuses Unix sockets, as the fleet
-// days do (ENOSYS): the endpoint looks once for a predecessor, does not wait out its
-// time for one, and reports that it can't listen, so that the process serves alone.
-func TestHandoverRefused(t *testing.T) {
+// TestEndpoint_ReportsRefusedUnixSockets simulates a platform that refuses Unix sockets with
+// ENOSYS, as the fleet days do. Connect must dial once and return without a predecessor, and
+// Listen must return the error, so that the process serves alone.
+func TestEndpoint_ReportsRefusedUnixSockets(t *testing.T) {
 	core, err := dispatch.New(dispatch.Options{Classes: []string{"page"}, Settings: decision.Settings{
 		Cores:    1,
 		MemoryKB: 1024, RunningMemoryFactor: 1, Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}},
@@ -35,16 +35,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if peer, err := endpoint.Connect(ctx); peer != nil || err != nil || dials != 1 {
-		t.Errorf("Connect: %v after %d dials, want none after one", peer, dials)
+		t.Errorf("Connect() = %v, %v after %d dials, want no peer and no error after 1", peer, err, dials)
 	}
 	if _, err := endpoint.Listen(ctx); !errors.Is(err, syscall.ENOSYS) {
-		t.Errorf("Listen: %v, want the refusal", err)
+		t.Errorf("Listen() error = %v, want %v", err, syscall.ENOSYS)
 	}
 }
 
-// TestSocketName keeps the name by which a process finds the one before it.
-func TestSocketName(t *testing.T) {
-	if e := NewEndpoint(nil, "app-1", logging.Discard()); e.socket != "quincerail-app-1.sock" {
-		t.Errorf("the socket is named %s", e.socket)
+// TestNewEndpoint_SocketName checks the socket's name, by which a process finds its predecessor.
+// Processes of different versions must agree on it.
+func TestNewEndpoint_SocketName(t *testing.T) {
+	const want = "quincerail-app-1.sock"
+	if e := NewEndpoint(nil, "app-1", logging.Discard()); e.socket != want {
+		t.Errorf("socket name %s, want %s", e.socket, want)
 	}
 }
--- a/handover/peer.go
+++ b/handover/peer.go
@@ -13,80 +13,85 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// closeTimeout is how long Close waits for what is queued to be written.
+// closeTimeout is how long Close waits for queued messages to be written.
 const closeTimeout = 200 * time.Millisecond
 
-// errOutOfTurn reports a message that only the process in the other role may send.
-var errOutOfTurn = errors.New("not for this side to say")
+// errUnexpectedMessage reports a message that a peer in this role may not send, or a second end
+// of the last batch of keys.
+var errUnexpectedMessage = errors.New("unexpected message from the peer")
 
-// KeyReplicator holds the idempotency keys of this process; *dispatch.Core is one.
+// KeyReplicator stores the idempotency keys of this process; *dispatch.Core implements it.
 type KeyReplicator interface {
-	// ConnectPeer connects the other process. The error reports that the core has stopped.
+	// ConnectPeer reports that the other process has connected. It returns an error if the
+	// core has stopped.
 	ConnectPeer(p dispatch.Peer, isPredecessor bool) error
-	// PeerDisconnected reports that the connection to the peer has ended.
+	// PeerDisconnected reports that the connection to the peer has closed.
 	PeerDisconnected(p dispatch.Peer)
 	// ApplyKey applies the state of a key that the peer has replicated.
 	ApplyKey(p dispatch.Peer, key dispatch.KeyState)
-	// ApplyTrafficDisabled applies what operators have set in the peer.
+	// ApplyTrafficDisabled applies whether operators have disabled traffic in the peer.
 	ApplyTrafficDisabled(p dispatch.Peer, on bool)
 	// ReplicateKeys replicates the next batch of keys to a successor.
 	ReplicateKeys(p dispatch.Peer)
-	// ClaimRequested has a successor's claim decided: whether its attempt may run.
+	// ClaimRequested decides a successor's claim, that is, whether its attempt may run, and
+	// replies with DecideClaim.
 	ClaimRequested(p dispatch.Peer, key dispatch.KeyState)
 	// ClaimDecided reports the predecessor's decision on a claim of this process.
 	ClaimDecided(p dispatch.Peer, ranAttemptID string, granted bool)
 }
 
-// role is what the other process is to this one.
+// role is the role of the other process.
 type role int
 
 const (
-	predecessor role = iota // it was there first, and decides who may run a key
+	predecessor role = iota // the older process, which decides claims
 	successor
 )
 
-// Peer is the other process. It implements dispatch.Peer, whose methods only queue.
+// Peer is the other process. It implements dispatch.Peer, whose methods queue messages and do
+// not block.
 type Peer struct {
-	endpoint   *Endpoint
-	conn       *transport.Conn
-	role       role
-	replicated chan struct{} // closed once the successor has all keys of the predecessor
-	ended      chan struct{} // closed with the connection
+	endpoint     *Endpoint
+	conn         *transport.Conn
+	role         role
+	replicated   chan struct{} // closed once the successor has all keys of the predecessor
+	disconnected chan struct{} // closed once the connection has closed
 }
 
 func newPeer(e *Endpoint, conn *transport.Conn, r role) *Peer {
 	return &Peer{
-		endpoint:   e,
-		conn:       conn,
-		role:       r,
-		replicated: make(chan struct{}),
-		ended:      make(chan struct{}),
+		endpoint:     e,
+		conn:         conn,
+		role:         r,
+		replicated:   make(chan struct{}),
+		disconnected: make(chan struct{}),
 	}
 }
 
 // Disconnected returns a channel that is closed once the other process has disconnected.
-func (p *Peer) Disconnected() <-chan struct{} { return p.ended }
+func (p *Peer) Disconnected() <-chan struct{} { return p.disconnected }
 
-// Close ends the connection once what is queued is written, and waits for that for at most
-// closeTimeout.
+// Close closes the connection after the queued messages are written. It waits at most
+// closeTimeout for that.
 func (p *Peer) Close() {
 	p.conn.Close()
 	select {
-	case <-p.ended:
+	case <-p.disconnected:
 	case <-time.After(closeTimeout):
 	}
 }
 
-// awaitKeys waits until all keys of a predecessor are known, and reports whether they are. It
-// aborts the connection if ctx ends before that.
+// awaitKeys waits until the predecessor has replicated all of its keys, and returns true then.
+// It returns false if the connection closes before that. If ctx is done before that, it aborts
+// the connection and returns false.
 func (p *Peer) awaitKeys(ctx context.Context) bool {
 	select {
 	case <-p.replicated:
 		return true
-	case <-p.ended: // the predecessor has another successor, or has ended
+	case <-p.disconnected: // the predecessor has another successor, or has exited
 	case <-ctx.Done():
 		p.conn.Abort()
-		<-p.ended
+		<-p.disconnected
 	}
 	return false
 }
@@ -101,9 +106,9 @@
 	}
 }
 
-// markReplicated records that the successor has all keys, and reports whether this is new.
-// Only one goroutine may call it: the connection's at the successor, the core's at the
-// predecessor.
+// markReplicated records that the successor has all keys. It returns false if that was
+// recorded before. Only one goroutine may call it: the connection's in the successor, the
+// core's in the predecessor.
 func (p *Peer) markReplicated() bool {
 	if p.hasKeys() {
 		return false
@@ -112,11 +117,11 @@
 	return true
 }
 
-// serve serves the connection until it ends.
+// serve serves the connection until it closes.
 func (p *Peer) serve() {
-	defer close(p.ended)
+	defer close(p.disconnected)
 	keys := p.endpoint.keys
-	_ = keys.ConnectPeer(p, p.role == predecessor) // a core that has stopped replicates nothing
+	_ = keys.ConnectPeer(p, p.role == predecessor) // the error is ignored: a core that has stopped replicates nothing
 	if p.role == predecessor {
 		p.conn.Send(protocol.AppendNext(nil))
 	}
@@ -127,11 +132,11 @@
 		}
 		return p.receive(m)
 	})
-	p.endpoint.log.Info("peer_gone", "elder", p.role == predecessor, "reason", fmt.Sprint(err))
+	p.endpoint.log.Info("handover_peer_disconnected", "is_predecessor", p.role == predecessor, "reason", fmt.Sprint(err))
 	keys.PeerDisconnected(p)
 }
 
-// receive takes a message that either side may send.
+// receive handles a message from the peer.
 func (p *Peer) receive(m protocol.Message) error {
 	switch m.Kind {
 	case protocol.Key:
@@ -147,6 +152,7 @@
 	return p.receiveFromSuccessor(m)
 }
 
+// receiveFromPredecessor handles a message that only a predecessor may send.
 func (p *Peer) receiveFromPredecessor(m protocol.Message) error {
 	switch m.Kind {
 	case protocol.Part:
@@ -162,9 +168,10 @@
 		p.endpoint.keys.ClaimDecided(p, m.RanAttemptID, m.Kind == protocol.Grant)
 		return nil
 	}
-	return outOfTurn(m)
+	return unexpectedMessage(m)
 }
 
+// receiveFromSuccessor handles a message that only a successor may send.
 func (p *Peer) receiveFromSuccessor(m protocol.Message) error {
 	switch m.Kind {
 	case protocol.Claim:
@@ -174,11 +181,12 @@
 		p.endpoint.keys.ReplicateKeys(p)
 		return nil
 	}
-	return outOfTurn(m)
+	return unexpectedMessage(m)
 }
 
-func outOfTurn(m protocol.Message) error {
-	return fmt.Errorf("%w: %s: %w", lines.ErrMalformed, m.Kind, errOutOfTurn)
+// unexpectedMessage returns an error that names the message and wraps lines.ErrMalformed.
+func unexpectedMessage(m protocol.Message) error {
+	return fmt.Errorf("%w: %s: %w", lines.ErrMalformed, m.Kind, errUnexpectedMessage)
 }
 
 // ReplicateKey implements dispatch.Peer.
--- a/handover/peer_test.go
+++ b/handover/peer_test.go
@@ -17,14 +17,15 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// fakeKeys has keys, which it replicates one at a time, and keeps what it is called with.
+// fakeKeys is a KeyReplicator that replicates its keys one per batch, grants every claim and
+// records the calls of its methods.
 type fakeKeys struct {
 	mu      sync.Mutex
 	keys    []string
 	applied []string
 	claims  []string
 	granted []string
-	roles   []bool // of the peers that connected; true for a predecessor
+	roles   []bool // isPredecessor of each peer that connected
 }
 
 func (f *fakeKeys) ConnectPeer(_ dispatch.Peer, isPredecessor bool) error {
@@ -68,6 +69,7 @@
 	}
 }
 
+// keyState returns the state of a key that an attempt has run.
 func keyState(key, attemptID string) dispatch.KeyState {
 	now := time.Now()
 	return dispatch.KeyState{
@@ -75,8 +77,9 @@
 	}
 }
 
-// pipes connects endpoints without a network: what is dialled is served by serve.
-func pipes(serve func(*transport.Conn)) func(context.Context, string, string) (net.Conn, error) {
+// pipeDialer returns a dial function whose connections are in-memory pipes. serve serves the
+// other end of each connection.
+func pipeDialer(serve func(*transport.Conn)) func(context.Context, string, string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go serve(transport.NewConn(far))
@@ -84,50 +87,52 @@
 	}
 }
 
-// TestConnectReplicatesKeys: Connect returns once all keys of the predecessor have come,
-// batch by batch, and from then on the predecessor has a successor and decides its claims.
-func TestConnectReplicatesKeys(t *testing.T) {
+// TestConnect_ReplicatesAllKeys checks that Connect returns after the predecessor has replicated
+// all of its keys in batches, and that the predecessor then has a successor and decides its
+// claims.
+func TestConnect_ReplicatesAllKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		predecessorKeys, successorKeys := &fakeKeys{keys: []string{"a", "b", "c"}}, &fakeKeys{}
 		serving := NewEndpoint(predecessorKeys, "n1", logging.Discard())
 		starting := NewEndpoint(successorKeys, "n1", logging.Discard())
-		starting.dial = pipes(serving.serveSuccessor)
+		starting.dial = pipeDialer(serving.serveSuccessor)
 		if serving.Successor() != nil {
-			t.Error("a successor before one has connected")
+			t.Error("Successor() is not nil before a successor has connected")
 		}
 		peer, err := starting.Connect(t.Context())
 		if err != nil || peer == nil {
-			t.Fatalf("Connect: %v, %v", peer, err)
+			t.Fatalf("Connect() = %v, %v, want a peer", peer, err)
 		}
 		if want := []string{"a", "b", "c"}; !slices.Equal(successorKeys.applied, want) {
-			t.Errorf("keys %q are known, want %q", successorKeys.applied, want)
+			t.Errorf("replicated keys %q, want %q", successorKeys.applied, want)
 		}
 		successor := serving.Successor()
 		if successor == nil {
-			t.Fatal("no successor though it has all keys")
+			t.Fatal("Successor() = nil after all keys were replicated")
 		}
 		peer.RequestClaim(keyState("d", "attempt"))
 		synctest.Wait()
 		if !slices.Equal(predecessorKeys.claims, []string{"d"}) || !slices.Equal(successorKeys.granted, []string{"attempt"}) {
-			t.Errorf("claims %q, granted %q", predecessorKeys.claims, successorKeys.granted)
+			t.Errorf("claims %q, granted attempts %q, want claim of d granted to attempt", predecessorKeys.claims, successorKeys.granted)
 		}
 		if !slices.Equal(predecessorKeys.roles, []bool{false}) || !slices.Equal(successorKeys.roles, []bool{true}) {
-			t.Errorf("the predecessor has connected with %v, the successor with %v", predecessorKeys.roles, successorKeys.roles)
+			t.Errorf("isPredecessor of peers: %v in the predecessor, %v in the successor, want [false] and [true]", predecessorKeys.roles, successorKeys.roles)
 		}
 		successor.Close()
 		<-peer.Disconnected()
 		synctest.Wait()
 		if serving.Successor() != nil {
-			t.Error("a successor after its connection has ended")
+			t.Error("Successor() is not nil after the successor has disconnected")
 		}
 	})
 }
 
-// TestOneSuccessor cuts off a second successor while one is connected.
-func TestOneSuccessor(t *testing.T) {
+// TestServeSuccessor_AbortsSecondSuccessor checks that the connection of a second successor is
+// closed while one is connected.
+func TestServeSuccessor_AbortsSecondSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		serving := NewEndpoint(&fakeKeys{}, "n1", logging.Discard())
-		dial := pipes(serving.serveSuccessor)
+		dial := pipeDialer(serving.serveSuccessor)
 		first, err := dial(t.Context(), "", "")
 		if err != nil {
 			t.Fatal(err)
@@ -138,7 +143,7 @@
 			t.Fatal(err)
 		}
 		if _, err := second.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Errorf("the second successor reads %v, want the end", err)
+			t.Errorf("second successor: Read error = %v, want %v", err, io.EOF)
 		}
 		if err := first.Close(); err != nil {
 			t.Error(err)
@@ -147,14 +152,14 @@
 	})
 }
 
-// TestMessageOutOfTurn ends the connection of a successor that sends what only a
-// predecessor may.
-func TestMessageOutOfTurn(t *testing.T) {
+// TestServeSuccessor_RejectsPredecessorMessages checks that the connection of a successor closes
+// if it sends a message that only a predecessor may send.
+func TestServeSuccessor_RejectsPredecessorMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, message := range [][]byte{protocol.AppendClaimReply(nil, "attempt", true), protocol.AppendPart(nil, true)} {
 			keys := &fakeKeys{}
 			serving := NewEndpoint(keys, "n1", logging.Discard())
-			conn, err := pipes(serving.serveSuccessor)(t.Context(), "", "")
+			conn, err := pipeDialer(serving.serveSuccessor)(t.Context(), "", "")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -162,10 +167,10 @@
 				t.Fatal(err)
 			}
 			if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-				t.Errorf("after %q it reads %v, want the end", message, err)
+				t.Errorf("after message %q: Read error = %v, want %v", message, err, io.EOF)
 			}
 			if len(keys.granted) > 0 || serving.Successor() != nil {
-				t.Errorf("%q was taken", message)
+				t.Errorf("message %q from a successor was applied", message)
 			}
 			if err := conn.Close(); err != nil {
 				t.Error(err)
@@ -175,23 +180,23 @@
 	})
 }
 
-// TestSilentPredecessor: a predecessor that does not replicate its keys is given up in
-// time, with an error.
-func TestSilentPredecessor(t *testing.T) {
+// TestConnect_FailsIfPredecessorSendsNothing checks that Connect returns ErrKeysUnknown after
+// connectTimeout if the predecessor does not replicate its keys.
+func TestConnect_FailsIfPredecessorSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		starting := NewEndpoint(&fakeKeys{}, "n1", logging.Discard())
 		starting.dial = func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
-			go func() { _, _ = io.Copy(io.Discard, far) }() // it reads, and says nothing
+			go func() { _, _ = io.Copy(io.Discard, far) }() // reads and sends nothing
 			return near, nil
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		peer, err := starting.Connect(t.Context())
 		if peer != nil || !errors.Is(err, ErrKeysUnknown) {
-			t.Errorf("Connect: %v, %v, want %v", peer, err, ErrKeysUnknown)
+			t.Errorf("Connect() = %v, %v, want nil, %v", peer, err, ErrKeysUnknown)
 		}
-		if took := time.Since(began); took != connectTimeout {
-			t.Errorf("it takes %v, want %v", took, connectTimeout)
+		if took := time.Since(startedAt); took != connectTimeout {
+			t.Errorf("Connect returned after %v, want %v", took, connectTimeout)
 		}
 		synctest.Wait()
 	})
