--- a/discovery/registrar.go
+++ b/discovery/registrar.go
@@ -1,6 +1,6 @@
-// Package discovery registers the server with the discovery service: it reports, at
-// intervals and at each change, whether the server accepts requests. An outage of the
-// service affects nothing else.
+// Package discovery registers the server with the discovery service. It reports whether the
+// server accepts requests, at intervals and after each change. An outage of the discovery
+// service does not affect the rest of the server.
 package discovery
 
 import (
@@ -18,36 +18,36 @@
 )
 
 const (
-	reportInterval    = 700 * time.Millisecond // the service drops an entry 3 s after its last report
-	reportTimeout     = 600 * time.Millisecond // for dialling, and for a report with its answer
-	firstRetryBackoff = 50 * time.Millisecond  // after a report that failed; doubles up to reportInterval
+	reportInterval    = 700 * time.Millisecond // the service removes an entry 3 s after its last report
+	reportTimeout     = 600 * time.Millisecond // for the dial, and for a report with its response
+	firstRetryBackoff = 50 * time.Millisecond  // after the first failed report; doubles up to reportInterval
 )
 
 var (
-	// errSuperseded ends the wait for a connection or an answer because a newer value must be
+	// errSuperseded ends the wait for a connection or a response because a newer value must be
 	// reported.
-	errSuperseded = errors.New("there is newer to report")
-	// errNotTaken reports that the service has answered a report and not accepted it.
-	errNotTaken = errors.New("the report was not taken")
+	errSuperseded = errors.New("report superseded by a newer value")
+	// errReportRejected reports that the service responded to a report without accepting it.
+	errReportRejected = errors.New("discovery service rejected the report")
 )
 
-// Registrar reports whether the server accepts requests. It implements
-// dispatch.Registrar.
+// Registrar reports to the discovery service whether the server accepts requests. It
+// implements dispatch.Registrar.
 type Registrar struct {
-	name string // of the server in the reports
+	name string // the server's name in the reports
 	log  *slog.Logger
 	dial func(ctx context.Context, address string) (net.Conn, error)
 
-	// Each holds the newest value that Run has not taken yet.
+	// Each channel holds the newest value that Run has not received yet.
 	acceptingChanges chan bool
 	addressChanges   chan string
 
 	mu         sync.Mutex
-	cancelDial context.CancelFunc // of the dialling under way; nil while there is none
-	awaiting   net.Conn           // whose answer is waited for; nil while there is none
+	cancelDial context.CancelFunc // cancels the current dial; nil if there is none
+	awaiting   net.Conn           // the connection whose response is awaited; nil if there is none
 }
 
-// NewRegistrar returns a registrar for the server of a name. It reports while Run runs.
+// NewRegistrar returns a registrar for the server with the given name. Run sends the reports.
 func NewRegistrar(name string, log *slog.Logger) *Registrar {
 	return &Registrar{
 		name:             name,
@@ -60,32 +60,32 @@
 	}
 }
 
-// SetAccepting implements dispatch.Registrar: the next report goes out at once. Only
-// one goroutine may call it. It does not block.
+// SetAccepting implements dispatch.Registrar. Run sends the next report at once. Only one
+// goroutine may call SetAccepting. It does not block.
 func (r *Registrar) SetAccepting(on bool) {
 	replaceValue(r.acceptingChanges, on)
 	r.interrupt()
 }
 
-// SetAddress has reports go to another address, at once. Only one goroutine at a time
-// may call it. It does not block.
+// SetAddress changes the service's address. Run sends the next report to it at once. Only one
+// goroutine at a time may call SetAddress. It does not block.
 func (r *Registrar) SetAddress(address string) {
 	replaceValue(r.addressChanges, address)
 	r.interrupt()
 }
 
-// replaceValue sends a value to a channel with a buffer of one, and drops the value that the
+// replaceValue sends a value to a channel with a buffer of one and discards the value that the
 // buffer held. The channel must have only one sender.
-func replaceValue[T any](to chan T, value T) {
+func replaceValue[T any](channel chan T, value T) {
 	select {
-	case <-to:
+	case <-channel:
 	default:
 	}
-	to <- value
+	channel <- value
 }
 
-// interrupt ends the wait for a connection or an answer. That loses nothing: a report counts
-// as soon as it has arrived, and some get no answer.
+// interrupt ends the wait for a connection or a response. No report is lost: a report takes
+// effect when it arrives at the service, and some reports get no response.
 func (r *Registrar) interrupt() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,16 +93,18 @@
 		r.cancelDial()
 	}
 	if r.awaiting != nil {
-		_ = r.awaiting.SetReadDeadline(time.Unix(1, 0)) // in the past; fails where the connection is closed
+		_ = r.awaiting.SetReadDeadline(time.Unix(1, 0)) // a time in the past; fails only if the connection is closed
 	}
 }
 
+// isSuperseded reports whether Run has not received the newest value yet.
 func (r *Registrar) isSuperseded() bool {
 	return len(r.acceptingChanges) > 0 || len(r.addressChanges) > 0
 }
 
-// Run reports to the service at an address until ctx ends, beginning with the first
-// SetAccepting: nothing is reported while it is not known whether requests are accepted.
+// Run reports to the service at address until ctx is done. It sends the first report after the
+// first call of SetAccepting, because until then it is unknown whether the server accepts
+// requests.
 func (r *Registrar) Run(ctx context.Context, address string) {
 	s := &session{registrar: r, address: address, backoff: firstRetryBackoff}
 	defer s.closeConn()
@@ -123,7 +125,7 @@
 	}
 }
 
-// logOutage logs that reports have begun to fail, or have been accepted again.
+// logOutage logs when reports begin to fail and when they are accepted again.
 func (r *Registrar) logOutage(s *session, err error) {
 	failing := err != nil
 	if failing == s.failing || errors.Is(err, errSuperseded) {
@@ -137,19 +139,19 @@
 	r.log.Warn("announce", "down", failing, "error", text)
 }
 
-// session is what Run keeps from one report to the next.
+// session is the state that Run keeps between reports.
 type session struct {
 	registrar *Registrar
 	address   string
 	accepting bool
-	failing   bool          // the last report that was not superseded failed
-	backoff   time.Duration // before the next report if this one fails
-	conn      net.Conn      // nil while there is none
-	answers   *bufio.Reader // of conn
+	failing   bool          // whether the last report that was not superseded failed
+	backoff   time.Duration // the wait after the next failed report
+	conn      net.Conn      // nil if there is none
+	responses *bufio.Reader // reads from conn
 }
 
-// awaitFirst waits until it is known whether requests are accepted. It returns false if ctx
-// ends before that.
+// awaitFirst waits for the first value of SetAccepting. It returns false if ctx is done before
+// that.
 func (s *session) awaitFirst(ctx context.Context) bool {
 	for {
 		select {
@@ -162,8 +164,8 @@
 	}
 }
 
-// nextWait returns how long to wait for a change after a report that returned err, and
-// doubles the backoff where the report failed.
+// nextWait returns how long to wait for a change after a report that returned err. It doubles
+// the backoff if the report failed and resets it if the report was accepted.
 func (s *session) nextWait(err error) time.Duration {
 	switch {
 	case err == nil:
@@ -176,7 +178,7 @@
 	return reportInterval
 }
 
-// report sends a report and waits for its answer. After an error the connection is closed.
+// report sends a report and waits for its response. It closes the connection after an error.
 // After errSuperseded the service may have accepted the report.
 func (s *session) report(ctx context.Context) error {
 	err := s.exchange(ctx)
@@ -186,13 +188,14 @@
 	return err
 }
 
+// exchange dials the service if there is no connection, sends a report and reads the response.
 func (s *session) exchange(ctx context.Context) error {
 	if s.conn == nil {
 		conn, err := s.registrar.connect(ctx, s.address)
 		if err != nil {
 			return err
 		}
-		s.conn, s.answers = conn, bufio.NewReader(conn)
+		s.conn, s.responses = conn, bufio.NewReader(conn)
 	}
 	if err := s.conn.SetDeadline(time.Now().Add(reportTimeout)); err != nil {
 		return err
@@ -201,12 +204,12 @@
 	if _, err := s.conn.Write(report); err != nil {
 		return err
 	}
-	return s.registrar.awaitAnswer(s.conn, s.answers)
+	return s.registrar.awaitResponse(s.conn, s.responses)
 }
 
 func (s *session) closeConn() {
 	if s.conn != nil {
-		_ = s.conn.Close() // nothing is left to be written
+		_ = s.conn.Close() // the error is ignored: nothing remains to be written
 		s.conn = nil
 	}
 }
@@ -231,16 +234,16 @@
 	return conn, err
 }
 
-// awaitAnswer waits for the answer to a report. It returns errSuperseded if there is a newer
+// awaitResponse waits for the response to a report. It returns errSuperseded if there is a newer
 // value to report.
-func (r *Registrar) awaitAnswer(conn net.Conn, answers *bufio.Reader) error {
+func (r *Registrar) awaitResponse(conn net.Conn, responses *bufio.Reader) error {
 	r.mu.Lock()
 	r.awaiting = conn
 	superseded := r.isSuperseded()
 	r.mu.Unlock()
 	var err error
 	if !superseded {
-		err = readAnswer(answers)
+		err = readResponse(responses)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -251,14 +254,14 @@
 	return err
 }
 
-// readAnswer reads the answer to a report, which was accepted with status 204 only.
-func readAnswer(answers *bufio.Reader) error {
-	status, err := protocol.ReadStatus(answers)
+// readResponse reads the response to a report. Any status but 204 is an error.
+func readResponse(responses *bufio.Reader) error {
+	status, err := protocol.ReadStatus(responses)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusNoContent {
-		return fmt.Errorf("%w: status %d", errNotTaken, status)
+		return fmt.Errorf("%w: status %d", errReportRejected, status)
 	}
 	return nil
 }
--- a/discovery/registrar_test.go
+++ b/discovery/registrar_test.go
@@ -15,38 +15,40 @@
 	"time"
 )
 
-// discoveryService plays the discovery service for a Registrar: at addresses that
-// begin with "silent" it takes no connection, elsewhere each report is answered
-// with the status, or not at all for 0.
+// discoveryService simulates the discovery service for a Registrar. Dials of addresses that
+// begin with "silent" do not succeed. At other addresses it responds to report number n with
+// status(n), or does not respond if that is 0.
 type discoveryService struct {
 	*Registrar
-	reports chan string // address and body
-	status  func(n int) int
-	n       atomic.Int64 // reports answered
+	reports  chan string // address and body of each report
+	status   func(n int) int
+	received atomic.Int64 // number of reports
 }
 
-func playReports(t *testing.T, play func(t *testing.T, p *discoveryService)) {
+// withService runs a test with a running registrar and its discovery service.
+func withService(t *testing.T, test func(t *testing.T, s *discoveryService)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		p := &discoveryService{NewRegistrar("n1", slog.Default()), make(chan string, 99), func(int) int { return http.StatusNoContent }, atomic.Int64{}}
-		p.dial = func(ctx context.Context, address string) (net.Conn, error) {
+		s := &discoveryService{NewRegistrar("n1", slog.Default()), make(chan string, 99), func(int) int { return http.StatusNoContent }, atomic.Int64{}}
+		s.dial = func(ctx context.Context, address string) (net.Conn, error) {
 			if strings.HasPrefix(address, "silent") {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
 			near, far := net.Pipe()
-			go p.serve(far, address)
+			go s.serve(far, address)
 			return near, nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		go p.Run(ctx, "here")
-		play(t, p)
+		go s.Run(ctx, "here")
+		test(t, s)
 		cancel()
 		time.Sleep(time.Minute)
 	})
 }
 
-func (p *discoveryService) serve(far net.Conn, address string) {
+// serve reads reports from a connection and responds to them.
+func (s *discoveryService) serve(far net.Conn, address string) {
 	defer func() { _ = far.Close() }()
 	for r := bufio.NewReader(far); ; {
 		req, err := http.ReadRequest(r)
@@ -54,8 +56,8 @@
 			return
 		}
 		body, _ := io.ReadAll(req.Body)
-		p.reports <- address + " " + string(body)
-		if status := p.status(int(p.n.Add(1) - 1)); status != 0 {
+		s.reports <- address + " " + string(body)
+		if status := s.status(int(s.received.Add(1) - 1)); status != 0 {
 			if _, err := fmt.Fprintf(far, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status); err != nil {
 				return
 			}
@@ -63,66 +65,68 @@
 	}
 }
 
-// want checks the next report, and that it comes within a time.
-func (p *discoveryService) want(t *testing.T, address, word string, within time.Duration) {
+// wantReport checks that the next report arrives within a time, goes to an address and reports
+// accepting, which is "true" or "false".
+func (s *discoveryService) wantReport(t *testing.T, address, accepting string, within time.Duration) {
 	t.Helper()
-	began := time.Now()
-	if got := <-p.reports; !strings.HasPrefix(got, address) || !strings.Contains(got, word) {
-		t.Errorf("report %s, want %s at %s", got, word, address)
+	startedAt := time.Now()
+	if got := <-s.reports; !strings.HasPrefix(got, address) || !strings.Contains(got, accepting) {
+		t.Errorf("report %s, want accepting %s at address %s", got, accepting, address)
 	}
-	if took := time.Since(began); took > within {
-		t.Errorf("the report of %s at %s comes after %v, want %v", word, address, took, within)
+	if took := time.Since(startedAt); took > within {
+		t.Errorf("report of accepting %s at address %s arrived after %v, want at most %v", accepting, address, took, within)
 	}
 	synctest.Wait()
 }
 
-// TestAnnounceHurries guards changes against reports that get no answer, and
-// against a service that falls silent: the next report goes out at once, and to
-// where the service is by then.
-func TestAnnounceHurries(t *testing.T) {
-	playReports(t, func(t *testing.T, p *discoveryService) {
-		p.status = func(int) int { return 0 }
-		p.SetAccepting(true)
-		p.want(t, "here", "true", 0)
-		p.SetAccepting(false)
-		p.want(t, "here", "false", 0)
-		p.SetAddress("silent")
+// TestRegistrar_ReportsChangesAtOnce checks that a change of the accepting state or of the
+// address is reported at once to the current address, even if the last report got no response
+// or the dial of the last address blocks.
+func TestRegistrar_ReportsChangesAtOnce(t *testing.T) {
+	withService(t, func(t *testing.T, s *discoveryService) {
+		s.status = func(int) int { return 0 }
+		s.SetAccepting(true)
+		s.wantReport(t, "here", "true", 0)
+		s.SetAccepting(false)
+		s.wantReport(t, "here", "false", 0)
+		s.SetAddress("silent")
 		synctest.Wait()
-		p.SetAddress("there")
-		p.want(t, "there", "false", 0)
+		s.SetAddress("there")
+		s.wantReport(t, "there", "false", 0)
 	})
 }
 
-// TestAnnounceSaysNothingAtFirst: a server is not called ready, nor is it taken
-// off the list, before it knows that it can serve.
-func TestAnnounceSaysNothingAtFirst(t *testing.T) {
-	playReports(t, func(t *testing.T, p *discoveryService) {
+// TestRegistrar_ReportsNothingBeforeSetAccepting checks that there is no report before the first
+// SetAccepting. A report would register the server as ready, or remove it, before it knows
+// whether it can serve.
+func TestRegistrar_ReportsNothingBeforeSetAccepting(t *testing.T) {
+	withService(t, func(t *testing.T, s *discoveryService) {
 		time.Sleep(5 * time.Second)
-		p.SetAddress("there")
+		s.SetAddress("there")
 		time.Sleep(5 * time.Second)
-		if len(p.reports) > 0 {
-			t.Errorf("a report before it can serve: %s", <-p.reports)
+		if len(s.reports) > 0 {
+			t.Errorf("report %s before SetAccepting, want none", <-s.reports)
 		}
-		p.SetAccepting(true)
-		p.want(t, "there", "true", 0)
+		s.SetAccepting(true)
+		s.wantReport(t, "there", "true", 0)
 	})
 }
 
-// TestAnnounceRepeatsWhatDidNotCount: a report that is answered with anything but
-// 204 is made again soon, the sooner the newer the trouble.
-func TestAnnounceRepeatsWhatDidNotCount(t *testing.T) {
-	playReports(t, func(t *testing.T, p *discoveryService) {
-		p.status = func(n int) int {
+// TestRegistrar_RetriesRejectedReport checks that a report whose response has a status other
+// than 204 is sent again after a backoff that starts at firstRetryBackoff and doubles.
+func TestRegistrar_RetriesRejectedReport(t *testing.T) {
+	withService(t, func(t *testing.T, s *discoveryService) {
+		s.status = func(n int) int {
 			if n < 3 {
 				return http.StatusServiceUnavailable
 			}
 			return http.StatusNoContent
 		}
-		p.SetAccepting(false)
-		p.want(t, "here", "false", 0)
+		s.SetAccepting(false)
+		s.wantReport(t, "here", "false", 0)
 		for wait := firstRetryBackoff; wait <= 4*firstRetryBackoff; wait *= 2 {
-			p.want(t, "here", "false", wait)
+			s.wantReport(t, "here", "false", wait)
 		}
-		p.want(t, "here", "false", reportInterval) // the last one counted
+		s.wantReport(t, "here", "false", reportInterval) // the report before was accepted
 	})
 }
--- a/metrics/fleet.go
+++ b/metrics/fleet.go
@@ -6,11 +6,11 @@
 	"quincerail.example/quincerail/fleet"
 )
 
-// dependencyStates are the values of quincerail_fleet_dependency; 0 stands for unknown.
+// dependencyStates maps states to the values of quincerail_fleet_dependency; 0 is unknown.
 var dependencyStates = map[fleet.State]float64{fleet.Good: 1, fleet.Slow: 2, fleet.Down: 3}
 
-// RegisterFleet adds the collectors of a member of a fleet, and of the fleet's budgets that it
-// has.
+// RegisterFleet adds the collectors of a member of a fleet and of the fleet's budgets that the
+// member takes part in.
 func (r *Recorder) RegisterFleet(member *fleet.Fleet) {
 	gauge := func(name, help string, value func(fleet.Stats) float64) prometheus.Collector {
 		return newGauge(name, help, nil, func() float64 { return value(member.Stats()) })
@@ -34,11 +34,11 @@
 	)
 	for _, budget := range []string{fleet.Calls, fleet.Repeats} {
 		if member.QuotaAgent(budget) != nil {
-			r.observeBudget(member, budget)
+			r.registerBudget(member, budget)
 		}
 	}
 	if calls := member.QuotaAgent(fleet.Calls); calls != nil {
-		r.observeFleetAnswers(calls)
+		r.registerFleetResponses(calls)
 	}
 }
 
@@ -50,8 +50,8 @@
 	return 0
 }
 
-// observeBudget adds the collectors of what a member holds of one of the fleet's budgets.
-func (r *Recorder) observeBudget(member *fleet.Fleet, budget string) {
+// registerBudget adds the collectors of a member's part of one of the fleet's budgets.
+func (r *Recorder) registerBudget(member *fleet.Fleet, budget string) {
 	labels := prometheus.Labels{labelBudget: budget}
 	r.registry.MustRegister(
 		newGauge("quincerail_fleet_rights", "What this member may have in hand of the fleet's budget.",
@@ -63,11 +63,11 @@
 	)
 }
 
-// observeFleetAnswers has this process's answers counted for the whole fleet, by the agent of
-// the budget of calls, and adds the fleet's sums.
-func (r *Recorder) observeFleetAnswers(calls *fleet.QuotaAgent) {
-	r.countFleetAnswer = calls.AddToCounter
-	for _, kind := range answerKinds {
+// registerFleetResponses adds the gauges of the fleet's responses. From then on the agent of
+// the budget of calls also counts this process's responses in the fleet's counters.
+func (r *Recorder) registerFleetResponses(calls *fleet.QuotaAgent) {
+	r.countFleetResponse = calls.AddToCounter
+	for _, kind := range outcomeKinds {
 		labels := prometheus.Labels{labelKind: kind.String()}
 		r.registry.MustRegister(
 			newGauge("quincerail_fleet_answers", "Final answers of the whole fleet, as far as this member has heard.",
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what a server does, for Prometheus.
+// Package metrics exports a server's counters and gauges to Prometheus.
 package metrics
 
 import (
@@ -15,73 +15,74 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// Labels of the collectors.
+// The labels of the collectors.
 const (
 	labelClass  = "class"
-	labelKind   = "kind"   // of an answer
-	labelReason = "reason" // of a connection's end
+	labelKind   = "kind"   // the outcome's kind
+	labelReason = "reason" // why a connection closed
 	labelRule   = "rule"
-	labelBudget = "of" // the fleet's budget: of calls or of repeats
+	labelBudget = "of" // the fleet's budget: calls or repeats (retries)
 )
 
-// answerKinds are all kinds of answers.
-var answerKinds = []dispatch.OutcomeKind{
+// outcomeKinds are all kinds of outcomes.
+var outcomeKinds = []dispatch.OutcomeKind{
 	dispatch.Served, dispatch.Shed, dispatch.Failed, dispatch.TimedOut, dispatch.Rejected,
 }
 
-// latencyBuckets are the upper bounds of the answer times, in seconds.
+// latencyBuckets are the upper bounds of the latency histogram's buckets, in seconds.
 var latencyBuckets = []float64{0.01, 0.05, 0.1, 0.25, 0.5, 1, 1.8, 2.8, 5, 10}
 
-// Recorder counts a server's answers and connections. Its collectors are:
+// Recorder counts a server's responses and connections. Its collectors are:
 //
-//	quincerail_answers_total{class,kind}    final answers; kind is served, refused, failed, deadline or rejected;
-//	                                        class (dropped) holds what came under classes that are gone since
-//	quincerail_repeats_total{class}         of those served, the ones with another attempt's result
-//	quincerail_answer_seconds{class,kind}   from a request's arrival to its answer
-//	quincerail_connections_ended_total{reason}  of balancers, by why they ended
-//	quincerail_unanswered_at_end_total{reason}  requests that were open as their connection ended, likewise
-//	quincerail_discarded_bytes_total{reason}    bytes that were read and dropped as their connection ended, likewise
-//	quincerail_rule_violations_total{rule}  rules of the platform that were broken, as the program itself found
-//	quincerail_rule_denials_total{rule}     what was not done so that they were not
-//	quincerail_open_requests                submitted and not answered yet: held, waiting and running
-//	quincerail_fleet_alive                  members of the fleet that are thought to be alive
+//	quincerail_answers_total{class,kind}    final responses; kind is served, refused, failed, deadline or rejected;
+//	                                        class (dropped) counts requests of classes that were removed since
+//	quincerail_repeats_total{class}         served responses with the result of another attempt of their key
+//	quincerail_answer_seconds{class,kind}   time from a request's arrival to its final response
+//	quincerail_connections_ended_total{reason}  closed connections of balancers
+//	quincerail_unanswered_at_end_total{reason}  requests without a response when their connection closed
+//	quincerail_discarded_bytes_total{reason}    bytes read and discarded when their connection closed
+//	quincerail_rule_violations_total{rule}  violations of the platform's rules that the program detected
+//	quincerail_rule_denials_total{rule}     operations that were denied because they would have broken a rule
+//	quincerail_open_requests                requests without a response yet: held, queued and running
+//	quincerail_fleet_alive                  members of the fleet that are considered alive
 //	quincerail_fleet_owner                  1 while this process owns the lease on the dependency's health check
-//	quincerail_fleet_messages_total         sent to other members; quincerail_fleet_bytes_total likewise
+//	quincerail_fleet_messages_total         messages sent to other members
+//	quincerail_fleet_bytes_total            bytes sent to other members
 //	quincerail_fleet_dependency             the shared dependency's health: 0 unknown, 1 good, 2 slow, 3 down
-//	quincerail_fleet_rights{of}             calls, or repeats, that this member may have in flight, of the fleet's budget
-//	quincerail_fleet_in_hand{of}            of them used
-//	quincerail_fleet_free{of}               of the budget, that no member holds; 0 but at voters
-//	quincerail_fleet_answers{kind}          final answers of the whole fleet, as far as this member knows
-//	quincerail_fleet_stale_total            pieces of fleet work refused for their token
+//	quincerail_fleet_rights{of}             rights of this member to the fleet's budget: calls in flight, or retries per second
+//	quincerail_fleet_in_hand{of}            those of this member's rights that are in use
+//	quincerail_fleet_free{of}               rights of the budget that no member holds; 0 except at voters
+//	quincerail_fleet_answers{kind}          final responses of the whole fleet, as far as this member knows
+//	quincerail_fleet_stale_total            updates of the dependency's health that were rejected for a stale fencing token
 //
 // RegisterFleet, RegisterRules and the first SetClasses must be called before the first
-// request, and SetClasses by one goroutine at a time. The other methods may be called
+// request. Only one goroutine at a time may call SetClasses. The other methods may be called
 // from any goroutine.
 type Recorder struct {
 	registry *prometheus.Registry
 	core     atomic.Pointer[dispatch.Core] // nil until SetCore
 
-	answers *prometheus.CounterVec
-	repeats *prometheus.CounterVec
-	latency *prometheus.HistogramVec
+	responses  *prometheus.CounterVec
+	duplicates *prometheus.CounterVec
+	latency    *prometheus.HistogramVec
 
 	connectionsEnded *prometheus.CounterVec
 	unansweredAtEnd  *prometheus.CounterVec
 	discardedBytes   *prometheus.CounterVec
 
-	countFleetAnswer func(kind string) // for the whole fleet; does nothing outside a fleet with a budget of calls
-	classes          []string          // in force
+	countFleetResponse func(kind string) // adds to the fleet's counters; does nothing without a fleet budget of calls
+	classes            []string          // the classes of the current settings
 }
 
-// NewRecorder returns a recorder with the collectors of one process. Those of the
-// fleet and of the rules are added by RegisterFleet and RegisterRules.
+// NewRecorder returns a recorder with the collectors of one process. RegisterFleet and
+// RegisterRules add the collectors of the fleet and of the rules.
 func NewRecorder() *Recorder {
 	r := &Recorder{
-		registry:         prometheus.NewRegistry(),
-		countFleetAnswer: func(string) {},
-		answers: newCounterVec("quincerail_answers_total",
+		registry:           prometheus.NewRegistry(),
+		countFleetResponse: func(string) {},
+		responses: newCounterVec("quincerail_answers_total",
 			"Final answers, by class and kind.", labelClass, labelKind),
-		repeats: newCounterVec("quincerail_repeats_total",
+		duplicates: newCounterVec("quincerail_repeats_total",
 			"Answers served with the result of another try of their key.", labelClass),
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "quincerail_answer_seconds",
@@ -95,7 +96,7 @@
 		discardedBytes: newCounterVec("quincerail_discarded_bytes_total",
 			"Bytes that were read and dropped as their connection ended, by the reason of its end.", labelReason),
 	}
-	r.registry.MustRegister(r.answers, r.repeats, r.latency, r.connectionsEnded, r.unansweredAtEnd, r.discardedBytes,
+	r.registry.MustRegister(r.responses, r.duplicates, r.latency, r.connectionsEnded, r.unansweredAtEnd, r.discardedBytes,
 		newGauge("quincerail_open_requests", "Requests handed in and not answered yet.", nil, r.openRequests))
 	return r
 }
@@ -112,7 +113,7 @@
 	return prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help, ConstLabels: labels}, value)
 }
 
-// SetCore sets the core whose open requests are reported; until then there are none.
+// SetCore sets the core whose open requests are reported. Until then the gauge is 0.
 func (r *Recorder) SetCore(core *dispatch.Core) { r.core.Store(core) }
 
 func (r *Recorder) openRequests() float64 {
@@ -122,35 +123,35 @@
 	return 0
 }
 
-// SetClasses drops the counts of classes that are no longer in force. It must be called
-// after the core's UpdateSettings: from then on answers to these classes are counted
-// under dispatch.DroppedClass.
+// SetClasses removes the counts of classes that the new settings no longer have. It must be
+// called after the core's UpdateSettings. From then on the core reports responses to requests
+// of these classes under dispatch.RemovedClass.
 func (r *Recorder) SetClasses(classes []string) {
 	for _, class := range r.classes {
 		if slices.Contains(classes, class) {
 			continue
 		}
 		labels := prometheus.Labels{labelClass: class}
-		r.answers.DeletePartialMatch(labels)
-		r.repeats.DeletePartialMatch(labels)
+		r.responses.DeletePartialMatch(labels)
+		r.duplicates.DeletePartialMatch(labels)
 		r.latency.DeletePartialMatch(labels)
 	}
 	r.classes = classes
 }
 
 // ObserveResponse implements dispatch.Observer.
-func (r *Recorder) ObserveResponse(class string, kind dispatch.OutcomeKind, took time.Duration, repeat bool) {
+func (r *Recorder) ObserveResponse(class string, kind dispatch.OutcomeKind, took time.Duration, duplicate bool) {
 	name := kind.String()
-	r.answers.WithLabelValues(class, name).Inc()
-	r.countFleetAnswer(name)
+	r.responses.WithLabelValues(class, name).Inc()
+	r.countFleetResponse(name)
 	r.latency.WithLabelValues(class, name).Observe(took.Seconds())
-	if repeat {
-		r.repeats.WithLabelValues(class).Inc()
+	if duplicate {
+		r.duplicates.WithLabelValues(class).Inc()
 	}
 }
 
-// RegisterRules adds the counts of rules that were broken, and of what was denied to
-// keep them.
+// RegisterRules adds the counters of the violations of each rule, and of the operations that
+// were denied because they would have broken it.
 func (r *Recorder) RegisterRules(monitor *guard.Monitor) {
 	for _, rule := range guard.Rules {
 		labels := prometheus.Labels{labelRule: string(rule)}
@@ -163,8 +164,8 @@
 	}
 }
 
-// ConnectionEnded counts a connection's end, with the number of requests on it that had
-// no answer then.
+// ConnectionEnded counts a closed connection. unanswered is the number of requests on it that
+// had no response when it closed.
 func (r *Recorder) ConnectionEnded(end transport.Ending, unanswered int) {
 	reason := string(end.Reason)
 	r.connectionsEnded.WithLabelValues(reason).Inc()
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -14,20 +14,20 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// scrape returns the lines of /metrics that are no comments.
+// scrape returns the text that the handler serves at /metrics.
 func scrape(t *testing.T, r *Recorder) string {
 	t.Helper()
 	w := httptest.NewRecorder()
 	r.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
 	if w.Code != http.StatusOK {
-		t.Fatalf("status %d", w.Code)
+		t.Fatalf("GET /metrics: status %d, want %d", w.Code, http.StatusOK)
 	}
 	return w.Body.String()
 }
 
-// TestNames keeps the names, labels and values of the collectors, on which the
-// operators' dashboards rely.
-func TestNames(t *testing.T) {
+// TestRecorder_KeepsNamesAndLabels checks the names, labels and values of the collectors. The
+// operators' dashboards rely on them.
+func TestRecorder_KeepsNamesAndLabels(t *testing.T) {
 	r := NewRecorder()
 	monitor := guard.NewMonitor(logging.Discard())
 	r.RegisterRules(monitor)
@@ -52,19 +52,20 @@
 		`quincerail_open_requests 0`,
 	} {
 		if !strings.Contains(got, line+"\n") {
-			t.Errorf("no line %s in\n%s", line, got)
+			t.Errorf("/metrics lacks the line %s in\n%s", line, got)
 		}
 	}
 }
 
-// TestSetClasses drops the counts of a class that is gone, and keeps the others.
-func TestSetClasses(t *testing.T) {
+// TestSetClasses_RemovesCountsOfRemovedClass checks that SetClasses removes the counts of a class
+// that the new settings lack and keeps the others.
+func TestSetClasses_RemovesCountsOfRemovedClass(t *testing.T) {
 	r := NewRecorder()
 	r.SetClasses([]string{"page", "gift"})
 	r.ObserveResponse("page", dispatch.Served, 0, true)
 	r.ObserveResponse("gift", dispatch.Served, 0, false)
 	r.SetClasses([]string{"gift", "book"})
 	if got := scrape(t, r); strings.Contains(got, `class="page"`) || !strings.Contains(got, `class="gift"`) {
-		t.Errorf("after page is gone:\n%s", got)
+		t.Errorf("after class page was removed, /metrics must count gift and not page:\n%s", got)
 	}
 }
