--- a/backend/processor_test.go
+++ b/backend/processor_test.go
@@ -134,8 +134,8 @@
 }
 
 // FuzzProcessor breaks the connection at random points and loses what was sent shortly before.
-// Every run must be started once, in the order of submission, and every request must get
-// exactly one response.
+// Every run must be started, in the order of submission, and every request must get exactly
+// one response.
 func FuzzProcessor(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		f := newFakeProcessor(t, nil)
--- a/discovery/registrar.go
+++ b/discovery/registrar.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// isSuperseded reports whether Run has not received the newest value yet.
+// isSuperseded reports whether a newer value waits for Run to receive it.
 func (r *Registrar) isSuperseded() bool {
 	return len(r.acceptingChanges) > 0 || len(r.addressChanges) > 0
 }
--- a/downstream/pool_test.go
+++ b/downstream/pool_test.go
@@ -181,7 +181,7 @@
 // While there are few calls, they must not share a connection, because it may break or stall.
 // A run's next call must not use the same connection, because a late or duplicate reply could
 // be mistaken for its reply. Connections that idled are not reused, because the dependency
-// drops them.
+// drops them; nor are connections that it closed.
 func TestPool_ChoosesConnection(t *testing.T) {
 	for name, play := range map[string]func(b *fakeDependency) (first, second post){
 		"reused after a reply": func(b *fakeDependency) (first, second post) {
--- a/handover/endpoint.go
+++ b/handover/endpoint.go
@@ -1,5 +1,5 @@
 // Package handover connects two processes of one server while the new process (the
-// successor) takes over the listening socket from the old one (the predecessor). The
+// successor) takes over from the old one (the predecessor) on the same listening socket. The
 // successor gets the predecessor's idempotency keys before it accepts callers. Both processes
 // then replicate every keyed run to each other until the predecessor has exited, so that no
 // key runs twice.
