--- a/dispatch/eventloop.go
+++ b/dispatch/eventloop.go
@@ -10,7 +10,7 @@
 const mailboxCapacity = 1024
 
 // ErrStopped is returned by the methods of a core after Run has returned.
-var ErrStopped = errors.New("core has stopped")
+var ErrStopped = errors.New("stopped")
 
 // event is an input of the core, which Run's goroutine applies.
 type event interface {
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -26,17 +26,17 @@
 	current := c.currentSettings.Load()
 	class, ok := current.classes.indexOf[r.Class]
 	if !ok {
-		return fmt.Errorf("unknown class %q", r.Class)
+		return fmt.Errorf("class %q is not known", r.Class)
 	}
 	if err := r.checkKey(current.classes.items[class].Idempotency); err != nil {
 		return err
 	}
 	tenant, ok := current.tenantIndex(r.Tenant)
 	if !ok {
-		return fmt.Errorf("unknown tenant %q", r.Tenant)
+		return fmt.Errorf("tenant %q is not known", r.Tenant)
 	}
 	if r.ID == "" || !(r.ReservedKB > 0) {
-		return fmt.Errorf("id %q, reserved memory %v kB: the id must not be empty and the memory must be over 0", r.ID, r.ReservedKB)
+		return fmt.Errorf("id %q, memory %v: both are needed", r.ID, r.ReservedKB)
 	}
 	return c.enqueue(requestReceived{r, class, tenant})
 }
@@ -48,10 +48,10 @@
 		return nil
 	}
 	if r.Key == "" {
-		return fmt.Errorf("class %q requires an idempotency key", r.Class)
+		return fmt.Errorf("class %q needs a key", r.Class)
 	}
 	if len(r.Key) > maxKeyBytes {
-		return fmt.Errorf("idempotency key has %d bytes, the limit is %d", len(r.Key), maxKeyBytes)
+		return fmt.Errorf("a key of %d bytes, %d at most", len(r.Key), maxKeyBytes)
 	}
 	return nil
 }
