--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -7,11 +7,11 @@
 	"quincerail.example/quincerail/policy"
 )
 
-// moduleEvent passes an event to the decision module.
+// moduleEvent calls the decision module's method for an event.
 type moduleEvent func(*policy.Instance)
 
-// readEvent returns the event of a message, at a time.
-func readEvent(m *simwire.Message, now time.Duration) (moduleEvent, error) {
+// decodeEvent decodes the event of a message in the batch of the given time.
+func decodeEvent(m *simwire.Message, now time.Duration) (moduleEvent, error) {
 	var event moduleEvent
 	switch m.Name {
 	case simwire.RequestRead:
@@ -22,7 +22,7 @@
 		event = func(module *policy.Instance) { module.RunDone(now, id, outcome, took) }
 	case simwire.CallerGone:
 		id := m.RequestID()
-		event = func(module *policy.Instance) { module.CallerGone(now, id) }
+		event = func(module *policy.Instance) { module.RequestCancelled(now, id) }
 	case simwire.CallNeeded:
 		id := m.RequestID()
 		event = func(module *policy.Instance) { module.CallNeeded(now, id) }
