--- a/fleet/consensus/cluster_test.go
+++ b/fleet/consensus/cluster_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// listMachine is a state machine whose state is the list of all commands. The
-// leader's proposes the item that the test wants, again each second until it is
-// in the list.
+// listMachine is a state machine whose state is the list of all distinct commands.
+// At the leader it proposes the wanted item every second until the item is in the
+// list.
 type listMachine struct {
 	mu         sync.Mutex
 	items      []string
@@ -63,8 +63,8 @@
 	return slices.Clone(l.items)
 }
 
-// want has an item proposed as soon as this voter leads.
-func (l *listMachine) want(item string) {
+// propose makes Tick propose an item as soon as this voter leads.
+func (l *listMachine) propose(item string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.wanted, l.proposedAt = item, time.Time{}
@@ -81,18 +81,18 @@
 	t        *testing.T
 	dir      string
 	founders map[string]string
-	names    []string        // of all voters, those that join too
-	joins    map[string]bool // voters that join the running group
+	names    []string        // all voters, including those that join
+	joining  map[string]bool // voters that are started with Options.Join
 
 	mu       sync.Mutex
-	nodes    map[string]*Node // nil for one that is stopped
+	nodes    map[string]*Node // nil for a stopped voter
 	machines map[string]*listMachine
 }
 
-// newCluster starts a group of the named founders.
+// newCluster starts the named founders of a group.
 func newCluster(t *testing.T, names ...string) *cluster {
 	c := &cluster{
-		t: t, dir: t.TempDir(), founders: map[string]string{}, names: names, joins: map[string]bool{},
+		t: t, dir: t.TempDir(), founders: map[string]string{}, names: names, joining: map[string]bool{},
 		nodes: map[string]*Node{}, machines: map[string]*listMachine{},
 	}
 	for _, name := range names {
@@ -104,10 +104,11 @@
 	return c
 }
 
-// options returns the configuration of a voter.
+// options returns the options of a voter. Its Send calls the Receive of the other
+// voter if both are running.
 func (c *cluster) options(name string) Options {
 	return Options{
-		Self: name, Voters: c.founders, Join: c.joins[name], ElectionTimeout: time.Second,
+		Self: name, Voters: c.founders, Join: c.joining[name], ElectionTimeout: time.Second,
 		Dir: filepath.Join(c.dir, name), StateMachine: &listMachine{},
 		Send: func(to string, message []byte) {
 			c.mu.Lock()
@@ -134,10 +135,10 @@
 	c.nodes[name], c.machines[name] = node, machine
 }
 
-// join starts a voter that waits to be added to the group.
+// join starts a voter with Options.Join that is not yet a member of the group.
 func (c *cluster) join(name string) {
 	c.t.Helper()
-	c.names, c.joins[name] = append(c.names, name), true
+	c.names, c.joining[name] = append(c.names, name), true
 	c.start(name)
 }
 
@@ -160,24 +161,24 @@
 	}
 }
 
-// add has an item added to the list, and returns once the named voters have it.
-func (c *cluster) add(item string, at ...string) {
+// addItem proposes an item until the named voters have applied it.
+func (c *cluster) addItem(item string, voters ...string) {
 	c.t.Helper()
 	for _, name := range c.names {
-		c.machines[name].want(item)
+		c.machines[name].propose(item)
 	}
 	const pollInterval, polls = 10 * time.Millisecond, 10000
 	for range polls {
-		missing := slices.ContainsFunc(at, func(name string) bool { return !slices.Contains(c.machines[name].list(), item) })
+		missing := slices.ContainsFunc(voters, func(name string) bool { return !slices.Contains(c.machines[name].list(), item) })
 		if !missing {
 			return
 		}
 		time.Sleep(pollInterval)
 	}
-	c.t.Fatalf("%s did not reach %v", item, at)
+	c.t.Fatalf("%q was not applied by all of %v within %v", item, voters, polls*pollInterval)
 }
 
-// leader returns the name of the leader, once there is one.
+// leader waits until the group has a leader and returns its name.
 func (c *cluster) leader() string {
 	c.t.Helper()
 	const pollInterval, polls = 10 * time.Millisecond, 10000
@@ -189,29 +190,29 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	c.t.Fatal("no leader")
+	c.t.Fatalf("no voter became leader within %v", polls*pollInterval)
 	return ""
 }
 
-// changeMembership proposes a change at the first of some voters, again and again
-// as it may be lost, until all of them have the wanted group.
-func (c *cluster) changeMembership(propose func(*Node) error, want string, at ...string) {
+// changeMembership proposes a change at the first of the named voters until all of
+// them have the wanted group. It repeats the proposal, which may be lost.
+func (c *cluster) changeMembership(propose func(*Node) error, want string, voters ...string) {
 	c.t.Helper()
 	const pollInterval, polls = 100 * time.Millisecond, 1000
 	for range polls {
-		if err := propose(c.nodes[at[0]]); err != nil {
+		if err := propose(c.nodes[voters[0]]); err != nil {
 			c.t.Fatal(err)
 		}
 		time.Sleep(pollInterval)
-		if !slices.ContainsFunc(at, func(name string) bool { return voterNames(c.nodes[name]) != want }) {
+		if !slices.ContainsFunc(voters, func(name string) bool { return voterNames(c.nodes[name]) != want }) {
 			return
 		}
 	}
-	c.t.Fatalf("%s has %s, want %s", at[0], voterNames(c.nodes[at[0]]), want)
+	c.t.Fatalf("the group at %s is %s after %v, want %s at all of %v", voters[0], voterNames(c.nodes[voters[0]]), polls*pollInterval, want, voters)
 }
 
-// voterNames returns the names in a node's group in one string; a learner's is
-// followed by a star.
+// voterNames concatenates the names in a node's group, with a star after each
+// learner's name.
 func voterNames(n *Node) string {
 	var s strings.Builder
 	for _, voter := range n.Voters() {
--- a/fleet/consensus/errors.go
+++ b/fleet/consensus/errors.go
@@ -6,12 +6,12 @@
 )
 
 // ErrLogDamaged is wrapped by every *LogDamagedError.
-var ErrLogDamaged = errors.New("the log lost records")
+var ErrLogDamaged = errors.New("log records were lost")
 
-// LogDamagedError reports that a voter's log lacks records that it has written,
-// so that the voter must not vote any more.
+// LogDamagedError reports that records which a voter wrote are missing from its
+// log. The voter must not vote any more.
 type LogDamagedError struct {
-	Dir    string // of the log
+	Dir    string // directory of the log
 	Reason string
 }
 
@@ -22,8 +22,7 @@
 // Unwrap returns ErrLogDamaged.
 func (e *LogDamagedError) Unwrap() error { return ErrLogDamaged }
 
-// NotVoterError reports that a node is configured as a voter of a group that
-// does not contain it.
+// NotVoterError reports that Options.Voters does not contain Options.Self.
 type NotVoterError struct {
 	Self   string
 	Voters []string
@@ -33,19 +32,19 @@
 	return fmt.Sprintf("consensus: %s is not among the voters %v", e.Self, e.Voters)
 }
 
-// FoundersMismatchError reports a log of a group with other founders than those that
-// are configured.
+// FoundersMismatchError reports that a log belongs to a group with other founders
+// than the configured ones.
 type FoundersMismatchError struct {
-	Dir      string // of the log
-	Founders []string
+	Dir      string   // directory of the log
+	Founders []string // configured founders
 }
 
 func (e *FoundersMismatchError) Error() string {
-	return fmt.Sprintf("consensus: the log in %s belongs to a group with other founders than %v", e.Dir, e.Founders)
+	return fmt.Sprintf("consensus: the log in %s belongs to a group with other founders than the configured %v", e.Dir, e.Founders)
 }
 
-// VoterIDConflictError reports two voters whose names have the same hash, which
-// is their ID in raft. One of them needs another name.
+// VoterIDConflictError reports that the names of two voters have the same hash,
+// which is their raft ID. One of the voters must be renamed.
 type VoterIDConflictError struct {
 	First, Second string
 	ID            uint64
--- a/fleet/consensus/log.go
+++ b/fleet/consensus/log.go
@@ -13,43 +13,46 @@
 )
 
 const (
-	entrySlots      = 2048 // keys for entries in the store, used in turn; more than the log ever holds
-	entriesRetained = 64   // entries before a snapshot that stay, for voters that are a little behind
+	entrySlots      = 2048 // number of store keys for entries, reused cyclically; must exceed the length of the log
+	entriesRetained = 64   // entries kept before a snapshot, so that a slightly slower voter needs no snapshot
 )
 
-// The keys of the store.
+// Keys of the store.
 const (
 	stateKey       = "state"
 	snapshotKey    = "snapshot"
 	entryKeyFormat = "entry/%04d"
 )
 
-// lastIndexBytes is the length of the last entry's index, which stands before
-// raft's hard state in the record of the state.
+// lastIndexBytes is the length of the last entry's index, which precedes raft's
+// hard state in the record at stateKey.
 const lastIndexBytes = 8
 
-// neverExpires is the expiry of the log's records.
+// neverExpires is the expiry time of the log's records.
 var neverExpires = time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// durableLog keeps a voter's raft log in a store: entries in slots that are used
-// in turn, so that none needs to be deleted, a snapshot, and the hard state with
-// the index of the last valid entry. The store writes in order, so a crash
-// leaves what was written up to some moment:
+// durableLog stores a voter's raft log in a store: the latest snapshot, the
+// entries, and the state record, which has the hard state and the index of the
+// last valid entry. Entries have cyclically reused keys, so none needs to be
+// deleted. The store writes records in order, so a crash leaves all records up to
+// some point:
 //
-//   - Entries written after the last state lie beyond its last index. They are
-//     not valid; no message about them was sent.
-//   - Before entries replace others of the same indexes, a state is written that
-//     ends before them, so that no old entry ever follows a new one.
+//   - Entries written after the last state record have indexes beyond its last
+//     index. They are not valid, and no message about them was sent.
+//   - Before entries replace others with the same indexes, a state record is
+//     written whose last index is before them. So an old entry never follows a
+//     new one in the valid part of the log.
 type durableLog struct {
 	store     *store.Store
-	dir       string              // of the store, for errors
-	memory    *raft.MemoryStorage // the log as the raft library reads it
+	dir       string              // directory of the store, for errors
+	memory    *raft.MemoryStorage // copy of the log that the raft library reads
 	hardState *raftpb.HardState
 }
 
 func entryKey(index uint64) string { return fmt.Sprintf(entryKeyFormat, index%entrySlots) }
 
-// save makes durable what raft wants saved, and returns once it is.
+// save writes the snapshot, entries and hard state of a Ready, and returns once
+// they are durable.
 func (l *durableLog) save(ready *raft.Ready) error {
 	newSnapshot := !raft.IsEmptySnap(ready.Snapshot)
 	if !newSnapshot && len(ready.Entries) == 0 && ready.HardState == nil {
@@ -71,7 +74,7 @@
 	return l.saveState()
 }
 
-// saveSnapshot replaces the log by a snapshot of another voter.
+// saveSnapshot replaces the log by a snapshot from another voter.
 func (l *durableLog) saveSnapshot(snapshot *raftpb.Snapshot) error {
 	if err := l.memory.ApplySnapshot(snapshot); err != nil {
 		return fmt.Errorf("consensus: installing snapshot %d: %w", snapshot.GetMetadata().GetIndex(), err)
@@ -79,8 +82,7 @@
 	return l.put(snapshotKey, nil, snapshot, nil)
 }
 
-// saveEntries appends entries to the log, in place of those from their first
-// index on.
+// saveEntries replaces the log's entries from the index of the first new one.
 func (l *durableLog) saveEntries(entries []*raftpb.Entry) error {
 	lastIndex, err := l.lastIndex()
 	if err != nil {
@@ -102,8 +104,8 @@
 	return nil
 }
 
-// saveState writes the state and waits until it and all records before it are
-// durable.
+// saveState writes the state record and waits until it is durable, and with it
+// all records before it.
 func (l *durableLog) saveState() error {
 	if err := l.memory.SetHardState(l.hardState); err != nil {
 		return fmt.Errorf("consensus: setting the hard state: %w", err)
@@ -122,8 +124,8 @@
 	return nil
 }
 
-// compact replaces the entries up to an applied index by a snapshot, whose data
-// is the state of the group and its state machine there.
+// compact stores a snapshot of the group and the state machine as of an applied
+// index, and discards the entries up to entriesRetained before it.
 func (l *durableLog) compact(index uint64, confState *raftpb.ConfState, data []byte) error {
 	snapshot, err := l.memory.CreateSnapshot(index, confState, data)
 	if err != nil {
@@ -134,7 +136,7 @@
 	}
 	firstIndex, err := l.memory.FirstIndex()
 	if err != nil {
-		return fmt.Errorf("consensus: first index: %w", err)
+		return fmt.Errorf("consensus: reading the log's first index: %w", err)
 	}
 	if index < firstIndex+entriesRetained {
 		return nil
@@ -148,19 +150,20 @@
 func (l *durableLog) lastIndex() (uint64, error) {
 	index, err := l.memory.LastIndex()
 	if err != nil {
-		return 0, fmt.Errorf("consensus: last index: %w", err)
+		return 0, fmt.Errorf("consensus: reading the log's last index: %w", err)
 	}
 	return index, nil
 }
 
-// putState queues the record of the state, by which the entries up to an index
-// are valid.
+// putState queues a state record with lastIndex as the index of the last valid
+// entry.
 func (l *durableLog) putState(lastIndex uint64, done func(error)) error {
 	return l.put(stateKey, binary.BigEndian.AppendUint64(nil, lastIndex), l.hardState, done)
 }
 
-// put queues a record. After a failed write the store fails all later ones, so
-// only the last record's outcome needs to be waited for; done may be nil.
+// put queues a record; done may be nil. Callers wait for the outcome of the last
+// record only, because the store rejects the writes after a failed one until it
+// has repaired itself.
 func (l *durableLog) put(key string, prefix []byte, message proto.Message, done func(error)) error {
 	record, err := proto.MarshalOptions{}.MarshalAppend(prefix, message)
 	if err != nil {
--- a/fleet/consensus/loop.go
+++ b/fleet/consensus/loop.go
@@ -11,13 +11,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// run is the node's goroutine.
+// run handles the node's events until ctx is done or its log fails.
 func (n *Node) run(ctx context.Context) {
 	defer close(n.done)
 	ticker := time.NewTicker(n.options.ElectionTimeout / ticksPerElection)
 	defer ticker.Stop()
 	for {
-		if err := n.processReady(); err != nil { // a voter must not send what it could not save
+		if err := n.processReady(); err != nil { // a voter must not send messages about entries or votes that it could not save
 			n.logger.Error(eventVoterStopped, "error", err.Error())
 			return
 		}
@@ -28,7 +28,7 @@
 			n.tick()
 		case m := <-n.receiveQueue:
 			n.step(m)
-			for range len(n.receiveQueue) { // all that are queued, before the next write
+			for range len(n.receiveQueue) { // handle all queued messages before the next write
 				n.step(<-n.receiveQueue)
 			}
 		case call := <-n.callQueue:
@@ -37,7 +37,8 @@
 	}
 }
 
-// tick advances raft's clock, and proposes what the state machine asks for.
+// tick advances raft's clock, proposes the commands that the state machine's Tick
+// returns, and promotes learners.
 func (n *Node) tick() {
 	n.raft.Tick()
 	leader := n.raft.BasicStatus().RaftState == raft.StateLeader
@@ -52,8 +53,8 @@
 	}
 }
 
-// propose proposes commands for the log. They are dropped if there is no leader;
-// their senders send them again.
+// propose proposes commands for the log. Raft drops them if there is no leader;
+// the state machine or the caller of RunInLoop must propose them again.
 func (n *Node) propose(commands [][]byte) {
 	for _, command := range commands {
 		if err := n.raft.Propose(command); err != nil {
@@ -62,7 +63,8 @@
 	}
 }
 
-// processReady does all that raft asks for at present.
+// processReady processes all of raft's pending output and takes a snapshot if
+// entriesPerSnapshot entries were applied since the previous one.
 func (n *Node) processReady() error {
 	for n.raft.HasReady() {
 		ready := n.raft.Ready()
@@ -80,8 +82,8 @@
 	return nil
 }
 
-// handleReady does what raft asks for in one Ready. The order matters: what a
-// message promises is saved before it is sent.
+// handleReady processes one Ready of raft. It saves entries and votes before it
+// sends the messages that acknowledge them.
 func (n *Node) handleReady(ready *raft.Ready) error {
 	if err := n.log.save(ready); err != nil {
 		return err
@@ -97,7 +99,7 @@
 	return n.applyEntries(ready.CommittedEntries)
 }
 
-// sendMessages hands messages for other voters to the transport.
+// sendMessages passes messages for other voters to Options.Send.
 func (n *Node) sendMessages(messages []*raftpb.Message) error {
 	for _, m := range messages {
 		encoded, err := proto.Marshal(m)
@@ -105,14 +107,15 @@
 			return fmt.Errorf("consensus: encoding a message: %w", err)
 		}
 		n.options.Send(n.currentMembership()[m.GetTo()].Name, encoded)
-		if m.GetType() == raftpb.MsgSnap { // the peer's next answer shows whether it arrived
+		if m.GetType() == raftpb.MsgSnap { // the peer's next response shows whether the snapshot arrived
 			n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
 	return nil
 }
 
-// installSnapshot replaces the state by a snapshot that another voter sent.
+// installSnapshot replaces the group and the state machine's state by those of a
+// snapshot that another voter sent.
 func (n *Node) installSnapshot(snapshot *raftpb.Snapshot) error {
 	if err := n.restoreSnapshot(snapshot.GetData()); err != nil {
 		return err
@@ -123,8 +126,8 @@
 	return nil
 }
 
-// applyEntries applies committed entries. An entry without data, which a new
-// leader appends, changes nothing.
+// applyEntries applies committed entries. It skips entries without data, which
+// each new leader appends.
 func (n *Node) applyEntries(entries []*raftpb.Entry) error {
 	for _, entry := range entries {
 		n.appliedIndex = entry.GetIndex()
--- a/fleet/consensus/node.go
+++ b/fleet/consensus/node.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// Raft draws each election time-out from one to two ElectionTimeouts, in
-	// ticks. With ten ticks, two of four voters often drew the same and split the
-	// vote, which takes a further time-out.
+	// Raft draws each election timeout at random, in ticks, from one to two times
+	// Options.ElectionTimeout. With ten ticks, two of four voters often drew the
+	// same timeout and split the vote, which takes another election timeout.
 	ticksPerElection  = 50
 	ticksPerHeartbeat = 5
 
 	receiveQueueLength  = 1024 // received messages that wait for the node's goroutine; more are dropped
 	callQueueLength     = 16   // functions that wait for the node's goroutine
 	maxMessageBytes     = 256 << 10
-	maxInflightMessages = 64
+	maxInflightMessages = 64 // unacknowledged append messages to one voter
 )
 
-// The log events of this package.
+// Log events of this package.
 const (
 	eventMessageRefused  = "fleet_message_refused"
 	eventStepRejected    = "raft_step_rejected"
@@ -41,43 +41,44 @@
 	eventRaftLibrary     = "raft_library"
 )
 
-// StateMachine is what the log's commands are applied to. All methods are called
-// by the node's goroutine, or by Start before there is one, and must not block.
+// StateMachine applies the log's committed commands. All methods are called by
+// the node's goroutine, or by Start before it starts that goroutine. They must
+// not block.
 type StateMachine interface {
 	// Apply applies the committed command at a term and index of the log.
 	Apply(data []byte, term, index uint64)
-	// Tick is called ticksPerElection times in an election time-out, and returns
+	// Tick is called ticksPerElection times per Options.ElectionTimeout and returns
 	// commands to propose. leader reports whether this voter leads the group.
 	Tick(leader bool) [][]byte
-	// Snapshot returns the state after all commands applied so far.
+	// Snapshot returns an encoding of the state after all commands applied so far.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by that of a snapshot.
+	// Restore replaces the state by one that Snapshot returned.
 	Restore(data []byte) error
 }
 
 // Options configure a node. Join, OnMembershipChange and Logger are optional.
 type Options struct {
 	Self string // name of this voter
-	// Voters are the founders of the group, Self among them, by name and address;
-	// the same at each. A voter that joins a running group names the voters that
-	// the group has then.
+	// Voters maps the names of the group's founders, including Self, to their
+	// addresses. It must be the same at each founder. For a voter that joins a
+	// running group it has the current voters of that group.
 	Voters map[string]string
 	Join   bool // this voter joins a running group
 	// OnMembershipChange receives the group at the start and after each change. It
 	// is called by Start or the node's goroutine, and must not block.
 	OnMembershipChange func(voters []Voter)
-	ElectionTimeout    time.Duration // raft draws from one to two of it
-	Dir                string        // of the log
+	ElectionTimeout    time.Duration // raft draws election timeouts from one to two times this
+	Dir                string        // directory of the log
 	StateMachine       StateMachine
 	Send               func(to string, message []byte) // must not block; may lose messages
 	Logger             *slog.Logger                    // nil for slog.Default()
 }
 
-// founders returns the names of the configured voters, sorted.
+// founders returns the sorted names of the configured voters.
 func (o *Options) founders() []string { return slices.Sorted(maps.Keys(o.Voters)) }
 
-// founderIDs returns the raft IDs of the founders, sorted; none for a voter that
-// joins.
+// founderIDs returns the sorted raft IDs of the founders, or none for a voter
+// that joins a group.
 func (o *Options) founderIDs() []uint64 {
 	if o.Join {
 		return nil
@@ -96,22 +97,22 @@
 	logger       *slog.Logger
 	store        *store.Store
 	membership   atomic.Pointer[membership]
-	receiveQueue chan *raftpb.Message // received from other voters
+	receiveQueue chan *raftpb.Message // messages from other voters
 	callQueue    chan func()
 	stop         context.CancelFunc
 	done         chan struct{}
 
-	// Used by Start, and after it by the node's goroutine alone.
+	// Used only by Start and, once it has returned, by the node's goroutine.
 	raft          *raft.RawNode
 	log           *durableLog
-	logFounders   []string // of the group that the log belongs to
+	logFounders   []string // founders of the group that the log belongs to
 	confState     *raftpb.ConfState
 	appliedIndex  uint64
-	snapshotIndex uint64
+	snapshotIndex uint64 // index of the latest snapshot
 }
 
-// Start recovers a voter's log and starts its goroutine. The error wraps
-// ErrLogDamaged if the log lost records.
+// Start recovers a voter's log and starts the node's goroutine. The error wraps
+// ErrLogDamaged if records of the log are missing.
 func Start(options Options) (*Node, error) {
 	if _, found := options.Voters[options.Self]; !found && !options.Join {
 		return nil, &NotVoterError{Self: options.Self, Voters: options.founders()}
@@ -145,7 +146,8 @@
 	return n, nil
 }
 
-// restore recovers the log, and the group and state machine from its snapshot.
+// recoverFromLog recovers the log, restores the group and the state machine from
+// its snapshot, and creates the raft node.
 func (n *Node) recoverFromLog(recovered *store.Recovered) error {
 	var err error
 	if n.log, err = openLog(n.store, n.options.Dir, recovered, n.options.founderIDs()); err != nil {
@@ -183,8 +185,8 @@
 	return nil
 }
 
-// hasConfiguredFounders reports whether the log belongs to a group of the configured
-// founders. The initial snapshot has only their IDs.
+// hasConfiguredFounders reports whether the log belongs to a group with the
+// configured founders. The initial snapshot has only the founders' IDs.
 func (n *Node) hasConfiguredFounders(snapshot *raftpb.Snapshot) bool {
 	if len(snapshot.GetData()) == 0 {
 		return slices.Equal(snapshot.GetMetadata().GetConfState().GetVoters(), n.options.founderIDs())
@@ -192,8 +194,8 @@
 	return slices.Equal(n.logFounders, n.options.founders())
 }
 
-// Receive accepts a message that another voter's Send was called with. It drops
-// messages that are invalid, and any while the queue is full.
+// Receive queues a message that another voter passed to its Options.Send. It
+// drops the message if it is invalid or the queue is full.
 func (n *Node) Receive(message []byte) {
 	m := &raftpb.Message{}
 	if err := proto.Unmarshal(message, m); err != nil || !n.acceptsFrom(m) {
@@ -206,15 +208,15 @@
 	}
 }
 
-// acceptsFrom reports whether a message comes from a member of the group, and is
-// of a type that voters send to each other.
+// acceptsFrom reports whether a message comes from a member of the group and has
+// a type that voters send to each other.
 func (n *Node) acceptsFrom(m *raftpb.Message) bool {
 	_, member := n.currentMembership()[m.GetFrom()]
 	return member && !raft.IsLocalMsg(m.GetType())
 }
 
-// RunInLoop has the node's goroutine call f and propose the commands that it
-// returns. It returns when that is done, or the node has stopped.
+// RunInLoop calls f on the node's goroutine and proposes the commands that f
+// returns. It returns after that, or when the node has stopped.
 func (n *Node) RunInLoop(f func() (commands [][]byte)) {
 	finished := make(chan struct{})
 	call := func() {
@@ -232,7 +234,8 @@
 	}
 }
 
-// TransferLeadership hands leadership to another voter, if this one leads.
+// TransferLeadership starts a transfer of leadership to the most up-to-date
+// reachable peer. It does nothing if this voter does not lead.
 func (n *Node) TransferLeadership() {
 	n.RunInLoop(func() [][]byte {
 		status := n.raft.Status()
@@ -246,8 +249,8 @@
 	})
 }
 
-// mostUpToDatePeer returns the reachable peer that has most of the leader's log,
-// raft.None if none is reachable.
+// mostUpToDatePeer returns the ID of the reachable peer with the highest matching
+// log index, or raft.None if no peer is reachable.
 func mostUpToDatePeer(status *raft.Status) uint64 {
 	var best, bestMatch uint64
 	for id, progress := range status.Progress {
@@ -258,7 +261,7 @@
 	return best
 }
 
-// Stop stops the voter and closes its log.
+// Stop stops the node's goroutine, waits for it, and closes the log.
 func (n *Node) Stop() error {
 	n.stop()
 	<-n.done
--- a/fleet/consensus/node_test.go
+++ b/fleet/consensus/node_test.go
@@ -11,9 +11,10 @@
 	"time"
 )
 
-// TestRestarts has three voters agree while each is stopped and started again
-// in turn: all end with the same list.
-func TestRestarts(t *testing.T) {
+// TestNode_ReplicatesThroughRestarts adds items to a group of three while each
+// voter, and later each leader, is stopped and restarted in turn. All voters must
+// end with the same list.
+func TestNode_ReplicatesThroughRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const restarts, leaderRestartsFrom = 9, 6
 		c := newCluster(t, "a", "b", "c")
@@ -25,62 +26,62 @@
 			}
 			c.stop(stopped)
 			running := slices.DeleteFunc(slices.Clone(c.names), func(name string) bool { return name == stopped })
-			c.add(fmt.Sprint("item ", i), running...)
+			c.addItem(fmt.Sprint("item ", i), running...)
 			c.start(stopped)
-			c.add(fmt.Sprint("item ", i), stopped)
+			c.addItem(fmt.Sprint("item ", i), stopped)
 		}
 		for _, name := range c.names {
 			if got := c.machines[name].list(); !slices.Equal(got, c.machines["a"].list()) || len(got) != restarts {
-				t.Errorf("%s has %q", name, got)
+				t.Errorf("%s has the items %q, want %d items, the same as a: %q", name, got, restarts, c.machines["a"].list())
 			}
 		}
 	})
 }
 
-// TestSnapshotCatchUp leaves a voter so far behind that the others have
-// compacted the entries that it lacks: it receives a snapshot, and recovers from
-// that when it is restarted.
-func TestSnapshotCatchUp(t *testing.T) {
+// TestNode_CatchesUpBySnapshot stops a voter until the others have compacted the
+// entries that it lacks. It must receive a snapshot, and recover from that
+// snapshot when it is restarted.
+func TestNode_CatchesUpBySnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
 		defer c.stopAll()
-		c.add("first", c.names...)
+		c.addItem("first", c.names...)
 		c.stop("c")
 		const missed = 2*entriesPerSnapshot + entriesRetained
 		for i := range missed {
-			c.add(fmt.Sprint("item ", i), "a", "b")
+			c.addItem(fmt.Sprint("item ", i), "a", "b")
 		}
 		c.start("c")
-		c.add("last", c.names...)
+		c.addItem("last", c.names...)
 		c.stop("c")
 		c.start("c")
-		c.add("after", c.names...)
+		c.addItem("after", c.names...)
 		if got := c.machines["c"].list(); len(got) != missed+3 || got[0] != "first" || got[missed+2] != "after" {
-			t.Errorf("%d items, from %q to %q", len(got), got[0], got[len(got)-1])
+			t.Errorf("c has %d items from %q to %q, want %d from \"first\" to \"after\"", len(got), got[0], got[len(got)-1], missed+3)
 		}
 	})
 }
 
-func TestTransferLeadership(t *testing.T) {
+func TestTransferLeadership_MovesLeaderBeforeElectionTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
 		defer c.stopAll()
-		c.add("first", c.names...)
+		c.addItem("first", c.names...)
 		before := c.leader()
 		c.nodes[before].TransferLeadership()
-		time.Sleep(200 * time.Millisecond) // less than an election time-out
+		time.Sleep(200 * time.Millisecond) // shorter than an election timeout
 		if after := c.leader(); after == before {
-			t.Errorf("%s still leads", after)
+			t.Errorf("%s still leads after TransferLeadership, want another leader", after)
 		}
 	})
 }
 
-// startFails expects Start to fail.
-func startFails(t *testing.T, options Options) error {
+// wantStartError calls Start, which must fail, and returns its error.
+func wantStartError(t *testing.T, options Options) error {
 	t.Helper()
 	node, err := Start(options)
 	if err == nil {
-		t.Error("started")
+		t.Error("Start succeeded, want an error")
 		if err := node.Stop(); err != nil {
 			t.Error(err)
 		}
@@ -88,31 +89,31 @@
 	return err
 }
 
-// TestStartRefusesDamagedLog damages a record of a stopped voter's log.
-func TestStartRefusesDamagedLog(t *testing.T) {
+// TestStart_RejectsDamagedLog damages a record of a stopped voter's log.
+func TestStart_RejectsDamagedLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
 		defer c.stopAll()
 		for i := range 5 {
-			c.add(fmt.Sprint("item ", i), c.names...)
+			c.addItem(fmt.Sprint("item ", i), c.names...)
 		}
 		c.stop("c")
 		options := c.options("c")
 		flipByte(t, options.Dir)
-		err := startFails(t, options)
+		err := wantStartError(t, options)
 		var damaged *LogDamagedError
 		if !errors.Is(err, ErrLogDamaged) || !errors.As(err, &damaged) || damaged.Dir != options.Dir {
-			t.Errorf("on a damaged log: %v", err)
+			t.Errorf("Start on a damaged log = %v, want a *LogDamagedError for %s", err, options.Dir)
 		}
 	})
 }
 
-// flipByte changes a byte in the middle of a store's first segment.
+// flipByte flips a bit in the middle of a store's first segment.
 func flipByte(t *testing.T, dir string) {
 	t.Helper()
 	segments, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(segments) == 0 {
-		t.Fatal(segments, err)
+		t.Fatalf("%s has the segments %q, %v, want at least one", dir, segments, err)
 	}
 	b, err := os.ReadFile(segments[0])
 	if err != nil {
@@ -124,27 +125,27 @@
 	}
 }
 
-// TestStartRefusesForeignLog starts a voter on the log of a group with other
-// founders.
-func TestStartRefusesForeignLog(t *testing.T) {
+// TestStart_RejectsLogOfOtherFounders starts a voter on the log of a group with
+// other founders.
+func TestStart_RejectsLogOfOtherFounders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
 		defer c.stopAll()
-		c.add("first", c.names...)
+		c.addItem("first", c.names...)
 		c.stop("c")
 		options := c.options("c")
 		options.Voters = map[string]string{"b": "", "c": "", "d": ""}
-		var foreign *FoundersMismatchError
-		if err := startFails(t, options); !errors.As(err, &foreign) || foreign.Dir != options.Dir {
-			t.Errorf("on a foreign log: %v", err)
+		var mismatch *FoundersMismatchError
+		if err := wantStartError(t, options); !errors.As(err, &mismatch) || mismatch.Dir != options.Dir {
+			t.Errorf("Start on a log of other founders = %v, want a *FoundersMismatchError for %s", err, options.Dir)
 		}
 	})
 }
 
-func TestStartRefusesNodeThatIsNoVoter(t *testing.T) {
+func TestStart_RejectsNodeOutsideVoters(t *testing.T) {
 	var notVoter *NotVoterError
-	err := startFails(t, Options{Self: "x", Voters: map[string]string{"a": "", "b": ""}})
+	err := wantStartError(t, Options{Self: "x", Voters: map[string]string{"a": "", "b": ""}})
 	if !errors.As(err, &notVoter) || notVoter.Self != "x" || !slices.Equal(notVoter.Voters, []string{"a", "b"}) {
-		t.Errorf("got %v", err)
+		t.Errorf("Start = %v, want a *NotVoterError of x and the voters a and b", err)
 	}
 }
--- a/fleet/consensus/raftlogger.go
+++ b/fleet/consensus/raftlogger.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// raftLogger implements raft.Logger. Only the library's errors are logged above
-// the debug level.
+// raftLogger implements raft.Logger. It logs the library's errors at level error
+// and everything else at level debug.
 type raftLogger struct{ logger *slog.Logger }
 
 func (l raftLogger) debug(text string) { l.logger.Debug(eventRaftLibrary, "text", text) }
@@ -21,8 +21,8 @@
 func (l raftLogger) Error(v ...any)                   { l.error(fmt.Sprint(v...)) }
 func (l raftLogger) Errorf(format string, v ...any)   { l.error(fmt.Sprintf(format, v...)) }
 
-// The library calls these where the log contradicts itself. To go on could mean
-// a second vote in one term, so the process ends.
+// The library calls the next four methods if its state is inconsistent. Continuing
+// could produce a second vote in one term, so they panic.
 func (l raftLogger) Fatal(v ...any)                 { panic("raft: " + fmt.Sprint(v...)) }
 func (l raftLogger) Fatalf(format string, v ...any) { panic("raft: " + fmt.Sprintf(format, v...)) }
 func (l raftLogger) Panic(v ...any)                 { panic("raft: " + fmt.Sprint(v...)) }
--- a/fleet/consensus/recovery.go
+++ b/fleet/consensus/recovery.go
@@ -11,16 +11,17 @@
 	"quincerail.example/quincerail/store"
 )
 
-// initialSnapshotIndex and initialSnapshotTerm are those of the snapshot that a
-// new log begins with, which all founders write alike.
+// Index and term of the initial snapshot. All founders write the same initial
+// snapshot to their new logs.
 const (
 	initialSnapshotIndex = 1
 	initialSnapshotTerm  = 1
 )
 
-// openLog recovers a voter's log, or creates one for the founders of a group.
-// Without founders the voter joins a group: a new log is empty, and the group
-// sends a snapshot. The error wraps ErrLogDamaged if records are missing.
+// openLog recovers a voter's log, or creates one for the founders of a group. A
+// voter that joins a group passes no founders: its new log is empty, and the
+// leader sends it a snapshot. The error wraps ErrLogDamaged if records are
+// missing.
 func openLog(s *store.Store, dir string, recovered *store.Recovered, founderIDs []uint64) (*durableLog, error) {
 	l := &durableLog{store: s, dir: dir, memory: raft.NewMemoryStorage(), hardState: &raftpb.HardState{}}
 	if len(recovered.Losses) > 0 {
@@ -47,7 +48,7 @@
 	case !joining || lastIndex > 0:
 		return nil, l.damagedError("the snapshot is missing")
 	}
-	// A voter that joins may have heard of a term before it received a snapshot.
+	// A joining voter may have saved a term before it received a snapshot.
 	return l, l.memory.SetHardState(l.hardState)
 }
 
@@ -55,7 +56,7 @@
 	return &LogDamagedError{Dir: l.dir, Reason: fmt.Sprintf(format, args...)}
 }
 
-// create begins the log of a new group.
+// create creates the log of a new group.
 func (l *durableLog) create(founderIDs []uint64) error {
 	snapshot := &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{
 		Index:     proto.Uint64(initialSnapshotIndex),
@@ -68,20 +69,20 @@
 	return l.memory.ApplySnapshot(snapshot)
 }
 
-// recoverState reads the hard state, and returns the index of the last valid
-// entry.
+// recoverState decodes the state record into l.hardState and returns the index of
+// the last valid entry.
 func (l *durableLog) recoverState(record []byte) (lastIndex uint64, err error) {
 	if len(record) < lastIndexBytes {
-		return 0, l.damagedError("the state has only %d bytes", len(record))
+		return 0, l.damagedError("the state record has %d bytes, want at least %d", len(record), lastIndexBytes)
 	}
 	if err := proto.Unmarshal(record[lastIndexBytes:], l.hardState); err != nil {
-		return 0, fmt.Errorf("consensus: decoding the state: %w", err)
+		return 0, fmt.Errorf("consensus: decoding the state record: %w", err)
 	}
 	return binary.BigEndian.Uint64(record), nil
 }
 
-// recoverEntries reads the snapshot and the entries after it up to the last
-// valid one.
+// recoverEntries loads the snapshot and the entries after it up to the last valid
+// one into l.memory.
 func (l *durableLog) recoverEntries(recovered *store.Recovered, snapshotRecord []byte, lastIndex uint64) error {
 	snapshot := &raftpb.Snapshot{}
 	if err := proto.Unmarshal(snapshotRecord, snapshot); err != nil {
@@ -95,12 +96,12 @@
 		entry := &raftpb.Entry{}
 		record, found := recovered.Values[entryKey(index)]
 		if !found || proto.Unmarshal(record.Bytes, entry) != nil || entry.GetIndex() != index {
-			return l.damagedError("entry %d of %d is missing", index, lastIndex)
+			return l.damagedError("entry %d is missing; the last index is %d", index, lastIndex)
 		}
 		entries = append(entries, entry)
 	}
 	if err := l.memory.Append(entries); err != nil {
-		return fmt.Errorf("consensus: recovering entries: %w", err)
+		return fmt.Errorf("consensus: recovering entries up to %d: %w", lastIndex, err)
 	}
 	return nil
 }
--- a/fleet/consensus/snapshot.go
+++ b/fleet/consensus/snapshot.go
@@ -5,18 +5,19 @@
 	"fmt"
 )
 
-// entriesPerSnapshot is how many entries are applied between two snapshots.
+// entriesPerSnapshot is the number of entries applied between two snapshots.
 const entriesPerSnapshot = 256
 
-// snapshotEnvelope is the data of a snapshot: the state machine's state, and the
-// group's.
+// snapshotEnvelope is the data of a snapshot: the group and the state of its
+// state machine.
 type snapshotEnvelope struct {
-	Founders []string `json:"founders"` // of the log; a log of other founders is refused
+	Founders []string `json:"founders"` // founders of the log's group; see FoundersMismatchError
 	Members  []Voter  `json:"members"`
-	State    []byte   `json:"state"` // of the state machine
+	State    []byte   `json:"state"` // result of StateMachine.Snapshot
 }
 
-// takeSnapshot replaces the applied entries by a snapshot.
+// takeSnapshot stores a snapshot as of the last applied entry and compacts the
+// log.
 func (n *Node) takeSnapshot() error {
 	data, err := n.encodeSnapshot()
 	if err != nil {
@@ -29,11 +30,11 @@
 	return nil
 }
 
-// encodeSnapshot returns the data of a snapshot of what was applied so far.
+// encodeSnapshot returns the data of a snapshot as of the last applied entry.
 func (n *Node) encodeSnapshot() ([]byte, error) {
 	state, err := n.options.StateMachine.Snapshot()
 	if err != nil {
-		return nil, fmt.Errorf("consensus: snapshot of the state machine: %w", err)
+		return nil, fmt.Errorf("consensus: taking a snapshot of the state machine: %w", err)
 	}
 	data, err := json.Marshal(snapshotEnvelope{n.logFounders, n.Voters(), state})
 	if err != nil {
@@ -43,7 +44,8 @@
 }
 
 // restoreSnapshot restores the group and the state machine from a snapshot's
-// data. The initial snapshot of a log has none: the group is its founders.
+// data. The initial snapshot of a log has no data, so the group stays that of the
+// founders.
 func (n *Node) restoreSnapshot(data []byte) error {
 	if len(data) == 0 {
 		return nil
--- a/fleet/consensus/stored_test.go
+++ b/fleet/consensus/stored_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestStoredForm pins the bytes of a snapshot's data and of a membership
-// change's voter, and the keys of the log's records. They were written by the
-// version before any of the names changed.
-func TestStoredForm(t *testing.T) {
+// TestStoredForms_MatchFirstVersion pins the bytes of a snapshot's data and of the
+// voter in a membership change, and the keys of the log's records, to those of the
+// version before the Go names changed.
+func TestStoredForms_MatchFirstVersion(t *testing.T) {
 	learner := Voter{Name: "d", Address: "at d", Learner: true}
 	for _, c := range []struct {
 		value any
@@ -22,14 +22,14 @@
 	} {
 		got, err := json.Marshal(c.value)
 		if err != nil || string(got) != c.want {
-			t.Errorf("%s, %v; want %s", got, err, c.want)
+			t.Errorf("json.Marshal(%+v) = %s, %v, want %s", c.value, got, err, c.want)
 		}
 	}
 	for got, want := range map[string]string{
 		stateKey: "state", snapshotKey: "snapshot", entryKey(3): "entry/0003", entryKey(2049): "entry/0001",
 	} {
 		if got != want {
-			t.Errorf("key %s, want %s", got, want)
+			t.Errorf("store key %q, want %q", got, want)
 		}
 	}
 }
--- a/fleet/gossip/broadcast.go
+++ b/fleet/gossip/broadcast.go
@@ -2,7 +2,7 @@
 
 import "github.com/hashicorp/memberlist"
 
-// broadcast is an update that is being spread.
+// broadcast is a queued update. It replaces queued updates of the same topic.
 type broadcast struct {
 	topic  string
 	update []byte
--- a/fleet/gossip/delegate.go
+++ b/fleet/gossip/delegate.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// memberlistDelegate connects memberlist with a Delegate.
+// memberlistDelegate implements memberlist.Delegate on top of a Delegate.
 type memberlistDelegate struct {
 	updates Delegate
 	members *Membership
 	role    string
 }
 
-// NodeMeta implements memberlist.Delegate.
+// NodeMeta implements memberlist.Delegate. A member's metadata is its role.
 func (d memberlistDelegate) NodeMeta(int) []byte { return []byte(d.role) }
 
-// NotifyMsg implements memberlist.Delegate. The message's bytes belong to the
-// library, which uses them again.
+// NotifyMsg implements memberlist.Delegate. The library reuses the message's bytes,
+// so NotifyMsg copies them.
 func (d memberlistDelegate) NotifyMsg(message []byte) { d.merge(slices.Clone(message)) }
 
-// merge takes in an update, and broadcasts it further where it was new: the library
-// brings a message to a few members only.
+// merge passes an update to the Delegate and broadcasts it if it was new, because
+// the library sends a message to a few members only.
 func (d memberlistDelegate) merge(update []byte) {
 	if topic, isNew := d.updates.MergeUpdate(update); isNew {
 		d.members.Broadcast(topic, update)
@@ -32,8 +32,8 @@
 	return d.members.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate: it is sent in an exchange of whole
-// states (push/pull), as a JSON array of the updates.
+// LocalState implements memberlist.Delegate. It returns the state that is sent in a
+// push/pull exchange: a JSON array of the known updates.
 func (d memberlistDelegate) LocalState(bool) []byte {
 	state, err := json.Marshal(d.updates.KnownUpdates())
 	if err != nil {
@@ -42,7 +42,8 @@
 	return state
 }
 
-// MergeRemoteState implements memberlist.Delegate.
+// MergeRemoteState implements memberlist.Delegate. It merges the updates in another
+// member's LocalState.
 func (d memberlistDelegate) MergeRemoteState(state []byte, _ bool) {
 	var updates [][]byte
 	if json.Unmarshal(state, &updates) != nil {
--- a/fleet/gossip/golden_test.go
+++ b/fleet/gossip/golden_test.go
@@ -8,20 +8,20 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// recordedUpdates is news that keeps what it heard.
+// recordedUpdates is a Delegate that records all merged updates.
 type recordedUpdates [][]byte
 
-// MergeUpdate implements Delegate.
-func (p *recordedUpdates) MergeUpdate(piece []byte) (string, bool) {
-	*p = append(*p, slices.Clone(piece))
+// MergeUpdate implements Delegate. It reports no update as new.
+func (r *recordedUpdates) MergeUpdate(update []byte) (string, bool) {
+	*r = append(*r, slices.Clone(update))
 	return "", false
 }
 
 // KnownUpdates implements Delegate.
-func (p *recordedUpdates) KnownUpdates() [][]byte { return *p }
+func (r *recordedUpdates) KnownUpdates() [][]byte { return *r }
 
-// TestGoldenState writes and reads what two members exchange of all they know,
-// and writes what a member says of itself.
+// TestGoldenState encodes and decodes the state of a push/pull exchange, and
+// encodes a member's metadata.
 func TestGoldenState(t *testing.T) {
 	known := recordedUpdates{[]byte(`j{"lease":"registry"}`), {'c', 0xa1, 0x01, 0xff}, {}}
 	writer := memberlistDelegate{updates: &known, role: "voter"}
@@ -30,17 +30,17 @@
 	golden.Equal(t, "role", writer.NodeMeta(512))
 	golden.Equal(t, "state-empty.json", memberlistDelegate{updates: new(recordedUpdates)}.LocalState(false))
 
-	var heard recordedUpdates
-	reader := memberlistDelegate{updates: &heard}
+	var merged recordedUpdates
+	reader := memberlistDelegate{updates: &merged}
 	for _, name := range []string{"state.json", "state-joining.json", "state-empty.json"} {
-		heard = nil
+		merged = nil
 		reader.MergeRemoteState(golden.Bytes(t, name), false)
 		want := known
 		if name == "state-empty.json" {
 			want = nil
 		}
-		if !slices.EqualFunc(heard, want, bytes.Equal) {
-			t.Errorf("%s: heard %q, want %q", name, heard, want)
+		if !slices.EqualFunc(merged, want, bytes.Equal) {
+			t.Errorf("MergeRemoteState of %s merged the updates %q, want %q", name, merged, want)
 		}
 	}
 }
--- a/fleet/gossip/membership.go
+++ b/fleet/gossip/membership.go
@@ -14,49 +14,51 @@
 )
 
 const (
-	// pushPullInterval is how often two members exchange all they know.
+	// pushPullInterval is the time between two exchanges of all known updates with
+	// another member.
 	pushPullInterval = 5 * time.Second
-	// deadNodeReclaimTime is when a member that restarts at another address may take
-	// its name over: nobody tells it that it was thought dead but in an exchange of
-	// whole states, which the library makes rarer in large fleets.
+	// deadNodeReclaimTime is how long after a member was declared dead a member with
+	// the same name and another address is accepted. A member that restarts at
+	// another address learns that it was declared dead only in a push/pull exchange,
+	// which the library makes less frequent in large fleets.
 	deadNodeReclaimTime = time.Second
 )
 
-// Options are what a member is made of.
+// Options configure a member. Logger is optional.
 type Options struct {
-	Fleet  string // members of different fleets don't talk to each other
-	Self   string
-	Listen string // address of UDP and TCP, port 0 for any
-	// Seeds are members to join by, name to address. They are always reached by
-	// these addresses, whatever they advertise.
+	Fleet  string // name of the fleet; members of different fleets ignore each other
+	Self   string // name of this member
+	Listen string // address for UDP and TCP; port 0 for any free port
+	// Seeds maps the names of members to join to their addresses. Seeds are always
+	// contacted at these addresses, regardless of the addresses that they advertise.
 	Seeds    map[string]string
-	Role     string // that this member advertises
+	Role     string // role that this member advertises
 	Delegate Delegate
 	Logger   *slog.Logger // nil for slog.Default()
 }
 
-// Delegate keeps what the updates say. Its methods are called from several
+// Delegate stores the received updates. Its methods are called from several
 // goroutines and must not block.
 type Delegate interface {
-	// MergeUpdate takes in an update, once or more often, in any order, and returns
-	// the topic that it is about and whether it was new: it is broadcast then.
+	// MergeUpdate merges a received update. An update may be received more than once
+	// and in any order. MergeUpdate returns the update's topic and whether the update
+	// was new; a new update is broadcast.
 	MergeUpdate(update []byte) (topic string, isNew bool)
-	// KnownUpdates returns the updates that a member which joins, or was cut off,
-	// should get.
+	// KnownUpdates returns the updates for a member that joins or was disconnected.
 	KnownUpdates() [][]byte
 }
 
-// UnknownMemberError reports that a member is not known to be alive.
+// UnknownMemberError reports that no member with the name is known to be alive.
 type UnknownMemberError struct{ Name string }
 
 func (e *UnknownMemberError) Error() string {
-	return fmt.Sprintf("gossip: no member %s", e.Name)
+	return fmt.Sprintf("gossip: no member named %s is known to be alive", e.Name)
 }
 
 // Membership is a running member. Its methods are safe for concurrent use.
 type Membership struct {
 	list       *memberlist.Memberlist
-	created    atomic.Pointer[memberlist.Memberlist] // list, once there is one, for the library's goroutines
+	created    atomic.Pointer[memberlist.Memberlist] // list once Create has returned it; used by the library's goroutines
 	broadcasts memberlist.TransmitLimitedQueue
 	seeds      []seed
 	log        *slog.Logger
@@ -65,8 +67,8 @@
 	joinerDone chan struct{}
 }
 
-// Start opens a member's address and joins the seeds, again and again until they
-// answer: none needs to be up yet.
+// Start listens on a member's address and joins the seeds in the background. It
+// tries again until they respond, so no seed needs to be running yet.
 func Start(options Options) (*Membership, error) {
 	m := &Membership{
 		log: options.Logger, traffic: &trafficCounts{}, seeds: otherSeeds(options),
@@ -81,48 +83,50 @@
 	}
 	m.broadcasts = memberlist.TransmitLimitedQueue{RetransmitMult: config.RetransmitMult, NumNodes: m.memberCount}
 	if m.list, err = memberlist.Create(config); err != nil {
-		return nil, fmt.Errorf("gossip: %w", errors.Join(err, config.Transport.Shutdown()))
+		return nil, fmt.Errorf("gossip: creating the memberlist: %w", errors.Join(err, config.Transport.Shutdown()))
 	}
 	m.created.Store(m.list)
 	go m.joinSeeds()
 	return m, nil
 }
 
-// configure opens the member's address, and returns the library's configuration.
+// configure listens on the member's address and returns the library's
+// configuration.
 func (m *Membership) configure(options Options) (*memberlist.Config, error) {
 	host, portText, err := net.SplitHostPort(options.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("gossip: %w", err)
+		return nil, fmt.Errorf("gossip: parsing the listen address: %w", err)
 	}
 	port, err := strconv.Atoi(portText)
 	if err != nil {
-		return nil, fmt.Errorf("gossip: port %q: %w", portText, err)
+		return nil, fmt.Errorf("gossip: parsing the listen port %q: %w", portText, err)
 	}
 	libraryLog := slog.NewLogLogger(m.log.Handler(), slog.LevelDebug)
-	network, err := listen(host, port, libraryLog)
+	netTransport, err := listen(host, port, libraryLog)
 	if err != nil {
-		return nil, fmt.Errorf("gossip: %w", err)
+		return nil, fmt.Errorf("gossip: listening on %s: %w", options.Listen, err)
 	}
 	config := memberlist.DefaultLANConfig()
 	config.Name, config.Label, config.Logger = options.Self, options.Fleet, libraryLog
-	config.BindAddr, config.BindPort = host, network.GetAutoBindPort()
-	config.AdvertiseAddr, config.AdvertisePort = host, network.GetAutoBindPort()
-	config.Transport = seedTransport{network, options.Seeds, m.traffic}
+	config.BindAddr, config.BindPort = host, netTransport.GetAutoBindPort()
+	config.AdvertiseAddr, config.AdvertisePort = host, netTransport.GetAutoBindPort()
+	config.Transport = seedTransport{netTransport, options.Seeds, m.traffic}
 	config.Delegate = memberlistDelegate{options.Delegate, m, options.Role}
 	config.DeadNodeReclaimTime, config.PushPullInterval = deadNodeReclaimTime, pushPullInterval
 	return config, nil
 }
 
-// Addr is the member's own address.
+// Addr returns the address that this member advertises.
 func (m *Membership) Addr() string { return m.list.LocalNode().Address() }
 
-// Alive returns the names of the members that are thought to be alive, in order.
+// Alive returns the sorted names of the members that are believed to be alive,
+// including this one.
 func (m *Membership) Alive() []string {
 	return m.aliveNames(func(*memberlist.Node) bool { return true })
 }
 
-// AliveWithRole returns the names of the members of a role that are thought to be
-// alive, in order.
+// AliveWithRole returns the sorted names of the members with a role that are
+// believed to be alive, including this one.
 func (m *Membership) AliveWithRole(role string) []string {
 	return m.aliveNames(func(n *memberlist.Node) bool { return string(n.Meta) == role })
 }
@@ -138,7 +142,8 @@
 	return names
 }
 
-// memberCount is called by the library's goroutines, also before Create returns.
+// memberCount returns the number of members for the broadcast queue. The library's
+// goroutines may call it before memberlist.Create has returned.
 func (m *Membership) memberCount() int {
 	if list := m.created.Load(); list != nil {
 		return list.NumMembers()
@@ -146,20 +151,21 @@
 	return 1
 }
 
-// Traffic returns how many datagrams and streams, and bytes of both, went over the
-// network from here.
+// Traffic returns the number of datagrams sent plus streams opened by this member,
+// and the number of bytes in them. The bytes of a stream are counted in both
+// directions.
 func (m *Membership) Traffic() (messages, bytes int64) {
 	return m.traffic.messages.Load(), m.traffic.bytes.Load()
 }
 
-// Broadcast spreads an update to all members; a later update about the same topic
-// replaces one that is still being spread.
+// Broadcast queues an update for all members. It replaces a queued update with the
+// same topic.
 func (m *Membership) Broadcast(topic string, update []byte) {
 	m.broadcasts.QueueBroadcast(broadcast{topic, update})
 }
 
-// Send sends an update to one member by name, as a datagram that may be lost. It
-// does nothing where the member is not known to be alive.
+// Send sends an update to the named member in a datagram, which may be lost. It
+// does nothing if the member is not known to be alive.
 func (m *Membership) Send(to string, update []byte) {
 	node := m.findAlive(to)
 	if node == nil {
@@ -170,22 +176,22 @@
 	}
 }
 
-// SendReliable sends an update, which may be too long for a datagram, to one member
-// by name, on a stream; it blocks until the update was sent. The error is an
-// *UnknownMemberError where the member is not known to be alive. Without an error
-// the update may still be lost.
+// SendReliable sends an update, which may be too long for a datagram, to the named
+// member on a stream, and blocks until it is sent. It returns an
+// *UnknownMemberError if the member is not known to be alive. The update may be
+// lost even if the error is nil.
 func (m *Membership) SendReliable(to string, update []byte) error {
 	node := m.findAlive(to)
 	if node == nil {
 		return &UnknownMemberError{Name: to}
 	}
 	if err := m.list.SendReliable(node, update); err != nil {
-		return fmt.Errorf("gossip: send to %s: %w", to, err)
+		return fmt.Errorf("gossip: sending to %s: %w", to, err)
 	}
 	return nil
 }
 
-// find returns a member by name, nil where it is not known to be alive.
+// findAlive returns the named member, or nil if it is not known to be alive.
 func (m *Membership) findAlive(name string) *memberlist.Node {
 	for _, n := range m.list.Members() {
 		if n.Name == name {
@@ -195,17 +201,17 @@
 	return nil
 }
 
-// Stop announces that the member leaves, waits for that to spread for leaveTimeout
-// at most, and ends.
+// Stop broadcasts that the member leaves, waits up to leaveTimeout until the
+// broadcast is sent, and shuts the member down.
 func (m *Membership) Stop(leaveTimeout time.Duration) error {
 	close(m.stopping)
 	<-m.joinerDone
 	leaveErr := m.list.Leave(leaveTimeout)
 	if err := m.list.Shutdown(); err != nil {
-		return fmt.Errorf("gossip: shut down: %w", err)
+		return fmt.Errorf("gossip: shutting down the memberlist: %w", err)
 	}
 	if leaveErr != nil {
-		return fmt.Errorf("gossip: leave: %w", leaveErr)
+		return fmt.Errorf("gossip: leaving the fleet: %w", leaveErr)
 	}
 	return nil
 }
--- a/fleet/gossip/seeds.go
+++ b/fleet/gossip/seeds.go
@@ -6,16 +6,18 @@
 	"time"
 )
 
-// rejoinInterval is how often the seeds are joined that are not known to be alive.
+// rejoinInterval is the time between two attempts to join the seeds that are not
+// known to be alive.
 const rejoinInterval = time.Second
 
-// seed is a member to join by.
+// seed is a configured member that others contact to join the fleet.
 type seed struct{ name, address string }
 
-// joinAddress is the seed's name and address as memberlist joins it.
+// joinAddress returns the seed's name and address in the form that
+// memberlist.Join accepts.
 func (s seed) joinAddress() string { return s.name + "/" + s.address }
 
-// otherSeeds returns the seeds other than the member itself, in order.
+// otherSeeds returns the seeds other than the member itself, sorted by name.
 func otherSeeds(options Options) []seed {
 	var seeds []seed
 	for name, address := range options.Seeds {
@@ -27,8 +29,9 @@
 	return seeds
 }
 
-// joinSeeds joins the seeds, and joins again those that are not known to be alive:
-// a member that all others took for dead hears of nobody.
+// joinSeeds joins the seeds, and every rejoinInterval those that are not known to
+// be alive, until Stop. Without that, a member that all others declared dead would
+// learn of no member any more.
 func (m *Membership) joinSeeds() {
 	defer close(m.joinerDone)
 	ticker := time.NewTicker(rejoinInterval)
--- a/fleet/gossip/transport.go
+++ b/fleet/gossip/transport.go
@@ -9,11 +9,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxBindAttempts is how often any port is tried: one that is free for TCP may be
-// taken for UDP.
+// maxBindAttempts is the number of attempts to bind any free port. Several may be
+// needed, because a port that is free for TCP may be in use for UDP.
 const maxBindAttempts = 10
 
-// listen opens a port for UDP and TCP, any where port is 0.
+// listen opens a port for UDP and TCP: any free port if port is 0.
 func listen(host string, port int, logger *log.Logger) (t *memberlist.NetTransport, err error) {
 	config := &memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger}
 	for range maxBindAttempts {
@@ -25,19 +25,18 @@
 	return t, err
 }
 
-// trafficCounts are what went over the network: datagrams sent, and both directions
-// of the streams that were opened here.
+// trafficCounts counts the datagrams sent and streams opened by this member, and
+// their bytes, for streams in both directions.
 type trafficCounts struct{ messages, bytes atomic.Int64 }
 
-// seedTransport reaches seeds by the addresses that the operator gave, and counts
-// what it sends.
+// seedTransport contacts seeds at their configured addresses and counts traffic.
 type seedTransport struct {
 	*memberlist.NetTransport
 	seeds   map[string]string // name to address
 	traffic *trafficCounts
 }
 
-// withSeedAddress replaces a seed's address by the operator's.
+// withSeedAddress replaces the address of a seed by the configured one.
 func (t seedTransport) withSeedAddress(a memberlist.Address) memberlist.Address {
 	if address, ok := t.seeds[a.Name]; ok {
 		a.Addr = address
@@ -62,7 +61,7 @@
 	return countingConn{conn, t.traffic}, nil
 }
 
-// countingConn is a stream whose bytes are counted, in both directions.
+// countingConn counts a stream's bytes in both directions.
 type countingConn struct {
 	net.Conn
 	traffic *trafficCounts
--- a/fleet/rafttransport/frame.go
+++ b/fleet/rafttransport/frame.go
@@ -12,19 +12,19 @@
 	maxFrameBytes    = 1 << 20
 )
 
-// FrameTooLargeError reports a frame whose header announces more bytes than a
-// frame may have.
+// FrameTooLargeError reports a frame header with a length above the limit.
 type FrameTooLargeError struct {
-	Bytes uint32 // that the header announces
+	Bytes uint32 // length in the header
 	Limit uint32
 }
 
 func (e *FrameTooLargeError) Error() string {
-	return fmt.Sprintf("rafttransport: a frame of %d bytes, at most %d allowed", e.Bytes, e.Limit)
+	return fmt.Sprintf("rafttransport: frame length of %d bytes exceeds the limit of %d bytes", e.Bytes, e.Limit)
 }
 
-// ReadFrame reads one frame. The error is a *FrameTooLargeError where the frame's
-// length is over the limit; an error of the reader is wrapped.
+// ReadFrame reads one frame and returns its payload. It returns a
+// *FrameTooLargeError if the frame's length is above the limit, and wraps errors
+// of the reader.
 func ReadFrame(r *bufio.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -41,7 +41,8 @@
 	return payload, nil
 }
 
-// AppendFrame appends a frame with a payload to b.
+// AppendFrame appends a frame with the payload to b and returns the extended
+// slice.
 func AppendFrame(b, payload []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(payload)))
 	return append(b, payload...)
--- a/fleet/rafttransport/golden_test.go
+++ b/fleet/rafttransport/golden_test.go
@@ -9,60 +9,61 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// What the golden connection carries, each in a frame.
+// goldenHello is the payload of the golden connection's first frame.
 const goldenHello = `{"fleet":"fleet-1","from":"v1","to":"v2"}`
 
+// goldenMessages are the payloads of the golden connection's other frames.
 var goldenMessages = []string{"a message", "", "\x00\xff another"}
 
-// TestGoldenConnectionIsWritten sends the golden connection's messages:
-// the hello and the frames are the same, byte for byte.
-func TestGoldenConnectionIsWritten(t *testing.T) {
-	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+// TestGoldenConnection_Send sends the golden connection's messages. The Hello and
+// the frames must have the same bytes.
+func TestGoldenConnection_Send(t *testing.T) {
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, _ := listen(t, "fleet-1", "v1", "127.0.0.1:0", map[string]string{"v2": l.Addr().String()})
-	for _, text := range goldenMessages {
-		m.Send("v2", []byte(text))
+	transport, _ := listen(t, "fleet-1", "v1", "127.0.0.1:0", map[string]string{"v2": listener.Addr().String()})
+	for _, message := range goldenMessages {
+		transport.Send("v2", []byte(message))
 	}
-	c, err := l.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	size := 4 + len(goldenHello)
-	for _, text := range goldenMessages {
-		size += 4 + len(text)
+	for _, message := range goldenMessages {
+		size += 4 + len(message)
 	}
 	var got bytes.Buffer
-	if _, err := io.CopyN(&got, c, int64(size)); err != nil {
-		t.Errorf("after %d bytes: %v", got.Len(), err)
+	if _, err := io.CopyN(&got, conn, int64(size)); err != nil {
+		t.Errorf("reading the connection failed after %d of %d bytes: %v", got.Len(), size, err)
 	}
 	golden.Equal(t, "connection", got.Bytes())
-	m.Close()
-	for _, c := range []io.Closer{c, l} {
-		if err := c.Close(); err != nil {
+	transport.Close()
+	for _, closer := range []io.Closer{conn, listener} {
+		if err := closer.Close(); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// TestGoldenConnectionIsRead receives the golden connection.
-func TestGoldenConnectionIsRead(t *testing.T) {
-	m, got := listen(t, "fleet-1", "v2", "127.0.0.1:0", map[string]string{"v1": "127.0.0.1:1"})
-	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", m.Addr().String())
+// TestGoldenConnection_Receive receives the messages of the golden connection.
+func TestGoldenConnection_Receive(t *testing.T) {
+	transport, received := listen(t, "fleet-1", "v2", "127.0.0.1:0", map[string]string{"v1": "127.0.0.1:1"})
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", transport.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Write(golden.Bytes(t, "connection")); err != nil {
+	if _, err := conn.Write(golden.Bytes(t, "connection")); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range goldenMessages {
-		if text := <-got; text != want {
-			t.Errorf("received %q, want %q", text, want)
+		if got := <-received; got != want {
+			t.Errorf("received %q, want %q", got, want)
 		}
 	}
-	if err := c.Close(); err != nil {
+	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
-	m.Close()
+	transport.Close()
 }
--- a/fleet/rafttransport/receiver.go
+++ b/fleet/rafttransport/receiver.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// accept receives on every connection that comes in, until Close.
+// accept accepts connections and starts a receiver for each, until Close.
 func (t *Transport) accept() {
 	for {
 		conn, err := t.listener.Accept()
@@ -15,7 +15,7 @@
 			select {
 			case <-t.ctx.Done():
 				return
-			case <-time.After(minBackoff): // descriptors may run short for a while
+			case <-time.After(minBackoff): // the error may be temporary, such as too many open files
 				continue
 			}
 		}
@@ -30,7 +30,8 @@
 	}
 }
 
-// receive hands over the messages of an inbound connection until it ends.
+// receive passes the messages of an inbound connection to Options.Receive until
+// the connection is closed or fails.
 func (t *Transport) receive(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	if !t.receiveHello(conn, reader) {
@@ -45,8 +46,8 @@
 	}
 }
 
-// receiveHello reads a connection's first frame, and returns whether it is that of
-// a peer which wants to reach this voter.
+// receiveHello reads a connection's first frame and reports whether it is a valid
+// Hello. It logs a Hello that is not.
 func (t *Transport) receiveHello(conn net.Conn, reader *bufio.Reader) bool {
 	if err := conn.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return false
@@ -63,6 +64,7 @@
 	return conn.SetReadDeadline(time.Time{}) == nil
 }
 
+// validHello reports whether a Hello is from a peer of the same fleet to this voter.
 func (t *Transport) validHello(hello Hello) bool {
 	if hello.Fleet != t.options.Fleet || hello.To != t.options.Self {
 		return false
--- a/fleet/rafttransport/sender.go
+++ b/fleet/rafttransport/sender.go
@@ -11,27 +11,27 @@
 // sender writes the messages that are queued for one peer. Its goroutine owns all
 // of its fields.
 //
-// A connection that the peer ended is noticed at once: voters that don't lead send
-// each other nothing between elections, and a request for a vote that is written to
-// a connection which ended long ago would be lost.
+// The sender detects a connection closed by the peer without writing to it. Voters
+// that do not lead send each other nothing between elections, so otherwise a vote
+// request would be written to a connection that was closed long ago, and be lost.
 type sender struct {
 	transport  *Transport
 	peer       peer
-	hello      []byte        // the first frame of each connection
+	hello      []byte        // first frame of each connection
 	conn       net.Conn      // nil while disconnected
-	connClosed chan struct{} // closed when the peer ended conn; nil while disconnected
-	backoff    time.Duration // before the next attempt to connect
+	connClosed chan struct{} // closed when the peer has closed conn; nil while disconnected
+	backoff    time.Duration // delay after the next failed dial
 }
 
 func newSender(t *Transport, name string, p peer) *sender {
 	hello, err := json.Marshal(Hello{Fleet: t.options.Fleet, From: t.options.Self, To: name})
 	if err != nil {
-		panic(fmt.Errorf("rafttransport: three strings can't be encoded: %w", err))
+		panic(fmt.Errorf("rafttransport: encoding the Hello of three strings failed: %w", err))
 	}
 	return &sender{transport: t, peer: p, hello: AppendFrame(nil, hello), backoff: minBackoff}
 }
 
-// run sends until Close, or until the peer is one no more.
+// run sends queued messages until Close, or until SetPeers removes the peer.
 func (s *sender) run() {
 	defer s.disconnect()
 	for {
@@ -50,8 +50,8 @@
 	}
 }
 
-// send writes a message, over a new connection where there is none. The message is
-// lost if that fails. It returns false where the sender must end.
+// send writes a message, and connects first if the sender is disconnected. The
+// message is lost if either fails. It returns false if the sender must stop.
 func (s *sender) send(message []byte) bool {
 	frames := AppendFrame(nil, message)
 	if s.conn == nil {
@@ -78,8 +78,8 @@
 	return dialer.DialContext(s.transport.ctx, "tcp", s.peer.address)
 }
 
-// connect takes over a connection that was dialled. It returns false where the
-// transport takes no more.
+// connect makes a dialled connection the sender's. It closes the connection and
+// returns false if the transport is closed or has too many connections.
 func (s *sender) connect(conn net.Conn) bool {
 	if !s.transport.trackConn(conn) {
 		s.transport.closeQuietly(conn)
@@ -100,8 +100,8 @@
 	s.conn, s.connClosed = nil, nil
 }
 
-// waitBackoff waits before the next attempt to connect, twice as long each time.
-// It returns false where the transport was closed meanwhile.
+// waitBackoff waits before the next attempt to connect, and doubles the backoff up
+// to maxBackoff. It returns false if the transport was closed.
 func (s *sender) waitBackoff() bool {
 	select {
 	case <-s.transport.ctx.Done():
@@ -120,11 +120,12 @@
 	return err
 }
 
-// watchClose gives a task that closes ended when the peer ends the connection. The
-// peer writes nothing on it, so that a read returns only then.
-func watchClose(conn net.Conn, ended chan<- struct{}) func() {
+// watchClose returns a function that closes the channel closed when the peer
+// closes the connection. The peer writes nothing to the connection, so a read
+// returns only when it is closed or fails.
+func watchClose(conn net.Conn, closed chan<- struct{}) func() {
 	return func() {
-		defer close(ended)
+		defer close(closed)
 		_, _ = io.Copy(io.Discard, conn)
 	}
 }
--- a/fleet/rafttransport/transport.go
+++ b/fleet/rafttransport/transport.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	sendQueueLength = 256 // for one peer
+	sendQueueLength = 256 // messages queued for one peer; more are dropped
 	dialTimeout     = time.Second
 	writeTimeout    = time.Second
 	helloTimeout    = 2 * time.Second
 	minBackoff      = 20 * time.Millisecond // between two attempts to connect
 	maxBackoff      = 500 * time.Millisecond
-	maxInboundConns = 64 // connections
+	maxInboundConns = 64 // in addition to one outbound connection per peer
 )
 
 // Hello is the first frame of a connection.
 type Hello struct {
-	Fleet string `json:"fleet"` // voters of different fleets don't talk to each other
-	From  string `json:"from"`
-	To    string `json:"to"`
+	Fleet string `json:"fleet"` // name of the fleet; voters reject connections from other fleets
+	From  string `json:"from"`  // name of the sending voter
+	To    string `json:"to"`    // name of the receiving voter
 }
 
-// Options are what a transport is made of. All but Logger are required.
+// Options configure a transport. All but Logger are required.
 type Options struct {
-	Fleet   string
-	Self    string
-	Listen  string
+	Fleet   string               // name of the fleet, the same at all its voters
+	Self    string               // name of this voter
+	Listen  string               // address to listen on
 	Peers   map[string]string    // addresses of the other voters by name; SetPeers replaces them
-	Receive func(message []byte) // called from several goroutines at once
+	Receive func(message []byte) // called from several goroutines concurrently
 	Logger  *slog.Logger         // nil for slog.Default()
 }
 
-// Transport is one voter's connections with all others. Its methods are safe for
-// concurrent use.
+// Transport sends messages to a voter's peers and receives messages from them. Its
+// methods are safe for concurrent use.
 type Transport struct {
 	options  Options
 	log      *slog.Logger
 	listener net.Listener
-	ctx      context.Context // ends with Close
+	ctx      context.Context // cancelled by Close
 	cancel   context.CancelFunc
-	tasks    sync.WaitGroup
+	tasks    sync.WaitGroup // all goroutines
 
 	mu    sync.Mutex
-	peers map[string]peer
-	conns map[net.Conn]bool
+	peers map[string]peer   // by name
+	conns map[net.Conn]bool // open connections, which Close closes
 
 	sentMessages atomic.Int64
 	sentBytes    atomic.Int64
@@ -59,16 +59,16 @@
 type peer struct {
 	address string
 	queue   chan []byte
-	removed chan struct{} // closed when it is a peer no more
+	removed chan struct{} // closed when SetPeers removes the peer
 }
 
-// Listen opens a voter's own address, and begins to receive.
+// Listen listens on Options.Listen and starts the transport's goroutines.
 func Listen(options Options) (*Transport, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", options.Listen)
 	if err != nil {
 		cancel()
-		return nil, fmt.Errorf("rafttransport: %w", err)
+		return nil, fmt.Errorf("rafttransport: opening the listener: %w", err)
 	}
 	t := &Transport{
 		options: options, log: options.Logger, listener: listener, ctx: ctx, cancel: cancel,
@@ -82,8 +82,9 @@
 	return t, nil
 }
 
-// SetPeers replaces the peers, addresses by name. Nothing more is sent to a voter
-// that is none of them, and its next connection is refused.
+// SetPeers replaces the peers by those in a map from names to addresses. The
+// transport sends nothing more to a removed peer, and rejects new connections from
+// it. It does nothing after Close.
 func (t *Transport) SetPeers(addresses map[string]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,19 +107,19 @@
 	}
 }
 
-// Addr is where the transport listens.
+// Addr returns the address that the transport listens on.
 func (t *Transport) Addr() net.Addr { return t.listener.Addr() }
 
-// Sent gives how many messages and bytes were written to peers.
+// Sent returns the numbers of messages and bytes written to peers.
 func (t *Transport) Sent() (messages, bytes int64) {
 	return t.sentMessages.Load(), t.sentBytes.Load()
 }
 
-// Send queues a message for a peer. It never blocks: the message is dropped where
-// the queue is full, or the name is no peer's.
+// Send queues a message for a peer. It never blocks: it drops the message if the
+// queue is full or no peer has the name.
 func (t *Transport) Send(to string, message []byte) {
 	t.mu.Lock()
-	queue := t.peers[to].queue // nil, and never ready, for a name that is no peer's
+	queue := t.peers[to].queue // nil, and never ready, if no peer has the name
 	t.mu.Unlock()
 	select {
 	case queue <- message:
@@ -126,7 +127,7 @@
 	}
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes the listener and all connections, and waits for all goroutines.
 func (t *Transport) Close() {
 	t.cancel()
 	t.closeQuietly(t.listener)
@@ -138,8 +139,8 @@
 	t.tasks.Wait()
 }
 
-// track has Close end a connection. It returns false where the transport is closed
-// or has too many connections.
+// trackConn registers a connection for Close to close. It returns false if the
+// transport is closed or has too many connections.
 func (t *Transport) trackConn(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -150,7 +151,7 @@
 	return true
 }
 
-// release closes a tracked connection.
+// closeConn closes and unregisters a connection that trackConn registered.
 func (t *Transport) closeConn(conn net.Conn) {
 	t.closeQuietly(conn)
 	t.mu.Lock()
@@ -158,7 +159,8 @@
 	delete(t.conns, conn)
 }
 
-// closeQuietly closes a socket whose peer may have ended it already.
+// closeQuietly closes a connection or listener and logs an error at level debug
+// only, because the socket may be closed already.
 func (t *Transport) closeQuietly(socket interface{ Close() error }) {
 	if err := socket.Close(); err != nil {
 		t.log.Debug("fleet_connection_close", "error", err.Error())
