--- a/fleet/consensus/node.go
+++ b/fleet/consensus/node.go
@@ -146,7 +146,7 @@
 }
 
 // restore recovers the log, and the group and state machine from its snapshot.
-func (n *Node) restore(recovered *store.Recovered) error {
+func (n *Node) restore(recovered *store.RecoveredState) error {
 	var err error
 	if n.log, err = openLog(n.store, n.options.Dir, recovered, n.options.founderIDs()); err != nil {
 		return err
--- a/fleet/consensus/recovery.go
+++ b/fleet/consensus/recovery.go
@@ -21,7 +21,7 @@
 // openLog recovers a voter's log, or creates one for the founders of a group.
 // Without founders the voter joins a group: a new log is empty, and the group
 // sends a snapshot. The error wraps ErrLogDamaged if records are missing.
-func openLog(s *store.Store, dir string, recovered *store.Recovered, founderIDs []uint64) (*durableLog, error) {
+func openLog(s *store.Store, dir string, recovered *store.RecoveredState, founderIDs []uint64) (*durableLog, error) {
 	l := &durableLog{store: s, dir: dir, memory: raft.NewMemoryStorage(), hardState: &raftpb.HardState{}}
 	if len(recovered.Losses) > 0 {
 		return nil, l.damaged("%v", recovered.Losses)
@@ -82,7 +82,7 @@
 
 // recoverEntries reads the snapshot and the entries after it up to the last
 // valid one.
-func (l *durableLog) recoverEntries(recovered *store.Recovered, snapshotRecord []byte, lastIndex uint64) error {
+func (l *durableLog) recoverEntries(recovered *store.RecoveredState, snapshotRecord []byte, lastIndex uint64) error {
 	snapshot := &raftpb.Snapshot{}
 	if err := proto.Unmarshal(snapshotRecord, snapshot); err != nil {
 		return fmt.Errorf("consensus: decoding the snapshot: %w", err)
--- a/idempotency/journal/contents.go
+++ b/idempotency/journal/contents.go
@@ -9,29 +9,29 @@
 	"quincerail.example/quincerail/store"
 )
 
-// Names of the store's records. They are on operators' disks: they must not
-// change.
+// Names of the store's records. They must not change, because existing journals on disk
+// contain them.
 const (
-	keyRecordPrefix = "key/"  // followed by the key: its state
-	doubtRecordName = "doubt" // expires when unknown keys are no longer in doubt
+	keyRecordPrefix = "key/"  // followed by the key; the value is the key's state
+	doubtRecordName = "doubt" // keys without a record are in doubt until this record expires
 )
 
-// unreadableAttemptID stands for the id of the attempt that ran a key whose state can't
-// be decoded.
+// unreadableAttemptID replaces the ID of the attempt that ran a key if the state of the
+// key cannot be decoded.
 const unreadableAttemptID = "unreadable"
 
-// Contents is what a journal's directory holds.
+// Contents is the decoded contents of a journal's directory.
 type Contents struct {
-	States         []idempotency.KeyState // in no particular order; with those of UnreadableKeys
-	UnreadableKeys []string               // keys whose state could not be decoded: they count as run
-	UnknownRecords []string               // names of records that are not the journal's
-	InDoubtUntil   time.Time              // until when unknown keys are in doubt; zero if they are not
-	Losses         []store.Loss           // of records that could not be read
-	TruncatedBytes int64                  // of writes that never finished
+	States         []idempotency.KeyState // in no particular order; includes UnreadableKeys
+	UnreadableKeys []string               // keys whose state cannot be decoded; they count as run
+	UnknownRecords []string               // names of records that the journal does not write
+	InDoubtUntil   time.Time              // keys without a record are in doubt until then; zero if they are not
+	Losses         []store.Loss           // parts of segments that could not be read
+	TruncatedBytes int64                  // size of an unfinished write
 }
 
-// Inspect reads a journal's directory as Open would, and changes nothing in it.
-// The directory may be in use.
+// Inspect reads a journal's directory as Open does but does not change it. The
+// directory may be in use. Its errors are of type *OpenError.
 func Inspect(dir string, now time.Time) (*Contents, error) {
 	stored, err := store.Inspect(dir, now)
 	if err != nil {
@@ -40,14 +40,14 @@
 	return decodeContents(stored), nil
 }
 
-// unreadableState is the state of a key whose record can't be decoded: it may have run,
-// so it counts as run without a result.
+// unreadableState returns the state of a key whose record cannot be decoded. The request
+// may have run, so the key counts as completed without a result.
 func unreadableState(key string, expiresAt time.Time) idempotency.KeyState {
 	return idempotency.KeyState{Key: key, RanAttemptID: unreadableAttemptID, ExpiresAt: expiresAt, Completed: true}
 }
 
-// decodeContents decodes a store's records by their names.
-func decodeContents(stored *store.Recovered) *Contents {
+// decodeContents decodes the records of a store according to their names.
+func decodeContents(stored *store.RecoveredState) *Contents {
 	contents := &Contents{Losses: stored.Losses, TruncatedBytes: stored.TruncatedBytes}
 	for name, value := range stored.Values {
 		if name == doubtRecordName {
--- a/idempotency/journal/doc.go
+++ b/idempotency/journal/doc.go
@@ -1,39 +1,38 @@
-// Package journal keeps the states of idempotency keys on disk, so that a process
-// which starts after a crash knows which requests ran and does not run them
-// again. A Journal implements idempotency.Journal over a store.Store.
+// Package journal stores the states of idempotency keys on disk. A process that
+// starts after a crash uses them to avoid running a request a second time. A
+// Journal implements idempotency.Journal with a store.Store.
 //
 // # Ownership
 //
-// A Journal owns its directory, which is that of its store, and the forms of the
-// records in it:
+// A Journal owns its directory, which is the directory of its store, and the format
+// of the store's records:
 //
-//   - "key/" and the key: the key's idempotency.KeyState in JSON, which expires at
-//     the end of the key's window;
-//   - "doubt": an empty value, which expires when keys that the journal does not
-//     know stop being in doubt.
+//   - "key/" followed by a key: the idempotency.KeyState of the key in JSON. The
+//     record expires at the end of the key's window.
+//   - "doubt": an empty value. Keys without a record are in doubt until it expires.
 //
 // # States of a key
 //
-// A key's claim is recorded before the run begins, which waits until the claim is
-// durable; the end of the run, with its result, is recorded without waiting (a
-// write-ahead log of claims). A process that opens the journal finds a key in one
-// of these states:
+// The journal is a write-ahead log of claims. A run starts only when the claim of
+// its key is durable. The end of the run and its result are recorded without
+// waiting. A process that opens the journal finds each key in one of these states:
 //
-//	not run    no record, or one without RanAttemptID: it may run
-//	completed  the run ended: duplicates get its result, or fail without one
-//	in doubt   the run was claimed and its end is not recorded: it may have had
-//	           its effect, so it must not run again in its window, and its
-//	           duplicates fail
+//	not run    no record, or one without RanAttemptID: the request may run
+//	completed  the run ended: duplicates get its result, or fail if there is none
+//	in doubt   the key was claimed but no end of the run is recorded: the run may
+//	           have had its effect, so the request must not run again within the
+//	           key's window, and its duplicates fail
 //
 // # Losses
 //
-// If the store lost records, nothing is known of the keys in them. Open then
-// puts every key that the journal does not know in doubt for the longest window,
-// Recovered.InDoubtUntil, and records that before it returns. The store reports
-// a loss once; the record makes the doubt outlive a further crash.
+// If the store lost records, the states of the keys in them are unknown. Open then
+// puts all keys without a record in doubt for the longest window, until
+// RecoveredState.InDoubtUntil. It makes the "doubt" record durable before it
+// returns, because the store reports a loss only once and the doubt must survive
+// another crash.
 //
 // # Goroutines
 //
-// A Journal starts none; its store has one, which calls the done functions of
-// Record.
+// A Journal starts no goroutine. Its store has one, which calls the done functions
+// of Record; a write that is rejected at once calls done in the caller's goroutine.
 package journal
--- a/idempotency/journal/golden_test.go
+++ b/idempotency/journal/golden_test.go
@@ -9,14 +9,15 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// goldenExpiry is when all states in the golden journal expire.
+// goldenExpiry is the expiry time of all states in the golden journal.
 var goldenExpiry = time.Date(2200, 1, 2, 3, 4, 5, 678_900_000, time.UTC)
 
-// goldenDoubt is until when keys that the golden journal does not know are in
+// goldenDoubt is the time until which keys without a record in the golden journal are in
 // doubt.
 var goldenDoubt = goldenExpiry.Add(-time.Hour)
 
-// goldenStates are what the golden journal holds, the later of a key last.
+// goldenStates returns the states that were recorded in the golden journal, in order. The
+// first key has two.
 func goldenStates() []idempotency.KeyState {
 	running := idempotency.KeyState{Key: "gåva/1", Class: "ny-gava", BodyHash: 1<<64 - 1, RanAttemptID: "9b1f03aa5c7e2d41", ExpiresAt: goldenExpiry}
 	succeeded, failed, notRun, inDoubt := running, running, running, running
@@ -31,9 +32,9 @@
 	return []idempotency.KeyState{running, succeeded, failed, notRun, inDoubt}
 }
 
-// TestGoldenJournalIsWritten records the golden journal's states and its doubt:
-// its segment is the same, byte for byte.
-func TestGoldenJournalIsWritten(t *testing.T) {
+// TestGoldenJournal_IsWrittenByteForByte records the states and the doubt of the golden
+// journal. The segment must be identical.
+func TestGoldenJournal_IsWrittenByteForByte(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, now)
 	j.record(t, goldenStates()...)
@@ -44,16 +45,17 @@
 	golden.EqualFolder(t, "keys", dir)
 }
 
-// TestGoldenJournalIsRead opens the golden journal.
-func TestGoldenJournalIsRead(t *testing.T) {
+// TestGoldenJournal_IsRead opens the golden journal and recovers the latest state of each
+// key and the doubt.
+func TestGoldenJournal_IsRead(t *testing.T) {
 	j := openJournal(t, golden.CopyFolder(t, "keys"), now)
 	defer j.close(t)
 	if !j.recovered.InDoubtUntil.Equal(goldenDoubt) {
-		t.Errorf("in doubt until %v, want %v", j.recovered.InDoubtUntil, goldenDoubt)
+		t.Errorf("InDoubtUntil = %v, want %v", j.recovered.InDoubtUntil, goldenDoubt)
 	}
 	all := goldenStates()
 	want := []idempotency.KeyState{all[2], all[3], all[4], all[1]}
 	if got := sortedByKey(j.recovered.States); !reflect.DeepEqual(got, want) {
-		t.Errorf("recovered %+v\nwant %+v", got, want)
+		t.Errorf("recovered states %+v\nwant %+v", got, want)
 	}
 }
--- a/idempotency/journal/journal.go
+++ b/idempotency/journal/journal.go
@@ -11,21 +11,21 @@
 	"quincerail.example/quincerail/store"
 )
 
-// Messages of the log events.
+// Log event messages.
 const (
-	eventRecordUnreadable = "keys_unreadable"
-	eventRecordsLost      = "keys_lost"
-	eventRecovered        = "keys_recovered"
-	eventDegraded         = "keys_degraded"
-	eventHealthy          = "keys_healthy"
-	eventMaintenance      = "keys_maintenance_failed"
+	eventKeysUnreadable    = "keys_unreadable"
+	eventKeysLost          = "keys_lost"
+	eventKeysRecovered     = "keys_recovered"
+	eventKeysDegraded      = "keys_degraded"
+	eventKeysHealthy       = "keys_healthy"
+	eventMaintenanceFailed = "keys_maintenance_failed"
 )
 
 // Options configure a Journal. Dir and LongestWindow are required.
 type Options struct {
 	Dir           string
 	Sync          store.SyncPolicy
-	LongestWindow time.Duration    // of all keys; after a loss, unknown keys are in doubt for it
+	LongestWindow time.Duration    // longest window of any key; keys without a record are in doubt this long after a loss
 	Now           func() time.Time // nil for time.Now
 	Logger        *slog.Logger     // nil for slog.Default()
 }
@@ -40,31 +40,32 @@
 	return o
 }
 
-// Recovered is what Open found in the directory.
-type Recovered struct {
+// RecoveredState is the state that Open found in the directory.
+type RecoveredState struct {
 	States         []idempotency.KeyState // in no particular order
-	InDoubtUntil   time.Time              // until when unknown keys are in doubt; zero if they are not
-	TruncatedBytes int64                  // of writes that never finished, cut off
+	InDoubtUntil   time.Time              // keys without a record are in doubt until then; zero if they are not
+	TruncatedBytes int64                  // size of an unfinished write that Open removed
 }
 
-// Journal keeps states of keys durably. Its methods are safe for concurrent use.
+// Journal stores the states of idempotency keys durably. Its methods are safe for concurrent
+// use.
 type Journal struct{ store *store.Store }
 
 var _ idempotency.Journal = (*Journal)(nil)
 
-// Open opens the journal in a directory, which it creates if it does not exist,
-// and recovers what it holds. Its errors are of type *OpenError.
-func Open(options Options) (*Journal, Recovered, error) {
+// Open opens the journal in Options.Dir and recovers its contents. It creates the directory
+// if it does not exist. Its errors are of type *OpenError.
+func Open(options Options) (*Journal, RecoveredState, error) {
 	options = options.withDefaults()
 	s, stored, err := store.Open(store.Options{
 		Dir: options.Dir, Sync: options.Sync, Now: options.Now,
 		OnHealth: func(err error) { logHealth(options.Logger, err) },
 		OnMaintenanceError: func(err error) {
-			options.Logger.Warn(eventMaintenance, "error", err.Error())
+			options.Logger.Warn(eventMaintenanceFailed, "error", err.Error())
 		},
 	})
 	if err != nil {
-		return nil, Recovered{}, &OpenError{Dir: options.Dir, Err: err}
+		return nil, RecoveredState{}, &OpenError{Dir: options.Dir, Err: err}
 	}
 	j := &Journal{store: s}
 	contents := decodeContents(stored)
@@ -73,19 +74,19 @@
 		contents.InDoubtUntil = options.Now().Add(options.LongestWindow)
 		logLosses(options.Logger, contents)
 		if err := j.recordDoubt(contents.InDoubtUntil); err != nil {
-			return nil, Recovered{}, &OpenError{Dir: options.Dir, Err: errors.Join(err, j.Close())}
+			return nil, RecoveredState{}, &OpenError{Dir: options.Dir, Err: errors.Join(err, j.Close())}
 		}
 	}
-	options.Logger.Info(eventRecovered, "keys", len(contents.States), "truncated", contents.TruncatedBytes)
-	return j, Recovered{
+	options.Logger.Info(eventKeysRecovered, "keys", len(contents.States), "truncated", contents.TruncatedBytes)
+	return j, RecoveredState{
 		States:         contents.States,
 		InDoubtUntil:   contents.InDoubtUntil,
 		TruncatedBytes: contents.TruncatedBytes,
 	}, nil
 }
 
-// Record implements idempotency.Journal. It keeps the state until the key's window
-// ends. The errors that done is given are of type *RecordError.
+// Record implements idempotency.Journal. The state is kept until the key's window ends.
+// Record calls done with nil or with a *RecordError.
 func (j *Journal) Record(state idempotency.KeyState, done func(error)) {
 	value, err := json.Marshal(state)
 	if err != nil {
@@ -100,32 +101,32 @@
 	})
 }
 
-// recordDoubt records until when unknown keys are in doubt, and waits until that
-// is durable.
+// recordDoubt records that keys without a record are in doubt until the given time, and
+// waits until that is durable.
 func (j *Journal) recordDoubt(until time.Time) error {
 	durable := make(chan error, 1)
 	j.store.Put(doubtRecordName, nil, until, func(err error) { durable <- err })
 	return <-durable
 }
 
-// Close waits for what was recorded and closes the journal.
+// Close waits until all recorded states are written and closes the journal.
 func (j *Journal) Close() error { return j.store.Close() }
 
-// logHealth logs that claims can't be made durable, or can be again.
+// logHealth logs that records cannot be made durable, or that the store is healthy again.
 func logHealth(logger *slog.Logger, err error) {
 	if err != nil {
-		logger.Error(eventDegraded, "error", err.Error())
+		logger.Error(eventKeysDegraded, "error", err.Error())
 		return
 	}
-	logger.Info(eventHealthy)
+	logger.Info(eventKeysHealthy)
 }
 
 func logUnreadable(logger *slog.Logger, contents *Contents) {
 	for _, key := range contents.UnreadableKeys {
-		logger.Warn(eventRecordUnreadable, "key", keyRecordPrefix+key)
+		logger.Warn(eventKeysUnreadable, "key", keyRecordPrefix+key)
 	}
 	for _, name := range contents.UnknownRecords {
-		logger.Warn(eventRecordUnreadable, "key", name)
+		logger.Warn(eventKeysUnreadable, "key", name)
 	}
 }
 
@@ -134,6 +135,6 @@
 	for i, loss := range contents.Losses {
 		losses[i] = loss.String()
 	}
-	logger.Error(eventRecordsLost, "losses", strings.Join(losses, "; "),
+	logger.Error(eventKeysLost, "losses", strings.Join(losses, "; "),
 		"in_doubt_until", contents.InDoubtUntil.Format(time.RFC3339Nano))
 }
--- a/idempotency/journal/journal_test.go
+++ b/idempotency/journal/journal_test.go
@@ -18,16 +18,16 @@
 
 const (
 	longestWindow    = time.Minute
-	recordHeaderSize = 12 // of a record of the store
+	recordHeaderSize = 12 // size of the header of a store record
 )
 
-// now is the tests' time.
+// now is the current time in most tests.
 var now = time.Unix(1_800_000_000, 0)
 
-// testJournal is an open journal and what it logged.
+// testJournal is an open journal with the state that it recovered and its log output.
 type testJournal struct {
 	*Journal
-	recovered Recovered
+	recovered RecoveredState
 	log       *bytes.Buffer
 }
 
@@ -68,7 +68,7 @@
 func (j testJournal) wantEvent(t *testing.T, event string) {
 	t.Helper()
 	if !strings.Contains(j.log.String(), "msg="+event) {
-		t.Errorf("no event %s was logged:\n%s", event, j.log)
+		t.Errorf("event %s was not logged; log:\n%s", event, j.log)
 	}
 }
 
@@ -85,7 +85,7 @@
 	return slices.SortedFunc(slices.Values(states), func(a, b idempotency.KeyState) int { return strings.Compare(a.Key, b.Key) })
 }
 
-// putRaw writes a record past the journal.
+// putRaw writes a record directly to the store in a journal's directory.
 func putRaw(t *testing.T, dir, name, value string) {
 	t.Helper()
 	s, _, err := store.Open(store.Options{Dir: dir, Sync: store.SyncNever, Now: func() time.Time { return now }})
@@ -113,8 +113,9 @@
 	}
 }
 
-// TestReopen recovers the last state of each key whose window has not ended.
-func TestReopen(t *testing.T) {
+// TestOpen_RecoversLatestStates reopens a journal after the window of one key has ended. It
+// must recover the latest state of the other keys.
+func TestOpen_RecoversLatestStates(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, now)
 	ended := claimed("ended")
@@ -127,12 +128,12 @@
 	j.wantEvent(t, "keys_recovered")
 	got, want := sortedByKey(j.recovered.States), []idempotency.KeyState{completed(claimed("a")), claimed("b")}
 	if !slices.EqualFunc(got, want, sameState) || !j.recovered.InDoubtUntil.IsZero() || j.recovered.TruncatedBytes != 0 {
-		t.Errorf("got %+v\nwant states %+v", j.recovered, want)
+		t.Errorf("Open recovered %+v\nwant states %+v, no doubt, nothing truncated", j.recovered, want)
 	}
 }
 
-// sameState compares states by value: a time that was read from JSON has another
-// location.
+// sameState compares states by value. It compares times with Equal, because a time that
+// was decoded from JSON has another location.
 func sameState(a, b idempotency.KeyState) bool {
 	if !a.ExpiresAt.Equal(b.ExpiresAt) || !a.ArrivedAt.Equal(b.ArrivedAt) {
 		return false
@@ -141,9 +142,9 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// TestLossPutsUnknownKeysInDoubt loses the first record: unknown keys are in
-// doubt for the longest window, also after the journal is opened again.
-func TestLossPutsUnknownKeysInDoubt(t *testing.T) {
+// TestOpen_LossPutsUnknownKeysInDoubt corrupts the first record. Keys without a record must
+// be in doubt for the longest window, also after the journal is opened once more.
+func TestOpen_LossPutsUnknownKeysInDoubt(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, now)
 	j.record(t, claimed("lost"))
@@ -154,20 +155,20 @@
 	j = openJournal(t, dir, now)
 	j.wantEvent(t, "keys_lost")
 	if got := j.recovered; len(got.States) != 0 || !got.InDoubtUntil.Equal(until) {
-		t.Errorf("after the loss: %+v, want unknown keys in doubt until %v", got, until)
+		t.Errorf("first Open after the loss recovered %+v, want no states and unknown keys in doubt until %v", got, until)
 	}
 	j.close(t)
 
 	j = openJournal(t, dir, now.Add(time.Second))
 	defer j.close(t)
 	if strings.Contains(j.log.String(), "keys_lost") || !j.recovered.InDoubtUntil.Equal(until) {
-		t.Errorf("opened again: %+v, want no further loss and doubt until %v\n%s", j.recovered, until, j.log)
+		t.Errorf("second Open recovered %+v, want no further loss and unknown keys in doubt until %v; log:\n%s", j.recovered, until, j.log)
 	}
 }
 
-// TestTruncatedWrite cuts the last record short: its bytes are counted, and the
-// record before it is recovered.
-func TestTruncatedWrite(t *testing.T) {
+// TestOpen_CountsBytesOfUnfinishedWrite truncates the last record. Open must count its
+// bytes and recover the record before it.
+func TestOpen_CountsBytesOfUnfinishedWrite(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, now)
 	j.record(t, claimed("a"))
@@ -186,14 +187,14 @@
 	j = openJournal(t, dir, now)
 	defer j.close(t)
 	if got := j.recovered; len(got.States) != 1 || got.TruncatedBytes != remaining || !got.InDoubtUntil.IsZero() {
-		t.Errorf("got %+v, want one state and %d bytes truncated", got, remaining)
+		t.Errorf("Open recovered %+v, want one state, no doubt and %d bytes truncated", got, remaining)
 	}
 }
 
-// TestUnreadableRecords opens and inspects a directory with records that the
-// journal did not write: they are reported, and the others are recovered. A key whose
-// state can't be read counts as run.
-func TestUnreadableRecords(t *testing.T) {
+// TestOpen_ReportsUnreadableRecords opens and inspects a directory with records that the
+// journal did not write. They must be reported and the other record recovered. A key whose
+// state cannot be decoded counts as run.
+func TestOpen_ReportsUnreadableRecords(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, now)
 	j.record(t, claimed("a"))
@@ -206,7 +207,7 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(contents.UnreadableKeys, []string{"b"}) || !slices.Equal(contents.UnknownRecords, []string{"other"}) {
-		t.Errorf("inspected: %+v", contents)
+		t.Errorf("Inspect() = %+v, want unreadable key b and unknown record other", contents)
 	}
 	j = openJournal(t, dir, now)
 	defer j.close(t)
@@ -215,15 +216,16 @@
 		ran[state.Key] = state.RanAttemptID
 	}
 	if len(ran) != 2 || ran["a"] == "" || ran["b"] == "" {
-		t.Errorf("recovered %+v, want two keys that count as run", j.recovered)
+		t.Errorf("Open recovered %+v, want keys a and b, both with a RanAttemptID", j.recovered)
 	}
 	for _, name := range []string{"key/b", "other"} {
 		j.wantEvent(t, "keys_unreadable key="+name)
 	}
 }
 
-// TestInspect reads an open journal, with its doubt, and changes nothing.
-func TestInspect(t *testing.T) {
+// TestInspect_OpenJournal inspects the directory of an open journal twice. Both calls must
+// return its state and its doubt.
+func TestInspect_OpenJournal(t *testing.T) {
 	dir := t.TempDir()
 	putRaw(t, dir, "doubt", "")
 	j := openJournal(t, dir, now)
@@ -236,14 +238,15 @@
 		}
 		if !slices.EqualFunc(contents.States, []idempotency.KeyState{completed(claimed("a"))}, sameState) ||
 			!contents.InDoubtUntil.Equal(now.Add(longestWindow)) || len(contents.Losses) != 0 {
-			t.Errorf("got %+v", contents)
+			t.Errorf("Inspect() = %+v, want key a completed, unknown keys in doubt until %v and no losses",
+				contents, now.Add(longestWindow))
 		}
 	}
 }
 
-// TestRecordError records in a closed journal: the error names the key and the
-// cause.
-func TestRecordError(t *testing.T) {
+// TestRecord_AfterCloseReturnsRecordError records a state in a closed journal. The error
+// must contain the key and wrap store.ErrClosed.
+func TestRecord_AfterCloseReturnsRecordError(t *testing.T) {
 	j := openJournal(t, t.TempDir(), now)
 	j.close(t)
 	result := make(chan error, 1)
@@ -251,12 +254,13 @@
 	err := <-result
 	var recordError *RecordError
 	if !errors.As(err, &recordError) || recordError.Key != "a" || !errors.Is(err, store.ErrClosed) {
-		t.Errorf("got %v, want a *RecordError for key a, store closed", err)
+		t.Errorf("Record called done with %v, want a *RecordError for key a that wraps %v", err, store.ErrClosed)
 	}
 }
 
-// TestOpenError opens a journal in a directory that cannot be: the error names it.
-func TestOpenError(t *testing.T) {
+// TestOpen_PathIsAFileReturnsOpenError opens a journal at the path of a regular file. The
+// error must contain the path.
+func TestOpen_PathIsAFileReturnsOpenError(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -264,6 +268,6 @@
 	_, _, err := Open(Options{Dir: file})
 	var openError *OpenError
 	if !errors.As(err, &openError) || openError.Dir != file {
-		t.Errorf("got %v, want an *OpenError for %s", err, file)
+		t.Errorf("Open() = %v, want an *OpenError for %s", err, file)
 	}
 }
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,7 +1,8 @@
-// Package logging makes the program's logger, on log/slog: lines of key=value text whose
-// message is the key event (event=drain stop_in=3s), or JSON; a level that can change
-// while the program runs; a rate limit on a message that repeats ([New]), so that a fault
-// that affects each request does not flood the log; and a [Writer] that never blocks.
+// Package logging configures log/slog for the program. [New] returns a logger that writes
+// lines of key=value text, with the message under the key event (event=drain stop_in=3s), or
+// JSON. Its level can change while the program runs. It limits the rate of each message, so
+// that a fault that affects every request does not flood the log. A [Writer] passes lines to
+// a sink without blocking the logger.
 package logging
 
 import (
@@ -10,7 +11,7 @@
 	"log/slog"
 )
 
-// Messages of the log events.
+// Log event messages.
 const (
 	eventSuppressed   = "suppressed"
 	eventLinesDropped = "log_lines_dropped"
@@ -19,16 +20,16 @@
 // eventKey is the key of the message in the text format.
 const eventKey = "event"
 
-// Format says how lines are written.
+// Format is an output format of log lines.
 type Format string
 
-// The formats.
+// Output formats.
 const (
-	Text Format = "text" // key=value, the message as event=...
-	JSON Format = "json"
+	Text Format = "text" // key=value pairs, the message as event=...
+	JSON Format = "json" // one object a line, the message as msg
 )
 
-// ParseLevel reads debug, info, warn or error.
+// ParseLevel parses a level name: debug, info, warn or error, in any case.
 func ParseLevel(name string) (slog.Level, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(name)); err != nil {
@@ -37,10 +38,10 @@
 	return level, nil
 }
 
-// New returns a logger that writes lines at level and above to w. Of each message, at most
-// maxPerSecond lines a second are written, or all if that is 0. The others are counted, and
-// reported by a line event=suppressed count=N of=MESSAGE before the message's next line in a
-// later second.
+// New returns a logger that writes lines at level and above to w. It writes at most
+// maxPerSecond lines a second with the same level and message; 0 means no limit. It counts
+// the suppressed lines and reports them in a line event=suppressed count=N of=MESSAGE, which
+// precedes the next line with that message in a later second.
 func New(w io.Writer, format Format, level slog.Leveler, maxPerSecond int) *slog.Logger {
 	handler := newHandler(w, format, level)
 	if maxPerSecond > 0 {
@@ -49,7 +50,7 @@
 	return slog.New(handler)
 }
 
-// newHandler returns the handler that formats lines, without a rate limit.
+// newHandler returns a handler that formats lines, without a rate limit.
 func newHandler(w io.Writer, format Format, level slog.Leveler) slog.Handler {
 	if format == JSON {
 		return slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})
@@ -61,7 +62,7 @@
 	return slog.NewTextHandler(w, options)
 }
 
-// renameMessage gives the message the key event.
+// renameMessage changes the key of the message to eventKey.
 func renameMessage(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) == 0 && a.Key == slog.MessageKey {
 		a.Key = eventKey
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// TestRateLimit repeats a line 25 times in a second, at most 10 of which are allowed: 10
-// are written, and the count of the others before the next one.
-func TestRateLimit(t *testing.T) {
+// TestRateLimit_ReportsSuppressedLines logs a message 25 times in a second with a limit of
+// 10. The logger must write 10 lines, and report the other 15 before the next line with the
+// message in a later second.
+func TestRateLimit_ReportsSuppressedLines(t *testing.T) {
 	var out bytes.Buffer
 	level := new(slog.LevelVar)
 	logger := New(&out, Text, level, 10)
@@ -31,18 +32,19 @@
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 13 || !strings.Contains(lines[11], "event=suppressed count=15 of=journal_failed") ||
 		!strings.Contains(lines[0], "level=WARN event=journal_failed key=k1") {
-		t.Errorf("%d lines:\n%s", len(lines), out.String())
+		t.Errorf("got %d lines, want 13, with the suppressed lines reported in line 12:\n%s", len(lines), out.String())
 	}
 	out.Reset()
 	level.Set(slog.LevelError)
 	logger.Warn("quiet")
 	if out.Len() != 0 {
-		t.Errorf("below the level: %q", out.String())
+		t.Errorf("a line below the level was written: %q", out.String())
 	}
 }
 
-// TestRateLimitSharesCounts counts a message over all loggers that are made of one.
-func TestRateLimitSharesCounts(t *testing.T) {
+// TestRateLimit_DerivedHandlersShareCounts checks that the limit applies to a message across
+// a handler and the handlers derived from it with WithAttrs and WithGroup.
+func TestRateLimit_DerivedHandlersShareCounts(t *testing.T) {
 	var out bytes.Buffer
 	logger := New(&out, Text, slog.LevelInfo, 1)
 	at := time.Unix(1_800_000_000, 0)
@@ -56,17 +58,17 @@
 		}
 	}
 	if n := strings.Count(out.String(), "event=drain"); n != 1 {
-		t.Errorf("%d lines, want 1:\n%s", n, out.String())
+		t.Errorf("got %d lines, want 1:\n%s", n, out.String())
 	}
 }
 
-func TestJSON(t *testing.T) {
+func TestNew_JSONFormat(t *testing.T) {
 	var out bytes.Buffer
 	New(&out, JSON, slog.LevelInfo, 0).Info("drain", "stop_in", "3s")
 	if !strings.Contains(out.String(), `"msg":"drain","stop_in":"3s"`) {
-		t.Errorf("%s", out.String())
+		t.Errorf("New with JSON wrote %s, want msg and stop_in as fields", out.String())
 	}
 	if _, err := ParseLevel("loud"); err == nil {
-		t.Error("a level that is none")
+		t.Error("ParseLevel(\"loud\") returned no error")
 	}
 }
--- a/logging/ratelimit.go
+++ b/logging/ratelimit.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// maxCountedMessages bounds the messages that are counted. Beyond it the counts start
-// anew, which lets some lines through that would have been suppressed.
+// maxCountedMessages limits the number of counters. When it is reached, all counts are
+// reset, so a few lines that should be suppressed are written.
 const maxCountedMessages = 4096
 
-// rateLimiter is a handler that passes each message on at most maxPerSecond times a
-// second, in windows of whole seconds of Unix time.
+// rateLimiter is a handler that passes each message to the next handler at most
+// maxPerSecond times a second. Its windows are whole seconds of Unix time.
 type rateLimiter struct {
 	next         slog.Handler
 	maxPerSecond int
-	counters     *counters // shared by the handlers that WithAttrs and WithGroup make
+	counters     *counters // shared with the handlers that WithAttrs and WithGroup return
 }
 
-// counters counts messages by level and text.
+// counters counts log lines by level and message.
 type counters struct {
 	mu        sync.Mutex
 	byMessage map[string]*counter
 }
 
-// counter counts one message in its latest window.
+// counter counts the lines of one level and message in its latest window.
 type counter struct {
-	second     int64 // Unix time of the window
+	second     int64 // Unix time at which the window starts
 	lines      int
 	suppressed int
 }
@@ -65,8 +65,9 @@
 	return &rateLimiter{next: l.next.WithGroup(name), maxPerSecond: l.maxPerSecond, counters: l.counters}
 }
 
-// count counts a record's message. It returns whether the record is allowed, and how many
-// were suppressed in the window before if this one is the first of a new window.
+// count counts a record and reports whether it may be written. If the record is the first
+// in a new window, count also returns how many lines were suppressed in the message's
+// previous window.
 func (c *counters) count(r slog.Record, maxPerSecond int) (allowed bool, suppressed int) {
 	key, second := r.Level.String()+" "+r.Message, r.Time.Unix()
 	c.mu.Lock()
@@ -91,7 +92,8 @@
 	return true, suppressed
 }
 
-// suppressedRecord reports how often a record's message was suppressed.
+// suppressedRecord returns a record that reports how many lines with r's message were
+// suppressed.
 func suppressedRecord(r slog.Record, count int) slog.Record {
 	report := slog.NewRecord(r.Time, slog.LevelWarn, eventSuppressed, r.PC)
 	report.AddAttrs(slog.Int("count", count), slog.String("of", r.Message), slog.String("within", time.Second.String()))
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// maxQueuedLines is how many lines are queued for a sink at most.
+// maxQueuedLines is the capacity of a Writer's queue.
 const maxQueuedLines = 2048
 
-// Writer passes lines on to a sink in a goroutine of its own, so that a logger never blocks
-// on a slow sink, or on a full pipe that nobody reads. Lines that don't fit in its queue are
-// dropped and counted: a line event=log_lines_dropped count=N reports them once the sink
-// accepts lines again. Its methods may be called from any goroutine.
+// Writer writes lines to a sink from its own goroutine, so that a logger never blocks on a
+// slow sink or on a full pipe without a reader. If its queue is full, it drops and counts
+// lines. Once the sink accepts lines again, a line event=log_lines_dropped count=N reports
+// them. Its methods are safe for concurrent use.
 type Writer struct {
 	sink    io.Writer
 	format  Format
@@ -21,20 +21,22 @@
 	dropped atomic.Int64
 }
 
-// queuedItem is a line to write, or a request to report that those before it are written.
+// queuedItem is a line to write, or a request of Flush to be notified when the lines before
+// it are written.
 type queuedItem struct {
 	line    []byte
-	written chan<- struct{} // of a request; nil for a line
+	written chan<- struct{} // closed for a request of Flush; nil for a line
 }
 
-// NewWriter makes a writer of lines in a format. It works until the process ends.
+// NewWriter starts a Writer, which runs until the process ends. format is the format of the
+// line that reports dropped lines.
 func NewWriter(sink io.Writer, format Format) *Writer {
 	w := &Writer{sink: sink, format: format, queue: make(chan queuedItem, maxQueuedLines)}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It never blocks and never fails.
+// Write implements io.Writer. It queues p as one line. It never blocks and never fails.
 func (w *Writer) Write(p []byte) (int, error) {
 	select {
 	case w.queue <- queuedItem{line: append([]byte(nil), p...)}:
@@ -44,8 +46,8 @@
 	return len(p), nil
 }
 
-// Flush waits until the lines written before are passed on, for at most a timeout. It
-// reports whether they are.
+// Flush waits until all lines written before the call are passed to the sink, for at most
+// timeout. It reports whether they were.
 func (w *Writer) Flush(timeout time.Duration) bool {
 	written := make(chan struct{})
 	expired := time.After(timeout)
@@ -62,16 +64,17 @@
 	}
 }
 
-// run writes what is queued. It never returns.
+// run writes the queued lines to the sink. It returns only if the queue is closed, which
+// only tests do.
 func (w *Writer) run() {
 	for item := range w.queue {
 		if item.written != nil {
 			close(item.written)
 			continue
 		}
-		_, _ = w.sink.Write(item.line) // an error can't be reported anywhere
+		_, _ = w.sink.Write(item.line) // there is no other place to report an error
 		if dropped := w.dropped.Swap(0); dropped > 0 {
-			_, _ = io.WriteString(w.sink, w.droppedLine(dropped)) // likewise
+			_, _ = io.WriteString(w.sink, w.droppedLine(dropped)) // as above
 		}
 	}
 }
--- a/server/start.go
+++ b/server/start.go
@@ -131,7 +131,7 @@
 
 // openJournal opens the journal of idempotency keys, if there is one, and returns what it
 // recovered.
-func (s *Server) openJournal(c *config.Config) (recovered journal.Recovered, err error) {
+func (s *Server) openJournal(c *config.Config) (recovered journal.RecoveredState, err error) {
 	if c.KeysDir == "" {
 		return recovered, nil
 	}
@@ -187,7 +187,7 @@
 }
 
 // createCore makes the core and connects it with the parts around it.
-func (s *Server) createCore(c *config.Config, recovered journal.Recovered) error {
+func (s *Server) createCore(c *config.Config, recovered journal.RecoveredState) error {
 	options := dispatch.Options{
 		Settings:         c.Settings,
 		Classes:          c.Classes,
--- a/store/bench_test.go
+++ b/store/bench_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// benchmarkValue has the size of a gift's kept result.
+// benchmarkValue has the size of a stored result of a gift request.
 var benchmarkValue = make([]byte, 200)
 
-// openForBenchmark opens a store whose bounds a benchmark does not meet.
-func openForBenchmark(b *testing.B, dir string, policy SyncPolicy, segmentBytes int64) (*Store, *Recovered) {
+// openForBenchmark opens a store with a MaxBytes that the benchmarks do not reach.
+func openForBenchmark(b *testing.B, dir string, policy SyncPolicy, segmentBytes int64) (*Store, *RecoveredState) {
 	b.Helper()
 	return openStore(b, Options{Dir: dir, Sync: policy, MaxBytes: 1 << 30, SegmentBytes: segmentBytes})
 }
@@ -32,7 +32,7 @@
 		}
 		return
 	}
-	b.SetParallelism(16) // writers that wait for their own write, as a server's runs do
+	b.SetParallelism(16) // each writer waits for its own write, as a run in the server does
 	b.RunParallel(func(pb *testing.PB) {
 		for i := 0; pb.Next(); i++ {
 			put(i)
@@ -40,15 +40,15 @@
 	})
 }
 
-// BenchmarkPut measures durable writes: one writer at a time, many at a time
-// (grouped into one sync), and without syncing.
+// BenchmarkPut measures acknowledged writes: synced with one writer, synced with many
+// concurrent writers whose records share a sync, and not synced.
 func BenchmarkPut(b *testing.B) {
 	b.Run("fsync-one-writer", func(b *testing.B) { benchmarkPut(b, SyncAlways, false) })
 	b.Run("fsync-grouped", func(b *testing.B) { benchmarkPut(b, SyncAlways, true) })
 	b.Run("no-fsync", func(b *testing.B) { benchmarkPut(b, SyncNever, true) })
 }
 
-// BenchmarkRecover measures an Open that reads 100,000 records.
+// BenchmarkRecover measures Open on a segment with 100,000 records.
 func BenchmarkRecover(b *testing.B) {
 	const records = 100_000
 	dir := b.TempDir()
@@ -67,14 +67,14 @@
 	for b.Loop() {
 		s, recovered := openForBenchmark(b, dir, SyncNever, 1<<30)
 		if len(recovered.Values) != records {
-			b.Fatalf("%d values", len(recovered.Values))
+			b.Fatalf("Open recovered %d values, want %d", len(recovered.Values), records)
 		}
 		closeStore(b, s)
 	}
 }
 
-// BenchmarkIndex measures the memory that the index takes for a key, against
-// a plain map that holds the values too, as an in-memory table does.
+// BenchmarkIndex measures the index's memory per key, and for comparison the memory per
+// key of a map that also holds the values.
 func BenchmarkIndex(b *testing.B) {
 	const keys = 100_000
 	heap := func() uint64 {
--- a/store/compaction.go
+++ b/store/compaction.go
@@ -8,12 +8,12 @@
 	"slices"
 )
 
-// compactionRatio is how many times the live bytes the sealed segments must
-// exceed for a compaction.
+// compactionRatio is the ratio of the sealed segments' size to the size of the live
+// records above which the sealed segments are compacted.
 const compactionRatio = 2
 
-// compactIfDue compacts the sealed segments where most of what they hold is no
-// longer live.
+// compactIfDue compacts the sealed segments if most of their records are no longer
+// live. It counts each sealed segment as SegmentBytes.
 func (s *Store) compactIfDue() error {
 	s.indexMu.Lock()
 	defer s.indexMu.Unlock()
@@ -25,8 +25,8 @@
 	return s.compact(sealed)
 }
 
-// compact replaces the sealed segments, which must be the oldest ones, by one
-// segment with the number of the last of them, which holds the records that must
+// compact replaces the sealed segments, which must be the oldest ones, with one
+// segment that has the number of the last of them and holds the records that must
 // be retained. The caller holds indexMu.
 func (s *Store) compact(sealed []int) error {
 	target := newCompactedSegment(sealed[len(sealed)-1])
@@ -39,8 +39,9 @@
 	if err := s.installCompacted(target); err != nil {
 		return err
 	}
-	// From here on the segment is in place, whatever else fails. Where its name is not
-	// known to be durable the older ones stay: they are read before it, and hide nothing.
+	// The new segment is in use from here on, even if a later step fails. If the rename
+	// is not known to be durable, the older segments stay. Recovery replays them before
+	// the new segment, so they override none of its records.
 	s.index.relocate(target.number, target.locations)
 	s.segments = append([]int{target.number}, s.segments[len(sealed):]...)
 	if err := syncDirectory(s.options.Dir); err != nil {
@@ -58,8 +59,8 @@
 	location recordLocation
 }
 
-// retainedRecords returns the records that a compaction of the segments up to
-// last must keep, by segment and in the order in which they were written.
+// retainedRecords returns the records that a compaction of the segments up to number
+// last must keep: by segment, in the order in which they were written.
 func (s *Store) retainedRecords(last int) map[int][]indexedRecord {
 	now := s.options.Now()
 	bySegment := map[int][]indexedRecord{}
@@ -80,14 +81,14 @@
 type compactedSegment struct {
 	number    int
 	data      []byte
-	locations map[string]recordLocation // of its records, by key
+	locations map[string]recordLocation // by key
 }
 
 func newCompactedSegment(number int) *compactedSegment {
 	return &compactedSegment{number: number, locations: map[string]recordLocation{}}
 }
 
-// copyFrom appends records of the sealed segment at a path.
+// copyFrom appends the given records of the sealed segment at path.
 func (c *compactedSegment) copyFrom(path string, records []indexedRecord) (err error) {
 	if len(records) == 0 {
 		return nil
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// installCompacted puts a compacted segment in the place of the sealed segment
-// of the same number, in one step. Nothing has changed where it fails.
+// installCompacted atomically replaces the sealed segment of the same number with the
+// compacted segment. If it fails, the sealed segment is unchanged.
 func (s *Store) installCompacted(c *compactedSegment) error {
 	path := s.segmentPath(c.number)
 	temporary := path + temporarySuffix
@@ -120,13 +121,13 @@
 		err = os.Rename(temporary, path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary) // else the next recovery does
+		_ = os.Remove(temporary) // if this fails, the next recovery removes the file
 		return fmt.Errorf("store: compaction: %w", err)
 	}
 	return nil
 }
 
-// removeSegments removes the files of segments, in the order given.
+// removeSegments removes the files of the segments in the given order.
 func (s *Store) removeSegments(segments []int) error {
 	for _, segment := range segments {
 		if err := os.Remove(s.segmentPath(segment)); err != nil {
--- a/store/errors.go
+++ b/store/errors.go
@@ -6,28 +6,30 @@
 )
 
 var (
-	// ErrFull reports a write that would take the live records over
+	// ErrFull reports a write that would make the live records exceed
 	// Options.MaxBytes.
-	ErrFull = errors.New("store: full")
+	ErrFull = errors.New("store: size limit exceeded")
 
 	// ErrClosed reports a write after Close.
-	ErrClosed = errors.New("store: closed")
+	ErrClosed = errors.New("store: write to a closed store")
 
-	// ErrDegraded reports a write that could not be made durable, or one that is
-	// refused as one before it could not. Writes work again once the disk does.
-	ErrDegraded = errors.New("store: degraded")
+	// ErrDegraded reports a write that could not be made durable, or that was
+	// rejected because an earlier one could not. The store repairs itself on a later
+	// write, if the disk accepts writes again.
+	ErrDegraded = errors.New("store: writes are failing")
 
-	// ErrRecordTooLarge reports a key or a value over the bounds of a record.
+	// ErrRecordTooLarge reports a record whose key or encoded size exceeds its limit.
 	ErrRecordTooLarge = errors.New("store: record too large")
 )
 
-// CorruptRecordError reports a record that Get found damaged on disk.
+// CorruptRecordError reports a record on disk that Get could not decode, or that
+// belongs to another key.
 type CorruptRecordError struct {
 	Segment string // file name
-	Offset  int64
+	Offset  int64  // in bytes, from the start of the segment
 }
 
 // Error implements error.
 func (e *CorruptRecordError) Error() string {
-	return fmt.Sprintf("store: %s at %d: corrupt record", e.Segment, e.Offset)
+	return fmt.Sprintf("store: corrupt record in %s at offset %d", e.Segment, e.Offset)
 }
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -7,11 +7,11 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// goldenSegmentBytes is the size at which the golden folder's segments are sealed: the
-// first two were compacted into one.
+// goldenSegmentBytes is the size at which the segments in the golden folder were sealed.
+// The first two segments were compacted into one.
 const goldenSegmentBytes = 100
 
-// goldenOperations are the writes that the golden folder holds.
+// goldenOperations are the writes that produced the golden folder.
 var goldenOperations = []operation{
 	{"gava-1", "try 1", time.Hour},
 	{"gava-1", "try 2", time.Hour},
@@ -30,9 +30,9 @@
 	{"tom", "", time.Hour},
 }
 
-// TestGoldenFolderIsWritten writes the golden folder's records again: a compacted
-// segment, two sealed ones and one that is written to are the same, byte for byte.
-func TestGoldenFolderIsWritten(t *testing.T) {
+// TestGoldenFolder_IsWrittenByteForByte repeats the writes of the golden folder. The
+// compacted segment, the two sealed ones and the active one must be identical.
+func TestGoldenFolder_IsWrittenByteForByte(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := openUnsynced(t, dir, &fakeClock{epoch}, goldenSegmentBytes)
 	perform(t, s, goldenOperations)
@@ -40,10 +40,10 @@
 	golden.EqualFolder(t, "folder", dir)
 }
 
-// TestGoldenFolderIsRead opens the golden folder at a time when one value has
-// expired, and one that replaced a value with a longer life: neither is there, nor
-// what was deleted, nor what they replaced.
-func TestGoldenFolderIsRead(t *testing.T) {
+// TestGoldenFolder_IsRead opens the golden folder after two values have expired, one of
+// which had replaced a value with a later expiry. Expired, deleted and replaced values
+// must not be recovered.
+func TestGoldenFolder_IsRead(t *testing.T) {
 	clock := &fakeClock{epoch.Add(2500 * time.Millisecond)}
 	s, recovered := openUnsynced(t, golden.CopyFolder(t, "folder"), clock, goldenSegmentBytes)
 	want := map[string]Value{
@@ -53,24 +53,27 @@
 		"tom":    {Bytes: nil, ExpiresAt: epoch.Add(time.Hour)},
 	}
 	if len(recovered.Values) != len(want) || len(recovered.Losses) != 0 || recovered.TruncatedBytes != 0 {
-		t.Errorf("recovered %v, losses %v, %d bytes truncated", recoveredValues(recovered), recovered.Losses, recovered.TruncatedBytes)
+		t.Errorf("recovered %v, losses %v, %d bytes truncated, want %d values, no losses, nothing truncated",
+			recoveredValues(recovered), recovered.Losses, recovered.TruncatedBytes, len(want))
 	}
 	for key, wantValue := range want {
 		got, known, err := s.Get(key)
 		for _, v := range []Value{recovered.Values[key], got} {
 			if string(v.Bytes) != string(wantValue.Bytes) || !v.ExpiresAt.Equal(wantValue.ExpiresAt) || !known || err != nil {
-				t.Errorf("%s: %q until %v, %v", key, v.Bytes, v.ExpiresAt, err)
+				t.Errorf("%s: got %q, expiry %v, known %t, error %v, want %q, expiry %v",
+					key, v.Bytes, v.ExpiresAt, known, err, wantValue.Bytes, wantValue.ExpiresAt)
 			}
 		}
 	}
-	if s.Len() != 6 { // and the deletion, and the value that hides one with a longer life
-		t.Errorf("the index holds %d keys, want 6", s.Len())
+	if s.Len() != 6 { // the four values, a deletion, and an expired value that hides one with a later expiry
+		t.Errorf("Len() = %d, want 6", s.Len())
 	}
 	closeStore(t, s)
 }
 
-// TestGoldenFolderGoesOn writes on in the golden folder, and reads all back.
-func TestGoldenFolderGoesOn(t *testing.T) {
+// TestGoldenFolder_AcceptsFurtherWrites appends to the golden folder and recovers both the
+// golden and the appended records.
+func TestGoldenFolder_AcceptsFurtherWrites(t *testing.T) {
 	dir, clock := golden.CopyFolder(t, "folder"), &fakeClock{epoch}
 	s, _ := openUnsynced(t, dir, clock, goldenSegmentBytes)
 	more := []operation{{"gava-1", "done: 10 kr", time.Hour}, {"tom", "", 0}, {"gava-6", "intent", time.Hour}}
@@ -79,11 +82,11 @@
 	s, recovered := openUnsynced(t, dir, clock, goldenSegmentBytes)
 	want, got := expectedValues(append(goldenOperations[:len(goldenOperations):len(goldenOperations)], more...), epoch), recoveredValues(recovered)
 	if len(got) != len(want) || len(recovered.Losses) != 0 {
-		t.Errorf("recovered %v, losses %v\nwant %v", got, recovered.Losses, want)
+		t.Errorf("recovered %v with losses %v\nwant %v without losses", got, recovered.Losses, want)
 	}
 	for key, value := range want {
 		if got[key] != value {
-			t.Errorf("%s: %q, want %q", key, got[key], value)
+			t.Errorf("%s: recovered %q, want %q", key, got[key], value)
 		}
 	}
 	closeStore(t, s)
--- a/store/health.go
+++ b/store/health.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// After a write or sync that failed, the store refuses writes for firstRetryPause, then
-// lets one try to repair it; the pause doubles up to maxRetryPause while that fails.
+// After a failed write or sync, the store rejects writes for firstRetryPause. The next
+// write then triggers a repair. Each failed repair doubles the pause, up to maxRetryPause.
 const (
 	firstRetryPause = 100 * time.Millisecond
 	maxRetryPause   = time.Second
@@ -17,21 +17,22 @@
 // health is the state of the writer. queueMu guards it.
 //
 //	healthy   writes are queued and written
-//	degraded  a write or sync failed; writes are refused with ErrDegraded until retryAt.
-//	          The next one after that has the writer repair the active segment: it is
-//	          healthy again, or degraded for longer
+//	degraded  a write or sync failed; writes are rejected with ErrDegraded until retryAt.
+//	          On the next write after that, the writer repairs the active segment. If
+//	          the repair succeeds, the writer is healthy; else it stays degraded, with a
+//	          longer pause
 type health struct {
-	failure error // nil while healthy
+	failure error // wraps ErrDegraded; nil while healthy
 	retryAt time.Time
-	pause   time.Duration
+	pause   time.Duration // from the last failure to retryAt
 }
 
-// refuses reports whether a write at a time is refused at once.
-func (h *health) refuses(now time.Time) bool { return h.failure != nil && now.Before(h.retryAt) }
+// rejectsAt reports whether a write at the given time is rejected without being queued.
+func (h *health) rejectsAt(now time.Time) bool { return h.failure != nil && now.Before(h.retryAt) }
 
-// degrade takes in that a write, a sync or a repair failed, and returns the error that
-// writes are refused with.
-func (s *Store) degrade(err error) error {
+// markDegraded marks the store degraded after a failed write, sync or repair, and calls
+// OnHealth. It returns the error with which writes are rejected.
+func (s *Store) markDegraded(err error) error {
 	s.queueMu.Lock()
 	h := &s.health
 	h.pause = min(max(2*h.pause, firstRetryPause), maxRetryPause)
@@ -43,26 +44,27 @@
 	return failure
 }
 
-// recoverHealth takes in that the active segment was repaired.
-func (s *Store) recoverHealth() {
+// markHealthy marks the store healthy after a successful repair and calls OnHealth.
+func (s *Store) markHealthy() {
 	s.queueMu.Lock()
 	s.health = health{}
 	s.queueMu.Unlock()
 	s.options.OnHealth(nil)
 }
 
-func (s *Store) degraded() bool {
+func (s *Store) isDegraded() bool {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
 	return s.health.failure != nil
 }
 
-// repairActive cuts what was not acknowledged off the active segment and starts a new
-// one. The old file is not written again: after a sync that failed, a further one may
-// succeed though pages are gone. All that was acknowledged was synced before.
+// repairActive truncates the active segment to its acknowledged records and starts a new
+// segment. The old file is not written again: after a failed sync, another sync may
+// succeed although the pages that failed are lost. All acknowledged records were synced
+// before, if the SyncPolicy requires it.
 func (s *Store) repairActive() error {
 	if s.active != nil {
-		_ = s.active.Close() // it is given up
+		_ = s.active.Close() // the file is not used again
 		s.active = nil
 	}
 	old := s.activeSegment()
@@ -76,7 +78,7 @@
 	empty := s.activeBytes == 0
 	s.active, s.activeBytes = f, size
 	s.segments = append(s.segments, old+1)
-	if empty { // else each trouble would leave a file behind
+	if empty { // else each failure would leave an empty file
 		if err := os.Remove(s.segmentPath(old)); err == nil {
 			s.segments = append(s.segments[:len(s.segments)-2], old+1)
 		}
--- a/store/health_test.go
+++ b/store/health_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// openForHealth opens a store, and counts what its OnHealth is told.
-func openForHealth(t *testing.T, dir string, told *[]error) *Store {
+// openRecordingHealth opens a store whose OnHealth appends each error to reports.
+func openRecordingHealth(t *testing.T, dir string, reports *[]error) *Store {
 	t.Helper()
-	s, recovered, err := Open(Options{Dir: dir, OnHealth: func(err error) { *told = append(*told, err) }})
+	s, recovered, err := Open(Options{Dir: dir, OnHealth: func(err error) { *reports = append(*reports, err) }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(recovered.Losses) > 0 || recovered.TruncatedBytes > 0 {
-		t.Fatalf("recovered with losses %v, %d bytes cut off", recovered.Losses, recovered.TruncatedBytes)
+		t.Fatalf("Open reports losses %v and %d truncated bytes, want none", recovered.Losses, recovered.TruncatedBytes)
 	}
 	return s
 }
 
-// put writes a key and waits for the outcome.
-func put(s *Store, key string) error {
+// putKey writes a value for a key, waits for the acknowledgement and returns its error.
+func putKey(s *Store, key string) error {
 	result := make(chan error, 1)
 	s.Put(key, []byte("value of "+key), time.Now().Add(time.Hour), func(err error) { result <- err })
 	return <-result
 }
 
-// sabotage has the next write to the active segment fail, behind a part of a record that
-// has reached the disk.
-func sabotage(t *testing.T, s *Store) {
+// breakActiveSegment appends part of a record to the active segment, as a write that failed
+// halfway would, and makes the next write to the segment fail.
+func breakActiveSegment(t *testing.T, s *Store) {
 	t.Helper()
 	path := s.segmentPath(s.activeSegment())
 	part := appendRecord(nil, record{key: "part", expiresAt: time.Now().Add(time.Hour)})
@@ -47,51 +47,51 @@
 	if err := s.active.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if s.active, err = os.Open(path); err != nil { // it can't be written
+	if s.active, err = os.Open(path); err != nil { // opened read-only, so writes fail
 		t.Fatal(err)
 	}
 }
 
-// TestHealth_RecoversWithoutARestart: a write that fails is reported, further ones are
-// refused at once, and writes work again after the pause. What was acknowledged, and
-// nothing else, is there after a restart.
-func TestHealth_RecoversWithoutARestart(t *testing.T) {
+// TestHealth_RecoversWithoutRestart checks that a failed write is reported, that the next
+// one is rejected, and that writes succeed again after the pause. After a restart, exactly
+// the acknowledged keys must be present.
+func TestHealth_RecoversWithoutRestart(t *testing.T) {
 	for name, before := range map[string]int{"empty segment": 0, "segment with records": 3} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			var told []error
-			s := openForHealth(t, dir, &told)
+			var reports []error
+			s := openRecordingHealth(t, dir, &reports)
 			want := map[string]bool{}
 			for i := range before {
 				key := string(rune('a' + i))
-				if err := put(s, key); err != nil {
+				if err := putKey(s, key); err != nil {
 					t.Fatal(err)
 				}
 				want[key] = true
 			}
-			sabotage(t, s)
-			for range 2 { // the second is refused as the first has failed
-				if err := put(s, "failed"); !errors.Is(err, ErrDegraded) {
-					t.Errorf("a write that can't be made durable: %v", err)
+			breakActiveSegment(t, s)
+			for range 2 { // the second is rejected because the first failed
+				if err := putKey(s, "failed"); !errors.Is(err, ErrDegraded) {
+					t.Errorf("Put with a broken segment: got error %v, want %v", err, ErrDegraded)
 				}
 			}
 			time.Sleep(firstRetryPause)
-			if err := put(s, "after"); err != nil {
-				t.Errorf("after the pause: %v", err)
+			if err := putKey(s, "after"); err != nil {
+				t.Errorf("Put after the retry pause: %v", err)
 			}
 			want["after"] = true
 			if err := s.Close(); err != nil {
 				t.Error(err)
 			}
-			if len(told) != 2 || !errors.Is(told[0], ErrDegraded) || told[1] != nil {
-				t.Errorf("OnHealth is told %v", told)
+			if len(reports) != 2 || !errors.Is(reports[0], ErrDegraded) || reports[1] != nil {
+				t.Errorf("OnHealth was called with %v, want an ErrDegraded and then nil", reports)
 			}
 			expectKeys(t, dir, want)
 		})
 	}
 }
 
-// expectKeys checks what a directory holds, without losses.
+// expectKeys checks that a directory holds exactly the wanted keys and has no losses.
 func expectKeys(t *testing.T, dir string, want map[string]bool) {
 	t.Helper()
 	recovered, err := Inspect(dir, time.Now())
@@ -99,31 +99,31 @@
 		t.Fatal(err)
 	}
 	if len(recovered.Losses) > 0 {
-		t.Errorf("losses %v", recovered.Losses)
+		t.Errorf("Inspect reports losses %v, want none", recovered.Losses)
 	}
 	for key := range want {
 		if _, ok := recovered.Values[key]; !ok {
-			t.Errorf("%q was acknowledged and is not there", key)
+			t.Errorf("acknowledged key %q is missing", key)
 		}
 	}
 	if len(recovered.Values) != len(want) {
-		t.Errorf("%d keys, want %d", len(recovered.Values), len(want))
+		t.Errorf("Inspect found %d keys, want %d", len(recovered.Values), len(want))
 	}
 }
 
-// TestHealth_RepairFails: while the directory is gone each attempt fails, with a pause that
-// grows, and Close returns all the same.
-func TestHealth_RepairFails(t *testing.T) {
+// TestHealth_RetriesFailedRepairs checks that each write fails while the directory is missing,
+// and that writes and Close work once it exists again.
+func TestHealth_RetriesFailedRepairs(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
-	var told []error
-	s := openForHealth(t, dir, &told)
-	sabotage(t, s)
+	var reports []error
+	s := openRecordingHealth(t, dir, &reports)
+	breakActiveSegment(t, s)
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
-		if err := put(s, "key"); !errors.Is(err, ErrDegraded) {
-			t.Errorf("with no directory: %v", err)
+		if err := putKey(s, "key"); !errors.Is(err, ErrDegraded) {
+			t.Errorf("Put without a directory: got error %v, want %v", err, ErrDegraded)
 		}
 		s.queueMu.Lock()
 		pause := s.health.pause
@@ -133,8 +133,8 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := put(s, "key"); err != nil {
-		t.Errorf("with the directory back: %v", err)
+	if err := putKey(s, "key"); err != nil {
+		t.Errorf("Put after the directory was created again: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
@@ -142,13 +142,13 @@
 	expectKeys(t, dir, map[string]bool{"key": true})
 }
 
-// TestFolderWithPatternCharacters: a directory whose path has characters that mean
-// something in a file pattern is read like any other.
-func TestFolderWithPatternCharacters(t *testing.T) {
+// TestOpen_DirectoryWithPatternCharacters checks that the store finds its segments in a
+// directory whose path contains characters that are special in glob patterns.
+func TestOpen_DirectoryWithPatternCharacters(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a[b-*?]\\c")
-	var told []error
-	s := openForHealth(t, dir, &told)
-	if err := put(s, "key"); err != nil {
+	var reports []error
+	s := openRecordingHealth(t, dir, &reports)
+	if err := putKey(s, "key"); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
--- a/store/helpers_test.go
+++ b/store/helpers_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// epoch is where the tests' clocks start.
+// epoch is the start time of the tests' clocks.
 var epoch = time.Unix(1_800_000_000, 0)
 
-// fakeClock is a clock that a test moves by hand.
+// fakeClock is a clock that a test sets.
 type fakeClock struct{ now time.Time }
 
 func (c *fakeClock) Now() time.Time { return c.now }
 
-// operation is one write of a test.
+// operation is a Put or a Delete in a test.
 type operation struct {
 	key, value string
-	ttl        time.Duration // 0 deletes
+	ttl        time.Duration // from epoch to the expiry; 0 for a Delete
 }
 
-// sampleOperations write, overwrite, delete and let values expire.
+// sampleOperations include overwrites, a deletion and a value that expires early.
 var sampleOperations = []operation{
 	{"gava-1", "intent", time.Minute},
 	{"gava-2", "intent", time.Minute},
@@ -33,8 +33,8 @@
 	{"gava-3", "done: 30 kr", time.Minute},
 }
 
-// expectedValues is the model of the store: what it must hold at a time after
-// the operations.
+// expectedValues is a model of the store: it returns the values that the store must
+// hold at the given time after the operations.
 func expectedValues(operations []operation, now time.Time) map[string]string {
 	expected := map[string]string{}
 	for _, op := range operations {
@@ -47,8 +47,8 @@
 	return expected
 }
 
-// recoveredValues are the values of a recovery in the form of expectedValues.
-func recoveredValues(recovered *Recovered) map[string]string {
+// recoveredValues returns recovered values in the form of expectedValues.
+func recoveredValues(recovered *RecoveredState) map[string]string {
 	got := map[string]string{}
 	for key, value := range recovered.Values {
 		got[key] = string(value.Bytes)
@@ -56,7 +56,7 @@
 	return got
 }
 
-func openStore(t testing.TB, options Options) (*Store, *Recovered) {
+func openStore(t testing.TB, options Options) (*Store, *RecoveredState) {
 	t.Helper()
 	s, recovered, err := Open(options)
 	if err != nil {
@@ -65,9 +65,9 @@
 	return s, recovered
 }
 
-// openUnsynced opens a store with a test's clock that does not sync. A
-// segmentBytes of 0 is the default.
-func openUnsynced(t testing.TB, dir string, clock *fakeClock, segmentBytes int64) (*Store, *Recovered) {
+// openUnsynced opens a store that uses a test's clock and does not sync. A
+// segmentBytes of 0 means the default.
+func openUnsynced(t testing.TB, dir string, clock *fakeClock, segmentBytes int64) (*Store, *RecoveredState) {
 	t.Helper()
 	return openStore(t, Options{Dir: dir, Now: clock.Now, SegmentBytes: segmentBytes, Sync: SyncNever})
 }
@@ -79,21 +79,21 @@
 	}
 }
 
-// putAndWait puts a value and returns what its done function is given.
+// putAndWait puts a value, waits for the acknowledgement and returns its error.
 func putAndWait(s *Store, key string, value []byte, expiresAt time.Time) error {
 	done := make(chan error, 1)
 	s.Put(key, value, expiresAt, func(err error) { done <- err })
 	return <-done
 }
 
-// deleteAndWait deletes a key and returns what its done function is given.
+// deleteAndWait deletes a key, waits for the acknowledgement and returns its error.
 func deleteAndWait(s *Store, key string) error {
 	done := make(chan error, 1)
 	s.Delete(key, func(err error) { done <- err })
 	return <-done
 }
 
-// perform carries operations out one by one.
+// perform performs operations one by one and waits for each.
 func perform(t testing.TB, s *Store, operations []operation) {
 	t.Helper()
 	for _, op := range operations {
@@ -109,7 +109,7 @@
 	}
 }
 
-// firstSegment is the path of a directory's first segment.
+// firstSegment returns the path of a directory's first segment.
 func firstSegment(dir string) string { return filepath.Join(dir, segmentName(1)) }
 
 func readFile(t testing.TB, path string) []byte {
@@ -128,8 +128,8 @@
 	}
 }
 
-// segmentAfter returns the bytes of one segment after the operations, and the
-// offset at which each one's record ends.
+// segmentAfter performs operations in a new store. It returns the contents of its only
+// segment and the offset at which the record of each operation ends.
 func segmentAfter(t testing.TB, operations []operation) (data []byte, recordEnds []int) {
 	t.Helper()
 	dir := t.TempDir()
@@ -142,8 +142,8 @@
 	return readFile(t, firstSegment(dir)), recordEnds
 }
 
-// recoverFrom opens a store whose only segment holds data.
-func recoverFrom(t testing.TB, data []byte) *Recovered {
+// recoverFrom opens a store whose only segment contains data, and returns what it recovered.
+func recoverFrom(t testing.TB, data []byte) *RecoveredState {
 	t.Helper()
 	dir := t.TempDir()
 	writeFile(t, firstSegment(dir), data)
--- a/store/index.go
+++ b/store/index.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// recordLocation is where a key's latest record is on disk.
+// recordLocation is the location on disk of the latest record of a key.
 type recordLocation struct {
 	segment     int
 	offset      int64
 	size        int
-	expiresAt   time.Time // of the value; the zero time for a deletion
-	retainUntil time.Time // the record hides older ones that expire no later than this
+	expiresAt   time.Time // expiry of the value; zero for a deletion
+	retainUntil time.Time // by then the record and all older ones that it hides have expired
 }
 
-// recordIndex maps each key to the location of its latest record. Its methods
-// need Store.indexMu; liveBytes may be read without it, so that Put does not
-// wait for a compaction.
+// recordIndex maps each key to the location of its latest record. Callers of its
+// methods hold Store.indexMu. liveBytes may be read without the lock, so that Put
+// does not wait for a compaction.
 type recordIndex struct {
 	locations map[string]recordLocation
-	liveBytes atomic.Int64 // size of the records that the index points at
+	liveBytes atomic.Int64 // total size of the records that the index points at
 }
 
 func newRecordIndex() recordIndex {
@@ -33,8 +33,8 @@
 
 func (x *recordIndex) len() int { return len(x.locations) }
 
-// add makes a record the latest of its key. The record is retained for as long
-// as the one that it replaces.
+// add makes a record the latest of its key. It is retained at least as long as the
+// record that it replaces.
 func (x *recordIndex) add(r record, location recordLocation) {
 	location.retainUntil = r.expiresAt
 	if !r.deleted {
@@ -50,7 +50,7 @@
 	x.liveBytes.Add(int64(location.size))
 }
 
-// remove takes a key out of the index.
+// remove deletes a key from the index.
 func (x *recordIndex) remove(key string) {
 	if old, ok := x.locations[key]; ok {
 		x.liveBytes.Add(-int64(old.size))
@@ -58,8 +58,7 @@
 	}
 }
 
-// removeExpired takes the keys out of the index whose records need not be
-// retained any longer.
+// removeExpired removes the keys whose latest record no longer has to be retained.
 func (x *recordIndex) removeExpired(now time.Time) {
 	for key, location := range x.locations {
 		if !location.retainUntil.After(now) {
@@ -68,8 +67,8 @@
 	}
 }
 
-// relocate replaces the locations in the segments up to last: by those in moved,
-// or by none for a key that moved does not hold.
+// relocate updates the keys whose latest record is in a segment up to number last: it
+// replaces their locations by those in moved, and removes the keys that are not in moved.
 func (x *recordIndex) relocate(last int, moved map[string]recordLocation) {
 	for key, location := range x.locations {
 		if location.segment > last {
--- a/store/record.go
+++ b/store/record.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A record on disk, with integers in big-endian order:
+// Format of a record on disk; integers are big-endian:
 //
 //	payload length  u32
 //	header CRC      u32  CRC-32C of the payload length
@@ -19,19 +19,20 @@
 //	  key
 //	  value
 //
-// The expiry of a deletion is until when it must be retained: until the values
-// that it hides, in segments that a crash in a compaction may leave, expire.
+// The expiry of a deletion is the time until which it must be retained: until then,
+// a value that it hides may be in a segment that a crash during a compaction left
+// behind.
 //
-// The header has a CRC of its own so that a truncated record, whose header or
-// payload ends with the file, can be told from a corrupt one, which has all its
-// bytes and fails a CRC: the first is a write that never finished, the second is
-// a loss.
+// The header has its own CRC to distinguish a truncated record, whose header or
+// payload is cut off by the end of the file, from a corrupt one, which has all its
+// bytes and fails a CRC. A truncated record may be an unfinished write; a corrupt
+// one is data loss.
 const (
 	headerSize       = 12
 	headerCRCOffset  = 4
 	payloadCRCOffset = 8
 
-	payloadFixedSize = 11 // of a payload without its key and value
+	payloadFixedSize = 11 // size of a payload without its key and value
 	flagsOffset      = 8
 	keyLengthOffset  = 9
 
@@ -43,7 +44,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is a key's value, or its deletion.
+// record is a value of a key, or the deletion of the key.
 type record struct {
 	key       string
 	value     []byte
@@ -53,22 +54,22 @@
 
 func (r record) payloadSize() int { return payloadFixedSize + len(r.key) + len(r.value) }
 
-// encodedSize is the size on disk.
+// encodedSize returns the record's size on disk.
 func (r record) encodedSize() int64 { return int64(headerSize + r.payloadSize()) }
 
-// checkSize returns ErrRecordTooLarge for a record that cannot be encoded.
+// checkSize returns an error that wraps ErrRecordTooLarge if the record is too large to encode.
 func (r record) checkSize() error {
 	if len(r.key) > maxKeyBytes {
-		return fmt.Errorf("%w: key %.64q... has %d bytes, at most %d", ErrRecordTooLarge, r.key, len(r.key), maxKeyBytes)
+		return fmt.Errorf("%w: key %.64q... has %d bytes, limit %d", ErrRecordTooLarge, r.key, len(r.key), maxKeyBytes)
 	}
 	if r.payloadSize() > maxPayloadBytes {
-		return fmt.Errorf("%w: key %.64q needs %d bytes, at most %d",
+		return fmt.Errorf("%w: payload for key %.64q has %d bytes, limit %d",
 			ErrRecordTooLarge, r.key, r.payloadSize(), maxPayloadBytes)
 	}
 	return nil
 }
 
-// appendRecord appends the encoding of a record, whose size was checked.
+// appendRecord appends the encoding of a record. The caller has checked the record's size.
 func appendRecord(to []byte, r record) []byte {
 	start := len(to)
 	to = append(to, make([]byte, headerSize)...)
@@ -91,41 +92,41 @@
 
 func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
 
-// readResult says what readRecord found.
-type readResult int
+// decodeStatus is the outcome of decodeRecord.
+type decodeStatus int
 
 const (
-	complete  readResult = iota
-	truncated            // the data ends within the record
-	corrupt              // the data is no record
+	recordComplete  decodeStatus = iota
+	recordTruncated              // the data ends inside the record
+	recordCorrupt                // the data is not a valid record
 )
 
-// readRecord decodes the record at the start of data, and returns its size on
-// disk. The record does not share memory with data.
-func readRecord(data []byte) (record, int, readResult) {
+// decodeRecord decodes the record at the start of data and returns it with its size
+// on disk. The record does not share memory with data.
+func decodeRecord(data []byte) (record, int, decodeStatus) {
 	if len(data) < headerSize {
-		return record{}, 0, truncated
+		return record{}, 0, recordTruncated
 	}
 	length := binary.BigEndian.Uint32(data)
 	if checksum(data[:headerCRCOffset]) != binary.BigEndian.Uint32(data[headerCRCOffset:]) {
-		return record{}, 0, corrupt
+		return record{}, 0, recordCorrupt
 	}
 	if length < payloadFixedSize || length > maxPayloadBytes {
-		return record{}, 0, corrupt
+		return record{}, 0, recordCorrupt
 	}
 	size := headerSize + int(length)
 	if len(data) < size {
-		return record{}, 0, truncated
+		return record{}, 0, recordTruncated
 	}
 	payload := data[headerSize:size]
 	if checksum(payload) != binary.BigEndian.Uint32(data[payloadCRCOffset:]) {
-		return record{}, 0, corrupt
+		return record{}, 0, recordCorrupt
 	}
 	r, ok := decodePayload(payload)
 	if !ok {
-		return record{}, 0, corrupt
+		return record{}, 0, recordCorrupt
 	}
-	return r, size, complete
+	return r, size, recordComplete
 }
 
 func decodePayload(payload []byte) (record, bool) {
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -10,48 +10,49 @@
 	"time"
 )
 
-// Loss is a place in a segment from which records could not be read.
+// Loss is data loss: the part of a segment from which no records could be read.
 type Loss struct {
 	Segment string // file name
-	Offset  int64
-	Bytes   int64 // from Offset to the end of the segment
+	Offset  int64  // in bytes, from the start of the segment
+	Bytes   int64  // from Offset to the end of the segment
 }
 
 func (l Loss) String() string {
-	return fmt.Sprintf("%s at %d: %d bytes not read", l.Segment, l.Offset, l.Bytes)
+	return fmt.Sprintf("%s at offset %d: %d bytes unreadable", l.Segment, l.Offset, l.Bytes)
 }
 
-// Recovered is what Open and Inspect found in a store's directory.
-type Recovered struct {
-	Values         map[string]Value // the latest of each key that has not expired
-	Losses         []Loss           // none if all was read
-	TruncatedBytes int64            // of writes that never finished, cut off
+// RecoveredState is the contents of a store's directory, as read by Open or Inspect.
+type RecoveredState struct {
+	Values         map[string]Value // the latest value of each key, unless it has expired
+	Losses         []Loss           // empty if all segments were read completely
+	TruncatedBytes int64            // size of the unfinished write at the end of the active segment
 }
 
-// Inspect reads a store's directory as Open would, and changes nothing in it:
-// what Open would cut off is only reported. The directory may be in use.
-func Inspect(dir string, now time.Time) (*Recovered, error) {
+// Inspect reads a store's directory as Open does but does not change it: it only
+// reports the bytes that Open would truncate. The directory may be in use.
+func Inspect(dir string, now time.Time) (*RecoveredState, error) {
 	s := newStore(Options{Dir: dir, Now: func() time.Time { return now }})
 	return s.recoverSegments(false)
 }
 
-// recovery is one replay of a store's segments into its index. Only with repair
-// does it change files.
+// recovery replays a store's segments into its index. It changes files only if
+// repair is set.
 type recovery struct {
 	store     *Store
 	repair    bool
 	now       time.Time
-	recovered *Recovered
+	recovered *RecoveredState
 }
 
-// recoverSegments replays the segments, oldest first. With repair, it removes
-// what an unfinished compaction left, and cuts off what cannot be read.
-func (s *Store) recoverSegments(repair bool) (*Recovered, error) {
+// recoverSegments replays the segments, oldest first. If repair is set, it also
+// removes the temporary file of an unfinished compaction and truncates each segment
+// at the first record that cannot be read.
+func (s *Store) recoverSegments(repair bool) (*RecoveredState, error) {
 	r := recovery{
 		store:     s,
 		repair:    repair,
 		now:       s.options.Now(),
-		recovered: &Recovered{Values: map[string]Value{}},
+		recovered: &RecoveredState{Values: map[string]Value{}},
 	}
 	if err := r.findSegments(); err != nil {
 		return nil, err
@@ -65,16 +66,16 @@
 	return r.recovered, nil
 }
 
-// findSegments lists the directory's segments in ascending order.
+// findSegments finds the directory's segments and sorts them by number.
 func (r *recovery) findSegments() error {
 	entries, err := os.ReadDir(r.store.options.Dir)
-	if err != nil && !errors.Is(err, os.ErrNotExist) { // Inspect may look before there is one
+	if err != nil && !errors.Is(err, os.ErrNotExist) { // Inspect may run before the directory exists
 		return fmt.Errorf("store: list segments: %w", err)
 	}
 	for _, entry := range entries {
 		name := entry.Name()
 		if strings.HasSuffix(name, temporarySuffix) {
-			if err := r.removeTemporary(filepath.Join(r.store.options.Dir, name)); err != nil {
+			if err := r.removeTemporaryFile(filepath.Join(r.store.options.Dir, name)); err != nil {
 				return err
 			}
 		} else if segment, ok := parseSegmentName(name); ok {
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// removeTemporary removes the file of a compaction that did not finish.
-func (r *recovery) removeTemporary(path string) error {
+// removeTemporaryFile removes the temporary file of an unfinished compaction.
+func (r *recovery) removeTemporaryFile(path string) error {
 	if !r.repair {
 		return nil
 	}
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// replaySegment applies the records of a segment, up to the first place that
-// holds no complete one.
+// replaySegment applies the records of a segment up to the first offset without a
+// complete record.
 func (r *recovery) replaySegment(segment int, isActive bool) error {
 	data, err := os.ReadFile(r.store.segmentPath(segment))
 	if err != nil {
@@ -106,9 +107,9 @@
 	var offset int64
 	for offset < int64(len(data)) {
 		rest := data[offset:]
-		decoded, size, result := readRecord(rest)
-		if result != complete {
-			r.reportUnreadable(segment, offset, rest, isActive && neverFinished(rest, result))
+		decoded, size, status := decodeRecord(rest)
+		if status != recordComplete {
+			r.reportUnreadable(segment, offset, rest, isActive && mayBeUnfinishedWrite(rest, status))
 			return r.truncate(segment, offset)
 		}
 		r.apply(decoded, recordLocation{segment: segment, offset: offset, size: size})
@@ -117,11 +118,11 @@
 	return nil
 }
 
-// neverFinished reports whether bytes that hold no complete record may be what a
-// crash leaves of a write: a part of a record, or space that was allocated and
-// not written.
-func neverFinished(rest []byte, result readResult) bool {
-	return result == truncated || isZero(rest)
+// mayBeUnfinishedWrite reports whether the rest of a segment, which starts with no
+// complete record, may be the remains of a write that a crash interrupted: part of a
+// record, or space that was allocated but not written.
+func mayBeUnfinishedWrite(rest []byte, status decodeStatus) bool {
+	return status == recordTruncated || isZero(rest)
 }
 
 func isZero(data []byte) bool {
@@ -133,8 +134,8 @@
 	return true
 }
 
-// reportUnreadable counts the rest of a segment as an unfinished write or as a
-// loss.
+// reportUnreadable reports the rest of a segment as an unfinished write or as a
+// Loss.
 func (r *recovery) reportUnreadable(segment int, offset int64, rest []byte, unfinished bool) {
 	size := int64(len(rest))
 	if unfinished {
@@ -144,8 +145,8 @@
 	r.recovered.Losses = append(r.recovered.Losses, Loss{Segment: segmentName(segment), Offset: offset, Bytes: size})
 }
 
-// truncate cuts a segment off at an offset, so that records written after it are
-// read by the next recovery.
+// truncate truncates a segment at an offset if repair is set, so that the next recovery
+// also reads the records that are appended from now on.
 func (r *recovery) truncate(segment int, offset int64) error {
 	if !r.repair {
 		return nil
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// apply adds a record to the index and to the values recovered.
+// apply adds a record to the index and to the recovered values.
 func (r *recovery) apply(decoded record, location recordLocation) {
 	r.store.index.add(decoded, location)
 	if decoded.deleted || !decoded.expiresAt.After(r.now) {
--- a/store/recovery_test.go
+++ b/store/recovery_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// TestRecover reopens a store: it has the values written last, without the one
-// that expired meanwhile.
-func TestRecover(t *testing.T) {
+// TestRecover_RestoresLatestValues reopens a store after one of its values has expired.
+// The store must hold the latest values of the other keys.
+func TestRecover_RestoresLatestValues(t *testing.T) {
 	dir, clock := t.TempDir(), &fakeClock{epoch}
 	s, _ := openUnsynced(t, dir, clock, 0)
 	perform(t, s, sampleOperations)
 	if v, ok, err := s.Get("gava-1"); err != nil || !ok || string(v.Bytes) != "done: 10 kr" {
-		t.Errorf("get: %q %t %v", v.Bytes, ok, err)
+		t.Errorf("Get(\"gava-1\") = %q, %t, %v, want \"done: 10 kr\", true, nil", v.Bytes, ok, err)
 	}
 	closeStore(t, s)
 
@@ -23,17 +23,16 @@
 	defer closeStore(t, s)
 	got, want := recoveredValues(recovered), expectedValues(sampleOperations, clock.now)
 	if !maps.Equal(got, want) || len(recovered.Losses) > 0 {
-		t.Errorf("got %v, losses %v\nwant %v", got, recovered.Losses, want)
+		t.Errorf("recovered %v with losses %v\nwant %v without losses", got, recovered.Losses, want)
 	}
-	if s.Len() != 4 { // and the deletion of gava-2, while the value that it hides could come back
-		t.Errorf("the index holds %d keys, want 4", s.Len())
+	if s.Len() != 4 { // three values, and the deletion of gava-2, since the value that it hides has not expired
+		t.Errorf("Len() = %d, want 4", s.Len())
 	}
 }
 
-// TestRecoverTruncatedAtEveryByte truncates a segment at every offset: each time
-// recovery gives the state of the complete records, and counts the rest as a
-// write that never finished.
-func TestRecoverTruncatedAtEveryByte(t *testing.T) {
+// TestRecover_SegmentTruncatedAtEveryByte truncates a segment at each offset. Recovery
+// must restore the complete records and count the other bytes as an unfinished write.
+func TestRecover_SegmentTruncatedAtEveryByte(t *testing.T) {
 	data, recordEnds := segmentAfter(t, sampleOperations)
 	for size := 0; size <= len(data); size++ {
 		completeRecords, lastEnd := 0, 0
@@ -45,16 +44,16 @@
 		got, want := recoveredValues(recovered), expectedValues(sampleOperations[:completeRecords], epoch)
 		unfinished := int64(size - lastEnd)
 		if !maps.Equal(got, want) || len(recovered.Losses) > 0 || recovered.TruncatedBytes != unfinished {
-			t.Fatalf("truncated to %d bytes: got %v, losses %v, truncated %d\nwant %v, truncated %d",
+			t.Fatalf("segment truncated to %d bytes: recovered %v, losses %v, TruncatedBytes %d\nwant %v, no losses, TruncatedBytes %d",
 				size, got, recovered.Losses, recovered.TruncatedBytes, want, unfinished)
 		}
 	}
 }
 
-// TestRecoverFlippedAtEveryByte flips each byte of a segment in turn: each time
-// the loss is reported where the damaged record begins, and recovery gives
-// exactly the state of the records before it, never a value that was not written.
-func TestRecoverFlippedAtEveryByte(t *testing.T) {
+// TestRecover_CorruptionAtEveryByte inverts each byte of a segment in turn. Recovery must
+// report a loss at the start of the damaged record and restore exactly the records
+// before it. It must never return a value that was not written.
+func TestRecover_CorruptionAtEveryByte(t *testing.T) {
 	data, recordEnds := segmentAfter(t, sampleOperations)
 	for flipped := range data {
 		damagedRecord, start := 0, 0
@@ -68,14 +67,14 @@
 		got, want := recoveredValues(recovered), expectedValues(sampleOperations[:damagedRecord], epoch)
 		losses := recovered.Losses
 		if !maps.Equal(got, want) || len(losses) != 1 || losses[0].Offset != int64(start) {
-			t.Fatalf("byte %d flipped: got %v, losses %v\nwant %v, a loss at %d", flipped, got, losses, want, start)
+			t.Fatalf("byte %d inverted: recovered %v with losses %v\nwant %v with one loss at offset %d", flipped, got, losses, want, start)
 		}
 	}
 }
 
-// TestRecoverReportsLossOnce recovers a damaged segment twice: the second time
-// the loss is not reported again, and what was written after the first is read.
-func TestRecoverReportsLossOnce(t *testing.T) {
+// TestRecover_ReportsLossOnce opens a store with a damaged segment twice. The second Open
+// must not report the loss again, and must recover the record written after the first.
+func TestRecover_ReportsLossOnce(t *testing.T) {
 	data, recordEnds := segmentAfter(t, sampleOperations)
 	data[recordEnds[2]+5] ^= 1
 	dir, clock := t.TempDir(), &fakeClock{epoch}
@@ -83,7 +82,7 @@
 
 	s, recovered := openUnsynced(t, dir, clock, 0)
 	if len(recovered.Losses) != 1 {
-		t.Fatalf("losses %v", recovered.Losses)
+		t.Fatalf("first Open: losses %v, want one", recovered.Losses)
 	}
 	perform(t, s, []operation{{"efter", "written after the loss", time.Minute}})
 	closeStore(t, s)
@@ -91,13 +90,13 @@
 	s, recovered = openUnsynced(t, dir, clock, 0)
 	defer closeStore(t, s)
 	if len(recovered.Losses) != 0 || string(recovered.Values["efter"].Bytes) != "written after the loss" {
-		t.Errorf("the second time: %v, %v", recovered.Losses, recoveredValues(recovered))
+		t.Errorf("second Open: losses %v, values %v, want no losses and the later value", recovered.Losses, recoveredValues(recovered))
 	}
 }
 
-// TestInspect reads a damaged store twice: the same is reported each time, and
-// the segment stays as it was.
-func TestInspect(t *testing.T) {
+// TestInspect_ChangesNothing inspects a damaged store twice. Both calls must report the
+// same loss and values, and the segment must stay unchanged.
+func TestInspect_ChangesNothing(t *testing.T) {
 	data, recordEnds := segmentAfter(t, sampleOperations)
 	data[recordEnds[3]+2] ^= 1
 	dir := t.TempDir()
@@ -106,10 +105,10 @@
 	for range 2 {
 		recovered, err := Inspect(dir, epoch)
 		if err != nil || len(recovered.Losses) != 1 || !maps.Equal(recoveredValues(recovered), want) {
-			t.Fatalf("%v, %v, %v", err, recovered.Losses, recoveredValues(recovered))
+			t.Fatalf("Inspect: error %v, losses %v, values %v, want one loss and %v", err, recovered.Losses, recoveredValues(recovered), want)
 		}
 	}
 	if !slices.Equal(readFile(t, firstSegment(dir)), data) {
-		t.Error("Inspect changed the file")
+		t.Error("Inspect changed the segment")
 	}
 }
--- a/store/segment.go
+++ b/store/segment.go
@@ -11,14 +11,14 @@
 
 const (
 	segmentSuffix   = ".log"
-	temporarySuffix = ".tmp" // behind the name of the segment that a compaction writes
+	temporarySuffix = ".tmp" // appended to a segment name while a compaction writes the segment
 
 	segmentFileMode = 0o600
 )
 
 func segmentName(segment int) string { return fmt.Sprintf("%08d%s", segment, segmentSuffix) }
 
-// parseSegmentName returns the number of the segment that a file name stands for.
+// parseSegmentName returns the number of a segment from its file name.
 func parseSegmentName(name string) (segment int, ok bool) {
 	digits, ok := strings.CutSuffix(name, segmentSuffix)
 	if !ok {
@@ -34,11 +34,11 @@
 
 func (s *Store) activeSegment() int { return s.segments[len(s.segments)-1] }
 
-// sealedSegments are all but the active one.
+// sealedSegments returns all segments except the active one.
 func (s *Store) sealedSegments() []int { return s.segments[:len(s.segments)-1] }
 
-// openActiveSegment opens the newest segment for appending, the first one where
-// the directory has none.
+// openActiveSegment opens the newest segment for appending. If the directory has no
+// segment, it creates the first one.
 func (s *Store) openActiveSegment() error {
 	if len(s.segments) == 0 {
 		s.segments = []int{1}
@@ -61,12 +61,12 @@
 	sealed := s.active
 	s.active, s.activeBytes = f, size
 	s.segments = append(s.segments, next)
-	_ = sealed.Close() // what it holds was synced, as far as the policy asks for it
+	_ = sealed.Close() // its records were already synced if the SyncPolicy requires it
 	return nil
 }
 
-// openForAppend opens a segment, which it creates if it does not exist, and
-// returns its size.
+// openForAppend opens a segment for appending and returns its size. It creates the
+// file if it does not exist.
 func (s *Store) openForAppend(segment int) (*os.File, int64, error) {
 	f, err := os.OpenFile(s.segmentPath(segment), os.O_CREATE|os.O_WRONLY|os.O_APPEND, segmentFileMode)
 	if err != nil {
@@ -82,7 +82,8 @@
 	return f, info.Size(), nil
 }
 
-// syncDirectory makes the creation, renaming and removal of files durable.
+// syncDirectory syncs a directory, so that files created, renamed or removed in it stay so
+// after a power loss.
 func syncDirectory(path string) (err error) {
 	d, err := os.Open(path)
 	if err != nil {
--- a/store/store.go
+++ b/store/store.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// SyncPolicy says when a write is durable.
+// SyncPolicy says whether the store syncs a write before it acknowledges it.
 type SyncPolicy int
 
 const (
-	// SyncAlways syncs the segment (fsync(2)) after each group of writes, before
-	// they are acknowledged: durable through a power loss.
+	// SyncAlways syncs the segment (fsync(2)) after each group of writes, before it
+	// acknowledges them. Acknowledged writes survive a power loss.
 	SyncAlways SyncPolicy = iota
-	// SyncNever leaves syncing to the operating system: durable through a crash
-	// of the process, not of the machine.
+	// SyncNever leaves syncing to the operating system. Acknowledged writes survive
+	// a crash of the process, but not of the machine.
 	SyncNever
 )
 
@@ -30,14 +30,17 @@
 type Options struct {
 	Dir          string
 	Sync         SyncPolicy
-	MaxBytes     int64            // bound on the live records on disk; 0 for 64 MiB
-	SegmentBytes int64            // a segment is sealed at this size; 0 for 4 MiB
+	MaxBytes     int64            // limit on the size of the live records on disk; 0 for 64 MiB
+	SegmentBytes int64            // size at which a segment is sealed; 0 for 4 MiB
 	Now          func() time.Time // the clock that decides expiry; nil for time.Now
-	// OnHealth is told, by the writer's goroutine, each time that a write could not be
-	// made durable (why; an error that wraps ErrDegraded), and with nil once writes work
-	// again. OnMaintenanceError is told why a segment could not be started or compacted,
-	// which is tried again. Both must not block; nil for nothing.
-	OnHealth           func(error)
+
+	// OnHealth is called by the writer goroutine: with an error that wraps ErrDegraded
+	// each time a group of writes could not be made durable, and with nil once the
+	// active segment is repaired. It must not block. It may be nil.
+	OnHealth func(error)
+
+	// OnMaintenanceError is called by the writer goroutine when it could not start or
+	// compact a segment; the store tries again later. It must not block. It may be nil.
 	OnMaintenanceError func(error)
 }
 
@@ -60,7 +63,7 @@
 	return o
 }
 
-// Value is a key's value and when it expires.
+// Value is the value of a key and its expiry time.
 type Value struct {
 	Bytes     []byte
 	ExpiresAt time.Time
@@ -72,23 +75,23 @@
 
 	queueMu sync.Mutex
 	queue   []pendingWrite
-	wake    chan struct{} // tells the writer that the queue is not empty
+	wake    chan struct{} // signals the writer that the queue is not empty
 	closed  bool
 	health  health
 
 	indexMu sync.Mutex // held throughout a compaction
 	index   recordIndex
 
-	// The writer's goroutine owns these.
-	segments    []int // numbers, oldest first; the last is the active one
-	active      *os.File
-	activeBytes int64
+	// Only the writer goroutine uses these, once it is running.
+	segments    []int    // segment numbers, oldest first; the last is the active one
+	active      *os.File // nil after a failed repair
+	activeBytes int64    // size of the active segment's acknowledged records
 	writerDone  chan struct{}
 }
 
-// Open opens the store in a directory, which it creates if it does not exist,
-// and recovers what it holds.
-func Open(options Options) (*Store, *Recovered, error) {
+// Open opens the store in Options.Dir and recovers its records. It creates the
+// directory if it does not exist.
+func Open(options Options) (*Store, *RecoveredState, error) {
 	options = options.withDefaults()
 	if err := os.MkdirAll(options.Dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("store: create directory: %w", err)
@@ -114,31 +117,30 @@
 	}
 }
 
-// Put writes a key's value, which expires at the time given. It calls done once:
-// with nil when the write is durable, or with the reason why it is not, which is
-// ErrFull, ErrClosed, ErrRecordTooLarge, or an I/O error behind ErrDegraded. done may be
-// called before Put returns, and must not block. After an I/O error the record may be on
-// disk or not.
+// Put writes a value for a key; the value expires at expiresAt. Put calls done once: with
+// nil when the write is durable, else with an error that wraps ErrFull, ErrClosed,
+// ErrRecordTooLarge, or ErrDegraded and an I/O error. done must not block and may be called
+// before Put returns. After an I/O error it is unknown whether the record is on disk.
 func (s *Store) Put(key string, value []byte, expiresAt time.Time, done func(error)) {
 	s.enqueue(pendingWrite{record{key: key, value: value, expiresAt: expiresAt}, done})
 }
 
-// Delete removes a key. It calls done as Put does. It does not wait for writes
-// that are still queued: a key whose first Put has not been acknowledged stays.
+// Delete removes a key. It calls done as Put does. It does not wait for queued
+// writes: if the first Put of the key is not acknowledged yet, Delete calls done
+// with nil and the key stays.
 func (s *Store) Delete(key string, done func(error)) {
 	s.indexMu.Lock()
 	location, ok := s.index.lookup(key)
 	s.indexMu.Unlock()
-	if !ok { // no record on disk could bring the key back
+	if !ok { // no segment has a record of the key that a recovery could restore
 		done(nil)
 		return
 	}
 	s.enqueue(pendingWrite{record{key: key, expiresAt: location.retainUntil, deleted: true}, done})
 }
 
-// Get returns a key's value, and whether it has one that has not expired. It
-// reads the value from disk. A damaged record is reported as a
-// *CorruptRecordError.
+// Get reads the value of a key from disk. It reports whether the key has a value
+// that has not expired. For a damaged record the error is a *CorruptRecordError.
 func (s *Store) Get(key string) (Value, bool, error) {
 	s.indexMu.Lock()
 	defer s.indexMu.Unlock()
@@ -150,14 +152,14 @@
 	if err != nil {
 		return Value{}, false, fmt.Errorf("store: read record: %w", err)
 	}
-	r, _, result := readRecord(data)
-	if result != complete || r.key != key {
+	r, _, status := decodeRecord(data)
+	if status != recordComplete || r.key != key {
 		return Value{}, false, &CorruptRecordError{Segment: segmentName(location.segment), Offset: location.offset}
 	}
 	return Value{Bytes: r.value, ExpiresAt: r.expiresAt}, true, nil
 }
 
-// readFileAt reads size bytes of a file.
+// readFileAt reads size bytes of a file at an offset.
 func readFileAt(path string, offset int64, size int) (data []byte, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -169,25 +171,25 @@
 	return data, err
 }
 
-// Len returns the number of keys in the index: those with a value, and deleted
-// ones of which an older value is still on disk.
+// Len returns the number of keys in the index. It includes deleted and expired keys
+// whose latest record must still be retained or has not been compacted away.
 func (s *Store) Len() int {
 	s.indexMu.Lock()
 	defer s.indexMu.Unlock()
 	return s.index.len()
 }
 
-// LiveBytes returns the size on disk of the records in the index.
+// LiveBytes returns the total size on disk of the records that the index points at.
 func (s *Store) LiveBytes() int64 { return s.index.liveBytes.Load() }
 
-// Close writes the queued records and closes the store.
+// Close writes the queued records and closes the store. Further calls have no effect.
 func (s *Store) Close() error {
-	if alreadyClosed := s.refuseWrites(); alreadyClosed {
+	if alreadyClosed := s.markClosed(); alreadyClosed {
 		return nil
 	}
 	close(s.wake)
 	<-s.writerDone
-	if s.active == nil { // a repair failed
+	if s.active == nil { // the last repair failed
 		return nil
 	}
 	if err := s.active.Close(); err != nil {
@@ -196,8 +198,8 @@
 	return nil
 }
 
-// refuseWrites marks the store closed, and reports whether it was before.
-func (s *Store) refuseWrites() (alreadyClosed bool) {
+// markClosed marks the store closed and reports whether it already was.
+func (s *Store) markClosed() (alreadyClosed bool) {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
 	alreadyClosed = s.closed
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestFull fills the store: a write beyond its bound is refused, and what it
-// holds stays; once values expire and are compacted away there is room again.
-func TestFull(t *testing.T) {
+// TestPut_RejectsWritesOverMaxBytes fills a store until it rejects a write with ErrFull.
+// Once values have expired, compaction may free space for further writes, but the live
+// records must never exceed MaxBytes.
+func TestPut_RejectsWritesOverMaxBytes(t *testing.T) {
 	clock := &fakeClock{epoch}
 	s, _ := openStore(t, Options{Dir: t.TempDir(), Now: clock.Now, MaxBytes: 1000, SegmentBytes: 400, Sync: SyncNever})
 	defer closeStore(t, s)
@@ -22,22 +23,23 @@
 		accepted++
 	}
 	if err := put("more", time.Hour); !errors.Is(err, ErrFull) || accepted == 0 || s.LiveBytes() > 1000 {
-		t.Fatalf("after %d puts: %v, %d bytes live", accepted, err, s.LiveBytes())
+		t.Fatalf("Put after %d accepted writes: error %v, %d live bytes, want %v and at most 1000 live bytes",
+			accepted, err, s.LiveBytes(), ErrFull)
 	}
 
 	clock.now = epoch.Add(2 * time.Second)
 	for i := 0; put(fmt.Sprint("later", i), time.Hour) == nil; i++ {
 		if i > 2*accepted {
-			return // expired values were compacted away to make room
+			return // a compaction removed expired values
 		}
 	}
 	if s.LiveBytes() > 1000 {
-		t.Errorf("%d bytes live", s.LiveBytes())
+		t.Errorf("LiveBytes() = %d, want at most 1000", s.LiveBytes())
 	}
 }
 
-// TestRecordTooLarge puts records at the bounds and just over them.
-func TestRecordTooLarge(t *testing.T) {
+// TestPut_RecordSizeLimits puts records of exactly the largest size and one byte larger.
+func TestPut_RecordSizeLimits(t *testing.T) {
 	s, _ := openUnsynced(t, t.TempDir(), &fakeClock{epoch}, 0)
 	defer closeStore(t, s)
 	longestKey := string(make([]byte, maxKeyBytes))
@@ -54,14 +56,14 @@
 		{"value too large", "k", append(largestValue, 0), ErrRecordTooLarge},
 	} {
 		if err := putAndWait(s, c.key, c.value, epoch.Add(time.Hour)); !errors.Is(err, c.want) {
-			t.Errorf("%s: got %v, want %v", c.name, err, c.want)
+			t.Errorf("Put with %s: got error %v, want %v", c.name, err, c.want)
 		}
 	}
 }
 
-// TestGetCorruptRecord damages a record under an open store: Get names its
-// segment and offset.
-func TestGetCorruptRecord(t *testing.T) {
+// TestGet_ReportsCorruptRecord damages a record on disk while the store is open. The error
+// of Get must contain the record's segment and offset.
+func TestGet_ReportsCorruptRecord(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := openUnsynced(t, dir, &fakeClock{epoch}, 0)
 	defer closeStore(t, s)
@@ -73,25 +75,25 @@
 	_, _, err := s.Get("second")
 	var corruptRecord *CorruptRecordError
 	if !errors.As(err, &corruptRecord) {
-		t.Fatalf("got %v, want a *CorruptRecordError", err)
+		t.Fatalf("Get: got error %v, want a *CorruptRecordError", err)
 	}
 	firstSize := record{key: "first", value: []byte("value")}.encodedSize()
 	want := CorruptRecordError{Segment: segmentName(1), Offset: firstSize}
 	if *corruptRecord != want {
-		t.Errorf("got %v, want %v", corruptRecord, &want)
+		t.Errorf("Get: got error %v, want %v", corruptRecord, &want)
 	}
 }
 
-// TestWriteAfterClose has writes refused once the store is closed.
-func TestWriteAfterClose(t *testing.T) {
+// TestClose_RejectsFurtherWrites checks that Put and Delete fail with ErrClosed after Close.
+func TestClose_RejectsFurtherWrites(t *testing.T) {
 	s, _ := openUnsynced(t, t.TempDir(), &fakeClock{epoch}, 0)
 	perform(t, s, []operation{{"key", "value", time.Hour}})
 	closeStore(t, s)
-	closeStore(t, s) // has no effect
+	closeStore(t, s) // a second Close has no effect
 	if err := putAndWait(s, "key", nil, epoch.Add(time.Hour)); !errors.Is(err, ErrClosed) {
-		t.Errorf("put: got %v, want %v", err, ErrClosed)
+		t.Errorf("Put: got error %v, want %v", err, ErrClosed)
 	}
 	if err := deleteAndWait(s, "key"); !errors.Is(err, ErrClosed) {
-		t.Errorf("delete: got %v, want %v", err, ErrClosed)
+		t.Errorf("Delete: got error %v, want %v", err, ErrClosed)
 	}
 }
--- a/store/writer.go
+++ b/store/writer.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// pendingWrite is a record that waits for the writer's goroutine.
+// pendingWrite is a queued record with its done function.
 type pendingWrite struct {
 	record record
 	done   func(error)
 }
 
-// enqueue hands a write to the writer's goroutine, or refuses it at once.
+// enqueue queues a write for the writer goroutine, or rejects it by calling done with an error.
 func (s *Store) enqueue(w pendingWrite) {
 	if err := s.tryEnqueue(w); err != nil {
 		w.done(err)
@@ -24,11 +24,11 @@
 	if s.closed {
 		return ErrClosed
 	}
-	if s.health.refuses(time.Now()) {
+	if s.health.rejectsAt(time.Now()) {
 		return s.health.failure
 	}
 	if live := s.LiveBytes(); live+w.record.encodedSize() > s.options.MaxBytes {
-		return fmt.Errorf("%w: a record of %d bytes for key %.64q, beside %d live bytes of at most %d",
+		return fmt.Errorf("%w: record of %d bytes for key %.64q, %d live bytes, limit %d bytes",
 			ErrFull, w.record.encodedSize(), w.record.key, live, s.options.MaxBytes)
 	}
 	if err := w.record.checkSize(); err != nil {
@@ -37,7 +37,7 @@
 	s.queue = append(s.queue, w)
 	select {
 	case s.wake <- struct{}{}:
-	default: // the writer has yet to take the last wake-up
+	default: // a wake-up is already pending
 	}
 	return nil
 }
@@ -50,8 +50,8 @@
 	return group
 }
 
-// runWriter is the writer's goroutine: it writes the queue as one group each
-// time that it is woken, until Close.
+// runWriter is the writer goroutine. Each time it is woken it writes the queued
+// records as one group. Close stops it, and it writes the rest of the queue first.
 func (s *Store) runWriter() {
 	defer close(s.writerDone)
 	var buffer []byte
@@ -62,7 +62,7 @@
 }
 
 // flush makes the queued records durable as one group and acknowledges them. It
-// encodes them into buffer, and returns that for the next group.
+// encodes them into buffer and returns the buffer for reuse.
 func (s *Store) flush(buffer []byte) []byte {
 	group := s.takeQueue()
 	if len(group) == 0 {
@@ -79,25 +79,25 @@
 	return buffer
 }
 
-// writeGroup makes a group durable. After a write that failed it first repairs the
-// active segment, and writes nothing where that fails.
+// writeGroup makes a group durable and adds it to the index. If the store is degraded,
+// it first repairs the active segment; if the repair fails, it writes nothing.
 func (s *Store) writeGroup(buffer []byte, group []pendingWrite) ([]byte, error) {
-	if s.degraded() {
+	if s.isDegraded() {
 		if err := s.repairActive(); err != nil {
-			return buffer, s.degrade(err)
+			return buffer, s.markDegraded(err)
 		}
-		s.recoverHealth()
+		s.markHealthy()
 	}
 	buffer, locations := s.encodeGroup(buffer, group)
 	if err := s.appendToActive(buffer); err != nil {
-		return buffer, s.degrade(err)
+		return buffer, s.markDegraded(err)
 	}
 	s.indexGroup(group, locations)
 	return buffer, nil
 }
 
-// encodeGroup appends the group's records to buffer, and returns the locations
-// that they get in the active segment.
+// encodeGroup appends the group's records to buffer and returns their locations in
+// the active segment.
 func (s *Store) encodeGroup(buffer []byte, group []pendingWrite) ([]byte, []recordLocation) {
 	locations := make([]recordLocation, len(group))
 	for i, w := range group {
@@ -112,8 +112,8 @@
 	return buffer, locations
 }
 
-// appendToActive appends data to the active segment, durably where the
-// SyncPolicy asks for it. After an error the segment may hold a part of it.
+// appendToActive appends data to the active segment and syncs it if the SyncPolicy
+// requires it. After an error the segment may hold part of the data.
 func (s *Store) appendToActive(data []byte) error {
 	if _, err := s.active.Write(data); err != nil {
 		return fmt.Errorf("store: write segment: %w", err)
@@ -135,9 +135,9 @@
 	}
 }
 
-// seal starts a new segment, and compacts the sealed ones where that is due. Where either
-// fails, nothing is lost: the active segment goes on growing, or the sealed ones stay,
-// and the next write that fills a segment tries again.
+// seal starts a new segment and compacts the sealed ones if that is due. An error loses
+// no data: the active segment keeps growing, or the sealed segments stay, and the next
+// write that fills a segment tries again.
 func (s *Store) seal() {
 	if err := s.startSegment(); err != nil {
 		s.options.OnMaintenanceError(err)
