--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	doc, err := describe.Load(text)
+	doc, err := describe.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -298,7 +298,7 @@
 // TestRules has rules classify what the routes do not: a gift with its key in
 // the body runs once, and a new rule set takes over for the requests to come.
 func TestRules(t *testing.T) {
-	var rules match.Rules
+	var rules match.ActiveRules
 	set := func(class string) *match.Set {
 		s, err := match.Parse(fmt.Sprintf(`
 [[rule]]
--- a/admission/config.go
+++ b/admission/config.go
@@ -47,7 +47,7 @@
 	// Rules, where not nil, give class and key before the routes are looked at:
 	// the first rule that takes a request decides (package match). Their set may
 	// be replaced while requests come; each request is classified by one set.
-	Rules *match.Rules
+	Rules *match.ActiveRules
 	// Cores is the number of cores that the handlers share; 0 for GOMAXPROCS.
 	Cores int
 	// Memory bounds what queued and running requests and cached responses take, in
--- a/cmd/quincerail/describe.go
+++ b/cmd/quincerail/describe.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	doc, err := describe.Load(text)
+	doc, err := describe.Parse(text)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
@@ -98,7 +98,7 @@
 	if err != nil {
 		return 0, err
 	}
-	for _, conflict := range rules.Against(doc) {
+	for _, conflict := range rules.DescriptionConflicts(doc) {
 		fmt.Println(conflict)
 		conflicts++
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -202,7 +202,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		doc, err := describe.Load(text)
+		doc, err := describe.Parse(text)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -211,7 +211,7 @@
 				t.Errorf("%s: %+v, but uwsgi.toml has %+v", name, r, got)
 			}
 		}
-		if disagree := rules.Against(doc); len(disagree) > 0 {
+		if disagree := rules.DescriptionConflicts(doc); len(disagree) > 0 {
 			t.Errorf("%s and rules.toml: %q", name, disagree)
 		}
 		for _, c := range doc.Classes {
--- a/config/uwsgi.go
+++ b/config/uwsgi.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return &KeyError{"describe", err}
 	}
-	doc, err := describe.Load(text)
+	doc, err := describe.Parse(text)
 	if err != nil {
 		return &KeyError{"describe", err}
 	}
--- a/describe/asyncapi.go
+++ b/describe/asyncapi.go
@@ -10,29 +10,29 @@
 	"github.com/tidwall/gjson"
 )
 
-// channelPrefix begins the references to a document's channels.
+// channelPrefix is the prefix of a reference to a channel of the same document.
 const channelPrefix = "#/channels/"
 
-// jsonPointer decodes the escapes of a JSON pointer (RFC 6901).
-var jsonPointer = strings.NewReplacer("~1", "/", "~0", "~")
+// jsonPointerUnescaper decodes the escape sequences of a JSON pointer (RFC 6901).
+var jsonPointerUnescaper = strings.NewReplacer("~1", "/", "~0", "~")
 
-// AsyncAPI reads an AsyncAPI 3 document in JSON. An operation that the service receives and
-// that has a class is a route: its path is its channel's address, its method that of its
-// HTTP binding, or POST if it has none.
-func AsyncAPI(text []byte) (*Document, error) {
+// ParseAsyncAPI reads an AsyncAPI 3 document in JSON. Each operation with a class and the
+// action receive becomes a route. Its path is the address of its channel. Its method is that
+// of its HTTP binding, or POST if it has none.
+func ParseAsyncAPI(text []byte) (*Document, error) {
 	if !gjson.ValidBytes(text) {
-		return nil, errors.New("AsyncAPI document: not JSON")
+		return nil, errors.New("AsyncAPI document: not valid JSON")
 	}
 	root := gjson.ParseBytes(text)
 	if version := root.Get("asyncapi").String(); !strings.HasPrefix(version, "3.") {
-		return nil, fmt.Errorf("AsyncAPI document: version %q, 3 wanted", version)
+		return nil, fmt.Errorf("AsyncAPI document: version %q is not supported, want 3.x", version)
 	}
 	classes, err := decodeClasses(root.Get(extClasses))
 	if err != nil {
 		return nil, err
 	}
 	d := &Document{Classes: classes}
-	if d.Routes, err = decodeOperations(root); err != nil {
+	if d.Routes, err = decodeAsyncAPIRoutes(root); err != nil {
 		return nil, err
 	}
 	if err := d.validate(); err != nil {
@@ -41,8 +41,8 @@
 	return d, nil
 }
 
-// decodeOperations reads the routes of an AsyncAPI document.
-func decodeOperations(root gjson.Result) (routes Routes, err error) {
+// decodeAsyncAPIRoutes reads the routes of an AsyncAPI document, in the document's order.
+func decodeAsyncAPIRoutes(root gjson.Result) (routes Routes, err error) {
 	channels := root.Get("channels").Map()
 	root.Get("operations").ForEach(func(name, operation gjson.Result) bool {
 		class := operation.Get(extClass).String()
@@ -51,9 +51,9 @@
 		}
 		reference := operation.Get("channel.$ref").String()
 		id, ok := strings.CutPrefix(reference, channelPrefix)
-		channel := channels[jsonPointer.Replace(id)]
+		channel := channels[jsonPointerUnescaper.Replace(id)]
 		if !ok || !channel.Exists() {
-			err = fmt.Errorf("AsyncAPI document: operations.%s: channel %q is not there", name, reference)
+			err = fmt.Errorf("AsyncAPI document: operations.%s: channel %q does not exist", name, reference)
 			return false
 		}
 		routes = append(routes, Route{
--- a/describe/classes.go
+++ b/describe/classes.go
@@ -16,20 +16,20 @@
 	decision.Class
 }
 
-// The effects of a class, as documents name them.
+// Values of the key effect.
 const (
 	effectSafe   = "safe"
 	effectKeyed  = "keyed"
 	effectUnsafe = "unsafe"
 )
 
-// defaultWeight is the weight of a class that names none.
+// defaultWeight is the weight of a class without the key worth, or with a worth of 0.
 const defaultWeight = 1
 
-// ClassError reports a class of a document that makes no sense.
+// ClassError reports an invalid class in a document.
 type ClassError struct {
 	Class  string
-	Key    string // of the extension
+	Key    string // invalid key of the class in x-quincerail-classes
 	Reason string
 }
 
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("%s.%s.%s: %s", extClasses, e.Class, e.Key, e.Reason)
 }
 
-// decodeClasses reads the extension at the top of a document.
+// decodeClasses reads and validates the classes of the extension x-quincerail-classes.
 func decodeClasses(extension gjson.Result) (classes []Class, err error) {
 	extension.ForEach(func(name, value gjson.Result) bool {
 		class, effectErr := decodeClass(name.String(), value)
@@ -51,7 +51,8 @@
 	return classes, err
 }
 
-// decodeClass reads a class. Its error is one of the effect; the others are validate's.
+// decodeClass reads a class. It returns an error only for an unknown effect; validate checks
+// the other keys.
 func decodeClass(name string, value gjson.Result) (Class, error) {
 	class := Class{name, decision.Class{
 		LatencyObjective: milliseconds(value, "aim_ms"),
@@ -67,25 +68,26 @@
 	case effectUnsafe:
 		class.Effect = decision.NonIdempotent
 	default:
-		return class, &ClassError{name, "effect", fmt.Sprintf("%q", effect)}
+		return class, &ClassError{name, "effect", fmt.Sprintf("unknown effect %q, want safe, keyed or unsafe", effect)}
 	}
 	return class, nil
 }
 
-// milliseconds returns the duration of an extension's key, or 0 if it is not there.
+// milliseconds returns the value of a key as a duration in milliseconds. It returns 0 if the
+// key is missing or not a number.
 func milliseconds(value gjson.Result, key string) time.Duration {
 	return time.Duration(value.Get(key).Float() * float64(time.Millisecond))
 }
 
-// validate returns a *ClassError if the class makes no sense.
+// validate returns a *ClassError if a duration of the class is invalid.
 func (c Class) validate() error {
 	switch {
 	case c.LatencyObjective <= 0:
-		return &ClassError{c.Name, "aim_ms", "a time wanted"}
+		return &ClassError{c.Name, "aim_ms", "must be a positive number of milliseconds"}
 	case c.Deadline < c.LatencyObjective:
-		return &ClassError{c.Name, "deadline_ms", "at least aim_ms wanted"}
+		return &ClassError{c.Name, "deadline_ms", "must be at least aim_ms"}
 	case c.Effect == decision.Keyed && c.KeyWindow <= 0:
-		return &ClassError{c.Name, "window_ms", "a time wanted"}
+		return &ClassError{c.Name, "window_ms", "must be a positive number of milliseconds"}
 	}
 	return nil
 }
--- a/describe/doc.go
+++ b/describe/doc.go
@@ -1,13 +1,14 @@
-// Package describe reads what a service offers from its OpenAPI 3 or AsyncAPI 3 document:
-// the classes of requests, and the routes to them. The document names them in extensions:
+// Package describe reads the request classes and the routes of a service from its OpenAPI 3
+// or AsyncAPI 3 document. The document contains them in extensions:
 //
-//	x-quincerail-classes (at the top): per class aim_ms, deadline_ms, worth,
+//	x-quincerail-classes (top level): for each class aim_ms, deadline_ms, worth,
 //	    late_worth, effect (safe, keyed or unsafe) and window_ms
-//	x-quincerail-class (at an operation): the operation's class
-//	x-quincerail-key (at an operation): the header with the key of a keyed class
-//	x-quincerail-rule (at an operation): the matching rule that should match its requests
-//	    (package match compares the two)
+//	x-quincerail-class (in an operation): the operation's class
+//	x-quincerail-key (in an operation): the header with the idempotency key of a keyed class
+//	x-quincerail-rule (in an operation): the name of the rule that should match its requests;
+//	    package match compares the rules with the document
 //
-// [Load] reads a document of either kind. Its [Routes] find the route of a request one by
-// one; [Routes.Compile] makes a [Table] that finds the same route by the path's segments.
+// [Parse] reads a document of either kind. [Routes.Match] finds the route of a request by
+// testing all routes. [Routes.Compile] builds a [Table], which finds the same route in a trie
+// of path segments.
 package describe
--- a/describe/document.go
+++ b/describe/document.go
@@ -9,7 +9,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// The names of the extensions.
+// Names of the extensions.
 const (
 	extClasses = "x-quincerail-classes"
 	extClass   = "x-quincerail-class"
@@ -17,36 +17,36 @@
 	extRule    = "x-quincerail-rule"
 )
 
-// Document is what a service offers.
+// Document contains the request classes and the routes of a service.
 type Document struct {
 	Classes []Class
 	Routes  Routes
 }
 
-// Load reads a document, of whichever of the two kinds it is.
-func Load(text []byte) (*Document, error) {
+// Parse reads an OpenAPI or AsyncAPI document in JSON.
+func Parse(text []byte) (*Document, error) {
 	if !gjson.ValidBytes(text) {
 		return nil, errors.New("not a JSON document")
 	}
 	switch {
 	case gjson.GetBytes(text, "asyncapi").Exists():
-		return AsyncAPI(text)
+		return ParseAsyncAPI(text)
 	case gjson.GetBytes(text, "openapi").Exists():
-		return OpenAPI(text)
+		return ParseOpenAPI(text)
 	}
 	return nil, errors.New("neither an OpenAPI nor an AsyncAPI document")
 }
 
-// validate returns an error if a route has no valid path, or leads to an unknown class in a
-// document that has classes.
+// validate returns an error if the path of a route does not begin with /, or if the document
+// has classes and the class of a route is not among them.
 func (d *Document) validate() error {
 	for _, route := range d.Routes {
 		known := slices.ContainsFunc(d.Classes, func(c Class) bool { return c.Name == route.Class })
 		if len(d.Classes) > 0 && !known {
-			return fmt.Errorf("%s %s: class %q is not described", route.Method, route.Path, route.Class)
+			return fmt.Errorf("%s %s: class %q is not in %s", route.Method, route.Path, route.Class, extClasses)
 		}
 		if !strings.HasPrefix(route.Path, "/") {
-			return fmt.Errorf("path %q: it must begin with /", route.Path)
+			return fmt.Errorf("path %q must begin with /", route.Path)
 		}
 	}
 	return nil
--- a/describe/openapi.go
+++ b/describe/openapi.go
@@ -9,9 +9,10 @@
 	"github.com/tidwall/gjson"
 )
 
-// OpenAPI reads an OpenAPI 3 document. An operation that has a class is a route.
-func OpenAPI(text []byte) (*Document, error) {
-	loader := openapi3.NewLoader() // it follows no external references
+// ParseOpenAPI reads an OpenAPI 3 document in JSON. Each operation with a class becomes a
+// route.
+func ParseOpenAPI(text []byte) (*Document, error) {
+	loader := openapi3.NewLoader() // by default it does not load external references
 	parsed, err := loader.LoadFromData(text)
 	if err != nil {
 		return nil, fmt.Errorf("OpenAPI document: %w", err)
@@ -23,15 +24,16 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Document{Classes: classes, Routes: decodePaths(parsed)}
+	d := &Document{Classes: classes, Routes: decodeOpenAPIRoutes(parsed)}
 	if err := d.validate(); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// decodePaths reads the routes of an OpenAPI document, sorted by path and method.
-func decodePaths(parsed *openapi3.T) Routes {
+// decodeOpenAPIRoutes reads the routes of an OpenAPI document and sorts them by path and
+// method.
+func decodeOpenAPIRoutes(parsed *openapi3.T) Routes {
 	var routes Routes
 	for path, item := range parsed.Paths.Map() {
 		for method, operation := range item.Operations() {
--- a/describe/routes.go
+++ b/describe/routes.go
@@ -2,23 +2,23 @@
 
 import "strings"
 
-// DefaultKeyHeader is the header with the key if a document names no other.
+// DefaultKeyHeader is the header with the idempotency key if the document names no other.
 const DefaultKeyHeader = "Idempotency-Key"
 
-// Route leads requests to a class.
+// Route assigns a class to requests with a method and a path.
 type Route struct {
-	Method    string // empty for every method
-	Path      string // a pattern: {name} is a parameter, which stands for one segment
+	Method    string // case-insensitive; empty for any method
+	Path      string // pattern; a segment {name} is a parameter and matches any non-empty segment
 	Class     string
-	KeyHeader string
-	Rule      string // the matching rule that the document says matches its requests; may be empty
+	KeyHeader string // header with the idempotency key
+	Rule      string // name of the rule that should match the route's requests; may be empty
 }
 
-// Routes finds the route of a request.
+// Routes is a list of routes.
 type Routes []Route
 
-// Match returns the route of a method and path: the one with the most fixed segments, the
-// first of them if several have as many.
+// Match returns the route for a method and path. If several routes match, it returns the one
+// whose pattern has the most fixed segments, and the first of these in a tie.
 func (rs Routes) Match(method, path string) (Route, bool) {
 	best, mostFixed := Route{}, -1
 	for i := range rs {
@@ -33,13 +33,13 @@
 	return best, mostFixed >= 0
 }
 
-// acceptsMethod reports whether the route is for requests of the method.
+// acceptsMethod reports whether the route applies to requests with the method.
 func (r *Route) acceptsMethod(method string) bool {
 	return r.Method == "" || strings.EqualFold(r.Method, method)
 }
 
-// matchPattern reports whether a path matches a pattern, and how many of the pattern's
-// segments are fixed.
+// matchPattern reports whether a path matches a pattern. If so, it also returns the number of
+// fixed segments in the pattern, which are those that are not parameters.
 func matchPattern(pattern, path string) (fixed int, ok bool) {
 	want, got := strings.Split(pattern, "/"), strings.Split(path, "/")
 	if len(want) != len(got) {
@@ -60,7 +60,7 @@
 	return fixed, true
 }
 
-// IsParameter reports whether a segment of a route's path is a parameter, such as {name}.
+// IsParameter reports whether a segment of a route's path is a parameter such as {name}.
 func IsParameter(segment string) bool {
 	return strings.HasPrefix(segment, "{") && strings.HasSuffix(segment, "}")
 }
--- a/describe/table.go
+++ b/describe/table.go
@@ -2,24 +2,24 @@
 
 import "strings"
 
-// Table finds the route of a request in a trie of path segments that is built once from
-// Routes. It finds the route that Routes.Match finds, without allocating and without
-// splitting the path: a lookup costs the path's segments times the branches that they can
-// take, not the number of routes. BenchmarkMatch compares the two. A Table does not change,
-// so it is safe for concurrent use.
+// Table finds the route of a request in a trie of path segments. It finds the same route as
+// Routes.Match without allocating memory or splitting the path. The cost of a lookup depends
+// on the number of path segments and on the branches that they match, not on the number of
+// routes. BenchmarkMatch compares the two. A Table is immutable and therefore safe for
+// concurrent use.
 type Table struct {
 	routes Routes
 	root   node
 }
 
-// node is what some segments of a path lead to.
+// node is a node of the trie. It represents a sequence of pattern segments.
 type node struct {
-	fixed     map[string]*node // by the text of the next segment
-	parameter *node            // for any next segment that is not empty
-	routes    []int            // whose pattern ends here, in their order
+	fixed     map[string]*node // children for a fixed next segment, by its text
+	parameter *node            // child for a parameter; matches any next segment that is not empty
+	routes    []int            // indexes of the routes whose pattern ends here, ascending
 }
 
-// Compile builds the table of the routes.
+// Compile builds a Table from the routes. The caller must not change the routes afterwards.
 func (rs Routes) Compile() *Table {
 	t := &Table{routes: rs}
 	for i, route := range rs {
@@ -32,7 +32,8 @@
 	return t
 }
 
-// child returns the node that a pattern's segment leads to, which it adds if there is none.
+// child returns the child node for a segment of a pattern. It adds the node if it does not
+// exist.
 func (n *node) child(segment string) *node {
 	if IsParameter(segment) {
 		if n.parameter == nil {
@@ -52,17 +53,17 @@
 // Routes returns the routes that the table was built from.
 func (t *Table) Routes() Routes { return t.routes }
 
-// lookup is the search for a request's route.
-type lookup struct {
+// routeSearch is the state of a search for the route of a request.
+type routeSearch struct {
 	table  *Table
 	method string
-	route  int // the best one so far; -1 for none
-	fixed  int // its fixed segments
+	route  int // index of the best route so far; -1 if none was found
+	fixed  int // number of fixed segments of that route
 }
 
-// Match returns the route of a method and a path: the one that Routes.Match returns.
+// Match returns the route for a method and path. It is the route that Routes.Match returns.
 func (t *Table) Match(method, path string) (Route, bool) {
-	l := lookup{table: t, method: method, route: -1, fixed: -1}
+	l := routeSearch{table: t, method: method, route: -1, fixed: -1}
 	l.visit(&t.root, path, 0)
 	if l.route < 0 {
 		return Route{}, false
@@ -70,8 +71,9 @@
 	return t.routes[l.route], true
 }
 
-// visit follows the segments of path from a node that fixed fixed segments led to.
-func (l *lookup) visit(n *node, path string, fixed int) {
+// visit searches the subtree of a node for the remaining path. fixed is the number of fixed
+// segments on the way to the node.
+func (l *routeSearch) visit(n *node, path string, fixed int) {
 	segment, rest, more := strings.Cut(path, "/")
 	if next := n.fixed[segment]; next != nil {
 		l.follow(next, rest, more, fixed+1)
@@ -81,8 +83,9 @@
 	}
 }
 
-// follow visits a node if the path has more segments, else considers the node's routes.
-func (l *lookup) follow(n *node, rest string, more bool, fixed int) {
+// follow visits a child node. If the path has no more segments, it compares the first of the
+// node's routes that accepts the method with the best route so far.
+func (l *routeSearch) follow(n *node, rest string, more bool, fixed int) {
 	if more {
 		l.visit(n, rest, fixed)
 		return
@@ -94,6 +97,6 @@
 		if fixed > l.fixed || fixed == l.fixed && i < l.route {
 			l.route, l.fixed = i, fixed
 		}
-		return // the first route that accepts the method is the earliest of this node
+		return // the node's other routes have the same number of fixed segments and a higher index
 	}
 }
--- a/describe/table_test.go
+++ b/describe/table_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// randomRoutes makes routes of few segments from a small alphabet, so that
-// fixed and parameter segments, methods and trailing slashes collide often.
+// randomRoutes returns n routes with few segments from a small alphabet, so that many
+// routes overlap in fixed segments, parameters, methods and trailing slashes.
 func randomRoutes(random *rand.Rand, n int) Routes {
 	words := []string{"a", "b", "c", "{x}", "{y}", ""}
 	methods := []string{"", "GET", "POST", "get"}
@@ -35,9 +35,9 @@
 	return strings.Join(segments, "/")
 }
 
-// TestTableAsRoutes finds the same routes in the trie and in the list, for many random
-// tables and paths (seeded, the same every time).
-func TestTableAsRoutes(t *testing.T) {
+// TestTable_SameResultAsRoutes looks up random paths in random routes. The table and the list
+// must give the same route. The seed is fixed.
+func TestTable_SameResultAsRoutes(t *testing.T) {
 	random := rand.New(rand.NewSource(7))
 	for range 300 {
 		rs := randomRoutes(random, 1+random.Intn(12))
@@ -47,13 +47,14 @@
 			want, wantOK := rs.Match(method, path)
 			got, gotOK := table.Match(method, path)
 			if got != want || gotOK != wantOK {
-				t.Fatalf("%s %q in %v:\n got %v %t\nwant %v %t", method, path, rs, got, gotOK, want, wantOK)
+				t.Fatalf("Table.Match(%s, %q) with routes %v\n= %v, %t\nwant %v, %t", method, path, rs, got, gotOK, want, wantOK)
 			}
 		}
 	}
 }
 
-// benchRoutes are as many routes as a partner has: 40, half of them with a parameter.
+// benchRoutes returns 40 routes, about as many as a partner has, half of them with a
+// parameter, and a path for each route.
 func benchRoutes() (Routes, []string) {
 	var rs Routes
 	var paths []string
@@ -65,6 +66,7 @@
 	return rs, paths
 }
 
+// BenchmarkMatch measures lookups in the list of routes and in the table.
 func BenchmarkMatch(b *testing.B) {
 	rs, paths := benchRoutes()
 	table := rs.Compile()
--- a/example/web/main.go
+++ b/example/web/main.go
@@ -49,7 +49,7 @@
 }
 
 func run(address string) error {
-	doc, err := describe.Load(document)
+	doc, err := describe.Parse(document)
 	if err != nil {
 		return fmt.Errorf("web.json: %w", err)
 	}
--- a/frontend/thrift/connection.go
+++ b/frontend/thrift/connection.go
@@ -38,7 +38,7 @@
 // connection is one connection of a balancer. It implements dispatch.Responder.
 type connection struct {
 	core    *dispatch.Core
-	rules   *match.Rules
+	rules   *match.ActiveRules
 	conn    *transport.Conn
 	monitor *guard.Monitor
 	log     *slog.Logger
--- a/frontend/thrift/connection_test.go
+++ b/frontend/thrift/connection_test.go
@@ -18,7 +18,7 @@
 )
 
 func newFrontend(b *frontendtest.Backend) *Frontend {
-	return New(Options{Core: b.Core, Rules: &match.Rules{}, Log: slog.Default()})
+	return New(Options{Core: b.Core, Rules: &match.ActiveRules{}, Log: slog.Default()})
 }
 
 // TestLargeResult: a result that the platform's protocol does not allow,
--- a/frontend/thrift/frontend.go
+++ b/frontend/thrift/frontend.go
@@ -42,7 +42,7 @@
 // Options are what a Frontend is made of.
 type Options struct {
 	Core     *dispatch.Core
-	Rules    *match.Rules // the operator's; asked for a request's class and key first
+	Rules    *match.ActiveRules // the operator's; asked for a request's class and key first
 	Log      *slog.Logger
 	Monitor  *guard.Monitor     // nil counts nothing
 	Observer ConnectionObserver // nil for none
--- a/frontend/thrift/request.go
+++ b/frontend/thrift/request.go
@@ -120,7 +120,7 @@
 // of them takes it, else by its fields.
 func (c *connection) classify(m *protocol.Message) (class, key string) {
 	if set := c.rules.Load(); set != nil {
-		if result, ok := set.Classify(match.FromFields(m.Fields, m.Body)); ok {
+		if result, ok := set.Classify(match.FromThrift(m.Fields, m.Body)); ok {
 			return result.Class, result.Key
 		}
 	}
--- a/frontend/uwsgi/connection.go
+++ b/frontend/uwsgi/connection.go
@@ -172,14 +172,14 @@
 // ruleRequest returns a request in the form that the operator's rules read.
 func ruleRequest(r *protocol.Request, path string) match.Request {
 	request := match.Request{
-		Front:   frontName,
-		Method:  r.Get(variableMethod),
-		Path:    path,
-		Headers: make(map[string]string, len(r.Vars)),
-		Body:    r.Body,
+		Frontend: frontName,
+		Method:   r.Get(variableMethod),
+		Path:     path,
+		Headers:  make(map[string]string, len(r.Vars)),
+		Body:     r.Body,
 	}
 	for _, v := range r.Vars {
-		if name, ok := match.CGIHeader(v.Name); ok {
+		if name, ok := match.CGIHeaderName(v.Name); ok {
 			request.Headers[name] = v.Value
 		}
 	}
--- a/frontend/uwsgi/connection_test.go
+++ b/frontend/uwsgi/connection_test.go
@@ -22,7 +22,7 @@
 		{Path: "/k/{id}", Class: "kampanjsida", KeyHeader: keyVariable},
 	}
 	return New(Options{
-		Core: b.Core, Backend: b, Rules: &match.Rules{},
+		Core: b.Core, Backend: b, Rules: &match.ActiveRules{},
 		Config: Config{Routes: routes.Compile(), HealthPath: "/health", MaxBodyBytes: 64},
 	})
 }
--- a/frontend/uwsgi/frontend.go
+++ b/frontend/uwsgi/frontend.go
@@ -41,8 +41,8 @@
 // Options are what a Frontend is made of.
 type Options struct {
 	Core    *dispatch.Core
-	Backend dispatch.Backend // where the requests run
-	Rules   *match.Rules     // the operator's; asked for a request's class and key first
+	Backend dispatch.Backend   // where the requests run
+	Rules   *match.ActiveRules // the operator's; asked for a request's class and key first
 	Config  Config
 }
 
@@ -51,7 +51,7 @@
 type Frontend struct {
 	core        *dispatch.Core
 	backend     dispatch.Backend
-	rules       *match.Rules
+	rules       *match.ActiveRules
 	config      atomic.Pointer[Config]
 	connections frontend.ConnSet[*connection]
 }
--- a/match/bench_test.go
+++ b/match/bench_test.go
@@ -8,8 +8,9 @@
 	"quincerail.example/quincerail/describe"
 )
 
-// twentyRules is a rule set of 20 rules, as a partner would have it: 19 by method and path,
-// with a key's header, and one by the body; and the same as routes for the table.
+// twentyRules returns a rule file with 20 rules, about as many as a partner has: 19 rules that
+// match by method and path, and one that matches by body. It also returns the first 19 rules
+// as routes, and a request for each of them.
 func twentyRules() (string, describe.Routes, []Request) {
 	var b strings.Builder
 	var routes describe.Routes
@@ -26,7 +27,7 @@
 			KeyHeader: "Idempotency-Key",
 		})
 		requests = append(requests, Request{
-			Front: "http", Method: "POST", Path: fmt.Sprintf("/api/v1/s%d", i),
+			Frontend: "http", Method: "POST", Path: fmt.Sprintf("/api/v1/s%d", i),
 			Headers: map[string]string{"idempotency-key": "k", "content-type": "application/json"},
 		})
 	}
@@ -34,8 +35,8 @@
 	return b.String(), routes, requests
 }
 
-// BenchmarkClassify compares the rules with the table of routes and a header's lookup, over
-// requests that each rule matches in turn.
+// BenchmarkClassify measures the classification of requests by rules, and for comparison by a
+// table of routes with a header lookup. The requests match each of the 19 routes in turn.
 func BenchmarkClassify(b *testing.B) {
 	text, routes, requests := twentyRules()
 	s := mustParse(b, text)
@@ -43,7 +44,7 @@
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			if _, ok := s.Classify(requests[i%len(requests)]); !ok {
-				b.Fatal("no rule")
+				b.Fatal("no rule matches")
 			}
 		}
 	})
@@ -54,7 +55,7 @@
 			r := requests[i%len(requests)]
 			route, ok := table.Match(r.Method, r.Path)
 			if !ok {
-				b.Fatal("no route")
+				b.Fatal("no route matches")
 			}
 			_ = r.Headers[strings.ToLower(route.KeyHeader)]
 		}
--- a/match/compile.go
+++ b/match/compile.go
@@ -8,40 +8,40 @@
 	"cel.dev/cel-go/cel"
 )
 
-// DefaultMaxCost is how many CEL cost units a rule's evaluation may take, estimated and
-// actual, if a file does not say.
+// DefaultMaxCost is the limit on the estimated and the actual cost of a rule's evaluation, in
+// CEL cost units, if a rule file does not set max_cost.
 const DefaultMaxCost = 50_000
 
-// Bounds of the language, whatever a file says.
+// Limits on expressions. Rule files cannot change them.
 const (
-	maxNesting = 1     // of comprehensions in comprehensions
-	maxDepth   = 32    // of an expression's tree
-	maxNodes   = 1_000 // of an expression
+	maxComprehensionNesting = 1     // nesting of comprehensions, such as headers.all(...)
+	maxExpressionDepth      = 32    // depth of an expression's syntax tree
+	maxExpressionNodes      = 1_000 // nodes of an expression's syntax tree
 )
 
-// Bounds of a request that the cost estimate assumes.
+// Limits on a request that the cost estimate assumes.
 const (
 	maxHeaders     = 128
-	maxHeaderBytes = 8 << 10 // of a name or a value
+	maxHeaderBytes = 8 << 10 // limit for a name, and for a value
 	maxPathBytes   = 8 << 10
 	maxBodyBytes   = 64 << 10
 )
 
-// Names of a rule's fields, in problems.
+// Names of a rule's fields in a Problem.
 const (
 	fieldMatch = "match"
 	fieldClass = "class"
 	fieldKey   = "key"
 )
 
-// Options are what rules are checked against.
+// Options configure Compile.
 type Options struct {
-	Classes []string // that a rule may name; a constant class that is not among them is a problem
-	MaxCost uint64   // bound of an evaluation, in CEL cost units; 0 for DefaultMaxCost
+	Classes []string // known classes; a rule with another constant class is rejected; empty to skip the check
+	MaxCost uint64   // limit on the cost of a rule's evaluation, in CEL cost units; 0 for DefaultMaxCost
 }
 
-// Compile checks and compiles rules. If one is invalid, none is used, and the error is a
-// *LoadError that reports every problem.
+// Compile checks and compiles rules. If any rule is invalid, it returns a *LoadError that
+// reports all problems.
 func Compile(rules []Rule, options Options) (*Set, error) {
 	if options.MaxCost == 0 {
 		options.MaxCost = DefaultMaxCost
@@ -57,9 +57,9 @@
 		name := rule.Name
 		if name == "" {
 			name = fmt.Sprintf("rule[%d]", i)
-			problems = append(problems, Problem{Rule: name, Reason: "a name is needed"})
+			problems = append(problems, Problem{Rule: name, Reason: "name is missing"})
 		} else if seen[name] {
-			problems = append(problems, Problem{Rule: name, Reason: "the name is taken by an earlier rule"})
+			problems = append(problems, Problem{Rule: name, Reason: "an earlier rule has the same name"})
 		}
 		seen[name] = true
 		c := &ruleCompiler{env: env, options: options, name: name}
@@ -71,17 +71,17 @@
 		return nil, &LoadError{problems}
 	}
 	s.index = newIndex(s.rules)
-	s.warnings = overlaps(s)
+	s.warnings = findOverlaps(s)
 	return s, nil
 }
 
-// ruleCompiler compiles the fields of one rule and collects its problems.
+// ruleCompiler compiles the fields of one rule and collects their problems.
 type ruleCompiler struct {
-	env      *cel.Env
-	options  Options
-	name     string // of the rule
-	cost     uint64 // estimated maximum of the fields so far
-	problems []Problem
+	env           *cel.Env
+	options       Options
+	name          string // the rule's name
+	estimatedCost uint64 // estimated maximum, in CEL cost units, of the fields compiled so far
+	problems      []Problem
 }
 
 func (c *ruleCompiler) compile(rule Rule) compiledRule {
@@ -96,12 +96,12 @@
 func (c *ruleCompiler) compileField(field, text string, want *cel.Type) (cel.Program, *cel.Ast) {
 	if text == "" {
 		if field != fieldKey {
-			c.report(field, "an expression is needed")
+			c.report(field, "expression is missing")
 		}
 		return nil, nil
 	}
 	checked := c.check(field, text, want)
-	if checked == nil || !c.boundCost(field, checked) {
+	if checked == nil || !c.checkCost(field, checked) {
 		return nil, nil
 	}
 	c.checkClass(field, checked)
@@ -112,7 +112,7 @@
 	return program, checked
 }
 
-// check parses and type-checks a field. It returns nil if there is a problem.
+// check parses and type-checks a field. If it finds a problem, it reports it and returns nil.
 func (c *ruleCompiler) check(field, text string, want *cel.Type) *cel.Ast {
 	checked, issues := c.env.Compile(text)
 	if issues.Err() != nil {
@@ -130,35 +130,35 @@
 	return checked
 }
 
-// boundCost adds a field's cost to the rule's, and reports whether it is within the bound. A
-// rule beyond the bound has one problem, at the field that exceeds it.
-func (c *ruleCompiler) boundCost(field string, checked *cel.Ast) bool {
-	estimate, err := c.env.EstimateCost(checked, estimator{})
+// checkCost adds a field's estimated cost to the rule's and reports whether the sum is within
+// the limit. It adds a problem only for the first field that exceeds the limit.
+func (c *ruleCompiler) checkCost(field string, checked *cel.Ast) bool {
+	estimate, err := c.env.EstimateCost(checked, sizeEstimator{})
 	if err != nil {
-		c.report(field, "its cost can't be bounded: "+err.Error())
+		c.report(field, "cost cannot be estimated: "+err.Error())
 		return false
 	}
-	c.cost += estimate.Max
-	if c.cost <= c.options.MaxCost {
+	c.estimatedCost += estimate.Max
+	if c.estimatedCost <= c.options.MaxCost {
 		return true
 	}
-	if c.cost-estimate.Max <= c.options.MaxCost { // the fields before did not exceed it
-		c.report(field, fmt.Sprintf("its cost may reach %d, over the bound of %d", c.cost, c.options.MaxCost))
+	if c.estimatedCost-estimate.Max <= c.options.MaxCost { // the earlier fields were within the limit
+		c.report(field, fmt.Sprintf("estimated cost %d exceeds the limit %d", c.estimatedCost, c.options.MaxCost))
 	}
 	return false
 }
 
-// checkClass reports a class that is a constant and unknown.
+// checkClass reports a class that is a string constant but not a known class.
 func (c *ruleCompiler) checkClass(field string, checked *cel.Ast) {
 	if field != fieldClass || len(c.options.Classes) == 0 {
 		return
 	}
-	if class, ok := constant(checked); ok && !slices.Contains(c.options.Classes, class) {
-		c.report(field, fmt.Sprintf("class %q is not among %q", class, c.options.Classes))
+	if class, ok := stringConstant(checked); ok && !slices.Contains(c.options.Classes, class) {
+		c.report(field, fmt.Sprintf("class %q is unknown, want one of %q", class, c.options.Classes))
 	}
 }
 
-// report adds a problem of a field as a whole.
+// report adds a problem that concerns a whole field.
 func (c *ruleCompiler) report(field, reason string) {
 	c.problems = append(c.problems, Problem{Rule: c.name, Field: field, Reason: reason})
 }
--- a/match/describe.go
+++ b/match/describe.go
@@ -11,67 +11,69 @@
 	"quincerail.example/quincerail/describe"
 )
 
-// Values in the request that is made of a route.
+// Values in a sample request.
 const (
-	sampleKey     = "k"
-	sampleSegment = "x" // for a parameter of the path
+	sampleKey     = "k" // idempotency key
+	sampleSegment = "x" // replaces a parameter of the path
 )
 
-// Against describes where a service's description and the rules disagree. For each route of
-// the description it makes a request of the route's method and path and classifies it. The
-// rules come before the description's routes, so it reports
+// DescriptionConflicts compares the rules with a service's description and returns a text
+// for each route on which they conflict. For each route it classifies a sample request with
+// the route's method and path. Rules take precedence over the description's routes, so it
+// reports
 //
-//   - a rule that matches the route's request with another class, or without a key for a
-//     keyed class;
-//   - a rule that the description names for the route and that does not match, or does not
-//     exist.
+//   - a rule that matches the sample request but gives another class, or no key although
+//     the class is keyed;
+//   - a rule that the description names for the route but that does not exist or does not
+//     classify the sample request.
 //
-// Nothing is applied: the caller decides what to do about a disagreement.
-func (s *Set) Against(d *describe.Document) []string {
+// It only reports conflicts; the caller decides how to handle them.
+func (s *Set) DescriptionConflicts(d *describe.Document) []string {
 	keyed := map[string]bool{}
 	for _, class := range d.Classes {
 		keyed[class.Name] = class.Effect == decision.Keyed
 	}
-	var disagreements []string
+	var conflicts []string
 	for _, route := range d.Routes {
-		if text := s.compare(route, keyed[route.Class]); text != "" {
-			disagreements = append(disagreements, text)
+		if text := s.describeConflict(route, keyed[route.Class]); text != "" {
+			conflicts = append(conflicts, text)
 		}
 	}
-	return disagreements
+	return conflicts
 }
 
-// compare describes how the rules disagree with a route, or returns "" if they don't.
-func (s *Set) compare(route describe.Route, keyed bool) string {
+// describeConflict describes the conflict between the rules and a route. It returns "" if
+// there is none.
+func (s *Set) describeConflict(route describe.Route, keyed bool) string {
 	request := sampleRequest(route)
 	at := fmt.Sprintf("%s %s", request.Method, route.Path)
 	result, matched := s.Classify(request)
 	switch {
 	case route.Rule != "" && !s.hasRule(route.Rule):
-		return fmt.Sprintf("%s: the description names rule %q, which is not among the rules", at, route.Rule)
+		return fmt.Sprintf("%s: the description names rule %q, which does not exist", at, route.Rule)
 	case route.Rule != "" && (!matched || result.Rule != route.Rule):
-		taker := "no rule"
+		matching := "no rule"
 		if matched {
-			taker = fmt.Sprintf("rule %q", result.Rule)
+			matching = fmt.Sprintf("rule %q", result.Rule)
 		}
-		return fmt.Sprintf("%s: the description names rule %q, but %s takes it", at, route.Rule, taker)
+		return fmt.Sprintf("%s: the description names rule %q, but %s matches", at, route.Rule, matching)
 	case matched && result.Class != route.Class:
 		return fmt.Sprintf("%s: rule %q gives class %q, the description %q", at, result.Rule, result.Class, route.Class)
 	case matched && keyed && result.Key == "":
-		return fmt.Sprintf("%s: rule %q gives no key to the keyed class %q", at, result.Rule, route.Class)
+		return fmt.Sprintf("%s: rule %q gives no key for the keyed class %q", at, result.Rule, route.Class)
 	}
 	return ""
 }
 
-// sampleRequest makes a request of a route.
+// sampleRequest returns a request that a route describes.
 func sampleRequest(route describe.Route) Request {
 	return Request{
-		Front: defaultFront, Method: cmp.Or(route.Method, http.MethodGet), Path: samplePath(route.Path),
+		Frontend: defaultFrontend, Method: cmp.Or(route.Method, http.MethodGet), Path: samplePath(route.Path),
 		Headers: map[string]string{strings.ToLower(route.KeyHeader): sampleKey},
 	}
 }
 
-// samplePath makes a path of a pattern.
+// samplePath returns a path that matches a route's pattern.
 func samplePath(pattern string) string {
 	segments := strings.Split(pattern, "/")
 	for i, segment := range segments {
@@ -82,7 +84,7 @@
 	return strings.Join(segments, "/")
 }
 
-// hasRule reports whether a rule has the name.
+// hasRule reports whether there is a rule with the name.
 func (s *Set) hasRule(name string) bool {
 	return slices.ContainsFunc(s.rules, func(rule compiledRule) bool { return rule.Name == name })
 }
--- a/match/describe_test.go
+++ b/match/describe_test.go
@@ -7,10 +7,10 @@
 	"quincerail.example/quincerail/describe"
 )
 
-// TestAgainst compares rules with a description that contradicts them: every disagreement is
-// described, and nothing else.
-func TestAgainst(t *testing.T) {
-	doc, err := describe.Load([]byte(`{
+// TestDescriptionConflicts_ReportsEachConflict compares rules with a description that
+// contradicts them. It must report every conflict and nothing else.
+func TestDescriptionConflicts_ReportsEachConflict(t *testing.T) {
+	doc, err := describe.Parse([]byte(`{
   "openapi": "3.0.3", "info": {"title": "t", "version": "1"},
   "x-quincerail-classes": {
     "kampanjsida": {"aim_ms": 2800, "deadline_ms": 9200},
@@ -52,11 +52,11 @@
 `)
 	want := []string{
 		`GET /givare/{g}/historik: rule "historik" gives class "kampanjsida", the description "givarhistorik"`,
-		`GET /kvitto: the description names rule "sida", but no rule takes it`,
-		`GET /om: the description names rule "om", which is not among the rules`,
-		`POST /snabbgava: rule "snabb" gives no key to the keyed class "ny-gava"`,
+		`GET /kvitto: the description names rule "sida", but no rule matches`,
+		`GET /om: the description names rule "om", which does not exist`,
+		`POST /snabbgava: rule "snabb" gives no key for the keyed class "ny-gava"`,
 	}
-	if got := s.Against(doc); strings.Join(got, "\n") != strings.Join(want, "\n") {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	if got := s.DescriptionConflicts(doc); strings.Join(got, "\n") != strings.Join(want, "\n") {
+		t.Errorf("DescriptionConflicts() =\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
--- a/match/doc.go
+++ b/match/doc.go
@@ -1,28 +1,29 @@
-// Package match decides which class a request belongs to and what its idempotency key is,
-// by rules that operators write in CEL, the Common Expression Language
-// (github.com/google/cel-spec; the library is cel.dev/cel-go). A rule is type-checked, its
-// cost estimated and bounded, and compiled once, when its file is loaded; a file with one
-// invalid rule is rejected as a whole, with each problem reported. Each evaluation is
-// bounded by the same cost at run time.
+// Package match determines the class and the idempotency key of a request by rules that
+// operators write in CEL, the Common Expression Language (github.com/google/cel-spec; the
+// library is cel.dev/cel-go). When a rule file is loaded, each rule is type-checked, its
+// evaluation cost is estimated and limited, and it is compiled. A file with an invalid rule
+// is rejected as a whole, and all problems are reported. The same cost limit applies to each
+// evaluation at run time.
 //
 // # Use
 //
-// [Load] or [Parse] compile a rule file to a [Set], whose [Set.Classify] classifies
-// requests. [Rules] holds the set in force, which a reload replaces. [Set.Against] compares
-// the rules with a service's description.
+// [Load] and [Parse] compile a rule file to a [Set]. [Set.Classify] classifies requests.
+// [ActiveRules] holds the set in use, which a reload replaces. [Set.DescriptionConflicts]
+// compares the rules with a service's OpenAPI or AsyncAPI document.
 //
-// # What a rule sees
+// # Variables of a rule
 //
-// A rule sees one request, the same on every frontend:
+// A rule is evaluated on one request, in the same form on every frontend:
 //
 //	front    string               "thrift", "uwsgi" or "http"
 //	method   string               HTTP method; empty on Thrift
 //	path     string               HTTP path; empty on Thrift
-//	headers  map(string, string)  lower-case names: HTTP headers, uwsgi's HTTP_* variables, Thrift's fields
+//	headers  map(string, string)  names in lower case: HTTP headers, uwsgi's HTTP_* variables, Thrift's fields
 //	body     bytes                the request's body; body.json(p) returns the JSON value at the path p
-//	                              (dots between names) as a string, body.has_json(p) whether there is one
+//	                              (dots between names) as a string, body.has_json(p) whether it exists
 //
-// Rules are evaluated in order; the first whose match is true names the class, and the key
-// if it has one. A rule whose evaluation fails (a missing header or body field, a cost
-// beyond the bound) does not match, and the next one is evaluated. Rules do no I/O.
+// Rules are evaluated in order. The first rule whose match is true determines the class, and
+// the key if the rule has one. A rule whose evaluation fails, because a header or a body
+// field is missing or the cost exceeds the limit, does not match, and the next rule is
+// evaluated. Rules do no I/O.
 package match
--- a/match/env.go
+++ b/match/env.go
@@ -12,37 +12,37 @@
 	"github.com/tidwall/gjson"
 )
 
-// The variables of a rule.
+// Variables of a rule.
 const (
-	varFront   = "front"
-	varMethod  = "method"
-	varPath    = "path"
-	varHeaders = "headers"
-	varBody    = "body"
+	varFrontend = "front"
+	varMethod   = "method"
+	varPath     = "path"
+	varHeaders  = "headers"
+	varBody     = "body"
 )
 
-// The member functions of the body.
+// Member functions of the body.
 const (
 	funcJSON    = "json"
 	funcHasJSON = "has_json"
 )
 
-// maxNameBytes bounds the names of frontends and methods, for the cost estimate.
+// maxNameBytes is the longest name of a frontend or HTTP method that the cost estimate assumes.
 const maxNameBytes = 16
 
-// bytesPerCostUnit is how many bytes a function reads for one CEL cost unit, as CEL counts
-// its own string functions.
+// bytesPerCostUnit is the number of bytes that body.json and body.has_json read for one CEL
+// cost unit. CEL counts its own string functions in the same way.
 const bytesPerCostUnit = 10
 
-// maxBodyCost is the cost of one body.json or body.has_json at most: gjson reads the body
-// once.
+// maxBodyCost is the highest cost of one call of body.json or body.has_json, in CEL cost
+// units: gjson reads the body once.
 const maxBodyCost = maxBodyBytes / bytesPerCostUnit
 
-// newEnv returns the environment of every rule: the request's variables, the body's
-// accessors, and limits on the size and nesting of expressions.
+// newEnv returns the CEL environment of all rules: the request's variables, the member
+// functions of the body, and limits on the size and nesting of expressions.
 func newEnv() (*cel.Env, error) {
 	return cel.NewEnv(
-		cel.Variable(varFront, cel.StringType),
+		cel.Variable(varFrontend, cel.StringType),
 		cel.Variable(varMethod, cel.StringType),
 		cel.Variable(varPath, cel.StringType),
 		cel.Variable(varHeaders, cel.MapType(cel.StringType, cel.StringType)),
@@ -52,26 +52,26 @@
 		cel.Function(funcHasJSON, cel.MemberOverload("bytes_has_json_string",
 			[]*cel.Type{cel.BytesType, cel.StringType}, cel.BoolType, cel.BinaryBinding(bodyHasJSON))),
 		cel.OptionalTypes(),
-		cel.ASTValidators(cel.ValidateComprehensionNestingLimit(maxNesting)),
-		cel.ParserRecursionLimit(maxDepth),
-		cel.ExpressionNodeLimit(maxNodes),
+		cel.ASTValidators(cel.ValidateComprehensionNestingLimit(maxComprehensionNesting)),
+		cel.ParserRecursionLimit(maxExpressionDepth),
+		cel.ExpressionNodeLimit(maxExpressionNodes),
 	)
 }
 
-// bodyJSON implements body.json(path): the value at path as a string, or an error if there
-// is none.
+// bodyJSON implements body.json(path). It returns the value at path as a string, or an error
+// if there is no value.
 func bodyJSON(body, path ref.Val) ref.Val {
 	value, err := lookupJSON(body, path)
 	switch {
 	case err != nil:
 		return err
 	case !value.Exists():
-		return types.NewErr("body has no %q", path.Value())
+		return types.NewErr("body has no value at path %q", path.Value())
 	}
 	return types.String(value.String())
 }
 
-// bodyHasJSON implements body.has_json(path): whether there is a value at path.
+// bodyHasJSON implements body.has_json(path). It reports whether there is a value at path.
 func bodyHasJSON(body, path ref.Val) ref.Val {
 	value, err := lookupJSON(body, path)
 	if err != nil {
@@ -80,8 +80,8 @@
 	return types.Bool(value.Exists())
 }
 
-// lookupJSON returns the value at a path of the body. err is nil unless the arguments are of
-// other types than the overload's, which CEL checks before.
+// lookupJSON returns the value at a path of the body. err is not nil only if an argument has
+// another type than the overload declares, which CEL's type check rules out.
 func lookupJSON(body, path ref.Val) (value gjson.Result, err ref.Val) {
 	bytes, ok := body.(types.Bytes)
 	if !ok {
@@ -94,14 +94,14 @@
 	return gjson.GetBytes(bytes, string(text)), nil
 }
 
-// activation has a request's variables for a program.
+// activation supplies a request's variables to a CEL program.
 type activation struct{ r Request }
 
 // ResolveName implements interpreter.Activation.
 func (a *activation) ResolveName(name string) (any, bool) {
 	switch name {
-	case varFront:
-		return a.r.Front, true
+	case varFrontend:
+		return a.r.Frontend, true
 	case varMethod:
 		return a.r.Method, true
 	case varPath:
@@ -120,17 +120,18 @@
 // Parent implements interpreter.Activation.
 func (a *activation) Parent() interpreter.Activation { return nil }
 
-// estimator bounds the sizes of the variables, which the cost estimate can't know.
-type estimator struct{}
+// sizeEstimator tells the CEL cost estimate the maximum sizes of the variables and the
+// maximum cost of the body's member functions.
+type sizeEstimator struct{}
 
 // EstimateSize implements cost.Estimator.
-func (estimator) EstimateSize(n cost.AstNode) *cost.SizeEstimate {
+func (sizeEstimator) EstimateSize(n cost.AstNode) *cost.SizeEstimate {
 	path := n.Path()
 	if len(path) == 0 {
 		return nil
 	}
 	switch strings.Join(path, ".") {
-	case varFront, varMethod:
+	case varFrontend, varMethod:
 		return atMost(maxNameBytes)
 	case varPath:
 		return atMost(maxPathBytes)
@@ -150,7 +151,7 @@
 }
 
 // EstimateCallCost implements cost.Estimator.
-func (estimator) EstimateCallCost(function, _ string, _ *cost.AstNode, _ []cost.AstNode) *cost.CallEstimate {
+func (sizeEstimator) EstimateCallCost(function, _ string, _ *cost.AstNode, _ []cost.AstNode) *cost.CallEstimate {
 	switch function {
 	case funcJSON:
 		return &cost.CallEstimate{CostEstimate: cost.RangedCostEstimate(1, maxBodyCost), ResultSize: atMost(maxBodyBytes)}
@@ -160,11 +161,13 @@
 	return nil
 }
 
-// constant returns the value of an expression that is one string literal.
-func constant(checked *cel.Ast) (string, bool) { return literal(checked.NativeRep().Expr()) }
+// stringConstant returns the value of a checked expression if it is a string literal.
+func stringConstant(checked *cel.Ast) (string, bool) {
+	return stringLiteral(checked.NativeRep().Expr())
+}
 
-// literal returns the value of a string literal.
-func literal(e ast.Expr) (string, bool) {
+// stringLiteral returns the value of an expression node if it is a string literal.
+func stringLiteral(e ast.Expr) (string, bool) {
 	if e.Kind() != ast.LiteralKind {
 		return "", false
 	}
@@ -172,7 +175,7 @@
 	return string(s), ok
 }
 
-// isVariable reports whether an expression is a variable of that name.
+// isVariable reports whether an expression is the variable with the given name.
 func isVariable(e ast.Expr, name string) bool {
 	return e.Kind() == ast.IdentKind && e.AsIdent() == name
 }
--- a/match/errors.go
+++ b/match/errors.go
@@ -8,18 +8,18 @@
 	"cel.dev/cel-go/common/types/ref"
 )
 
-// ErrRefused is wrapped by the error of a rule set that is rejected.
-var ErrRefused = errors.New("rules refused")
+// ErrRejected is wrapped by the error of a rule set that was rejected.
+var ErrRejected = errors.New("rules rejected")
 
-// Problem is one reason why a rule was rejected.
+// Problem is a reason why a rule was rejected.
 type Problem struct {
-	Rule         string // its name, or its index if it has none
-	Field        string // match, class or key; empty for the rule as a whole
-	Line, Column int    // in the field's expression, from 1; 0 for the whole field
+	Rule         string // name of the rule, or rule[INDEX] if it has none
+	Field        string // match, class or key; empty if the problem concerns the whole rule
+	Line, Column int    // in the field's expression, from 1; 0 if the problem concerns the whole field
 	Reason       string
 }
 
-// String formats the problem as operators read it: rule.field:line:column: reason.
+// String formats the problem as rule.field:line:column: reason.
 func (p Problem) String() string {
 	at := p.Rule
 	if p.Field != "" {
@@ -31,7 +31,7 @@
 	return at + ": " + p.Reason
 }
 
-// LoadError reports every problem of a rule set that was rejected.
+// LoadError reports all problems of a rule set that was rejected.
 type LoadError struct{ Problems []Problem }
 
 // Error implements error.
@@ -40,16 +40,19 @@
 	for i, p := range e.Problems {
 		lines[i] = p.String()
 	}
-	return fmt.Sprintf("%s: %s", ErrRefused, strings.Join(lines, "; "))
+	return fmt.Sprintf("%s: %s", ErrRejected, strings.Join(lines, "; "))
 }
 
 // Unwrap returns ErrRefused.
-func (e *LoadError) Unwrap() error { return ErrRefused }
+func (e *LoadError) Unwrap() error { return ErrRejected }
 
-// ValueError reports an expression whose value has another type than its field needs.
+// ValueError reports that an expression returned a value of another type than its field
+// requires.
 type ValueError struct{ Type string }
 
 // Error implements error.
-func (e *ValueError) Error() string { return "match: a value of type " + e.Type }
+func (e *ValueError) Error() string {
+	return "match: expression returned a value of unexpected type " + e.Type
+}
 
 func newValueError(value ref.Val) error { return &ValueError{Type: value.Type().TypeName()} }
--- a/match/file.go
+++ b/match/file.go
@@ -7,9 +7,9 @@
 	"github.com/BurntSushi/toml"
 )
 
-// File is a rule file as an operator writes it, in TOML:
+// File is an operator's rule file in TOML:
 //
-//	max_cost = 50000          # optional: a rule's bound in CEL's cost units
+//	max_cost = 50000          # optional: limit on a rule's evaluation, in CEL cost units
 //	[[rule]]
 //	name  = "gava"
 //	match = 'method == "POST" && path == "/gavor"'
@@ -20,8 +20,9 @@
 	Rules   []Rule `toml:"rule"`
 }
 
-// Parse reads the rules of a file's text and compiles them for the classes. An unknown key
-// is an error, since a misspelt one would be ignored.
+// Parse parses the text of a rule file and compiles its rules. classes are the known classes,
+// as in Options. An unknown key is an error, because a misspelled key would otherwise be
+// ignored.
 func Parse(text string, classes []string) (*Set, error) {
 	var file File
 	metadata, err := toml.Decode(text, &file)
@@ -29,12 +30,12 @@
 		return nil, fmt.Errorf("match: %w", err)
 	}
 	if unknown := metadata.Undecoded(); len(unknown) > 0 {
-		return nil, fmt.Errorf("match: %s: no such key", unknown[0])
+		return nil, fmt.Errorf("match: unknown key %s", unknown[0])
 	}
 	return Compile(file.Rules, Options{Classes: classes, MaxCost: file.MaxCost})
 }
 
-// Load reads a rule file and compiles its rules, as Parse does.
+// Load reads a rule file and compiles its rules as Parse does.
 func Load(path string, classes []string) (*Set, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/match/fronts.go
+++ b/match/fronts.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// The frontends make a Request in the same way, so that one rule file classifies alike
-// whatever protocol the request came over.
+// The frontends use the functions of this file to make a Request, so that a rule file
+// classifies requests in the same way over every protocol.
 
-// The names of the frontends, as rules see them.
+// Names of the frontends in the variable front.
 const (
-	frontThrift = "thrift"
-	frontHTTP   = "http"
+	frontendThrift = "thrift"
+	frontendHTTP   = "http"
 )
 
-// FromHTTP makes a Request of an HTTP request whose body is read: with header names in lower
-// case, and the first value of each.
+// FromHTTP makes a Request from an HTTP request and its body, which the caller has read. Header
+// names are in lower case, and each header has its first value.
 func FromHTTP(r *http.Request, body []byte) Request {
 	headers := make(map[string]string, len(r.Header))
 	for name, values := range r.Header {
@@ -23,13 +23,13 @@
 			headers[strings.ToLower(name)] = values[0]
 		}
 	}
-	return Request{Front: frontHTTP, Method: r.Method, Path: r.URL.Path, Headers: headers, Body: body}
+	return Request{Frontend: frontendHTTP, Method: r.Method, Path: r.URL.Path, Headers: headers, Body: body}
 }
 
-// CGIHeader returns the header name of a CGI variable, as uwsgi has them:
-// HTTP_IDEMPOTENCY_KEY is idempotency-key, and CONTENT_TYPE and CONTENT_LENGTH are headers
-// too; false for other variables.
-func CGIHeader(variable string) (string, bool) {
+// CGIHeaderName returns the header name, in lower case, for a CGI variable as uwsgi passes it:
+// HTTP_IDEMPOTENCY_KEY becomes idempotency-key, CONTENT_TYPE and CONTENT_LENGTH become
+// content-type and content-length. It returns false for variables that are not headers.
+func CGIHeaderName(variable string) (string, bool) {
 	name, ok := strings.CutPrefix(variable, "HTTP_")
 	if !ok && variable != "CONTENT_TYPE" && variable != "CONTENT_LENGTH" {
 		return "", false
@@ -40,7 +40,7 @@
 	return strings.ToLower(strings.ReplaceAll(name, "_", "-")), true
 }
 
-// FromFields makes a Request of a Thrift call: its fields are the headers.
-func FromFields(fields map[string]string, body []byte) Request {
-	return Request{Front: frontThrift, Headers: fields, Body: body}
+// FromThrift makes a Request from a Thrift call, with the call's fields as headers.
+func FromThrift(fields map[string]string, body []byte) Request {
+	return Request{Frontend: frontendThrift, Headers: fields, Body: body}
 }
--- a/match/index.go
+++ b/match/index.go
@@ -7,13 +7,13 @@
 	"cel.dev/cel-go/common/operators"
 )
 
-// index finds the rules that may match a request by its path: a rule whose match requires
-// one path (path == "..." among its top-level conjunctions) is evaluated for requests of
-// that path alone. Rules keep their order, so that the first that matches still wins.
-// BenchmarkClassify measures it.
+// index selects the rules that may match a request by the request's path. A rule that
+// requires a path (path == "..." as one of its top-level conjuncts) is evaluated only for
+// requests with that path. The order of the rules is preserved, so the first rule that
+// matches is still used. BenchmarkClassify measures the index.
 type index struct {
-	byPath  map[string][]int // rules that require the path, in order
-	anyPath []int            // rules that require none, in order
+	byPath  map[string][]int // indexes of the rules that require the path, ascending
+	anyPath []int            // indexes of the rules that require no path, ascending
 }
 
 func newIndex(rules []compiledRule) index {
@@ -28,16 +28,16 @@
 	return x
 }
 
-// candidates yields the rules that may match a request of the path, in order: it merges the
-// two lists.
+// candidates yields the indexes of the rules that may match a request with the path, in
+// ascending order. It merges the rules that require the path and those that require none.
 func (x index) candidates(path string) iter.Seq[int] {
-	own := x.byPath[path]
+	samePath := x.byPath[path]
 	return func(yield func(int) bool) {
 		i, j := 0, 0
-		for i < len(own) || j < len(x.anyPath) {
+		for i < len(samePath) || j < len(x.anyPath) {
 			var next int
-			if j == len(x.anyPath) || i < len(own) && own[i] < x.anyPath[j] {
-				next, i = own[i], i+1
+			if j == len(x.anyPath) || i < len(samePath) && samePath[i] < x.anyPath[j] {
+				next, i = samePath[i], i+1
 			} else {
 				next, j = x.anyPath[j], j+1
 			}
@@ -48,7 +48,8 @@
 	}
 }
 
-// requiredPath returns the only path for which an expression can be true.
+// requiredPath returns the only path for which an expression can be true, or false if the
+// expression requires no single path that is a literal.
 func requiredPath(e ast.Expr) (string, bool) {
 	if e.Kind() != ast.CallKind {
 		return "", false
@@ -64,7 +65,7 @@
 	case operators.Equals:
 		for side := range 2 {
 			if isVariable(args[side], varPath) {
-				return literal(args[1-side])
+				return stringLiteral(args[1-side])
 			}
 		}
 	}
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -15,7 +15,7 @@
 
 var classes = []string{"kampanjsida", "givarhistorik", "ny-gava"}
 
-const typical = `
+const sampleRules = `
 [[rule]]
 name  = "gava"
 match = 'method == "POST" && path == "/gavor"'
@@ -54,32 +54,33 @@
 	return s
 }
 
-func TestClassify(t *testing.T) {
-	s := mustParse(t, typical)
+// TestClassify_FirstMatchingRule classifies requests by the rules of sampleRules.
+func TestClassify_FirstMatchingRule(t *testing.T) {
+	s := mustParse(t, sampleRules)
 	for _, c := range []struct {
 		r    Request
 		want string // rule, class, key; empty for no match
 	}{
 		{
-			Request{Front: "http", Method: "POST", Path: "/gavor", Headers: map[string]string{"idempotency-key": "k1"}},
+			Request{Frontend: "http", Method: "POST", Path: "/gavor", Headers: map[string]string{"idempotency-key": "k1"}},
 			"gava ny-gava k1",
 		},
-		// The key's header is missing: the rule fails, and no later one takes it.
-		{Request{Front: "http", Method: "POST", Path: "/gavor"}, ""},
-		{Request{Front: "thrift", Headers: map[string]string{"verb": "ny-gava", "unique": "u1"}}, "gava-thrift ny-gava u1"},
-		{Request{Front: "uwsgi", Method: "GET", Path: "/givare/7/historik"}, "historik givarhistorik "},
+		// The header with the key is missing, so the rule's evaluation fails, and no later rule matches.
+		{Request{Frontend: "http", Method: "POST", Path: "/gavor"}, ""},
+		{Request{Frontend: "thrift", Headers: map[string]string{"verb": "ny-gava", "unique": "u1"}}, "gava-thrift ny-gava u1"},
+		{Request{Frontend: "uwsgi", Method: "GET", Path: "/givare/7/historik"}, "historik givarhistorik "},
 		{
-			Request{Front: "http", Method: "PUT", Path: "/x", Body: []byte(`{"belopp": "2500", "id": "g9"}`)},
+			Request{Frontend: "http", Method: "PUT", Path: "/x", Body: []byte(`{"belopp": "2500", "id": "g9"}`)},
 			"stor-gava ny-gava g9",
 		},
-		{Request{Front: "http", Method: "PUT", Path: "/x", Body: []byte(`{"belopp": "25"}`)}, ""},
-		{Request{Front: "http", Method: "PUT", Path: "/x", Body: []byte(`not json`)}, ""},
-		{Request{Front: "http", Method: "GET", Path: "/kampanjer/jul"}, "sida kampanjsida "},
+		{Request{Frontend: "http", Method: "PUT", Path: "/x", Body: []byte(`{"belopp": "25"}`)}, ""},
+		{Request{Frontend: "http", Method: "PUT", Path: "/x", Body: []byte(`not json`)}, ""},
+		{Request{Frontend: "http", Method: "GET", Path: "/kampanjer/jul"}, "sida kampanjsida "},
 		{
-			Request{Front: "http", Method: "GET", Path: "/kampanjer/jul", Headers: map[string]string{"x-vip": "1"}},
+			Request{Frontend: "http", Method: "GET", Path: "/kampanjer/jul", Headers: map[string]string{"x-vip": "1"}},
 			"sida givarhistorik ",
 		},
-		{Request{Front: "thrift", Headers: map[string]string{"verb": "kampanjsida"}}, "sida kampanjsida "},
+		{Request{Frontend: "thrift", Headers: map[string]string{"verb": "kampanjsida"}}, "sida kampanjsida "},
 		{Request{}, ""},
 	} {
 		got := ""
@@ -87,20 +88,20 @@
 			got = fmt.Sprintf("%s %s %s", res.Rule, res.Class, res.Key)
 		}
 		if got != c.want {
-			t.Errorf("%+v: got %q, want %q", c.r, got, c.want)
+			t.Errorf("Classify(%+v) = %q, want %q", c.r, got, c.want)
 		}
 	}
-	if s.Errors() == 0 {
-		t.Error("the missing key and the body that is no JSON were not counted as failed evaluations")
+	if s.FailedEvaluations() == 0 {
+		t.Error("FailedEvaluations() = 0, want the requests with a missing key or without a JSON body counted")
 	}
 	if !s.UsesBody() {
-		t.Error("a rule reads the body")
+		t.Error("UsesBody() = false, want true")
 	}
 }
 
-// TestRefused compiles rules that must not be used: each problem is reported with the rule,
-// the field and, if the parser knows it, the position.
-func TestRefused(t *testing.T) {
+// TestCompile_RejectsInvalidRules compiles invalid rules. Each problem must be reported with
+// the rule, the field and, if the parser knows it, the position.
+func TestCompile_RejectsInvalidRules(t *testing.T) {
 	deep := strings.Repeat("(", 60) + "true" + strings.Repeat(")", 60)
 	for _, c := range []struct {
 		rule Rule
@@ -110,41 +111,41 @@
 		{Rule{Name: "type", Match: "path", Class: `"ny-gava"`}, "type.match: gives string, bool is needed"},
 		{Rule{Name: "keytype", Match: "true", Class: `"ny-gava"`, Key: "size(path)"}, "keytype.key: gives int"},
 		{Rule{Name: "unknown", Match: "nosuch == 1", Class: `"ny-gava"`}, "unknown.match:1:1: undeclared reference"},
-		{Rule{Name: "class", Match: "true", Class: `"nygava"`}, `class.class: class "nygava" is not among`},
-		{Rule{Name: "noclass", Match: "true"}, "noclass.class: an expression is needed"},
-		{Rule{Match: "true", Class: `"ny-gava"`}, "rule[0]: a name is needed"},
-		// Work that grows with the square of the headers: nested comprehensions.
+		{Rule{Name: "class", Match: "true", Class: `"nygava"`}, `class.class: class "nygava" is unknown`},
+		{Rule{Name: "noclass", Match: "true"}, "noclass.class: expression is missing"},
+		{Rule{Match: "true", Class: `"ny-gava"`}, "rule[0]: name is missing"},
+		// Nested comprehensions: the work grows with the square of the number of headers.
 		{
 			Rule{Name: "nested", Match: "headers.all(k, headers.all(j, k == j))", Class: `"ny-gava"`},
 			"nested.match:1:",
 		},
-		// Work that grows with the headers times the body.
+		// The work grows with the number of headers times the size of the body.
 		{
 			Rule{Name: "costly", Match: `headers.exists(k, body.json(k) == "x")`, Class: `"ny-gava"`},
-			"costly.match: its cost may reach",
+			"costly.match: estimated cost",
 		},
-		// A string that grows: each concatenation copies all of it.
+		// Repeated concatenation: each one copies the whole string.
 		{Rule{
 			Name: "grows", Match: `(path + path + path + path + path + path).contains(headers["a"] + path + path)`,
 			Class: `"ny-gava"`,
-		}, "grows.match: its cost may reach"},
+		}, "grows.match: estimated cost"},
 		{Rule{Name: "deep", Match: deep, Class: `"ny-gava"`}, "deep.match:"},
 	} {
 		_, err := Compile([]Rule{c.rule}, Options{Classes: classes})
 		var le *LoadError
-		if !errors.As(err, &le) || !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got %v, want %q", c.rule.Name, err, c.want)
+		if !errors.As(err, &le) || !errors.Is(err, ErrRejected) || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("Compile of rule %q: got error %v, want a *LoadError with %q", c.rule.Name, err, c.want)
 		}
 	}
-	// One invalid rule rejects the file; all problems are reported.
+	// A file with one invalid rule is rejected, and all problems are reported.
 	_, err := Compile([]Rule{{Name: "a", Match: "true", Class: `"ny-gava"`}, {Name: "a", Match: "1", Class: "2"}},
 		Options{Classes: classes})
 	if le := (*LoadError)(nil); !errors.As(err, &le) || len(le.Problems) != 3 {
-		t.Errorf("got %v, want three problems: the name, the match and the class", err)
+		t.Errorf("got error %v, want three problems: with the name, the match and the class", err)
 	}
 }
 
-// largestRequests are requests as large as the cost estimate assumes.
+// largestRequests returns requests of the maximum size that the cost estimate assumes.
 func largestRequests() []Request {
 	headers := map[string]string{}
 	for i := range maxHeaders {
@@ -153,17 +154,17 @@
 	headers["idempotency-key"], headers["verb"], headers["unique"] = "k", "ny-gava", "u"
 	body := fmt.Appendf(nil, `{"belopp": "5000", "id": "%s"}`, strings.Repeat("i", maxBodyBytes-40))
 	return []Request{
-		{Front: "http", Method: "POST", Path: "/gavor", Headers: headers, Body: body},
-		{Front: "thrift", Path: "/givare/" + strings.Repeat("p", maxPathBytes-20) + "/historik", Headers: headers},
-		{Front: "uwsgi", Path: "/kampanjer/" + strings.Repeat("p", maxPathBytes-20), Headers: headers, Body: body},
+		{Frontend: "http", Method: "POST", Path: "/gavor", Headers: headers, Body: body},
+		{Frontend: "thrift", Path: "/givare/" + strings.Repeat("p", maxPathBytes-20) + "/historik", Headers: headers},
+		{Frontend: "uwsgi", Path: "/kampanjer/" + strings.Repeat("p", maxPathBytes-20), Headers: headers, Body: body},
 	}
 }
 
-// TestCostBound evaluates every accepted rule of the corpus on requests as large
-// as the estimate allows: the cost of each evaluation stays within the rule's
-// estimate, and so within the bound.
-func TestCostBound(t *testing.T) {
-	s := mustParse(t, typical)
+// TestCompile_CostEstimateIsUpperBound evaluates each field of sampleRules on requests of the
+// maximum size. The actual cost must not exceed the field's estimate, and the estimate must
+// not exceed the limit.
+func TestCompile_CostEstimateIsUpperBound(t *testing.T) {
+	s := mustParse(t, sampleRules)
 	env, err := newEnv()
 	if err != nil {
 		t.Fatal(err)
@@ -174,7 +175,7 @@
 				continue
 			}
 			a, _ := env.Compile(field)
-			estimate, err := env.EstimateCost(a, estimator{})
+			estimate, err := env.EstimateCost(a, sizeEstimator{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -185,14 +186,16 @@
 			for _, r := range largestRequests() {
 				_, details, _ := p.Eval(&activation{r})
 				if got := *details.ActualCost(); got > estimate.Max || estimate.Max > s.maxCost {
-					t.Errorf("%s: %q cost %d, estimated %d, bound %d", c.Name, field, got, estimate.Max, s.maxCost)
+					t.Errorf("rule %s: %q has cost %d, estimate %d, limit %d", c.Name, field, got, estimate.Max, s.maxCost)
 				}
 			}
 		}
 	}
 }
 
-func TestOverlaps(t *testing.T) {
+// TestWarnings_ReportOverlappingRules checks that a pair of rules that match the same request
+// is reported once, and that sampleRules cause no warnings.
+func TestWarnings_ReportOverlappingRules(t *testing.T) {
 	s := mustParse(t, `
 [[rule]]
 name  = "alla"
@@ -208,19 +211,19 @@
 match = 'path == "/givare"'
 class = '"givarhistorik"'
 `)
-	want := `rules "alla" and "gava" both take http, POST /gavor, idempotency-key: x; "alla" comes first and wins`
+	want := `rules "alla" and "gava" both match http, POST /gavor, idempotency-key: x; "alla" is used because it comes first`
 	if got := s.Warnings(); len(got) != 1 || got[0] != want {
-		t.Errorf("got  %q\nwant %q", got, want)
+		t.Errorf("Warnings() = %q\nwant one: %q", got, want)
 	}
-	if got := mustParse(t, typical).Warnings(); len(got) != 0 {
-		t.Errorf("the typical rules: %q", got)
+	if got := mustParse(t, sampleRules).Warnings(); len(got) != 0 {
+		t.Errorf("Warnings() of sampleRules = %q, want none", got)
 	}
 }
 
-// TestReplace classifies requests while the set is replaced: each is classified by one
-// version, which its result has.
-func TestReplace(t *testing.T) {
-	var rs Rules
+// TestActiveRules_ReplaceDuringClassify classifies requests while the rule set is replaced.
+// Each result must be the one of the set whose version it contains.
+func TestActiveRules_ReplaceDuringClassify(t *testing.T) {
+	var rs ActiveRules
 	set := func(class string) *Set {
 		return mustParse(t, fmt.Sprintf(`
 [[rule]]
@@ -238,7 +241,7 @@
 	for range 4 {
 		wg.Go(func() {
 			for range 1000 {
-				r, _ := rs.Load().Classify(Request{Front: "http"})
+				r, _ := rs.Load().Classify(Request{Frontend: "http"})
 				results <- r
 			}
 		})
@@ -251,13 +254,14 @@
 	close(results)
 	for r := range results {
 		if want, ok := byVersion[r.Version]; !ok || r.Class != want || r.Rule != "a" {
-			t.Fatalf("%+v: version %d gives %q", r, r.Version, want)
+			t.Fatalf("got %+v, want rule a and class %q for version %d", r, want, r.Version)
 		}
 	}
 }
 
-// TestValueError evaluates fields whose values are of another type than checked.
-func TestValueError(t *testing.T) {
+// TestEval_UnexpectedTypeReturnsValueError evaluates a rule whose programs return an int
+// instead of a bool and a string.
+func TestEval_UnexpectedTypeReturnsValueError(t *testing.T) {
 	env, err := newEnv()
 	if err != nil {
 		t.Fatal(err)
@@ -275,39 +279,41 @@
 	_, classErr := evalString(rule.class, &activation{})
 	for _, err := range []error{matchErr, classErr} {
 		var valueError *ValueError
-		if !errors.As(err, &valueError) || err.Error() != "match: a value of type int" {
-			t.Errorf("%v, want a *ValueError of int", err)
+		if !errors.As(err, &valueError) || err.Error() != "match: expression returned a value of unexpected type int" {
+			t.Errorf("got error %v, want a *ValueError for type int", err)
 		}
 	}
 }
 
-// TestBodyFunctions calls the body's functions with values that the checker would not let
-// through: the result is an error, and no panic.
-func TestBodyFunctions(t *testing.T) {
+// TestBodyFunctions_RejectWrongTypes calls the member functions of the body with arguments of
+// types that CEL's type check would reject. They must return an error and not panic.
+func TestBodyFunctions_RejectWrongTypes(t *testing.T) {
 	body, path := types.Bytes(`{"a": 1}`), types.String("a")
 	for _, function := range []func(body, path ref.Val) ref.Val{bodyJSON, bodyHasJSON} {
 		for _, result := range []ref.Val{function(path, path), function(body, body)} {
 			if !types.IsError(result) {
-				t.Errorf("%v, want an error", result)
+				t.Errorf("body function with a wrong argument type returned %v, want an error", result)
 			}
 		}
 	}
 	if got := bodyJSON(body, path); got.Equal(types.String("1")) != types.True {
-		t.Errorf("body.json: %v", got)
+		t.Errorf("body.json(\"a\") = %v, want 1", got)
 	}
 	if got := bodyHasJSON(body, path); got != types.True {
-		t.Errorf("body.has_json: %v", got)
+		t.Errorf("body.has_json(\"a\") = %v, want true", got)
 	}
 }
 
-func TestParse(t *testing.T) {
+// TestParse_RejectsUnknownKey parses a rule with a misspelled key.
+func TestParse_RejectsUnknownKey(t *testing.T) {
 	if _, err := Parse("[[rule]]\nname = 'a'\nmatch = 'true'\nclass = '\"ny-gava\"'\nklass = 'x'", classes); err == nil ||
-		!strings.Contains(err.Error(), "rule.klass: no such key") {
-		t.Errorf("a misspelt key: %v", err)
+		!strings.Contains(err.Error(), "unknown key rule.klass") {
+		t.Errorf("Parse with a misspelled key: got error %v, want unknown key rule.klass", err)
 	}
 }
 
-// classifyLinearly classifies as Classify would without the index: by every rule in order.
+// classifyLinearly classifies a request without the index, by evaluating all rules in order. It
+// returns the name of the first rule that matches.
 func (s *Set) classifyLinearly(r Request) (string, bool) {
 	for i := range s.rules {
 		if matched, err := s.rules[i].matches(&activation{r}); err == nil && matched {
@@ -317,9 +323,10 @@
 	return "", false
 }
 
-// TestIndex has random rule sets, some requiring a path and some not, classify
-// random requests as they would without the index (seeded, the same every time).
-func TestIndex(t *testing.T) {
+// TestIndex_SameResultAsLinearSearch classifies random requests by random rule sets, in which
+// some rules require a path. The seed is fixed. The results must be the same without the
+// index.
+func TestIndex_SameResultAsLinearSearch(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
 	paths := []string{"/a", "/b", "/c", "/"}
 	forms := []string{
@@ -337,14 +344,14 @@
 			t.Fatal(err)
 		}
 		for range 20 {
-			r := Request{Front: "http", Method: []string{"GET", "POST"}[random.Intn(2)], Path: paths[random.Intn(len(paths))]}
+			r := Request{Frontend: "http", Method: []string{"GET", "POST"}[random.Intn(2)], Path: paths[random.Intn(len(paths))]}
 			if random.Intn(2) == 0 {
 				r.Headers = map[string]string{"x": "1"}
 			}
 			got, gotOK := s.Classify(r)
 			want, wantOK := s.classifyLinearly(r)
 			if got.Rule != want || gotOK != wantOK {
-				t.Fatalf("%+v in %v: got %q, want %q", r, rules, got.Rule, want)
+				t.Fatalf("Classify(%+v) with rules %v = rule %q, want %q", r, rules, got.Rule, want)
 			}
 		}
 	}
--- a/match/overlap.go
+++ b/match/overlap.go
@@ -10,159 +10,161 @@
 	"cel.dev/cel-go/common/operators"
 )
 
-// The overlap check finds some pairs of rules that match the same request. For each rule it
-// makes a witness: a request of the literals that the rule's match compares the request's
-// fields with (method == "POST", path.startsWith("/a"), headers["k"] == "v", "k" in headers,
-// in its conjunctions and in the first operand of each disjunction). If the witness is
-// matched by the rule and by another one, the pair is reported. Nothing is reported of rules
-// whose literals can't be read, and no rule is rejected.
-
-// Parts of a witness that no literal sets.
+// The overlap check finds some of the pairs of rules that match the same request. For each
+// rule it builds an example request from the string literals in the rule's match expression:
+// method == "POST", path.startsWith("/a"), headers["k"] == "v" and "k" in headers set a part
+// of the request. It reads all operands of a conjunction and the first operand of a
+// disjunction. If the rule and another rule both match the example, the check reports the
+// pair. It finds no overlap for a rule that does not match its own example. It only warns; it
+// rejects no rule.
+
+// Values of the parts of an example request that no literal sets.
 const (
-	defaultFront   = frontHTTP
-	defaultPath    = "/" // except on frontThrift, which has no paths
-	anyHeaderValue = "x"
+	defaultFrontend = frontendHTTP
+	defaultPath     = "/" // except with frontendThrift, whose requests have no path
+	anyHeaderValue  = "x"
 )
 
-// funcStartsWith is CEL's member function of strings.
+// funcStartsWith is a member function of CEL strings.
 const funcStartsWith = "startsWith"
 
-// witness collects a request from the literals of a rule.
-type witness struct {
-	front, method, path string
-	headers             map[string]string
+// exampleBuilder builds an example request from the literals of a rule.
+type exampleBuilder struct {
+	frontend, method, path string
+	headers                map[string]string
 }
 
-// overlaps describes each pair of rules that match the same witness.
-func overlaps(s *Set) []string {
+// findOverlaps returns a text for each pair of rules that match the same example request.
+func findOverlaps(s *Set) []string {
 	var warnings []string
 	seen := map[[2]int]bool{}
 	for i := range s.rules {
-		r, ok := s.rules[i].witness()
-		if !ok || !s.rules[i].matchesWitness(r) {
+		r, ok := s.rules[i].exampleRequest()
+		if !ok || !s.rules[i].matchesExample(r) {
 			continue
 		}
 		for j := range s.rules {
 			pair := [2]int{min(i, j), max(i, j)}
-			if j == i || seen[pair] || !s.rules[j].matchesWitness(r) {
+			if j == i || seen[pair] || !s.rules[j].matchesExample(r) {
 				continue
 			}
 			seen[pair] = true
 			first, second := s.rules[pair[0]].Name, s.rules[pair[1]].Name
-			warnings = append(warnings, fmt.Sprintf("rules %q and %q both take %s; %q comes first and wins",
+			warnings = append(warnings, fmt.Sprintf("rules %q and %q both match %s; %q is used because it comes first",
 				first, second, formatRequest(r), first))
 		}
 	}
 	return warnings
 }
 
-func (r *compiledRule) matchesWitness(request Request) bool {
+func (r *compiledRule) matchesExample(request Request) bool {
 	matched, err := r.matches(&activation{request})
 	return err == nil && matched
 }
 
-// witness makes a request from the rule's literals.
-func (r *compiledRule) witness() (Request, bool) {
+// exampleRequest builds a request from the literals in the rule's match expression. It returns
+// false if the expression was not compiled.
+func (r *compiledRule) exampleRequest() (Request, bool) {
 	if r.matchAST == nil {
 		return Request{}, false
 	}
-	w := &witness{headers: map[string]string{}}
-	w.collect(r.matchAST.NativeRep().Expr())
-	request := Request{Front: w.front, Method: w.method, Path: w.path, Headers: w.headers}
-	if request.Front == "" {
-		request.Front = defaultFront
+	b := &exampleBuilder{headers: map[string]string{}}
+	b.collect(r.matchAST.NativeRep().Expr())
+	request := Request{Frontend: b.frontend, Method: b.method, Path: b.path, Headers: b.headers}
+	if request.Frontend == "" {
+		request.Frontend = defaultFrontend
 	}
-	if request.Path == "" && request.Front != frontThrift {
+	if request.Path == "" && request.Frontend != frontendThrift {
 		request.Path = defaultPath
 	}
 	return request, true
 }
 
-// collect reads the literals of an expression that has to be true.
-func (w *witness) collect(e ast.Expr) {
+// collect reads the literals of an expression that the request must make true.
+func (b *exampleBuilder) collect(e ast.Expr) {
 	switch e.Kind() {
 	case ast.CallKind:
-		w.collectCall(e.AsCall())
+		b.collectCall(e.AsCall())
 	case ast.SelectKind: // has(headers.k)
 		if sel := e.AsSelect(); sel.IsTestOnly() && isVariable(sel.Operand(), varHeaders) {
-			w.headers[sel.FieldName()] = anyHeaderValue
+			b.headers[sel.FieldName()] = anyHeaderValue
 		}
 	}
 }
 
-func (w *witness) collectCall(call ast.CallExpr) {
+func (b *exampleBuilder) collectCall(call ast.CallExpr) {
 	args := call.Args()
 	switch call.FunctionName() {
 	case operators.LogicalAnd:
-		w.collect(args[0])
-		w.collect(args[1])
+		b.collect(args[0])
+		b.collect(args[1])
 	case operators.LogicalOr:
-		w.collect(args[0])
+		b.collect(args[0])
 	case operators.Equals:
-		w.collectEquality(args[0], args[1])
-		w.collectEquality(args[1], args[0])
+		b.collectComparison(args[0], args[1])
+		b.collectComparison(args[1], args[0])
 	case funcStartsWith:
 		if call.IsMemberFunction() && isVariable(call.Target(), varPath) {
-			w.collectPrefix(args[0])
+			b.collectPrefix(args[0])
 		}
 	case operators.In:
 		if isVariable(args[1], varHeaders) {
-			w.collectHeader(args[0])
+			b.collectHeader(args[0])
 		}
 	}
 }
 
-// collectEquality sets a field that is compared with a literal.
-func (w *witness) collectEquality(field, value ast.Expr) {
+// collectComparison sets the field of the request that is compared with a literal.
+func (b *exampleBuilder) collectComparison(field, value ast.Expr) {
 	name, isField := fieldName(field)
-	text, isLiteral := literal(value)
+	text, isLiteral := stringLiteral(value)
 	if isField && isLiteral {
-		w.set(name, text)
+		b.set(name, text)
 	}
 }
 
-// collectPrefix sets the path to a prefix, unless a literal has set it.
-func (w *witness) collectPrefix(prefix ast.Expr) {
-	if text, ok := literal(prefix); ok && w.path == "" {
-		w.path = text
+// collectPrefix sets the path to a prefix, unless the path is already set.
+func (b *exampleBuilder) collectPrefix(prefix ast.Expr) {
+	if text, ok := stringLiteral(prefix); ok && b.path == "" {
+		b.path = text
 	}
 }
 
-// collectHeader adds a header that has to exist, unless a literal has set it.
-func (w *witness) collectHeader(name ast.Expr) {
-	text, ok := literal(name)
+// collectHeader adds a header that must exist, unless the header is already set.
+func (b *exampleBuilder) collectHeader(name ast.Expr) {
+	text, ok := stringLiteral(name)
 	if !ok {
 		return
 	}
-	if _, set := w.headers[text]; !set {
-		w.headers[text] = anyHeaderValue
+	if _, set := b.headers[text]; !set {
+		b.headers[text] = anyHeaderValue
 	}
 }
 
-// set sets the field that fieldName has named.
-func (w *witness) set(field, value string) {
+// set sets the field with the name that fieldName returned.
+func (b *exampleBuilder) set(field, value string) {
 	switch field {
-	case varFront:
-		w.front = value
+	case varFrontend:
+		b.frontend = value
 	case varMethod:
-		w.method = value
+		b.method = value
 	case varPath:
-		w.path = value
+		b.path = value
 	default:
-		w.headers[strings.TrimPrefix(field, headerFieldPrefix)] = value
+		b.headers[strings.TrimPrefix(field, headerFieldPrefix)] = value
 	}
 }
 
-// headerFieldPrefix is followed by a header's name in the names of fields.
+// headerFieldPrefix precedes the header name in the field name of a header.
 const headerFieldPrefix = varHeaders + "."
 
-// fieldName names the request's field that an expression is: front, method, path, or
-// headers.NAME for headers["NAME"] and headers.NAME.
+// fieldName returns the name of the request's field that an expression refers to: front,
+// method, path, or headers.NAME for headers["NAME"] and headers.NAME.
 func fieldName(e ast.Expr) (string, bool) {
 	switch e.Kind() {
 	case ast.IdentKind:
 		switch name := e.AsIdent(); name {
-		case varFront, varMethod, varPath:
+		case varFrontend, varMethod, varPath:
 			return name, true
 		}
 	case ast.SelectKind:
@@ -171,7 +173,7 @@
 		}
 	case ast.CallKind:
 		if call := e.AsCall(); call.FunctionName() == operators.Index && isVariable(call.Args()[0], varHeaders) {
-			if key, ok := literal(call.Args()[1]); ok {
+			if key, ok := stringLiteral(call.Args()[1]); ok {
 				return headerFieldPrefix + key, true
 			}
 		}
@@ -179,9 +181,9 @@
 	return "", false
 }
 
-// formatRequest formats a request for a warning.
+// formatRequest formats a request without its body for a warning.
 func formatRequest(r Request) string {
-	parts := []string{r.Front}
+	parts := []string{r.Frontend}
 	if r.Method != "" || r.Path != "" {
 		parts = append(parts, strings.TrimSpace(r.Method+" "+r.Path))
 	}
--- a/match/rule.go
+++ b/match/rule.go
@@ -5,19 +5,19 @@
 	"cel.dev/cel-go/common/types"
 )
 
-// Rule is a rule as an operator writes it.
+// Rule is a rule of a rule file.
 type Rule struct {
 	Name  string `toml:"name"`
-	Match string `toml:"match"` // CEL, bool: whether the rule matches the request
-	Class string `toml:"class"` // CEL, string: the class, by its name in the settings
-	Key   string `toml:"key"`   // CEL, string: the key of a keyed class; empty for none
+	Match string `toml:"match"` // CEL expression of type bool: whether the rule matches the request
+	Class string `toml:"class"` // CEL expression of type string: the name of the class in the settings
+	Key   string `toml:"key"`   // CEL expression of type string: the idempotency key; empty if the rule gives no key
 }
 
-// compiledRule is a rule whose fields are compiled.
+// compiledRule is a rule with its compiled fields.
 type compiledRule struct {
 	Rule
 	match, class, key cel.Program // key is nil if the rule has none
-	matchAST          *cel.Ast    // checked
+	matchAST          *cel.Ast    // type-checked
 }
 
 // matches evaluates whether the rule matches a request.
@@ -33,7 +33,7 @@
 	return bool(matched), nil
 }
 
-// classify evaluates the rule. The result's version is not set.
+// classify evaluates the rule on a request. It does not set the result's version.
 func (r *compiledRule) classify(vars *activation) (result Result, matched bool, err error) {
 	if matched, err = r.matches(vars); err != nil || !matched {
 		return Result{}, false, err
--- a/match/set.go
+++ b/match/set.go
@@ -4,54 +4,56 @@
 
 // Set is a compiled rule set. It is safe for concurrent use.
 type Set struct {
-	rules    []compiledRule
-	index    index
-	maxCost  uint64
-	usesBody bool
-	warnings []string
-	version  atomic.Uint64 // set by Rules when it puts the set in force
-	errors   atomic.Uint64
+	rules             []compiledRule
+	index             index
+	maxCost           uint64
+	usesBody          bool
+	warnings          []string
+	version           atomic.Uint64 // set by ActiveRules.Replace; 0 before
+	failedEvaluations atomic.Uint64
 }
 
 // Len returns the number of rules.
 func (s *Set) Len() int { return len(s.rules) }
 
-// Warnings describes the pairs of rules that were found to match the same request, with the
-// request; the earlier rule wins.
+// Warnings returns a text for each pair of rules found to match the same request. The text
+// contains the request. The earlier rule is used for such requests.
 func (s *Set) Warnings() []string { return s.warnings }
 
-// Version returns the number that Rules gave the set, or 0 before.
+// Version returns the version that ActiveRules.Replace gave the set, or 0 before.
 func (s *Set) Version() uint64 { return s.version.Load() }
 
-// UsesBody reports whether a rule uses the body, so that a frontend has to read it before
-// it classifies.
+// UsesBody reports whether any rule may use the body. If so, a frontend must read the body
+// before it classifies a request.
 func (s *Set) UsesBody() bool { return s.usesBody }
 
-// Errors counts the evaluations that failed, which count as no match.
-func (s *Set) Errors() uint64 { return s.errors.Load() }
+// FailedEvaluations returns the number of rule evaluations that failed. A failed evaluation
+// counts as no match.
+func (s *Set) FailedEvaluations() uint64 { return s.failedEvaluations.Load() }
 
-// Request is what a rule sees of a request. Header names are lower case.
+// Request contains the values of a rule's variables for one request. Header names are in lower
+// case.
 type Request struct {
-	Front, Method, Path string
-	Headers             map[string]string
-	Body                []byte
+	Frontend, Method, Path string
+	Headers                map[string]string
+	Body                   []byte
 }
 
-// Result is what a rule set decided about a request.
+// Result is the classification of a request by a rule set.
 type Result struct {
-	Rule    string // that matched
+	Rule    string // name of the rule that matched
 	Class   string
-	Key     string // empty if the rule has none
-	Version uint64 // of the set
+	Key     string // idempotency key; empty if the rule has none
+	Version uint64 // version of the set
 }
 
-// Classify returns the result of the first rule that matches, or false if none does.
+// Classify returns the result of the first rule that matches, or false if no rule does.
 func (s *Set) Classify(r Request) (Result, bool) {
 	vars := &activation{r}
 	for i := range s.index.candidates(r.Path) {
 		result, matched, err := s.rules[i].classify(vars)
 		if err != nil {
-			s.errors.Add(1)
+			s.failedEvaluations.Add(1)
 			continue
 		}
 		if matched {
@@ -62,15 +64,15 @@
 	return Result{}, false
 }
 
-// Rules holds the rule set in force. A request is classified by the one set that Load
+// ActiveRules holds the rule set in use. A request is classified by the one set that Load
 // returned for it, even if another set is put in force meanwhile.
-type Rules struct {
+type ActiveRules struct {
 	set         atomic.Pointer[Set]
 	lastVersion atomic.Uint64
 }
 
 // Replace puts a set in force and returns its version, the next number.
-func (rs *Rules) Replace(s *Set) uint64 {
+func (rs *ActiveRules) Replace(s *Set) uint64 {
 	version := rs.lastVersion.Add(1)
 	s.version.Store(version)
 	rs.set.Store(s)
@@ -78,4 +80,4 @@
 }
 
 // Load returns the set in force, or nil before the first.
-func (rs *Rules) Load() *Set { return rs.set.Load() }
+func (rs *ActiveRules) Load() *Set { return rs.set.Load() }
--- a/server/server.go
+++ b/server/server.go
@@ -75,7 +75,7 @@
 	journal    *journal.Journal // of idempotency keys
 	fleet      *fleet.Fleet
 	handover   *handover.Endpoint // where the listening socket is inherited
-	rules      *match.Rules       // the operator's, which the fronts ask first
+	rules      *match.ActiveRules // the operator's, which the fronts ask first
 	recorder   *metrics.Recorder
 	outcomes   *outcomeCounter // for the fleet's rollouts
 
--- a/server/start.go
+++ b/server/start.go
@@ -61,7 +61,7 @@
 		processor:   backend.NewProcessor(c.ProcessorAddress, c.Gauges, log),
 		dependency:  downstream.NewPool(c.DependencyAddress),
 		registrar:   discovery.NewRegistrar(c.Name, log),
-		rules:       &match.Rules{},
+		rules:       &match.ActiveRules{},
 		idleTimeout: &idleTimeout{},
 		fromFile:    c,
 	}
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -101,7 +101,7 @@
 		DrainGrace: c.Settings.DrainGrace, Seed: 1,
 	}
 	if c.Rules != nil {
-		cfg.Rules = &match.Rules{}
+		cfg.Rules = &match.ActiveRules{}
 		cfg.Rules.Replace(c.Rules)
 	}
 	for i, name := range c.Classes {
