--- a/describe/describe_test.go
+++ b/describe/describe_test.go
@@ -88,7 +88,7 @@
 		{"openapi.json", `"deadline_ms": 6900`, `"deadline_ms": 900`, "ny-gava.deadline_ms"},
 		{"openapi.json", `"window_ms": 20706`, `"window_ms": 0`, "ny-gava.window_ms"},
 		{"openapi.json", `"effect": "keyed"`, `"effect": "once"`, "ny-gava.effect"},
-		{"openapi.json", `"aim_ms": 1800`, `"aim_ms": "soon"`, "x-quincerail-classes.ny-gava.aim_ms: must be a positive"},
+		{"openapi.json", `"aim_ms": 1800`, `"aim_ms": "soon"`, "x-quincerail-classes.ny-gava.aim_ms: must be a positive number of milliseconds"},
 		{"openapi.json", `"openapi"`, `"swagger"`, "neither"},
 		{"openapi.json", `"title": "Gåvor", `, ``, "OpenAPI document"},
 		{"openapi.json", `{`, `[`, "not a JSON"},
--- a/describe/table.go
+++ b/describe/table.go
@@ -63,39 +63,39 @@
 
 // Match returns the route for a method and path. It is the route that Routes.Match returns.
 func (t *Table) Match(method, path string) (Route, bool) {
-	l := routeSearch{table: t, method: method, route: -1, fixed: -1}
-	l.visit(&t.root, path, 0)
-	if l.route < 0 {
+	s := routeSearch{table: t, method: method, route: -1, fixed: -1}
+	s.visit(&t.root, path, 0)
+	if s.route < 0 {
 		return Route{}, false
 	}
-	return t.routes[l.route], true
+	return t.routes[s.route], true
 }
 
 // visit searches the subtree of a node for the remaining path. fixed is the number of fixed
 // segments on the way to the node.
-func (l *routeSearch) visit(n *node, path string, fixed int) {
+func (s *routeSearch) visit(n *node, path string, fixed int) {
 	segment, rest, more := strings.Cut(path, "/")
 	if next := n.fixed[segment]; next != nil {
-		l.follow(next, rest, more, fixed+1)
+		s.follow(next, rest, more, fixed+1)
 	}
 	if n.parameter != nil && segment != "" {
-		l.follow(n.parameter, rest, more, fixed)
+		s.follow(n.parameter, rest, more, fixed)
 	}
 }
 
 // follow visits a child node. If the path has no more segments, it compares the first of the
 // node's routes that accepts the method with the best route so far.
-func (l *routeSearch) follow(n *node, rest string, more bool, fixed int) {
+func (s *routeSearch) follow(n *node, rest string, more bool, fixed int) {
 	if more {
-		l.visit(n, rest, fixed)
+		s.visit(n, rest, fixed)
 		return
 	}
 	for _, i := range n.routes {
-		if !l.table.routes[i].acceptsMethod(l.method) {
+		if !s.table.routes[i].acceptsMethod(s.method) {
 			continue
 		}
-		if fixed > l.fixed || fixed == l.fixed && i < l.route {
-			l.route, l.fixed = i, fixed
+		if fixed > s.fixed || fixed == s.fixed && i < s.route {
+			s.route, s.fixed = i, fixed
 		}
 		return // the node's other routes have the same number of fixed segments and a higher index
 	}
--- a/idempotency/journal/doc.go
+++ b/idempotency/journal/doc.go
@@ -34,5 +34,6 @@
 // # Goroutines
 //
 // A Journal starts no goroutine. Its store has one, which calls the done functions
-// of Record; a write that is rejected at once calls done in the caller's goroutine.
+// of Record. If the store rejects a record without writing it, the caller's goroutine
+// calls done.
 package journal
--- a/match/errors.go
+++ b/match/errors.go
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("%s: %s", ErrRejected, strings.Join(lines, "; "))
 }
 
-// Unwrap returns ErrRefused.
+// Unwrap returns ErrRejected.
 func (e *LoadError) Unwrap() error { return ErrRejected }
 
 // ValueError reports that an expression returned a value of another type than its field
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -122,13 +122,13 @@
 		// The work grows with the number of headers times the size of the body.
 		{
 			Rule{Name: "costly", Match: `headers.exists(k, body.json(k) == "x")`, Class: `"ny-gava"`},
-			"costly.match: estimated cost",
+			"costly.match: estimated cost ",
 		},
 		// Repeated concatenation: each one copies the whole string.
 		{Rule{
 			Name: "grows", Match: `(path + path + path + path + path + path).contains(headers["a"] + path + path)`,
 			Class: `"ny-gava"`,
-		}, "grows.match: estimated cost"},
+		}, "grows.match: estimated cost "},
 		{Rule{Name: "deep", Match: deep, Class: `"ny-gava"`}, "deep.match:"},
 	} {
 		_, err := Compile([]Rule{c.rule}, Options{Classes: classes})
--- a/match/set.go
+++ b/match/set.go
@@ -64,14 +64,14 @@
 	return Result{}, false
 }
 
-// ActiveRules holds the rule set in use. A request is classified by the one set that Load
-// returned for it, even if another set is put in force meanwhile.
+// ActiveRules holds the rule set in use. A request is classified by the set that Load
+// returned for it, even if Replace is called meanwhile.
 type ActiveRules struct {
 	set         atomic.Pointer[Set]
 	lastVersion atomic.Uint64
 }
 
-// Replace puts a set in force and returns its version, the next number.
+// Replace makes s the set in use and gives it the next version, which it returns.
 func (rs *ActiveRules) Replace(s *Set) uint64 {
 	version := rs.lastVersion.Add(1)
 	s.version.Store(version)
@@ -79,5 +79,5 @@
 	return version
 }
 
-// Load returns the set in force, or nil before the first.
+// Load returns the set in use, or nil before the first call of Replace.
 func (rs *ActiveRules) Load() *Set { return rs.set.Load() }
--- a/store/compaction_test.go
+++ b/store/compaction_test.go
@@ -23,8 +23,8 @@
 // TestCompaction_SurvivesCrashAtEveryStep recovers from a power loss at each step of a
 // compaction: while the new file is written (truncated at every byte), after it
 // replaced the last sealed segment, and while the others are removed. The store must
-// hold the same values as before. In particular, neither a deleted key may return, nor
-// the older value of a key whose latest value expired first.
+// hold the same values as before. No deleted key may come back, and no older value of a
+// key whose latest value expired first.
 func TestCompaction_SurvivesCrashAtEveryStep(t *testing.T) {
 	dir, clock := t.TempDir(), &fakeClock{epoch}
 	s, _ := openUnsynced(t, dir, clock, 1<<30)
--- a/store/writer.go
+++ b/store/writer.go
@@ -51,7 +51,7 @@
 }
 
 // runWriter is the writer goroutine. Each time it is woken it writes the queued
-// records as one group. Close stops it, and it writes the rest of the queue first.
+// records as one group. After Close it writes the rest of the queue and returns.
 func (s *Store) runWriter() {
 	defer close(s.writerDone)
 	var buffer []byte
