--- a/frontend/uwsgi/frontend.go
+++ b/frontend/uwsgi/frontend.go
@@ -41,8 +41,8 @@
 // Options configure a Frontend.
 type Options struct {
 	Core    *dispatch.Core
-	Backend dispatch.Backend // runs the requests
-	Rules   *match.Rules     // operator rules, which take precedence over the routes
+	Backend dispatch.Backend   // runs the requests
+	Rules   *match.ActiveRules // operator rules, which take precedence over the routes
 	Config  Config
 }
 
@@ -51,7 +51,7 @@
 type Frontend struct {
 	core        *dispatch.Core
 	backend     dispatch.Backend
-	rules       *match.Rules
+	rules       *match.ActiveRules
 	config      atomic.Pointer[Config]
 	connections frontend.ConnSet[*connection]
 }
