--- a/fleet/consensus/node.go
+++ b/fleet/consensus/node.go
@@ -148,7 +148,7 @@
 
 // recoverFromLog recovers the log, restores the group and the state machine from
 // its snapshot, and creates the raft node.
-func (n *Node) recoverFromLog(recovered *store.Recovered) error {
+func (n *Node) recoverFromLog(recovered *store.RecoveredState) error {
 	var err error
 	if n.log, err = openLog(n.store, n.options.Dir, recovered, n.options.founderIDs()); err != nil {
 		return err
--- a/fleet/consensus/recovery.go
+++ b/fleet/consensus/recovery.go
@@ -22,7 +22,7 @@
 // voter that joins a group passes no founders: its new log is empty, and the
 // leader sends it a snapshot. The error wraps ErrLogDamaged if records are
 // missing.
-func openLog(s *store.Store, dir string, recovered *store.Recovered, founderIDs []uint64) (*durableLog, error) {
+func openLog(s *store.Store, dir string, recovered *store.RecoveredState, founderIDs []uint64) (*durableLog, error) {
 	l := &durableLog{store: s, dir: dir, memory: raft.NewMemoryStorage(), hardState: &raftpb.HardState{}}
 	if len(recovered.Losses) > 0 {
 		return nil, l.damagedError("%v", recovered.Losses)
@@ -83,7 +83,7 @@
 
 // recoverEntries loads the snapshot and the entries after it up to the last valid
 // one into l.memory.
-func (l *durableLog) recoverEntries(recovered *store.Recovered, snapshotRecord []byte, lastIndex uint64) error {
+func (l *durableLog) recoverEntries(recovered *store.RecoveredState, snapshotRecord []byte, lastIndex uint64) error {
 	snapshot := &raftpb.Snapshot{}
 	if err := proto.Unmarshal(snapshotRecord, snapshot); err != nil {
 		return fmt.Errorf("consensus: decoding the snapshot: %w", err)
--- a/frontend/thrift/frontend.go
+++ b/frontend/thrift/frontend.go
@@ -43,7 +43,7 @@
 // Options configure a Frontend.
 type Options struct {
 	Core     *dispatch.Core
-	Rules    *match.Rules // operator rules, which take precedence over the class and key in a message
+	Rules    *match.ActiveRules // operator rules, which take precedence over the class and key in a message
 	Log      *slog.Logger
 	Monitor  *guard.Monitor     // counts rule violations and denials; may be nil
 	Observer ConnectionObserver // may be nil
