--- a/admin/control.go
+++ b/admin/control.go
@@ -60,7 +60,7 @@
 			answerCommand(c, err)
 			return nil
 		}
-		h.run(command, func(err error) { answerCommand(c, err) })
+		h.execute(command, func(err error) { answerCommand(c, err) })
 		return nil
 	})
 }
@@ -70,15 +70,15 @@
 	c.Close()
 }
 
-// run executes a command, and calls answer once, now or later.
-func (h *CommandHandler) run(command string, answer func(error)) {
-	if err := h.start(command, answer); err != nil {
+// execute executes a command, and calls answer once, now or later.
+func (h *CommandHandler) execute(command string, answer func(error)) {
+	if err := h.startCommand(command, answer); err != nil {
 		answer(err)
 	}
 }
 
-// start has a command executed. It calls answer later unless it returns an error.
-func (h *CommandHandler) start(command string, answer func(error)) error {
+// startCommand has a command executed. It calls answer later unless it returns an error.
+func (h *CommandHandler) startCommand(command string, answer func(error)) error {
 	switch command {
 	case commandCheck:
 		return h.Core.Ready(func(ready bool) {
--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -62,8 +62,8 @@
 	plan := *goldenChange().Record.Plan
 	settings := plan
 	settings.Kind, settings.From, settings.To, settings.Servers = rollout.Settings, "", "", nil
-	golden.RoundTrip(t, "start-program.json", ChangeRequest{Plan: plan}, json.Marshal, json.Unmarshal)
-	golden.RoundTrip(t, "start-settings.json", ChangeRequest{Plan: settings, Settings: json.RawMessage(`{"lanes":{"a":{"aim_ms":5}}}`)},
+	golden.RoundTrip(t, "start-program.json", RolloutRequest{Plan: plan}, json.Marshal, json.Unmarshal)
+	golden.RoundTrip(t, "start-settings.json", RolloutRequest{Plan: settings, Settings: json.RawMessage(`{"lanes":{"a":{"aim_ms":5}}}`)},
 		json.Marshal, json.Unmarshal)
 	golden.RoundTrip(t, "add-voter.json", VoterRequest{Name: "v4", Address: "10.0.0.4:7000"}, json.Marshal, json.Unmarshal)
 	noVoter := &fleet.Fleet{}
--- a/admin/http.go
+++ b/admin/http.go
@@ -85,10 +85,10 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	http.Error(w, err.Error(), statusOf(err))
+	http.Error(w, err.Error(), statusCode(err))
 }
 
-func statusOf(err error) int {
+func statusCode(err error) int {
 	var malformed *malformedBodyError
 	switch {
 	case errors.As(err, &malformed):
--- a/admin/rollouts.go
+++ b/admin/rollouts.go
@@ -10,25 +10,25 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// maxRolloutBytes bounds a ChangeRequest, whose settings may be as long as a configuration.
+// maxRolloutBytes bounds a RolloutRequest, whose settings may be as long as a configuration.
 const maxRolloutBytes = 4 << 20
 
-// ChangeRequest is what operators send to start a rollout: its plan and, in a rollout of
+// RolloutRequest is what operators send to start a rollout: its plan and, in a rollout of
 // settings, the settings.
-type ChangeRequest struct {
+type RolloutRequest struct {
 	Plan     rollout.Plan    `json:"plan"`
 	Settings json.RawMessage `json:"settings,omitempty"`
 }
 
 // NewRolloutHandler returns the endpoint for rollouts: GET returns a fleet.ChangeStatus,
-// POST takes a ChangeRequest, DELETE halts the plan that the query's id names, for the
+// POST takes a RolloutRequest, DELETE halts the plan that the query's id names, for the
 // query's reason.
 func NewRolloutHandler(member *fleet.Fleet) http.Handler {
 	return &resource{
 		get:          func() (any, error) { return member.Change() },
 		maxBodyBytes: maxRolloutBytes,
 		create: func(ctx context.Context, body *json.Decoder) error {
-			var request ChangeRequest
+			var request RolloutRequest
 			body.DisallowUnknownFields()
 			if err := body.Decode(&request); err != nil {
 				return &malformedBodyError{err}
--- a/cmd/quincerail/rollout.go
+++ b/cmd/quincerail/rollout.go
@@ -108,8 +108,8 @@
 }
 
 // request returns the request that starts the rollout.
-func (c *rolloutStartCmd) request() (admin.ChangeRequest, error) {
-	r := admin.ChangeRequest{Plan: rollout.Plan{
+func (c *rolloutStartCmd) request() (admin.RolloutRequest, error) {
+	r := admin.RolloutRequest{Plan: rollout.Plan{
 		ID: c.ID, Kind: rollout.Program, From: c.From, To: c.To,
 		Stages: rollout.DefaultStages(), MinWatchWindows: defaultMinWatchWindows, MaxWatchWindows: defaultMaxWatchWindows,
 		WarmUpWindows: defaultWarmUpWindows, Limits: rollout.DefaultLimits(),
--- a/config/config.go
+++ b/config/config.go
@@ -125,13 +125,13 @@
 	if err := patched.CheckComplete(c); err != nil {
 		return nil, err
 	}
-	patched.copyOutsideFile(c)
+	patched.copyNonFileFields(c)
 	return patched, nil
 }
 
-// copyOutsideFile copies what does not come from the configuration file: the operator's
+// copyNonFileFields copies what does not come from the configuration file: the operator's
 // choices, and what Load reads from the environment.
-func (c *Config) copyOutsideFile(from *Config) {
+func (c *Config) copyNonFileFields(from *Config) {
 	c.ControlAddress, c.ListenFD = from.ControlAddress, from.ListenFD
 	c.Rules, c.Logger, c.Fleet = from.Rules, from.Logger, from.Fleet
 	c.KeysDir, c.KeysSync = from.KeysDir, from.KeysSync
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -46,29 +46,29 @@
 		Listen string `json:"listen"`
 	} `json:"metrics"`
 	Fleet struct {
-		Role       string            `json:"role"`
-		Name       string            `json:"name"`
-		Raft       string            `json:"raft"`
-		Gossip     string            `json:"gossip"`
-		Dir        string            `json:"dir"`
-		Voters     map[string]string `json:"voters"`
-		Seeds      map[string]string `json:"seeds"`
-		ElectionMS int               `json:"election_ms"`
-		LeaseMS    int               `json:"lease_ms"`
-		Drift      float64           `json:"drift"`
-		ProbeMS    int               `json:"probe_ms"`
-		SlowMS     int               `json:"slow_ms"`
-		Publish    string            `json:"publish"`
-		Budget     uint64            `json:"budget_calls"`
-		Repeats    uint64            `json:"budget_repeats"`
-		HorizonMS  int               `json:"horizon_ms"`
-		HoldMS     int               `json:"hold_ms"`
-		ClockRate  float64           `json:"clock_rate"`
-		WindowMS   int               `json:"window_ms"`
-		Version    string            `json:"version"`
-		Zone       string            `json:"zone"`
-		Operators  string            `json:"operators"`
-		Join       bool              `json:"join"`
+		Role          string            `json:"role"`
+		Name          string            `json:"name"`
+		Raft          string            `json:"raft"`
+		Gossip        string            `json:"gossip"`
+		Dir           string            `json:"dir"`
+		Voters        map[string]string `json:"voters"`
+		Seeds         map[string]string `json:"seeds"`
+		ElectionMS    int               `json:"election_ms"`
+		LeaseMS       int               `json:"lease_ms"`
+		Drift         float64           `json:"drift"`
+		ProbeMS       int               `json:"probe_ms"`
+		SlowMS        int               `json:"slow_ms"`
+		Publish       string            `json:"publish"`
+		BudgetCalls   uint64            `json:"budget_calls"`
+		BudgetRepeats uint64            `json:"budget_repeats"`
+		HorizonMS     int               `json:"horizon_ms"`
+		HoldMS        int               `json:"hold_ms"`
+		ClockRate     float64           `json:"clock_rate"`
+		WindowMS      int               `json:"window_ms"`
+		Version       string            `json:"version"`
+		Zone          string            `json:"zone"`
+		Operators     string            `json:"operators"`
+		Join          bool              `json:"join"`
 	} `json:"fleet"`
 }
 
@@ -103,8 +103,8 @@
 		Slow:       milliseconds(keys.SlowMS),
 		Publish:    keys.Publish,
 
-		Budget:  keys.Budget,
-		Repeats: keys.Repeats,
+		Budget:  keys.BudgetCalls,
+		Repeats: keys.BudgetRepeats,
 		Horizon: milliseconds(keys.HorizonMS),
 		Hold:    milliseconds(keys.HoldMS),
 
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -15,8 +15,8 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// operate sends an operator's command, and returns the answer's first word.
-func operate(t testing.TB, address, command string) string {
+// sendCommand sends an operator's command, and returns the answer's first word.
+func sendCommand(t testing.TB, address, command string) string {
 	t.Helper()
 	conn := dial(t, address)
 	defer closeConn(conn)
@@ -29,25 +29,26 @@
 	return word
 }
 
-// healthy makes a health check over Thrift.
-func (w *harness) healthy(t testing.TB) bool {
+// isHealthy returns the answer to a health check over Thrift.
+func (h *harness) isHealthy(t testing.TB) bool {
 	t.Helper()
-	conn := dial(t, w.Addr().String())
+	conn := dial(t, h.Addr().String())
 	defer closeConn(conn)
 	must(conn.Write(fakes.AppendCheck(nil, 1, false)))(t)
 	return must(fakes.ReadReply(bufio.NewReader(conn)))(t).Healthy
 }
 
-// TestControl guards the operators' switch of traffic: from the command's answer on, health
-// checks fail and reports are false, what still comes is served as before, and the opposite
-// command undoes it. Connections without a command hold up nobody.
-func TestControl(t *testing.T) {
-	w := newHarness(t, func(c *config.Config) { c.ControlAddress = "127.0.0.1:0" })
-	address := w.ControlAddr().String()
+// TestDrainCommands_SwitchHealthAndStillServe checks the operators' commands drain-on and
+// drain-off. After the answer to drain-on, health checks fail and the server reports to the
+// discovery service that it does not accept requests, but it still serves requests; drain-off
+// reverses that. Connections that send no command don't delay the others.
+func TestDrainCommands_SwitchHealthAndStillServe(t *testing.T) {
+	h := newHarness(t, func(c *config.Config) { c.ControlAddress = "127.0.0.1:0" })
+	address := h.ControlAddr().String()
 	for range 5 {
 		dial(t, address)
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		command, answer string
 		ready           bool
 	}{
@@ -57,48 +58,50 @@
 		{"drain", "error", false},
 		{"drain-off", "done", true},
 	} {
-		if got := operate(t, address, x.command); got != x.answer {
-			t.Errorf("%s: %s, want %s", x.command, got, x.answer)
+		if got := sendCommand(t, address, test.command); got != test.answer {
+			t.Errorf("answer to %s = %s, want %s", test.command, got, test.answer)
 		}
-		if w.healthy(t) != x.ready {
-			t.Errorf("after %s: checks don't report %t", x.command, x.ready)
+		if h.isHealthy(t) != test.ready {
+			t.Errorf("health check after %s = %t, want %t", test.command, !test.ready, test.ready)
 		}
-		if strings.HasPrefix(x.command, "drain-") {
-			w.waitReport(t, x.ready)
+		if strings.HasPrefix(test.command, "drain-") {
+			h.waitReport(t, test.ready)
 		}
-		if o := outcome(t, fronts[0].ask(t, w, "kampanjsida", "", "page")); o.Kind != "served" {
-			t.Errorf("after %s: %s", x.command, o.Kind)
+		if o := outcome(t, frontends[0].ask(t, h, "kampanjsida", "", "page")); o.Kind != "served" {
+			t.Errorf("outcome of a request after %s = %s, want served", test.command, o.Kind)
 		}
 	}
 }
 
-// TestReloadSettings has classes change under load: a new one is served from then
-// on, one that is gone is not, and a file that lacks a key changes nothing.
-func TestReloadSettings(t *testing.T) {
+// TestReload_ReplacesClassesAndRejectsMissingKey checks that after a reload a new class is
+// served and requests of a removed class are rejected, and that a file without a required key
+// is an error and changes nothing.
+func TestReload_ReplacesClassesAndRejectsMissingKey(t *testing.T) {
 	var running *config.Config
-	w := newHarness(t, func(c *config.Config) { running = c })
+	h := newHarness(t, func(c *config.Config) { running = c })
 	renamed := func(old, new string) *config.Config {
 		text := dispatchtest.Example(t, "config.json")
 		c := must(config.Parse(strings.Replace(text, old, new, 1)))(t)
 		c.ProcessorAddress, c.DependencyAddress, c.DiscoveryAddress = running.ProcessorAddress, running.DependencyAddress, running.DiscoveryAddress
 		return c
 	}
-	if err := w.Reload(renamed(`"servers": 1,`, ``), nil); err == nil || !strings.Contains(err.Error(), "settings.servers") {
-		t.Errorf("without a key: %v", err)
+	if err := h.Reload(renamed(`"servers": 1,`, ``), nil); err == nil || !strings.Contains(err.Error(), "settings.servers") {
+		t.Errorf("Reload without settings.servers = %v, want an error that names settings.servers", err)
 	}
-	if err := w.Reload(renamed(`"name": "kampanjsida"`, `"name": "galasida"`), nil); err != nil {
+	if err := h.Reload(renamed(`"name": "kampanjsida"`, `"name": "galasida"`), nil); err != nil {
 		t.Fatal(err)
 	}
 	for class, want := range map[string]string{"galasida": "served", "kampanjsida": "rejected", "givarhistorik": "served"} {
-		if o := outcome(t, fronts[0].ask(t, w, class, "", "page")); o.Kind != want {
-			t.Errorf("%s: %s, want %s", class, o.Kind, want)
+		if o := outcome(t, frontends[0].ask(t, h, class, "", "page")); o.Kind != want {
+			t.Errorf("outcome of class %s = %s, want %s", class, o.Kind, want)
 		}
 	}
 }
 
-// heldSocket opens a listening socket for servers to inherit.
-func heldSocket(t *testing.T) (held net.Listener, inherit func(*config.Config)) {
-	folder := filepath.Join(t.TempDir(), strings.Repeat("a folder with a long name ", 4)) // too long for a socket's path
+// newInheritedSocket opens a listening socket. A configuration that was changed by inherit
+// makes a server inherit the socket.
+func newInheritedSocket(t *testing.T) (held net.Listener, inherit func(*config.Config)) {
+	folder := filepath.Join(t.TempDir(), strings.Repeat("a folder with a long name ", 4)) // too long for a Unix socket's address
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -106,30 +109,33 @@
 	l := listen(t)
 	return l, func(c *config.Config) {
 		file := must(l.File())(t)
-		defer func() { mustDo(t, file.Close()) }()
-		c.ListenAddress, c.ListenFD = "held by another", must(syscall.Dup(int(file.Fd())))(t)
+		defer func() { mustSucceed(t, file.Close()) }()
+		c.ListenAddress, c.ListenFD = "not used", must(syscall.Dup(int(file.Fd())))(t)
 		c.ControlAddress = "127.0.0.1:0"
 	}
 }
 
-// TestTakeOver has a successor take over from a predecessor on the same socket: what is
-// open is answered where it is, a gift that runs or ran in the predecessor never runs in
-// the successor, and nobody is sent away.
-func TestTakeOver(t *testing.T) {
-	_, inherit := heldSocket(t)
+// TestTakeover_RunsEachKeyedRequestOnce starts a successor on the predecessor's socket. The
+// predecessor answers its open requests, a keyed request that runs or ran in the predecessor
+// never runs in the successor, and the predecessor never reports that it does not accept
+// requests.
+func TestTakeover_RunsEachKeyedRequestOnce(t *testing.T) {
+	_, inherit := newInheritedSocket(t)
 	predecessor := newHarness(t, inherit)
 	predecessor.work.Duration = 300 * time.Millisecond
-	gift := func(w *harness, key string) *fakes.Attempt { return fronts[0].ask(t, w, "ny-gava", key, "gift "+key) }
+	gift := func(h *harness, key string) *fakes.Attempt {
+		return frontends[0].ask(t, h, "ny-gava", key, "gift "+key)
+	}
 	want := fakes.Outcome{Kind: "served", Body: "done: gift ran"}
 	if got := outcome(t, gift(predecessor, "ran")); got != want {
-		t.Fatalf("%v", got)
+		t.Fatalf("outcome in the predecessor before the takeover = %v, want %v", got, want)
 	}
 	open := gift(predecessor, "runs")
 	<-predecessor.work.Started()
 	<-predecessor.work.Started()
 
 	successor := newHarness(t, inherit)
-	for operate(t, successor.ControlAddr().String(), "check") != "done" {
+	for sendCommand(t, successor.ControlAddr().String(), "check") != "done" {
 		time.Sleep(time.Millisecond)
 	}
 	predecessor.startShutdown()
@@ -137,54 +143,57 @@
 	for i, key := range []string{"ran", "runs", "runs"} {
 		want.Body = "done: gift " + key
 		if got := outcome(t, repeats[i]); got != want {
-			t.Errorf("%s: %v", key, got)
+			t.Errorf("outcome of attempt %d with key %s = %v, want %v", i, key, got, want)
 		}
 	}
 	<-predecessor.drained
 	want.Body = "done: gift new"
 	if got := outcome(t, gift(successor, "new")); got != want {
-		t.Errorf("after the predecessor's end: %v", got)
+		t.Errorf("outcome of a new key after the predecessor has stopped = %v, want %v", got, want)
 	}
 	if got := outcome(t, gift(successor, "runs")); got.Body != "done: gift runs" {
-		t.Errorf("after the predecessor's end: %v", got)
+		t.Errorf("outcome of a replicated key after the predecessor has stopped = %v, want body %q", got, "done: gift runs")
 	}
 	for key, where := range map[string]*harness{"ran": predecessor, "runs": predecessor, "new": successor} {
 		body := "gift " + key
 		if a, b := predecessor.work.Runs(body), successor.work.Runs(body); a+b != 1 || where.work.Runs(body) != 1 {
-			t.Errorf("%s: %d runs in the predecessor, %d in the successor", body, a, b)
+			t.Errorf("%s: %d runs in the predecessor and %d in the successor, want 1 in all, where it was sent first", body, a, b)
 		}
 	}
-	for len(predecessor.announce.Reports) > 0 {
-		if report := <-predecessor.announce.Reports; strings.Contains(report, "false") {
-			t.Errorf("the predecessor reports %s", report)
+	for len(predecessor.discovery.Reports) > 0 {
+		if report := <-predecessor.discovery.Reports; strings.Contains(report, "false") {
+			t.Errorf("the predecessor reported %s, want no report of false", report)
 		}
 	}
 }
 
-const graceEnds = 2 * time.Second // with room; shortGrace has one second, and five until the end
+// afterShortGrace is a time after SIGTERM that is well after the grace of shortGrace (1 s)
+// and well before its kill time (5 s).
+const afterShortGrace = 2 * time.Second
 
-// TestInherit serves on a listening socket that another holds. In a drain that
-// nobody takes over, what comes after the grace finds the socket open, so it must be
-// accepted and shed: unread, it would be lost.
-func TestInherit(t *testing.T) {
-	held, inherit := heldSocket(t)
-	w := newHarness(t, func(c *config.Config) { inherit(c); shortGrace(c) })
-	if o := outcome(t, fronts[0].ask(t, w, "kampanjsida", "", "page")); o.Kind != "served" {
-		t.Errorf("over the inherited socket: %s", o.Kind)
-	}
-	if w.Addr().String() != held.Addr().String() {
-		t.Errorf("it listens on %s", w.Addr())
-	}
-	w.startShutdown()
-	w.waitReport(t, false)
+// TestDrain_ShedsOnInheritedSocketAfterGrace drains a server on an inherited listening socket
+// without a successor. The socket is still open after the grace, since another process holds
+// it too. So the server must accept and shed the requests that arrive then: they would be lost
+// if it did not read them.
+func TestDrain_ShedsOnInheritedSocketAfterGrace(t *testing.T) {
+	held, inherit := newInheritedSocket(t)
+	h := newHarness(t, func(c *config.Config) { inherit(c); shortGrace(c) })
+	if o := outcome(t, frontends[0].ask(t, h, "kampanjsida", "", "page")); o.Kind != "served" {
+		t.Errorf("outcome over the inherited socket = %s, want served", o.Kind)
+	}
+	if h.Addr().String() != held.Addr().String() {
+		t.Errorf("Addr() = %s, want the inherited socket's %s", h.Addr(), held.Addr())
+	}
+	h.startShutdown()
+	h.waitReport(t, false)
 	kind := ""
-	for began := time.Now(); time.Since(began) < graceEnds; { // until well after the grace, and well before the end
-		if kind = outcome(t, fronts[0].ask(t, w, "kampanjsida", "", "page")).Kind; kind == "served" {
-			<-w.work.Started()
+	for began := time.Now(); time.Since(began) < afterShortGrace; {
+		if kind = outcome(t, frontends[0].ask(t, h, "kampanjsida", "", "page")).Kind; kind == "served" {
+			<-h.work.Started()
 		}
 	}
 	if kind != "refused" {
-		t.Errorf("after the grace: %s", kind)
+		t.Errorf("outcome after the grace = %s, want refused", kind)
 	}
-	<-w.drained
+	<-h.drained
 }
--- a/server/export_test.go
+++ b/server/export_test.go
@@ -1,7 +1,7 @@
 package server
 
-// Kill ends a server at once, at the end of a test: one that went on would dial the
-// addresses of its parties when they are others' already.
+// Kill stops a server at once at the end of a test. A server that kept running would dial the
+// addresses of its closed fakes, which other tests may use by then.
 func (s *Server) Kill() {
 	s.closeListeners()
 	s.stop()
--- a/server/listeners.go
+++ b/server/listeners.go
@@ -13,26 +13,26 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// The shares of the file descriptors that listeners may use for connections.
+// Shares of the file descriptors that a listener may use for connections.
 const (
-	platformDescriptorShare       = 0.625 // balancers use at most half of the descriptors; the rest is for other callers
-	platformDescriptorShareBeside = 0.375 // while a predecessor still serves on the same socket
-	uwsgiDescriptorShare          = 0.125 // each connection needs a second descriptor, to the backend
+	platformDescriptorShare = 0.625 // balancers use at most half of the descriptors; the rest is for other callers
+	handoverDescriptorShare = 0.375 // of the platform's listener while a predecessor serves on the same socket
+	uwsgiDescriptorShare    = 0.125 // each connection needs a second descriptor, for the backend
 )
 
-// readHeaderTimeout is how long an operator's HTTP request may take to arrive.
+// readHeaderTimeout bounds the time for reading the headers of an operator's HTTP request.
 const readHeaderTimeout = 5 * time.Second
 
-// How often idle connections are looked for: a few times within the time after which they
-// are closed, between these bounds.
+// The server checks for idle connections idleChecksPerTimeout times in the idle timeout, at an
+// interval within these bounds.
 const (
 	idleChecksPerTimeout = 4
 	minIdleCheckInterval = 20 * time.Millisecond
 	maxIdleCheckInterval = 500 * time.Millisecond
 )
 
-// Names of the listeners' addresses in errors and log events. The first two are keys of the
-// platform's configuration.
+// Names of the listeners in errors and log events. The first two are keys of the platform's
+// configuration.
 const (
 	listenKey      = "listen"
 	controlKey     = "control"
@@ -41,29 +41,30 @@
 	operatorsKey   = "operators"
 )
 
-// front is what the server needs of a front.
-type front interface {
+// frontend accepts requests over one protocol.
+type frontend interface {
 	Serve(c *transport.Conn) // serves a connection until it ends
-	MakeRoom()               // has connections end near the limit
+	MakeRoom()               // closes connections near the limit
 	NotifyDraining()         // tells callers to use other servers
-	EndGrace()               // has requests rejected that have not arrived by now
-	Drain(by time.Time)      // ends connections once nothing is pending on them, at the latest at a time
-	PendingConns() int       // connections that may still have a request, or owe an answer
+	EndGrace()               // makes requests that have not arrived by now be rejected
+	Drain(by time.Time)      // closes each connection once nothing is pending on it, at the latest at the given time
+	PendingConns() int       // number of connections that may have an unread request or an unwritten answer
 }
 
-// listener is a front with its listener.
+// listener is a frontend with the transport server that accepts its connections.
 type listener struct {
-	front  front
-	server *transport.Server
+	frontend frontend
+	server   *transport.Server
 }
 
-// connectionLimit returns how many connections a share of the file descriptors allows.
+// connectionLimit returns the number of connections that a share of the file descriptors
+// allows.
 func connectionLimit(c *config.Config, share float64) int {
 	return int(float64(c.MaxDescriptors) * share)
 }
 
-// listen listens on the address that a key of the configuration has. The error is a
-// *config.KeyError.
+// listen listens on a TCP address, which is the value of key in the configuration. The error
+// is a *config.KeyError.
 func listen(ctx context.Context, key, address string) (net.Listener, error) {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -72,8 +73,8 @@
 	return l, nil
 }
 
-// listenOrInherit opens the platform's listening socket, or takes over the inherited one.
-// The error is a *config.KeyError.
+// listenOrInherit opens the platform's listening socket, or uses the inherited one if the
+// configuration has its descriptor. The error is a *config.KeyError.
 func listenOrInherit(ctx context.Context, c *config.Config) (net.Listener, error) {
 	if c.ListenFD == 0 {
 		return listen(ctx, listenKey, c.ListenAddress)
@@ -85,8 +86,8 @@
 	return l, nil
 }
 
-// addFront adds a front with its listener, on which nothing is accepted yet.
-func (s *Server) addFront(key string, l net.Listener, maxConns int, f front) {
+// addFrontend adds a frontend with its listener. It does not accept connections yet.
+func (s *Server) addFrontend(key string, l net.Listener, maxConns int, f frontend) {
 	server := transport.NewServer(l, maxConns, f.Serve, f.MakeRoom)
 	server.OnAcceptFailures(func(last error, failures int) {
 		s.log.Warn("accept_failed", "listener", key, "failures", failures, "error", last.Error())
@@ -94,30 +95,32 @@
 	s.listeners = append(s.listeners, listener{f, server})
 }
 
-// serve accepts connections until the listener is closed, which is no error.
+// serve accepts connections until the server is closed. transport.Server.Serve returns no
+// error then.
 func serve(server *transport.Server) { _ = server.Serve() }
 
-// openCommands opens the listener for operators' commands, if there is one.
+// openCommands opens the listener for operators' commands, if the configuration has its
+// address.
 func (s *Server) openCommands(c *config.Config) error {
 	if c.ControlAddress == "" {
 		return nil
 	}
-	l, err := listen(s.lifetime, controlKey, c.ControlAddress)
+	l, err := listen(s.lifetimeCtx, controlKey, c.ControlAddress)
 	if err != nil {
 		return err
 	}
 	s.log.Info("control", "address", l.Addr().String())
-	handler := &admin.CommandHandler{Core: s.core, Serving: s.isOpen}
-	s.commands = transport.NewServer(l, admin.MaxCommandConnections, handler.Serve, func() {})
+	handler := &admin.CommandHandler{Core: s.core, Serving: s.hasStartedServing}
+	s.commandServer = transport.NewServer(l, admin.MaxCommandConnections, handler.Serve, func() {})
 	return nil
 }
 
-// openMetrics opens the listener of /metrics, if there is one, and serves it.
+// openMetrics opens and serves the listener for /metrics, if metrics are on.
 func (s *Server) openMetrics(c *config.Config) error {
 	if s.recorder == nil {
 		return nil
 	}
-	l, err := listen(s.lifetime, metricsKey, c.MetricsAddress)
+	l, err := listen(s.lifetimeCtx, metricsKey, c.MetricsAddress)
 	if err != nil {
 		return err
 	}
@@ -129,13 +132,13 @@
 	return nil
 }
 
-// openOperators opens the listener of the operators' HTTP endpoints about the fleet, if
-// there is one, and serves it.
+// openOperators opens and serves the listener for the operators' HTTP endpoints about the
+// fleet, if this process is in a fleet and the configuration has the address.
 func (s *Server) openOperators(c *config.Config) error {
 	if s.fleet == nil || c.OperatorsAddress == "" {
 		return nil
 	}
-	l, err := listen(s.lifetime, operatorsKey, c.OperatorsAddress)
+	l, err := listen(s.lifetimeCtx, operatorsKey, c.OperatorsAddress)
 	if err != nil {
 		return err
 	}
@@ -146,8 +149,8 @@
 	return nil
 }
 
-// serveHTTP serves a listener until closeHTTP. If serving ends before that, failed is
-// called.
+// serveHTTP starts to serve a listener until closeHTTP. It calls failed if serving fails
+// before that.
 func (s *Server) serveHTTP(l net.Listener, handler http.Handler, failed func(error)) {
 	server := &http.Server{
 		Handler:           handler,
@@ -161,17 +164,17 @@
 	}()
 }
 
-// closeListeners ends accepting on all listeners at once.
+// closeListeners closes all listeners at once.
 func (s *Server) closeListeners() {
-	s.closeFronts()
-	if s.commands != nil {
-		s.commands.Close()
+	s.closeFrontendListeners()
+	if s.commandServer != nil {
+		s.commandServer.Close()
 	}
 	s.closeHTTP()
 }
 
-// closeFronts ends accepting on the fronts' listeners at once.
-func (s *Server) closeFronts() {
+// closeFrontendListeners closes the frontends' listeners at once. Open connections stay open.
+func (s *Server) closeFrontendListeners() {
 	for _, l := range s.listeners {
 		l.server.Close()
 	}
@@ -179,11 +182,12 @@
 
 func (s *Server) closeHTTP() {
 	for _, server := range s.httpServers {
-		_ = server.Close() // the process ends, or the start has failed
+		_ = server.Close() // an error has no consequence: the process exits, or the start has failed
 	}
 }
 
-// idleTimeout holds how long connections may idle. It implements dispatch.Connections.
+// idleTimeout holds the time after which idle connections are closed. It implements
+// dispatch.Connections.
 type idleTimeout struct{ nanoseconds atomic.Int64 }
 
 // SetIdleTimeout implements dispatch.Connections.
@@ -191,13 +195,13 @@
 
 func (t *idleTimeout) duration() time.Duration { return time.Duration(t.nanoseconds.Load()) }
 
-// closeIdleConnections closes idle connections of balancers until the server stops.
+// closeIdleConnections closes idle connections of the Thrift frontend until the server stops.
 func (s *Server) closeIdleConnections() {
 	for {
 		timeout := s.idleTimeout.duration()
 		interval := min(max(timeout/idleChecksPerTimeout, minIdleCheckInterval), maxIdleCheckInterval)
 		select {
-		case <-s.lifetime.Done():
+		case <-s.lifetimeCtx.Done():
 			return
 		case <-time.After(interval):
 		}
--- a/server/network_test.go
+++ b/server/network_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// connectTimeout bounds the wait for a connection.
+// connectTimeout bounds the time of one connection attempt.
 const connectTimeout = 20 * time.Second
 
 // tryDial opens a connection.
@@ -25,7 +25,7 @@
 	return tcp, nil
 }
 
-// dial opens a connection until the test ends.
+// dial opens a connection that is closed at the end of the test.
 func dial(t testing.TB, address string) *net.TCPConn {
 	t.Helper()
 	conn := must(tryDial(address))(t)
@@ -33,23 +33,23 @@
 	return conn
 }
 
-// listen opens a listener on any port until the test ends.
+// listen opens a listener on any free port that is closed at the end of the test.
 func listen(t testing.TB) *net.TCPListener {
 	t.Helper()
 	l := must((&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0"))(t)
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
-		t.Fatalf("a listener of type %T", l)
+		t.Fatalf("Listen returned a %T, want a *net.TCPListener", l)
 	}
 	t.Cleanup(func() { _ = tcp.Close() }) // a server may have closed it
 	return tcp
 }
 
-// closeConn closes a connection that may have ended before.
+// closeConn closes a connection and ignores the error, as the peer may have closed it before.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
-// mustDo fails the test where something that can't fail does.
-func mustDo(t testing.TB, err error) {
+// mustSucceed ends the test if err is not nil.
+func mustSucceed(t testing.TB, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
--- a/server/observers.go
+++ b/server/observers.go
@@ -9,7 +9,7 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// observer returns what the core calls for each answer; nil where nothing counts answers.
+// observer returns the observer that the core calls for each answer, nil if there is none.
 func (s *Server) observer() dispatch.Observer {
 	var observers multiObserver
 	if s.recorder != nil {
@@ -24,18 +24,18 @@
 	return observers
 }
 
-// multiObserver passes each answer on to several observers.
+// multiObserver calls several observers for each answer.
 type multiObserver []dispatch.Observer
 
 // ObserveResponse implements dispatch.Observer.
-func (m multiObserver) ObserveResponse(class string, kind dispatch.OutcomeKind, took time.Duration, repeat bool) {
+func (m multiObserver) ObserveResponse(class string, kind dispatch.OutcomeKind, took time.Duration, duplicate bool) {
 	for _, o := range m {
-		o.ObserveResponse(class, kind, took, repeat)
+		o.ObserveResponse(class, kind, took, duplicate)
 	}
 }
 
-// outcomeCounter counts the answers by which a rollout compares servers. Its methods may be
-// called from any goroutine.
+// outcomeCounter counts outcomes and latencies, by which a rollout compares servers. Its
+// methods may be called from any goroutine.
 type outcomeCounter struct {
 	mu         sync.Mutex
 	objectives map[string]time.Duration // latency objective by class
@@ -68,7 +68,7 @@
 	}
 }
 
-// addLatencyLocked counts the latency of a served answer. The lock is held.
+// addLatencyLocked counts the latency of a served request. The caller holds o.mu.
 func (o *outcomeCounter) addLatencyLocked(class string, took time.Duration) {
 	if objective, ok := o.objectives[class]; ok && took > objective {
 		o.totals.Late++
@@ -81,7 +81,7 @@
 	}
 }
 
-// Totals returns what was counted since the process began.
+// Totals returns the counts since the process started.
 func (o *outcomeCounter) Totals() rollout.Totals {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/server/reload.go
+++ b/server/reload.go
@@ -6,16 +6,17 @@
 	"quincerail.example/quincerail/config"
 )
 
-// Reload puts a new configuration in force while requests are served: the addresses of the
-// other parties, the settings, the limits of memory and cores, the rules, and how soon the
-// kill follows SIGTERM. What the fleet changed of the settings stays changed. Where uwsgiFile
-// is nil the uwsgi front keeps its configuration.
+// Reload applies a new configuration while requests are served: the addresses of the
+// processor, the shared dependency and the discovery service, the settings, the limits of
+// memory and cores, the rules, and the time from SIGTERM to the kill. The fleet's patch of the
+// settings is applied to the new settings too. If uwsgiFile is nil, the uwsgi frontend keeps
+// its configuration.
 //
-// With an error, which names the key at fault, nothing has changed. Changed keys that need a
-// restart, the limit of descriptors among them, are logged and stay as they were.
+// An error names the invalid key, and nothing has changed then. Changed keys that need a
+// restart, such as the limit of file descriptors, are logged and keep their values.
 func (s *Server) Reload(c *config.Config, uwsgiFile *config.UWSGI) error {
-	s.reloading.Lock()
-	defer s.reloading.Unlock()
+	s.reloadMu.Lock()
+	defer s.reloadMu.Unlock()
 	next, err := s.validate(c)
 	if err != nil {
 		return err
@@ -23,30 +24,30 @@
 	if err := s.apply(next, uwsgiFile); err != nil {
 		return err
 	}
-	s.fromFile = c
+	s.fileConfig = c
 	return nil
 }
 
-// validate returns a configuration with what the fleet changed. It must have all keys that
-// the file in force has.
+// validate returns a configuration with the fleet's patch applied. It returns an error if c
+// lacks a key that the active file has.
 func (s *Server) validate(c *config.Config) (*config.Config, error) {
-	if err := c.CheckComplete(s.fromFile); err != nil {
+	if err := c.CheckComplete(s.fileConfig); err != nil {
 		return nil, err
 	}
 	next, err := c.WithPatch(s.fleetPatch)
 	if err != nil {
-		return nil, fmt.Errorf("with what the fleet changed: %w", err)
+		return nil, fmt.Errorf("configuration with the fleet's patch: %w", err)
 	}
 	return next, nil
 }
 
-// apply puts a configuration in force. The core checks the settings before anything has
-// changed.
+// apply makes next the active configuration. The core validates the settings before anything
+// has changed.
 func (s *Server) apply(next *config.Config, uwsgiFile *config.UWSGI) error {
 	if err := s.core.UpdateSettings(next.Settings, next.Classes, next.Tenants); err != nil {
 		return err
 	}
-	current := s.inForce.Load()
+	current := s.activeConfig.Load()
 	ignored := s.ignoredKeys(current, next, uwsgiFile)
 	ApplyResourceLimits(next)
 	s.applyAddresses(next)
@@ -56,13 +57,13 @@
 		s.log.Warn("reload_ignored", "key", key, "reason", "needs a restart")
 	}
 	s.applyToObservers(next)
-	s.inForce.Store(next)
+	s.activeConfig.Store(next)
 	s.log.Info("reloaded", "processor", next.ProcessorAddress, "ledger", next.DependencyAddress, "announce", next.DiscoveryAddress,
 		"classes", fmt.Sprintf("%q", next.Classes))
 	return nil
 }
 
-// ignoredKeys returns the changed keys that need a restart to take effect.
+// ignoredKeys returns the changed keys that take effect only after a restart.
 func (s *Server) ignoredKeys(current, next *config.Config, uwsgiFile *config.UWSGI) []string {
 	keys := next.RestartKeys(current)
 	if s.uwsgi != nil && uwsgiFile != nil && uwsgiFile.Listen != s.uwsgiListen {
--- a/server/rollouts.go
+++ b/server/rollouts.go
@@ -6,7 +6,8 @@
 	"quincerail.example/quincerail/config"
 )
 
-// fleetTarget is this process to the fleet's rollouts. It implements fleet.Target.
+// fleetTarget applies the fleet's rollouts of settings to this process, and counts its
+// outcomes for them. It implements fleet.Target.
 type fleetTarget struct {
 	*outcomeCounter
 
@@ -16,12 +17,12 @@
 // Apply implements fleet.Target.
 func (t fleetTarget) Apply(patch json.RawMessage) error { return t.server.applyFleetPatch(patch) }
 
-// applyFleetPatch puts the file's configuration in force with the fleet's changes of its
-// settings. With an error nothing has changed.
+// applyFleetPatch applies the configuration from the file with the settings changed by patch.
+// After an error nothing has changed.
 func (s *Server) applyFleetPatch(patch json.RawMessage) error {
-	s.reloading.Lock()
-	defer s.reloading.Unlock()
-	next, err := s.fromFile.WithPatch(patch)
+	s.reloadMu.Lock()
+	defer s.reloadMu.Unlock()
+	next, err := s.fileConfig.WithPatch(patch)
 	if err != nil {
 		return err
 	}
@@ -35,11 +36,12 @@
 	return nil
 }
 
-// checkClassesKept rejects settings without a class that the rules or the uwsgi front may
-// give to requests: valid alone, they would have requests of no class.
+// checkClassesKept returns an error if next lacks a class that the rules or the uwsgi frontend
+// may assign: next would be valid by itself, but requests would get a class that it does not
+// have.
 func (s *Server) checkClassesKept(next *config.Config) error {
-	if s.uwsgi == nil && s.fromFile.Rules == nil {
+	if s.uwsgi == nil && s.fileConfig.Rules == nil {
 		return nil
 	}
-	return next.CheckClasses(s.fromFile)
+	return next.CheckClasses(s.fileConfig)
 }
--- a/server/server.go
+++ b/server/server.go
@@ -1,5 +1,6 @@
-// Package server assembles the app server from its parts and runs them: it starts and
-// stops them in order, opens the listeners, and puts new configurations in force.
+// Package server assembles the app server from its parts and runs it: [Start] opens the
+// listeners and starts the parts in order, [Server.Reload] applies a new configuration, and
+// [Server.Shutdown] drains the server and stops the parts.
 package server
 
 import (
@@ -29,23 +30,24 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// state is a step of a server's life. A server only moves forward in this table; it may
+// state is a phase of a server's lifecycle. A server only moves down this table, and may
 // skip states.
 //
-//	state        entered               callers                                next
-//	starting     by Start              none are let in                        takingOver, serving
-//	takingOver   by Start, where the   none are let in until the              serving
-//	             socket is inherited   predecessor's keys are known
-//	serving      by openToCallers      are served                             notifying, handingOver
-//	handingOver  by Shutdown, where a  use the successor; what is open here   stopped
-//	             successor is ready    is answered
-//	notifying    by Shutdown           are told to use other servers, and     rejecting
-//	                                   served until the grace is over
-//	rejecting    after the grace       can't connect; what comes over open    closing, stopped
-//	                                   connections is shed
-//	closing      when all is answered  their connections are closed           stopped
-//	stopped      at the end            none are left, or the process is       -
-//	                                   about to be killed
+//	state        entered                    callers                                 next
+//	starting     by Start                   can't connect                           takingOver, serving
+//	takingOver   by Start, if the           can't connect until the predecessor's   serving
+//	             socket is inherited        keys are replicated
+//	serving      by startServing            are served                              notifying, handingOver
+//	handingOver  by Shutdown, if a          connect to the successor; open          stopped
+//	             successor is ready         requests are answered here
+//	notifying    by Shutdown otherwise      are told to use other servers, and      rejecting
+//	                                        are served until the grace ends
+//	rejecting    when the grace ends        can't connect; new requests on open     closing, stopped
+//	                                        connections are shed
+//	closing      at the answer deadline,    have their connections closed           stopped
+//	             if connections are open
+//	stopped      when Shutdown is done      are disconnected, or the process is     -
+//	                                        about to be killed
 type state int32
 
 const (
@@ -60,13 +62,13 @@
 )
 
 // Server is a running app server, which Start returns. Its methods may be called from any
-// goroutine, and Shutdown must be called only once.
+// goroutine. Shutdown must be called only once.
 type Server struct {
-	log     *slog.Logger
-	state   atomic.Int32                  // a state
-	inForce atomic.Pointer[config.Config] // the configuration, with what the fleet changed
+	log          *slog.Logger
+	state        atomic.Int32                  // a state
+	activeConfig atomic.Pointer[config.Config] // fileConfig with fleetPatch applied
 
-	// The parts. Those that the configuration leaves out are nil.
+	// The parts. A part that the configuration turns off is nil.
 	core       *dispatch.Core
 	monitor    *guard.Monitor // counts violations of the platform's rules
 	processor  *backend.Processor
@@ -74,45 +76,46 @@
 	registrar  *discovery.Registrar
 	journal    *journal.Journal // of idempotency keys
 	fleet      *fleet.Fleet
-	handover   *handover.Endpoint // where the listening socket is inherited
-	rules      *match.Rules       // the operator's, which the fronts ask first
+	handover   *handover.Endpoint // only with an inherited listening socket
+	rules      *match.Rules       // the operator's classification rules, which the frontends apply first
 	recorder   *metrics.Recorder
 	outcomes   *outcomeCounter // for the fleet's rollouts
 
-	// The fronts and their listeners.
-	idleTimeout  *idleTimeout
-	thrift       *thrift.Frontend
-	uwsgi        *uwsgi.Frontend
-	uwsgiBackend *backend.UWSGI
-	listeners    []listener        // of the fronts; the first is the platform's
-	commands     *transport.Server // where operators send commands
-	httpServers  []*http.Server    // the operators' other listeners
-	metricsAddr  net.Addr
-
-	reloading   sync.Mutex      // held by a reload; protects the fields up to uwsgiListen
-	fromFile    *config.Config  // the configuration as its file has it, without fleetPatch
-	fleetPatch  json.RawMessage // JSON merge patch of the settings, by a rollout of the fleet; nil for none
-	uwsgiListen string          // the address in the uwsgi front's file
-
-	lifetime      context.Context // of the parts' goroutines
+	// The frontends and their listeners.
+	idleTimeout   *idleTimeout
+	thrift        *thrift.Frontend
+	uwsgi         *uwsgi.Frontend
+	uwsgiBackend  *backend.UWSGI
+	listeners     []listener        // of the frontends; the first is the Thrift frontend's
+	commandServer *transport.Server // for operators' commands
+	httpServers   []*http.Server    // for metrics and the operators' HTTP endpoints
+	metricsAddr   net.Addr
+
+	reloadMu    sync.Mutex      // held during a reload; protects the fields up to uwsgiListen
+	fileConfig  *config.Config  // the configuration from the file, without fleetPatch
+	fleetPatch  json.RawMessage // JSON merge patch of the settings, from a rollout of the fleet; nil for none
+	uwsgiListen string          // the listening address in the uwsgi frontend's file
+
+	lifetimeCtx   context.Context // of the parts' goroutines
 	stop          context.CancelFunc
-	reporting     context.Context // of the reports to the discovery service
+	reportingCtx  context.Context // of the reports to the discovery service
 	stopReporting context.CancelFunc
 }
 
 const (
 	bytesPerMB      = 1 << 20
-	heapMemoryShare = 0.75 // of the process's memory, that the Go runtime may take
+	heapMemoryShare = 0.75 // share of the process's memory that the Go runtime may use
 )
 
 // ApplyResourceLimits sets the Go runtime's memory limit (GOMEMLIMIT) and the number of
-// threads that run Go code (GOMAXPROCS) by the configuration.
+// threads that run Go code at once (GOMAXPROCS) from the limits in the configuration.
 func ApplyResourceLimits(c *config.Config) {
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * heapMemoryShare * bytesPerMB))
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
 }
 
-// enter moves on to a state. A state that was left behind is not entered again.
+// enter moves the server to the state next. It does nothing if the server is in next or in a
+// later state.
 func (s *Server) enter(next state) {
 	for {
 		current := s.state.Load()
@@ -122,13 +125,13 @@
 	}
 }
 
-// isOpen reports whether callers have been let in.
-func (s *Server) isOpen() bool { return state(s.state.Load()) >= stateServing }
+// hasStartedServing reports whether the server has reached stateServing or a later state.
+func (s *Server) hasStartedServing() bool { return state(s.state.Load()) >= stateServing }
 
 // Addr returns the address that balancers connect to.
 func (s *Server) Addr() net.Addr { return s.listeners[0].server.Addr() }
 
-// UWSGIAddr returns the address of the uwsgi front, nil where it is off.
+// UWSGIAddr returns the address of the uwsgi frontend, nil if it is off.
 func (s *Server) UWSGIAddr() net.Addr {
 	if len(s.listeners) < 2 {
 		return nil
@@ -136,13 +139,13 @@
 	return s.listeners[1].server.Addr()
 }
 
-// ControlAddr returns the address for operators' commands, nil where there is none.
+// ControlAddr returns the address for operators' commands, nil if there is none.
 func (s *Server) ControlAddr() net.Addr {
-	if s.commands == nil {
+	if s.commandServer == nil {
 		return nil
 	}
-	return s.commands.Addr()
+	return s.commandServer.Addr()
 }
 
-// MetricsAddr returns the address of /metrics, nil where there is none.
+// MetricsAddr returns the address that serves /metrics, nil if there is none.
 func (s *Server) MetricsAddr() net.Addr { return s.metricsAddr }
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -8,38 +8,38 @@
 	"quincerail.example/quincerail/handover"
 )
 
-// How long before the process may be killed a step of its end is due.
+// Deadlines of the shutdown's steps, as the time before the process may be killed.
 const (
-	answerMargin     = 200 * time.Millisecond // every request must be answered, and connections begin to end
-	disconnectMargin = 140 * time.Millisecond // connections are ended, even in the middle of a message
-	exitMargin       = 80 * time.Millisecond  // the process ends
+	answerMargin     = 200 * time.Millisecond // every request is answered, and the server starts to close connections
+	disconnectMargin = 140 * time.Millisecond // connections are closed, even in the middle of a message
+	exitMargin       = 80 * time.Millisecond  // the process exits
 )
 
 const (
 	renotifyInterval  = 100 * time.Millisecond // between two notifications of callers while a successor takes over
-	fleetLeaveTimeout = time.Second            // for the fleet to learn that this process gives up its leases
-	unansweredTimeout = 20 * time.Millisecond  // for the core to count the requests without an answer
+	fleetLeaveTimeout = time.Second            // for releasing this process's leases to the fleet
+	unansweredTimeout = 20 * time.Millisecond  // for the core's reply with the number of unanswered requests
 )
 
-// The state of the connections when the process ends, in the log event stopped.
+// Values of the attribute connections of the log event stopped.
 const (
 	connectionsClosed = "closed"
 	connectionsOpen   = "open"
 )
 
-// phaseNames are the names of a drain's states in the log event drain_phase.
+// phaseNames are the values of the attribute phase of the log event drain_phase.
 var phaseNames = map[state]string{
 	stateNotifying: "leaving",
 	stateRejecting: "refusing",
 	stateClosing:   "closing",
 }
 
-// Shutdown is called at SIGTERM: callers are told to use other servers, open requests are
-// answered, and connections end. It returns when the process may end, at the latest
-// exitMargin before it may be killed, unless package guard holds it longer. It must be
-// called once.
+// Shutdown shuts the server down gracefully after SIGTERM: it tells callers to use other
+// servers, answers open requests and closes the connections. It returns when the process may
+// exit: at the latest exitMargin before the process may be killed, or later if package guard
+// does not allow the exit yet. It must be called only once.
 //
-// Operators can send commands until the process ends.
+// Operators can send commands until the process exits.
 func (s *Server) Shutdown() {
 	fleetLeft := s.leaveFleet()
 	if successor := s.successor(); successor != nil {
@@ -49,7 +49,7 @@
 	}
 	s.stop()
 	if s.journal != nil {
-		<-s.core.Done() // it writes to the journal until then
+		<-s.core.Done() // the core writes to the journal until then
 		s.closeJournal()
 	}
 	<-fleetLeft
@@ -57,8 +57,8 @@
 	s.closeHTTP()
 }
 
-// leaveFleet gives up this process's leases in its fleet, so that other members can own
-// them at once. The channel is closed when that is done, or has timed out.
+// leaveFleet releases this process's leases in its fleet, so that other members can acquire
+// them at once. The returned channel is closed when that is done or has timed out.
 func (s *Server) leaveFleet() <-chan struct{} {
 	left := make(chan struct{})
 	if s.fleet == nil {
@@ -72,8 +72,8 @@
 	return left
 }
 
-// successor returns the process that is ready to serve on the same socket, nil where there
-// is none.
+// successor returns the process that is ready to serve on the same socket, nil if there is
+// none.
 func (s *Server) successor() *handover.Peer {
 	if s.handover == nil {
 		return nil
@@ -81,13 +81,13 @@
 	return s.handover.Successor()
 }
 
-// drain goes through the states notifying, rejecting and closing (see state). Closing is
-// left out where all connections have ended before it.
+// drain runs through the states notifying, rejecting and closing (see state). It skips
+// closing if all connections have ended before the answer deadline.
 //
 // An inherited listening socket stays open until the state closing. A caller whose
 // connection is refused takes that as proof that nothing ran. But another process holds an
-// inherited socket too: a connection would not be refused after this process has closed its
-// end, but wait in the accept queue, and be served by nobody.
+// inherited socket too: after this process closed its descriptor, a new connection would not
+// be refused. It would wait in the accept queue and never be served.
 func (s *Server) drain() {
 	graceEnd, killAt := s.beginDrain()
 
@@ -95,50 +95,51 @@
 	s.notifyCallers()
 	answerDeadline := closedAt(killAt.Add(-answerMargin))
 	select {
-	case <-time.After(time.Until(graceEnd)): // requests need not be accepted any more
+	case <-time.After(time.Until(graceEnd)):
 	case <-answerDeadline:
 	}
 
 	s.enterPhase(stateRejecting)
 	accepted := s.stopAccepting()
 	s.endGrace()
-	ended := s.connectionsEnded()
+	done := s.connectionsDone()
 	select {
-	case <-ended:
+	case <-done:
 	case <-answerDeadline:
 		s.enterPhase(stateClosing)
-		s.closeInherited()
+		s.closeInheritedListener()
 	}
-	s.endConnections(killAt, accepted, ended)
+	s.closeConnections(killAt, accepted, done)
 }
 
-// beginDrain has the core drain. It returns until when requests must still be accepted, and
-// when the process may be killed.
+// beginDrain starts the drain of the core. Requests must be accepted until graceEnd, and the
+// process may be killed at killAt.
 func (s *Server) beginDrain() (graceEnd, killAt time.Time) {
-	inForce := s.inForce.Load()
+	active := s.activeConfig.Load()
 	noticeAt := s.core.DrainNoticeTime() // of SIGTERM
-	killAt = noticeAt.Add(inForce.KillDelay())
+	killAt = noticeAt.Add(active.KillDelay())
 	s.log.Info("drain", "stop_in", time.Until(killAt).Round(time.Millisecond).String(),
 		"notice_ago", time.Since(noticeAt).Round(time.Millisecond).String())
 	s.core.Drain(noticeAt, killAt)
-	return noticeAt.Add(inForce.Settings.DrainGrace), killAt
+	return noticeAt.Add(active.Settings.DrainGrace), killAt
 }
 
-// enterPhase moves on to a state of a drain, and logs it.
+// enterPhase moves the server to a state of the drain, and logs it.
 func (s *Server) enterPhase(next state) {
 	s.enter(next)
 	s.log.Info("drain_phase", "phase", phaseNames[next], "open_requests", s.core.InFlight())
 }
 
-// notifyCallers tells callers, those to come included, to use other servers.
+// notifyCallers tells callers on open and on future connections to use other servers.
 func (s *Server) notifyCallers() {
 	for _, l := range s.listeners {
-		l.front.NotifyDraining()
+		l.frontend.NotifyDraining()
 	}
 }
 
-// stopAccepting closes the fronts' listeners, except an inherited one, once they have
-// accepted the connections in their accept queues. The channel is closed when they have.
+// stopAccepting closes the frontends' listeners, except an inherited one, once they have
+// accepted the connections in their accept queues. The returned channel is closed when all
+// of these listeners are closed.
 func (s *Server) stopAccepting() <-chan struct{} {
 	var closing sync.WaitGroup
 	for i, l := range s.listeners {
@@ -154,39 +155,42 @@
 	return accepted
 }
 
-// closeInherited closes this process's end of an inherited listening socket.
-func (s *Server) closeInherited() {
+// closeInheritedListener closes this process's descriptor of an inherited listening socket.
+func (s *Server) closeInheritedListener() {
 	if s.handover != nil {
 		s.listeners[0].server.Close()
 	}
 }
 
+// endGrace makes the frontends mark what they have received: the core sheds requests that
+// arrive later.
 func (s *Server) endGrace() {
 	for _, l := range s.listeners {
-		l.front.EndGrace()
+		l.frontend.EndGrace()
 	}
 }
 
-// connectionsEnded returns a channel that is closed once no listener accepts any more and
-// the last connection has ended.
-func (s *Server) connectionsEnded() <-chan struct{} {
-	ended := make(chan struct{})
+// connectionsDone returns a channel that is closed once the frontends' listeners are closed
+// and the last connection has ended.
+func (s *Server) connectionsDone() <-chan struct{} {
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		for _, l := range s.listeners {
 			<-l.server.Done()
 		}
 	}()
-	return ended
+	return done
 }
 
-// endConnections ends the connections, and returns when the process may end: when done is
-// closed, or exitMargin before killAt, or later if package guard holds the process, which
-// may have been suspended until then. accepted must be closed once no connection waits to
-// be accepted, done once the connections have ended and the requests are answered.
-func (s *Server) endConnections(killAt time.Time, accepted, done <-chan struct{}) {
+// closeConnections closes the connections, and returns when the process may exit: when done
+// is closed, or exitMargin before killAt, or later if package guard does not allow the exit,
+// since the process may have been suspended until then. The caller closes accepted once no
+// connection waits to be accepted, and done once the connections have ended and the requests
+// are answered.
+func (s *Server) closeConnections(killAt time.Time, accepted, done <-chan struct{}) {
 	for _, l := range s.listeners {
-		l.front.Drain(killAt.Add(-disconnectMargin))
+		l.frontend.Drain(killAt.Add(-disconnectMargin))
 	}
 	select {
 	case <-done:
@@ -195,7 +199,7 @@
 	case <-closedAt(killAt.Add(-exitMargin)):
 	}
 	s.awaitExitAllowed(killAt, accepted)
-	s.closeFronts()
+	s.closeFrontendListeners()
 	select {
 	case <-done:
 		s.reportStopped(connectionsClosed)
@@ -204,7 +208,7 @@
 	}
 }
 
-// awaitExitAllowed waits until package guard lets the process end.
+// awaitExitAllowed waits until package guard allows the process to exit.
 func (s *Server) awaitExitAllowed(killAt time.Time, accepted <-chan struct{}) {
 	for checks := 0; ; checks++ {
 		reason, retryAfter := guard.MayExit(s.exitFacts(accepted, checks))
@@ -212,30 +216,30 @@
 			return
 		}
 		if checks == 0 {
-			s.log.Info("exit_put_off", "reason", string(reason),
-				"past_end", time.Since(killAt).Round(time.Millisecond).String())
+			s.log.Info("exit_delayed", "reason", string(reason),
+				"past_kill_time", time.Since(killAt).Round(time.Millisecond).String())
 		}
 		time.Sleep(retryAfter)
 	}
 }
 
-// exitFacts returns the facts by which package guard decides whether the process may end.
+// exitFacts returns the input of package guard's decision whether the process may exit.
 func (s *Server) exitFacts(accepted <-chan struct{}, checks int) guard.Exit {
 	facts := guard.Exit{Checks: checks}
 	if !isClosed(accepted) {
 		facts.PendingConnections = 1
 	}
 	for _, l := range s.listeners {
-		facts.OpenConnections += l.front.PendingConns()
+		facts.OpenConnections += l.frontend.PendingConns()
 	}
-	if facts.OpenConnections == 0 { // else the core may not have received all requests yet
+	if facts.OpenConnections == 0 { // otherwise the core may not have received all requests yet
 		facts.UnansweredRequests = s.unanswered()
 	}
 	return facts
 }
 
-// reportStopped logs that the process may end, and whether connections are still open. A
-// request that is open then is lost.
+// reportStopped logs that the process may exit, and whether connections are still open. It
+// reports unanswered requests as lost, which violates a rule of package guard.
 func (s *Server) reportStopped(connections string) {
 	open := s.unanswered()
 	if open > 0 {
@@ -244,8 +248,9 @@
 	s.log.Info("stopped", "connections", connections, "open_requests", open)
 }
 
-// unanswered returns how many requests have no answer, after the core has handled the ends
-// of connections that came before.
+// unanswered returns the number of requests without an answer. The core counts them after it
+// has handled the connections that ended before the call; if it has stopped, or does not
+// reply within unansweredTimeout, the result is its number of requests in flight.
 func (s *Server) unanswered() int {
 	reply := make(chan int, 1)
 	if s.core.Unanswered(func(requests int) { reply <- requests }) != nil {
@@ -261,33 +266,33 @@
 
 // handOver leaves new connections to a successor on the same socket. It returns when the
 // open requests are answered and the callers have closed their connections, or shortly
-// before this process may be killed. Nothing is reported to the discovery service: the
-// successor's reports hold.
+// before this process may be killed. It stops this process's reports to the discovery
+// service, so that the successor's reports stay valid.
 func (s *Server) handOver(successor *handover.Peer) {
 	s.enter(stateHandingOver)
-	killAt := s.core.DrainNoticeTime().Add(s.inForce.Load().KillDelay())
+	killAt := s.core.DrainNoticeTime().Add(s.activeConfig.Load().KillDelay())
 	answered := s.core.HandOver(killAt)
 	s.stopReporting()
-	s.closeFronts()
-	done := allClosed(s.connectionsEnded(), answered)
+	s.closeFrontendListeners()
+	done := allClosed(s.connectionsDone(), answered)
 	if s.notifyUntil(done, closedAt(killAt.Add(-answerMargin))) {
 		s.reportStopped(connectionsClosed)
 	} else {
-		s.endConnections(killAt, alreadyClosed(), done)
+		s.closeConnections(killAt, alreadyClosed(), done)
 	}
 	successor.Close()
 }
 
-// notifyUntil notifies callers until done or answerDeadline is closed, and reports whether
-// done was. Each further time the Thrift front closes idle connections whose callers were
-// notified before.
+// notifyUntil notifies callers every renotifyInterval until done or answerDeadline is closed,
+// and reports whether done was closed. At each repetition the Thrift frontend closes the idle
+// connections whose callers it notified before.
 func (s *Server) notifyUntil(done, answerDeadline <-chan struct{}) bool {
-	again := time.NewTicker(renotifyInterval)
-	defer again.Stop()
+	ticker := time.NewTicker(renotifyInterval)
+	defer ticker.Stop()
 	for {
 		s.notifyCallers()
 		select {
-		case <-again.C:
+		case <-ticker.C:
 		case <-answerDeadline:
 			return false
 		case <-done:
@@ -296,7 +301,7 @@
 	}
 }
 
-// closedAt returns a channel that is closed at a time.
+// closedAt returns a channel that is closed at the given time.
 func closedAt(at time.Time) <-chan struct{} {
 	passed := make(chan struct{})
 	time.AfterFunc(time.Until(at), func() { close(passed) })
@@ -310,7 +315,7 @@
 	return closed
 }
 
-// allClosed returns a channel that is closed once both are.
+// allClosed returns a channel that is closed once a and b are closed.
 func allClosed(a, b <-chan struct{}) <-chan struct{} {
 	both := make(chan struct{})
 	go func() {
--- a/server/start.go
+++ b/server/start.go
@@ -23,22 +23,22 @@
 )
 
 const (
-	// keyTableMemoryDivisor is the part of the process's memory, one in so many, that the
-	// table of idempotency keys may take.
+	// keyTableMemoryDivisor is the divisor of the process's memory that gives the bound for
+	// the table of idempotency keys.
 	keyTableMemoryDivisor = 8
 
 	// keysSyncNever is the value of Config.KeysSync that leaves syncing to the operating
 	// system.
 	keysSyncNever = "never"
 
-	// keyWindowSlack is how much longer than its window a key is kept.
+	// keyWindowSlack is the time for which a key is kept after its window.
 	keyWindowSlack = time.Second
 )
 
-// Start starts a server. The uwsgi front is off where uwsgiFile is nil. Callers are let in
-// when Start returns, or, where the listening socket is inherited, once the predecessor's
-// keys are known. After an error nothing is left running; where an address can't be listened
-// on, the error is a *config.KeyError.
+// Start starts a server. If uwsgiFile is nil, the uwsgi frontend is off. Callers can connect
+// when Start returns or, if the listening socket is inherited, once the predecessor's keys are
+// known. After an error nothing is left running. The error is a *config.KeyError if listening
+// on an address fails.
 func Start(c *config.Config, uwsgiFile *config.UWSGI) (*Server, error) {
 	s := newServer(c)
 	if err := s.prepare(c, uwsgiFile); err != nil {
@@ -49,7 +49,7 @@
 	return s, nil
 }
 
-// newServer makes the parts that can't fail.
+// newServer creates the server and the parts whose creation can't fail.
 func newServer(c *config.Config) *Server {
 	log := c.Logger
 	if log == nil {
@@ -63,11 +63,11 @@
 		registrar:   discovery.NewRegistrar(c.Name, log),
 		rules:       &match.Rules{},
 		idleTimeout: &idleTimeout{},
-		fromFile:    c,
+		fileConfig:  c,
 	}
-	s.lifetime, s.stop = context.WithCancel(context.Background())
-	s.reporting, s.stopReporting = context.WithCancel(s.lifetime)
-	s.inForce.Store(c)
+	s.lifetimeCtx, s.stop = context.WithCancel(context.Background())
+	s.reportingCtx, s.stopReporting = context.WithCancel(s.lifetimeCtx)
+	s.activeConfig.Store(c)
 	s.idleTimeout.SetIdleTimeout(c.Settings.MaxIdleTime)
 	if c.Rules != nil {
 		s.rules.Replace(c.Rules)
@@ -76,7 +76,7 @@
 	return s
 }
 
-// createObservers makes the parts that count answers.
+// createObservers creates the observers of answers that the configuration turns on.
 func (s *Server) createObservers(c *config.Config) {
 	if c.MetricsAddress != "" {
 		s.recorder = metrics.NewRecorder()
@@ -89,9 +89,9 @@
 	}
 }
 
-// prepare makes the parts that can fail, each after those that it needs, and opens the
-// listeners. From the outside only the fleet's messages and the operators' HTTP requests are
-// taken yet.
+// prepare creates the parts whose creation can fail, each after the parts that it needs, and
+// opens the listeners. Only the fleet's messages and the operators' HTTP requests are served
+// before run.
 func (s *Server) prepare(c *config.Config, uwsgiFile *config.UWSGI) error {
 	recovered, err := s.openJournal(c)
 	if err != nil {
@@ -103,13 +103,13 @@
 	if err := s.createCore(c, recovered); err != nil {
 		return err
 	}
-	if err := s.openPlatformFront(c); err != nil {
+	if err := s.openThriftFrontend(c); err != nil {
 		return err
 	}
 	if err := s.openCommands(c); err != nil {
 		return err
 	}
-	if err := s.openUWSGIFront(c, uwsgiFile); err != nil {
+	if err := s.openUWSGIFrontend(c, uwsgiFile); err != nil {
 		return err
 	}
 	if err := s.openMetrics(c); err != nil {
@@ -118,19 +118,19 @@
 	return s.openOperators(c)
 }
 
-// abandonStart ends what prepare has started before it failed: the fleet's goroutines, the
-// journal, and the listeners.
+// abandonStart stops the fleet's goroutines and closes the journal and the listeners after
+// prepare has failed.
 func (s *Server) abandonStart() {
 	s.stop()
 	if s.fleet != nil {
-		s.fleet.Stop(0) // without waiting until the others know
+		s.fleet.Stop(0) // does not wait until the leases are released
 	}
 	s.closeJournal()
 	s.closeListeners()
 }
 
-// openJournal opens the journal of idempotency keys, if there is one, and returns what it
-// recovered.
+// openJournal opens the journal of idempotency keys, if the configuration has its directory,
+// and returns the recovered keys.
 func (s *Server) openJournal(c *config.Config) (recovered journal.Recovered, err error) {
 	if c.KeysDir == "" {
 		return recovered, nil
@@ -161,7 +161,7 @@
 	}
 }
 
-// longestKeyWindow returns how long a key is kept at most, in any class.
+// longestKeyWindow returns the longest time for which a key of any class is kept.
 func longestKeyWindow(settings decision.Settings) time.Duration {
 	var longest time.Duration
 	for _, class := range settings.Classes {
@@ -170,7 +170,7 @@
 	return longest + keyWindowSlack
 }
 
-// joinFleet starts this process's part in its fleet, if it is in one.
+// joinFleet starts this process's membership in its fleet, if it is in one.
 func (s *Server) joinFleet(c *config.Config) error {
 	if c.Fleet == nil {
 		return nil
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// createCore makes the core and connects it with the parts around it.
+// createCore creates the core and connects it with the other parts.
 func (s *Server) createCore(c *config.Config, recovered journal.Recovered) error {
 	options := dispatch.Options{
 		Settings:         c.Settings,
@@ -221,8 +221,8 @@
 	return nil
 }
 
-// quotaLimiter limits calls to this process's part of the fleet's quota; nil where there
-// is none.
+// quotaLimiter returns the limiter of downstream calls to this process's rights in the fleet's
+// quota, nil if there is no such quota.
 func (s *Server) quotaLimiter(c *config.Config) *downstream.QuotaLimiter {
 	if s.fleet == nil {
 		return nil
@@ -234,7 +234,8 @@
 	return downstream.NewQuotaLimiter(s.dependency, calls, func() time.Duration { return c.Settings.AbandonedCallDuration })
 }
 
-// attachCore tells the parts around the core where their events go.
+// attachCore sets the core, or the limiter between the core and the dependency, as the
+// receiver of the other parts' events.
 func (s *Server) attachCore(limiter *downstream.QuotaLimiter) {
 	s.processor.Attach(s.core)
 	if limiter != nil {
@@ -251,68 +252,69 @@
 	}
 }
 
-// openPlatformFront opens the front for balancers.
-func (s *Server) openPlatformFront(c *config.Config) error {
+// openThriftFrontend opens the frontend for balancers.
+func (s *Server) openThriftFrontend(c *config.Config) error {
 	options := thrift.Options{Core: s.core, Rules: s.rules, Log: s.log, Monitor: s.monitor}
 	if s.recorder != nil {
 		options.Observer = s.recorder
 	}
 	s.thrift = thrift.New(options)
-	l, err := listenOrInherit(s.lifetime, c)
+	l, err := listenOrInherit(s.lifetimeCtx, c)
 	if err != nil {
 		return err
 	}
-	s.addFront(listenKey, l, connectionLimit(c, platformDescriptorShare), s.thrift)
+	s.addFrontend(listenKey, l, connectionLimit(c, platformDescriptorShare), s.thrift)
 	return nil
 }
 
-// openUWSGIFront opens the uwsgi front, if there is one.
-func (s *Server) openUWSGIFront(c *config.Config, file *config.UWSGI) error {
+// openUWSGIFrontend opens the uwsgi frontend, if it is on.
+func (s *Server) openUWSGIFrontend(c *config.Config, file *config.UWSGI) error {
 	if file == nil {
 		return nil
 	}
 	s.uwsgiListen = file.Listen
 	s.uwsgiBackend = backend.NewUWSGI(s.core, file.Backend)
 	s.uwsgi = uwsgi.New(uwsgi.Options{Core: s.core, Backend: s.uwsgiBackend, Rules: s.rules, Config: uwsgiConfig(file)})
-	l, err := listen(s.lifetime, uwsgiListenKey, file.Listen)
+	l, err := listen(s.lifetimeCtx, uwsgiListenKey, file.Listen)
 	if err != nil {
 		return err
 	}
-	s.addFront(uwsgiListenKey, l, connectionLimit(c, uwsgiDescriptorShare), s.uwsgi)
+	s.addFrontend(uwsgiListenKey, l, connectionLimit(c, uwsgiDescriptorShare), s.uwsgi)
 	return nil
 }
 
-// uwsgiConfig returns what the uwsgi front needs of its file.
+// uwsgiConfig returns the uwsgi frontend's configuration from its file.
 func uwsgiConfig(file *config.UWSGI) uwsgi.Config {
 	return uwsgi.Config{Routes: file.RouteTable(), HealthPath: file.HealthPath, MaxBodyBytes: file.MaxBody}
 }
 
-// run starts the parts' goroutines. The listeners of the fronts are served by openToCallers.
+// run starts the parts' goroutines. startServing starts those of the frontends' listeners.
 func (s *Server) run(c *config.Config) {
-	if s.commands != nil {
-		go serve(s.commands)
+	if s.commandServer != nil {
+		go serve(s.commandServer)
 	}
-	go s.core.Run(s.lifetime)
-	go s.processor.Run(s.lifetime)
+	go s.core.Run(s.lifetimeCtx)
+	go s.processor.Run(s.lifetimeCtx)
 	go s.closeIdleConnections()
 	if c.ListenFD == 0 {
-		s.openToCallers(c)
+		s.startServing(c)
 	} else {
 		s.enter(stateTakingOver)
 		s.handover = handover.NewEndpoint(s.core, c.Name, s.log)
 		go s.takeOver(c)
 	}
-	if s.outcomes != nil { // made only in a fleet with rollouts
+	if s.outcomes != nil { // only in a fleet with rollouts
 		s.fleet.Follow(fleetTarget{s.outcomes, s})
 	}
 }
 
-// openToCallers lets callers in, unless the server has stopped.
-func (s *Server) openToCallers(c *config.Config) {
-	if s.lifetime.Err() != nil {
+// startServing starts to accept callers and to report to the discovery service, unless the
+// server has stopped.
+func (s *Server) startServing(c *config.Config) {
+	if s.lifetimeCtx.Err() != nil {
 		return
 	}
-	go s.registrar.Run(s.reporting, c.DiscoveryAddress)
+	go s.registrar.Run(s.reportingCtx, c.DiscoveryAddress)
 	for _, l := range s.listeners {
 		go serve(l.server)
 		s.log.Info("listening", "name", c.Name, "address", l.server.Addr().String())
@@ -320,48 +322,48 @@
 	s.enter(stateServing)
 }
 
-// takeOver lets callers in once the keys of the process that serves on the same socket are
-// known, if there is one. When that process has ended, the next one may take over from
-// this.
+// takeOver starts to serve once the keys of the predecessor, the process that serves on the
+// same socket, are replicated, or at once if there is no predecessor. After the predecessor
+// has disconnected, a successor may take over from this process.
 func (s *Server) takeOver(c *config.Config) {
-	predecessor, err := s.handover.Connect(s.lifetime)
+	predecessor, err := s.handover.Connect(s.lifetimeCtx)
 	if err != nil && s.markKeysInDoubt(c) != nil {
-		return // the core has stopped, and the server with it
+		return // the core has stopped, so the server has stopped too
 	}
 	if predecessor != nil {
-		s.serveBeside(predecessor, c)
+		s.serveWithPredecessor(predecessor, c)
 	} else {
-		s.openToCallers(c)
+		s.startServing(c)
 	}
-	s.awaitSuccessor()
+	s.listenForSuccessor()
 }
 
-// markKeysInDoubt has requests fail whose keys are not known here: they may have run in a
-// predecessor whose keys are unknown, and may run there until it is killed. The error
-// reports that the core has stopped.
+// markKeysInDoubt makes the core fail requests whose keys it does not know: they may have run
+// in a predecessor that did not replicate its keys, and may run there until it is killed. The
+// error reports that the core has stopped.
 func (s *Server) markKeysInDoubt(c *config.Config) error {
 	predecessorKilled := time.Now().Add(c.KillDelay())
 	return s.core.MarkUnknownKeysInDoubt(predecessorKilled.Add(longestKeyWindow(c.Settings)))
 }
 
-// serveBeside lets callers in, and returns when the predecessor has ended. Until then the
-// connections of both count.
-func (s *Server) serveBeside(predecessor *handover.Peer, c *config.Config) {
+// serveWithPredecessor starts to serve, and returns when the predecessor has disconnected. The
+// limit of connections is lower until then, as both processes accept connections.
+func (s *Server) serveWithPredecessor(predecessor *handover.Peer, c *config.Config) {
 	platform := s.listeners[0].server
-	platform.SetLimit(connectionLimit(c, platformDescriptorShareBeside))
-	s.openToCallers(c)
+	platform.SetLimit(connectionLimit(c, handoverDescriptorShare))
+	s.startServing(c)
 	<-predecessor.Ended()
 	platform.SetLimit(connectionLimit(c, platformDescriptorShare))
 }
 
-// awaitSuccessor lets a successor connect until the server stops. Where that is not
-// possible the server goes on: a successor will not know its keys.
-func (s *Server) awaitSuccessor() {
-	server, err := s.handover.Listen(s.lifetime)
+// listenForSuccessor accepts the connection of a successor until the server stops. If it can't
+// listen, the server continues to serve, but a successor will not know its keys.
+func (s *Server) listenForSuccessor() {
+	server, err := s.handover.Listen(s.lifetimeCtx)
 	if err != nil {
 		s.log.Warn("handover_failed", "error", err.Error())
 		return
 	}
-	defer context.AfterFunc(s.lifetime, server.Close)()
+	defer context.AfterFunc(s.lifetimeCtx, server.Close)()
 	serve(server)
 }
--- a/server/state_test.go
+++ b/server/state_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// TestStateMovesForward: a state that was left behind is not entered again, as when a
-// process that takes over lets callers in after SIGTERM.
-func TestStateMovesForward(t *testing.T) {
+// TestState_OnlyMovesForward checks that a server never enters an earlier state again. A
+// process that takes over may start to serve only after SIGTERM, for example.
+func TestState_OnlyMovesForward(t *testing.T) {
 	var s Server
-	if s.isOpen() {
-		t.Error("open at the start")
+	if s.hasStartedServing() {
+		t.Error("hasStartedServing() = true in the state starting, want false")
 	}
-	for _, x := range []struct{ enter, want state }{
+	for _, test := range []struct{ enter, want state }{
 		{stateTakingOver, stateTakingOver},
 		{stateNotifying, stateNotifying},
 		{stateServing, stateNotifying},
@@ -18,12 +18,12 @@
 		{stateStopped, stateStopped},
 		{stateClosing, stateStopped},
 	} {
-		s.enter(x.enter)
-		if got := state(s.state.Load()); got != x.want {
-			t.Errorf("state %d after entering %d, want %d", got, x.enter, x.want)
+		s.enter(test.enter)
+		if got := state(s.state.Load()); got != test.want {
+			t.Errorf("state after enter(%d) = %d, want %d", test.enter, got, test.want)
 		}
 	}
-	if !s.isOpen() {
-		t.Error("not open after serving")
+	if !s.hasStartedServing() {
+		t.Error("hasStartedServing() = false in the state stopped, want true")
 	}
 }
--- a/server/tenants_test.go
+++ b/server/tenants_test.go
@@ -11,8 +11,8 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// withTenants gives the settings of the example that has tenants, whose callers tell
-// how long they wait, changed in places. The addresses stay.
+// withTenants replaces a configuration by the example with tenants, whose callers send the
+// time that they wait, with the text replacements in change. The addresses stay.
 func withTenants(t testing.TB, change ...string) func(*config.Config) {
 	return func(c *config.Config) {
 		text := dispatchtest.Example(t, "tenants.json")
@@ -23,8 +23,8 @@
 	}
 }
 
-// ofTeam is a request of a tenant, with other fields besides.
-func (b *balancer) ofTeam(class, team, body string, further ...string) {
+// sendForTenant sends a request of a tenant, with further fields given as names and values.
+func (b *balancer) sendForTenant(class, team, body string, further ...string) {
 	b.t.Helper()
 	b.seq++
 	fields := map[string]string{"verb": class, "txn": fakes.NewID(), "lb": "1", "ram": "20", "standing": "0.5", "unique": body}
@@ -37,7 +37,7 @@
 	b.write(fakes.AppendExecute(nil, b.seq, fields, []byte(body)))
 }
 
-// reply reads the next reply of execute or check.
+// reply reads the next reply to execute or check.
 func (b *balancer) reply() fakes.Reply {
 	b.t.Helper()
 	for {
@@ -51,62 +51,64 @@
 	}
 }
 
-// TestCallersFields: a tenant or class that the settings don't have, and a time that
-// is none, get one clear answer and never run; a time that is missing, or longer than
-// any client waits, leaves the class's deadline. The connection goes on.
-func TestCallersFields(t *testing.T) {
-	w := newHarness(t, withTenants(t))
-	b := w.balancer(t)
-	for _, x := range []struct{ name, class, team, limit, want string }{
-		{"sound", "book", "coast", "5000", "served"},
-		{"no time", "book", "lake", "", "served"},
-		{"time 0", "status", "north", "0", "served"},
-		{"time in parts", "status", "north", "4500.75", "served"},
-		{"time far too long", "book", "north", "9223372036854775808", "served"},
-		{"time beyond that", "status", "north", "1e300", "served"},
-		{"time too large for a number", "book", "north", "1e999", "rejected"},
-		{"time below 0", "book", "coast", "-1", "rejected"},
-		{"time that is no number", "status", "coast", "NaN", "rejected"},
-		{"endless time", "status", "coast", "+Inf", "rejected"},
-		{"time in words", "status", "coast", "soon", "rejected"},
+// TestRequestFields_InvalidValuesAreRejected checks the fields tenant, class and limit.
+// A request with an unknown tenant or class, or with an invalid limit, gets one answer
+// (rejected) and never runs. If the limit is missing, or longer than any client waits, the
+// class's deadline applies. The connection stays usable.
+func TestRequestFields_InvalidValuesAreRejected(t *testing.T) {
+	h := newHarness(t, withTenants(t))
+	b := h.balancer(t)
+	for _, test := range []struct{ name, class, team, limit, want string }{
+		{"valid", "book", "coast", "5000", "served"},
+		{"no limit", "book", "lake", "", "served"},
+		{"limit of 0", "status", "north", "0", "served"},
+		{"fractional limit", "status", "north", "4500.75", "served"},
+		{"limit over the range of int64", "book", "north", "9223372036854775808", "served"},
+		{"limit of 1e300", "status", "north", "1e300", "served"},
+		{"limit over the range of float64", "book", "north", "1e999", "rejected"},
+		{"negative limit", "book", "coast", "-1", "rejected"},
+		{"limit NaN", "status", "coast", "NaN", "rejected"},
+		{"infinite limit", "status", "coast", "+Inf", "rejected"},
+		{"limit not a number", "status", "coast", "soon", "rejected"},
 		{"unknown tenant", "book", "south", "5000", "rejected"},
 		{"no tenant", "book", "", "5000", "rejected"},
 		{"unknown class", "ny-gava", "coast", "5000", "rejected"},
 	} {
 		var further []string
-		if x.limit != "" {
-			further = []string{"limit", x.limit}
+		if test.limit != "" {
+			further = []string{"limit", test.limit}
 		}
-		b.ofTeam(x.class, x.team, x.name, further...)
-		if reply := b.reply(); reply.Seq != b.seq || reply.Outcome().Kind != x.want {
-			t.Errorf("%s: %+v, want %s", x.name, reply, x.want)
+		b.sendForTenant(test.class, test.team, test.name, further...)
+		if reply := b.reply(); reply.Seq != b.seq || reply.Outcome().Kind != test.want {
+			t.Errorf("%s: reply to request %d = %+v, want %s", test.name, b.seq, reply, test.want)
 		}
-		if runs := w.work.Runs(x.name); (runs == 1) != (x.want == "served") || runs > 1 {
-			t.Errorf("%s: %d runs", x.name, runs)
+		if runs := h.work.Runs(test.name); (runs == 1) != (test.want == "served") || runs > 1 {
+			t.Errorf("%s: %d runs of a request with outcome %s", test.name, runs, test.want)
 		}
 	}
 }
 
-// TestCallersLimit: a request is answered by the time that its caller waits, long
-// before its class's deadline, and its run is stopped.
-func TestCallersLimit(t *testing.T) {
-	w := newHarness(t, withTenants(t))
-	b, began := w.balancer(t), time.Now()
+// TestRequestLimit_ShortensDeadline checks that a request is answered within the limit that
+// its caller sent, long before its class's deadline, and that its run is cancelled.
+func TestRequestLimit_ShortensDeadline(t *testing.T) {
+	h := newHarness(t, withTenants(t))
+	b, began := h.balancer(t), time.Now()
 	const limit = 300 * time.Millisecond
-	b.ofTeam("book", "coast", "hang on", "limit", strconv.Itoa(int(limit.Milliseconds())))
+	b.sendForTenant("book", "coast", "hang on", "limit", strconv.Itoa(int(limit.Milliseconds())))
 	if reply, took := b.reply(), time.Since(began); reply.Outcome().Kind != "failed" || took < limit/2 || took > 3*time.Second {
-		t.Errorf("%+v after %v", reply, took)
+		t.Errorf("reply = %+v after %v, want failed after about %v", reply, took, limit)
 	}
-	if body := <-w.work.Stopped(); body != "hang on" {
-		t.Errorf("%s was stopped", body)
+	if body := <-h.work.Stopped(); body != "hang on" {
+		t.Errorf("cancelled run = %q, want %q", body, "hang on")
 	}
 }
 
-// TestFeedback: every answer and health check carries the free value, a number of 0 or
-// more, while the settings have one, and none once new settings have none.
-func TestFeedback(t *testing.T) {
+// TestLoadReport_FollowsSettings checks that every answer and health check carries the load
+// report (the field feedback, a number of at least 0) while the settings turn it on, and that
+// none does after a reload turns it off.
+func TestLoadReport_FollowsSettings(t *testing.T) {
 	var running config.Config
-	w := newHarness(t, func(c *config.Config) {
+	h := newHarness(t, func(c *config.Config) {
 		withTenants(t)(c)
 		running = *c
 	})
@@ -114,20 +116,20 @@
 		if !say {
 			next := running
 			withTenants(t, `"say": "min_rank"`, `"say": "silent"`)(&next)
-			if err := w.Reload(&next, nil); err != nil {
+			if err := h.Reload(&next, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
-		b := w.balancer(t)
-		b.ofTeam("status", "north", "a page")
-		b.ofTeam("status", "north", "fail now")
+		b := h.balancer(t)
+		b.sendForTenant("status", "north", "a page")
+		b.sendForTenant("status", "north", "fail now")
 		b.seq++
 		b.write(fakes.AppendCheck(nil, b.seq, false))
 		for range 3 {
 			reply := b.reply()
 			value, err := strconv.ParseFloat(reply.Fields["feedback"], 64)
 			if got := err == nil && value >= 0; got != say || !say && reply.Fields["feedback"] != "" {
-				t.Errorf("say %t: %+v", say, reply)
+				t.Errorf("reply = %+v, want a load report: %t", reply, say)
 			}
 		}
 	}
