--- a/admin/control.go
+++ b/admin/control.go
@@ -1,5 +1,6 @@
-// Package admin serves the operators: commands to this process, each a line on a connection
-// of its own, and HTTP endpoints about the fleet's rollouts and voters.
+// Package admin serves operators. [CommandHandler] executes commands to this process, each of
+// which is a line on a connection of its own. [NewHandler] returns HTTP endpoints for the
+// fleet's rollouts and voters.
 package admin
 
 import (
@@ -12,24 +13,24 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// MaxCommandConnections is how many connections for commands may be open at once. Some
-// operators connect and send no command.
+// MaxCommandConnections is the limit on open connections for commands. It leaves room for
+// operators that connect and send no command.
 const MaxCommandConnections = 48
 
-// commandTimeout is how long a command may take to arrive.
+// commandTimeout is the time after which a connection that has sent no command is closed.
 const commandTimeout = 10 * time.Second
 
 // The commands of the platform's operators.
 const (
-	commandCheck          = "check"     // answered without an error if the process is ready to serve
-	commandDisableTraffic = "drain-on"  // has callers sent to other servers
-	commandEnableTraffic  = "drain-off" // ends that
+	commandCheck          = "check"     // answered with an error if the process is not ready to serve
+	commandDisableTraffic = "drain-on"  // makes callers use other servers
+	commandEnableTraffic  = "drain-off" // reverses commandDisableTraffic
 )
 
 var errNotReady = errors.New("not ready to serve")
 
-// Core executes the commands; *dispatch.Core is one. Its methods return an error if the core
-// has stopped, and don't call back then.
+// Core executes the commands. It is implemented by *dispatch.Core. If the core has stopped,
+// its methods return an error and don't call their callback.
 type Core interface {
 	Ready(reply func(ready bool)) error
 	SetTrafficDisabled(on bool, done func()) error
@@ -38,16 +39,16 @@
 // CommandHandler serves the connections for operators' commands.
 type CommandHandler struct {
 	Core    Core
-	Serving func() bool // whether callers are let in
+	Serving func() bool // reports whether the server accepts callers
 }
 
 // Serve executes the one command of a connection, and closes the connection after the answer.
-// The reason of a connection's end is not logged: the operator sees it.
+// It does not log why a connection ended, since the operator sees that.
 func (h *CommandHandler) Serve(c *transport.Conn) {
 	c.SetReadDeadline(time.Now().Add(commandTimeout))
 	answered := false
 	_ = c.Serve(func(r *bufio.Reader) error {
-		if answered { // all that can come is the end of the connection
+		if answered { // the read returns when the connection ends
 			_, err := r.ReadByte()
 			return err
 		}
@@ -70,14 +71,15 @@
 	c.Close()
 }
 
-// execute executes a command, and calls answer once, now or later.
+// execute executes a command. It calls answer exactly once, before it returns or later.
 func (h *CommandHandler) execute(command string, answer func(error)) {
 	if err := h.startCommand(command, answer); err != nil {
 		answer(err)
 	}
 }
 
-// startCommand has a command executed. It calls answer later unless it returns an error.
+// startCommand starts the execution of a command. The core calls answer when the command is
+// done. If startCommand returns an error, answer is not called.
 func (h *CommandHandler) startCommand(command string, answer func(error)) error {
 	switch command {
 	case commandCheck:
--- a/admin/control_test.go
+++ b/admin/control_test.go
@@ -11,11 +11,11 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// fakeCore answers at once.
+// fakeCore is a Core that calls its callbacks before it returns.
 type fakeCore struct {
 	ready           bool
 	trafficDisabled bool
-	err             error // that it has stopped with
+	err             error // returned by all methods if the core has stopped
 }
 
 func (f *fakeCore) Ready(reply func(bool)) error {
@@ -33,33 +33,34 @@
 	return f.err
 }
 
-// command sends a command, and returns the line that answers it.
-func command(t *testing.T, h *CommandHandler, line string) string {
+// sendCommand sends a line to a handler, and returns the line that it answers.
+func sendCommand(t *testing.T, h *CommandHandler, line string) string {
 	t.Helper()
-	near, far := net.Pipe()
-	ended := make(chan struct{})
+	client, server := net.Pipe()
+	served := make(chan struct{})
 	go func() {
-		defer close(ended)
-		h.Serve(transport.NewConn(far))
+		defer close(served)
+		h.Serve(transport.NewConn(server))
 	}()
-	if _, err := near.Write([]byte(line)); err != nil {
+	if _, err := client.Write([]byte(line)); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := bufio.NewReader(near).ReadString('\n')
+	answer, err := bufio.NewReader(client).ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := near.Close(); err != nil {
+	if err := client.Close(); err != nil {
 		t.Error(err)
 	}
-	<-ended
+	<-served
 	return answer
 }
 
-// TestCommands keeps the answers to operators' commands.
-func TestCommands(t *testing.T) {
+// TestCommandHandler_Answers checks the answer to each operators' command, and that only
+// drain-on disables traffic.
+func TestCommandHandler_Answers(t *testing.T) {
 	stopped := errors.New("stopped")
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		core    fakeCore
 		serving bool
@@ -67,40 +68,41 @@
 		want    string
 	}{
 		{"ready", fakeCore{ready: true}, true, "check\r\n", "done\r\n"},
-		{"no callers let in", fakeCore{ready: true}, false, "check\r\n", "error not ready to serve\r\n"},
+		{"not yet serving", fakeCore{ready: true}, false, "check\r\n", "error not ready to serve\r\n"},
 		{"not ready", fakeCore{}, true, "check\r\n", "error not ready to serve\r\n"},
-		{"stopped", fakeCore{err: stopped}, true, "check\r\n", "error stopped\r\n"},
+		{"core stopped", fakeCore{err: stopped}, true, "check\r\n", "error stopped\r\n"},
 		{"drain-on", fakeCore{}, true, "drain-on\r\n", "done\r\n"},
-		{"drain-off after the stop", fakeCore{err: stopped}, true, "drain-off\n", "error stopped\r\n"},
-		{"unknown", fakeCore{}, true, "drain\r\n", "error \"drain\" is no call\r\n"},
+		{"drain-off with the core stopped", fakeCore{err: stopped}, true, "drain-off\n", "error stopped\r\n"},
+		{"unknown command", fakeCore{}, true, "drain\r\n", "error \"drain\" is no call\r\n"},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h := &CommandHandler{Core: &x.core, Serving: func() bool { return x.serving }}
-				if got := command(t, h, x.line); got != x.want {
-					t.Errorf("%q, want %q", got, x.want)
+				h := &CommandHandler{Core: &test.core, Serving: func() bool { return test.serving }}
+				if got := sendCommand(t, h, test.line); got != test.want {
+					t.Errorf("answer to %q = %q, want %q", test.line, got, test.want)
 				}
-				if want := x.line == "drain-on\r\n"; x.core.trafficDisabled != want {
-					t.Errorf("traffic disabled: %t, want %t", x.core.trafficDisabled, want)
+				if want := test.line == "drain-on\r\n"; test.core.trafficDisabled != want {
+					t.Errorf("traffic disabled after %q = %t, want %t", test.line, test.core.trafficDisabled, want)
 				}
 			})
 		})
 	}
 }
 
-// TestSilentOperator: a connection without a command ends after a time.
-func TestSilentOperator(t *testing.T) {
+// TestCommandHandler_ClosesSilentConnection checks that a connection on which no command
+// arrives is closed after commandTimeout.
+func TestCommandHandler_ClosesSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
+		client, server := net.Pipe()
 		began := time.Now()
-		go (&CommandHandler{Core: &fakeCore{}, Serving: func() bool { return true }}).Serve(transport.NewConn(far))
-		if _, err := near.Read(make([]byte, 1)); err == nil {
-			t.Error("an answer to nothing")
+		go (&CommandHandler{Core: &fakeCore{}, Serving: func() bool { return true }}).Serve(transport.NewConn(server))
+		if _, err := client.Read(make([]byte, 1)); err == nil {
+			t.Error("got an answer without a command, want a closed connection")
 		}
 		if took := time.Since(began); took < commandTimeout {
-			t.Errorf("it ends after %v, want %v at least", took, commandTimeout)
+			t.Errorf("connection closed after %v, want at least %v", took, commandTimeout)
 		}
-		if err := near.Close(); err != nil {
+		if err := client.Close(); err != nil {
 			t.Error(err)
 		}
 		synctest.Wait()
--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -14,7 +14,7 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// goldenChange is what operators are told of a rollout.
+// goldenChange returns the rollout status of changes.json.
 func goldenChange() fleet.ChangeStatus {
 	plan := &rollout.Plan{
 		ID: "r1", Kind: rollout.Program, From: "1", To: "2", Servers: []rollout.Server{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z2"}},
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestGoldenAnswers writes and reads what operators are answered about rollouts
-// and voters.
-func TestGoldenAnswers(t *testing.T) {
+// TestGolden_Answers checks that the answers of GET about rollouts and voters are byte for byte
+// those of the golden files, and that the files decode to the same values.
+func TestGolden_Answers(t *testing.T) {
 	voters := []fleet.VoterStatus{
 		{Voter: consensus.Voter{Name: "v1", Address: "10.0.0.1:7000"}, Alive: true},
 		{Voter: consensus.Voter{Name: "v4", Address: "10.0.0.4:7000", Learner: true}},
@@ -46,7 +46,7 @@
 		w := httptest.NewRecorder()
 		endpoint.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", nil))
 		if kind := w.Header().Get("Content-Type"); w.Code != http.StatusOK || kind != "application/json" {
-			t.Errorf("%s: %d, %s", name, w.Code, kind)
+			t.Errorf("%s: status %d, Content-Type %q, want 200 and application/json", name, w.Code, kind)
 		}
 		golden.Equal(t, name, w.Body.Bytes())
 	}
@@ -55,10 +55,10 @@
 	golden.Decodes(t, "voters.json", voters, json.Unmarshal)
 }
 
-// TestGoldenRequests writes and reads what operators send. The endpoints of a
-// process that is no voter take the bodies in, and then say so (421); a body
-// that makes no sense would be refused first (400).
-func TestGoldenRequests(t *testing.T) {
+// TestGolden_Requests checks the encoding of operators' requests against the golden files, and
+// that the endpoints accept these bodies. The endpoints belong to a process that is not a
+// voter: they answer 421 to a valid body, but 400 to a malformed one.
+func TestGolden_Requests(t *testing.T) {
 	plan := *goldenChange().Record.Plan
 	settings := plan
 	settings.Kind, settings.From, settings.To, settings.Servers = rollout.Settings, "", "", nil
@@ -66,15 +66,15 @@
 	golden.RoundTrip(t, "start-settings.json", RolloutRequest{Plan: settings, Settings: json.RawMessage(`{"lanes":{"a":{"aim_ms":5}}}`)},
 		json.Marshal, json.Unmarshal)
 	golden.RoundTrip(t, "add-voter.json", VoterRequest{Name: "v4", Address: "10.0.0.4:7000"}, json.Marshal, json.Unmarshal)
-	noVoter := &fleet.Fleet{}
+	nonVoter := &fleet.Fleet{}
 	for name, handler := range map[string]http.Handler{
-		"start-program.json": NewRolloutHandler(noVoter), "start-settings.json": NewRolloutHandler(noVoter),
-		"add-voter.json": NewVoterHandler(noVoter),
+		"start-program.json": NewRolloutHandler(nonVoter), "start-settings.json": NewRolloutHandler(nonVoter),
+		"add-voter.json": NewVoterHandler(nonVoter),
 	} {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", bytes.NewReader(golden.Bytes(t, name))))
 		if w.Code != http.StatusMisdirectedRequest {
-			t.Errorf("%s: %d: %s", name, w.Code, w.Body)
+			t.Errorf("%s: status %d with body %q, want 421", name, w.Code, w.Body)
 		}
 	}
 }
--- a/admin/http.go
+++ b/admin/http.go
@@ -11,16 +11,16 @@
 	"quincerail.example/quincerail/fleet"
 )
 
-// The paths of the endpoints. Rollouts are named changes on the wire.
+// Paths of the endpoints. On the wire, a rollout is called a change.
 const (
 	PathRollouts = "/changes"
 	PathVoters   = "/voters"
 )
 
-// requestTimeout is how long the fleet's log may take to accept an operator's request.
+// requestTimeout bounds the time until the fleet's log has accepted an operator's request.
 const requestTimeout = 5 * time.Second
 
-// NewHandler returns the endpoints for a member's fleet.
+// NewHandler returns the handler of all endpoints, which act on member's fleet.
 func NewHandler(member *fleet.Fleet) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(PathRollouts, NewRolloutHandler(member))
@@ -28,16 +28,16 @@
 	return mux
 }
 
-// resource is an endpoint about one thing of the fleet: GET returns its status in JSON,
-// POST creates, DELETE removes. An error is answered with its text and one of
+// resource is an endpoint for one kind of object of the fleet: GET returns the status in JSON,
+// POST creates an object, DELETE removes one. An error is answered with its text and one of
 //
-//	400  the request makes no sense
-//	409  the request was refused
-//	421  this process is no voter
-//	503  the fleet's log takes no requests now
+//	400  the body is malformed or incomplete
+//	409  the fleet refused the request
+//	421  this process is not a voter
+//	503  the fleet's log did not accept the request within requestTimeout
 type resource struct {
 	get          func() (any, error)
-	maxBodyBytes int64 // of POST
+	maxBodyBytes int64 // limit on the body of POST
 	create       func(ctx context.Context, body *json.Decoder) error
 	remove       func(ctx context.Context, query url.Values) error
 }
@@ -45,10 +45,10 @@
 // malformedBodyError reports that a request's body is malformed or incomplete.
 type malformedBodyError struct{ err error }
 
-// Error returns what is wrong with the body.
+// Error returns the text of the reason.
 func (e *malformedBodyError) Error() string { return e.err.Error() }
 
-// Unwrap returns what is wrong with the body.
+// Unwrap returns the reason.
 func (e *malformedBodyError) Unwrap() error { return e.err }
 
 // ServeHTTP implements http.Handler.
@@ -79,7 +79,7 @@
 	_ = json.NewEncoder(w).Encode(status) // fails if the operator has disconnected
 }
 
-// writeResult answers POST and DELETE, and any request that failed.
+// writeResult answers a POST or DELETE, or any request that failed with err.
 func writeResult(w http.ResponseWriter, err error) {
 	if err == nil {
 		w.WriteHeader(http.StatusNoContent)
@@ -88,6 +88,7 @@
 	http.Error(w, err.Error(), statusCode(err))
 }
 
+// statusCode returns the HTTP status for an error (see resource).
 func statusCode(err error) int {
 	var malformed *malformedBodyError
 	switch {
--- a/admin/rollouts.go
+++ b/admin/rollouts.go
@@ -10,19 +10,19 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// maxRolloutBytes bounds a RolloutRequest, whose settings may be as long as a configuration.
+// maxRolloutBytes bounds a RolloutRequest, whose settings may be as long as those of a
+// configuration.
 const maxRolloutBytes = 4 << 20
 
-// RolloutRequest is what operators send to start a rollout: its plan and, in a rollout of
-// settings, the settings.
+// RolloutRequest is the body of an operator's request to start a rollout.
 type RolloutRequest struct {
 	Plan     rollout.Plan    `json:"plan"`
-	Settings json.RawMessage `json:"settings,omitempty"`
+	Settings json.RawMessage `json:"settings,omitempty"` // JSON merge patch, only in a rollout of settings
 }
 
-// NewRolloutHandler returns the endpoint for rollouts: GET returns a fleet.ChangeStatus,
-// POST takes a RolloutRequest, DELETE halts the plan that the query's id names, for the
-// query's reason.
+// NewRolloutHandler returns the endpoint for rollouts. GET returns a fleet.ChangeStatus. POST
+// starts the rollout of a RolloutRequest. DELETE halts the rollout with the query's id, and
+// records the query's reason.
 func NewRolloutHandler(member *fleet.Fleet) http.Handler {
 	return &resource{
 		get:          func() (any, error) { return member.Change() },
--- a/admin/voters.go
+++ b/admin/voters.go
@@ -15,15 +15,15 @@
 
 var errIncompleteVoter = errors.New("a name and an address wanted")
 
-// VoterRequest is what operators send to add a voter.
+// VoterRequest is the body of an operator's request to add a voter.
 type VoterRequest struct {
 	Name    string `json:"name"`
-	Address string `json:"address"` // where the other voters reach it
+	Address string `json:"address"` // to which the other voters connect
 }
 
-// NewVoterHandler returns the endpoint for the fleet's voters: GET returns a list of
-// fleet.VoterStatus, POST takes a VoterRequest and has the voter join, DELETE has the
-// voter that the query's name names leave for good.
+// NewVoterHandler returns the endpoint for the fleet's voters. GET returns a list of
+// fleet.VoterStatus. POST adds the voter of a VoterRequest. DELETE removes the voter with the
+// query's name permanently.
 func NewVoterHandler(member *fleet.Fleet) http.Handler {
 	return &resource{
 		get:          func() (any, error) { return member.Voters() },
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and validates what the server is told at its start and at
-// a reload: the platform's configuration (JSON) and the uwsgi front's file (TOML).
+// Package config reads and validates the files that the server loads at its start and at a
+// reload: the platform's configuration (JSON) and the uwsgi frontend's file (TOML).
 package config
 
 import (
@@ -22,25 +22,25 @@
 	"quincerail.example/quincerail/match"
 )
 
-// EnvFile is the environment variable with the path of the configuration.
+// EnvFile is the environment variable with the path of the configuration file.
 const EnvFile = "GW_CONFIG"
 
 // Further environment variables that the platform sets for a process.
 const (
-	envControlAddress = "GW_CONTROL" // address for operators' commands, new with each start
+	envControlAddress = "GW_CONTROL" // address for operators' commands, which differs at each start
 	envListenFD       = "GW_FD"      // descriptor of an inherited listening socket
 )
 
-// minInheritedFD is the first descriptor behind those of the standard streams.
+// minInheritedFD is the first descriptor after those of the standard streams.
 const minInheritedFD = 3
 
-// Config is a server's configuration. Load and Parse fill in the platform's part; the caller
-// adds the operator's choices.
+// Config is a server's configuration. Load and Parse fill in the platform's part. The caller
+// sets the operator's part.
 type Config struct {
 	// From the platform.
-	Name              string // of this process in reports to the discovery service, and in its log
+	Name              string // of this process, in reports to the discovery service and in its log
 	ListenAddress     string // for balancers
-	ListenFD          int    // the inherited listening socket; 0 to open one at ListenAddress
+	ListenFD          int    // descriptor of the inherited listening socket; 0 to listen on ListenAddress
 	ControlAddress    string // for operators' commands; "" for none
 	ProcessorAddress  string
 	DiscoveryAddress  string // of the discovery service
@@ -51,30 +51,30 @@
 	MemoryMB          int
 	MaxDescriptors    int
 	Classes           []string // names, in the order of the settings
-	Tenants           []string // likewise; nil where there are none
+	Tenants           []string // names, in the order of the settings; nil if there are none
 	Gauges            []string // names, in the order in which the processor sends them
 	Settings          decision.Settings
 
 	// From the operator.
 	Rules            *match.Set    // classification rules; nil for none
 	KeysDir          string        // directory of the idempotency journal; "" keeps keys in memory
-	KeysSync         string        // always or never, as store.SyncPolicy; "" for always
+	KeysSync         string        // when the journal syncs, as store.SyncPolicy: always or never; "" for always
 	Logger           *slog.Logger  // nil for slog.Default()
 	MetricsAddress   string        // for /metrics; "" for none
 	OperatorsAddress string        // for the operators' HTTP requests about the fleet; "" for none
-	Fleet            *fleet.Config // this process's part in its fleet; nil for no fleet
+	Fleet            *fleet.Config // this process's membership in its fleet; nil for no fleet
 
-	text string // the JSON that it was parsed from
+	text string // the JSON text that was parsed
 }
 
-// The platform may kill the process earlier than the configuration's stop_ms says: killMargin
-// after the longest deadline of a class, of which at most maxKillDeadline count.
+// The platform may kill the process before stop_ms has passed: killMargin after the longest
+// deadline of the classes, or after maxKillDeadline if that is shorter.
 const (
 	maxKillDeadline = 3 * time.Second
 	killMargin      = 700 * time.Millisecond
 )
 
-// KillDelay returns how long after SIGTERM the process may be killed at the earliest.
+// KillDelay returns the shortest time from SIGTERM until the platform may kill the process.
 func (c *Config) KillDelay() time.Duration {
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
@@ -97,15 +97,15 @@
 	c.ControlAddress = cmp.Or(os.Getenv(envControlAddress), c.ControlAddress)
 	if fd := os.Getenv(envListenFD); fd != "" {
 		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < minInheritedFD {
-			return nil, keyErrorf(envListenFD, "%q, a descriptor's number wanted", fd)
+			return nil, keyErrorf(envListenFD, "%q is not a file descriptor of at least %d", fd, minInheritedFD)
 		}
 	}
 	return c, nil
 }
 
-// WithPatch returns a copy whose settings are changed by a JSON merge patch (RFC 7396). What
-// comes from the operator and the environment stays. For an empty patch it returns c itself.
-// The error is a *KeyError.
+// WithPatch returns a copy whose settings are changed by a JSON merge patch (RFC 7396). The
+// operator's part and the values from the environment stay. For an empty patch it returns c
+// itself. The error is a *KeyError.
 func (c *Config) WithPatch(patch json.RawMessage) (*Config, error) {
 	if len(patch) == 0 {
 		return c, nil
@@ -129,8 +129,8 @@
 	return patched, nil
 }
 
-// copyNonFileFields copies what does not come from the configuration file: the operator's
-// choices, and what Load reads from the environment.
+// copyNonFileFields copies the fields that don't come from the configuration file: the
+// operator's part, and the values that Load reads from the environment.
 func (c *Config) copyNonFileFields(from *Config) {
 	c.ControlAddress, c.ListenFD = from.ControlAddress, from.ListenFD
 	c.Rules, c.Logger, c.Fleet = from.Rules, from.Logger, from.Fleet
@@ -138,42 +138,42 @@
 	c.MetricsAddress, c.OperatorsAddress = from.MetricsAddress, from.OperatorsAddress
 }
 
-// errKeyMissing reports that a key is missing that the configuration in force has.
-var errKeyMissing = errors.New("it is missing")
+// errKeyMissing reports that a key of the active configuration is missing.
+var errKeyMissing = errors.New("the key is missing, but the active configuration has it")
 
-// CheckComplete returns a *KeyError if a key is missing that the configuration in
-// force has, in a part of the file that both have.
-func (c *Config) CheckComplete(inForce *Config) error {
-	if key := c.missingKey(inForce); key != "" {
+// CheckComplete returns a *KeyError if c lacks a key that the active configuration has. The
+// items of a list must have the keys of the active list's first item, whatever the lengths.
+func (c *Config) CheckComplete(active *Config) error {
+	if key := c.missingKey(active); key != "" {
 		return &KeyError{key, errKeyMissing}
 	}
 	return nil
 }
 
-// CheckClasses returns a *KeyError if a class of the other configuration is missing,
-// which the rules or the uwsgi front may give to requests.
+// CheckClasses returns a *KeyError if c lacks a class of the other configuration, which the
+// rules or the uwsgi frontend may assign to requests.
 func (c *Config) CheckClasses(other *Config) error {
 	for _, name := range other.Classes {
 		if !slices.Contains(c.Classes, name) {
-			return keyErrorf(keySettings+"."+keyClasses, "%s is missing, and the rules or the uwsgi front may lead to it", name)
+			return keyErrorf(keySettings+"."+keyClasses, "class %q is missing, but the rules or the uwsgi frontend may assign it", name)
 		}
 	}
 	return nil
 }
 
-// RestartKeys returns the keys that differ from the configuration in force and take effect
-// only after a restart.
-func (c *Config) RestartKeys(inForce *Config) []string {
+// RestartKeys returns the keys that differ from the active configuration and take effect only
+// after a restart.
+func (c *Config) RestartKeys(active *Config) []string {
 	var keys []string
 	for _, k := range []struct {
 		key     string
 		changed bool
 	}{
-		{keyName, c.Name != inForce.Name},
-		{keyListen, c.ListenAddress != inForce.ListenAddress},
-		{keyControlAddress, c.ControlAddress != inForce.ControlAddress},
-		{keyDescriptors, c.MaxDescriptors != inForce.MaxDescriptors},
-		{keySettings + "." + keyGaugeNames, !slices.Equal(c.Gauges, inForce.Gauges)},
+		{keyName, c.Name != active.Name},
+		{keyListen, c.ListenAddress != active.ListenAddress},
+		{keyControlAddress, c.ControlAddress != active.ControlAddress},
+		{keyDescriptors, c.MaxDescriptors != active.MaxDescriptors},
+		{keySettings + "." + keyGaugeNames, !slices.Equal(c.Gauges, active.Gauges)},
 	} {
 		if k.changed {
 			keys = append(keys, k.key)
@@ -182,15 +182,15 @@
 	return keys
 }
 
-// missingKey returns the path of the first key that the other configuration has and this one
-// lacks, "" for none.
+// missingKey returns the path of the first key that the other configuration has and c lacks,
+// "" if there is none.
 func (c *Config) missingKey(other *Config) string {
 	key := missingIn(gjson.Parse(c.text), gjson.Parse(other.text), "")
 	return strings.TrimPrefix(key, ".")
 }
 
-// missingIn returns the path of the first key that reference has and value lacks.
-// Both stand at the given path.
+// missingIn returns the path of the first key that reference has and value lacks, "" if there
+// is none. Both values are at the given path. Keys that deployments may leave out don't count.
 func missingIn(value, reference gjson.Result, path string) string {
 	if reference.IsArray() && value.IsArray() && reference.Get("0").IsObject() {
 		return missingInItems(value, reference.Get("0"), path)
@@ -200,23 +200,24 @@
 	}
 	missing := ""
 	members := value.Map()
-	reference.ForEach(func(name, wanted gjson.Result) bool {
+	reference.ForEach(func(name, referenceMember gjson.Result) bool {
 		memberPath := path + "." + name.String()
 		if isOptional(memberPath) {
 			return true
 		}
 		member, ok := members[name.String()]
-		if !ok || member.Type == gjson.Null && wanted.Type != gjson.Null {
+		if !ok || member.Type == gjson.Null && referenceMember.Type != gjson.Null {
 			missing = memberPath
 		} else {
-			missing = missingIn(member, wanted, memberPath)
+			missing = missingIn(member, referenceMember, memberPath)
 		}
 		return missing == ""
 	})
 	return missing
 }
 
-// missingInItems is missingIn for each item of a list, whose items are alike.
+// missingInItems calls missingIn for each item of a list. All items need the same keys, those
+// of reference.
 func missingInItems(list, reference gjson.Result, path string) string {
 	for i, item := range list.Array() {
 		if missing := missingIn(item, reference, fmt.Sprintf("%s.%d", path, i)); missing != "" {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -14,12 +14,14 @@
 	"quincerail.example/quincerail/match"
 )
 
-func TestConfigFaults(t *testing.T) {
+// TestParse_InvalidKeyIsNamed checks that an invalid key gives a one-line *KeyError that names
+// it.
+func TestParse_InvalidKeyIsNamed(t *testing.T) {
 	text := dispatchtest.Example(t, "config.json")
 	if _, err := Parse(text); err != nil {
-		t.Fatalf("the example: %v", err)
+		t.Fatalf("Parse(example config.json) = %v, want no error", err)
 	}
-	for _, x := range []struct{ old, new, key string }{
+	for _, test := range []struct{ old, new, key string }{
 		{`"name": "n1"`, `"name": 1`, "name"},
 		{`"listen": "127.0.0.1:9090"`, `"listen": ""`, "listen"},
 		{`"stop_ms": 3200`, `"stop_ms": -1`, "stop_ms"},
@@ -31,26 +33,26 @@
 		{`"ledger": "127.0.0.1:7700",`, ``, "ledger"},
 		{`{`, `[`, "GW_CONFIG"},
 	} {
-		_, err := Parse(strings.Replace(text, x.old, x.new, 1))
-		if err == nil || !strings.Contains(err.Error(), x.key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line that names %s", x.new, err, x.key)
+		_, err := Parse(strings.Replace(text, test.old, test.new, 1))
+		if err == nil || !strings.Contains(err.Error(), test.key) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("Parse with %q for %q = %v, want a one-line error that names %s", test.new, test.old, err, test.key)
 		}
 		var keyError *KeyError
 		if !errors.As(err, &keyError) || keyError.Key == "" || err.Error() != keyError.Key+": "+keyError.Err.Error() {
-			t.Errorf("%s: error %#v, want a KeyError", x.new, err)
+			t.Errorf("Parse with %q for %q = %#v, want a *KeyError", test.new, test.old, err)
 		}
 	}
 }
 
-// TestTenantFaults has what makes no sense of tenants, and of the deployment that has
-// them, named by its key in one line; such a file is turned down whole.
-func TestTenantFaults(t *testing.T) {
+// TestParse_InvalidTenantKeyIsNamed checks that an invalid key of a tenant, or another key of a
+// deployment with tenants, gives a one-line error that names it.
+func TestParse_InvalidTenantKeyIsNamed(t *testing.T) {
 	text := dispatchtest.Example(t, "tenants.json")
 	c, err := Parse(text)
 	if err != nil || !slices.Equal(c.Tenants, []string{"north", "coast", "lake"}) || c.Settings.Tenants[1].Quota != 36 {
-		t.Fatalf("%+v, %v", c, err)
+		t.Fatalf("Parse(example tenants.json) = %+v, %v, want tenants north, coast and lake, and a quota of 36 for coast", c, err)
 	}
-	for _, x := range []struct{ old, new, key string }{
+	for _, test := range []struct{ old, new, key string }{
 		{`"name": "coast", `, ``, "settings.realms.1.name"},
 		{`"name": "coast"`, `"name": "north"`, "settings.realms.1.name"},
 		{`"quotaRps": 24.0, "share": 0.2`, `"quotaRps": 24.0`, "settings.realms.2.share"},
@@ -62,16 +64,16 @@
 		{`"quotaRps": 36.0`, `"quotaRps": -1`, "settings.realms.1.quotaRps"},
 		{`"say": "min_rank"`, `"say": "loud"`, "say"},
 	} {
-		changed := strings.Replace(text, x.old, x.new, 1)
-		if _, err := Parse(changed); changed == text || err == nil || !strings.Contains(err.Error(), x.key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: error %v, want one line that names %s", x.new, x.old, err, x.key)
+		changed := strings.Replace(text, test.old, test.new, 1)
+		if _, err := Parse(changed); changed == text || err == nil || !strings.Contains(err.Error(), test.key) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("Parse with %q for %q = %v, want a one-line error that names %s", test.new, test.old, err, test.key)
 		}
 	}
 }
 
-// TestConfigsOfTwoDeployments: either example follows the other by SIGHUP, though one
-// leaves out what deployments may.
-func TestConfigsOfTwoDeployments(t *testing.T) {
+// TestMissingKey_OptionalKeysMayDiffer checks that a reload can replace each example by the
+// other, although one lacks keys that deployments may leave out.
+func TestMissingKey_OptionalKeysMayDiffer(t *testing.T) {
 	first, second := dispatchtest.Example(t, "config.json"), dispatchtest.Example(t, "tenants.json")
 	first = strings.Replace(first, `"gain": 2.0,`, `"gain": 2.0, "aimStretch": 1.5,`, 1)
 	first = strings.Replace(first, `"prices": {`, `"prices": {"fleet": 0.1, `, 1)
@@ -86,14 +88,14 @@
 	}
 	for i, c := range configs {
 		if key := c.missingKey(configs[1-i]); key != "" {
-			t.Errorf("file %d lacks %s of the other", i, key)
+			t.Errorf("missingKey of file %d = %q, want none", i, key)
 		}
 	}
 }
 
-// TestConfigLacks guards a reload against a file with a key missing that the one
-// in force has, wherever it stands; a further class or key is none missing.
-func TestConfigLacks(t *testing.T) {
+// TestMissingKey_FindsKeyAtAnyDepth checks that a key of the active configuration that a file
+// lacks is found at any depth, and that an additional key is not reported.
+func TestMissingKey_FindsKeyAtAnyDepth(t *testing.T) {
 	text := dispatchtest.Example(t, "config.json")
 	parse := func(text string) *Config {
 		c, err := Parse(text)
@@ -102,7 +104,7 @@
 		}
 		return c
 	}
-	for _, x := range []struct{ old, new, key string }{
+	for _, test := range []struct{ old, new, key string }{
 		{`"drainGraceUs": 2000000, `, ``, "settings.obligations.drainGraceUs"},
 		{`"servers": 1,`, ``, "settings.servers"},
 		{`"lateWorth": 0.0, "name": "givarhistorik"`, `"name": "givarhistorik"`, "settings.lanes.1.lateWorth"},
@@ -110,13 +112,14 @@
 		{`"name": "n1",`, `"name": "n1", "motto": "ge",`, ""},
 		{`"control": "127.0.0.1:9600",`, ``, "control"},
 	} {
-		if got := parse(strings.Replace(text, x.old, x.new, 1)).missingKey(parse(text)); got != x.key {
-			t.Errorf("%s for %s: it lacks %q, want %q", x.new, x.old, got, x.key)
+		if got := parse(strings.Replace(text, test.old, test.new, 1)).missingKey(parse(text)); got != test.key {
+			t.Errorf("missingKey with %q for %q = %q, want %q", test.new, test.old, got, test.key)
 		}
 	}
 }
 
-// TestRestartKeys names what a reload can't change, and nothing else.
+// TestRestartKeys checks that RestartKeys returns the changed keys that a reload can't apply,
+// and no others.
 func TestRestartKeys(t *testing.T) {
 	text := dispatchtest.Example(t, "config.json")
 	parse := func(text string) *Config {
@@ -126,8 +129,8 @@
 		}
 		return c
 	}
-	inForce := parse(text)
-	for _, x := range []struct {
+	active := parse(text)
+	for _, test := range []struct {
 		old, new string
 		want     []string
 	}{
@@ -139,15 +142,17 @@
 		{`"stop_ms": 3200`, `"stop_ms": 3100`, nil},
 		{`"ledger": "127.0.0.1:7700"`, `"ledger": "127.0.0.1:7701"`, nil},
 	} {
-		changed := strings.Replace(text, x.old, x.new, 1)
-		if got := parse(changed).RestartKeys(inForce); changed == text || !slices.Equal(got, x.want) {
-			t.Errorf("%s for %s: %q, want %q", x.new, x.old, got, x.want)
+		changed := strings.Replace(text, test.old, test.new, 1)
+		if got := parse(changed).RestartKeys(active); changed == text || !slices.Equal(got, test.want) {
+			t.Errorf("RestartKeys with %q for %q = %q, want %q", test.new, test.old, got, test.want)
 		}
 	}
 }
 
-func TestUWSGIConfig(t *testing.T) {
-	const good = "listen = \"127.0.0.1:1\"\nbackend = \"127.0.0.1:2\"\n[[route]]\npath = \"/g\"\nclass = \"ny-gava\"\n"
+// TestLoadUWSGI_InvalidKeyIsNamed checks the defaults, and that an invalid key gives a one-line
+// error that names it.
+func TestLoadUWSGI_InvalidKeyIsNamed(t *testing.T) {
+	const valid = "listen = \"127.0.0.1:1\"\nbackend = \"127.0.0.1:2\"\n[[route]]\npath = \"/g\"\nclass = \"ny-gava\"\n"
 	classes := []string{"kampanjsida", "givarhistorik", "ny-gava"}
 	path := filepath.Join(t.TempDir(), "uwsgi.toml")
 	load := func(text string) (*UWSGI, error) {
@@ -156,11 +161,11 @@
 		}
 		return LoadUWSGI(path, classes)
 	}
-	c, err := load(good)
+	c, err := load(valid)
 	if err != nil || c.MaxBody != defaultMaxBody || c.KeyVariable != "HTTP_IDEMPOTENCY_KEY" {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("LoadUWSGI(valid file) = %+v, %v, want the default max_body and key_variable", c, err)
 	}
-	for _, x := range []struct{ old, new, key string }{
+	for _, test := range []struct{ old, new, key string }{
 		{`listen = "127.0.0.1:1"`, ``, "listen"},
 		{`"127.0.0.1:2"`, `"nowhere"`, "backend"},
 		{`"ny-gava"`, `"gava"`, "route.class"},
@@ -171,25 +176,25 @@
 		{`[[route]]`, "[[rutt]]", "rutt"},
 		{`backend = `, `backend `, "--uwsgi"},
 	} {
-		_, err := load(strings.Replace(good, x.old, x.new, 1))
-		if err == nil || !strings.Contains(err.Error(), x.key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line that names %s", x.new, err, x.key)
+		_, err := load(strings.Replace(valid, test.old, test.new, 1))
+		if err == nil || !strings.Contains(err.Error(), test.key) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("LoadUWSGI with %q for %q = %v, want a one-line error that names %s", test.new, test.old, err, test.key)
 		}
 	}
 	if _, err := LoadUWSGI(filepath.Join("..", "deploy", "uwsgi.toml"), classes); err != nil {
-		t.Errorf("deploy/uwsgi.toml: %v", err)
+		t.Errorf("LoadUWSGI(deploy/uwsgi.toml) = %v, want no error", err)
 	}
 }
 
-// TestDeployDescriptions sees that the service's descriptions, the front's file
-// and the operator's rules lead to the same classes, and say of these what the
-// platform's settings do.
-func TestDeployDescriptions(t *testing.T) {
+// TestDeployFiles_Agree checks that the API documents, the uwsgi frontend's file and the
+// operator's rules in deploy/ assign the same classes, and that the documents define these
+// classes as the platform's settings do.
+func TestDeployFiles_Agree(t *testing.T) {
 	config, err := Parse(dispatchtest.Example(t, "config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := LoadUWSGI(filepath.Join("..", "deploy", "uwsgi.toml"), config.Classes)
+	uwsgi, err := LoadUWSGI(filepath.Join("..", "deploy", "uwsgi.toml"), config.Classes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,28 +212,29 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		for _, r := range doc.Routes {
-			if got, ok := front.routes().Match(r.Method, r.Path); !ok || got.Class != r.Class || got.KeyHeader != headerVariable(r.KeyHeader) {
-				t.Errorf("%s: %+v, but uwsgi.toml has %+v", name, r, got)
+			if got, ok := uwsgi.routes().Match(r.Method, r.Path); !ok || got.Class != r.Class || got.KeyHeader != headerVariable(r.KeyHeader) {
+				t.Errorf("%s: route %+v, but uwsgi.toml has %+v", name, r, got)
 			}
 		}
-		if disagree := rules.Against(doc); len(disagree) > 0 {
-			t.Errorf("%s and rules.toml: %q", name, disagree)
+		if conflicts := rules.Against(doc); len(conflicts) > 0 {
+			t.Errorf("%s and rules.toml conflict: %q", name, conflicts)
 		}
 		for _, c := range doc.Classes {
 			want := config.Settings.Classes[slices.Index(config.Classes, c.Name)]
-			want.CallsDependency, want.DegradedWeight = false, 0 // of no concern outside the platform
+			want.CallsDependency, want.DegradedWeight = false, 0 // not part of the API documents
 			if want.Effect != decision.Keyed {
 				want.KeyWindow = 0
 			}
 			if c.Class != want {
-				t.Errorf("%s: class %+v, want %+v", name, c, want)
+				t.Errorf("%s: class %+v, want %+v as in the settings", name, c, want)
 			}
 		}
 	}
 }
 
-// TestUWSGIRoutesFromDocument takes routes and their keys from a description.
-func TestUWSGIRoutesFromDocument(t *testing.T) {
+// TestLoadUWSGI_RoutesFromDocument checks that routes and their key variables are read from an
+// API document.
+func TestLoadUWSGI_RoutesFromDocument(t *testing.T) {
 	doc, err := os.ReadFile(filepath.Join("..", "describe", "testdata", "openapi.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -247,6 +253,6 @@
 		t.Fatal(err)
 	}
 	if r, ok := c.routes().Match("POST", "/gavor"); !ok || r.Class != "ny-gava" || r.KeyHeader != "HTTP_X_GAVA" {
-		t.Errorf("POST /gavor: %+v, %t", r, ok)
+		t.Errorf("Match(POST, /gavor) = %+v, %t, want class ny-gava with the key variable HTTP_X_GAVA", r, ok)
 	}
 }
--- a/config/keyerror.go
+++ b/config/keyerror.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// KeyError reports that a setting is missing or makes no sense.
+// KeyError reports that a setting is missing or invalid.
 type KeyError struct {
-	Key string // its path in the file, or the environment variable or flag that names the file
-	Err error  // what is wrong with it
+	Key string // the setting's path in the file, or the environment variable or flag that names the file
+	Err error  // the reason
 }
 
-// Error returns the key and what is wrong with it.
+// Error returns the key and the reason.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the key.
+// Unwrap returns the reason.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// keyErrorf returns a KeyError with a formatted problem.
+// keyErrorf returns a KeyError with a formatted reason.
 func keyErrorf(key, format string, args ...any) *KeyError {
 	return &KeyError{key, fmt.Errorf(format, args...)}
 }
--- a/config/operator/operator.cue
+++ b/config/operator/operator.cue
@@ -1,112 +1,120 @@
-// The operator's file: what the program switches on beside the platform's
-// configuration. Every field has a default; a field that is not here is
-// refused, as a misspelt one would be ignored.
+// Schema of the operator's file, which turns on features that the platform's
+// configuration doesn't cover. Every field has a default. An unknown field is
+// an error, so that a misspelt one is not ignored.
 #Operator: {
-	// The uwsgi front's file; "" for off.
+	// Path of the uwsgi frontend's file; "" turns the frontend off.
 	uwsgi: *"" | string
-	// The matching rules' file; "" for off.
+	// Path of the file with classification rules; "" for no rules.
 	rules: *"" | string
 	keys: {
-		// Where the keys of what ran outlive the process; "" keeps them in memory.
+		// Directory of the journal of idempotency keys, which keeps them when the
+		// process exits; "" keeps them only in memory.
 		dir: *"" | string
-		// always: a claim is synced to disk before its run begins (a power loss
-		// keeps it); never: the system writes it when it will (a crash of the
-		// process keeps it, one of the machine may not).
+		// always: a claim is synced to disk before its run begins, and survives a
+		// power loss. never: the operating system decides when to write it; a
+		// claim survives a crash of the process, but maybe not of the machine.
 		sync: *"always" | "never"
 	}
 	log: {
 		level:  *"info" | "debug" | "warn" | "error"
 		format: *"text" | "json"
-		// The same line at most so often a second; 0 for no bound.
+		// Maximum number of lines per second with the same message; 0 for no limit.
 		repeats: *10 | (int & >=0 & <=10000)
 	}
 	metrics: {
-		// The address of the operator's own listener for /metrics; "" for off.
+		// Address of the listener for /metrics; "" turns metrics off.
 		listen: *"" | #address
 	}
-	// Talk among instances (docs/fleet.md); off where the platform gives one
-	// listener and no talk.
+	// Communication among the instances of a fleet (docs/fleet.md). It is off for
+	// platforms that allow a single listener and no connections among instances.
 	fleet: {
 		role: *"off" | "voter" | "member"
-		// Two fleets of different names never talk.
+		// Members of fleets with different names refuse each other.
 		name: *"quincerail" | =~"^[0-9A-Za-z._-]{1,64}$"
-		// Where a voter hears the other voters, and every member the others.
+		// raft: address where a voter listens for the other voters. gossip: address
+		// where any member listens for the others.
 		raft:   *"" | #address
 		gossip: *"" | #address
-		// The folder of a voter's log; a disk that lasts.
+		// Directory of a voter's log, on persistent storage.
 		dir: *"" | string
-		// All voters, this one too, and the members to join by: name to address.
+		// Names and addresses. voters: all voters, with this process if it is one.
+		// seeds: members through which this one joins the gossip.
 		voters: [string]: #address
 		seeds: [string]:  #address
-		// Without word from a leader for so long, a voter stands for election.
+		// Time without a message from a leader after which a voter becomes a
+		// candidate.
 		election_ms: *1000 | (int & >=50 & <=60000)
-		// How long a lease lasts unless it is renewed.
+		// Duration of a lease unless it is renewed.
 		lease_ms: *1000 | (int & >=50 & <=600000)
-		// Most that a member's clock runs fast or slow by, as a share.
+		// Bound on how fast or slow a member's clock runs, as a fraction.
 		drift: *0.05 | (number & >=0 & <=0.2)
-		// The owner probes the shared dependency so often, finds it slow beyond
-		// slow_ms, and puts what it finds to a URL; "" for the members only.
+		// The owner of the health lease probes the shared dependency every
+		// probe_ms. The dependency is slow if a probe takes longer than slow_ms.
+		// publish is the URL to which the result is put; "" sends it only to the
+		// fleet's members.
 		probe_ms: *500 | (int & >=10 & <=60000)
 		slow_ms:  *100 | (int & >=1 & <=60000)
 		publish:  *"" | =~"^http://"
-		// Calls that the whole fleet may have in hand at the shared dependency; 0
-		// for no such bound. The same at each member, as are the two below.
+		// Limit on the fleet's calls in flight at the shared dependency; 0 for no
+		// limit. This value and the two below must be the same at each member.
 		budget_calls: *0 | (int & >=0 & <=10000000)
-		// Repeats of calls that the whole fleet may make in any second; 0 for no bound.
+		// Limit on the fleet's retries of calls in any second; 0 for no limit.
 		budget_repeats: *0 | (int & >=0 & <=10000000)
-		// Without word from the budget's owner for so long, a member makes no calls.
+		// Time without an acknowledgement from the quota allocator's leader after
+		// which a member makes no calls.
 		horizon_ms: *60000 | (int & >=1000 & <=3600000)
-		// The longest that a call is in hand, at the dependency too.
+		// Longest time that a call is in flight, including at the dependency.
 		hold_ms: *10000 | (int & >=10 & <=600000)
-		// Rollouts (docs/rollout.md): how often members report, and how long the
-		// windows are that servers are compared by; 0 for no rollouts. The same at
-		// each member.
+		// Rollouts (docs/rollout.md): the interval at which members report, which is
+		// the length of the windows by which servers are compared; 0 for no
+		// rollouts. It must be the same at each member.
 		window_ms: *0 | (int & >=0 & <=600000)
-		// What this build of the program is called, and where this process is.
+		// Version of the program, and zone of this process.
 		version: *"" | =~"^[0-9A-Za-z._+-]{1,64}$"
 		zone:    *"" | string
-		// Where operators call a voter about rollouts and voters; "" for nowhere.
+		// Address where a voter serves operators' requests about rollouts and
+		// voters; "" for none.
 		operators: *"" | #address
-		// This voter joins a group that is at work, once an operator adds it there;
-		// voters are those there are then.
+		// This voter joins a running group once an operator adds it there. voters
+		// then lists the group's present voters.
 		join: *false | bool
-		// For drills: this member's lease clock runs at such a rate.
+		// For tests of clock drift: the rate of this member's lease clock.
 		clock_rate: *1.0 | (number & >=0.5 & <=2)
 	}
 
-	// Each of these is valid alone, and dangerous with the other.
+	// Combinations of values that are valid alone, but dangerous together.
 	if log.level == "debug" && (log.repeats > 100 || log.repeats == 0) {
 		log: repeats: error("debug writes a line for each request: more than 100 repeats a second would flood the log at full load")
 	}
 	if fleet.role != "off" && fleet.gossip == "" {
-		fleet: gossip: error("a member of a fleet needs an address where it hears the others")
+		fleet: gossip: error("a member of a fleet needs an address to listen on")
 	}
 	if fleet.role == "voter" && (fleet.raft == "" || fleet.dir == "") {
-		fleet: role: error("a voter needs raft, an address, and dir, a folder that lasts")
+		fleet: role: error("a voter needs an address in raft and a directory in dir")
 	}
 	if fleet.role != "voter" && len(fleet.voters) > 0 {
-		fleet: voters: error("only a voter talks to the voters")
+		fleet: voters: error("only a voter connects to the voters")
 	}
 	if fleet.budget_calls > 0 && fleet.hold_ms*2 > fleet.horizon_ms {
-		fleet: hold_ms: error("calls that last half of horizon_ms leave a member that hears little no time to make any")
+		fleet: hold_ms: error("must be at most half of horizon_ms, as a member with few acknowledgements would have no time to make calls")
 	}
 	if fleet.budget_repeats > 0 && fleet.horizon_ms < 3000 {
-		fleet: horizon_ms: error("a repeat keeps its right for a second: 3000 at least wanted with budget_repeats")
+		fleet: horizon_ms: error("must be at least 3000 with budget_repeats, as a retry holds its right for a second")
 	}
 	if fleet.window_ms > 0 && fleet.version == "" {
-		fleet: version: error("rollouts compare versions: a name for this one wanted")
+		fleet: version: error("must not be empty with window_ms, as rollouts compare versions")
 	}
 	if fleet.operators != "" && fleet.role != "voter" {
-		fleet: operators: error("operators call a voter")
+		fleet: operators: error("only a voter serves operators' requests")
 	}
 	if fleet.join && fleet.role != "voter" {
-		fleet: join: error("only a voter joins the voters")
+		fleet: join: error("only a voter can join the voters")
 	}
 	if fleet.lease_ms*2 < fleet.election_ms {
-		fleet: lease_ms: error("shorter than half of election_ms, the lease would run out at each change of leaders")
+		fleet: lease_ms: error("must be at least half of election_ms, as the lease would otherwise expire at each change of leader")
 	}
 	if keys.sync == "never" && keys.dir == "" {
-		keys: sync: error("sync says how the folder of keys is written, and there is none")
+		keys: sync: error("sync says when the files in dir are synced to disk, but dir is empty")
 	}
 }
 
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads the operator's file, which turns on what the platform's
-// configuration does not know of.
+// Package operator reads the operator's file, which turns on features that the platform's
+// configuration doesn't cover.
 package operator
 
 import (
@@ -28,8 +28,8 @@
 //go:embed operator.cue
 var operatorSchema string
 
-// File is the operator's file, in TOML or CUE. operator.cue says what each key means, its
-// default and its bounds. The zero value is not valid: Load fills in the defaults.
+// File is the operator's file, in TOML or CUE. operator.cue documents each key, its default
+// and its bounds. The zero value is not valid: Load fills in the defaults.
 type File struct {
 	UWSGI string `json:"uwsgi"`
 	Rules string `json:"rules"`
@@ -72,9 +72,9 @@
 	} `json:"fleet"`
 }
 
-// FleetConfig returns the fleet's configuration for the process of a name, whose shared
-// dependency is at dependencyAddress; nil where the operator's file leaves the fleet off.
-// The error names the key at fault.
+// FleetConfig returns the fleet's configuration for the process with the given name, whose
+// shared dependency is at dependencyAddress. It returns nil if the operator's file leaves the
+// fleet off. The error names the invalid key.
 func (f *File) FleetConfig(name, dependencyAddress string, logger *slog.Logger) (*fleet.Config, error) {
 	keys := &f.Fleet
 	if fleet.Role(keys.Role) == fleet.Off {
@@ -117,8 +117,8 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Error lists every problem of an operator's file: the key's path, the reason, and the
-// line where the file is CUE.
+// Error lists all problems of an operator's file. A problem has the key's path, the reason
+// and, if the file is CUE, the line.
 type Error struct {
 	File     string
 	Problems []string
@@ -129,8 +129,8 @@
 	return fmt.Sprintf("%s: %s", e.File, strings.Join(e.Problems, "; "))
 }
 
-// Load reads an operator's file; the path "" gives the defaults. The error is an *Error
-// where the file was read and is not valid.
+// Load reads an operator's file. For the path "" it returns the defaults. The error is an
+// *Error if the file was read and is not valid.
 func Load(path string) (*File, error) {
 	ctx := cuecontext.New()
 	schema := ctx.CompileString(operatorSchema, cue.Filename(schemaFile)).LookupPath(cue.ParsePath("#Operator"))
@@ -152,7 +152,8 @@
 	return &o, nil
 }
 
-// compile reads a file, in CUE or else in TOML, as a CUE value; "" gives an empty one.
+// compile reads a file as a CUE value: CUE if its extension is .cue, else TOML. For the path
+// "" it returns an empty struct.
 func compile(ctx *cue.Context, path string) (cue.Value, error) {
 	if path == "" {
 		return ctx.CompileString("{}"), nil
@@ -175,17 +176,18 @@
 	return ctx.CompileBytes(encoded, cue.Filename(path)), nil
 }
 
-// Ranks of the reasons that CUE gives for one path. The highest is reported: a value out
-// of its bounds says more than the default that it conflicts with.
+// Ranks of the reasons that CUE gives for one path. Only the reason with the highest rank is
+// reported: that a value is out of its bounds is more useful than that it conflicts with the
+// default.
 const (
 	rankEmptyDisjunction = iota
 	rankConflict
 	rankInvalidValue
-	rankSchemaReason // a reason that the schema itself states
+	rankSchemaReason // a reason from the schema's own error()
 )
 
-// problems returns a line for each path at fault: the reason of CUE with the highest rank,
-// with the line in the file where there is one.
+// problems returns a line for each invalid path: the reason with the highest rank and, if
+// known, its line in the file.
 func problems(err error) []string {
 	var paths []string // in the order of the errors
 	best := map[string]problem{}
@@ -202,14 +204,14 @@
 	}
 	lines := make([]string, len(paths))
 	for i, path := range paths {
-		lines[i] = best[path].line
+		lines[i] = best[path].text
 	}
 	return lines
 }
 
-// problem is one of CUE's reasons for a path at fault.
+// problem is one of CUE's reasons why a path is invalid.
 type problem struct {
-	line string // as it is reported
+	text string // path, reason and line
 	rank int
 }
 
@@ -232,7 +234,7 @@
 }
 
 // filePosition returns the line of the operator's file that an error refers to, in
-// parentheses; "" where it refers to none.
+// parentheses, or "" if it refers to none.
 func filePosition(e cueerrors.Error) string {
 	for _, p := range e.InputPositions() {
 		if p.Filename() != schemaFile && p.Line() > 0 {
--- a/config/parse.go
+++ b/config/parse.go
@@ -14,7 +14,7 @@
 	"quincerail.example/quincerail/internal/simwire"
 )
 
-// The platform's keys, each beside the term of the field that the code uses.
+// Keys of the platform's configuration. The constants' names use the terms of the code.
 const (
 	keyName             = "name"
 	keyListen           = "listen"
@@ -35,70 +35,70 @@
 	keyTenantQuota      = "quotaRps"            // in a tenant
 )
 
-// isOptional reports whether some deployments leave the key at a path out.
+// isOptional reports whether deployments may leave out the key at a path.
 func isOptional(path string) bool {
 	return path == ".settings.familyInfo.passesDeadline" ||
 		path == ".settings.prices.fleet" ||
 		strings.HasSuffix(path, ".aimStretch")
 }
 
-// maxNumber bounds the numbers of the file, so that they don't overflow when their unit is
-// converted.
+// maxNumber is an upper bound for the numbers of the file, which prevents an overflow when
+// their unit is converted.
 const maxNumber = 1e12
 
 var (
-	errNotAnObject = errors.New("not a JSON object")
-	errWantNumber  = errors.New("a number above 0 wanted")
-	errWantText    = errors.New("a text wanted")
-	errWantObject  = errors.New("an object wanted")
-	errWantHex     = errors.New("a number in hex wanted")
-	errWantUnique  = errors.New("a name of its own wanted")
-	errWantAmount  = errors.New("a number of 0 or more wanted")
+	errFileNotObject     = errors.New("the configuration is not a JSON object")
+	errNotPositive       = errors.New("not a number above 0 and below 1e12")
+	errNotText           = errors.New("not a string, or empty")
+	errNotObject         = errors.New("not a JSON object")
+	errNotHex            = errors.New("not a hexadecimal number of up to 64 bits")
+	errNotUniqueName     = errors.New("not a string, empty, or not unique")
+	errNotZeroOrPositive = errors.New("not a number of at least 0 and below 1e12")
 )
 
-// reader reads typed values of a JSON text and keeps the first error.
+// reader reads typed values from a JSON text and keeps the first error.
 type reader struct {
 	text string
 	err  error
 }
 
-func (r *reader) fail(key string, problem error) {
+func (r *reader) fail(key string, reason error) {
 	if r.err == nil {
-		r.err = &KeyError{key, problem}
+		r.err = &KeyError{key, reason}
 	}
 }
 
-// string returns a text that is not empty.
+// string returns the value of key, which must be a non-empty string.
 func (r *reader) string(key string) string {
 	value := gjson.Get(r.text, key)
 	if value.Type != gjson.String || value.Str == "" {
-		r.fail(key, errWantText)
+		r.fail(key, errNotText)
 	}
 	return value.Str
 }
 
-// number returns a number above 0.
+// number returns the value of key, which must be a number above 0 and below maxNumber.
 func (r *reader) number(key string) float64 {
 	value := gjson.Get(r.text, key)
 	if value.Type != gjson.Number || !(value.Num > 0 && value.Num < maxNumber) {
-		r.fail(key, errWantNumber)
+		r.fail(key, errNotPositive)
 	}
 	return value.Num
 }
 
-// seed returns a number in hex.
+// seed returns the value of key, which must be a string with a hexadecimal number.
 func (r *reader) seed(key string) int64 {
 	seed, err := strconv.ParseUint(r.string(key), 16, 64)
 	if err != nil {
-		r.fail(key, errWantHex)
+		r.fail(key, errNotHex)
 	}
 	return int64(seed)
 }
 
-// Parse reads a configuration. The error is a *KeyError.
+// Parse reads the platform's configuration from its JSON text. The error is a *KeyError.
 func Parse(text string) (*Config, error) {
 	if !gjson.Valid(text) || !gjson.Parse(text).IsObject() {
-		return nil, &KeyError{EnvFile, errNotAnObject}
+		return nil, &KeyError{EnvFile, errFileNotObject}
 	}
 	r := &reader{text: text}
 	c := &Config{
@@ -117,7 +117,7 @@
 	}
 	settings := gjson.Get(text, keySettings)
 	if !settings.IsObject() {
-		r.fail(keySettings, errWantObject)
+		r.fail(keySettings, errNotObject)
 	}
 	if r.err != nil {
 		return nil, r.err
@@ -128,21 +128,21 @@
 	return c, nil
 }
 
-// readSettings reads the settings, which the decision module gets, and the names of the
-// classes, tenants and gauges in them.
+// readSettings reads the settings of the decision module, and the names of the classes,
+// tenants and gauges in them.
 func (c *Config) readSettings(settings gjson.Result) error {
 	var err error
 	if c.Settings, err = simwire.Settings(settings.Raw); err != nil {
 		return &KeyError{keySettings, err}
 	}
-	c.Settings.CacheTTL = 0 // no deployment asks for reads to share results
+	c.Settings.CacheTTL = 0 // no deployment enables caching of read results
 	for _, class := range settings.Get(keyClasses).Array() {
 		c.Classes = append(c.Classes, class.Get(keyName).String())
 	}
 	if c.Tenants, err = readTenants(settings); err != nil {
 		return err
 	}
-	// The error of Validate names classes and tenants by their index in the file.
+	// The errors of Validate identify classes and tenants by their index in the file.
 	if err := c.Settings.Validate(); err != nil {
 		return &KeyError{keySettings, err}
 	}
@@ -152,30 +152,30 @@
 	return nil
 }
 
-// maxShareError is how far the sum of the tenants' shares may be from 1: they are rounded.
+// maxShareError is the tolerance of the sum of the tenants' shares, which are rounded.
 const maxShareError = 0.02
 
-// readTenants returns the names of the tenants. Each needs a share and a quota, and
-// the shares must add up to the whole service.
+// readTenants returns the names of the tenants. Each tenant must have a share and a quota, and
+// the sum of the shares must be 1.
 func readTenants(settings gjson.Result) (names []string, err error) {
 	sum := 0.0
 	for i, tenant := range settings.Get(keyTenants).Array() {
 		path := fmt.Sprintf("%s.%s.%d.", keySettings, keyTenants, i)
 		name := tenant.Get(keyName)
 		if name.Type != gjson.String || name.Str == "" || slices.Contains(names, name.Str) {
-			return nil, &KeyError{path + keyName, errWantUnique}
+			return nil, &KeyError{path + keyName, errNotUniqueName}
 		}
 		names = append(names, name.Str)
 		for _, key := range []string{keyTenantShare, keyTenantQuota} {
 			value := tenant.Get(key)
 			if value.Type != gjson.Number || !(value.Num >= 0 && value.Num < maxNumber) {
-				return nil, &KeyError{path + key, errWantAmount}
+				return nil, &KeyError{path + key, errNotZeroOrPositive}
 			}
 		}
 		sum += tenant.Get(keyTenantShare).Num
 	}
 	if len(names) > 0 && math.Abs(sum-1) > maxShareError {
-		return nil, keyErrorf(keySettings+"."+keyTenants, "the shares add up to %.3f, 1 wanted", sum)
+		return nil, keyErrorf(keySettings+"."+keyTenants, "the shares add up to %.3f, want 1", sum)
 	}
 	return names, nil
 }
--- a/config/uwsgi.go
+++ b/config/uwsgi.go
@@ -14,23 +14,23 @@
 	"quincerail.example/quincerail/describe"
 )
 
-// UWSGI is the configuration of the uwsgi front, from its file.
+// UWSGI is the configuration of the uwsgi frontend, from its file.
 type UWSGI struct {
 	Listen      string       `toml:"listen"`
-	Backend     string       `toml:"backend"`      // where the requests of this front run
-	KeyVariable string       `toml:"key_variable"` // holds a request's idempotency key, where its route names none
-	HealthPath  string       `toml:"health_path"`  // answered by the front itself; "" for none
+	Backend     string       `toml:"backend"`      // address of the backend that runs this frontend's requests
+	KeyVariable string       `toml:"key_variable"` // CGI variable with a request's idempotency key, for routes that name none
+	HealthPath  string       `toml:"health_path"`  // path of the frontend's own health check; "" for none
 	MaxBody     int          `toml:"max_body"`     // bytes
-	Describe    string       `toml:"describe"`     // an OpenAPI or AsyncAPI document with further routes
+	Describe    string       `toml:"describe"`     // path, relative to this file, of an OpenAPI or AsyncAPI document with further routes
 	Routes      []UWSGIRoute `toml:"route"`
 }
 
-// UWSGIRoute gives the requests with a method and path their class.
+// UWSGIRoute assigns a class to the requests with a method and path.
 type UWSGIRoute struct {
 	Method      string `toml:"method"` // "" for every method
-	Path        string `toml:"path"`   // with {name} for one segment
+	Path        string `toml:"path"`   // {name} matches one segment
 	Class       string `toml:"class"`
-	KeyVariable string `toml:"key_variable"` // "" for that of all routes
+	KeyVariable string `toml:"key_variable"` // "" for UWSGI.KeyVariable
 }
 
 const (
@@ -40,10 +40,10 @@
 	maxBodyLimit       = 1 << 20  // bytes; the bodies of all connections together must fit in memory
 )
 
-var errNoRoute = errors.New("at least one wanted")
+var errNoRoute = errors.New("at least one route is required")
 
-// LoadUWSGI reads the uwsgi front's file, fills in its defaults, and checks it: routes may
-// only lead to the given classes. The error is a *KeyError.
+// LoadUWSGI reads the uwsgi frontend's file, fills in its defaults, and validates it: a route
+// may only have one of the given classes. The error is a *KeyError.
 func LoadUWSGI(path string, classes []string) (*UWSGI, error) {
 	c := &UWSGI{}
 	meta, err := toml.DecodeFile(path, c)
@@ -51,7 +51,7 @@
 		return nil, &KeyError{flagUWSGI, err}
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, keyErrorf(unknown[0].String(), "not known in %s", path)
+		return nil, keyErrorf(unknown[0].String(), "unknown key in %s", path)
 	}
 	if err := checkAddress("listen", c.Listen); err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	c.KeyVariable = cmp.Or(c.KeyVariable, defaultKeyVariable)
 	c.MaxBody = cmp.Or(c.MaxBody, defaultMaxBody)
 	if c.MaxBody < 0 || c.MaxBody > maxBodyLimit {
-		return nil, keyErrorf("max_body", "from 1 to %d wanted", maxBodyLimit)
+		return nil, keyErrorf("max_body", "%d is not from 1 to %d bytes", c.MaxBody, maxBodyLimit)
 	}
 	if err := c.addDescribedRoutes(filepath.Dir(path)); err != nil {
 		return nil, err
@@ -75,12 +75,12 @@
 
 func checkAddress(key, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return keyErrorf(key, "an address with a port wanted: %w", err)
+		return keyErrorf(key, "not an address with a port: %w", err)
 	}
 	return nil
 }
 
-// addDescribedRoutes adds the routes of the document that the file in dir names.
+// addDescribedRoutes adds the routes of the API document, whose path is relative to dir.
 func (c *UWSGI) addDescribedRoutes(dir string) error {
 	if c.Describe == "" {
 		return nil
@@ -110,7 +110,7 @@
 	}
 	for _, r := range c.Routes {
 		if !slices.Contains(classes, r.Class) {
-			return keyErrorf("route.class", "%q is not in the settings", r.Class)
+			return keyErrorf("route.class", "class %q is not in the settings", r.Class)
 		}
 		if !strings.HasPrefix(r.Path, "/") {
 			return keyErrorf("route.path", "%q does not begin with /", r.Path)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// RouteTable returns the routes, each with the variable that holds its key, compiled
+// RouteTable returns the routes, each with the CGI variable of its idempotency key, compiled
 // for lookups.
 func (c *UWSGI) RouteTable() *describe.Table { return c.routes().Compile() }
 
@@ -136,7 +136,7 @@
 	return routes
 }
 
-// headerVariable returns the name of the CGI variable that holds a header.
+// headerVariable returns the name of the CGI variable of an HTTP header.
 func headerVariable(header string) string {
 	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(header, "-", "_"))
 }
