--- a/server/control_test.go
+++ b/server/control_test.go
@@ -100,12 +100,12 @@
 
 // newInheritedSocket opens a listening socket. A configuration that was changed by inherit
 // makes a server inherit the socket.
-func newInheritedSocket(t *testing.T) (held net.Listener, inherit func(*config.Config)) {
-	folder := filepath.Join(t.TempDir(), strings.Repeat("a folder with a long name ", 4)) // too long for a Unix socket's address
-	if err := os.Mkdir(folder, 0o700); err != nil {
+func newInheritedSocket(t *testing.T) (listener net.Listener, inherit func(*config.Config)) {
+	dir := filepath.Join(t.TempDir(), strings.Repeat("a folder with a long name ", 4)) // too long for a Unix socket's address
+	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv("TMPDIR", folder)
+	t.Setenv("TMPDIR", dir)
 	l := listen(t)
 	return l, func(c *config.Config) {
 		file := must(l.File())(t)
@@ -139,10 +139,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	predecessor.startShutdown()
-	repeats := []*fakes.Attempt{gift(successor, "ran"), gift(successor, "runs"), open}
+	attempts := []*fakes.Attempt{gift(successor, "ran"), gift(successor, "runs"), open}
 	for i, key := range []string{"ran", "runs", "runs"} {
 		want.Body = "done: gift " + key
-		if got := outcome(t, repeats[i]); got != want {
+		if got := outcome(t, attempts[i]); got != want {
 			t.Errorf("outcome of attempt %d with key %s = %v, want %v", i, key, got, want)
 		}
 	}
@@ -176,13 +176,13 @@
 // it too. So the server must accept and shed the requests that arrive then: they would be lost
 // if it did not read them.
 func TestDrain_ShedsOnInheritedSocketAfterGrace(t *testing.T) {
-	held, inherit := newInheritedSocket(t)
+	listener, inherit := newInheritedSocket(t)
 	h := newHarness(t, func(c *config.Config) { inherit(c); shortGrace(c) })
 	if o := outcome(t, frontends[0].ask(t, h, "kampanjsida", "", "page")); o.Kind != "served" {
 		t.Errorf("outcome over the inherited socket = %s, want served", o.Kind)
 	}
-	if h.Addr().String() != held.Addr().String() {
-		t.Errorf("Addr() = %s, want the inherited socket's %s", h.Addr(), held.Addr())
+	if h.Addr().String() != listener.Addr().String() {
+		t.Errorf("Addr() = %s, want the inherited socket's %s", h.Addr(), listener.Addr())
 	}
 	h.startShutdown()
 	h.waitReport(t, false)
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -185,9 +185,9 @@
 
 // closeConnections closes the connections, and returns when the process may exit: when done
 // is closed, or exitMargin before killAt, or later if package guard does not allow the exit,
-// since the process may have been suspended until then. The caller closes accepted once no
-// connection waits to be accepted, and done once the connections have ended and the requests
-// are answered.
+// since the process may have been suspended until then. The channel accepted must be closed
+// once no connection waits to be accepted, and done once the connections have ended and the
+// requests are answered.
 func (s *Server) closeConnections(killAt time.Time, accepted, done <-chan struct{}) {
 	for _, l := range s.listeners {
 		l.frontend.Drain(killAt.Add(-disconnectMargin))
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -240,7 +240,7 @@
 	name   string
 	config func(*config.Config)
 	want   string
-	play   func(t *testing.T, h *harness, f frontend) string
+	run    func(t *testing.T, h *harness, f frontend) string
 }{
 	{"served", nil, "served done: a gift", func(t *testing.T, h *harness, f frontend) string {
 		return describeOutcome(outcome(t, f.ask(t, h, "kampanjsida", "", "a gift")))
@@ -312,17 +312,18 @@
 			h.startShutdown()
 			h.waitReport(t, false)
 			mustSucceed(t, early.Send())
-			e := outcome(t, early)
+			earlyOutcome := outcome(t, early)
 			h.waitClosed(t)
 			_ = late.Send() // fails if the connection is closed: the request has its answer then
-			l := outcome(t, late)
-			r := outcome(t, running)
+			lateOutcome := outcome(t, late)
+			runningOutcome := outcome(t, running)
 			<-h.drained
-			return fmt.Sprintf("%s, %s, %s, %d late runs, drained", describeOutcome(r), describeOutcome(e), describeOutcome(l), h.work.Runs("late"))
+			return fmt.Sprintf("%s, %s, %s, %d late runs, drained", describeOutcome(runningOutcome), describeOutcome(earlyOutcome), describeOutcome(lateOutcome), h.work.Runs("late"))
 		},
 	},
 }
 
+// describeOutcome returns the kind of an outcome and its body, if it has one.
 func describeOutcome(o fakes.Outcome) string {
 	if o.Body == "" {
 		return o.Kind
@@ -364,7 +365,7 @@
 	}
 }
 
-func (h *harness) waitHealth(t testing.TB, good bool) {
+func (h *harness) waitHealth(t testing.TB, healthy bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		request := must(http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+h.webAddr+gifts.HealthPath, nil))(t)
@@ -373,11 +374,11 @@
 			t.Fatal(err)
 		}
 		mustSucceed(t, response.Body.Close())
-		if (response.StatusCode == http.StatusOK) == good {
+		if (response.StatusCode == http.StatusOK) == healthy {
 			return
 		}
 	}
-	t.Fatalf("the health check was not %t within 10s", good)
+	t.Fatalf("the health check was not %t within 10s", healthy)
 }
 
 // waitClosed waits until new connections are refused, which means that the grace has ended.
@@ -410,7 +411,7 @@
 			t.Run(s.name+"/"+f.name, func(t *testing.T) {
 				t.Parallel()
 				h := f.newHarness(t, s.config)
-				if got := s.play(t, h, f); got != s.want {
+				if got := s.run(t, h, f); got != s.want {
 					t.Errorf("scenario on %s:\ngot  %s\nwant %s", f.name, got, s.want)
 				}
 				outcomeCounts.add(t.Name(), "runs", h.work.Total())
