--- a/config/config_test.go
+++ b/config/config_test.go
@@ -17,7 +17,7 @@
 // TestParse_InvalidKeyIsNamed checks that an invalid key gives a one-line *KeyError that names
 // it.
 func TestParse_InvalidKeyIsNamed(t *testing.T) {
-	text := dispatchtest.Example(t, "config.json")
+	text := dispatchtest.ReadExample(t, "config.json")
 	if _, err := Parse(text); err != nil {
 		t.Fatalf("Parse(example config.json) = %v, want no error", err)
 	}
@@ -47,7 +47,7 @@
 // TestParse_InvalidTenantKeyIsNamed checks that an invalid key of a tenant, or another key of a
 // deployment with tenants, gives a one-line error that names it.
 func TestParse_InvalidTenantKeyIsNamed(t *testing.T) {
-	text := dispatchtest.Example(t, "tenants.json")
+	text := dispatchtest.ReadExample(t, "tenants.json")
 	c, err := Parse(text)
 	if err != nil || !slices.Equal(c.Tenants, []string{"north", "coast", "lake"}) || c.Settings.Tenants[1].Quota != 36 {
 		t.Fatalf("Parse(example tenants.json) = %+v, %v, want tenants north, coast and lake, and a quota of 36 for coast", c, err)
@@ -74,7 +74,7 @@
 // TestMissingKey_OptionalKeysMayDiffer checks that a reload can replace each example by the
 // other, although one lacks keys that deployments may leave out.
 func TestMissingKey_OptionalKeysMayDiffer(t *testing.T) {
-	first, second := dispatchtest.Example(t, "config.json"), dispatchtest.Example(t, "tenants.json")
+	first, second := dispatchtest.ReadExample(t, "config.json"), dispatchtest.ReadExample(t, "tenants.json")
 	first = strings.Replace(first, `"gain": 2.0,`, `"gain": 2.0, "aimStretch": 1.5,`, 1)
 	first = strings.Replace(first, `"prices": {`, `"prices": {"fleet": 0.1, `, 1)
 	second = strings.Replace(second, `"passesDeadline": true,`, ``, 1)
@@ -96,7 +96,7 @@
 // TestMissingKey_FindsKeyAtAnyDepth checks that a key of the active configuration that a file
 // lacks is found at any depth, and that an additional key is not reported.
 func TestMissingKey_FindsKeyAtAnyDepth(t *testing.T) {
-	text := dispatchtest.Example(t, "config.json")
+	text := dispatchtest.ReadExample(t, "config.json")
 	parse := func(text string) *Config {
 		c, err := Parse(text)
 		if err != nil {
@@ -121,7 +121,7 @@
 // TestRestartKeys checks that RestartKeys returns the changed keys that a reload can't apply,
 // and no others.
 func TestRestartKeys(t *testing.T) {
-	text := dispatchtest.Example(t, "config.json")
+	text := dispatchtest.ReadExample(t, "config.json")
 	parse := func(text string) *Config {
 		c, err := Parse(text)
 		if err != nil {
@@ -190,7 +190,7 @@
 // operator's rules in deploy/ assign the same classes, and that the documents define these
 // classes as the platform's settings do.
 func TestDeployFiles_Agree(t *testing.T) {
-	config, err := Parse(dispatchtest.Example(t, "config.json"))
+	config, err := Parse(dispatchtest.ReadExample(t, "config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,7 +222,7 @@
 		for _, c := range doc.Classes {
 			want := config.Settings.Classes[slices.Index(config.Classes, c.Name)]
 			want.CallsDependency, want.DegradedWeight = false, 0 // not part of the API documents
-			if want.Effect != decision.Keyed {
+			if want.Idempotency != decision.Keyed {
 				want.KeyWindow = 0
 			}
 			if c.Class != want {
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -8,26 +8,27 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// maxKeyBytes bounds an idempotency key: the key table counts on it, and peers get it.
+// maxKeyBytes bounds the length of an idempotency key, because the key table counts a fixed
+// size for each entry (idempotency.EntryOverheadBytes) and keys are sent to peers.
 const maxKeyBytes = 256
 
-// NewID makes an id for a request that has none from its caller.
+// NewID returns a random id for a request whose caller has set none.
 func NewID() string {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // it never fails: see crypto/rand
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never fails
 	return hex.EncodeToString(b[:])
 }
 
-// Submit hands in a request. It returns an error if the class or tenant is unknown, a needed
-// key is missing or too long, or there is no id or memory; or ErrStopped. After an error its
-// Responder hears nothing. It waits while the mailbox is full.
+// Submit submits a request, whose Responder then gets exactly one answer unless its caller
+// cancels it or disconnects. It returns ErrStopped, or an error that names the invalid field;
+// then there is no answer. It blocks while the mailbox is full.
 func (c *Core) Submit(r Request) error {
 	current := c.currentSettings.Load()
 	class, ok := current.classes.indexOf[r.Class]
 	if !ok {
 		return fmt.Errorf("class %q is not known", r.Class)
 	}
-	if err := r.checkKey(current.classes.items[class].Effect); err != nil {
+	if err := r.checkKey(current.classes.items[class].Idempotency); err != nil {
 		return err
 	}
 	tenant, ok := current.tenantIndex(r.Tenant)
@@ -40,9 +41,9 @@
 	return c.enqueue(requestReceived{r, class, tenant})
 }
 
-// checkKey returns an error if a request of a class with that effect needs a key and has
-// none, or one that is too long.
-func (r *Request) checkKey(effect decision.Effect) error {
+// checkKey returns an error if the request's class has the effect Keyed, but the request has
+// no key or one that is too long.
+func (r *Request) checkKey(effect decision.Idempotency) error {
 	if effect != decision.Keyed {
 		return nil
 	}
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// requestReceived is a request with the indexes of its class and tenant. These keep
-// their meaning when the settings change.
+// requestReceived is a submitted request with the indexes of its class and tenant, which
+// stay valid when the settings change.
 type requestReceived struct {
 	request     Request
 	classIndex  int
@@ -65,13 +66,13 @@
 
 func (e requestReceived) apply(c *Core) {
 	r := e.request
-	// The settings may have changed since Submit: those in force now count, and the
-	// former ones of its class where that has been removed.
+	// The settings may have changed since Submit. The current ones apply; a class that was
+	// removed keeps its last settings.
 	class := c.settings.Classes[e.classIndex]
-	if class.Effect != decision.Keyed {
+	if class.Idempotency != decision.Keyed {
 		r.Key = ""
 	}
-	if c.attempts[r.ID] != nil || r.checkKey(class.Effect) != nil {
+	if c.attempts[r.ID] != nil || r.checkKey(class.Idempotency) != nil {
 		r.Responder.Respond(r.ID, Outcome{Kind: Rejected})
 		return
 	}
@@ -85,20 +86,20 @@
 	c.admit(a)
 }
 
-// newAttempt makes the attempt of a request, with its times on the clock's timeline.
+// newAttempt creates the attempt for a request, with its times on the clock's timeline.
 func (c *Core) newAttempt(r Request, classIndex, tenantIndex int) *attempt {
 	class := c.settings.Classes[classIndex]
 	a := &attempt{
 		Request: r, classIndex: classIndex, tenantIndex: tenantIndex, classSettings: class,
-		arrivedAt:  min(c.clock.Received(r.ArrivedAt), c.now), // the caller's clock may be ahead
+		arrivedAt:  min(c.clock.FromPeerTime(r.ArrivedAt), c.now), // the caller's clock may be ahead
 		readBefore: c.now, backend: r.Backend,
 	}
 	a.readAfter = a.arrivedAt
 	if !r.ReadAfter.IsZero() {
-		a.readAfter = min(max(a.arrivedAt, c.clock.At(r.ReadAfter)), c.now)
+		a.readAfter = min(max(a.arrivedAt, c.clock.FromTime(r.ReadAfter)), c.now)
 	}
 	if !r.ReadBy.IsZero() {
-		a.readBefore = min(c.clock.At(r.ReadBy), c.now)
+		a.readBefore = min(c.clock.FromTime(r.ReadBy), c.now)
 	}
 	a.deadline = a.arrivedAt + class.Deadline
 	if !r.Deadline.IsZero() {
@@ -110,24 +111,25 @@
 	return a
 }
 
-// outcomeAtArrival returns the answer of a request that the module does not hear of.
+// outcomeAtArrival returns the answer to an attempt that is not passed to the module; final
+// is false if the module decides about it.
 func (c *Core) outcomeAtArrival(a *attempt) (o Outcome, final bool) {
 	shed := Outcome{Kind: Shed, RetryAfter: c.settings.MaxRetryAfter}
 	entry := c.keys.Lookup(a.Key)
 	newKey := a.Key != "" && entry == nil
 	switch {
 	case c.now > a.deadline:
-		// The module would count the time since the arrival as read lag, and the server as
-		// unhealthy if it is long: one wrong arrival time must not have that effect.
+		// The module counts the time since the arrival as read lag, and a long lag as a sign
+		// of an unhealthy server. One wrong arrival time must not have that effect.
 		return Outcome{Kind: TimedOut}, true
 	case c.module == nil && entry != nil && entry.RanInWindow(a.arrivedAt):
-		return c.failure(a), true // it ran in another process
-	case c.module == nil: // nothing can run yet
+		return c.failureOutcome(a), true // the key has run in another process
+	case c.module == nil: // the backend is not ready
 		return shed, true
-	case newKey && c.keys.Full(): // no entry would keep it from running again
+	case newKey && c.keys.Full(): // without an entry, a retry would run the request again
 		return shed, true
-	case newKey && c.now < c.replication.inDoubtUntil: // it may have run, by a record that is lost
-		return c.failure(a), true
+	case newKey && c.now < c.replication.inDoubtUntil: // the key may have run: its record may be lost
+		return c.failureOutcome(a), true
 	}
 	return Outcome{}, false
 }
--- a/protocol/uwsgi/malformed_test.go
+++ b/protocol/uwsgi/malformed_test.go
@@ -9,18 +9,19 @@
 	"quincerail.example/quincerail/protocol/uwsgi"
 )
 
-// TestMalformedRequests compares what becomes of requests with what the version before made
-// of them.
-func TestMalformedRequests(t *testing.T) {
-	length := func(value string) string {
+// TestDecoder_MatchesGoldenTranscript compares the results and errors for malformed and unusual
+// requests with those of an earlier version.
+func TestDecoder_MatchesGoldenTranscript(t *testing.T) {
+	withLength := func(value string) string {
 		b := "\x0e\x00CONTENT_LENGTH" + string([]byte{byte(len(value)), 0}) + value
 		return "\x00" + string([]byte{byte(len(b)), 0}) + "\x00" + b
 	}
 	inputs := []string{
 		"", "\x00", "\x00\x04\x00", "\x05\x00\x00\x00", "\x64\x00\x00\x00", "\x64\x00\x00\x01more", "\x00\x00\x00\x00", "\x00\x04\x00\x00\x09\x00ab",
 		"\x00\x03\x00\x00\x01\x00a", "\x00\x04\x00\x00\x00\x00\x00\x00", "\x00\x04\x00\x00\x00\x00\x00", "\x00\x01\x00\x00x", "\x00\x05\x00\x00\x01\x00a\x00\x00",
-		length(""), length("0") + "more", length("x"), length("-1"), length("+1"), length("5") + "12345more", length("5") + "123", length("101"),
-		length("100") + strings.Repeat("x", 100), length("99999999999999999999"), length("9223372036854775807"),
+		withLength(""), withLength("0") + "more", withLength("x"), withLength("-1"), withLength("+1"), withLength("5") + "12345more",
+		withLength("5") + "123", withLength("101"),
+		withLength("100") + strings.Repeat("x", 100), withLength("99999999999999999999"), withLength("9223372036854775807"),
 	}
 	golden.Equal(t, "malformed-requests", golden.Transcript(inputs, func(r *bufio.Reader) (any, error) {
 		d := uwsgi.Decoder{MaxBody: 100}
@@ -32,9 +33,9 @@
 	}))
 }
 
-// TestMalformedResponses compares what becomes of responses with what the version before
-// made of them.
-func TestMalformedResponses(t *testing.T) {
+// TestReadResponse_MatchesGoldenTranscript compares the results and errors for malformed and
+// unusual responses with those of an earlier version.
+func TestReadResponse_MatchesGoldenTranscript(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\n"
 	inputs := []string{
 		"", "HTTP/1.1", "\r\n", "SMTP 200\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 199 x\r\n\r\n", "HTTP/1.1 600 x\r\n\r\n", "HTTP/1.1 200\r\n\r\nbody",
@@ -43,8 +44,8 @@
 		ok + "Content-Length: 9\r\n\r\nhalf", ok + "Content-Length: 2000000000\r\n\r\n", ok + "Content-Length: 9999999999\r\n\r\n",
 		ok + "Content-Length: 3\r\nContent-Length: 2\r\n\r\nabcde", ok + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ok + "Connection: close\r\nKeep-Alive: x\r\n\r\n",
 		ok + strings.Repeat("A: b\r\n", 100) + "\r\n", ok + strings.Repeat("A: b\r\n", 101) + "\r\n", ok + strings.Repeat("A: b\r\n", 100) + "Content-Length: 1\r\n\r\nx",
-		ok + "A: " + strings.Repeat("x", 8200) + "\r\n\r\n", ok + "A: " + strings.Repeat("x", 20000) + "\r\n\r\n", ok + "\r\n" + strings.Repeat("x", uwsgi.MaxResult),
-		ok + "\r\n" + strings.Repeat("x", uwsgi.MaxResult+1), "HTTP/1.1 204 No Content\r\n\r\nx", "HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\nx",
+		ok + "A: " + strings.Repeat("x", 8200) + "\r\n\r\n", ok + "A: " + strings.Repeat("x", 20000) + "\r\n\r\n", ok + "\r\n" + strings.Repeat("x", uwsgi.MaxResponseBody),
+		ok + "\r\n" + strings.Repeat("x", uwsgi.MaxResponseBody+1), "HTTP/1.1 204 No Content\r\n\r\nx", "HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\nx",
 		"HTTP/1.1 204 x\r\nContent-Length: 2000000000\r\n\r\n", "HTTP/1.1 503 Busy\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n",
 	}
 	for _, method := range []string{"POST", "HEAD"} {
--- a/server/listeners.go
+++ b/server/listeners.go
@@ -44,7 +44,7 @@
 // frontend accepts requests over one protocol.
 type frontend interface {
 	Serve(c *transport.Conn) // serves a connection until it ends
-	MakeRoom()               // closes connections near the limit
+	ReclaimConnections()     // closes connections near the limit
 	NotifyDraining()         // tells callers to use other servers
 	EndGrace()               // makes requests that have not arrived by now be rejected
 	Drain(by time.Time)      // closes each connection once nothing is pending on it, at the latest at the given time
@@ -88,7 +88,7 @@
 
 // addFrontend adds a frontend with its listener. It does not accept connections yet.
 func (s *Server) addFrontend(key string, l net.Listener, maxConns int, f frontend) {
-	server := transport.NewServer(l, maxConns, f.Serve, f.MakeRoom)
+	server := transport.NewServer(l, maxConns, f.Serve, f.ReclaimConnections)
 	server.OnAcceptFailures(func(last error, failures int) {
 		s.log.Warn("accept_failed", "listener", key, "failures", failures, "error", last.Error())
 	})
--- a/server/start.go
+++ b/server/start.go
@@ -81,7 +81,7 @@
 	if c.MetricsAddress != "" {
 		s.recorder = metrics.NewRecorder()
 		s.recorder.SetClasses(c.Classes)
-		s.recorder.ObserveRules(s.monitor)
+		s.recorder.RegisterRules(s.monitor)
 	}
 	if c.Fleet != nil && c.Fleet.Window > 0 {
 		s.outcomes = &outcomeCounter{}
@@ -181,7 +181,7 @@
 	}
 	s.fleet = member
 	if s.recorder != nil {
-		s.recorder.ObserveFleet(member)
+		s.recorder.RegisterFleet(member)
 	}
 	return nil
 }
@@ -352,7 +352,7 @@
 	platform := s.listeners[0].server
 	platform.SetLimit(connectionLimit(c, handoverDescriptorShare))
 	s.startServing(c)
-	<-predecessor.Ended()
+	<-predecessor.Disconnected()
 	platform.SetLimit(connectionLimit(c, platformDescriptorShare))
 }
 
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -39,7 +39,7 @@
 // loadConfig returns the example's configuration with any free port for the listener.
 func loadConfig(t testing.TB) *config.Config {
 	t.Helper()
-	c := must(config.Parse(dispatchtest.Example(t, "config.json")))(t)
+	c := must(config.Parse(dispatchtest.ReadExample(t, "config.json")))(t)
 	c.ListenAddress, c.ControlAddress = "127.0.0.1:0", ""
 	return c
 }
--- a/server/tenants_test.go
+++ b/server/tenants_test.go
@@ -15,7 +15,7 @@
 // time that they wait, with the text replacements in change. The addresses stay.
 func withTenants(t testing.TB, change ...string) func(*config.Config) {
 	return func(c *config.Config) {
-		text := dispatchtest.Example(t, "tenants.json")
+		text := dispatchtest.ReadExample(t, "tenants.json")
 		next := must(config.Parse(strings.NewReplacer(change...).Replace(text)))(t)
 		next.ListenAddress, next.ControlAddress, next.ProcessorAddress, next.DependencyAddress, next.DiscoveryAddress =
 			c.ListenAddress, c.ControlAddress, c.ProcessorAddress, c.DependencyAddress, c.DiscoveryAddress
