--- a/fleet/lease/client.go
+++ b/fleet/lease/client.go
@@ -197,8 +197,9 @@
 	return grant.Token, grant.Owner == c.self && now < c.states[name].heldUntil
 }
 
-// Resign returns a Release for each lease that the client holds. Afterwards the
-// client holds no lease and Tick returns no commands.
+// Resign returns a Release for each lease that the client holds. Afterwards Tick
+// returns no commands, and the client holds no lease unless a command that it sent
+// before Resign is granted later.
 func (c *Client) Resign(now time.Duration) []Command {
 	c.resigned = true
 	var commands []Command
