--- a/cmd/quincerail/check.go
+++ b/cmd/quincerail/check.go
@@ -10,28 +10,29 @@
 	"quincerail.example/quincerail/match"
 )
 
-// checkCmd checks the files that serve would load, and prints every problem, one a line.
+// checkCmd validates the files that serve would load, and prints one line for each problem.
 type checkCmd struct {
-	files
+	fileFlags
 }
 
-// Run implements the sub-command.
+// Run prints the problems, and returns an error that wraps errProblemsFound if there are any.
 func (c *checkCmd) Run() error {
 	problems := c.problems()
 	for _, problem := range problems {
 		fmt.Println(problem)
 	}
 	if len(problems) > 0 {
-		return fmt.Errorf("%w: %d", errFound, len(problems))
+		return fmt.Errorf("%w: %d", errProblemsFound, len(problems))
 	}
 	fmt.Println("ok")
 	return nil
 }
 
-// problems returns the problems of the operator's file, of the configuration, and of the
-// files that the operator's file names, as far as the first two can be read.
+// problems returns the problems in the operator's file, in the configuration, and in the
+// files that the operator's file names. It checks the named files only if the operator's
+// file and the configuration could be loaded.
 func (c *checkCmd) problems() []string {
-	operatorFile, err := c.operator()
+	operatorFile, err := c.loadOperatorFile()
 	problems := operatorProblems(err)
 	configuration, err := config.Load(os.Getenv(config.EnvFile))
 	if err != nil {
@@ -48,17 +49,18 @@
 	return append(problems, rulesProblems(operatorFile.Rules, configuration.Classes)...)
 }
 
-// operatorProblems returns the problems in the error of operator.Load.
+// operatorProblems returns the problems that an error of operator.Load reports, nil for a
+// nil error.
 func operatorProblems(err error) []string {
 	var operatorError *operator.Error
 	if errors.As(err, &operatorError) {
-		return prefixed(operatorError.File, operatorError.Problems)
+		return prefixEach(operatorError.File, operatorError.Problems)
 	}
-	return errorText(err)
+	return errorProblems(err)
 }
 
-// uwsgiProblems returns the problem of the uwsgi front's file, if there is a file and a
-// problem.
+// uwsgiProblems returns the first problem in the uwsgi frontend's file, nil if the file is
+// valid or if the operator's file names none.
 func uwsgiProblems(operatorFile *operator.File, classes []string) []string {
 	if operatorFile.UWSGI == "" {
 		return nil
@@ -67,11 +69,11 @@
 	if err == nil {
 		err = checkListeners(operatorFile, uwsgiFile)
 	}
-	return errorText(err)
+	return errorProblems(err)
 }
 
-// rulesProblems returns the problems of the file of rules, if there is one, and prints its
-// warnings.
+// rulesProblems returns the problems in the rules file, and prints its warnings. An empty
+// path means that there is no rules file.
 func rulesProblems(path string, classes []string) []string {
 	if path == "" {
 		return nil
@@ -79,10 +81,10 @@
 	rules, err := match.Load(path, classes)
 	var loadError *match.LoadError
 	if errors.As(err, &loadError) {
-		return prefixed(path, loadError.Problems)
+		return prefixEach(path, loadError.Problems)
 	}
 	if err != nil {
-		return errorText(err)
+		return errorProblems(err)
 	}
 	for _, warning := range rules.Warnings() {
 		fmt.Printf("%s: warning: %s\n", path, warning)
@@ -90,8 +92,8 @@
 	return nil
 }
 
-// prefixed returns the problems of a file, each with the file's path before it.
-func prefixed[T any](path string, problems []T) []string {
+// prefixEach formats each problem as a line that starts with the path of its file.
+func prefixEach[T any](path string, problems []T) []string {
 	lines := make([]string, len(problems))
 	for i, problem := range problems {
 		lines[i] = fmt.Sprintf("%s: %v", path, problem)
@@ -99,8 +101,8 @@
 	return lines
 }
 
-// errorText returns an error's text as a list of one problem, nil for no error.
-func errorText(err error) []string {
+// errorProblems returns the text of an error as the only problem, nil for a nil error.
+func errorProblems(err error) []string {
 	if err == nil {
 		return nil
 	}
--- a/cmd/quincerail/commands_test.go
+++ b/cmd/quincerail/commands_test.go
@@ -16,8 +16,8 @@
 	"quincerail.example/quincerail/store"
 )
 
-// command runs the program with arguments and gives its output and exit code.
-func command(t *testing.T, config string, args ...string) (string, int) {
+// runCommand runs the program with arguments, and returns its output and exit code.
+func runCommand(t *testing.T, config string, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.CommandContext(context.Background(), binary, args...)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+config)
@@ -31,8 +31,8 @@
 	return string(out), code
 }
 
-// TestCommands has each sub-command meet what it is for, and what makes no sense.
-func TestCommands(t *testing.T) {
+// TestSubcommands_PrintResultsAndExitCode runs the sub-commands with valid and invalid input.
+func TestSubcommands_PrintResultsAndExitCode(t *testing.T) {
 	config, dir := writeConfig(t, nil), t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
 	must(t, 0, os.WriteFile(bad, []byte("[[rule]]\nname = 'a'\nmatch = 'size(path)'\nclass = '\"nygava\"'\n"), 0o600))
@@ -62,17 +62,17 @@
 		{[]string{"check", "--rules", bad}, 1, []string{"a.match: gives int, bool is needed", `a.class: class "nygava"`}},
 		{[]string{"check", "--operator", filepath.Join(dir, "op.toml")}, 1, []string{"log.levle: field not allowed", "keys.sync: sync says"}},
 		{[]string{"--operator", filepath.Join(dir, "op.toml")}, 1, []string{"log.levle: field not allowed"}},
-		{[]string{"check", "--operator", filepath.Join(dir, "same.toml")}, 1, []string{"metrics.listen: 127.0.0.1:3031 is the uwsgi front's"}},
+		{[]string{"check", "--operator", filepath.Join(dir, "same.toml")}, 1, []string{"metrics.listen: 127.0.0.1:3031 is also the uwsgi frontend's"}},
 		{[]string{"describe", doc}, 1, []string{"/gavor", "class ny-gava: the description says aim 1s"}},
 		{[]string{"keys", keys, "--list"}, 0, []string{"k1\tny-gava\tin doubt", "1 keys: 0 done, 1 in doubt"}},
 		{[]string{"version"}, 0, []string{"quincerail", "go1."}},
 		{[]string{"serve", "--no-such-flag"}, 2, []string{"unknown flag"}},
 		{[]string{"keys"}, 2, []string{"expected \"<dir>\""}},
 	} {
-		out, code := command(t, config, c.args...)
+		out, code := runCommand(t, config, c.args...)
 		for _, w := range c.want {
 			if code != c.code || !strings.Contains(out, w) {
-				t.Errorf("%v: exit %d, want %d with %q:\n%s", c.args, code, c.code, w, out)
+				t.Errorf("quincerail %v exits with %d, want %d and output that contains %q; output:\n%s", c.args, code, c.code, w, out)
 			}
 		}
 	}
--- a/cmd/quincerail/deployments_test.go
+++ b/cmd/quincerail/deployments_test.go
@@ -11,101 +11,105 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// deployment is one of the example's settings, with three of its classes.
+// deployment is one of the example configurations, with three of its classes.
 type deployment struct {
 	example, read, other, keyed string
-	fields                      map[string]string // that its requests have beside the common ones
+	fields                      map[string]string // additional request fields
 }
 
-// ask sends a request of the deployment.
-func (d deployment) ask(t *testing.T, n *node, class, key, body string) *fakes.Attempt {
+// send sends a request with the deployment's fields.
+func (d deployment) send(t *testing.T, n *node, class, key, body string) *fakes.Attempt {
 	t.Helper()
-	try, err := fakes.ThriftWith(d.fields)(n.thrift, class, key, body)
+	attempt, err := fakes.ThriftWith(d.fields)(n.thriftAddress, class, key, body)
 	must(t, 0, err)
-	must(t, 0, try.Send())
-	return try
+	must(t, 0, attempt.Send())
+	return attempt
 }
 
-func outcomeOf(t *testing.T, try *fakes.Attempt) fakes.Outcome {
+// awaitOutcome waits for the outcome of an attempt.
+func awaitOutcome(t *testing.T, attempt *fakes.Attempt) fakes.Outcome {
 	t.Helper()
-	o, err := try.Outcome()
+	o, err := attempt.Outcome()
 	return must(t, o, err)
 }
 
-// loadSettings has a node whose uwsgi routes are for one deployment load the settings of
-// another by SIGHUP.
-func loadSettings(t *testing.T, n *node, routes string, from, to deployment, routesOf deployment) {
+// reloadSettings replaces the files of a node that runs the settings of from with those of to,
+// and reloads them by SIGHUP. routes is the text of the uwsgi frontend's file with the
+// classes of routesOf; the new file has those of to in their place.
+func reloadSettings(t *testing.T, n *node, routes string, from, to deployment, routesOf deployment) {
 	t.Helper()
 	must(t, 0, os.Rename(writeConfigOf(t, to.example, n.addresses), n.config))
 	names := strings.NewReplacer(routesOf.read, to.read, routesOf.other, to.other, routesOf.keyed, to.keyed)
 	must(t, 0, os.WriteFile(n.args[1], []byte(names.Replace(routes)), 0o600))
 	must(t, 0, n.cmd.Process.Signal(syscall.SIGHUP))
-	if line := <-n.reloads; !strings.Contains(line, "event=reloaded") {
-		t.Fatalf("from %s to %s: %s", from.example, to.example, line)
+	if line := <-n.reloadLines; !strings.Contains(line, "event=reloaded") {
+		t.Fatalf("reload from %s to %s logs %q, want event=reloaded", from.example, to.example, line)
 	}
 }
 
-// checkServed sees that requests of the settings in force are served, and those of the
-// former ones are not.
-func checkServed(t *testing.T, n *node, former, inForce deployment, key string) {
+// checkServed checks that requests of classes in the current settings are served, and that
+// those of classes in the former settings are rejected.
+func checkServed(t *testing.T, n *node, former, current deployment, key string) {
 	t.Helper()
-	if o := outcomeOf(t, former.ask(t, n, former.keyed, "another", "old")); o.Kind != "rejected" || n.work.Runs("old") > 0 {
-		t.Errorf("a request of %s is %v under %s", former.example, o, inForce.example)
+	if o := awaitOutcome(t, former.send(t, n, former.keyed, "another", "old")); o.Kind != "rejected" || n.work.Runs("old") > 0 {
+		t.Errorf("a request of %s has outcome %v under the settings of %s, want it rejected and not run", former.example, o, current.example)
 	}
-	if o := outcomeOf(t, inForce.ask(t, n, inForce.keyed, key, "new")); o.Kind != "served" || n.work.Class("new") != inForce.keyed {
-		t.Errorf("a request of %s: %v, run as %s", inForce.example, o, n.work.Class("new"))
+	if o := awaitOutcome(t, current.send(t, n, current.keyed, key, "new")); o.Kind != "served" || n.work.Class("new") != current.keyed {
+		t.Errorf("a request of %s has outcome %v and ran with class %q, want it served with class %q", current.example, o, n.work.Class("new"), current.keyed)
 	}
 }
 
-// checkMetrics sees that no metric has a class of the former settings.
-func checkMetrics(t *testing.T, page string, former, inForce deployment) {
+// checkMetricClasses checks that no metric has a class of the former settings, and that the
+// counts of removed classes are reported as class "(dropped)".
+func checkMetricClasses(t *testing.T, page string, former, current deployment) {
 	t.Helper()
 	for _, name := range []string{former.read, former.other, former.keyed} {
 		if strings.Contains(page, `"`+name+`"`) {
-			t.Errorf("%s of the old settings is in\n%s", name, page)
+			t.Errorf("class %s of the former settings is in the metrics:\n%s", name, page)
 		}
 	}
-	for _, label := range []string{`class="` + inForce.keyed + `",kind="served"`, `class="(dropped)",kind="served"`} {
+	for _, label := range []string{`class="` + current.keyed + `",kind="served"`, `class="(dropped)",kind="served"`} {
 		if !strings.Contains(page, label) {
-			t.Errorf("no %s in\n%s", label, page)
+			t.Errorf("metrics have no %s:\n%s", label, page)
 		}
 	}
 }
 
-// TestTwoDeployments loads the settings of one deployment after those of another, by
-// SIGHUP and back again, each time with a run of the one before standing at its call
-// and another that hangs. What is open keeps the class that it came under and is
-// answered; nothing is taken under a name of the old settings, and no metric has one.
-func TestTwoDeployments(t *testing.T) {
+// TestReload_SwitchesBetweenDeployments alternates by SIGHUP between the settings of two
+// deployments with different classes. At each reload one request waits for its downstream
+// call and another hangs. Requests that are open at the reload keep their class: one is
+// answered, the other canceled. New requests of the former classes are rejected, and no metric
+// has such a class.
+func TestReload_SwitchesBetweenDeployments(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	must(t, 0, os.WriteFile(path, []byte("[metrics]\nlisten = '127.0.0.1:0'\n"), 0o600))
-	n := startOn(t, nil, "", "--operator", path)
-	metrics := "http://" + <-n.metrics + "/metrics"
+	n := startNodeWith(t, nil, "", "--operator", path)
+	metrics := "http://" + <-n.metricsAddresses + "/metrics"
 	routes, err := os.ReadFile(n.args[1])
 	must(t, 0, err)
 
 	one := deployment{"config.json", "kampanjsida", "givarhistorik", "ny-gava", nil}
 	two := deployment{"tenants.json", "status", "free-slots", "book", map[string]string{"team": "coast", "limit": "6000"}}
-	was := one
-	for i, now := range []deployment{two, one, two} {
+	former := one
+	for i, current := range []deployment{two, one, two} {
 		key := fmt.Sprint("key ", i)
-		open, hangs := was.ask(t, n, was.keyed, key, "call hold"), was.ask(t, n, was.read, "", "hang on")
+		open, hanging := former.send(t, n, former.keyed, key, "call hold"), former.send(t, n, former.read, "", "hang on")
 		if call := <-n.ledger.Calls; call != "call hold" {
-			t.Fatal(call)
+			t.Fatalf("downstream call %q, want %q", call, "call hold")
 		}
 		for body := ""; body != "hang on"; body = <-n.work.Started() {
 		}
-		loadSettings(t, n, string(routes), was, now, one)
-		checkServed(t, n, was, now, key+" new")
+		reloadSettings(t, n, string(routes), former, current, one)
+		checkServed(t, n, former, current, key+" new")
 		n.ledger.Release()
-		if o := outcomeOf(t, open); o.Body != "done: call hold" || n.work.Class("call hold") != was.keyed {
-			t.Errorf("what was open under %s: %v, run as %s", was.example, o, n.work.Class("call hold"))
+		if o := awaitOutcome(t, open); o.Body != "done: call hold" || n.work.Class("call hold") != former.keyed {
+			t.Errorf("the request open since %s has outcome %v and ran with class %q, want it served with class %q", former.example, o, n.work.Class("call hold"), former.keyed)
 		}
-		hangs.Cancel()
+		hanging.Cancel()
 		if body := <-n.work.Stopped(); body != "hang on" {
-			t.Errorf("%s was stopped", body)
+			t.Errorf("the processor canceled %q, want %q", body, "hang on")
 		}
-		checkMetrics(t, scrape(t, metrics), was, now)
-		was = now
+		checkMetricClasses(t, scrape(t, metrics), former, current)
+		former = current
 	}
 }
--- a/cmd/quincerail/describe.go
+++ b/cmd/quincerail/describe.go
@@ -11,14 +11,15 @@
 	"quincerail.example/quincerail/match"
 )
 
-// describeCmd prints the class of each operation of a description, and the conflicts of the
-// description with the settings and with the operator's rules.
+// describeCmd prints the class of each operation in an API description, and the conflicts
+// of the description with the settings and with the operator's rules.
 type describeCmd struct {
 	File  string `arg:"" help:"OpenAPI 3 or AsyncAPI 3 document, in JSON." type:"existingfile"`
-	Rules string `help:"File of rules to compare the description with." type:"path"`
+	Rules string `help:"Rules file to compare the description with." type:"path"`
 }
 
-// Run implements the sub-command.
+// Run prints the routes and the conflicts, and returns an error that wraps errProblemsFound
+// if there are conflicts.
 func (c *describeCmd) Run() error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -28,7 +29,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	configuration, err := optionalConfig()
+	configuration, err := loadOptionalConfig()
 	if err != nil {
 		return err
 	}
@@ -38,13 +39,14 @@
 		return err
 	}
 	if conflicts += ruleConflicts; conflicts > 0 {
-		return fmt.Errorf("%w: %d conflicts", errFound, conflicts)
+		return fmt.Errorf("%w: %d conflicts", errProblemsFound, conflicts)
 	}
 	return nil
 }
 
-// optionalConfig reads the configuration, nil where the environment names none.
-func optionalConfig() (*config.Config, error) {
+// loadOptionalConfig loads the configuration file that the environment names. It returns nil
+// if the environment names none.
+func loadOptionalConfig() (*config.Config, error) {
 	path := os.Getenv(config.EnvFile)
 	if path == "" {
 		return nil, nil
@@ -52,8 +54,8 @@
 	return config.Load(path)
 }
 
-// printRoutes prints each route, and returns how many lead to a class that the settings
-// don't have.
+// printRoutes prints each route, and returns the number of routes whose class is missing
+// from the settings. Without a configuration it counts none.
 func printRoutes(doc *describe.Document, configuration *config.Config) (conflicts int) {
 	for _, r := range doc.Routes {
 		state := "classified"
@@ -66,26 +68,26 @@
 	return conflicts
 }
 
-// printClassConflicts prints where the description and the settings disagree on a class,
-// and returns how often.
+// printClassConflicts prints the classes that have different values in the description and
+// in the settings, and returns their number.
 func printClassConflicts(doc *describe.Document, configuration *config.Config) (conflicts int) {
 	if configuration == nil {
 		return 0
 	}
 	for _, class := range doc.Classes {
 		i := slices.Index(configuration.Classes, class.Name)
-		if i < 0 || agrees(class.Class, configuration.Settings.Classes[i]) {
+		if i < 0 || sameClassValues(class.Class, configuration.Settings.Classes[i]) {
 			continue
 		}
 		fmt.Printf("class %s: the description says %s, the settings %s\n", class.Name,
-			brief(class.Class), brief(configuration.Settings.Classes[i]))
+			formatClassValues(class.Class), formatClassValues(configuration.Settings.Classes[i]))
 		conflicts++
 	}
 	return conflicts
 }
 
-// printRuleConflicts prints where the operator's rules and the description disagree, and
-// returns how often.
+// printRuleConflicts prints the conflicts between the operator's rules and the description,
+// and returns their number.
 func (c *describeCmd) printRuleConflicts(doc *describe.Document, configuration *config.Config) (conflicts int, err error) {
 	if c.Rules == "" {
 		return 0, nil
@@ -105,9 +107,10 @@
 	return conflicts, nil
 }
 
-// agrees reports whether a description and the settings have the same values for a class, in
-// the fields that a description can set.
-func agrees(described, configured decision.Class) bool {
+// sameClassValues reports whether the description and the settings give a class the same
+// values, in the fields that a description can set. The key window counts only for keyed
+// classes.
+func sameClassValues(described, configured decision.Class) bool {
 	return described.LatencyObjective == configured.LatencyObjective &&
 		described.Deadline == configured.Deadline &&
 		described.Idempotency == configured.Idempotency &&
@@ -115,7 +118,8 @@
 		(described.Idempotency != decision.Keyed || described.KeyWindow == configured.KeyWindow)
 }
 
-// brief formats the fields that agrees compares.
-func brief(c decision.Class) string {
+// formatClassValues formats the fields that sameClassValues compares, under their names in
+// descriptions.
+func formatClassValues(c decision.Class) string {
 	return fmt.Sprintf("aim %v, deadline %v, worth %v, effect %d, window %v", c.LatencyObjective, c.Deadline, c.Weight, c.Idempotency, c.KeyWindow)
 }
--- a/cmd/quincerail/faultlayer.go
+++ b/cmd/quincerail/faultlayer.go
@@ -2,13 +2,14 @@
 
 package main
 
-// The fault layer of test builds: system calls that fail, come short or are interrupted,
-// and Unix time that is stepped, as faultsoak.BuildWithFaults builds it into the program.
-// It needs hooks in the standard library's syscall and time, which that build adds by the
-// compiler's overlay; no other build has any of it.
+// The fault layer of test builds makes system calls fail, be interrupted or transfer fewer
+// bytes than requested, and steps Unix time. faultsoak.BuildWithFaults builds it into the
+// program. It needs hooks in the standard library's packages syscall and time, which that
+// build adds through the compiler's overlay; other builds contain none of it.
 //
-// The process listens on $QUINCERAIL_FAULTS for lines of JSON, each a faultPlan that
-// replaces the one before, and answers each with a line.
+// The process listens on the TCP address $QUINCERAIL_FAULTS for lines of JSON. Each line is
+// a faultPlan that replaces the previous one, and is answered with the line "done" or with
+// the text of an error.
 
 import (
 	"bufio"
@@ -22,29 +23,30 @@
 	"time"
 )
 
-// faultPlan is what fails until the next plan.
+// faultPlan lists the faults that are injected until the next plan.
 type faultPlan struct {
 	Seed        uint64      `json:"seed"`
 	Rules       []faultRule `json:"rules"`
-	WallSeconds int64       `json:"wall_seconds"` // by which Unix time is off
+	WallSeconds int64       `json:"wall_seconds"` // added to Unix time
 }
 
-// faultRule has a system call fail. Where Errno is 0 it comes short instead.
+// faultRule makes a system call fail with Errno. If Errno is 0, the call transfers only a part
+// of the requested bytes instead.
 type faultRule struct {
 	Call        string  `json:"call"`  // read, write, accept4, connect, socket, fsync
-	Files       bool    `json:"files"` // of files, else of sockets
+	Files       bool    `json:"files"` // applies to regular files, otherwise to everything else
 	Probability float64 `json:"probability"`
 	Errno       int     `json:"errno"`
-	Burst       int     `json:"burst"` // further calls that fail after one did
+	Burst       int     `json:"burst"` // number of matching calls that also fail after one that was chosen by Probability
 }
 
-// faults is the layer's state.
-type faults struct {
+// faultLayer injects the faults of the current plan.
+type faultLayer struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
 	plan   faultPlan
-	burst  []int        // left of each rule's
-	exempt map[int]bool // descriptors of the layer itself
+	bursts []int        // for each rule, the number of calls left in its burst
+	exempt map[int]bool // descriptors of the fault layer itself, whose calls don't fail
 }
 
 func init() {
@@ -52,7 +54,7 @@
 	if address == "" {
 		return
 	}
-	f := &faults{exempt: map[int]bool{}}
+	f := &faultLayer{exempt: map[int]bool{}}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fault layer:", err)
@@ -60,11 +62,11 @@
 	}
 	f.exemptConn(listener.(*net.TCPListener))
 	syscall.FaultHook = f.decide
-	go f.serve(listener)
+	go f.acceptPlans(listener)
 }
 
-// exemptConn keeps faults off a socket of the layer.
-func (f *faults) exemptConn(c syscall.Conn) {
+// exemptConn excludes a socket of the fault layer from faults.
+func (f *faultLayer) exemptConn(c syscall.Conn) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return
@@ -76,7 +78,8 @@
 	})
 }
 
-func (f *faults) serve(listener net.Listener) {
+// acceptPlans reads plans from one connection at a time until the listener fails.
+func (f *faultLayer) acceptPlans(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -85,17 +88,19 @@
 		f.exemptConn(conn.(*net.TCPConn))
 		for s := bufio.NewScanner(conn); s.Scan(); {
 			answer := "done"
-			if err := f.adopt(s.Bytes()); err != nil {
+			if err := f.setPlan(s.Bytes()); err != nil {
 				answer = err.Error()
 			}
 			fmt.Fprintln(conn, answer)
 		}
-		f.release(conn.(*net.TCPConn))
+		f.removeExemption(conn.(*net.TCPConn))
 		conn.Close()
 	}
 }
 
-func (f *faults) release(c syscall.Conn) {
+// removeExemption removes a socket's exemption before it is closed, because the system reuses
+// its descriptor.
+func (f *faultLayer) removeExemption(c syscall.Conn) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return
@@ -107,22 +112,24 @@
 	})
 }
 
-func (f *faults) adopt(line []byte) error {
+// setPlan decodes a plan and replaces the current one with it.
+func (f *faultLayer) setPlan(line []byte) error {
 	var plan faultPlan
 	if err := json.Unmarshal(line, &plan); err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.plan, f.burst = plan, make([]int, len(plan.Rules))
+	f.plan, f.bursts = plan, make([]int, len(plan.Rules))
 	f.rng = rand.New(rand.NewPCG(plan.Seed, 1))
 	time.FaultWallSeconds = plan.WallSeconds
 	return nil
 }
 
-// decide is asked before each system call. It returns the error that the call is to
-// fail with, 0 for none, and how many bytes it may move at most.
-func (f *faults) decide(call string, fd, size int) (errno syscall.Errno, most int) {
+// decide is called before each hooked system call. It returns the error that the call must
+// fail with, 0 for none, and the maximum number of bytes that the call may transfer. Calls
+// on standard input, output and error never fail.
+func (f *faultLayer) decide(call string, fd, size int) (errno syscall.Errno, maxBytes int) {
 	if fd >= 0 && fd <= 2 {
 		return 0, size
 	}
@@ -136,13 +143,13 @@
 		if rule.Call != call || rule.Files != file {
 			continue
 		}
-		if f.burst[i] == 0 && f.rng.Float64() >= rule.Probability {
+		if f.bursts[i] == 0 && f.rng.Float64() >= rule.Probability {
 			continue
 		}
-		if f.burst[i] > 0 {
-			f.burst[i]--
+		if f.bursts[i] > 0 {
+			f.bursts[i]--
 		} else {
-			f.burst[i] = rule.Burst
+			f.bursts[i] = rule.Burst
 		}
 		if rule.Errno != 0 {
 			return syscall.Errno(rule.Errno), size
--- a/cmd/quincerail/golden_test.go
+++ b/cmd/quincerail/golden_test.go
@@ -14,37 +14,36 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// goldenVoter answers operators' calls with golden files, and gives what was
-// asked.
-type goldenVoter struct {
-	answers map[string][]byte // by path
-	asked   chan string       // method, path with the query, and body
+// fakeVoter answers operators' requests with golden files, and records the requests.
+type fakeVoter struct {
+	responses map[string][]byte // by path
+	requests  chan string       // method, path with the query, and body
 }
 
 // ServeHTTP implements http.Handler.
-func (v goldenVoter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (v fakeVoter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	v.asked <- fmt.Sprintf("%s %s\n%s", r.Method, r.URL, body)
+	v.requests <- fmt.Sprintf("%s %s\n%s", r.Method, r.URL, body)
 	if err != nil || r.Method != http.MethodGet {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	if _, err := w.Write(v.answers[r.URL.Path]); err != nil {
-		v.asked <- err.Error()
+	if _, err := w.Write(v.responses[r.URL.Path]); err != nil {
+		v.requests <- err.Error()
 	}
 }
 
-// printed gives what a command prints.
-func printed(t *testing.T, run func() error) string {
+// captureStdout returns what a command writes to standard output.
+func captureStdout(t *testing.T, run func() error) string {
 	t.Helper()
 	out, err := os.Create(filepath.Join(t.TempDir(), "out"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := os.Stdout
+	stdout := os.Stdout
 	os.Stdout = out
 	err = run()
-	os.Stdout = was
+	os.Stdout = stdout
 	if err != nil {
 		t.Error(err)
 	}
@@ -58,15 +57,16 @@
 	return string(text)
 }
 
-// TestGoldenCalls has each command about rollouts and voters call a voter: what
-// is asked of it, and what is printed of its answer, are the same.
-func TestGoldenCalls(t *testing.T) {
-	v := goldenVoter{asked: make(chan string, 2), answers: map[string][]byte{
+// TestGolden_VoterCommands runs each command about rollouts and voters against a fake
+// voter, and compares the request that it sends and the text that it prints with golden
+// files.
+func TestGolden_VoterCommands(t *testing.T) {
+	v := fakeVoter{requests: make(chan string, 2), responses: map[string][]byte{
 		"/changes": golden.Bytes(t, "answer-changes.json"), "/voters": golden.Bytes(t, "answer-voters.json"),
 	}}
 	server := httptest.NewServer(v)
 	defer server.Close()
-	at := voter{Address: strings.TrimPrefix(server.URL, "http://")}
+	client := voterClient{Address: strings.TrimPrefix(server.URL, "http://")}
 	settings, plan := filepath.Join(t.TempDir(), "settings.json"), filepath.Join(t.TempDir(), "plan.toml")
 	for file, text := range map[string]string{
 		settings: `{"lanes":{"a":{"aim_ms":5}}}`,
@@ -82,26 +82,26 @@
 		name string
 		run  func() error
 	}{
-		{"rollout-start-program", (&rolloutStartCmd{voter: at, ID: "r1", From: "1", To: "2"}).Run},
-		{"rollout-start-settings", (&rolloutStartCmd{voter: at, ID: "r2", Settings: settings}).Run},
-		{"rollout-start-planned", (&rolloutStartCmd{voter: at, ID: "r3", From: "1", To: "2", Plan: plan}).Run},
-		{"rollout-halt", (&rolloutHaltCmd{voter: at, ID: "r1", Reason: "halted by an operator"}).Run},
-		{"rollout-status", (&rolloutStatusCmd{voter: at}).Run},
-		{"rollout-status-json", (&rolloutStatusCmd{voter: at, JSON: true}).Run},
-		{"voters-list", (&votersListCmd{voter: at}).Run},
-		{"voters-add", (&votersAddCmd{voter: at, Name: "v4", Raft: "10.0.0.4:7000"}).Run},
-		{"voters-remove", (&votersRemoveCmd{voter: at, Name: "v4"}).Run},
+		{"rollout-start-program", (&rolloutStartCmd{voterClient: client, ID: "r1", From: "1", To: "2"}).Run},
+		{"rollout-start-settings", (&rolloutStartCmd{voterClient: client, ID: "r2", Settings: settings}).Run},
+		{"rollout-start-planned", (&rolloutStartCmd{voterClient: client, ID: "r3", From: "1", To: "2", Plan: plan}).Run},
+		{"rollout-halt", (&rolloutHaltCmd{voterClient: client, ID: "r1", Reason: "halted by an operator"}).Run},
+		{"rollout-status", (&rolloutStatusCmd{voterClient: client}).Run},
+		{"rollout-status-json", (&rolloutStatusCmd{voterClient: client, JSON: true}).Run},
+		{"voters-list", (&votersListCmd{voterClient: client}).Run},
+		{"voters-add", (&votersAddCmd{voterClient: client, Name: "v4", Raft: "10.0.0.4:7000"}).Run},
+		{"voters-remove", (&votersRemoveCmd{voterClient: client, Name: "v4"}).Run},
 	} {
-		out := printed(t, c.run)
-		golden.Equal(t, c.name, []byte(<-v.asked+"---\n"+out))
+		out := captureStdout(t, c.run)
+		golden.Equal(t, c.name, []byte(<-v.requests+"---\n"+out))
 	}
 }
 
-// TestGoldenKeys has the keys of a golden folder listed.
-func TestGoldenKeys(t *testing.T) {
+// TestGolden_KeysList compares the list of keys of a golden folder with a golden file.
+func TestGolden_KeysList(t *testing.T) {
 	local := time.Local
-	time.Local = time.UTC // times are printed in the machine's own time zone
+	time.Local = time.UTC // the command prints times in the local time zone
 	defer func() { time.Local = local }()
-	out := printed(t, (&keysCmd{Dir: golden.CopyFolder(t, "keys"), List: true}).Run)
+	out := captureStdout(t, (&keysCmd{Dir: golden.CopyFolder(t, "keys"), List: true}).Run)
 	golden.Equal(t, "keys-list", []byte(out))
 }
--- a/cmd/quincerail/keys.go
+++ b/cmd/quincerail/keys.go
@@ -9,13 +9,15 @@
 	"quincerail.example/quincerail/idempotency/journal"
 )
 
-// keysCmd reports what a folder of keys holds, as a new process would find it.
+// keysCmd prints the contents of a folder of idempotency keys, as a new process would load
+// them. It changes nothing in the folder.
 type keysCmd struct {
-	Dir  string `arg:"" help:"The folder that serve --keys writes." type:"existingdir"`
-	List bool   `help:"Name each key and what became of it."`
+	Dir  string `arg:"" help:"Folder that serve --keys writes to." type:"existingdir"`
+	List bool   `help:"Also print each key with its outcome."`
 }
 
-// Run implements the sub-command.
+// Run prints the contents, and returns an error that wraps errProblemsFound if stored data
+// was lost.
 func (c *keysCmd) Run() error {
 	contents, err := journal.Inspect(c.Dir, time.Now())
 	if err != nil {
@@ -25,22 +27,22 @@
 		fmt.Printf("unknown keys in doubt until %s\n", until.Format(time.RFC3339))
 	}
 	if c.List {
-		listKeys(contents.States)
+		printKeys(contents.States)
 	}
-	countKeys(contents)
+	printKeyCounts(contents)
 	if contents.TruncatedBytes > 0 {
-		fmt.Printf("%d bytes of a write that never finished\n", contents.TruncatedBytes)
+		fmt.Printf("%d bytes of an incomplete write\n", contents.TruncatedBytes)
 	}
 	for _, loss := range contents.Losses {
 		fmt.Printf("loss: %s\n", loss)
 	}
 	if len(contents.Losses) > 0 {
-		return fmt.Errorf("%w: %d losses", errFound, len(contents.Losses))
+		return fmt.Errorf("%w: %d losses", errProblemsFound, len(contents.Losses))
 	}
 	return nil
 }
 
-// What became of a key, as the sub-command names it.
+// The outcomes of a key, as keysCmd prints them.
 const (
 	keyCompleted = "done"
 	keyInDoubt   = "in doubt"
@@ -48,7 +50,8 @@
 	keyNotRun    = "not run"
 )
 
-// keyOutcome returns what became of a key.
+// keyOutcome returns the outcome of a key's request. A request that started and has no
+// recorded end is in doubt.
 func keyOutcome(state dispatch.KeyState) string {
 	switch {
 	case state.RanAttemptID == "":
@@ -62,8 +65,8 @@
 	}
 }
 
-// listKeys prints each key and what became of it, in order of the keys.
-func listKeys(states []dispatch.KeyState) {
+// printKeys prints each key with its class, outcome and expiry, sorted by key.
+func printKeys(states []dispatch.KeyState) {
 	lines := make([]string, len(states))
 	for i, state := range states {
 		lines[i] = fmt.Sprintf("%s\t%s\t%s\tuntil %s", state.Key, state.Class, keyOutcome(state), state.ExpiresAt.Format(time.RFC3339))
@@ -74,8 +77,8 @@
 	}
 }
 
-// countKeys prints how many keys there are of each outcome.
-func countKeys(contents *journal.Contents) {
+// printKeyCounts prints the number of keys in total and of each outcome.
+func printKeyCounts(contents *journal.Contents) {
 	counts := map[string]int{}
 	for _, state := range contents.States {
 		counts[keyOutcome(state)]++
--- a/cmd/quincerail/main_test.go
+++ b/cmd/quincerail/main_test.go
@@ -7,6 +7,7 @@
 	"quincerail.example/quincerail/internal/fleettest"
 )
 
+// binary is the path of the program that TestMain builds.
 var binary string
 
 func TestMain(m *testing.M) { os.Exit(fleettest.Main(m, &binary)) }
--- a/cmd/quincerail/network_test.go
+++ b/cmd/quincerail/network_test.go
@@ -11,23 +11,24 @@
 	"testing"
 )
 
-// dial opens a connection until the test ends.
+// dial opens a connection that is closed when the test ends.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
 	must(t, 0, err)
-	t.Cleanup(func() { _ = conn.Close() }) // it may have ended
+	t.Cleanup(func() { _ = conn.Close() }) // it may be closed already
 	return conn
 }
 
-// listeningSocket opens a listening socket for processes to inherit, until the test ends.
+// listeningSocket opens a listening socket that processes can inherit. It is closed when the
+// test ends.
 func listeningSocket(t *testing.T) *os.File {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", anyPort)
 	must(t, 0, err)
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
-		t.Fatalf("a listener of type %T", l)
+		t.Fatalf("listener has type %T, want *net.TCPListener", l)
 	}
 	socket, err := tcp.File()
 	must(t, 0, err)
@@ -38,7 +39,7 @@
 	return socket
 }
 
-// scrape reads a page of metrics.
+// scrape returns the metrics page at a URL.
 func scrape(t *testing.T, url string) string {
 	t.Helper()
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
@@ -53,12 +54,12 @@
 	return string(page)
 }
 
-// kill kills a node's process, and waits for its end.
+// kill kills a node's process, and waits until it has exited.
 func (n *node) kill(t *testing.T) {
 	t.Helper()
 	must(t, 0, n.cmd.Process.Kill())
 	var exit *exec.ExitError
 	if err := <-n.exited; !errors.As(err, &exit) {
-		t.Errorf("a process that was killed ends with %v", err)
+		t.Errorf("a killed process exits with error %v, want an *exec.ExitError", err)
 	}
 }
--- a/cmd/quincerail/rollout.go
+++ b/cmd/quincerail/rollout.go
@@ -20,19 +20,20 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// rolloutCmd is what operators ask of a fleet's rollouts, at one of its voters.
+// rolloutCmd has the sub-commands about a fleet's rollouts. Each sends a request to one of
+// the fleet's voters.
 type rolloutCmd struct {
-	Status rolloutStatusCmd `cmd:"" help:"Print the rollout under way, or the last one, and what each server runs."`
+	Status rolloutStatusCmd `cmd:"" help:"Print the rollout in progress, or the last one, and what each server runs."`
 	Start  rolloutStartCmd  `cmd:"" help:"Start a rollout of a version of the program, or of settings."`
-	Halt   rolloutHaltCmd   `cmd:"" help:"Halt the rollout under way: its servers go back."`
+	Halt   rolloutHaltCmd   `cmd:"" help:"Halt the rollout in progress: its servers return to the previous version or settings."`
 }
 
 type rolloutStatusCmd struct {
-	voter
-	JSON bool `name:"json" help:"As JSON, for programs that start others."`
+	voterClient
+	JSON bool `name:"json" help:"Print JSON, for use by other programs."`
 }
 
-// Run implements the sub-command.
+// Run prints the voter's answer, as text or as JSON.
 func (c *rolloutStatusCmd) Run() error {
 	var s fleet.ChangeStatus
 	if err := c.call(http.MethodGet, admin.PathRollouts, nil, nil, &s); err != nil {
@@ -47,7 +48,7 @@
 	return printServers(s)
 }
 
-// printRollout prints the plan and how far it has come.
+// printRollout prints the plan of a rollout, its progress and its last decision.
 func printRollout(record rollout.Record, owner string, token lease.Token) {
 	plan := record.Plan
 	if plan == nil {
@@ -67,9 +68,9 @@
 	}
 }
 
-// printServers prints a table of what each server runs.
+// printServers prints a table with the program version and the settings of each server.
 func printServers(s fleet.ChangeStatus) error {
-	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) // keeps an error until Flush
+	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) // Flush returns the first write error
 	_, _ = fmt.Fprintln(w, "server\tzone\tversion\tto run\tsettings\t")
 	for _, server := range s.Servers {
 		remark := ""
@@ -83,22 +84,22 @@
 }
 
 type rolloutStartCmd struct {
-	voter
-	ID       string `required:"" help:"A name for the rollout, never used before; it draws the order of the servers too."`
-	From     string `help:"Version of the program that the servers run."`
+	voterClient
+	ID       string `required:"" help:"Unique name of the rollout; it also seeds the order of the servers."`
+	From     string `help:"Version of the program that the servers run now."`
 	To       string `help:"Version of the program to roll out."`
-	Settings string `type:"existingfile" help:"File of settings to roll out instead: a JSON merge patch on the settings of the servers' own files."`
-	Plan     string `type:"existingfile" help:"TOML file that says otherwise than the defaults: stages, watch, watch_most, warm, limits, servers."`
+	Settings string `type:"existingfile" help:"Settings to roll out instead: a file with a JSON merge patch on the settings in each server's own file."`
+	Plan     string `type:"existingfile" help:"TOML file that overrides defaults of the plan: stages, watch, watch_most, warm, limits, servers."`
 }
 
-// The defaults of a plan; see rollout.Plan.
+// The defaults of a plan, in windows; see rollout.Plan.
 const (
 	defaultMinWatchWindows = 300
 	defaultMaxWatchWindows = 3000
 	defaultWarmUpWindows   = 2
 )
 
-// Run implements the sub-command.
+// Run sends the plan, and the settings if there are any, to the voter.
 func (c *rolloutStartCmd) Run() error {
 	r, err := c.request()
 	if err != nil {
@@ -107,7 +108,8 @@
 	return c.call(http.MethodPost, admin.PathRollouts, nil, r, nil)
 }
 
-// request returns the request that starts the rollout.
+// request builds the request that starts the rollout. The flags must name either settings or
+// two versions of the program.
 func (c *rolloutStartCmd) request() (admin.ChangeRequest, error) {
 	r := admin.ChangeRequest{Plan: rollout.Plan{
 		ID: c.ID, Kind: rollout.Program, From: c.From, To: c.To,
@@ -116,7 +118,7 @@
 	}}
 	rollsOutSettings, rollsOutProgram := c.Settings != "", c.From != "" && c.To != ""
 	if rollsOutSettings == rollsOutProgram {
-		return r, errors.New("either --settings, or --from and --to wanted")
+		return r, errors.New("either --settings, or both --from and --to are required")
 	}
 	if rollsOutSettings {
 		text, err := readSettings(c.Settings)
@@ -133,22 +135,23 @@
 	return r, nil
 }
 
-// readSettings reads a file of settings, in JSON.
+// readSettings reads a file of settings. It checks only that the file is valid JSON.
 func readSettings(path string) (json.RawMessage, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	if !json.Valid(text) {
-		return nil, fmt.Errorf("%s is no JSON", path)
+		return nil, fmt.Errorf("%s: invalid JSON", path)
 	}
 	return text, nil
 }
 
-// planKeys are the keys that a plan's file may have.
+// planKeys are the keys that a plan file may have.
 var planKeys = []string{"stages", "watch", "watch_most", "warm", "limits", "servers"}
 
-// readPlan reads a plan's file, in TOML, over the defaults in plan.
+// readPlan reads a plan file, in TOML, into plan. Values that are missing from the file keep
+// their defaults.
 func readPlan(path string, plan *rollout.Plan) error {
 	var values map[string]any
 	if _, err := toml.DecodeFile(path, &values); err != nil {
@@ -156,7 +159,7 @@
 	}
 	for key := range values {
 		if !slices.Contains(planKeys, key) {
-			return fmt.Errorf("%s: %s is no key of a plan", path, key)
+			return fmt.Errorf("%s: unknown plan key %s", path, key)
 		}
 	}
 	encoded, err := json.Marshal(values)
@@ -164,7 +167,7 @@
 		return err
 	}
 	if values["stages"] != nil {
-		plan.Stages = nil // else JSON would fill in the defaults' elements
+		plan.Stages = nil // otherwise fields missing from the file's stages would keep the values of the default stages
 	}
 	decoder := json.NewDecoder(bytes.NewReader(encoded))
 	decoder.DisallowUnknownFields()
@@ -172,12 +175,12 @@
 }
 
 type rolloutHaltCmd struct {
-	voter
-	ID     string `required:"" help:"The rollout's name."`
-	Reason string `default:"halted by an operator" help:"For the log and the record."`
+	voterClient
+	ID     string `required:"" help:"Name of the rollout."`
+	Reason string `default:"halted by an operator" help:"Reason, for the log and the rollout's record."`
 }
 
-// Run implements the sub-command.
+// Run asks the voter to halt the rollout.
 func (c *rolloutHaltCmd) Run() error {
 	return c.call(http.MethodDelete, admin.PathRollouts, url.Values{"id": {c.ID}, "reason": {c.Reason}}, nil, nil)
 }
--- a/cmd/quincerail/serve.go
+++ b/cmd/quincerail/serve.go
@@ -18,17 +18,17 @@
 	"quincerail.example/quincerail/server"
 )
 
-// files are the flags of serve and check that name the operator's files, "" for none. A
-// flag overrides the key of the operator's file.
-type files struct {
-	Operator string `help:"The operator's file, TOML or CUE (see deploy/quincerail.toml)." type:"path"`
-	UWSGI    string `name:"uwsgi" help:"File that configures the uwsgi front (off without it)." type:"path"`
-	Rules    string `help:"File of rules that give classes and keys on every front (off without it)." type:"path"`
-	Keys     string `help:"Folder where the keys of what ran outlive the process (in memory without it)." type:"path"`
+// fileFlags are the flags of serve and check that name the operator's files. An empty flag
+// names none. A flag overrides the corresponding key of the operator's file.
+type fileFlags struct {
+	Operator string `help:"Operator's file, in TOML or CUE (see deploy/quincerail.toml)." type:"path"`
+	UWSGI    string `name:"uwsgi" help:"File that configures the uwsgi frontend (disabled without it)." type:"path"`
+	Rules    string `help:"File of rules that set the class and key of requests on every frontend (disabled without it)." type:"path"`
+	Keys     string `help:"Folder that keeps idempotency keys across restarts (keys are kept in memory without it)." type:"path"`
 }
 
-// operator loads the operator's file, and overrides its keys by the flags.
-func (f files) operator() (*operator.File, error) {
+// loadOperatorFile loads the operator's file and overrides its keys with the flags.
+func (f fileFlags) loadOperatorFile() (*operator.File, error) {
 	file, err := operator.Load(f.Operator)
 	if err != nil {
 		return nil, err
@@ -39,81 +39,84 @@
 	return file, nil
 }
 
-// serveCmd runs the server. It is the sub-command where none is given, as the platform
-// starts the program.
+// serveCmd runs the server. It is the default sub-command, because the platform starts the
+// program without one.
 type serveCmd struct {
-	files
+	fileFlags
 }
 
-// Run implements the sub-command.
-func (c *serveCmd) Run() error { return serve(c.files) }
+// Run runs the server until a signal shuts it down; see serve.
+func (c *serveCmd) Run() error { return serve(c.fileFlags) }
 
-// logFlushTimeout is how long the process waits at its end for its log to be written.
+// logFlushTimeout is the longest that the process waits before it exits for its log to be
+// written.
 const logFlushTimeout = 20 * time.Millisecond
 
-// serve runs a server until SIGTERM, and reloads its files at SIGHUP.
-func serve(f files) error {
-	signal.Ignore(syscall.SIGPIPE)     // else writing the log ends the process if the log's reader has closed it
-	hangups := make(chan os.Signal, 1) // registered before anything slow: an unhandled SIGHUP ends the process
+// serve runs a server. On SIGTERM or an interrupt it shuts the server down and returns; on
+// SIGHUP it reloads the server's files.
+func serve(f fileFlags) error {
+	signal.Ignore(syscall.SIGPIPE)     // otherwise a log write kills the process once the log's reader has closed the pipe
+	hangups := make(chan os.Signal, 1) // registered before any slow step: an unhandled SIGHUP kills the process
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	operatorFile, err := f.operator()
+	operatorFile, err := f.loadOperatorFile()
 	if err != nil {
 		return err
 	}
 	level := new(slog.LevelVar)
-	if err := setLevel(level, operatorFile); err != nil {
+	if err := setLogLevel(level, operatorFile); err != nil {
 		return err
 	}
 	format := logging.Format(operatorFile.Log.Format)
 	lines := logging.NewWriter(os.Stderr, format)
 	defer lines.Flush(logFlushTimeout)
 	logger := logging.New(lines, format, level, operatorFile.Log.Repeats)
-	configuration, uwsgiFile, err := load(operatorFile, logger)
+	configuration, uwsgiFile, err := loadConfigFiles(operatorFile, logger)
 	if err != nil {
 		return err
 	}
 	server.ApplyResourceLimits(configuration)
-	running, err := server.Start(configuration, uwsgiFile)
+	srv, err := server.Start(configuration, uwsgiFile)
 	if err != nil {
 		return err
 	}
-	go reloadOnHangup(hangups, f, running, level, logger)
+	go reloadOnHangup(hangups, f, srv, level, logger)
 	<-ctx.Done()
-	running.Shutdown()
+	srv.Shutdown()
 	return nil
 }
 
-// reloadOnHangup reloads at each SIGHUP, also while the server shuts down. Where that fails,
-// the configuration in force stays.
-func reloadOnHangup(hangups <-chan os.Signal, f files, running *server.Server, level *slog.LevelVar, logger *slog.Logger) {
+// reloadOnHangup reloads the files on each SIGHUP, also while the server shuts down. If a
+// reload fails, the current configuration stays in use.
+func reloadOnHangup(hangups <-chan os.Signal, f fileFlags, srv *server.Server, level *slog.LevelVar, logger *slog.Logger) {
 	for range hangups {
-		if err := reload(f, running, level, logger); err != nil {
+		if err := reload(f, srv, level, logger); err != nil {
 			logger.Warn("reload_failed", "error", err.Error())
 		}
 	}
 }
 
-// reload reads the files again and puts them in force. Of the operator's file only the log's
-// level, the rules and the uwsgi front's file are; other changes of it need a restart.
-func reload(f files, running *server.Server, level *slog.LevelVar, logger *slog.Logger) error {
-	operatorFile, err := f.operator()
+// reload loads the files again and applies them to the server. From the operator's file it
+// applies only the log level, the rules and the uwsgi frontend's file; changes to its other
+// keys need a restart.
+func reload(f fileFlags, srv *server.Server, level *slog.LevelVar, logger *slog.Logger) error {
+	operatorFile, err := f.loadOperatorFile()
 	if err != nil {
 		return err
 	}
-	configuration, uwsgiFile, err := load(operatorFile, logger)
+	configuration, uwsgiFile, err := loadConfigFiles(operatorFile, logger)
 	if err != nil {
 		return err
 	}
-	if err := running.Reload(configuration, uwsgiFile); err != nil {
+	if err := srv.Reload(configuration, uwsgiFile); err != nil {
 		return err
 	}
-	return setLevel(level, operatorFile)
+	return setLogLevel(level, operatorFile)
 }
 
-// setLevel sets the log's level as the operator's file says.
-func setLevel(level *slog.LevelVar, operatorFile *operator.File) error {
+// setLogLevel sets the log level to the operator file's log.level.
+func setLogLevel(level *slog.LevelVar, operatorFile *operator.File) error {
 	parsed, err := logging.ParseLevel(operatorFile.Log.Level)
 	if err != nil {
 		return err
@@ -122,15 +125,15 @@
 	return nil
 }
 
-// load reads the configuration, to which it adds the operator's choices, and the uwsgi
-// front's file, nil where there is none.
-func load(operatorFile *operator.File, logger *slog.Logger) (*config.Config, *config.UWSGI, error) {
+// loadConfigFiles loads the configuration, merges the operator's file into it, and loads the
+// uwsgi frontend's file. The latter is nil if the operator's file names none.
+func loadConfigFiles(operatorFile *operator.File, logger *slog.Logger) (*config.Config, *config.UWSGI, error) {
 	configuration, err := config.Load(os.Getenv(config.EnvFile))
 	if err != nil {
 		return nil, nil, err
 	}
 	configuration.Logger = logger
-	if err := addOperatorChoices(configuration, operatorFile); err != nil {
+	if err := applyOperatorFile(configuration, operatorFile); err != nil {
 		return nil, nil, err
 	}
 	if operatorFile.UWSGI == "" {
@@ -143,9 +146,9 @@
 	return configuration, uwsgiFile, err
 }
 
-// addOperatorChoices adds the choices of the operator's file to the configuration, whose
-// logger must be set.
-func addOperatorChoices(c *config.Config, operatorFile *operator.File) (err error) {
+// applyOperatorFile sets the configuration's fields that come from the operator's file. The
+// configuration's logger must be set.
+func applyOperatorFile(c *config.Config, operatorFile *operator.File) (err error) {
 	c.KeysDir, c.KeysSync = operatorFile.Keys.Dir, operatorFile.Keys.Sync
 	c.MetricsAddress, c.OperatorsAddress = operatorFile.Metrics.Listen, operatorFile.Fleet.Operators
 	if c.Fleet, err = operatorFile.FleetConfig(c.Name, c.DependencyAddress, c.Logger); err != nil {
@@ -154,7 +157,8 @@
 	return loadRules(operatorFile.Rules, c)
 }
 
-// loadRules reads the file of rules, if there is one, and logs its warnings.
+// loadRules loads the rules file into the configuration, and logs its warnings. An empty path
+// means that there is no rules file.
 func loadRules(path string, configuration *config.Config) error {
 	if path == "" {
 		return nil
@@ -170,11 +174,12 @@
 	return nil
 }
 
-// checkListeners rejects the same address, each valid by itself, for the metrics and the
-// uwsgi front. With port 0 the system gives each a port of its own.
+// checkListeners returns an error if the metrics and the uwsgi frontend have the same listen
+// address; each file's own validation can't find that. Port 0 is allowed for both, because
+// the system then chooses a different port for each.
 func checkListeners(operatorFile *operator.File, uwsgiFile *config.UWSGI) error {
 	if uwsgiFile.Listen == operatorFile.Metrics.Listen && !strings.HasSuffix(uwsgiFile.Listen, ":0") {
-		return fmt.Errorf("metrics.listen: %s is the uwsgi front's address too", uwsgiFile.Listen)
+		return fmt.Errorf("metrics.listen: %s is also the uwsgi frontend's listen address", uwsgiFile.Listen)
 	}
 	return nil
 }
--- a/cmd/quincerail/signals_test.go
+++ b/cmd/quincerail/signals_test.go
@@ -14,17 +14,18 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// TestReload has the parties move while work runs, and the signal sent that they
-// have: first with a file that makes no sense, which must change nothing, and
-// again while the program drains. Without a handler the signal ends the program.
-func TestReload(t *testing.T) {
-	n, try := startRun(t)
+// TestReload_MovedAddressesWhileRequestRuns sends SIGHUP after the processor, the ledger and the
+// discovery service have moved to other addresses while a request runs. Before that, it reloads
+// an invalid file, which must change nothing; at the end, it sends SIGHUP during the drain. A
+// process without a handler for SIGHUP would be killed by it.
+func TestReload_MovedAddressesWhileRequestRuns(t *testing.T) {
+	n, attempt := startNodeWithRunningRequest(t)
 	good, err := os.ReadFile(n.config)
 	must(t, 0, err)
 	must(t, 0, os.WriteFile(n.config, []byte("{"), 0o600))
 	must(t, 0, n.cmd.Process.Signal(syscall.SIGHUP))
-	if got := n.ask(t, fakes.Thrift, n.thrift, "kampanjsida", "", "call one"); got.Body != "done: call one" {
-		t.Errorf("after a file that makes no sense: %v", got)
+	if got := n.request(t, fakes.Thrift, n.thriftAddress, "kampanjsida", "", "call one"); got.Body != "done: call one" {
+		t.Errorf("request after a reload of an invalid file has outcome %v, want body %q", got, "done: call one")
 	}
 	must(t, 0, os.WriteFile(n.config, good, 0o600))
 
@@ -43,14 +44,14 @@
 	if got, want := <-announce.Reports, `PUT /announce/n1 {"accepting":"true"}`; got != want {
 		t.Errorf("report %s at the new address, want %s", got, want)
 	}
-	if o, err := try.Outcome(); err != nil || o.Body != "done: gift" || n.work.Runs("gift") != 1 {
-		t.Errorf("what ran: %v, %v, %d runs", o, err, n.work.Runs("gift"))
+	if o, err := attempt.Outcome(); err != nil || o.Body != "done: gift" || n.work.Runs("gift") != 1 {
+		t.Errorf("the running request has outcome %v, error %v and ran %d times, want body %q and 1 run", o, err, n.work.Runs("gift"), "done: gift")
 	}
-	if got := n.ask(t, fakes.Thrift, n.thrift, "kampanjsida", "", "call two"); got.Body != "done: call two" {
-		t.Errorf("after the move: %v", got)
+	if got := n.request(t, fakes.Thrift, n.thriftAddress, "kampanjsida", "", "call two"); got.Body != "done: call two" {
+		t.Errorf("request after the reload of moved addresses has outcome %v, want body %q", got, "done: call two")
 	}
 	if call := <-ledger.Calls; call != "call two" {
-		t.Errorf("the new ledger is called with %q", call)
+		t.Errorf("the ledger at the new address gets call %q, want %q", call, "call two")
 	}
 
 	must(t, 0, n.cmd.Process.Signal(syscall.SIGTERM))
@@ -61,37 +62,39 @@
 	}
 	must(t, 0, n.cmd.Process.Signal(syscall.SIGHUP))
 	if err := <-n.exited; err != nil {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("the process exits with error %v", err)
 	}
 }
 
-// TestSignalBeforeItListens sends SIGHUP before the program can have asked for it, by
-// the shell that is about to be it: the deploy file's command has it ignored, as the
-// configuration is not read yet, and later ones are taken.
-func TestSignalBeforeItListens(t *testing.T) {
-	n := start(t)
+// TestSIGHUP_IgnoredUntilHandlerIsRegistered sends SIGHUP before the program can have registered
+// its handler: the shell that then executes the program sends it to itself. The run command in
+// deploy/balancer.toml makes the shell ignore it, so that it doesn't kill the process. A SIGHUP
+// sent later reloads the files.
+func TestSIGHUP_IgnoredUntilHandlerIsRegistered(t *testing.T) {
+	n := startNode(t)
 	n.kill(t)
 	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "balancer.toml"))
 	run := regexp.MustCompile(`(?m)^run = "(.*)exec bin/quincerail"$`).FindStringSubmatch(string(must(t, text, err)))
 	if run == nil {
-		t.Fatal("the deploy file's run does not end by exec")
+		t.Fatal("run in deploy/balancer.toml doesn't end with exec bin/quincerail")
 	}
-	n.shell = fmt.Sprintf(`%skill -HUP $$; exec %q "$@"`, run[1], binary)
+	n.shellCommand = fmt.Sprintf(`%skill -HUP $$; exec %q "$@"`, run[1], binary)
 	n.launch(t)
 	must(t, 0, n.cmd.Process.Signal(syscall.SIGHUP))
-	if line := <-n.reloads; !strings.Contains(line, "event=reloaded") {
-		t.Errorf("SIGHUP at work: %s", line)
+	if line := <-n.reloadLines; !strings.Contains(line, "event=reloaded") {
+		t.Errorf("SIGHUP while serving logs %q, want event=reloaded", line)
 	}
 	must(t, 0, n.cmd.Process.Signal(syscall.SIGTERM))
 	if err := <-n.exited; err != nil {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("the process exits with error %v", err)
 	}
 }
 
-// TestSignalsInADrain sends further signals, of each kind, at a process that drains
-// with a gift running: it is answered and the process ends in order, by itself.
-func TestSignalsInADrain(t *testing.T) {
-	n, try := startRun(t)
+// TestDrain_CompletesDespiteFurtherSignals sends further signals of each handled kind to a
+// process that drains while a request runs. The request is answered, SIGHUP still reloads, and
+// the process exits without error.
+func TestDrain_CompletesDespiteFurtherSignals(t *testing.T) {
+	n, attempt := startNodeWithRunningRequest(t)
 	signals := []os.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt, syscall.SIGHUP, syscall.SIGTERM}
 	for _, s := range signals {
 		must(t, 0, n.cmd.Process.Signal(s))
@@ -104,61 +107,65 @@
 	for _, s := range signals {
 		must(t, 0, n.cmd.Process.Signal(s))
 	}
-	if line := <-n.reloads; !strings.Contains(line, "event=reloaded") {
-		t.Errorf("SIGHUP in the drain: %s", line)
+	if line := <-n.reloadLines; !strings.Contains(line, "event=reloaded") {
+		t.Errorf("SIGHUP during the drain logs %q, want event=reloaded", line)
 	}
-	if o, err := try.Outcome(); err != nil || o.Body != "done: gift" || n.work.Runs("gift") != 1 {
-		t.Errorf("what ran: %v, %v, %d runs", o, err, n.work.Runs("gift"))
+	if o, err := attempt.Outcome(); err != nil || o.Body != "done: gift" || n.work.Runs("gift") != 1 {
+		t.Errorf("the running request has outcome %v, error %v and ran %d times, want body %q and 1 run", o, err, n.work.Runs("gift"), "done: gift")
 	}
 	if err := <-n.exited; err != nil {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("the process exits with error %v", err)
 	}
 }
 
-// TestUpgrade starts a successor beside a predecessor and ends that: a gift that ran in
-// the predecessor is served again and never run by the successor, and the predecessor ends
-// well while it is not the platform that takes it off the list.
-func TestUpgrade(t *testing.T) {
+// TestHandover_SuccessorServesPredecessorsResult starts a successor on the predecessor's listening
+// socket, and shuts the predecessor down. The successor serves the result of a keyed request that
+// the predecessor ran, without running it. The predecessor exits without error, and doesn't report
+// to the discovery service that it stopped accepting, so that the successor's reports stay valid.
+func TestHandover_SuccessorServesPredecessorsResult(t *testing.T) {
 	socket := listeningSocket(t)
-	shared := t.TempDir()
-	predecessor := startOn(t, socket, shared)
-	gift := func(n *node) fakes.Outcome { return n.ask(t, fakes.Thrift, n.thrift, "ny-gava", "k", "gift") }
+	handoverDir := t.TempDir()
+	predecessor := startNodeWith(t, socket, handoverDir)
+	sendRequest := func(n *node) fakes.Outcome {
+		return n.request(t, fakes.Thrift, n.thriftAddress, "ny-gava", "k", "gift")
+	}
 	want := fakes.Outcome{Kind: "served", Body: "done: gift"}
-	if got := gift(predecessor); got != want {
-		t.Errorf("the first try: %v", got)
+	if got := sendRequest(predecessor); got != want {
+		t.Errorf("request to the predecessor has outcome %v, want %v", got, want)
 	}
-	successor := startOn(t, socket, shared)
-	conn := dial(t, successor.control)
+	successor := startNodeWith(t, socket, handoverDir)
+	conn := dial(t, successor.controlAddress)
 	written, err := conn.Write([]byte("check\r\n"))
 	must(t, written, err)
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != "done\r\n" {
-		t.Errorf("check: %q, %v", line, err)
+		t.Errorf("control command check answers %q, error %v, want %q", line, err, "done\r\n")
 	}
 	must(t, 0, predecessor.cmd.Process.Signal(syscall.SIGTERM))
 	if err := <-predecessor.exited; err != nil {
-		t.Errorf("the predecessor ends with %v", err)
+		t.Errorf("the predecessor exits with error %v", err)
 	}
-	if got := gift(successor); got != want {
-		t.Errorf("a further try: %v", got)
+	if got := sendRequest(successor); got != want {
+		t.Errorf("retry at the successor has outcome %v, want %v", got, want)
 	}
 	if a, b := predecessor.work.Runs("gift"), successor.work.Runs("gift"); a != 1 || b != 0 {
-		t.Errorf("%d runs in the predecessor, %d in the successor", a, b)
+		t.Errorf("the request ran %d times in the predecessor and %d in the successor, want 1 and 0", a, b)
 	}
 	for len(predecessor.announce.Reports) > 0 {
 		if report := <-predecessor.announce.Reports; strings.Contains(report, "false") {
-			t.Errorf("the predecessor reports %s", report)
+			t.Errorf("the predecessor sends report %s, want none with accepting=false", report)
 		}
 	}
 }
 
-// TestTerm sends the notice to leave while work runs: it is reported, told on
-// the connection, the work is answered, and the program ends well in time.
-func TestTerm(t *testing.T) {
-	n, try := startRun(t)
-	began := time.Now()
+// TestSIGTERM_AnswersRunningRequestAndExitsInTime sends SIGTERM while a request runs. The process
+// reports to the discovery service that it stopped accepting, answers the request, and exits
+// without error in time.
+func TestSIGTERM_AnswersRunningRequestAndExitsInTime(t *testing.T) {
+	n, attempt := startNodeWithRunningRequest(t)
+	start := time.Now()
 	must(t, 0, n.cmd.Process.Signal(syscall.SIGTERM))
-	if o, err := try.Outcome(); err != nil || o.Body != "done: gift" {
-		t.Errorf("%v, %v", o, err)
+	if o, err := attempt.Outcome(); err != nil || o.Body != "done: gift" {
+		t.Errorf("outcome %v, error %v, want body %q", o, err, "done: gift")
 	}
 	for report := range n.announce.Reports {
 		if strings.Contains(report, "false") {
@@ -166,9 +173,9 @@
 		}
 	}
 	if err := <-n.exited; err != nil {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("the process exits with error %v", err)
 	}
-	if took := time.Since(began); took > 3200*time.Millisecond {
-		t.Errorf("it ends after %v", took)
+	if took := time.Since(start); took > 3200*time.Millisecond {
+		t.Errorf("the process exits after %v, want at most 3.2s", took)
 	}
 }
--- a/cmd/quincerail/version.go
+++ b/cmd/quincerail/version.go
@@ -6,14 +6,14 @@
 	"runtime/debug"
 )
 
-// versionCmd prints what the program was built from.
+// versionCmd prints the version, the source revision and the Go version of the build.
 type versionCmd struct{}
 
-// Run implements the sub-command.
+// Run prints one line. It fails if the program was built without build information.
 func (versionCmd) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("no build information")
+		return errors.New("program contains no build information")
 	}
 	revision := "unknown"
 	for _, s := range info.Settings {
--- a/cmd/quincerail/versions_handover_test.go
+++ b/cmd/quincerail/versions_handover_test.go
@@ -25,21 +25,21 @@
 )
 
 const (
-	// earlierKeys are more than one message of the handover brings.
+	// earlierKeys is the number of keys that are completed before the first handover. They
+	// don't fit into one message of the handover protocol.
 	earlierKeys = 40
-	// runningKeys run in the process that hands over from before the next one starts.
+	// runningKeys is the number of keys that run in the predecessor when the successor starts.
 	runningKeys = 6
-	// concurrentKeys are sent twice each while both processes serve.
+	// concurrentKeys is the number of keys that are sent twice each while both processes serve.
 	concurrentKeys = 10
-	// handoverRunTime is longer than the next process takes to start, and ends
-	// before the process that hands over is to have ended.
+	// handoverRunTime is the run time of each request. It is longer than a successor takes to
+	// start, and shorter than the time that the predecessor has to exit.
 	handoverRunTime = 1200 * time.Millisecond
 )
 
-// TestVersionsSideBySideHandover has one process take over from another on one
-// listening socket, and a third from that, of alternating versions. Keyed requests
-// ran before, run during and come after each handover: each runs once, and all
-// tries are served its result.
+// TestVersionsSideBySideHandover does two handovers on one listening socket, between processes
+// of alternating versions. Keyed requests are completed before, run during and arrive after each
+// handover. Each key runs once, and all its attempts are served its result.
 func TestVersionsSideBySideHandover(t *testing.T) {
 	forEachVersionPair(t, func(t *testing.T, pair versionPair) {
 		began := time.Now()
@@ -49,34 +49,35 @@
 		s.serveAll(s.newRequests("earlier", earlierKeys), 1)
 		second := s.handOver(first, pair.current, "forth")
 		third := s.handOver(second, pair.previous, "back")
-		s.serveAll(s.requests, 1) // all are repeats by now
+		s.serveAll(s.requests, 1) // all keys have run, so these are retries
 		s.checkRuns()
 		third.checkLog()
-		t.Logf("handovers 2, keys %d, tries served %d, sent again after a refusal or an ended connection %d, in flight at each handover %v, "+
-			"most open in the successor until those were answered %v, runs %d, took %v", len(s.requests), s.served.Load(), s.resent.Load(), s.inFlight, s.waiting,
+		t.Logf("handovers 2, keys %d, attempts served %d, resent after a refusal or a closed connection %d, in flight at each handover %v, "+
+			"maximum open in the successor until those were answered %v, runs %d, took %v", len(s.requests), s.served.Load(), s.resent.Load(), s.inFlight, s.maxOpen,
 			s.work.Total(), time.Since(began).Round(time.Millisecond))
 	})
 }
 
-// handoverSite is what processes of one app server share: the listening socket,
-// the folder where they find each other, and the parties around them.
+// handoverSite is what the successive processes of one app server share: the listening socket,
+// the folder where they find each other, and the fakes that they talk to.
 type handoverSite struct {
-	t        *testing.T
-	address  string
-	socket   *os.File
-	folder   string      // for temporary files
-	door     os.FileInfo // the socket where the next process finds the last one
-	settings map[string]any
-	work     *fakes.Work // of all processors together
-	ledger   *fakes.Dependency
-	announce *fakes.DiscoveryService
+	t              *testing.T
+	address        string
+	socket         *os.File
+	folder         string      // the processes' TMPDIR
+	handoverSocket os.FileInfo // Unix socket at which a successor finds its predecessor, as last seen
+	settings       map[string]any
+	work           *fakes.Work // shared by the processors of all processes
+	ledger         *fakes.Dependency
+	announce       *fakes.DiscoveryService
 
-	requests       []keyedRequest // all that were sent
-	served, resent atomic.Int64   // tries
-	inFlight       []string       // at each handover, as the process logged it
-	waiting        []int          // most open in the successor until those were answered
+	requests       []keyedRequest // all requests sent so far
+	served, resent atomic.Int64   // numbers of attempts
+	inFlight       []string       // at each handover, as logged by the predecessor
+	maxOpen        []int          // at each handover, maximum open in the successor until the predecessor had answered its runs
 }
 
+// newHandoverSite opens the listening socket and starts the fakes.
 func newHandoverSite(t *testing.T) *handoverSite {
 	t.Helper()
 	s := &handoverSite{t: t, folder: t.TempDir(), settings: exampleSettings(t), work: fakes.NewWork(handoverRunTime)}
@@ -86,7 +87,7 @@
 	s.address = listener.Addr().String()
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		t.Fatalf("%T is no TCP listener", listener)
+		t.Fatalf("listener has type %T, want *net.TCPListener", listener)
 	}
 	s.socket, err = tcp.File()
 	must(t, 0, err)
@@ -97,7 +98,7 @@
 	s.announce, err = fakes.NewDiscoveryService(anyPort)
 	must(t, 0, err)
 	t.Cleanup(s.announce.Close)
-	go func() { // Work holds few of those that nobody takes
+	go func() { // drained, because Work's buffer of started bodies is small
 		for range s.work.Started() {
 		}
 	}()
@@ -108,17 +109,18 @@
 type serverProcess struct {
 	t        *testing.T
 	command  *exec.Cmd
-	control  string     // address of the operators' calls
-	metrics  string     // address of its metrics
-	exited   chan error // has what it ended with
+	control  string     // address of the control port
+	metrics  string     // address of the metrics
+	exited   chan error // receives the exit error, and is then closed
 	mu       sync.Mutex
 	logLines []string
 }
 
+// addressLine matches the log lines that report a listener's address.
 var addressLine = regexp.MustCompile(`event=(\S+) (?:name=\S+ )?address=(\S+)`)
 
-// start starts a process of a program on the shared socket, and returns once it
-// takes requests.
+// start starts a process of a program on the shared socket, and returns once the process
+// accepts requests.
 func (s *handoverSite) start(program string) *serverProcess {
 	s.t.Helper()
 	processor, err := fakes.NewProcessor(anyPort, s.work)
@@ -144,7 +146,7 @@
 	return p
 }
 
-// follow reads the log until the process ends.
+// follow collects the log lines until the process exits.
 func (p *serverProcess) follow(stderr io.Reader) {
 	for s := bufio.NewScanner(stderr); s.Scan(); {
 		p.mu.Lock()
@@ -155,13 +157,15 @@
 	close(p.exited)
 }
 
+// log returns the lines logged so far.
 func (p *serverProcess) log() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.logLines[:len(p.logLines):len(p.logLines)]
 }
 
-// kill ends the process if it is still there, and waits for its end.
+// kill kills the process if it still runs, and waits until it has exited. If the test failed,
+// kill prints the process's log.
 func (p *serverProcess) kill() {
 	if err := p.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		p.t.Error(err)
@@ -173,7 +177,7 @@
 	}
 }
 
-// awaitAddresses waits until the log has where the process hears operators.
+// awaitAddresses waits until the log has the addresses of the control port and of the metrics.
 func (p *serverProcess) awaitAddresses() {
 	p.t.Helper()
 	eventually(p.t, "the process logs its addresses", func() (string, bool) {
@@ -191,9 +195,10 @@
 	})
 }
 
+// openRequests matches the metric of open requests.
 var openRequests = regexp.MustCompile(`(?m)^quincerail_open_requests (\d+)$`)
 
-// open returns how many requests are open in the process, by its metrics.
+// open returns the number of open requests from the process's metrics.
 func (p *serverProcess) open() int {
 	p.t.Helper()
 	request, err := http.NewRequestWithContext(p.t.Context(), http.MethodGet, "http://"+p.metrics+"/metrics", http.NoBody)
@@ -205,14 +210,16 @@
 	must(p.t, 0, err)
 	m := openRequests.FindSubmatch(page)
 	if m == nil {
-		p.t.Fatalf("no open requests in\n%s", page)
+		p.t.Fatalf("metrics have no quincerail_open_requests:\n%s", page)
 	}
 	n, err := strconv.Atoi(string(m[1]))
 	return must(p.t, n, err)
 }
 
+// logField matches a key and its value, which may be quoted, in a log line.
 var logField = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
+// logFields returns the fields of a log line by key, without quotes.
 func logFields(line string) map[string]string {
 	fields := map[string]string{}
 	for _, m := range logField.FindAllStringSubmatch(line, -1) {
@@ -221,11 +228,11 @@
 	return fields
 }
 
-// awaitHandover waits until the process logs that it hands over, and returns how
-// many requests it says to be open.
+// awaitHandover waits until the process logs its handover, and returns the number of open
+// requests that it logs with it.
 func (p *serverProcess) awaitHandover() (open string) {
 	p.t.Helper()
-	eventually(p.t, "the process hands over", func() (string, bool) {
+	eventually(p.t, "the process logs its handover", func() (string, bool) {
 		for _, line := range p.log() {
 			if fields := logFields(line); slices.Contains(handoverEvents, fields["event"]) {
 				open = fields["open"]
@@ -237,7 +244,7 @@
 	return open
 }
 
-// checkLog sees that the process logged no fault.
+// checkLog checks that the process logged no fault; see logFault.
 func (p *serverProcess) checkLog() {
 	p.t.Helper()
 	for _, line := range p.log() {
@@ -248,22 +255,22 @@
 	}
 }
 
-// awaitHandoverSocket waits until the next process may find the last one: the
-// socket's name leads to another socket than before.
+// awaitHandoverSocket waits until the latest process has opened its Unix socket for the
+// handover: the socket's path then refers to another file than before.
 func (s *handoverSite) awaitHandoverSocket() {
 	s.t.Helper()
 	path := filepath.Join(s.folder, "quincerail-n1.sock")
-	eventually(s.t, "a process opens its socket for the handover", func() (string, bool) {
+	eventually(s.t, "the latest process opens its handover socket", func() (string, bool) {
 		now, err := os.Stat(path)
-		if err != nil || s.door != nil && os.SameFile(s.door, now) {
+		if err != nil || s.handoverSocket != nil && os.SameFile(s.handoverSocket, now) {
 			return fmt.Sprint(now, err), false
 		}
-		s.door = now
+		s.handoverSocket = now
 		return "", true
 	})
 }
 
-// newRequests makes requests with keys of their own.
+// newRequests creates requests with new keys, and adds them to s.requests.
 func (s *handoverSite) newRequests(name string, count int) []keyedRequest {
 	requests := make([]keyedRequest, count)
 	for i := range requests {
@@ -274,11 +281,11 @@
 	return requests
 }
 
-// send has each request sent by several callers at a time; the group is done when
-// all have been served.
+// send starts several callers for each request, which send it concurrently. The returned group
+// is done when all of them have been served.
 func (s *handoverSite) send(requests []keyedRequest, callers int) *sync.WaitGroup {
 	var group sync.WaitGroup
-	s.t.Cleanup(group.Wait) // of a test that ends early
+	s.t.Cleanup(group.Wait) // in case the test fails early
 	for _, r := range requests {
 		for range callers {
 			group.Go(func() { s.serve(s.t.Context(), r) })
@@ -287,6 +294,7 @@
 	return &group
 }
 
+// serve sends a request until it is served, and counts its attempts.
 func (s *handoverSite) serve(ctx context.Context, r keyedRequest) {
 	sent, err := r.serve(ctx, s.address)
 	if err != nil {
@@ -297,49 +305,51 @@
 	s.resent.Add(int64(sent - 1))
 }
 
+// serveAll sends requests as send does, and waits until all are served.
 func (s *handoverSite) serveAll(requests []keyedRequest, callers int) {
 	s.send(requests, callers).Wait()
 }
 
-// handOver has a process of a program take over from another, which ends. name
-// tells the keys of this handover from others.
-func (s *handoverSite) handOver(from *serverProcess, program, name string) *serverProcess {
+// handOver starts a process of a program as the successor of another one, shuts the predecessor
+// down while requests run in it, and returns the successor. name is a prefix for the keys of this
+// handover.
+func (s *handoverSite) handOver(predecessor *serverProcess, program, name string) *serverProcess {
 	s.t.Helper()
 	running := s.newRequests(name+"-running", runningKeys)
-	answers := s.send(running, 1)
+	runningAnswers := s.send(running, 1)
 	s.awaitRuns(running)
-	to := s.start(program)
+	successor := s.start(program)
 	concurrent := s.newRequests(name+"-both", concurrentKeys)
 	concurrentAnswers := s.send(concurrent, 2)
 	s.awaitRuns(concurrent)
 
-	must(s.t, 0, from.command.Process.Signal(syscall.SIGTERM))
-	s.inFlight = append(s.inFlight, from.awaitHandover())
-	repeats := s.send(slices.Concat(running, concurrent), 2)
-	s.waiting = append(s.waiting, mostOpen(to, answers))
+	must(s.t, 0, predecessor.command.Process.Signal(syscall.SIGTERM))
+	s.inFlight = append(s.inFlight, predecessor.awaitHandover())
+	retries := s.send(slices.Concat(running, concurrent), 2)
+	s.maxOpen = append(s.maxOpen, maxOpenUntil(successor, runningAnswers))
 	concurrentAnswers.Wait()
-	repeats.Wait()
-	if err := <-from.exited; err != nil {
-		s.t.Errorf("the process that handed over ends with %v", err)
+	retries.Wait()
+	if err := <-predecessor.exited; err != nil {
+		s.t.Errorf("the predecessor exits with error %v", err)
 	}
-	from.checkLog()
+	predecessor.checkLog()
 	s.awaitHandoverSocket()
 	s.checkRuns()
-	return to
+	return successor
 }
 
-// awaitRuns waits until each request runs in a process.
+// awaitRuns waits until each request has started to run in some process.
 func (s *handoverSite) awaitRuns(requests []keyedRequest) {
 	s.t.Helper()
-	eventually(s.t, "all requests run", func() (string, bool) {
-		waiting := slices.DeleteFunc(slices.Clone(requests), func(r keyedRequest) bool { return s.work.Runs(r.body) > 0 })
-		return fmt.Sprint(waiting), len(waiting) == 0
+	eventually(s.t, "all requests have started to run", func() (string, bool) {
+		notRun := slices.DeleteFunc(slices.Clone(requests), func(r keyedRequest) bool { return s.work.Runs(r.body) > 0 })
+		return fmt.Sprint("not run: ", notRun), len(notRun) == 0
 	})
 }
 
-// mostOpen is how many requests are open in a process at most, until a group is
-// done.
-func mostOpen(p *serverProcess, group *sync.WaitGroup) (most int) {
+// maxOpenUntil returns the maximum number of open requests in a process until a group is done. It
+// samples the metrics every pollInterval.
+func maxOpenUntil(p *serverProcess, group *sync.WaitGroup) (most int) {
 	done := make(chan struct{})
 	go func() {
 		group.Wait()
@@ -355,12 +365,12 @@
 	}
 }
 
-// checkRuns sees that each key ran once, in whichever process.
+// checkRuns checks that each key ran once over all processes.
 func (s *handoverSite) checkRuns() {
 	s.t.Helper()
 	for _, r := range s.requests {
 		if runs := s.work.Runs(r.body); runs != 1 {
-			s.t.Errorf("%s ran %d times", r.key, runs)
+			s.t.Errorf("key %s ran %d times, want 1", r.key, runs)
 		}
 	}
 }
--- a/cmd/quincerail/versions_operators_test.go
+++ b/cmd/quincerail/versions_operators_test.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// operatorTimeout bounds a call of operators at a voter.
+// operatorTimeout bounds a request to a voter's operator API.
 const operatorTimeout = 10 * time.Second
 
-// fencingToken is the place of a lease's grant in the voters' log.
+// fencingToken is the position of a lease's grant in the voters' log.
 type fencingToken struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
 }
 
-// before reports whether a token is lower than another one.
+// before reports whether t is lower than other.
 func (t fencingToken) before(other fencingToken) bool {
 	return cmp.Or(cmp.Compare(t.Term, other.Term), cmp.Compare(t.Index, other.Index)) < 0
 }
 
-// parseFencingToken reads a token as logs show it; the zero token if it is none.
+// parseFencingToken parses a token in the format of the logs. It returns the zero token for
+// other text.
 func parseFencingToken(text string) (t fencingToken) {
 	if _, err := fmt.Sscanf(text, "%d.%d", &t.Term, &t.Index); err != nil {
 		return fencingToken{}
@@ -32,9 +33,8 @@
 	return t
 }
 
-// changesStatus is the part of a voter's answer about rollouts that these tests
-// look at.
-type changesStatus struct {
+// rolloutStatus is the part of a voter's response about rollouts that these tests use.
+type rolloutStatus struct {
 	Record  json.RawMessage `json:"record"`
 	Servers []struct {
 		Name     string `json:"name"`
@@ -43,8 +43,8 @@
 	} `json:"servers"`
 }
 
-// phase is the phase of the rollout; "" for none.
-func (s changesStatus) phase() string {
+// phase returns the phase of the rollout, "" if there is no rollout.
+func (s rolloutStatus) phase() string {
 	var record struct {
 		State struct {
 			Phase string `json:"phase"`
@@ -56,8 +56,8 @@
 	return record.State.Phase
 }
 
-// window is the last window of the rollout that was taken in.
-func (s changesStatus) window() int {
+// window returns the last window that the rollout has evaluated, 0 if there is no rollout.
+func (s rolloutStatus) window() int {
 	var record struct {
 		State struct {
 			Window int `json:"window"`
@@ -69,24 +69,25 @@
 	return record.State.Window
 }
 
-// lasting is what of the record stays while servers are replaced: all of it once
-// the rollout has ended, else the plan and the settings' numbers and patches.
-func (s changesStatus) lasting() (string, error) {
+// persistentRecord returns the part of the rollout's record that must not change while servers
+// are replaced: the whole record once the rollout has ended, otherwise its plan and the numbers
+// and patches of the settings.
+func (s rolloutStatus) persistentRecord() (string, error) {
 	var record map[string]any
 	if err := json.Unmarshal(s.Record, &record); err != nil {
 		return "", err
 	}
 	if phase := s.phase(); phase != "done" && phase != "halted" {
-		for _, key := range []string{"index", "state", "decision"} { // of the latest window
+		for _, key := range []string{"index", "state", "decision"} { // these change with each window
 			delete(record, key)
 		}
 	}
-	text, err := json.Marshal(record) // with its keys in order
+	text, err := json.Marshal(record) // sorts the keys
 	return string(text), err
 }
 
-// changes asks a voter about rollouts.
-func (f *versionsFleet) changes(voter string) (s changesStatus, err error) {
+// rolloutStatus requests the status of the rollout from a voter.
+func (f *versionsFleet) rolloutStatus(voter string) (s rolloutStatus, err error) {
 	address, err := f.Operators(voter)
 	if err != nil {
 		return s, err
@@ -107,26 +108,26 @@
 	return s, json.NewDecoder(response.Body).Decode(&s)
 }
 
-// lastingRecord is what lasts of the record that a voter has.
-func (f *versionsFleet) lastingRecord(voter string) string {
+// persistentRecord returns the persistent part of the record that a voter has.
+func (f *versionsFleet) persistentRecord(voter string) string {
 	f.t.Helper()
-	s, err := f.changes(voter)
+	s, err := f.rolloutStatus(voter)
 	must(f.t, 0, err)
-	text, err := s.lasting()
+	text, err := s.persistentRecord()
 	return must(f.t, text, err)
 }
 
-// awaitRecord waits until a voter has a record, and, where its rollout is under
-// way, a window of it that is later than any seen so far.
-func (f *versionsFleet) awaitRecord(voter, lasting string) {
+// awaitRecord waits until a voter has a record with the given persistent part. While its
+// rollout is watching, the voter must also have a window later than any seen so far.
+func (f *versionsFleet) awaitRecord(voter, record string) {
 	f.t.Helper()
-	eventually(f.t, voter+" has the record "+lasting, func() (string, bool) {
-		s, err := f.changes(voter)
+	eventually(f.t, voter+" has the record "+record, func() (string, bool) {
+		s, err := f.rolloutStatus(voter)
 		if err != nil {
 			return err.Error(), false
 		}
-		text, err := s.lasting()
-		if err != nil || text != lasting {
+		text, err := s.persistentRecord()
+		if err != nil || text != record {
 			return fmt.Sprint(text, err), false
 		}
 		if s.phase() == "watching" && s.window() <= f.window {
@@ -137,12 +138,12 @@
 	})
 }
 
-// awaitServer waits until a server reports a version, and the settings that were
-// rolled out first, as the rollout's owner tells it after its start.
+// awaitServer waits until v1 lists a server with a version and with the settings of the first
+// rollout, which the rollout's owner sends to the server after its start.
 func (f *versionsFleet) awaitServer(name, version string) {
 	f.t.Helper()
 	eventually(f.t, name+" runs "+version+" with the settings that were rolled out", func() (string, bool) {
-		s, err := f.changes("v1")
+		s, err := f.rolloutStatus("v1")
 		for _, server := range s.Servers {
 			if server.Name == name && server.Version == version && server.Settings == 1 {
 				return "", true
@@ -152,8 +153,9 @@
 	})
 }
 
-// operatorOutput runs a command of a program at a voter.
-func (f *versionsFleet) operatorOutput(program, voter, command string, args ...string) (string, error) {
+// operatorCommandOutput runs an operators' sub-command of a program against a voter, and
+// returns its output.
+func (f *versionsFleet) operatorCommandOutput(program, voter, command string, args ...string) (string, error) {
 	address, err := f.Operators(voter)
 	if err != nil {
 		return "", err
@@ -163,21 +165,21 @@
 	return string(out), err
 }
 
-// operate runs a command that must succeed.
-func (f *versionsFleet) operate(program, voter, command string, args ...string) {
+// runOperatorCommand runs an operators' sub-command that must succeed.
+func (f *versionsFleet) runOperatorCommand(program, voter, command string, args ...string) {
 	f.t.Helper()
-	if out, err := f.operatorOutput(program, voter, command, args...); err != nil {
-		f.t.Fatalf("%s at %s: %v: %s", command, voter, err, out)
+	if out, err := f.operatorCommandOutput(program, voter, command, args...); err != nil {
+		f.t.Fatalf("quincerail %s against %s fails: %v: %s", command, voter, err, out)
 	}
 }
 
-// awaitVoters waits until a voter lists all voters as alive and with a vote, to the
-// commands of both programs.
+// awaitVoters waits until the voters list sub-commands of both programs print, for one voter,
+// that all voters are alive and can vote.
 func (f *versionsFleet) awaitVoters(voter string) {
 	f.t.Helper()
 	for _, program := range f.programs {
-		eventually(f.t, voter+" lists all voters", func() (string, bool) {
-			out, err := f.operatorOutput(program, voter, "voters list")
+		eventually(f.t, voter+" lists all voters as alive and voting", func() (string, bool) {
+			out, err := f.operatorCommandOutput(program, voter, "voters list")
 			ok := err == nil && strings.Count(out, "true") == len(f.voters) && !strings.Contains(out, "no vote")
 			return fmt.Sprint(err, "\n", out), ok
 		})
--- a/cmd/quincerail/versions_test.go
+++ b/cmd/quincerail/versions_test.go
@@ -17,20 +17,19 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// The tests of versions side by side start processes of two builds of the
-// program and speak to them over sockets only, as balancers and operators do:
-// what they rely on is what may not change between versions. Each test runs with
-// the program of this tree in both places, and with an earlier program where the
-// environment names one (scripts/versions-side-by-side builds it).
-
-// previousProgramVariable is the environment variable with the path of the
-// earlier program.
+// The tests of versions side by side start processes of two builds of the program. They talk
+// to the processes only over sockets, as balancers and operators do, so everything they rely on
+// must stay the same between versions. Each test runs with the program of this tree in both
+// roles. If the environment names an earlier program, it also runs with that one and this
+// tree's; scripts/versions-side-by-side builds the earlier program.
+
+// previousProgramVariable is the environment variable with the path of the earlier program.
 const previousProgramVariable = "QUINCERAIL_PREVIOUS_PROGRAM"
 
-// versionPair is two builds of the program, as paths.
+// versionPair holds the paths of two builds of the program.
 type versionPair struct{ previous, current string }
 
-// forEachVersionPair runs a test for each pair of programs that there is.
+// forEachVersionPair runs a test for each available pair of programs.
 func forEachVersionPair(t *testing.T, test func(t *testing.T, pair versionPair)) {
 	t.Helper()
 	t.Run("CurrentBesideCurrent", func(t *testing.T) {
@@ -39,49 +38,50 @@
 	t.Run("PreviousBesideCurrent", func(t *testing.T) {
 		previous := os.Getenv(previousProgramVariable)
 		if previous == "" {
-			t.Skipf("not run: %s names no earlier program; scripts/versions-side-by-side builds one and runs this", previousProgramVariable)
+			t.Skipf("not run: %s names no earlier program; scripts/versions-side-by-side builds one and runs this test", previousProgramVariable)
 		}
 		test(t, versionPair{previous: previous, current: binary})
 	})
 }
 
 const (
-	// pollInterval is the time between two looks at a condition.
+	// pollInterval is the time between two checks of a condition.
 	pollInterval = 10 * time.Millisecond
-	// conditionTimeout bounds the wait for a condition.
+	// conditionTimeout is the longest wait for a condition.
 	conditionTimeout = 30 * time.Second
 )
 
-// eventually waits until a condition holds; a test that waits in vain fails with
-// what there was instead.
-func eventually(t *testing.T, what string, condition func() (instead string, ok bool)) {
+// eventually waits until a condition holds. After conditionTimeout it fails the test with the
+// last observation that the condition returned.
+func eventually(t *testing.T, what string, condition func() (observed string, ok bool)) {
 	t.Helper()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for deadline := time.Now().Add(conditionTimeout); ; <-ticker.C {
-		instead, ok := condition()
+		observed, ok := condition()
 		if ok {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %v: %s", what, conditionTimeout, instead)
+			t.Fatalf("condition not met within %v: %s; last observed: %s", conditionTimeout, what, observed)
 		}
 	}
 }
 
-// keyedRequest is a request that must run once, however often it is sent.
+// keyedRequest is a request with an idempotency key. It must run once, however often it is sent.
 type keyedRequest struct{ key, body string }
 
 const (
 	keyedClass = "ny-gava"
-	// keyWindow is how long a key holds in these tests: for the whole test.
+	// keyWindow is the time for which a key is remembered. It is longer than any of these tests.
 	keyWindow = 10 * time.Minute
-	// resendPause is the time until a request that was not taken in is sent again.
-	resendPause = 20 * time.Millisecond
+	// resendDelay is the delay before a request that was refused or whose connection failed is
+	// sent again.
+	resendDelay = 20 * time.Millisecond
 )
 
-// serve sends the request until it is served, and again where it was refused or
-// its connection ended. It returns how often it was sent.
+// serve sends the request until it is served. It sends it again if the request was refused or
+// its connection failed; any other outcome is an error. serve returns the number of attempts.
 func (r keyedRequest) serve(ctx context.Context, address string) (sent int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, conditionTimeout)
 	defer cancel()
@@ -94,11 +94,11 @@
 		case outcome == fakes.Outcome{Kind: "served", Body: fakes.Result(r.body)}:
 			return sent, nil
 		default:
-			return sent, fmt.Errorf("%s: %+v", r.key, outcome)
+			return sent, fmt.Errorf("key %s: outcome %+v, want served with its result", r.key, outcome)
 		}
-		time.Sleep(resendPause)
+		time.Sleep(resendDelay)
 	}
-	return sent, fmt.Errorf("%s: not served in %d tries (the last: %w)", r.key, sent, err)
+	return sent, fmt.Errorf("key %s: not served in %d attempts, last error: %w", r.key, sent, err)
 }
 
 // send sends the request once and waits for its outcome.
@@ -113,42 +113,42 @@
 	return try.Outcome()
 }
 
-// exampleSettings returns the settings of the example's configuration, changed
-// by adjustSettings.
+// exampleSettings returns the settings in the example's config.json, changed by adjustSettings.
 func exampleSettings(t *testing.T) map[string]any {
 	t.Helper()
 	var config map[string]any
 	must(t, 0, json.Unmarshal([]byte(dispatchtest.ReadExample(t, "config.json")), &config))
 	adjustSettings(config)
-	return object(config["settings"])
+	return jsonObject(config["settings"])
 }
 
-// adjustSettings has the keys of a configuration last through a test, with room
-// for them, and a drain begin to refuse early.
+// adjustSettings changes a configuration's settings so that idempotency keys are kept for a
+// whole test and have enough memory, and that a drain starts to refuse requests early.
 func adjustSettings(config map[string]any) {
-	settings := object(config["settings"])
-	info := object(settings["familyInfo"])
+	settings := jsonObject(config["settings"])
+	info := jsonObject(settings["familyInfo"])
 	info["cores"], info["keyKb"] = 16, 0.05
-	info["callsByClass"] = []bool{true, false, false} // keyed requests wait for no calls
-	object(settings["obligations"])["drainGraceUs"] = 200_000
+	info["callsByClass"] = []bool{true, false, false} // requests of keyedClass make no downstream calls
+	jsonObject(settings["obligations"])["drainGraceUs"] = 200_000
 	lanes, _ := settings["lanes"].([]any)
 	for _, lane := range lanes {
-		if l := object(lane); l["name"] == keyedClass {
+		if l := jsonObject(lane); l["name"] == keyedClass {
 			l["windowUs"] = keyWindow.Microseconds()
 		}
 	}
 }
 
-// awaitReady waits until a process reports, by the operators' call, that it takes
+// awaitReady waits until the control command check of a process answers that the process accepts
 // requests.
 func awaitReady(t *testing.T, control string) {
 	t.Helper()
-	eventually(t, "the process takes requests", func() (string, bool) {
+	eventually(t, "the process accepts requests", func() (string, bool) {
 		answer, err := checkReady(t.Context(), control)
 		return fmt.Sprint(answer, err), err == nil && answer == "done\r\n"
 	})
 }
 
+// checkReady sends the control command check, and returns the line that answers it.
 func checkReady(ctx context.Context, control string) (string, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", control)
 	if err != nil {
@@ -161,38 +161,38 @@
 	return bufio.NewReader(conn).ReadString('\n')
 }
 
-// closeQuietly closes what the test's end closes anyway.
+// closeQuietly closes c and ignores the error, for what the end of the test closes anyway.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// object gives a JSON object; nil for another value.
-func object(v any) map[string]any {
+// jsonObject returns a decoded JSON object, nil if v is another value.
+func jsonObject(v any) map[string]any {
 	o, _ := v.(map[string]any)
 	return o
 }
 
-// Log events that these tests look at, by all names that versions of the program
-// give them: where an event is renamed, its new name is added here.
+// The log events that these tests check, under all names that versions of the program use. When
+// an event is renamed, its new name is added here and the old one stays.
 var (
 	leaseEvents    = []string{"lease"}
 	handoverEvents = []string{"handover"}
-	// expectedWarnings come of what the tests do: processes and parties end, nobody
-	// plays the announce service in a fleet, and busy machines let leases run out.
+	// expectedWarnings result from what the tests do: processes and fakes exit, the fleets have
+	// no discovery service, and leases lapse on a busy machine.
 	expectedWarnings = []string{
 		"announce", "fleet_direction_refused", "rollout_directive_refused", "fleet_publish_failed",
 		"fleet_share_fenced", "quota_member_fenced",
 		"lease_lapsed", "processor_link_lost", "processor_reject", "rollout_refused", "suppressed",
 	}
-	// unreadableMarks are parts of the names of events, of any level, that report
-	// a stored record or a message that could not be read.
-	unreadableMarks = []string{"unreadable", "undecodable", "malformed", "corrupt", "damaged", "message_refused", "keys_lost"}
+	// unreadableEventParts are parts of the names of events, of any level, that report a stored
+	// record or a message that could not be decoded.
+	unreadableEventParts = []string{"unreadable", "undecodable", "malformed", "corrupt", "damaged", "message_refused", "keys_lost"}
 )
 
-// logFault says what is wrong with a line of a process's log; "" for nothing.
+// logFault returns the fault that a line of a process's log reports, "" if it reports none.
 func logFault(event, level, text string) string {
 	if strings.HasPrefix(text, "panic:") || level == "ERROR" {
-		return "a fault"
+		return "a panic or an error"
 	}
-	if slices.ContainsFunc(unreadableMarks, func(mark string) bool { return strings.Contains(event, mark) }) {
+	if slices.ContainsFunc(unreadableEventParts, func(part string) bool { return strings.Contains(event, part) }) {
 		return "an unreadable record or message"
 	}
 	if level == "WARN" && !slices.Contains(expectedWarnings, event) {
--- a/cmd/quincerail/versions_voters_test.go
+++ b/cmd/quincerail/versions_voters_test.go
@@ -15,42 +15,43 @@
 	"quincerail.example/quincerail/internal/fleettest"
 )
 
-// What the fleets of these tests call their two versions.
+// The names of the two versions in the fleets of these tests.
 const (
 	previousVersion = "previous"
 	currentVersion  = "current"
 )
 
 const (
-	// budgetCalls and budgetRepeats are what the fleet may have in hand at the
-	// ledger, and how many repeats it may make in a second.
+	// budgetCalls is the fleet's limit on calls in flight to the ledger, budgetRepeats its limit
+	// on retries of calls per second.
 	budgetCalls   = 12
 	budgetRepeats = 6
-	// repeatJitter is how much later than one before it a repeat may reach the
-	// ledger, which counts them.
+	// repeatJitter is the tolerance for different delays of retries on their way to the ledger,
+	// which counts them when they arrive.
 	repeatJitter = 50 * time.Millisecond
-	// keyedInFlight run in a voter as it is told to end.
+	// keyedInFlight is the number of keyed requests that run in a voter when it gets SIGTERM.
 	keyedInFlight = 4
-	keyedRunTime  = 400 * time.Millisecond
-	// settledWithin bounds the time until the rights of ended processes are back.
-	settledWithin = 60 * time.Second
+	// keyedRunTime is the run time of each keyed request.
+	keyedRunTime = 400 * time.Millisecond
+	// rightsTimeout is the longest wait until the rights of exited processes are reclaimed.
+	rightsTimeout = 60 * time.Second
 )
 
-// quickPlan has settings go to all servers at once; endlessPlan watches the
-// servers until it is halted.
+// quickPlan rolls out settings to all servers at once. endlessPlan does so too, and then watches
+// the servers until it is halted.
 const (
-	quickPlan   = planForm + "watch = 1\nwatch_most = 1\n"
-	endlessPlan = planForm + "watch = 1000000\nwatch_most = 1000000\n"
-	planForm    = "warm = 0\nstages = [{share = 1, bake = 1, patience = 600}]\n" +
+	quickPlan   = planBase + "watch = 1\nwatch_most = 1\n"
+	endlessPlan = planBase + "watch = 1000000\nwatch_most = 1000000\n"
+	planBase    = "warm = 0\nstages = [{share = 1, bake = 1, patience = 600}]\n" +
 		"limits = {worse = 10, mistaken = 0.01, missed = 0.001, least = 0.5}\n"
 )
 
-// TestVersionsSideBySideVoters replaces the three voters of a fleet one by one, to
-// the current program and back again, while callers of all members make calls on
-// the fleet's budget, keyed requests run, and a rollout is under way (to) or has
-// been halted (back). Each lease has one owner under each token, tokens only grow,
-// the rollout's record and the budget last, no key runs twice, and nobody finds a
-// record or message that it can't read.
+// TestVersionsSideBySideVoters replaces the three voters of a fleet one by one, first with the
+// current program and then with the previous one again. Meanwhile, callers of all members make
+// calls within the fleet's budget, keyed requests run, and a rollout is in progress (first pass)
+// or has been halted (second pass). Each lease has one owner under each token, tokens never
+// decrease, the rollout's record and the budget are preserved, no key runs twice, and no process
+// finds a record or message that it can't decode.
 func TestVersionsSideBySideVoters(t *testing.T) {
 	forEachVersionPair(t, func(t *testing.T, pair versionPair) {
 		began := time.Now()
@@ -64,20 +65,20 @@
 		f.awaitPhase("watching")
 		f.replaceVoters(currentVersion)
 
-		f.operate(pair.previous, "v1", "rollout halt", "--id", "across")
+		f.runOperatorCommand(pair.previous, "v1", "rollout halt", "--id", "across")
 		f.awaitPhase("halted")
 		f.replaceVoters(previousVersion)
 
 		f.rollOut(pair.previous, "after", quickPlan)
 		f.awaitPhase("done")
-		f.checkAtRest()
+		f.checkSettledState()
 		f.checkLogs()
 		f.report(time.Since(began))
 	})
 }
 
-// TestVersionsSideBySideJoin has a voter of one program join the voters of the
-// other: it is caught up by their snapshot.
+// TestVersionsSideBySideJoin adds a voter of one program to the voters of the other, in both
+// directions. The new voter catches up from their snapshot.
 func TestVersionsSideBySideJoin(t *testing.T) {
 	forEachVersionPair(t, func(t *testing.T, pair versionPair) {
 		for _, programs := range []versionPair{pair, {previous: pair.current, current: pair.previous}} {
@@ -88,35 +89,37 @@
 			must(t, 0, f.Replace("v4", currentVersion))
 			f.rollOut(programs.previous, "before", quickPlan)
 			f.awaitPhase("done")
-			f.operate(programs.current, "v1", "voters add", "--name", "v4", "--raft", f.Children["v4"].Raft)
+			f.runOperatorCommand(programs.current, "v1", "voters add", "--name", "v4", "--raft", f.Children["v4"].Raft)
 			f.voters = append(f.voters, "v4")
 			for _, name := range f.voters {
 				f.awaitVoters(name)
 			}
-			f.awaitRecord("v4", f.lastingRecord("v1"))
-			f.awaitAct("an act after the voter joined")
+			f.awaitRecord("v4", f.persistentRecord("v1"))
+			f.awaitRegistryWrite("a registry write after the voter joined")
 			f.checkLogs()
 		}
 	})
 }
 
-// versionsFleet is a fleet whose voters are replaced.
+// versionsFleet is a fleet whose voters are replaced by processes of other versions.
 type versionsFleet struct {
 	*fleettest.Fleet
 	t        *testing.T
-	programs []string // of both versions
+	programs []string // paths of both versions
 	voters   []string
-	work     *fakes.Work // of all members' processors together
-	rollouts int         // that were started
-	window   int         // the last seen of the rollout under way
+	work     *fakes.Work // shared by the processors of all members
+	rollouts int         // number of rollouts started
+	window   int         // the last window seen of the rollout in progress
 
-	keyed     map[string][]keyedRequest // by the voter that they were sent to
-	replaced  int
-	inFlight  atomic.Int64 // keyed requests that were open as a voter was told to end
-	mostCalls int          // in hand at one time
-	settled   []time.Duration
+	keyed              map[string][]keyedRequest // by the voter to which they were sent
+	replaced           int
+	inFlight           atomic.Int64 // keyed requests that were open when a voter got SIGTERM
+	maxCalls           int          // maximum in flight at one time
+	rightsSettledAfter []time.Duration
 }
 
+// startVersionsFleet starts a fleet with voters v1, v2 and v3, further members as o says, and
+// callers.
 func startVersionsFleet(t *testing.T, o fleettest.Options) *versionsFleet {
 	t.Helper()
 	f := &versionsFleet{
@@ -141,7 +144,7 @@
 	for _, name := range []string{"v1", "v2", "v3", "v4", "m1"} {
 		o.Files[name] = map[string]any{
 			"keys": map[string]any{"dir": filepath.Join(o.Dir, name+"-keys")},
-			"log":  map[string]any{"level": "debug", "repeats": 100}, // some unreadable messages are for debugging only
+			"log":  map[string]any{"level": "debug", "repeats": 100}, // some reports of undecodable messages are logged at debug level only
 		}
 	}
 	var err error
@@ -151,6 +154,7 @@
 	return f
 }
 
+// end closes the fleet and reports its violations. If the test failed, it prints all logs.
 func (f *versionsFleet) end() {
 	f.Close()
 	for _, violation := range f.Violations() {
@@ -163,11 +167,12 @@
 	}
 }
 
-// rollOut starts a rollout of settings by the command of a program.
+// rollOut starts a rollout of new settings with the rollout start sub-command of a program, once
+// v1 lists all servers.
 func (f *versionsFleet) rollOut(program, id, plan string) {
 	f.t.Helper()
-	eventually(f.t, "v1 knows of all servers", func() (string, bool) {
-		s, err := f.changes("v1")
+	eventually(f.t, "v1 lists all servers", func() (string, bool) {
+		s, err := f.rolloutStatus("v1")
 		return fmt.Sprint(s.Servers, err), err == nil && len(s.Servers) == len(f.Children)
 	})
 	dir := f.t.TempDir()
@@ -176,47 +181,47 @@
 	f.rollouts++
 	settings := fmt.Sprintf(`{"familyInfo": {"idleUs": %d}}`, 20_000_000+f.rollouts)
 	must(f.t, 0, os.WriteFile(settingsFile, []byte(settings), 0o600))
-	f.operate(program, "v1", "rollout start", "--id", id, "--settings", settingsFile, "--plan", planFile)
+	f.runOperatorCommand(program, "v1", "rollout start", "--id", id, "--settings", settingsFile, "--plan", planFile)
 }
 
-// awaitPhase waits until all voters have the rollout in a phase.
+// awaitPhase waits until v1, v2 and v3 report the rollout in a phase.
 func (f *versionsFleet) awaitPhase(phase string) {
 	f.t.Helper()
 	for _, name := range []string{"v1", "v2", "v3"} {
-		eventually(f.t, name+" has the rollout "+phase, func() (string, bool) {
-			s, err := f.changes(name)
+		eventually(f.t, name+" reports rollout phase "+phase, func() (string, bool) {
+			s, err := f.rolloutStatus(name)
 			return fmt.Sprint(string(s.Record), err), err == nil && s.phase() == phase
 		})
 	}
 }
 
-// replaceVoters replaces all voters by a version, first the one that owns the
-// registry's lease, and then each time its successor.
+// replaceVoters replaces the processes of all voters with a version. Each time it prefers the
+// current owner of the registry's lease.
 func (f *versionsFleet) replaceVoters(version string) {
 	f.t.Helper()
-	lasting := f.lastingRecord("v1")
-	waiting := slices.Clone(f.voters)
-	for len(waiting) > 0 {
-		next := f.lastOwner()
-		if !slices.Contains(waiting, next) {
-			next = waiting[0]
+	record := f.persistentRecord("v1")
+	remaining := slices.Clone(f.voters)
+	for len(remaining) > 0 {
+		next := f.lastRegistryWriter()
+		if !slices.Contains(remaining, next) {
+			next = remaining[0]
 		}
-		waiting = slices.DeleteFunc(waiting, func(name string) bool { return name == next })
+		remaining = slices.DeleteFunc(remaining, func(name string) bool { return name == next })
 		f.replaceVoter(next, version)
 		for _, name := range f.voters {
-			f.awaitRecord(name, lasting)
+			f.awaitRecord(name, record)
 			f.awaitVoters(name)
 		}
 		f.awaitServer(next, version)
-		f.awaitAct("an act after " + next + " was replaced")
+		f.awaitRegistryWrite("a registry write after " + next + " was replaced")
 		f.checkBudget()
 	}
 	f.awaitRights()
 	f.checkBudget()
 }
 
-// replaceVoter replaces a voter in which keyed requests run. It answers those,
-// and its successor answers their repeats, and all of earlier ones.
+// replaceVoter replaces the process of a voter while keyed requests run in it. The old process
+// answers these, and the new one answers retries of them and of all earlier ones.
 func (f *versionsFleet) replaceVoter(name, version string) {
 	f.t.Helper()
 	f.replaced++
@@ -227,7 +232,7 @@
 	}
 	f.keyed[name] = append(f.keyed[name], requests...)
 	var open atomic.Int64
-	awaitReady(f.t, f.control(name))
+	awaitReady(f.t, f.controlAddress(name))
 	running := f.serveAll(name, requests, &open)
 	eventually(f.t, "keyed requests run in "+name, func() (string, bool) {
 		return "", !slices.ContainsFunc(requests, func(r keyedRequest) bool { return f.work.Runs(r.body) == 0 })
@@ -235,19 +240,20 @@
 	f.inFlight.Add(open.Load())
 	must(f.t, 0, f.Replace(name, version))
 	running.Wait()
-	awaitReady(f.t, f.control(name))
+	awaitReady(f.t, f.controlAddress(name))
 	f.serveAll(name, f.keyed[name], &open).Wait()
 	for _, r := range f.keyed[name] {
 		if runs := f.work.Runs(r.body); runs != 1 {
-			f.t.Errorf("%s ran %d times", r.key, runs)
+			f.t.Errorf("key %s ran %d times, want 1", r.key, runs)
 		}
 	}
 }
 
-// serveAll has requests served by a voter; open is how many are on the way.
+// serveAll sends requests to a voter until they are served. open counts those that aren't served
+// yet. The returned group is done when all have been served.
 func (f *versionsFleet) serveAll(name string, requests []keyedRequest, open *atomic.Int64) *sync.WaitGroup {
 	var group sync.WaitGroup
-	f.t.Cleanup(group.Wait) // of a test that ends early
+	f.t.Cleanup(group.Wait) // in case the test fails early
 	address := f.Address(name)
 	for _, r := range requests {
 		open.Add(1)
@@ -261,52 +267,52 @@
 	return &group
 }
 
-// control is where operators call a member's process, by its log.
-func (f *versionsFleet) control(name string) string {
+// controlAddress returns the address of the control port that a member's process logged last.
+func (f *versionsFleet) controlAddress(name string) string {
 	f.t.Helper()
 	for _, l := range slices.Backward(f.Lines()) {
 		if l.Child == name && strings.Contains(l.Event, "control") {
 			return l.Fields["address"]
 		}
 	}
-	f.t.Fatalf("%s has not logged where operators call it", name)
+	f.t.Fatalf("%s has not logged the address of its control port", name)
 	return ""
 }
 
-// lastOwner is who acted last at the registry.
-func (f *versionsFleet) lastOwner() string {
-	acts, _ := f.Registry.Writes()
-	if len(acts) == 0 {
+// lastRegistryWriter returns the member that wrote to the registry last, "" if none has.
+func (f *versionsFleet) lastRegistryWriter() string {
+	writes, _ := f.Registry.Writes()
+	if len(writes) == 0 {
 		return ""
 	}
-	return acts[len(acts)-1].By
+	return writes[len(writes)-1].By
 }
 
-// awaitAct waits until the registry accepts an act that comes from now on.
-func (f *versionsFleet) awaitAct(what string) {
+// awaitRegistryWrite waits until the registry accepts a further write.
+func (f *versionsFleet) awaitRegistryWrite(what string) {
 	f.t.Helper()
-	acts, _ := f.Registry.Writes()
-	_, err := f.AwaitAct(what, len(acts), func(a fakes.FencedWrite) bool { return a.Accepted })
+	writes, _ := f.Registry.Writes()
+	_, err := f.AwaitAct(what, len(writes), func(w fakes.FencedWrite) bool { return w.Accepted })
 	must(f.t, 0, err)
 }
 
-// checkBudget sees that no more calls were in hand than the fleet's budget has
-// since it looked last.
+// checkBudget checks that since the last check the calls in flight never exceeded the fleet's
+// budget.
 func (f *versionsFleet) checkBudget() {
 	f.t.Helper()
 	most, _, _ := f.Ledger.Count()
-	f.mostCalls = max(f.mostCalls, most)
+	f.maxCalls = max(f.maxCalls, most)
 	if most > budgetCalls {
-		f.t.Errorf("%d calls in hand, the budget is %d", most, budgetCalls)
+		f.t.Errorf("%d calls in flight, the budget is %d", most, budgetCalls)
 	}
 }
 
-// awaitRights waits until members that are there hold all rights that are not
-// free: what ended processes held was taken back.
+// awaitRights waits until the free rights and those held by the current processes add up to the
+// budgets, so that the rights of exited processes have been reclaimed.
 func (f *versionsFleet) awaitRights() {
 	f.t.Helper()
-	took, err := f.Converge("quincerail_fleet_rights", settledWithin, func(all map[string]map[string]float64) bool {
-		free := f.free("v1")
+	took, err := f.Converge("quincerail_fleet_rights", rightsTimeout, func(all map[string]map[string]float64) bool {
+		free := f.freeRights("v1")
 		calls, repeats := free["calls"], free["repeats"]
 		for _, rights := range all {
 			calls, repeats = calls+rights["calls"], repeats+rights["repeats"]
@@ -314,74 +320,74 @@
 		return calls == budgetCalls && repeats == budgetRepeats
 	})
 	must(f.t, 0, err)
-	f.settled = append(f.settled, took.Round(time.Millisecond))
+	f.rightsSettledAfter = append(f.rightsSettledAfter, took.Round(time.Millisecond))
 }
 
-// free is what of the budgets nobody holds, as a voter has it.
-func (f *versionsFleet) free(name string) map[string]float64 {
+// freeRights returns the rights that no member holds, from a voter's metrics.
+func (f *versionsFleet) freeRights(name string) map[string]float64 {
 	f.t.Helper()
 	free, err := f.Scrape(name, "quincerail_fleet_free")
 	return must(f.t, free, err)
 }
 
-// checkAtRest ends the callers, and sees that all rights are held or free and
-// that the voters agree on that.
-func (f *versionsFleet) checkAtRest() {
+// checkSettledState stops the callers, and then checks that all rights are held or free, that the
+// voters agree on the free ones, and that the ledger received no more retries than the budget has.
+func (f *versionsFleet) checkSettledState() {
 	f.t.Helper()
 	f.StopCallers()
 	f.awaitRights()
 	f.checkBudget()
-	eventually(f.t, "the voters agree on what is free", func() (string, bool) {
-		one, two, three := f.free("v1"), f.free("v2"), f.free("v3")
+	eventually(f.t, "the voters agree on the free rights", func() (string, bool) {
+		one, two, three := f.freeRights("v1"), f.freeRights("v2"), f.freeRights("v3")
 		return fmt.Sprint(one, two, three), fmt.Sprint(one) == fmt.Sprint(two) && fmt.Sprint(two) == fmt.Sprint(three)
 	})
 	if _, most := f.Ledger.Retries(time.Second - repeatJitter); most > budgetRepeats {
-		f.t.Errorf("%d repeats in a second, the budget is %d", most, budgetRepeats)
+		f.t.Errorf("%d retries in one second, the budget is %d", most, budgetRepeats)
 	}
 }
 
-// checkLogs sees that no process logged a fault, and that the leases that all
-// processes logged have one owner under each token, and tokens that only grow.
+// checkLogs checks that no process logged a fault, that all processes logged the same owner for
+// each lease and token, and that the tokens in a process's log never decrease.
 func (f *versionsFleet) checkLogs() {
 	f.t.Helper()
 	owners := map[string]string{}        // by lease and token
 	highest := map[string]fencingToken{} // by process and lease
-	life, moves := map[string]int{}, 0   // by child
+	exits, grants := map[string]int{}, 0 // number of exits by child, number of logged grants
 	for _, l := range f.Lines() {
 		if fault := logFault(l.Event, l.Fields["level"], l.Text); fault != "" {
 			f.t.Errorf("%s: %s: %s", l.Child, fault, l.Text)
 		}
 		if l.Event == "exited" {
-			life[l.Child]++
+			exits[l.Child]++
 		}
 		if !slices.Contains(leaseEvents, l.Event) || l.Fields["to"] == "" {
 			continue
 		}
-		moves++
+		grants++
 		lease, token := l.Fields["lease"], parseFencingToken(l.Fields["token"])
 		grant := fmt.Sprint(lease, token)
 		if owner, known := owners[grant]; known && owner != l.Fields["to"] {
-			f.t.Errorf("%s and %s own %s", owner, l.Fields["to"], grant)
+			f.t.Errorf("%s and %s both own lease and token %s", owner, l.Fields["to"], grant)
 		}
 		owners[grant] = l.Fields["to"]
-		process := fmt.Sprint(l.Child, life[l.Child], lease)
+		process := fmt.Sprint(l.Child, exits[l.Child], lease)
 		if token.before(highest[process]) {
-			f.t.Errorf("%s: the token went back: %s", l.Child, l.Text)
+			f.t.Errorf("%s: token decreased: %s", l.Child, l.Text)
 		}
 		highest[process] = token
 	}
-	if moves == 0 {
-		f.t.Errorf("no log has an event of %q", leaseEvents)
+	if grants == 0 {
+		f.t.Errorf("no process logged any of the events %q", leaseEvents)
 	}
 }
 
-// report logs the figures of the test.
+// report logs the test's measurements.
 func (f *versionsFleet) report(took time.Duration) {
-	acts, _ := f.Registry.Writes()
+	writes, _ := f.Registry.Writes()
 	var owners []string
-	for _, a := range acts {
-		if a.Accepted && (len(owners) == 0 || owners[len(owners)-1] != a.By) {
-			owners = append(owners, a.By)
+	for _, w := range writes {
+		if w.Accepted && (len(owners) == 0 || owners[len(owners)-1] != w.By) {
+			owners = append(owners, w.By)
 		}
 	}
 	keys := 0
@@ -390,7 +396,7 @@
 	}
 	repeats, _ := f.Ledger.Retries(time.Second)
 	_, calls, _ := f.Ledger.Count()
-	f.t.Logf("replacements %d, acts %d, owners in turn %s, tokens %v to %v, keys %d, in flight at SIGTERM %d, calls %d (at most %d of %d in hand), "+
-		"repeats %d, rights settled after %v, took %v", f.replaced, len(acts), strings.Join(owners, " "), acts[0].Token, acts[len(acts)-1].Token,
-		keys, f.inFlight.Load(), calls, f.mostCalls, budgetCalls, repeats, f.settled, took.Round(time.Millisecond))
+	f.t.Logf("replacements %d, registry writes %d, successive owners %s, tokens %v to %v, keys %d, in flight at SIGTERM %d, calls %d (at most %d of %d in flight), "+
+		"retries %d, rights settled after %v, took %v", f.replaced, len(writes), strings.Join(owners, " "), writes[0].Token, writes[len(writes)-1].Token,
+		keys, f.inFlight.Load(), calls, f.maxCalls, budgetCalls, repeats, f.rightsSettledAfter, took.Round(time.Millisecond))
 }
--- a/cmd/quincerail/voter.go
+++ b/cmd/quincerail/voter.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	voterTimeout  = 10 * time.Second // for a request to a voter, with its answer
-	maxErrorBytes = 4096             // how much of a voter's error is printed
+	voterTimeout  = 10 * time.Second // for a request to a voter, until its response is read
+	maxErrorBytes = 4096             // longest part of a voter's error response that is printed
 )
 
-// voter is the flag of a sub-command that names the voter to ask, and the HTTP client for
-// it. It is embedded in the sub-commands.
-type voter struct {
-	Address string `required:"" help:"Where operators call a voter (fleet.operators in its operator's file)."`
+// voterClient is an HTTP client for a voter's operator API. The sub-commands that call a voter
+// embed it, which adds the flag with the voter's address.
+type voterClient struct {
+	Address string `required:"" help:"HOST:PORT of a voter's operator API (fleet.operators in its operator's file)."`
 }
 
-// call sends a request to the voter, and decodes the answer into answer unless that is
-// nil. The error begins with the path.
-func (v voter) call(method, path string, query url.Values, body, answer any) error {
-	if err := v.send(method, path, query, body, answer); err != nil {
+// call sends a request to the voter, and decodes the response into result unless result is
+// nil. A body that isn't nil is sent as JSON. The error's text begins with the path.
+func (v voterClient) call(method, path string, query url.Values, body, result any) error {
+	if err := v.send(method, path, query, body, result); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
 }
 
-func (v voter) send(method, path string, query url.Values, body, answer any) error {
+func (v voterClient) send(method, path string, query url.Values, body, result any) error {
 	request, err := v.newRequest(method, path, query, body)
 	if err != nil {
 		return err
@@ -40,18 +40,18 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // all of interest is read
+	defer func() { _ = response.Body.Close() }() // the response is read, so an error of Close doesn't matter
 	if response.StatusCode < http.StatusOK || response.StatusCode >= http.StatusMultipleChoices {
-		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // without it the status says enough
+		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // if the body can't be read, the status is reported without it
 		return &voterError{status: response.Status, reason: bytes.TrimSpace(reason)}
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	return json.NewDecoder(response.Body).Decode(answer)
+	return json.NewDecoder(response.Body).Decode(result)
 }
 
-func (v voter) newRequest(method, path string, query url.Values, body any) (*http.Request, error) {
+func (v voterClient) newRequest(method, path string, query url.Values, body any) (*http.Request, error) {
 	var encoded bytes.Buffer
 	if body != nil {
 		if err := json.NewEncoder(&encoded).Encode(body); err != nil {
@@ -62,11 +62,11 @@
 	return http.NewRequestWithContext(context.Background(), method, u.String(), &encoded)
 }
 
-// voterError is a voter's answer whose status reports an error.
+// voterError is a voter's response with a status other than 2xx.
 type voterError struct {
 	status string
 	reason []byte
 }
 
-// Error returns the status and the reason.
+// Error returns the status and the response's body.
 func (e *voterError) Error() string { return fmt.Sprintf("%s: %s", e.status, e.reason) }
--- a/cmd/quincerail/voters.go
+++ b/cmd/quincerail/voters.go
@@ -11,22 +11,22 @@
 	"quincerail.example/quincerail/fleet"
 )
 
-// votersCmd is what operators ask of a fleet's voters, at one of them.
+// votersCmd has the sub-commands about a fleet's voters. Each sends a request to one of them.
 type votersCmd struct {
-	List   votersListCmd   `cmd:"" help:"Print the voters as one of them knows them."`
-	Add    votersAddCmd    `cmd:"" help:"Add a voter, which was started with join; it votes once it has caught up."`
-	Remove votersRemoveCmd `cmd:"" help:"Remove a voter for good: it may come back under another name only."`
+	List   votersListCmd   `cmd:"" help:"Print the voters that one of them knows."`
+	Add    votersAddCmd    `cmd:"" help:"Add a voter that was started with join; it votes once it has caught up with the log."`
+	Remove votersRemoveCmd `cmd:"" help:"Remove a voter permanently: it can rejoin only under another name."`
 }
 
-type votersListCmd struct{ voter }
+type votersListCmd struct{ voterClient }
 
-// Run implements the sub-command.
+// Run prints a table of the voters that the called voter knows.
 func (c *votersListCmd) Run() error {
 	var voters []fleet.VoterStatus
 	if err := c.call(http.MethodGet, admin.PathVoters, nil, nil, &voters); err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) // keeps an error until Flush
+	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) // Flush returns the first write error
 	_, _ = fmt.Fprintln(w, "voter\taddress\talive\t")
 	for _, v := range voters {
 		remark := ""
@@ -39,22 +39,22 @@
 }
 
 type votersAddCmd struct {
-	voter
-	Name string `required:"" help:"Its name in its configuration."`
-	Raft string `required:"" help:"Where the other voters reach it, HOST:PORT."`
+	voterClient
+	Name string `required:"" help:"Name of the new voter in its configuration."`
+	Raft string `required:"" help:"HOST:PORT at which the other voters reach it."`
 }
 
-// Run implements the sub-command.
+// Run asks the called voter to add a voter.
 func (c *votersAddCmd) Run() error {
 	return c.call(http.MethodPost, admin.PathVoters, nil, admin.VoterRequest{Name: c.Name, Address: c.Raft}, nil)
 }
 
 type votersRemoveCmd struct {
-	voter
-	Name string `required:"" help:"Its name."`
+	voterClient
+	Name string `required:"" help:"Name of the voter."`
 }
 
-// Run implements the sub-command.
+// Run asks the called voter to remove a voter.
 func (c *votersRemoveCmd) Run() error {
 	return c.call(http.MethodDelete, admin.PathVoters, url.Values{"name": {c.Name}}, nil, nil)
 }
