--- a/cmd/fleet-experiment/quota.go
+++ b/cmd/fleet-experiment/quota.go
@@ -181,7 +181,7 @@
 	served, measured := 0.0, 0
 	for i := range rounds {
 		p.fleet.Step()
-		inFlight, demand := p.fleet.Served()
+		inFlight, demand := p.fleet.Utilization()
 		seconds := float64(p.rounds) * quotaRoundInterval.Seconds()
 		p.run.result.inFlight = append(p.run.result.inFlight, plotter.XY{X: seconds, Y: float64(inFlight)})
 		p.rounds++
--- a/cmd/fleet-experiment/rollout.go
+++ b/cmd/fleet-experiment/rollout.go
@@ -42,7 +42,7 @@
 	{"twice the failures", func(c *simulation.Config) { c.FailureRatio = 2 }},
 	{"a fifth slower", func(c *simulation.Config) { c.LatencyRatio = 1.2 }},
 	{"crashes once in ten windows", func(c *simulation.Config) { c.CrashesPerWindow = 0.1 }},
-	{"the old servers fail beside it", func(c *simulation.Config) { c.BaselineFailures = 0.5 }},
+	{"the old servers fail beside it", func(c *simulation.Config) { c.BaselineFailureRate = 0.5 }},
 }
 
 // rolloutResult is what the trials of a kind of change came to.
--- a/fleet/quota/allocator.go
+++ b/fleet/quota/allocator.go
@@ -5,54 +5,55 @@
 	"slices"
 )
 
-// CommandKind is what a command does.
+// CommandKind is the operation of a Command.
 type CommandKind string
 
 // The kinds of commands.
 const (
-	Grant   CommandKind = "grant"  // gives free rights to a member
-	Fence   CommandKind = "fence"  // declares a member gone, which has certainly stopped spending
-	Reclaim CommandKind = "settle" // returns the rights of all fenced members to the free ones
+	Grant   CommandKind = "grant"  // grants free rights to a member, and creates its account
+	Fence   CommandKind = "fence"  // fences a silent member, which has stopped using its rights
+	Reclaim CommandKind = "settle" // returns the rights of all fenced members to the free rights
 )
 
-// Command is an entry of the allocator's log.
+// Command is an entry of the allocator's log. Its JSON is stored: the tags define the
+// format.
 type Command struct {
 	Kind   CommandKind `json:"kind"`
 	Target ID          `json:"of,omitzero"`      // of Grant and Fence
-	Amount uint64      `json:"amount,omitempty"` // of Grant; 0 only opens an account
-	// Reports, of Reclaim, are those of each live member on each fenced one: by
-	// the fenced member, then by the reporter.
+	Amount uint64      `json:"amount,omitempty"` // of Grant; 0 only creates an account
+	// Reports, of Reclaim, are the transfer reports of each live member on each fenced
+	// one: by the fenced member, then by the reporter.
 	Reports map[ID]map[ID]TransferReport `json:"edges,omitempty"`
 }
 
-// Allocator is the state machine that rights come from. Replicas that applied the
-// same commands hold the same state. It is not safe for concurrent use.
+// Allocator is the state machine that grants and reclaims rights. Replicas that
+// applied the same commands have the same state. It is not safe for concurrent use.
 //
-// Reclaim returns what the fenced members held that are not reclaimed yet, all of
-// them at once: what they were granted and what others sent them, less what they
-// sent others. Live members report their transfers with a fenced one
-// (MemberState.TransferReports) and receive nothing more from it afterwards;
-// Reclaim is refused unless each has reported on each. Transfers among fenced
-// members cancel out, but only in their sum: reclaiming one without another that
-// it sent rights to would free rights that the other may have passed on. After
-// Reclaim the transfers stand in the accounts of the live members
-// (Account.SettledTransfers), and the states of the reclaimed members no longer
-// count.
+// Reclaim returns the rights of all fenced members that are not reclaimed yet, in one
+// command: the granted rights plus the rights received from others, minus the rights
+// sent to others. Live members report their transfers with a fenced member
+// (MemberState.TransferReports) and accept no transfers from it afterwards. Reclaim is
+// rejected unless each live member has reported on each fenced one. Transfers between
+// fenced members cancel out only in the sum over all of them: reclaiming one member
+// without another to which it sent rights would free rights that the other may have
+// transferred to a third. Reclaim records the transfers in the accounts of the live
+// members (Account.SettledTransfers); the states of reclaimed members don't count any
+// more.
 //
-// Its JSON is part of the snapshots of the fleet's log: the tags are the format.
+// Its JSON is part of the snapshots of the fleet's log: the tags define the format.
 type Allocator struct {
-	Capacity uint64          `json:"Total"` // the budget: rights held and free
-	Free     uint64          `json:"Free"`  // rights that nobody holds
+	Capacity uint64          `json:"Total"` // the budget: sum of the held and the free rights
+	Free     uint64          `json:"Free"`  // rights that no member holds
 	Accounts map[ID]*Account `json:"Accounts"`
 }
 
-// NewAllocator returns an allocator whose rights are all free.
+// NewAllocator returns an allocator without accounts, whose rights are all free.
 func NewAllocator(capacity uint64) *Allocator {
 	return &Allocator{Capacity: capacity, Free: capacity, Accounts: map[ID]*Account{}}
 }
 
-// Apply applies the command at an index of the log, and returns the accounts that
-// it changed. A refused command changes nothing; the error is a *CommandError.
+// Apply applies the command at an index of the log and returns the accounts that it
+// changed. It returns a *CommandError for a rejected command, which changes nothing.
 func (a *Allocator) Apply(c Command, index uint64) ([]Delta, error) {
 	var changed []Delta
 	var err error
@@ -120,8 +121,8 @@
 		return nil, err
 	}
 	rights := a.heldBy(fenced)
-	for _, bySender := range transfers {
-		for _, net := range bySender {
+	for _, netBySender := range transfers {
+		for _, net := range netBySender {
 			rights -= net
 		}
 	}
@@ -147,8 +148,7 @@
 	return changed, nil
 }
 
-// heldBy returns the rights that members were granted, and those of settled
-// transfers.
+// heldBy returns the sum of the members' granted rights and settled transfers.
 func (a *Allocator) heldBy(ids []ID) int64 {
 	var rights int64
 	for _, id := range ids {
@@ -161,8 +161,8 @@
 	return rights
 }
 
-// fencedAndLive returns the fenced members that are not reclaimed yet, and those
-// that are not fenced, each in order.
+// fencedAndLive returns the fenced members that are not reclaimed yet, and the members
+// that are not fenced, both sorted by ID.
 func (a *Allocator) fencedAndLive() (fenced, live []ID) {
 	for id, account := range a.Accounts {
 		switch {
@@ -177,9 +177,9 @@
 	return fenced, live
 }
 
-// netTransfers returns what each live member received from each fenced one, less
-// what it sent it, where that is not zero: by the live member, then by the fenced
-// one.
+// netTransfers returns the rights that each live member received from each fenced one
+// minus those that it sent to it, by the live member, then by the fenced one. It omits
+// zeros. It returns a *MissingReportError if a report is missing.
 func netTransfers(reports map[ID]map[ID]TransferReport, fenced, live []ID) (map[ID]map[ID]int64, error) {
 	transfers := map[ID]map[ID]int64{}
 	for _, sender := range fenced {
--- a/fleet/quota/fleet_test.go
+++ b/fleet/quota/fleet_test.go
@@ -10,7 +10,7 @@
 	SessionTimeout: 10 * time.Second, MaxClockDrift: 0.05, MaxHoldTime: time.Second, HeartbeatInterval: time.Second,
 }
 
-// testFleet is a fleet whose deltas the test delivers as it chooses.
+// testFleet is a fleet without a network: the test decides which deltas are delivered.
 type testFleet struct {
 	t         *testing.T
 	now       time.Duration
@@ -38,8 +38,7 @@
 	f.members[name] = m
 }
 
-// apply applies a command, and delivers the accounts it changed to the members
-// named.
+// apply applies a command and delivers the changed accounts to the named members.
 func (f *testFleet) apply(c Command, names ...string) error {
 	f.index++
 	changed, err := f.allocator.Apply(c, f.index)
@@ -51,9 +50,9 @@
 	return err
 }
 
-// exchange delivers all that one member knows to another.
+// exchange ticks one member and delivers its complete state to another.
 func (f *testFleet) exchange(from, to string) {
-	f.members[from].Tick(f.now) // the messages of the tick are in its state too
+	f.members[from].Tick(f.now) // the state includes the messages of the tick
 	s := f.members[from].State()
 	for id, member := range s.Members {
 		f.members[to].Merge(Delta{ID: id, MemberState: member})
@@ -63,8 +62,8 @@
 	}
 }
 
-// acquireAll acquires as many units as the member may, and returns how many it
-// has in use.
+// acquireAll acquires as many units as possible and returns how many the member has in
+// use.
 func (f *testFleet) acquireAll(name string) uint64 {
 	for range 100 {
 		f.members[name].TryAcquire(f.now)
@@ -72,15 +71,15 @@
 	return f.members[name].InUse()
 }
 
-// acknowledge sends a heartbeat of the member and its acknowledgement.
+// acknowledge makes the member publish a heartbeat, and acknowledges its latest one.
 func (f *testFleet) acknowledge(name string) {
 	m := f.members[name]
 	m.Tick(f.now)
 	m.Merge(Delta{ID: m.id, Account: &Account{AckedHeartbeat: m.own.Heartbeat}})
 }
 
-// tickLeader ticks the leader by what a member knows. It delivers the
-// acknowledgements to that member, and returns the commands.
+// tickLeader ticks the leader with the state of a member. It delivers the
+// acknowledgements to that member and returns the commands.
 func (f *testFleet) tickLeader(l *AllocatorLeader, name string) []Command {
 	f.members[name].Tick(f.now)
 	commands, acks := l.Tick(f.now, f.members[name].State(), f.allocator)
--- a/fleet/quota/golden_test.go
+++ b/fleet/quota/golden_test.go
@@ -9,15 +9,15 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// The members of the golden files, one of them in two incarnations.
+// The members in the golden files; one of them has two incarnations.
 var (
 	goldenA      = ID{Member: "v1", Incarnation: 1 << 62}
 	goldenB      = ID{Member: "m/2", Incarnation: 7}
 	goldenBLater = ID{Member: "m/2", Incarnation: 8}
 )
 
-// TestGoldenCommands writes and reads a command of each kind, as the voters'
-// log holds them, and the allocator that they come to, as its snapshots do.
+// TestGoldenCommands encodes and decodes a command of each kind in the format of the
+// voters' log, and the resulting allocator in the format of its snapshots.
 func TestGoldenCommands(t *testing.T) {
 	reclaim := Command{Kind: Reclaim, Reports: map[ID]map[ID]TransferReport{goldenB: {goldenA: {Received: 3, Sent: 1}, goldenBLater: {}}}}
 	golden.RoundTrip(t, "order-open.json", Command{Kind: Grant, Target: goldenBLater}, json.Marshal, json.Unmarshal)
@@ -28,25 +28,25 @@
 	allocator := NewAllocator(100)
 	golden.RoundTrip(t, "bank-new.json", allocator, json.Marshal, json.Unmarshal)
 	for i, file := range []string{"order-grant.json", "", "order-open.json", "order-fence.json", "order-settle.json"} {
-		o := Command{Kind: Grant, Target: goldenB, Amount: 20}
+		command := Command{Kind: Grant, Target: goldenB, Amount: 20}
 		if file != "" {
-			o = Command{}
-			if err := json.Unmarshal(golden.Bytes(t, file), &o); err != nil {
+			command = Command{}
+			if err := json.Unmarshal(golden.Bytes(t, file), &command); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if _, err := allocator.Apply(o, uint64(10+i)); err != nil {
+		if _, err := allocator.Apply(command, uint64(10+i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if allocator.Free != 58 { // 40 granted, and 2 that v1 got from the member that was reclaimed
-		t.Errorf("%d rights are free", allocator.Free)
+	if allocator.Free != 58 { // 100 less 40 granted to v1 and 2 that v1 received from the reclaimed member
+		t.Errorf("%d rights are free, want 58", allocator.Free)
 	}
 	golden.RoundTrip(t, "bank.json", allocator, json.Marshal, json.Unmarshal)
 }
 
-// TestGoldenDeltas writes and reads what members send each other. The maps have
-// one entry each, as the order of more is not fixed.
+// TestGoldenDeltas encodes and decodes the messages between members. Each map has only
+// one entry, because the encoding order of several entries is not fixed.
 func TestGoldenDeltas(t *testing.T) {
 	member := &MemberState{
 		Heartbeat: 300, Surplus: 5, Shortfall: 1, Transferred: map[ID]uint64{goldenB: 4}, TransferReports: map[ID]TransferReport{goldenBLater: {Received: 3, Sent: 1}},
--- a/fleet/quota/heartbeat.go
+++ b/fleet/quota/heartbeat.go
@@ -6,18 +6,17 @@
 )
 
 const (
-	// demandDecay is the part of the demand that remains from one tick to the
-	// next: it rises at once and falls slowly, so that rights do not move with
-	// each gap in the load.
+	// demandDecay is the fraction of the demand that remains from one tick to the
+	// next. The demand rises immediately and falls slowly, so that a short gap in the
+	// load causes no transfers.
 	demandDecay = 0.9
-	// minUnmetDemand is how much a member's demand may exceed its peak use in any
-	// case; beyond it, at most twice the peak use.
+	// minUnmetDemand is the minimum of the bound on the unmet demand that counts.
+	// Otherwise the bound is the peak use, so the demand is at most twice that.
 	minUnmetDemand = 4
-	// surplusUpdatesPerHeartbeat is how many times in a heartbeat interval a
-	// changing surplus is published, at most.
+	// surplusUpdatesPerHeartbeat is the maximum number of times that a changing
+	// surplus is published in a heartbeat interval.
 	surplusUpdatesPerHeartbeat = 4
-	// maxUnackedHeartbeats bounds the list of heartbeats that wait for their
-	// acknowledgement.
+	// maxUnackedHeartbeats bounds the list of unacknowledged heartbeats.
 	maxUnackedHeartbeats = 256
 )
 
@@ -26,22 +25,22 @@
 	at        time.Duration
 }
 
-// Messages are what a member sends at a tick.
+// Messages are the messages to send after a tick.
 type Messages struct {
-	// Broadcast is a heartbeat, for all members, and at once for those that may
-	// run the allocator's leader; nil for none.
+	// Broadcast is a heartbeat for all members, nil for none. Members that may run
+	// the allocator's leader get it directly, without the delay of gossip.
 	Broadcast *Delta
-	// Transfers are for one recipient each.
+	// Transfers have one recipient each.
 	Transfers []Transfer
-	// Request is for RequestFanout other members: those of RequestTo, which
-	// published a surplus, and the rest drawn from all. It is nil for a member
-	// that lacks nothing.
+	// Request goes to RequestFanout other members: those of RequestTo, which have a
+	// known surplus, and members drawn from all for the rest. It is nil for a member
+	// without a shortfall.
 	Request   *TransferRequest
 	RequestTo []ID
 }
 
-// Tick transfers surplus rights to the members that requested them, and returns
-// the messages to send. It is to be called a few times a second.
+// Tick transfers surplus rights to the members that requested them, and returns the
+// messages to send. The caller calls it a few times a second.
 func (m *Member) Tick(now time.Duration) Messages {
 	m.updateDemand()
 	if m.Fenced() {
@@ -49,28 +48,29 @@
 	}
 	var messages Messages
 	surplus, shortfall := m.surplusAndShortfall()
-	if now < m.spendUntil { // else it may not use rights, nor know that it holds them
+	if now < m.spendUntil { // later it must not use rights, and may not hold them any more
 		messages.Transfers, surplus = m.transferSurplus(surplus)
 		messages.Request, messages.RequestTo = m.requestTransfer(shortfall)
 	}
 	clear(m.requests)
 	if m.heartbeatDue(now, surplus) {
 		messages.Broadcast = m.publish(now, surplus, shortfall)
-	} else if len(messages.Transfers) > 0 { // whoever misses a transfer gets it with the whole state
+	} else if len(messages.Transfers) > 0 { // a recipient that misses a transfer gets it with the complete state
 		m.storeOwnState()
 	}
 	return messages
 }
 
-// updateDemand estimates the demand from the peak use and the unmet demand since
-// the last tick.
+// updateDemand estimates the demand from the peak use and the unmet demand since the
+// last tick.
 func (m *Member) updateDemand() {
 	peak := float64(m.peakInUse)
-	m.demand = max(peak+min(float64(m.unmet), max(minUnmetDemand, peak)), m.demand*demandDecay)
-	m.peakInUse, m.unmet = m.inUse, 0
+	m.demand = max(peak+min(float64(m.unmetDemand), max(minUnmetDemand, peak)), m.demand*demandDecay)
+	m.peakInUse, m.unmetDemand = m.inUse, 0
 }
 
-// surplusAndShortfall compares the rights with the demand; one of them is zero.
+// surplusAndShortfall compares the rights with the demand. At least one of the results
+// is 0.
 func (m *Member) surplusAndShortfall() (surplus, shortfall uint64) {
 	rights, demand := m.Rights(), uint64(m.demand+0.5)
 	if keep := max(demand, m.inUse); rights > keep {
@@ -79,7 +79,7 @@
 	return 0, demand - min(demand, rights)
 }
 
-// heartbeatDue reports whether to publish the member's state now.
+// heartbeatDue reports whether the member's state must be published now.
 func (m *Member) heartbeatDue(now time.Duration, surplus uint64) bool {
 	if m.own.Heartbeat == 0 || m.unpublished {
 		return true
@@ -88,23 +88,23 @@
 	if elapsed >= m.timing.HeartbeatInterval {
 		return true
 	}
-	return elapsed >= m.timing.HeartbeatInterval/surplusUpdatesPerHeartbeat && surplusMoved(surplus, m.own.Surplus)
+	return elapsed >= m.timing.HeartbeatInterval/surplusUpdatesPerHeartbeat && surplusChanged(surplus, m.own.Surplus)
 }
 
-// surplusMoved reports whether the surplus has changed enough to be published
-// again: up by a quarter, or to nothing.
-func surplusMoved(now, published uint64) bool {
-	return now > published+published/4 || now == 0 && published > 0
+// surplusChanged reports whether the surplus has changed enough to be published
+// again: it grew by more than a quarter, or fell to 0.
+func surplusChanged(current, published uint64) bool {
+	return current > published+published/4 || current == 0 && published > 0
 }
 
-// publish returns the next heartbeat, without the transfers, which matter to
-// their recipients only.
+// publish returns the next heartbeat. It omits the transfers, which concern their
+// recipients only.
 func (m *Member) publish(now time.Duration, surplus, shortfall uint64) *Delta {
 	m.own.Surplus, m.own.Shortfall = surplus, shortfall
 	m.own.Heartbeat++
 	m.unpublished, m.publishedAt = false, now
 	m.unacked = append(m.unacked, sentHeartbeat{m.own.Heartbeat, now})
-	if len(m.unacked) > maxUnackedHeartbeats { // the oldest stays, for an acknowledgement that is very late
+	if len(m.unacked) > maxUnackedHeartbeats { // keeps the oldest, for a very late acknowledgement
 		m.unacked = slices.Delete(m.unacked, 1, 2)
 	}
 	m.storeOwnState()
@@ -113,8 +113,8 @@
 	return &Delta{ID: m.id, MemberState: &published}
 }
 
-// ackHeartbeat extends the time in which the member may spend: the leader has
-// seen its heartbeats up to a sequence number.
+// ackHeartbeat extends the time for which the member may use its rights, after the
+// leader acknowledged its heartbeats up to a sequence number.
 func (m *Member) ackHeartbeat(heartbeat uint64) {
 	for len(m.unacked) > 0 && m.unacked[0].heartbeat <= heartbeat {
 		m.spendUntil = max(m.spendUntil, m.unacked[0].at+m.timing.spendingTimeout())
--- a/fleet/quota/id.go
+++ b/fleet/quota/id.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// ID identifies one incarnation of a member. A member that restarts has another
-// ID, which holds none of the rights of the former one. In CBOR it is an array, so
-// the order of the fields is part of the format; in JSON it is its text.
+// ID identifies one incarnation of a member. A member that restarts gets a new ID,
+// which holds none of the rights of the previous one. An ID is an array in CBOR, so
+// the order of the fields is part of the format, and the text of String in JSON.
 type ID struct {
 	_           struct{} `cbor:",toarray"`
 	Member      string
--- a/fleet/quota/join.go
+++ b/fleet/quota/join.go
@@ -2,14 +2,14 @@
 
 import "maps"
 
-// Join takes a delta in. It returns the part of it that was new, as it stands
-// after joining, and whether any was.
-func (s State) Join(d Delta) (news Delta, changed bool) {
-	news = Delta{ID: d.ID, MemberState: s.joinMemberState(d.ID, d.MemberState), Account: s.joinAccount(d.ID, d.Account)}
-	return news, news.MemberState != nil || news.Account != nil
+// Join joins a delta into s. It returns the entries that changed, with their values
+// after the join, and whether any entry changed.
+func (s State) Join(d Delta) (added Delta, changed bool) {
+	added = Delta{ID: d.ID, MemberState: s.joinMemberState(d.ID, d.MemberState), Account: s.joinAccount(d.ID, d.Account)}
+	return added, added.MemberState != nil || added.Account != nil
 }
 
-// joinMemberState returns the member's new state, nil if it has not changed.
+// joinMemberState returns the joined member state, nil if it has not changed.
 func (s State) joinMemberState(id ID, update *MemberState) *MemberState {
 	if update == nil {
 		return nil
@@ -27,7 +27,7 @@
 	return update
 }
 
-// joinAccount returns the member's new account, nil if it has not changed.
+// joinAccount returns the joined account, nil if it has not changed.
 func (s State) joinAccount(id ID, update *Account) *Account {
 	if update == nil {
 		return nil
@@ -43,12 +43,12 @@
 	return update
 }
 
-// Join returns the least state that is no older than either.
+// Join returns the least upper bound of the two states.
 func (s MemberState) Join(other MemberState) MemberState {
 	if s.Heartbeat < other.Heartbeat {
 		s, other = other, s
 	}
-	if s.Heartbeat == other.Heartbeat { // the same heartbeat, or a fault of its writer
+	if s.Heartbeat == other.Heartbeat { // differs only if the writer is faulty
 		s.Surplus = max(s.Surplus, other.Surplus)
 		s.Shortfall = max(s.Shortfall, other.Shortfall)
 	}
@@ -58,7 +58,7 @@
 	return s
 }
 
-// covers reports whether joining the other state would change nothing.
+// covers reports whether joining other into s would change nothing.
 func (s *MemberState) covers(other *MemberState) bool {
 	if s == other {
 		return true
@@ -82,14 +82,14 @@
 	return c.Increments >= other.Increments && c.Decrements >= other.Decrements
 }
 
-// Join returns the account as of the later log entry, with the higher
-// acknowledgement, which does not go through the log.
+// Join returns the account of the later log entry, with the higher acknowledged
+// heartbeat. Acknowledgements are not part of the log.
 func (a Account) Join(other Account) Account {
 	acked := max(a.AckedHeartbeat, other.AckedHeartbeat)
 	if a.LogIndex < other.LogIndex {
 		a, other = other, a
 	}
-	if a.LogIndex == other.LogIndex { // the same entry, or a fault of its writer
+	if a.LogIndex == other.LogIndex { // differs only if the writer is faulty
 		a.Granted = max(a.Granted, other.Granted)
 		a.Fenced = a.Fenced || other.Fenced
 		a.Reclaimed = a.Reclaimed || other.Reclaimed
@@ -105,9 +105,9 @@
 		maps.Equal(a.SettledTransfers, other.SettledTransfers)
 }
 
-// joinMaps joins two maps key by key. It returns a itself if b adds nothing, and
-// else a copy. The function joins two values and reports whether the result
-// differs from the first.
+// joinMaps joins two maps key by key. It returns a itself if b adds nothing, and a
+// copy otherwise. join returns the join of two values and whether it differs from the
+// first value.
 func joinMaps[K comparable, V any](a, b map[K]V, join func(x, y V) (V, bool)) map[K]V {
 	joined, copied := a, false
 	for key, value := range b {
@@ -125,7 +125,7 @@
 	return joined
 }
 
-// coversMap reports whether each value of b is covered by that of a.
+// coversMap reports whether a has a value that covers it for each value of b.
 func coversMap[K comparable, V any](a, b map[K]V, covers func(x, y V) bool) bool {
 	for key, value := range b {
 		if known, ok := a[key]; !ok || !covers(known, value) {
@@ -147,7 +147,7 @@
 	return joined, joined != x
 }
 
-// cloneMap returns a copy that can be written into, also of a nil map.
+// cloneMap returns a copy of m that can be written to, even if m is nil.
 func cloneMap[K comparable, V any](m map[K]V) map[K]V {
 	if m == nil {
 		return make(map[K]V)
--- a/fleet/quota/leader.go
+++ b/fleet/quota/leader.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// AllocatorLeader decides the allocator's commands. Only the owner of the
-// allocator's lease runs one, made anew each time it acquires the lease, and only
-// while it holds the lease; the commands go under the lease's fencing token.
+// AllocatorLeader decides the allocator's commands. Only the owner of the allocator's
+// lease runs one, and only while it holds the lease. It creates a new one each time it
+// acquires the lease, and proposes the commands with the lease's fencing token.
 //
-// Heartbeats that an earlier leader acknowledged were sent before this one was
-// elected, so it gives each member a whole SessionTimeout from its election.
+// Heartbeats that an earlier leader acknowledged were sent before the election of this
+// one. It therefore waits a complete session timeout after its election before it
+// fences any member.
 type AllocatorLeader struct {
 	timing    Timing
-	capacity  uint64
+	capacity  uint64 // the budget
 	electedAt time.Duration
-	lastSeen  map[ID]seenHeartbeat
+	lastSeen  map[ID]seenHeartbeat // latest heartbeat of each member
 }
 
 type seenHeartbeat struct {
@@ -24,19 +25,19 @@
 	at        time.Duration
 }
 
-// NewAllocatorLeader returns the leader elected at a time.
+// NewAllocatorLeader returns a leader that was elected at the time now.
 func NewAllocatorLeader(capacity uint64, timing Timing, now time.Duration) *AllocatorLeader {
 	return &AllocatorLeader{timing: timing, capacity: capacity, electedAt: now, lastSeen: map[ID]seenHeartbeat{}}
 }
 
-// Tick returns the commands to propose to the log, and the acknowledgements, each
-// to be sent to the member it is of. Commands that are refused or lost are
-// returned again while they are called for.
+// Tick returns the commands to propose to the log, and the acknowledgements, each to
+// be sent to the member with its ID. It returns a rejected or lost command again as
+// long as the command is needed.
 func (l *AllocatorLeader) Tick(now time.Duration, s State, a *Allocator) (commands []Command, acks []Delta) {
-	live, acks := l.acknowledge(now, s, a)
-	commands = l.grants(now, live, s, a)
-	fenced, open := a.fencedAndLive()
-	for _, id := range open {
+	unfenced, acks := l.acknowledge(now, s, a)
+	commands = l.grants(now, unfenced, s, a)
+	fenced, live := a.fencedAndLive()
+	for _, id := range live {
 		seen, ok := l.lastSeen[id]
 		if !ok {
 			seen.at = l.electedAt
@@ -45,60 +46,62 @@
 			commands = append(commands, Command{Kind: Fence, Target: id})
 		}
 	}
-	if reports, complete := collectReports(s, fenced, open); complete {
+	if reports, complete := collectReports(s, fenced, live); complete {
 		commands = append(commands, Command{Kind: Reclaim, Reports: reports})
 	}
 	return commands, acks
 }
 
-// acknowledge notes the heartbeats that are new. It returns the members that are
-// not fenced, in order, and the acknowledgements.
-func (l *AllocatorLeader) acknowledge(now time.Duration, s State, a *Allocator) (live []ID, acks []Delta) {
+// acknowledge records the new heartbeats. It returns the members that are not fenced,
+// with or without an account, sorted by ID, and the acknowledgements.
+func (l *AllocatorLeader) acknowledge(now time.Duration, s State, a *Allocator) (unfenced []ID, acks []Delta) {
 	for _, id := range slices.SortedFunc(maps.Keys(s.Members), compareIDs) {
 		member, known := s.Members[id], a.Accounts[id]
 		if known != nil && known.Fenced {
 			continue
 		}
-		live = append(live, id)
+		unfenced = append(unfenced, id)
 		if seen, ok := l.lastSeen[id]; ok && member.Heartbeat <= seen.heartbeat {
 			continue
 		}
 		l.lastSeen[id] = seenHeartbeat{heartbeat: member.Heartbeat, at: now}
 		account := Account{}
-		if known != nil { // sent with each acknowledgement, as an earlier one may have been lost
+		if known != nil { // sent with each acknowledgement, because an earlier one may have been lost
 			account = *known
 		}
 		account.AckedHeartbeat = member.Heartbeat
 		acks = append(acks, Delta{ID: id, Account: &account})
 	}
-	return live, acks
+	return unfenced, acks
 }
 
-// grants gives free rights first to members without an account, and once there
-// are none of these to those that lack rights. Nothing is granted until the
-// leader has had a heartbeat's time to learn which members there are.
-func (l *AllocatorLeader) grants(now time.Duration, live []ID, s State, a *Allocator) []Command {
+// grants grants free rights to members without an account. If all members have an
+// account, it grants them to the members with a shortfall. It grants nothing during
+// the first heartbeat interval after the election, in which the leader learns the
+// members from their heartbeats.
+func (l *AllocatorLeader) grants(now time.Duration, unfenced []ID, s State, a *Allocator) []Command {
 	if now-l.electedAt < l.timing.HeartbeatInterval {
 		return nil
 	}
-	var newcomers []ID
-	for _, id := range live {
+	var newMembers []ID
+	for _, id := range unfenced {
 		if a.Accounts[id] == nil {
-			newcomers = append(newcomers, id)
+			newMembers = append(newMembers, id)
 		}
 	}
-	if len(newcomers) == 0 {
-		return grantsByShortfall(live, s, a.Free)
+	if len(newMembers) == 0 {
+		return grantsByShortfall(unfenced, s, a.Free)
 	}
-	fairShare := max(1, l.capacity/uint64(len(live)))
-	return initialGrants(newcomers, fairShare, a.Free)
+	fairShare := max(1, l.capacity/uint64(len(unfenced)))
+	return initialGrants(newMembers, fairShare, a.Free)
 }
 
-// initialGrants opens an account for each newcomer, so that others may transfer
-// rights to it, also when none are free.
-func initialGrants(newcomers []ID, fairShare, free uint64) []Command {
+// initialGrants creates an account for each new member, with its fair share or the
+// free rights that remain. An account without rights is useful too: other members may
+// transfer rights to it.
+func initialGrants(newMembers []ID, fairShare, free uint64) []Command {
 	var commands []Command
-	for _, id := range newcomers {
+	for _, id := range newMembers {
 		amount := min(fairShare, free)
 		commands = append(commands, Command{Kind: Grant, Target: id, Amount: amount})
 		free -= amount
@@ -106,28 +109,29 @@
 	return commands
 }
 
-// grantsByShortfall divides the free rights in proportion to what members lack.
-func grantsByShortfall(live []ID, s State, free uint64) []Command {
+// grantsByShortfall divides the free rights in proportion to the members' shortfalls.
+func grantsByShortfall(unfenced []ID, s State, free uint64) []Command {
 	var total uint64
-	for _, id := range live {
+	for _, id := range unfenced {
 		total += s.Members[id].Shortfall
 	}
 	var commands []Command
-	left := free
-	for _, id := range live {
+	remaining := free
+	for _, id := range unfenced {
 		shortfall := s.Members[id].Shortfall
-		if shortfall == 0 || left == 0 {
+		if shortfall == 0 || remaining == 0 {
 			continue
 		}
-		amount := min(left, max(1, free*shortfall/total))
+		amount := min(remaining, max(1, free*shortfall/total))
 		commands = append(commands, Command{Kind: Grant, Target: id, Amount: amount})
-		left -= amount
+		remaining -= amount
 	}
 	return commands
 }
 
-// collectReports returns what live members reported on their transfers with each
-// fenced one, for Reclaim. They are complete once each reported on each.
+// collectReports returns the transfer reports of live members on fenced members, for
+// Reclaim: by the fenced member, then by the reporter. They are complete if there is a
+// fenced member and each live member has reported on each fenced one.
 func collectReports(s State, fenced, live []ID) (reports map[ID]map[ID]TransferReport, complete bool) {
 	reports = map[ID]map[ID]TransferReport{}
 	for _, id := range fenced {
--- a/fleet/quota/leader_test.go
+++ b/fleet/quota/leader_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestSilentMember checks that a member that hears nothing uses its own rights,
-// and stops before its session ends; the leader fences it only afterwards.
-func TestSilentMember(t *testing.T) {
+// TestPartitionedMember_StopsBeforeItIsFenced checks that a member that receives no
+// acknowledgements uses its rights for a while and stops before its session timeout,
+// and that the leader fences it only after the timeout.
+func TestPartitionedMember_StopsBeforeItIsFenced(t *testing.T) {
 	f := newTestFleet(t, 20, "a", "b")
 	leader := NewAllocatorLeader(20, testTiming, f.now)
 	tick := func() (applied []string) {
@@ -25,16 +26,16 @@
 	tick()
 	f.now += testTiming.HeartbeatInterval
 	if got := fmt.Sprint(tick()); got != "[grant a/1 grant b/1]" {
-		t.Fatalf("commands: %s", got)
+		t.Fatalf("commands of the second tick = %s, want a grant to each of a/1 and b/1", got)
 	}
 	if n := f.acquireAll("b"); n != 10 {
-		t.Fatalf("b has %d in use", n)
+		t.Fatalf("b acquired %d units, want 10", n)
 	}
 	for range 10 {
 		f.members["b"].Release()
 	}
-	lastHeard, lastAcquired, fencedAt := f.now, time.Duration(0), time.Duration(0)
-	for fencedAt == 0 && f.now < lastHeard+time.Minute { // b is cut off
+	lastAcked, lastAcquired, fencedAt := f.now, time.Duration(0), time.Duration(0)
+	for fencedAt == 0 && f.now < lastAcked+time.Minute { // b is partitioned
 		f.now += 100 * time.Millisecond
 		f.members["b"].Tick(f.now)
 		if f.members["b"].TryAcquire(f.now) {
@@ -47,8 +48,9 @@
 			}
 		}
 	}
-	if lastAcquired < lastHeard+8*time.Second || lastAcquired+testTiming.MaxHoldTime > lastHeard+testTiming.SessionTimeout ||
-		fencedAt < lastHeard+testTiming.SessionTimeout {
-		t.Errorf("last heard at %v, acquired until %v, fenced at %v", lastHeard, lastAcquired, fencedAt)
+	if lastAcquired < lastAcked+8*time.Second || lastAcquired+testTiming.MaxHoldTime > lastAcked+testTiming.SessionTimeout ||
+		fencedAt < lastAcked+testTiming.SessionTimeout {
+		t.Errorf("last acknowledged at %v, acquired until %v, fenced at %v; want units for 8 s, released before the session timeout of %v, fenced after it",
+			lastAcked, lastAcquired, fencedAt, testTiming.SessionTimeout)
 	}
 }
--- a/fleet/quota/member.go
+++ b/fleet/quota/member.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Member is one incarnation of a member: what it knows, the rights it holds and
-// how many of them are in use. It is not safe for concurrent use.
+// Member is one incarnation of a member: its state, its rights and the number of
+// units in use. It is not safe for concurrent use.
 type Member struct {
 	id     ID
 	timing Timing
 	state  State
 	rng    *rand.Rand
 
-	own         MemberState // its own, as the next heartbeat publishes it
-	unpublished bool        // own has changed since the last heartbeat
+	own         MemberState // this member's state, as the next heartbeat publishes it
+	unpublished bool        // own has changed since the last heartbeat in a way that must be published at once
 	publishedAt time.Duration
 	unacked     []sentHeartbeat // oldest first
-	spendUntil  time.Duration   // no unit is acquired from then on
+	spendUntil  time.Duration   // time from which on no unit is acquired
 
-	inUse     uint64
-	peakInUse uint64  // since the last tick
-	unmet     uint64  // units that were asked for and refused since the last tick
-	demand    float64 // units that the member's user is expected to ask for
+	inUse       uint64
+	peakInUse   uint64  // since the last tick
+	unmetDemand uint64  // units that TryAcquire refused since the last tick
+	demand      float64 // expected number of units that the member's user needs
 
-	rights      int64 // of the last computeRights
-	rightsStale bool
+	rights      int64 // result of the last computeRights
+	rightsStale bool  // rights must be computed again
 
-	senders  map[ID]struct{} // members that have transferred rights to it
-	requests map[ID]uint64   // rights that others have requested since the last tick
-	// surplusPeers are the members that last published a surplus or sent a
-	// transfer, without those that were sent a request since.
+	rightsSenders map[ID]struct{} // members that have transferred rights to this one
+	requests      map[ID]uint64   // rights that others requested since the last tick, by requester
+	// surplusPeers are the members whose last heartbeat had a surplus, or that sent
+	// a transfer. A member is removed when a request is sent to it.
 	surplusPeers idSet
 }
 
-// NewMember returns a member that holds no rights yet. rng draws whom it sends
-// rights and requests to.
+// NewMember returns a member without rights. It uses rng to choose the recipients of
+// transfers and requests.
 func NewMember(id ID, timing Timing, rng *rand.Rand) (*Member, error) {
 	if err := timing.Validate(); err != nil {
 		return nil, err
@@ -43,22 +43,22 @@
 	return &Member{
 		id: id, timing: timing, state: NewState(), rng: rng,
 		unpublished: true, rightsStale: true,
-		senders: map[ID]struct{}{}, requests: map[ID]uint64{}, surplusPeers: newIDSet(),
+		rightsSenders: map[ID]struct{}{}, requests: map[ID]uint64{}, surplusPeers: newIDSet(),
 	}, nil
 }
 
-// State returns what the member knows; it must not be changed.
+// State returns the member's knowledge of the fleet. The caller must not modify it.
 func (m *Member) State() State { return m.state }
 
-// Fenced reports whether the fleet has declared this incarnation gone: the
-// process must go on as a new one.
+// Fenced reports whether the allocator has fenced this incarnation. The process must
+// then continue as a new incarnation.
 func (m *Member) Fenced() bool {
 	account := m.state.Accounts[m.id]
 	return account != nil && account.Fenced
 }
 
-// Rights returns the rights that the member holds by its own knowledge, which may
-// lack some that others sent it.
+// Rights returns the number of rights that the member holds according to its own
+// state. Transfers that have not arrived yet are missing from it.
 func (m *Member) Rights() uint64 {
 	if m.rightsStale {
 		m.rightsStale = false
@@ -67,8 +67,8 @@
 	return uint64(max(m.rights, 0))
 }
 
-// computeRights sums up what the allocator granted, the transfers with reclaimed
-// members as the allocator settled them, and the transfers with all others.
+// computeRights returns the sum of the granted rights, the settled transfers with
+// reclaimed members and the net transfers with all other members.
 func (m *Member) computeRights() int64 {
 	account := m.state.Accounts[m.id]
 	if account == nil || account.Fenced {
@@ -83,7 +83,7 @@
 			rights -= int64(sent)
 		}
 	}
-	for sender := range m.senders {
+	for sender := range m.rightsSenders {
 		if _, settled := account.SettledTransfers[sender]; !settled {
 			rights += int64(m.receivedFrom(sender))
 		}
@@ -91,8 +91,8 @@
 	return rights
 }
 
-// receivedFrom returns the rights that count as received from a member: once it
-// is fenced, those of the transfer report and no more.
+// receivedFrom returns the rights that count as received from a sender. For a fenced
+// sender these are only those of the transfer report.
 func (m *Member) receivedFrom(sender ID) uint64 {
 	if report, reported := m.own.TransferReports[sender]; reported {
 		return report.Received
@@ -103,11 +103,11 @@
 	return m.state.Members[sender].Transferred[m.id]
 }
 
-// TryAcquire takes one unit into use, if the member may use another one. The unit
-// must be released within Timing.MaxHoldTime.
+// TryAcquire acquires one unit and returns true, or returns false if all available
+// units are in use. The caller must release the unit within Timing.MaxHoldTime.
 func (m *Member) TryAcquire(now time.Duration) bool {
 	if m.inUse >= m.Available(now) {
-		m.unmet++
+		m.unmetDemand++
 		return false
 	}
 	m.inUse++
@@ -115,14 +115,14 @@
 	return true
 }
 
-// Release returns one unit that TryAcquire took.
+// Release releases one unit that TryAcquire acquired.
 func (m *Member) Release() { m.inUse-- }
 
 // InUse returns the number of units in use.
 func (m *Member) InUse() uint64 { return m.inUse }
 
-// Available returns how many units the member may have in use, those in use
-// included: its rights, or none if its last acknowledged heartbeat is too old.
+// Available returns how many units the member may have in use, including those in
+// use now: its rights, or 0 if its last acknowledged heartbeat is too old.
 func (m *Member) Available(now time.Duration) uint64 {
 	if now >= m.spendUntil {
 		return 0
@@ -130,15 +130,15 @@
 	return m.Rights()
 }
 
-// ReportDemand states how many units the user would have in use if there were no
-// bound. It is for a user that keeps to Available, so that TryAcquire never
-// refuses it.
+// ReportDemand reports how many units the caller would have in use without a limit. A
+// caller that limits itself to Available needs it, because TryAcquire never refuses a
+// unit to it and so sees no unmet demand.
 func (m *Member) ReportDemand(units uint64) {
-	m.unmet = max(m.unmet, units-min(units, m.inUse))
+	m.unmetDemand = max(m.unmetDemand, units-min(units, m.inUse))
 }
 
-// AddToCounter adds to a counter of the whole fleet; the next heartbeat publishes
-// it.
+// AddToCounter adds to a counter of the whole fleet. The next heartbeat publishes the
+// change.
 func (m *Member) AddToCounter(name string, increments, decrements uint64) {
 	counter := m.own.Counters[name]
 	m.own.Counters = cloneMap(m.own.Counters)
@@ -146,7 +146,7 @@
 	m.storeOwnState()
 }
 
-// storeOwnState copies the member's own state into what it knows.
+// storeOwnState copies the member's own state into its State.
 func (m *Member) storeOwnState() {
 	own := m.own
 	m.state.Members[m.id] = &own
--- a/fleet/quota/member_bench_test.go
+++ b/fleet/quota/member_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkAcquireRelease is what a call costs its member.
+// BenchmarkAcquireRelease measures TryAcquire and Release, which each call needs.
 func BenchmarkAcquireRelease(b *testing.B) {
 	m := benchmarkMember(b)
 	for b.Loop() {
@@ -16,8 +16,7 @@
 	}
 }
 
-// BenchmarkMerge is what a heartbeat that has arrived before costs in a fleet of
-// 300.
+// BenchmarkMerge measures Merge of a known heartbeat in a fleet of 300 members.
 func BenchmarkMerge(b *testing.B) {
 	m := benchmarkMember(b)
 	var heartbeats []Delta
--- a/fleet/quota/merge.go
+++ b/fleet/quota/merge.go
@@ -1,9 +1,9 @@
 package quota
 
-// Merge takes in a delta, from any member. It returns the part of it to forward
-// to others, and whether there is any: heartbeats that are new, and accounts that
-// are fenced. Transfers matter to their two members only, and the account of a
-// live member is sent to it by the allocator's leader.
+// Merge joins a delta from any member into the state. It returns the part of the
+// delta to forward to other members, and whether there is any: new heartbeats and
+// fenced accounts. Transfers concern their sender and recipient only, and the
+// allocator's leader sends the account of a live member to that member.
 func (m *Member) Merge(d Delta) (forward Delta, ok bool) {
 	if d.ID == m.id {
 		d.MemberState = nil // only this member writes its own state
@@ -12,29 +12,30 @@
 	if m.knows(d, before) { // most deltas have arrived before
 		return Delta{ID: d.ID}, false
 	}
-	news, changed := m.state.Join(d)
+	added, changed := m.state.Join(d)
 	if !changed {
-		return news, false
+		return added, false
 	}
-	if news.Account != nil || news.MemberState != nil && before.transferredTo(m.id) != news.MemberState.transferredTo(m.id) {
+	if added.Account != nil || added.MemberState != nil && before.transferredTo(m.id) != added.MemberState.transferredTo(m.id) {
 		m.rightsStale = true
 	}
 	if d.ID == m.id {
-		m.ackHeartbeat(news.Account.AckedHeartbeat)
+		m.ackHeartbeat(added.Account.AckedHeartbeat)
 	} else {
-		m.observePeer(news, before)
+		m.observePeer(added, before)
 	}
-	if news.Account != nil && !news.Account.Fenced {
-		news.Account = nil
+	if added.Account != nil && !added.Account.Fenced {
+		added.Account = nil
 	}
-	if news.MemberState != nil {
-		news.MemberState = forwardable(d.MemberState, before)
+	if added.MemberState != nil {
+		added.MemberState = forwardable(d.MemberState, before)
 	}
-	return news, news.MemberState != nil || news.Account != nil
+	return added, added.MemberState != nil || added.Account != nil
 }
 
-// knows reports cheaply whether a delta is known, of a member whose known state is
-// given and may be nil; it may miss one that is.
+// knows reports whether a delta contains nothing new, given the known state of its
+// member, which may be nil. It is a cheap check that may return false for a known
+// delta.
 func (m *Member) knows(d Delta, known *MemberState) bool {
 	if d.MemberState != nil && (known == nil || !known.covers(d.MemberState)) {
 		return false
@@ -42,32 +43,33 @@
 	return d.Account == nil || d.Account == m.state.Accounts[d.ID]
 }
 
-// observePeer notes another member's surplus and transfers, and reports the
-// transfers with it once it is fenced. Its state before the delta may be nil.
-func (m *Member) observePeer(news Delta, before *MemberState) {
-	id, account := news.ID, m.state.Accounts[news.ID]
+// observePeer records another member's surplus and transfers, and publishes a
+// transfer report on the member once it is fenced. before is the member's state
+// before the delta and may be nil.
+func (m *Member) observePeer(added Delta, before *MemberState) {
+	id, account := added.ID, m.state.Accounts[added.ID]
 	fenced := account != nil && account.Fenced
 	member := m.state.Members[id]
 	if member.newerThan(before) {
 		m.surplusPeers.set(id, member.Surplus > 0 && !fenced)
 	}
 	if member.transferredTo(m.id) > before.transferredTo(m.id) {
-		m.senders[id] = struct{}{}
+		m.rightsSenders[id] = struct{}{}
 		m.surplusPeers.set(id, true)
 	}
-	if fenced && news.Account != nil {
+	if fenced && added.Account != nil {
 		m.reportTransfers(id)
 	}
 }
 
-// forwardable returns the part of a new member state that others need, nil if its
-// heartbeat is known.
+// forwardable returns the part of a member state update that other members need,
+// nil if its heartbeat is already known.
 func forwardable(update, before *MemberState) *MemberState {
 	if update.Heartbeat == 0 || before != nil && before.Heartbeat >= update.Heartbeat {
 		return nil
 	}
 	if update.Transferred == nil {
-		return update // not copied, so that all who keep it share one
+		return update // not copied, so that all states share one value
 	}
 	published := *update
 	published.Transferred = nil
--- a/fleet/quota/simulation/fleet.go
+++ b/fleet/quota/simulation/fleet.go
@@ -12,50 +12,51 @@
 	"quincerail.example/quincerail/fleet/quota"
 )
 
-// noNode is the index of no node.
+// noNode is the node index that stands for no node.
 const noNode = -1
 
-// Fleet is a fleet at work.
+// Fleet is a simulated fleet.
 type Fleet struct {
 	config       Config
 	rng          *rand.Rand
 	now          time.Duration
 	round        int
 	nodes        []*node
-	incarnations int // started so far, of all members
+	incarnations int // number of incarnations of all members started so far
 	allocator    *quota.Allocator
 	logIndex     uint64
 	leader       *quota.AllocatorLeader
-	leaderNode   int               // noNode for none
-	delayed      map[int][]message // by the round in which they arrive
+	leaderNode   int               // index of the node that runs leader, noNode for none
+	delayed      map[int][]message // by arrival round
 	stateSizes   map[*quota.MemberState]int
 	accountSizes map[*quota.Account]int
 	maxOvershoot int64
 }
 
-// node is the place of one member.
+// node runs one member; its index in Fleet.nodes stays the same for all incarnations.
 type node struct {
 	member          *quota.Member
 	id              quota.ID
 	partition       int
 	paused          bool
 	pausedLastRound bool
-	dead            bool
+	killed          bool
 	clockRate       float64
 	clockOffset     time.Duration
 	demand          uint64
-	inUse           uint64 // at the dependency, whatever the member itself knows
+	inUse           uint64 // at the dependency, which may differ from the member's own count
 	queue           []*queuedDelta
-	queued          map[quota.ID]*queuedDelta // those in queue
-	repeatOrder     []quota.ID                // whose deltas fill the rest of its messages, in turn
-	repeatNext      int                       // index in repeatOrder
+	queued          map[quota.ID]*queuedDelta // the deltas of queue by member
+	repeatOrder     []quota.ID                // order in which known deltas fill the rest of its messages
+	nextRepeat      int                       // index in repeatOrder
 	sentBytes       int
 }
 
-// running reports whether the node runs: it is neither dead nor paused.
-func (n *node) running() bool { return !n.dead && !n.paused }
+// running reports whether the node is neither killed nor paused.
+func (n *node) running() bool { return !n.killed && !n.paused }
 
-// New makes a fleet whose members know nothing but each other's names.
+// New returns a fleet whose members have empty states. They know only each other's
+// names.
 func New(c Config) (*Fleet, error) {
 	f := &Fleet{
 		config: c, rng: rand.New(rand.NewPCG(c.Seed, 17)), allocator: quota.NewAllocator(c.Capacity),
@@ -74,7 +75,7 @@
 	return f, nil
 }
 
-// start begins a new incarnation of a member.
+// start starts a new incarnation of a member.
 func (f *Fleet) start(i int) error {
 	f.incarnations++
 	incarnation := uint64(f.incarnations)
@@ -84,13 +85,13 @@
 	if err != nil {
 		return err
 	}
-	n.member, n.dead, n.paused = member, false, false
+	n.member, n.killed, n.paused = member, false, false
 	n.queue, n.queued = nil, map[quota.ID]*queuedDelta{}
-	n.repeatOrder, n.repeatNext = nil, 0
+	n.repeatOrder, n.nextRepeat = nil, 0
 	return nil
 }
 
-// Step plays one round.
+// Step runs one round.
 func (f *Fleet) Step() {
 	f.round++
 	f.now += f.config.RoundInterval
@@ -113,13 +114,13 @@
 	}
 }
 
-// tick has a member send its messages; one that was fenced goes on as a new
+// tick ticks a member and sends its messages. A fenced member first starts as a new
 // incarnation.
 func (f *Fleet) tick(i int, n *node) {
 	if n.member.Fenced() {
 		n.inUse = 0
 		if err := f.start(i); err != nil {
-			panic(err) // the timing was valid before
+			panic(err) // the timing was valid for the first incarnation
 		}
 	}
 	messages := n.member.Tick(f.clock(n))
@@ -138,9 +139,9 @@
 	}
 }
 
-// ElectLeader runs the allocator's leader on a member from now on. In a fleet the
-// log makes sure that there is only one, which hears a majority: ElectLeader
-// refuses a member that does not, and leaves the allocator without a leader.
+// ElectLeader runs the allocator's leader on a member from now on. In a real fleet the
+// replicated log ensures that there is only one leader, which is connected to a majority.
+// If the member is not, ElectLeader returns false and the allocator has no leader.
 func (f *Fleet) ElectLeader(i int) bool {
 	candidate := f.nodes[i]
 	connected := 0
@@ -155,13 +156,13 @@
 	}
 	f.leaderNode = i
 	f.leader = quota.NewAllocatorLeader(f.config.Capacity, f.config.Timing, f.clock(candidate))
-	for _, id := range slices.SortedFunc(maps.Keys(f.allocator.Accounts), byIncarnation) { // which it has from the log
+	for _, id := range slices.SortedFunc(maps.Keys(f.allocator.Accounts), compareIncarnations) { // known from the log
 		f.merge(candidate, quota.Delta{ID: id, Account: f.allocator.Accounts[id]})
 	}
 	return true
 }
 
-// tickLeader ticks the allocator's leader, and applies its commands at once.
+// tickLeader ticks the allocator's leader and applies its commands immediately.
 func (f *Fleet) tickLeader(n *node) {
 	commands, acks := f.leader.Tick(f.clock(n), n.member.State(), f.allocator)
 	for _, ack := range acks {
@@ -172,7 +173,7 @@
 		f.logIndex++
 		changed, err := f.allocator.Apply(command, f.logIndex)
 		if err != nil {
-			continue // it is proposed again while it is called for
+			continue // the leader proposes it again if it is still needed
 		}
 		for _, delta := range changed {
 			f.merge(n, delta)
@@ -183,19 +184,19 @@
 	}
 }
 
-// merge has a member take in a delta, and queue for others what was new.
+// merge merges a delta into a member and queues the part to forward.
 func (f *Fleet) merge(n *node, d quota.Delta) {
 	if forward, ok := n.member.Merge(d); ok {
 		f.enqueue(n, forward)
 	}
 }
 
-// clock returns the time by the node's own clock.
+// clock returns the time of the node's own clock.
 func (f *Fleet) clock(n *node) time.Duration {
 	return n.clockOffset + time.Duration(float64(f.now)*n.clockRate)
 }
 
-// indexOf returns the node that runs an incarnation, noNode if none does any more.
+// indexOf returns the index of the node that runs an incarnation, noNode if none does.
 func (f *Fleet) indexOf(id quota.ID) int {
 	var i int
 	if _, err := fmt.Sscanf(id.Member, "n%d", &i); err != nil || f.nodes[i].id != id {
@@ -204,6 +205,6 @@
 	return i
 }
 
-// byIncarnation orders IDs, so that a seed gives one order: an incarnation is that
-// of one member only.
-func byIncarnation(a, b quota.ID) int { return cmp.Compare(a.Incarnation, b.Incarnation) }
+// compareIncarnations orders IDs, so that a seed determines the order. Incarnation
+// numbers are unique in a Fleet.
+func compareIncarnations(a, b quota.ID) int { return cmp.Compare(a.Incarnation, b.Incarnation) }
--- a/fleet/quota/simulation/gossip.go
+++ b/fleet/quota/simulation/gossip.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// maxRepeatedDeltas is how many known deltas a message repeats, at most.
+	// maxRepeatedDeltas is the maximum number of known deltas that a message repeats.
 	maxRepeatedDeltas = 32
-	// repeatedFraction is the part of a message that is kept for known deltas: one
-	// in so many bytes.
-	repeatedFraction = 4
-	// retransmitMultiplier times the decimal logarithm of the fleet's size is how
-	// often a delta is sent.
+	// repeatedDivisor defines the part of a message that is reserved for known deltas:
+	// 1/repeatedDivisor of its bytes.
+	repeatedDivisor = 4
+	// retransmitMultiplier times the decimal logarithm of the fleet's size is the
+	// number of times that a delta is sent.
 	retransmitMultiplier = 3
 )
 
-// queuedDelta is a delta that is still to be sent a number of times.
+// queuedDelta is a delta that still has to be sent sendsLeft times.
 type queuedDelta struct {
 	delta     quota.Delta
 	size      int
 	sendsLeft int
 }
 
-// enqueue queues a delta, in place of an older one of the same member.
+// enqueue queues a delta. It replaces the queued delta of the same member, if any, and
+// keeps the older part where the new delta has none.
 func (f *Fleet) enqueue(n *node, d quota.Delta) {
 	sends := int(math.Ceil(retransmitMultiplier * math.Log10(float64(len(f.nodes)+1))))
 	sends = max(sends/f.config.Fanout*f.config.Fanout, f.config.Fanout)
@@ -43,7 +44,7 @@
 	*older = queuedDelta{delta: d, size: f.size(d), sendsLeft: sends}
 }
 
-// gossip sends one message of new and known deltas to a random member.
+// gossip sends a message with new and known deltas to a random member.
 func (f *Fleet) gossip(from int, n *node) {
 	to := f.rng.IntN(len(f.nodes))
 	if to == from {
@@ -57,12 +58,12 @@
 	f.transmit(message{to: to, partition: n.partition, deltas: deltas})
 }
 
-// takeQueued takes from the queue what fits into a message, one delta at least,
-// and returns how many bytes are left. What is to be sent again goes to the
-// queue's end.
+// takeQueued takes as many deltas from the queue as fit into a message, at least one,
+// and returns the remaining bytes. Deltas that must be sent again move to the end of
+// the queue.
 func (f *Fleet) takeQueued(n *node) (deltas []quota.Delta, room int) {
 	room = f.config.MaxMessageBytes
-	reserved := f.config.MaxMessageBytes / repeatedFraction
+	reserved := f.config.MaxMessageBytes / repeatedDivisor
 	for _, q := range n.queue {
 		if len(deltas) > 0 && q.size > room-reserved {
 			break
@@ -83,18 +84,18 @@
 	return deltas, room
 }
 
-// appendRepeated fills a message with what the member knows, in turn, so that
-// what was lost, or missed in a partition, still arrives.
+// appendRepeated fills a message with deltas that the member knows, in rotation, so
+// that state that was lost, or missed in a partition, still arrives.
 func (f *Fleet) appendRepeated(n *node, deltas []quota.Delta, room int) []quota.Delta {
 	s := n.member.State()
 	for range maxRepeatedDeltas {
-		if n.repeatNext >= len(n.repeatOrder) {
+		if n.nextRepeat >= len(n.repeatOrder) {
 			f.drawRepeatOrder(n)
 			if len(n.repeatOrder) == 0 {
 				break
 			}
 		}
-		id := n.repeatOrder[n.repeatNext]
+		id := n.repeatOrder[n.nextRepeat]
 		d := quota.Delta{ID: id, MemberState: s.Members[id], Account: s.Accounts[id]}
 		size := f.size(d)
 		if size > room && len(deltas) > 0 {
@@ -102,12 +103,12 @@
 		}
 		room -= size
 		deltas = append(deltas, d)
-		n.repeatNext++
+		n.nextRepeat++
 	}
 	return deltas
 }
 
-// drawRepeatOrder draws a new order of all IDs that the member knows.
+// drawRepeatOrder draws a new random order of all IDs that the member knows.
 func (f *Fleet) drawRepeatOrder(n *node) {
 	s := n.member.State()
 	ids := n.repeatOrder[:0]
@@ -119,7 +120,7 @@
 			ids = append(ids, id)
 		}
 	}
-	slices.SortFunc(ids, byIncarnation)
+	slices.SortFunc(ids, compareIncarnations)
 	f.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	n.repeatOrder, n.repeatNext = ids, 0
+	n.repeatOrder, n.nextRepeat = ids, 0
 }
--- a/fleet/quota/simulation/measure.go
+++ b/fleet/quota/simulation/measure.go
@@ -2,13 +2,13 @@
 
 import "quincerail.example/quincerail/fleet/quota"
 
-// Overshoot returns the most that all had in use beyond the budget so far; below
-// zero if the budget was never used up.
+// Overshoot returns the maximum, over all rounds so far, of the units in use minus the
+// budget. It is negative if the budget was never used completely.
 func (f *Fleet) Overshoot() int64 { return f.maxOvershoot }
 
-// Served returns what all running members have in use now, and what they demand,
-// at most the budget.
-func (f *Fleet) Served() (inUse, demand uint64) {
+// Utilization returns the units that all running members have in use now, and their
+// demand, limited to the budget.
+func (f *Fleet) Utilization() (inUse, demand uint64) {
 	for _, n := range f.nodes {
 		if n.running() {
 			inUse += n.inUse
@@ -18,7 +18,7 @@
 	return inUse, min(demand, f.config.Capacity)
 }
 
-// MeanSentBytes returns what each member has sent so far, on average.
+// MeanSentBytes returns the number of bytes sent so far, averaged over the members.
 func (f *Fleet) MeanSentBytes() float64 {
 	sum := 0
 	for _, n := range f.nodes {
@@ -27,8 +27,8 @@
 	return float64(sum) / float64(len(f.nodes))
 }
 
-// LatestHeartbeats returns the latest heartbeat of each incarnation that any
-// running member knows, for Converged.
+// LatestHeartbeats returns, for each incarnation, the latest heartbeat that any running
+// member knows. It is the argument of Converged.
 func (f *Fleet) LatestHeartbeats() map[quota.ID]uint64 {
 	latest := map[quota.ID]uint64{}
 	for _, n := range f.nodes {
@@ -42,8 +42,7 @@
 	return latest
 }
 
-// Converged reports whether all running members know these heartbeats, or later
-// ones.
+// Converged reports whether all running members know these heartbeats or later ones.
 func (f *Fleet) Converged(heartbeats map[quota.ID]uint64) bool {
 	for _, n := range f.nodes {
 		if !n.running() {
@@ -59,11 +58,11 @@
 	return true
 }
 
-// Rights returns the sum of what all members that are not dead hold by their own
-// knowledge, and what the allocator has free.
+// Rights returns the sum of the rights that the members that are not killed hold
+// according to their own states, and the allocator's free rights.
 func (f *Fleet) Rights() (held, free uint64) {
 	for _, n := range f.nodes {
-		if !n.dead {
+		if !n.killed {
 			held += n.member.Rights()
 		}
 	}
--- a/fleet/quota/simulation/network.go
+++ b/fleet/quota/simulation/network.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// maxDelayRounds is how late a delayed message arrives, at most.
+	// maxDelayRounds is the maximum delay of a message, in rounds.
 	maxDelayRounds = 20
-	// maxCachedSizes is how many sizes are remembered, as they keep what they are
-	// of from being collected.
+	// maxCachedSizes bounds each cache of encoded sizes, whose keys keep their values
+	// from being garbage collected.
 	maxCachedSizes = 1 << 15
-	// requestBytes is about what a transfer request takes on the wire.
+	// requestBytes is the approximate encoded size of a transfer request.
 	requestBytes = 64
-	// deltaOverheadBytes is about what a delta takes beside its member's name and
-	// its parts.
+	// deltaOverheadBytes is the approximate encoded size of a delta without its
+	// member's name and its parts.
 	deltaOverheadBytes = 8
 )
 
-// message is a message on its way.
+// message is a message in transit.
 type message struct {
-	to        int
-	partition int // of the sender when it sent it
+	to        int // index of the receiving node
+	partition int // partition of the sender at the time of sending
 	deltas    []quota.Delta
 	request   *quota.TransferRequest
 }
 
-// sendDelta sends a delta to one node alone.
+// sendDelta sends a delta to one node. It does nothing for noNode and the sender itself.
 func (f *Fleet) sendDelta(n *node, to int, d quota.Delta) {
 	if to == noNode || f.nodes[to] == n {
 		return
@@ -36,8 +36,8 @@
 	f.transmit(message{to: to, partition: n.partition, deltas: []quota.Delta{d}})
 }
 
-// sendRequest sends a transfer request to the members that it names, and to
-// others that are drawn.
+// sendRequest sends a transfer request to the members of messages.RequestTo, and to
+// random members up to quota.RequestFanout.
 func (f *Fleet) sendRequest(from int, n *node, messages quota.Messages) {
 	for k := range quota.RequestFanout {
 		to := f.rng.IntN(len(f.nodes))
@@ -52,7 +52,7 @@
 	}
 }
 
-// transmit delivers a message, or loses, duplicates or delays it.
+// transmit delivers, loses, duplicates or delays a message at random.
 func (f *Fleet) transmit(m message) {
 	switch p := f.rng.Float64(); {
 	case p < f.config.LossRate:
@@ -91,12 +91,12 @@
 	}
 }
 
-// size returns a delta's length on the wire.
+// size returns the approximate encoded size of a delta, in bytes.
 func (f *Fleet) size(d quota.Delta) int {
 	return deltaOverheadBytes + len(d.ID.Member) + sizeOf(f.stateSizes, d.MemberState) + sizeOf(f.accountSizes, d.Account)
 }
 
-// sizeOf returns the length of a part of a delta, 0 for nil.
+// sizeOf returns the encoded size of a part of a delta, in bytes; 0 for nil.
 func sizeOf[T any](cached map[*T]int, part *T) int {
 	if part == nil {
 		return 0
@@ -106,7 +106,7 @@
 	}
 	encoded, err := cbor.Marshal(part)
 	if err != nil {
-		panic(err) // plain records can be encoded
+		panic(err) // the types have no values that can't be encoded
 	}
 	if len(cached) >= maxCachedSizes {
 		clear(cached)
--- a/fleet/quota/simulation/simulation_test.go
+++ b/fleet/quota/simulation/simulation_test.go
@@ -17,7 +17,8 @@
 	}
 }
 
-func steps(f *Fleet, rounds int) {
+// runRounds runs a number of rounds.
+func runRounds(f *Fleet, rounds int) {
 	for range rounds {
 		f.Step()
 	}
@@ -25,16 +26,16 @@
 
 const historyMembers = 30
 
-// randomHistory plays a random history: partitions into groups that change,
-// members isolated, paused, killed and restarted, the allocator's leader moving.
-// Then all heals.
-func randomHistory(t *testing.T, seed uint64) *Fleet {
+// runRandomHistory runs a fleet with changing partitions, members that are paused,
+// killed and restarted, and changes of the allocator's leader. At the end it heals all
+// faults and runs the fleet for more than two session timeouts.
+func runRandomHistory(t *testing.T, seed uint64) *Fleet {
 	t.Helper()
 	f, err := New(testConfig(historyMembers, seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	steps(f, 100)
+	runRounds(f, 100)
 	for range 12 {
 		groups := 1 + f.rng.IntN(3)
 		f.Partition(func(int) int { return f.rng.IntN(groups) })
@@ -46,15 +47,16 @@
 				break
 			}
 		}
-		steps(f, 20+f.rng.IntN(150))
+		runRounds(f, 20+f.rng.IntN(150))
 	}
 	heal(t, f)
 	f.config.ReshuffleRounds = 0
 	f.ElectLeader(0)
-	steps(f, 400) // more than two session timeouts
+	runRounds(f, 400) // more than two session timeouts
 	return f
 }
 
+// randomFault pauses, resumes, kills or restarts a random member.
 func randomFault(t *testing.T, f *Fleet) {
 	t.Helper()
 	switch i := f.rng.IntN(historyMembers); f.rng.IntN(4) {
@@ -65,18 +67,19 @@
 	case 2:
 		f.Kill(i)
 	case 3:
-		if f.nodes[i].dead {
+		if f.nodes[i].killed {
 			restart(t, f, i)
 		}
 	}
 }
 
+// heal ends the partition, resumes paused members and restarts killed ones.
 func heal(t *testing.T, f *Fleet) {
 	t.Helper()
 	f.Partition(func(int) int { return 0 })
 	for i, n := range f.nodes {
 		f.Pause(i, false)
-		if n.dead {
+		if n.killed {
 			restart(t, f, i)
 		}
 	}
@@ -89,37 +92,39 @@
 	}
 }
 
-// TestHistories checks that the budget holds in each round of random histories
-// (seeded), and that all rights are accounted for and in use after healing.
-func TestHistories(t *testing.T) {
+// TestRandomHistories_KeepBudget checks for several seeds that no round of a random
+// history exceeds the budget, and that after all faults have healed no rights are lost
+// and the demand is served.
+func TestRandomHistories_KeepBudget(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			f := randomHistory(t, seed)
+			f := runRandomHistory(t, seed)
 			if f.Overshoot() > 0 {
-				t.Errorf("%d in use beyond the budget", f.Overshoot())
+				t.Errorf("Overshoot() = %d, want at most 0", f.Overshoot())
 			}
 			held, free := f.Rights()
 			if sum := held + free; sum > f.config.Capacity || sum < f.config.Capacity*95/100 {
-				t.Errorf("%d rights held and %d free of %d", held, free, f.config.Capacity)
+				t.Errorf("Rights() = %d held, %d free, want a sum of 95%% to 100%% of %d", held, free, f.config.Capacity)
 			}
-			if inUse, demand := f.Served(); float64(inUse) < 0.9*float64(demand) {
-				t.Errorf("%d of %d served", inUse, demand)
+			if inUse, demand := f.Utilization(); float64(inUse) < 0.9*float64(demand) {
+				t.Errorf("Utilization() = %d in use, %d demanded, want at least 90%% in use", inUse, demand)
 			}
 		})
 	}
 }
 
-// TestConverges heals a fleet that was partitioned into halves: all know what any
-// knew within 40 rounds, and the budget is used again.
-func TestConverges(t *testing.T) {
+// TestPartition_ConvergesAfterHealing heals a fleet that was partitioned into halves.
+// Within 40 rounds all members must know the latest heartbeats, and the budget must be
+// used again.
+func TestPartition_ConvergesAfterHealing(t *testing.T) {
 	f, err := New(testConfig(100, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	steps(f, 150)
+	runRounds(f, 150)
 	f.Partition(func(i int) int { return i % 2 })
-	steps(f, 50)
+	runRounds(f, 50)
 	f.Partition(func(int) int { return 0 })
 	heartbeats, rounds := f.LatestHeartbeats(), 0
 	for !f.Converged(heartbeats) && rounds < 200 {
@@ -127,34 +132,35 @@
 		rounds++
 	}
 	if rounds > 40 {
-		t.Errorf("all know after %d rounds", rounds)
+		t.Errorf("the fleet converged after %d rounds, want at most 40", rounds)
 	}
-	steps(f, 49)
-	if inUse, demand := f.Served(); f.Overshoot() > 0 || float64(inUse) < 0.9*float64(demand) {
-		t.Errorf("overshoot %d, %d of %d served", f.Overshoot(), inUse, demand)
+	runRounds(f, 49)
+	if inUse, demand := f.Utilization(); f.Overshoot() > 0 || float64(inUse) < 0.9*float64(demand) {
+		t.Errorf("Overshoot() = %d, %d of %d units demanded are in use; want no overshoot and at least 90%% in use", f.Overshoot(), inUse, demand)
 	}
 }
 
-// TestSameSeed checks that a seed gives one history, with members that die and an
-// allocator's leader that moves.
-func TestSameSeed(t *testing.T) {
-	play := func() *Fleet {
+// TestSameSeed_GivesSameHistory checks that two runs with one seed send the same bytes
+// and heartbeats, with killed members and changes of the allocator's leader.
+func TestSameSeed_GivesSameHistory(t *testing.T) {
+	run := func() *Fleet {
 		f, err := New(testConfig(10, 1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		steps(f, 50)
+		runRounds(f, 50)
 		f.Kill(3)
 		f.Kill(7)
 		f.ElectLeader(1)
-		steps(f, 300) // the dead are fenced, and their rights reclaimed
+		runRounds(f, 300) // the killed members are fenced, and their rights reclaimed
 		restart(t, f, 3)
 		f.ElectLeader(2)
-		steps(f, 50)
+		runRounds(f, 50)
 		return f
 	}
-	a, b := play(), play()
+	a, b := run(), run()
 	if a.MeanSentBytes() != b.MeanSentBytes() || !maps.Equal(a.LatestHeartbeats(), b.LatestHeartbeats()) {
-		t.Errorf("sent %.1f bytes, then %.1f", a.MeanSentBytes(), b.MeanSentBytes())
+		t.Errorf("two runs with one seed differ: %.1f and %.1f bytes sent per member, heartbeats %v and %v",
+			a.MeanSentBytes(), b.MeanSentBytes(), a.LatestHeartbeats(), b.LatestHeartbeats())
 	}
 }
--- a/fleet/quota/simulation/workload.go
+++ b/fleet/quota/simulation/workload.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// drawDemands draws which member demands how much.
+// drawDemands distributes the total demand over the members in random order. Demands
+// follow a power law with the exponent Config.Skew.
 func (f *Fleet) drawDemands() {
 	weights, sum := make([]float64, len(f.nodes)), 0.0
 	for i := range weights {
@@ -15,8 +16,8 @@
 	}
 }
 
-// runWorkload has each member release what it has in use and acquire as much as
-// it demands, and notes by how much all exceed the budget.
+// runWorkload releases all units of each member, acquires as many as the member
+// demands, and records by how much the total use exceeds the budget.
 func (f *Fleet) runWorkload() {
 	var inUse uint64
 	for _, n := range f.nodes {
@@ -26,11 +27,12 @@
 	f.maxOvershoot = max(f.maxOvershoot, int64(inUse)-int64(f.config.Capacity))
 }
 
+// runDemand releases the units of one member and acquires as many as it demands.
 func (f *Fleet) runDemand(n *node) {
 	justPaused := n.paused && !n.pausedLastRound
 	n.pausedLastRound = n.paused
 	if justPaused {
-		return // what it has in use goes on for its time
+		return // its units stay in use until the end of their hold time
 	}
 	n.inUse = 0
 	if !n.running() {
--- a/fleet/quota/state_test.go
+++ b/fleet/quota/state_test.go
@@ -8,7 +8,7 @@
 	"quincerail.example/quincerail/internal/randomsteps"
 )
 
-// encode returns a state in a form that compares.
+// encode returns a state as JSON, to compare it.
 func encode(t *testing.T, s State) string {
 	t.Helper()
 	b, err := json.Marshal(s)
@@ -18,8 +18,7 @@
 	return string(b)
 }
 
-// randomState returns a state of a few members and accounts with arbitrary
-// fields.
+// randomState returns a state with a few members and accounts with arbitrary fields.
 func randomState(s *randomsteps.Source) State {
 	state := NewState()
 	ids := []ID{{Member: "a", Incarnation: 1}, {Member: "a", Incarnation: 2}, {Member: "b", Incarnation: 1}, {Member: "c", Incarnation: 1}}
@@ -46,7 +45,7 @@
 	return state
 }
 
-// joinAll joins states, and leaves them as they are.
+// joinAll returns the join of states and doesn't modify them.
 func joinAll(states ...State) State {
 	joined := NewState()
 	for _, s := range states {
@@ -60,36 +59,36 @@
 	return joined
 }
 
-// FuzzJoin checks that Join is commutative, associative and idempotent on
-// arbitrary states, and that it reports as new what was new.
+// FuzzJoin checks on arbitrary states that Join is commutative, associative and
+// idempotent, doesn't modify its argument, and reports no change for known entries.
 func FuzzJoin(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		a, b, c := randomState(s), randomState(s), randomState(s)
 		before := encode(t, a)
 		ab, ba := joinAll(a, b), joinAll(b, a)
 		if encode(t, ab) != encode(t, ba) {
-			t.Errorf("not commutative:\n%s\n%s", encode(t, ab), encode(t, ba))
+			t.Errorf("Join is not commutative:\n%s\n%s", encode(t, ab), encode(t, ba))
 		}
-		if l, r := encode(t, joinAll(ab, c)), encode(t, joinAll(a, joinAll(b, c))); l != r {
-			t.Errorf("not associative:\n%s\n%s", l, r)
+		if left, right := encode(t, joinAll(ab, c)), encode(t, joinAll(a, joinAll(b, c))); left != right {
+			t.Errorf("Join is not associative:\n%s\n%s", left, right)
 		}
 		if again := encode(t, joinAll(ab, a, b, ab)); again != encode(t, ab) {
-			t.Errorf("not idempotent:\n%s\n%s", again, encode(t, ab))
+			t.Errorf("Join is not idempotent:\n%s\n%s", again, encode(t, ab))
 		}
 		if encode(t, a) != before {
 			t.Error("Join changed its argument")
 		}
 		for id, member := range a.Members {
 			if _, changed := ab.Join(Delta{ID: id, MemberState: member}); changed {
-				t.Errorf("the state of %s is new to a state that it was joined into", id)
+				t.Errorf("Join reports a change for the state of %s, which was joined before", id)
 			}
 		}
 	})
 }
 
-// TestCounters checks that members agree on a counter's value, whatever they
-// heard twice.
-func TestCounters(t *testing.T) {
+// TestCounterValue_IgnoresDuplicates checks that members agree on the value of a counter
+// although they receive the same states twice.
+func TestCounterValue_IgnoresDuplicates(t *testing.T) {
 	f := newTestFleet(t, 1, "a", "b")
 	for range 5 {
 		f.members["a"].AddToCounter("repeats", 2, 1)
@@ -100,20 +99,20 @@
 	f.exchange("b", "a")
 	for _, m := range f.members {
 		if n := m.State().CounterValue("repeats"); n != 2 {
-			t.Errorf("%s counts %d", m.id, n)
+			t.Errorf("CounterValue of %s = %d, want 2", m.id, n)
 		}
 	}
 }
 
-func TestIDText(t *testing.T) {
+func TestIDUnmarshalText(t *testing.T) {
 	var id ID
 	if err := id.UnmarshalText([]byte("a/b/7")); err != nil || id != (ID{Member: "a/b", Incarnation: 7}) {
-		t.Errorf("%v, %v", id, err)
+		t.Errorf("UnmarshalText(a/b/7) = %v, %v, want member a/b, incarnation 7", id, err)
 	}
 	for _, text := range []string{"a", "a/", "a/b", "a/-1"} {
 		var invalid *InvalidIDError
 		if err := id.UnmarshalText([]byte(text)); !errors.As(err, &invalid) || invalid.Text != text {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("UnmarshalText(%q) = %v, want an InvalidIDError with the text", text, err)
 		}
 	}
 }
--- a/fleet/quota/timing_test.go
+++ b/fleet/quota/timing_test.go
@@ -9,7 +9,7 @@
 
 func TestTimingValidate(t *testing.T) {
 	if err := testTiming.Validate(); err != nil {
-		t.Error(err)
+		t.Errorf("Validate() of a valid timing = %v", err)
 	}
 	for _, test := range []struct {
 		field  string
@@ -26,7 +26,7 @@
 		test.change(&timing)
 		var invalid *TimingError
 		if err := timing.Validate(); !errors.As(err, &invalid) || invalid.Field != test.field {
-			t.Errorf("%+v: %v, want an error on %s", timing, err, test.field)
+			t.Errorf("Validate() of %+v = %v, want a TimingError for %s", timing, err, test.field)
 		}
 	}
 }
--- a/fleet/quota/transfer.go
+++ b/fleet/quota/transfer.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// maxTransferPartners is how many members one incarnation transfers rights to,
-	// at most: it bounds the size of its MemberState.
+	// maxTransferPartners is the maximum number of members to which one incarnation
+	// transfers rights. It bounds the size of its MemberState.
 	maxTransferPartners = 256
-	// RequestFanout is how many members a TransferRequest goes to; each sends one
-	// part in so many of the requested amount, at most.
+	// RequestFanout is the number of members to which a TransferRequest is sent. Each
+	// of them sends at most 1/RequestFanout of the requested amount, rounded up.
 	RequestFanout = 3
 )
 
-// Transfer is the part of a sender's MemberState that has its total for one
-// recipient. If it is lost, the recipient learns the total from the whole state
-// later.
+// Transfer is a delta with the total of rights that its sender has sent to one
+// recipient. If it is lost, the recipient gets the total from the sender's complete
+// MemberState later.
 type Transfer struct {
-	To    ID
+	To    ID // the recipient
 	Delta Delta
 }
 
-// TransferRequest asks RequestFanout other members for rights. The recipients
-// are drawn anew each time, so the cost of a transfer does not grow with the
-// fleet. It is not forwarded. In CBOR it is an array, so the order of the fields
-// is part of the format.
+// TransferRequest asks RequestFanout other members for rights. It is not forwarded
+// and its recipients are drawn for each request, so the cost of a transfer does not
+// grow with the fleet. It is an array in CBOR: the order of the fields is part of the
+// format.
 type TransferRequest struct {
 	_       struct{} `cbor:",toarray"`
 	From    ID
-	Amount  uint64
-	Account Account // of the requester, so that a member that has not heard of it may send rights
+	Amount  uint64  // rights that the requester lacks
+	Account Account // of the requester, so that a recipient without this account may send rights
 }
 
-// HandleRequest takes in another member's request. It holds until the next tick.
+// HandleRequest records another member's request. The request expires at the next
+// Tick.
 func (m *Member) HandleRequest(r TransferRequest) {
 	if r.From == m.id {
 		return
@@ -43,12 +44,12 @@
 	m.requests[r.From] = r.Amount
 }
 
-// requestTransfer returns the request for what the member lacks, and the members
-// with a surplus to send it to. The remaining recipient is drawn from all, so that
-// a surplus nobody has heard of is found too.
+// requestTransfer returns the request for the member's shortfall and up to
+// RequestFanout-1 members with a known surplus as recipients. The caller draws the
+// remaining recipients from all members, so that unknown surpluses are found too.
 func (m *Member) requestTransfer(shortfall uint64) (*TransferRequest, []ID) {
 	account := m.state.Accounts[m.id]
-	if shortfall == 0 || !account.known() {
+	if shortfall == 0 || !account.isAllocated() {
 		return nil, nil
 	}
 	var recipients []ID
@@ -58,13 +59,13 @@
 	return &TransferRequest{From: m.id, Amount: shortfall, Account: *account}, recipients
 }
 
-// transferSurplus sends surplus rights to the members that requested some, in
-// random order, and returns what remains.
+// transferSurplus transfers surplus rights to the members that requested rights, in
+// random order, and returns the remaining surplus.
 func (m *Member) transferSurplus(surplus uint64) (transfers []Transfer, remaining uint64) {
 	if surplus == 0 || len(m.requests) == 0 {
 		return nil, surplus
 	}
-	recipients := slices.SortedFunc(maps.Keys(m.requests), compareIDs) // sorted, so that a seed gives one order
+	recipients := slices.SortedFunc(maps.Keys(m.requests), compareIDs) // sorted, so that a seed determines the order
 	m.rng.Shuffle(len(recipients), func(i, j int) { recipients[i], recipients[j] = recipients[j], recipients[i] })
 	for _, recipient := range recipients {
 		if surplus == 0 {
@@ -80,20 +81,21 @@
 	return transfers, surplus
 }
 
-// mayTransferTo reports whether the member may send rights to another: one that
-// the allocator knows, as it must ask for a report on it when this one is fenced.
+// mayTransferTo reports whether the member may transfer rights to the recipient. The
+// recipient needs an account, because Reclaim requires the recipient's transfer report
+// once this member is fenced.
 func (m *Member) mayTransferTo(recipient ID) bool {
 	account := m.state.Accounts[recipient]
-	if !account.known() || account.Fenced {
+	if !account.isAllocated() || account.Fenced {
 		return false
 	}
 	_, partner := m.own.Transferred[recipient]
 	return partner || len(m.own.Transferred) < maxTransferPartners
 }
 
-// known reports whether the allocator has an account; a may be nil. One that only
-// carries an acknowledgement has no log index.
-func (a *Account) known() bool { return a != nil && a.LogIndex > 0 }
+// isAllocated reports whether the allocator has created the account; a may be nil. An
+// account that carries only an acknowledgement has no log index.
+func (a *Account) isAllocated() bool { return a != nil && a.LogIndex > 0 }
 
 func (m *Member) transfer(recipient ID, amount uint64) Transfer {
 	m.own.Transferred = cloneMap(m.own.Transferred)
@@ -103,8 +105,8 @@
 	return Transfer{To: recipient, Delta: Delta{ID: m.id, MemberState: &total}}
 }
 
-// reportTransfers states what the member received from one that was fenced and
-// sent it. From now on it receives nothing more from it.
+// reportTransfers publishes the final transfer report on a fenced member. Later
+// transfers from that member don't count any more.
 func (m *Member) reportTransfers(fenced ID) {
 	_, reported := m.own.TransferReports[fenced]
 	if reported || m.state.Accounts[fenced].Reclaimed {
@@ -119,7 +121,8 @@
 	m.unpublished, m.rightsStale = true, true
 }
 
-// idSet is a set of IDs to draw from. The same seed draws the same IDs.
+// idSet is a set of IDs from which random IDs are drawn. The same seed draws the same
+// IDs.
 type idSet struct {
 	ids      []ID
 	position map[ID]int // in ids
@@ -129,7 +132,7 @@
 
 func (s *idSet) len() int { return len(s.ids) }
 
-// set adds an ID, or removes it.
+// set adds an ID if present is true, and removes it otherwise.
 func (s *idSet) set(id ID, present bool) {
 	if present {
 		s.add(id)
@@ -157,7 +160,7 @@
 	delete(s.position, id)
 }
 
-// draw removes one ID, and returns it.
+// draw removes a random ID and returns it. The set must not be empty.
 func (s *idSet) draw(rng *rand.Rand) ID {
 	id := s.ids[rng.IntN(len(s.ids))]
 	s.remove(id)
--- a/fleet/rollout/bake.go
+++ b/fleet/rollout/bake.go
@@ -44,7 +44,7 @@
 		}, p.Limits.WorseRatio, pearsonDispersion(groups.baseline, event.count, weight))
 		test.HistoryEvents = priorEvents
 		for _, sample := range groups.cohort {
-			test.HistoryEvents += event.past(state.Histories[sample.Server])
+			test.HistoryEvents += event.historyCount(state.Histories[sample.Server])
 		}
 		state.Tests[event.name] = test
 	}
--- a/fleet/rollout/collector.go
+++ b/fleet/rollout/collector.go
@@ -17,7 +17,7 @@
 
 // serverReports is what is known of one server.
 type serverReports struct {
-	last             Report
+	latest           Report
 	windowStart      Report   // the last when the window began; its Incarnation is 0 where there was none
 	pastIncarnations []uint64 // the latest last; late reports of theirs are ignored
 	crashes          uint64   // in this window
@@ -31,28 +31,28 @@
 func (c *Collector) Observe(r Report) {
 	s := c.servers[r.Server]
 	if s == nil {
-		c.servers[r.Server] = &serverReports{last: r}
+		c.servers[r.Server] = &serverReports{latest: r}
 		return
 	}
 	switch {
-	case r.Incarnation == s.last.Incarnation:
-		if r.Sequence > s.last.Sequence {
-			s.last = r
+	case r.Incarnation == s.latest.Incarnation:
+		if r.Sequence > s.latest.Sequence {
+			s.latest = r
 		}
 	case !slices.Contains(s.pastIncarnations, r.Incarnation):
-		s.restarted(r)
+		s.observeRestart(r)
 	}
 }
 
-// restarted takes in the first report of a new incarnation. It counts a crash,
+// observeRestart takes in the first report of a new incarnation. It counts a crash,
 // unless the one before was leaving or of another version.
-func (s *serverReports) restarted(r Report) {
-	if !s.last.Leaving && r.Version == s.last.Version {
+func (s *serverReports) observeRestart(r Report) {
+	if !s.latest.Leaving && r.Version == s.latest.Version {
 		s.crashes++
 	}
 	oldest := max(0, len(s.pastIncarnations)-maxPastIncarnations+1)
-	s.pastIncarnations = append(slices.Clone(s.pastIncarnations[oldest:]), s.last.Incarnation)
-	s.last = r
+	s.pastIncarnations = append(slices.Clone(s.pastIncarnations[oldest:]), s.latest.Incarnation)
+	s.latest = r
 }
 
 // EndWindow ends a window and returns its samples, in the order of the servers'
@@ -76,17 +76,17 @@
 
 // sample returns the server's sample of the window that ends, if it has one.
 func (s *serverReports) sample(kind Kind) (Sample, bool) {
-	version := kind.runningVersion(&s.last)
-	steady := s.last.Incarnation == s.windowStart.Incarnation && s.last.Sequence > s.windowStart.Sequence &&
+	version := kind.runningVersion(&s.latest)
+	steady := s.latest.Incarnation == s.windowStart.Incarnation && s.latest.Sequence > s.windowStart.Sequence &&
 		version == kind.runningVersion(&s.windowStart)
 	if !steady {
-		return Sample{Server: s.last.Server, Version: version, Crashes: s.crashes}, s.crashes > 0
+		return Sample{Server: s.latest.Server, Version: version, Crashes: s.crashes}, s.crashes > 0
 	}
-	sample := s.last.sampleSince(&s.windowStart, version)
+	sample := s.latest.sampleSince(&s.windowStart, version)
 	sample.Crashes = s.crashes
-	if kind == Settings && s.last.RejectedSettings != 0 {
-		sample.RejectedVersion = settingsVersion(s.last.RejectedSettings)
-		sample.RejectionReason = s.last.RejectionReason
+	if kind == Settings && s.latest.RejectedSettings != 0 {
+		sample.RejectedVersion = settingsVersion(s.latest.RejectedSettings)
+		sample.RejectionReason = s.latest.RejectionReason
 	}
 	return sample, true
 }
@@ -94,10 +94,10 @@
 // beginWindow begins the next window.
 func (s *serverReports) beginWindow() {
 	s.silentWindows++
-	if s.last.Incarnation != s.windowStart.Incarnation || s.last.Sequence > s.windowStart.Sequence {
+	if s.latest.Incarnation != s.windowStart.Incarnation || s.latest.Sequence > s.windowStart.Sequence {
 		s.silentWindows = 0
 	}
-	s.windowStart, s.crashes = s.last, 0
+	s.windowStart, s.crashes = s.latest, 0
 }
 
 // LatestReports returns the latest report of each server, in the order of their
@@ -105,7 +105,7 @@
 func (c *Collector) LatestReports() []Report {
 	reports := make([]Report, 0, len(c.servers))
 	for _, s := range c.servers {
-		reports = append(reports, s.last)
+		reports = append(reports, s.latest)
 	}
 	slices.SortFunc(reports, func(a, b Report) int { return cmp.Compare(a.Server, b.Server) })
 	return reports
--- a/fleet/rollout/errors.go
+++ b/fleet/rollout/errors.go
@@ -7,16 +7,16 @@
 
 // Reasons for which Record.Apply refuses a command; a CommandError wraps them.
 var (
-	// ErrPlanUnderWay refuses the start of a plan before the latest one has ended.
-	ErrPlanUnderWay = errors.New("another plan is under way")
+	// ErrPlanInProgress refuses the start of a plan before the latest one has ended.
+	ErrPlanInProgress = errors.New("another plan is under way")
 	// ErrPlanMissing refuses a start that brings no plan.
 	ErrPlanMissing = errors.New("the command has no plan")
 	// ErrPlanIDReused refuses a plan with the ID of the plan before it.
 	ErrPlanIDReused = errors.New("a plan with this id was there before")
 	// ErrInvalidSettings refuses a settings patch that is not valid JSON.
 	ErrInvalidSettings = errors.New("the settings are not valid JSON")
-	// ErrNotUnderWay refuses to stop a plan that is not under way.
-	ErrNotUnderWay = errors.New("this plan is not under way")
+	// ErrPlanNotInProgress refuses to stop a plan that is not under way.
+	ErrPlanNotInProgress = errors.New("this plan is not under way")
 	// ErrUnknownCommand refuses a command of an unknown kind.
 	ErrUnknownCommand = errors.New("unknown kind of command")
 )
--- a/fleet/rollout/follower.go
+++ b/fleet/rollout/follower.go
@@ -21,18 +21,18 @@
 // keeps the last settings that could be applied when it rejects later ones or the
 // stream breaks. It is not safe for concurrent use.
 type Follower struct {
-	token    lease.Token
-	index    uint64
-	settings uint64 // number of those in force
-	patch    json.RawMessage
-	rejected uint64 // number of the settings that were rejected last, 0 for none
-	reason   string
+	token           lease.Token
+	index           uint64
+	settingsNumber  uint64 // number of those in force
+	patch           json.RawMessage
+	rejectedNumber  uint64 // number of the settings that were rejected last, 0 for none
+	rejectionReason string
 }
 
 // Settings returns the number of the settings in force, and that of the settings
 // that were rejected last with the reason, 0 for none.
 func (f *Follower) Settings() (number, rejected uint64, reason string) {
-	return f.settings, f.rejected, f.reason
+	return f.settingsNumber, f.rejectedNumber, f.rejectionReason
 }
 
 // Patch returns the settings in force, nil for those of the server's own file.
@@ -50,16 +50,16 @@
 		return false, &StaleDirectiveError{Index: d.Index, Highest: f.index}
 	}
 	f.token, f.index = d.Token, d.Index
-	return d.SettingsNumber != f.settings && d.SettingsNumber != f.rejected, nil
+	return d.SettingsNumber != f.settingsNumber && d.SettingsNumber != f.rejectedNumber, nil
 }
 
-// Applied takes in the result of a directive that was carried out: nil, or why
+// RecordResult takes in the result of a directive that was carried out: nil, or why
 // its settings were rejected.
-func (f *Follower) Applied(d Directive, err error) {
+func (f *Follower) RecordResult(d Directive, err error) {
 	if err != nil {
-		f.rejected, f.reason = d.SettingsNumber, err.Error()
+		f.rejectedNumber, f.rejectionReason = d.SettingsNumber, err.Error()
 		return
 	}
-	f.settings, f.patch = d.SettingsNumber, d.Patch
-	f.rejected, f.reason = 0, ""
+	f.settingsNumber, f.patch = d.SettingsNumber, d.Patch
+	f.rejectedNumber, f.rejectionReason = 0, ""
 }
--- a/fleet/rollout/follower_test.go
+++ b/fleet/rollout/follower_test.go
@@ -19,9 +19,9 @@
 		}
 		return d
 	}
-	f.Applied(accept(2, 10, 1, true), nil)
+	f.RecordResult(accept(2, 10, 1, true), nil)
 	accept(2, 10, 1, false) // in force
-	f.Applied(accept(3, 12, 2, true), errors.New("no such class"))
+	f.RecordResult(accept(3, 12, 2, true), errors.New("no such class"))
 	if n, rejected, reason := f.Settings(); n != 1 || rejected != 2 || reason != "no such class" || string(f.Patch()) != "1" {
 		t.Errorf("settings %d, turned %d down: %s", n, rejected, reason)
 	}
@@ -36,7 +36,7 @@
 		stale.Index != 11 || stale.Highest != 12 {
 		t.Errorf("error %v", err)
 	}
-	f.Applied(accept(3, 13, 0, true), nil)
+	f.RecordResult(accept(3, 13, 0, true), nil)
 	if n, rejected, _ := f.Settings(); n != 0 || rejected != 0 || f.Patch() == nil {
 		t.Errorf("settings %d, rejected %d", n, rejected)
 	}
--- a/fleet/rollout/golden_test.go
+++ b/fleet/rollout/golden_test.go
@@ -10,8 +10,8 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// slower is a count for each of LatencyBounds.
-func slower[T uint64 | float64](from T) (counts [len(LatencyBounds)]T) {
+// slowerThan is a count for each of LatencyBounds.
+func slowerThan[T uint64 | float64](from T) (counts [len(LatencyBounds)]T) {
 	for i := range counts {
 		counts[i] = from / T(uint64(1)<<i)
 	}
@@ -38,7 +38,7 @@
 			"late":       {LogLikelihoodRatio: -1.5, DispersionSum: 2.25, Windows: 5, CohortEvents: 3, CohortRequests: 100.5, BaselineEvents: 7, BaselineRequests: 300.25, HistoryEvents: 20},
 			"old-failed": {LogLikelihoodRatio: 0.125, DispersionSum: 1, Windows: 5, CohortEvents: 1, CohortRequests: 2, BaselineEvents: 3, BaselineRequests: 4},
 		},
-		Histories: map[string]History{"s0": {Requests: 1000, Late: 8, Rejected: 4, Failed: 2, SlowerThan: slower(1024.0)}, "s1": {}},
+		Histories: map[string]History{"s0": {Requests: 1000, Late: 8, Rejected: 4, Failed: 2, SlowerThan: slowerThan(1024.0)}, "s1": {}},
 	}
 }
 
@@ -109,7 +109,7 @@
 func TestGoldenMessages(t *testing.T) {
 	report := Report{
 		Server: "s1", Zone: "z1", Incarnation: 1 << 62, Sequence: 300, Version: "2", Settings: 3, RejectedSettings: 4, RejectionReason: "settings.lanes: no",
-		Leaving: true, Totals: Totals{Requests: 1 << 33, Rejected: 5, Late: 6, Failed: 7, SlowerThan: slower(uint64(1 << 20))},
+		Leaving: true, Totals: Totals{Requests: 1 << 33, Rejected: 5, Late: 6, Failed: 7, SlowerThan: slowerThan(uint64(1 << 20))},
 	}
 	golden.RoundTrip(t, "report.cbor", report, cbor.Marshal, cbor.Unmarshal)
 	golden.RoundTrip(t, "report-first.cbor", Report{Server: "s1", Incarnation: 1, Sequence: 1}, cbor.Marshal, cbor.Unmarshal)
--- a/fleet/rollout/history.go
+++ b/fleet/rollout/history.go
@@ -43,13 +43,13 @@
 // more often than the fleet it had an event in its history.
 func weightByHistory(histories map[string]History, event comparedEvent) func(Sample) float64 {
 	fleet := sumHistories(histories)
-	events := event.past(fleet)
+	events := event.historyCount(fleet)
 	rate := events / fleet.Requests
 	return func(s Sample) float64 {
 		if events == 0 {
 			return float64(s.Requests)
 		}
 		h := histories[s.Server]
-		return float64(s.Requests) * (event.past(h) + priorEvents) / (h.Requests*rate + priorEvents)
+		return float64(s.Requests) * (event.historyCount(h) + priorEvents) / (h.Requests*rate + priorEvents)
 	}
 }
--- a/fleet/rollout/record.go
+++ b/fleet/rollout/record.go
@@ -70,14 +70,14 @@
 func (r Record) applyStart(c Command, index uint64) (Record, error) {
 	switch {
 	case !r.Ended():
-		return r, c.refused(index, ErrPlanUnderWay)
+		return r, c.refused(index, ErrPlanInProgress)
 	case c.Plan == nil:
 		return r, c.refused(index, ErrPlanMissing)
 	case r.Plan != nil && r.Plan.ID == c.Plan.ID:
 		return r, c.refused(index, ErrPlanIDReused)
 	}
 	plan := *c.Plan
-	next := Record{Index: index, Plan: &plan, LastSettings: r.LastSettings, CurrentSettings: r.CurrentSettings, Patches: r.currentPatch()}
+	next := Record{Index: index, Plan: &plan, LastSettings: r.LastSettings, CurrentSettings: r.CurrentSettings, Patches: r.patchesInForce()}
 	if plan.Kind == Settings {
 		if !json.Valid(c.Patch) {
 			return r, c.refused(index, ErrInvalidSettings)
@@ -106,7 +106,7 @@
 		if r.State.Phase == Done {
 			r.CurrentSettings = r.LastSettings
 		}
-		r.Patches = r.currentPatch()
+		r.Patches = r.patchesInForce()
 	}
 	return r, nil
 }
@@ -114,16 +114,16 @@
 // applyStop halts the plan under way.
 func (r Record) applyStop(c Command, index uint64) (Record, error) {
 	if r.Ended() || r.Plan.ID != c.ID {
-		return r, c.refused(index, ErrNotUnderWay)
+		return r, c.refused(index, ErrPlanNotInProgress)
 	}
 	r.Index, r.State = index, r.Plan.Stop(r.State, c.Reason)
 	r.Decision = Decision{Verdict: Halt, Reason: c.Reason}
 	return r, nil
 }
 
-// currentPatch returns the patches without those that no server has to run once
+// patchesInForce returns the patches without those that no server has to run once
 // no plan is under way.
-func (r Record) currentPatch() map[uint64]json.RawMessage {
+func (r Record) patchesInForce() map[uint64]json.RawMessage {
 	patches := map[uint64]json.RawMessage{}
 	if patch, ok := r.Patches[r.CurrentSettings]; ok {
 		patches[r.CurrentSettings] = patch
--- a/fleet/rollout/record_test.go
+++ b/fleet/rollout/record_test.go
@@ -122,15 +122,15 @@
 		planID  string
 		reason  func(error) bool
 	}{
-		"second plan":   {underWay, Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage("{}")}, "b", is(ErrPlanUnderWay)},
+		"second plan":   {underWay, Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage("{}")}, "b", is(ErrPlanInProgress)},
 		"no plan":       {ended, Command{Kind: Start}, "", is(ErrPlanMissing)},
 		"same ID":       {ended, Command{Kind: Start, Plan: settingsPlan("a"), Patch: json.RawMessage("{}")}, "a", is(ErrPlanIDReused)},
 		"no JSON":       {ended, Command{Kind: Start, Plan: settingsPlan("b"), Patch: json.RawMessage("{")}, "b", is(ErrInvalidSettings)},
 		"invalid plan":  {ended, Command{Kind: Start, Plan: invalid, Patch: json.RawMessage("{}")}, "b", invalidPlan},
 		"old step":      {underWay, Command{Kind: Step, PreviousIndex: 6}, "", staleStep(6, 7)},
 		"step at end":   {ended, Command{Kind: Step, PreviousIndex: 7}, "", staleStep(7, 7)},
-		"another plan":  {underWay, Command{Kind: Stop, ID: "b"}, "b", is(ErrNotUnderWay)},
-		"plan at end":   {ended, Command{Kind: Stop, ID: "a"}, "a", is(ErrNotUnderWay)},
+		"another plan":  {underWay, Command{Kind: Stop, ID: "b"}, "b", is(ErrPlanNotInProgress)},
+		"plan at end":   {ended, Command{Kind: Stop, ID: "a"}, "a", is(ErrPlanNotInProgress)},
 		"unknown kind":  {underWay, Command{Kind: "pause", ID: "a"}, "a", is(ErrUnknownCommand)},
 		"missing kind":  {underWay, Command{}, "", is(ErrUnknownCommand)},
 		"never started": {Record{}, Command{Kind: Step}, "", staleStep(0, 0)},
--- a/fleet/rollout/sample.go
+++ b/fleet/rollout/sample.go
@@ -35,9 +35,9 @@
 
 // comparedEvent is an event whose rate is compared.
 type comparedEvent struct {
-	name  string
-	count func(Sample) uint64
-	past  func(History) float64
+	name         string
+	count        func(Sample) uint64
+	historyCount func(History) float64
 }
 
 // comparedEvents returns the events; an answer is slow that took
--- a/fleet/rollout/simulation/simulation.go
+++ b/fleet/rollout/simulation/simulation.go
@@ -19,30 +19,30 @@
 	medianLatency = 0.25 // seconds, of a log-normal distribution
 	latencySigma  = 0.7
 
-	serverSigma  = 0.3 // of the log of a server's speed
-	requestSigma = 0.1 // of the log of a server's requests in a window
-	burstSigma   = 0.2 // of the log of a server's event rate in a window
+	serverRateSigma   = 0.3 // of the log of a server's speed
+	requestCountSigma = 0.1 // of the log of a server's requests in a window
+	burstSigma        = 0.2 // of the log of a server's event rate in a window
 
-	hourMemory = 0.98 // part of the hour's factor that a window keeps
-	hourSigma  = 0.05
+	commonRateAutocorrelation = 0.98 // part of the hour's factor that a window keeps
+	commonRateSigma           = 0.05
 
-	reportLossRate  = 0.01
-	replacementRate = 0.5 // chance that a server is replaced within a window
+	reportLossRate         = 0.01
+	replacementProbability = 0.5 // chance that a server is replaced within a window
 )
 
 // Config is a fleet and what the change does to it.
 type Config struct {
-	Plan              rollout.Plan
-	Seed              uint64
-	RequestsPerWindow float64 // mean for one server
-	LateRatio         float64 // late answers of the change to those of the old version: 1.2 is a fifth more
-	FailureRatio      float64
-	LatencyRatio      float64
-	CrashesPerWindow  float64 // mean for one server that has the change
-	BaselineFailures  float64 // rate of failures that the change causes at the old servers, times its share of the fleet
-	SilentZone        string  // whose reports of the new version are lost
-	StuckServer       string  // which does not come back from the change
-	MaxWindows        int
+	Plan                rollout.Plan
+	Seed                uint64
+	RequestsPerWindow   float64 // mean for one server
+	LateRatio           float64 // late answers of the change to those of the old version: 1.2 is a fifth more
+	FailureRatio        float64
+	LatencyRatio        float64
+	CrashesPerWindow    float64 // mean for one server that has the change
+	BaselineFailureRate float64 // rate of failures that the change causes at the old servers, times its share of the fleet
+	SilentZone          string  // whose reports of the new version are lost
+	StuckServer         string  // which does not come back from the change
+	MaxWindows          int
 }
 
 // Outcome is the end of a rollout.
@@ -69,7 +69,7 @@
 	var out Outcome
 	var state rollout.State
 	for out.Windows = 1; out.Windows <= c.MaxWindows; out.Windows++ {
-		f.advanceHour()
+		f.advanceCommonRate()
 		out.MaxShare = max(out.MaxShare, f.changedShare())
 		samples := f.window()
 		state, _ = c.Plan.Step(state, out.Windows, samples)
@@ -86,27 +86,27 @@
 // fleet is the state of the simulated servers.
 type fleet struct {
 	Config
-	random   *rand.Rand
-	versions map[string]string  // by server
-	speeds   map[string]float64 // factor of each server's event rates
-	hour     float64            // log of the hour's factor of all event rates
+	random        *rand.Rand
+	versions      map[string]string  // by server
+	rateFactors   map[string]float64 // factor of each server's event rates
+	commonLogRate float64            // log of the hour's factor of all event rates
 }
 
 // newFleet returns a fleet of the old version.
 func newFleet(c Config) *fleet {
 	f := &fleet{
 		Config: c, random: rand.New(rand.NewPCG(c.Seed, 29)),
-		versions: map[string]string{}, speeds: map[string]float64{},
+		versions: map[string]string{}, rateFactors: map[string]float64{},
 	}
 	for _, s := range c.Plan.Servers {
-		f.versions[s.Name], f.speeds[s.Name] = c.Plan.From, math.Exp(serverSigma*f.random.NormFloat64())
+		f.versions[s.Name], f.rateFactors[s.Name] = c.Plan.From, math.Exp(serverRateSigma*f.random.NormFloat64())
 	}
 	return f
 }
 
-// advanceHour draws the load of the next window.
-func (f *fleet) advanceHour() {
-	f.hour = hourMemory*f.hour + hourSigma*f.random.NormFloat64()
+// advanceCommonRate draws the load of the next window.
+func (f *fleet) advanceCommonRate() {
+	f.commonLogRate = commonRateAutocorrelation*f.commonLogRate + commonRateSigma*f.random.NormFloat64()
 }
 
 // changed returns how many servers run the change.
@@ -144,15 +144,15 @@
 func (f *fleet) sample(name string, changedShare float64) rollout.Sample {
 	sample := rollout.Sample{
 		Server: name, Version: f.versions[name],
-		Requests: f.poisson(f.RequestsPerWindow * math.Exp(requestSigma*f.random.NormFloat64())),
+		Requests: f.poisson(f.RequestsPerWindow * math.Exp(requestCountSigma*f.random.NormFloat64())),
 	}
-	factor := f.speeds[name] * math.Exp(f.hour)
+	factor := f.rateFactors[name] * math.Exp(f.commonLogRate)
 	late, failed, latency := lateRate*factor, failureRate, 1.0
 	if sample.Version == f.Plan.To {
 		late, failed, latency = late*f.LateRatio, failed*f.FailureRatio, f.LatencyRatio
 		sample.Crashes = f.poisson(f.CrashesPerWindow)
 	} else {
-		failed += f.BaselineFailures * changedShare
+		failed += f.BaselineFailureRate * changedShare
 	}
 	burst := math.Exp(burstSigma * f.random.NormFloat64())
 	requests := float64(sample.Requests)
@@ -174,7 +174,7 @@
 func (f *fleet) replace(desired map[string]string) {
 	for _, server := range f.Plan.Servers {
 		name, version := server.Name, desired[server.Name]
-		if f.versions[name] == version || f.random.Float64() >= replacementRate {
+		if f.versions[name] == version || f.random.Float64() >= replacementProbability {
 			continue
 		}
 		if name == f.StuckServer && version == f.Plan.From {
--- a/fleet/rollout/simulation/simulation_test.go
+++ b/fleet/rollout/simulation/simulation_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// reread returns a state as a new owner reads it from the log.
-func reread(t *testing.T) func(rollout.State) rollout.State {
+// reloadState returns a state as a new owner reads it from the log.
+func reloadState(t *testing.T) func(rollout.State) rollout.State {
 	return func(s rollout.State) (back rollout.State) {
 		b, err := json.Marshal(s)
 		if err == nil {
@@ -46,7 +46,7 @@
 		{"failing", func(c *Config) { c.FailureRatio = 4 }, rollout.Halted, 0.05, "failed is worse"},
 		{"slow", func(c *Config) { c.LatencyRatio = 1.2 }, rollout.Halted, 0.05, "slow is worse"},
 		{"crashing", func(c *Config) { c.CrashesPerWindow = 0.1 }, rollout.Halted, 0.05, "crashes"},
-		{"bad when mixed", func(c *Config) { c.BaselineFailures = 0.5 }, rollout.Halted, 0.05, "old-failed"},
+		{"bad when mixed", func(c *Config) { c.BaselineFailureRate = 0.5 }, rollout.Halted, 0.05, "old-failed"},
 		{"zone without reports", func(c *Config) { c.SilentZone = "zone1" }, rollout.Halted, 0.05, "did not come to run v2"},
 		{"rollback fails", func(c *Config) { c.LateRatio, c.StuckServer, c.MaxWindows = 2, "s000", 1500 }, rollout.Halted, 0.05, "late is worse"},
 	} {
@@ -54,7 +54,7 @@
 			t.Parallel()
 			x := config(1)
 			c.change(&x)
-			out := Run(x, reread(t))
+			out := Run(x, reloadState(t))
 			if out.State.Phase != c.phase || out.MaxShare > c.share || !strings.Contains(out.State.Reason, c.reason) ||
 				c.phase == rollout.Halted && out.Remaining > 0 {
 				t.Errorf("%s at stage %d after %d windows, reached %.2f, %d left: %s", out.State.Phase, out.State.Stage, out.Windows,
--- a/fleet/rollout/watch.go
+++ b/fleet/rollout/watch.go
@@ -21,7 +21,7 @@
 		return state, Decision{Verdict: Wait, Reason: "watching"}
 	}
 	reason := "the servers were watched"
-	if p.slowAnswersScarce(state, fleet) {
+	if p.tooFewSlowAnswers(state, fleet) {
 		if state.WindowsInPhase < p.MaxWatchWindows {
 			return state, Decision{Verdict: Wait, Reason: "watching: too little is known of " + slowEvent}
 		}
@@ -54,10 +54,10 @@
 	return bound
 }
 
-// slowAnswersScarce reports whether too few slow answers were counted to tell a
+// tooFewSlowAnswers reports whether too few slow answers were counted to tell a
 // stage that is no worse from one that is. Where they are below
 // Limits.NegligibleRate that does not matter. The other events are not checked.
-func (p *Plan) slowAnswersScarce(state State, fleet History) bool {
+func (p *Plan) tooFewSlowAnswers(state State, fleet History) bool {
 	slow := fleet.SlowerThan[state.SlowBound]
 	if slow*p.Limits.WorseRatio <= p.Limits.NegligibleRate*fleet.Requests {
 		return false
--- a/fleet/rollout_driver.go
+++ b/fleet/rollout_driver.go
@@ -163,7 +163,7 @@
 	}
 	err := target.Apply(directive.Patch)
 	d.mu.Lock()
-	d.follower.Applied(directive, err)
+	d.follower.RecordResult(directive, err)
 	d.mu.Unlock()
 	if err != nil {
 		d.log.Warn(eventSettingsRejected, "settings", directive.SettingsNumber, "error", err.Error())
