--- a/admission/config.go
+++ b/admission/config.go
@@ -47,7 +47,7 @@
 	// Rules, where not nil, give class and key before the routes are looked at:
 	// the first rule that takes a request decides (package match). Their set may
 	// be replaced while requests come; each request is classified by one set.
-	Rules *match.Rules
+	Rules *match.ActiveRules
 	// Cores is the number of cores that the handlers share; 0 for GOMAXPROCS.
 	Cores int
 	// Memory bounds what queued and running requests and cached responses take, in
@@ -147,7 +147,7 @@
 		case class.LatencyObjective <= 0 || class.Deadline < class.LatencyObjective:
 			return nil, fmt.Errorf("%s: aim %v, deadline %v: an aim and a deadline no shorter are needed",
 				at, class.LatencyObjective, class.Deadline)
-		case class.Effect == decision.Keyed && class.KeyWindow <= 0:
+		case class.Idempotency == decision.Keyed && class.KeyWindow <= 0:
 			return nil, fmt.Errorf("%s: a keyed class needs a window", at)
 		}
 		known[class.Name] = true
--- a/cmd/simhost/server.go
+++ b/cmd/simhost/server.go
@@ -11,56 +11,56 @@
 	"quincerail.example/quincerail/internal/simwire"
 )
 
-// bufferSize is that of the input and of the output, in bytes.
+// bufferSize is the size in bytes of the input buffer and of the output buffer.
 const bufferSize = 1 << 20
 
 // server hosts instances, and passes batches of events to them.
 type server struct {
-	out       *bufio.Writer
-	instances map[int64]*instance
-	inBatch   bool
-	now       time.Duration // of the batch
-	addressed []*instance   // those with an event in the batch, in the order of their first
+	out            *bufio.Writer
+	instances      map[int64]*instance // by ID
+	inBatch        bool
+	now            time.Duration // time of the current batch
+	batchInstances []*instance   // those with an event in the batch, in the order of their first events
 }
 
-// serve reads batches of events and writes a reply to each, until the input ends. An
-// error names the line that it is about.
+// serve reads batches of events and writes a reply to each, until the input ends. An error
+// names the line of the input that caused it.
 func serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, bufferSize)
 	s := &server{out: bufio.NewWriterSize(w, bufferSize), instances: make(map[int64]*instance)}
-	for number := 1; ; number++ {
+	for lineNumber := 1; ; lineNumber++ {
 		line, err := in.ReadString('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("reading line %d: %w", number, err)
+			return fmt.Errorf("reading line %d: %w", lineNumber, err)
 		}
 		if err != nil && line == "" {
-			return s.checkEnd(number)
+			return s.checkEOF(lineNumber)
 		}
-		if err := s.handleLine(number, strings.TrimRight(line, "\r\n")); err != nil {
+		if err := s.handleLine(lineNumber, strings.TrimRight(line, "\r\n")); err != nil {
 			return err
 		}
 	}
 }
 
-// checkEnd tells whether the input may end here.
-func (s *server) checkEnd(number int) error {
+// checkEOF returns an error if the input ends inside a batch.
+func (s *server) checkEOF(lineNumber int) error {
 	if s.inBatch {
-		return fmt.Errorf("line %d: the input ends inside a batch", number)
+		return fmt.Errorf("line %d: the input ends inside a batch", lineNumber)
 	}
 	return nil
 }
 
-// handleLine takes in one line, and replies if it ends a batch. Empty lines are ignored.
-func (s *server) handleLine(number int, line string) error {
+// handleLine handles one line, and replies if it ends a batch. It ignores empty lines.
+func (s *server) handleLine(lineNumber int, line string) error {
 	if line == "" {
 		return nil
 	}
 	message, err := simwire.Parse(line)
 	if err == nil {
-		err = s.handle(message)
+		err = s.handleMessage(message)
 	}
 	if err != nil {
-		return fmt.Errorf("line %d: %w", number, err)
+		return fmt.Errorf("line %d: %w", lineNumber, err)
 	}
 	if message.Name != simwire.BatchEnd {
 		return nil
@@ -71,15 +71,15 @@
 	return nil
 }
 
-// handle takes in one message. Those of names that are not known come from a later
-// version of the wire, and are ignored.
-func (s *server) handle(m *simwire.Message) error {
+// handleMessage handles one message. It ignores messages with unknown names, which a later
+// version of the protocol may send.
+func (s *server) handleMessage(m *simwire.Message) error {
 	switch m.Name {
 	case simwire.BatchStart:
 		return s.startBatch(m)
 	case simwire.BatchEnd:
 		return s.endBatch()
-	case simwire.Start, simwire.Stop, simwire.RequestRead, simwire.RunDone, simwire.CallerGone,
+	case simwire.InstanceStart, simwire.InstanceExit, simwire.RequestRead, simwire.RunDone, simwire.CallerGone,
 		simwire.CallNeeded, simwire.CallDone, simwire.Drain, simwire.TimerDue:
 		if !s.inBatch {
 			return fmt.Errorf("%s outside a batch", m.Name)
@@ -106,34 +106,33 @@
 	return nil
 }
 
-// handleEvent takes in an event of an instance. Events of instances that have died are
-// ignored.
+// handleEvent handles an event of an instance. It ignores events of terminated instances.
 func (s *server) handleEvent(m *simwire.Message) error {
 	id := m.InstanceID()
 	if err := m.Err(); err != nil {
 		return err
 	}
 	switch m.Name {
-	case simwire.Start:
+	case simwire.InstanceStart:
 		return s.start(id, m)
-	case simwire.Stop:
+	case simwire.InstanceExit:
 		s.remove(id)
 		return nil
 	}
-	i := s.instances[id]
-	if i == nil {
+	inst := s.instances[id]
+	if inst == nil {
 		return nil
 	}
-	event, err := readEvent(m, s.now)
+	event, err := decodeEvent(m, s.now)
 	if err != nil {
 		return err
 	}
-	s.address(i)
-	i.do(event)
+	s.addToBatch(inst)
+	inst.handleEvent(event)
 	return nil
 }
 
-// start makes an instance, in place of a former one of its id.
+// start starts an instance. An instance with the same ID is removed first.
 func (s *server) start(id int64, m *simwire.Message) error {
 	seed := m.Seed()
 	settings, err := m.Settings()
@@ -141,45 +140,45 @@
 		return fmt.Errorf("HELLO: %w", err)
 	}
 	s.remove(id)
-	i := newInstance(id)
-	s.instances[id] = i
-	s.address(i)
-	i.start(settings, seed)
+	inst := newInstance(id)
+	s.instances[id] = inst
+	s.addToBatch(inst)
+	inst.start(settings, seed)
 	return nil
 }
 
-// remove takes out an instance that has died, with what it was about to do.
+// remove removes a terminated instance, and discards its actions in the current batch.
 func (s *server) remove(id int64) {
-	i := s.instances[id]
-	if i == nil {
+	inst := s.instances[id]
+	if inst == nil {
 		return
 	}
 	delete(s.instances, id)
-	for k, other := range s.addressed {
-		if other == i {
-			s.addressed = append(s.addressed[:k], s.addressed[k+1:]...)
+	for i, other := range s.batchInstances {
+		if other == inst {
+			s.batchInstances = append(s.batchInstances[:i], s.batchInstances[i+1:]...)
 			return
 		}
 	}
 }
 
-// address notes that an instance has an event in this batch.
-func (s *server) address(i *instance) {
-	if !i.addressed {
-		i.addressed = true
-		s.addressed = append(s.addressed, i)
+// addToBatch records that an instance has an event in the current batch.
+func (s *server) addToBatch(inst *instance) {
+	if !inst.inBatch {
+		inst.inBatch = true
+		s.batchInstances = append(s.batchInstances, inst)
 	}
 }
 
-// reply lets every instance with an event decide, and writes what they do.
+// reply lets each instance with an event in the batch decide, and writes the reply.
 func (s *server) reply() error {
-	for _, i := range s.addressed {
-		i.addressed = false
-		if _, err := s.out.Write(i.decide(s.now)); err != nil {
+	for _, inst := range s.batchInstances {
+		inst.inBatch = false
+		if _, err := s.out.Write(inst.decide(s.now)); err != nil {
 			return err
 		}
 	}
-	s.addressed = s.addressed[:0]
+	s.batchInstances = s.batchInstances[:0]
 	if _, err := s.out.WriteString(simwire.EndOfReply + "\n"); err != nil {
 		return err
 	}
