--- a/fleet/rollout/bake.go
+++ b/fleet/rollout/bake.go
@@ -5,11 +5,13 @@
 	"math"
 )
 
-// baselineFailuresTest names the test of the baseline against its own history.
+// baselineFailuresTest is the name of the test of the baseline's failures against its
+// own history.
 const baselineFailuresTest = "old-failed"
 
-// baselineWorseRatio is how much more often the baseline may fail than before
-// the rollout. It exceeds Limits.WorseRatio, as load differs between the hours.
+// baselineWorseRatio is the ratio of the baseline's failure rate to its rate before the
+// rollout that the test detects. It is larger than the default Limits.WorseRatio,
+// because the load varies over the day.
 const baselineWorseRatio = 2
 
 // stepBaking compares the cohort with the baseline.
@@ -18,7 +20,7 @@
 		return state.rollBack(fmt.Sprintf("stage %d: %d crashes", state.Stage, state.Crashes))
 	}
 	if state.WindowsInPhase <= p.WarmUpWindows {
-		return state, Decision{Verdict: Wait, Reason: "the stage's servers warm up"}
+		return state, Decision{Verdict: Wait, Reason: "the stage's servers are warming up"}
 	}
 	for _, sample := range groups.cohort {
 		state.Requests += sample.Requests
@@ -50,8 +52,9 @@
 	}
 }
 
-// testBaseline compares the failures of the baseline with its own history: a
-// change that does well by itself may write what the old version can't read.
+// testBaseline adds a window to the test of the baseline's failures against the fleet's
+// history. A change that does no worse itself may still write data that the old version
+// can't read.
 func (p *Plan) testBaseline(state *State, baseline []Sample) {
 	fleet := sumHistories(state.Histories)
 	if fleet.Requests == 0 {
@@ -64,14 +67,15 @@
 	test.observe(outcomeCounts{
 		cohortEvents:   sumCounts(baseline, failed),
 		cohortRequests: now,
-		// The history counts for as much as the window, and for the negligible rate at least.
+		// The history is scaled to the requests of the window. The negligible rate is added
+		// to its failure rate.
 		baselineEvents:   (fleet.Failed/fleet.Requests + p.Limits.NegligibleRate) * now,
 		baselineRequests: now,
 	}, baselineWorseRatio, pearsonDispersion(baseline, failed, requests))
 	state.Tests[baselineFailuresTest] = test
 }
 
-// worseTest describes a test that found a rate to be worse, "" for none.
+// worseTest describes the first test that found a worse rate, "" for none.
 func (p *Plan) worseTest(state State) string {
 	threshold := math.Log((1 - p.Limits.MissProbability) / p.falseHaltProbabilityPerTest())
 	for _, name := range testNames() {
@@ -83,11 +87,11 @@
 	return ""
 }
 
-// inconclusiveTest returns the name of a test that has not shown the cohort to be
-// no worse, "" for none. Before a stage that is small it suffices that the
-// evidence does not lean to worse. A small cohort can't show as much as
-// Limits.MissProbability asks of each rare event: it has to show half of what it
-// can, and a larger cohort shows the rest.
+// inconclusiveTest returns the name of the first test that has not shown the cohort to
+// be no worse, "" for none. Before a small stage, evidence of at most 0 suffices. A
+// small cohort can't attain the evidence that Limits.MissProbability requires for each
+// rare event: it must attain half of its attainable evidence, and a larger cohort
+// provides the rest.
 func (p *Plan) inconclusiveTest(state State) string {
 	noWorse := math.Log(p.Limits.MissProbability / (1 - p.falseHaltProbabilityPerTest()))
 	nextIsSmall := p.nextStageIsSmall(state.Stage)
@@ -107,8 +111,8 @@
 	return ""
 }
 
-// concludeBake decides what follows a window in which no test found the cohort
-// to be worse: wait, roll back when the stage took too long, or the next stage.
+// concludeBake decides the result of a window in which no test found the cohort to be
+// worse: wait, begin the next stage, finish the rollout, or roll back after MaxWindows.
 func (p *Plan) concludeBake(state State, groups sampleGroups) (State, Decision) {
 	stage := p.Stages[state.Stage]
 	overdue := state.WindowsInPhase >= stage.MaxWindows
@@ -118,17 +122,17 @@
 	inconclusive := p.inconclusiveTest(state)
 	switch {
 	case len(groups.pending) > 0 && overdue:
-		return state.rollBack(fmt.Sprintf("stage %d: no word, or another version, from %v", state.Stage, groups.pending))
-	case len(groups.pending) > 0: // a server that crashed reports its old version at first
-		return state, Decision{Verdict: Wait, Reason: "servers of the stage say nothing, or run another version", PendingServers: groups.pending}
+		return state.rollBack(fmt.Sprintf("stage %d: servers without a report, or with another version: %v", state.Stage, groups.pending))
+	case len(groups.pending) > 0: // a crashed server reports its old version first
+		return state, Decision{Verdict: Wait, Reason: "waiting for servers without a report, or with another version", PendingServers: groups.pending}
 	case last && baked:
 		state.Phase = Done
 		return state, Decision{Verdict: Proceed, Reason: "all servers have the change"}
 	case !last && p.baselineTooSmall(state, groups.baseline):
 		if overdue {
-			return state.rollBack(fmt.Sprintf("stage %d: too few old servers report to compare with", state.Stage))
+			return state.rollBack(fmt.Sprintf("stage %d: too few servers of the baseline report", state.Stage))
 		}
-		return state, Decision{Verdict: Wait, Reason: "too few old servers report to compare with"}
+		return state, Decision{Verdict: Wait, Reason: "too few servers of the baseline report"}
 	case baked && sampled && inconclusive == "":
 		return state.nextStage()
 	case !overdue:
@@ -136,16 +140,17 @@
 	case sampled && p.nextStageIsSmall(state.Stage):
 		return state.nextStage()
 	}
-	return state.rollBack(fmt.Sprintf("stage %d: not shown to be no worse after %d windows: %d requests, open: %s",
+	return state.rollBack(fmt.Sprintf("stage %d: not shown to be no worse after %d windows, %d requests; inconclusive test: %s",
 		state.Stage, state.WindowsInPhase, state.Requests, inconclusive))
 }
 
-// baselineTooSmall reports whether fewer than half of the old servers report.
+// baselineTooSmall reports whether fewer than half of the servers with the old version
+// report.
 func (p *Plan) baselineTooSmall(state State, baseline []Sample) bool {
 	return 2*len(baseline) < len(p.Servers)-p.cohortSize(state.Stage)
 }
 
-// nextStage returns the state at the beginning of the next stage.
+// nextStage returns the state at the beginning of the next stage, and the decision.
 func (s State) nextStage() (State, Decision) {
 	next := State{Phase: Replacing, Stage: s.Stage + 1, Window: s.Window, Histories: s.Histories, SlowBound: s.SlowBound}
 	return next, Decision{Verdict: Proceed, Reason: fmt.Sprintf("stage %d did no worse", s.Stage)}
--- a/fleet/rollout/collector.go
+++ b/fleet/rollout/collector.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	maxPastIncarnations = 8    // of a server, whose late reports are recognized
-	maxSilentWindows    = 3600 // after which a server is removed
+	maxPastIncarnations = 8    // per server, whose late reports are recognized
+	maxSilentWindows    = 3600 // windows without a report after which a server is removed
 )
 
-// Collector makes the samples of each window from the reports of servers. It is
-// not safe for concurrent use.
+// Collector computes the samples of each window from the reports of servers. It is not
+// safe for concurrent use.
 type Collector struct{ servers map[string]*serverReports }
 
-// serverReports is what is known of one server.
+// serverReports contains the latest reports of one server.
 type serverReports struct {
 	latest           Report
-	windowStart      Report   // the last when the window began; its Incarnation is 0 where there was none
-	pastIncarnations []uint64 // the latest last; late reports of theirs are ignored
+	windowStart      Report   // latest at the beginning of the window; its Incarnation is 0 if there was none
+	pastIncarnations []uint64 // in order of their ends; their late reports are ignored
 	crashes          uint64   // in this window
 	silentWindows    int
 }
 
-// NewCollector returns a collector without reports.
+// NewCollector returns an empty collector.
 func NewCollector() *Collector { return &Collector{servers: map[string]*serverReports{}} }
 
-// Observe takes in a report; reports may come late, twice and in any order.
+// Observe processes a report. Reports may arrive late, twice and in any order.
 func (c *Collector) Observe(r Report) {
 	s := c.servers[r.Server]
 	if s == nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-// observeRestart takes in the first report of a new incarnation. It counts a crash,
-// unless the one before was leaving or of another version.
+// observeRestart processes the first report of a new incarnation. It counts a crash,
+// unless the previous incarnation was leaving or had another version.
 func (s *serverReports) observeRestart(r Report) {
 	if !s.latest.Leaving && r.Version == s.latest.Version {
 		s.crashes++
@@ -55,10 +55,9 @@
 	s.latest = r
 }
 
-// EndWindow ends a window and returns its samples, in the order of the servers'
-// names. A server has a sample if it was of one incarnation and version through
-// all of the window; a server that came back after a crash has one with the
-// crash alone.
+// EndWindow ends a window and returns its samples, sorted by server name. A server has a
+// sample if it ran one incarnation and version during the complete window and sent a new
+// report. A server that restarted after a crash has a sample with the crash only.
 func (c *Collector) EndWindow(kind Kind) []Sample {
 	var samples []Sample
 	for _, name := range slices.Sorted(maps.Keys(c.servers)) {
@@ -74,7 +73,7 @@
 	return samples
 }
 
-// sample returns the server's sample of the window that ends, if it has one.
+// sample returns the server's sample of the window that ends, and whether it has one.
 func (s *serverReports) sample(kind Kind) (Sample, bool) {
 	version := kind.runningVersion(&s.latest)
 	steady := s.latest.Incarnation == s.windowStart.Incarnation && s.latest.Sequence > s.windowStart.Sequence &&
@@ -100,8 +99,7 @@
 	s.windowStart, s.crashes = s.latest, 0
 }
 
-// LatestReports returns the latest report of each server, in the order of their
-// names.
+// LatestReports returns the latest report of each server, sorted by server name.
 func (c *Collector) LatestReports() []Report {
 	reports := make([]Report, 0, len(c.servers))
 	for _, s := range c.servers {
--- a/fleet/rollout/command.go
+++ b/fleet/rollout/command.go
@@ -2,36 +2,38 @@
 
 import "encoding/json"
 
-// CommandKind is what a command does.
+// CommandKind is the operation of a Command.
 type CommandKind string
 
 // The kinds of commands.
 const (
-	Start CommandKind = "start" // begins a plan, by an operator
-	Step  CommandKind = "step"  // takes in a window, by the owner of the lease
-	Stop  CommandKind = "stop"  // halts the plan under way, by an operator
+	Start CommandKind = "start" // begins a plan; from an operator
+	Step  CommandKind = "step"  // sets the state after a window; from the owner of the lease
+	Stop  CommandKind = "stop"  // halts the plan in progress; from an operator
 )
 
-// Command is an entry of the voters' log that changes the Record.
+// Command is an entry of the voters' log that changes the Record. Its JSON is stored:
+// the tags define the format.
 type Command struct {
 	Kind CommandKind `json:"kind"`
-	// Plan belongs to Start; for settings, Record.Apply sets its From and To. Patch
-	// are the settings.
+	// Plan and Patch belong to Start. For a plan of kind Settings, Patch is the settings
+	// patch, and Record.Apply sets Plan.From and Plan.To.
 	Plan  *Plan           `json:"plan,omitempty"`
 	Patch json.RawMessage `json:"patch,omitempty"`
-	// ID and Reason belong to Stop: the plan's ID, and why it is halted.
+	// ID and Reason belong to Stop: the plan's ID and the reason for halting it.
 	ID     string `json:"id,omitempty"`
 	Reason string `json:"reason,omitempty"`
-	// The others belong to Step: the index of the record that it was made from, and
-	// what Plan.Step returned. The histories are left out of the state where they
-	// did not change.
+	// The other fields belong to Step: the log index of the record from which it was
+	// derived, and the results of Plan.Step. State omits the histories if they did not
+	// change; HistoriesUnchanged is true then.
 	PreviousIndex      uint64   `json:"prev,omitempty"`
 	State              State    `json:"state,omitzero"`
 	HistoriesUnchanged bool     `json:"same_used,omitempty"`
 	Decision           Decision `json:"decision,omitzero"`
 }
 
-// refused wraps the reason for which the command at an index of the log is refused.
+// refused returns the *CommandError for a command that was rejected at an index of the
+// log.
 func (c *Command) refused(index uint64, reason error) error {
 	planID := c.ID
 	if c.Plan != nil {
--- a/fleet/rollout/errors.go
+++ b/fleet/rollout/errors.go
@@ -5,27 +5,27 @@
 	"fmt"
 )
 
-// Reasons for which Record.Apply refuses a command; a CommandError wraps them.
+// Reasons why Record.Apply rejects a command; a CommandError wraps them.
 var (
-	// ErrPlanInProgress refuses the start of a plan before the latest one has ended.
-	ErrPlanInProgress = errors.New("another plan is under way")
-	// ErrPlanMissing refuses a start that brings no plan.
+	// ErrPlanInProgress rejects a Start command before the latest plan has ended.
+	ErrPlanInProgress = errors.New("another plan is in progress")
+	// ErrPlanMissing rejects a Start command without a plan.
 	ErrPlanMissing = errors.New("the command has no plan")
-	// ErrPlanIDReused refuses a plan with the ID of the plan before it.
-	ErrPlanIDReused = errors.New("a plan with this id was there before")
-	// ErrInvalidSettings refuses a settings patch that is not valid JSON.
-	ErrInvalidSettings = errors.New("the settings are not valid JSON")
-	// ErrPlanNotInProgress refuses to stop a plan that is not under way.
-	ErrPlanNotInProgress = errors.New("this plan is not under way")
-	// ErrUnknownCommand refuses a command of an unknown kind.
-	ErrUnknownCommand = errors.New("unknown kind of command")
+	// ErrPlanIDReused rejects a plan with the ID of the previous plan.
+	ErrPlanIDReused = errors.New("the previous plan has the same id")
+	// ErrInvalidSettings rejects a settings patch that is not valid JSON.
+	ErrInvalidSettings = errors.New("the settings patch is not valid JSON")
+	// ErrPlanNotInProgress rejects a Stop command for a plan that is not in progress.
+	ErrPlanNotInProgress = errors.New("this plan is not in progress")
+	// ErrUnknownCommand rejects a command of an unknown kind.
+	ErrUnknownCommand = errors.New("unknown command kind")
 )
 
-// CommandError reports a command that Record.Apply refused. Err is one of the
+// CommandError reports a command that Record.Apply rejected. Err is one of the
 // reasons above, a *PlanError or a *StaleStepError.
 type CommandError struct {
 	Kind   CommandKind
-	PlanID string // "" for a step, and for a start without a plan
+	PlanID string // "" for Step, and for Start without a plan
 	Index  uint64 // of the command's entry in the log
 	Err    error
 }
@@ -33,15 +33,15 @@
 // Error implements error.
 func (e *CommandError) Error() string {
 	if e.PlanID == "" {
-		return fmt.Sprintf("rollout: command %q at log index %d refused: %v", e.Kind, e.Index, e.Err)
+		return fmt.Sprintf("rollout: command %q at log index %d rejected: %v", e.Kind, e.Index, e.Err)
 	}
-	return fmt.Sprintf("rollout: command %q for plan %q at log index %d refused: %v", e.Kind, e.PlanID, e.Index, e.Err)
+	return fmt.Sprintf("rollout: command %q for plan %q at log index %d rejected: %v", e.Kind, e.PlanID, e.Index, e.Err)
 }
 
-// Unwrap returns the reason for the refusal.
+// Unwrap returns the reason for the rejection.
 func (e *CommandError) Unwrap() error { return e.Err }
 
-// PlanError reports a plan that is not valid.
+// PlanError reports an invalid plan.
 type PlanError struct {
 	PlanID  string
 	Problem string
@@ -49,32 +49,32 @@
 
 // Error implements error.
 func (e *PlanError) Error() string {
-	return fmt.Sprintf("rollout: plan %q is not valid: %s", e.PlanID, e.Problem)
+	return fmt.Sprintf("rollout: invalid plan %q: %s", e.PlanID, e.Problem)
 }
 
-// StaleStepError reports a step that was made from another record than the
-// present one, or after the plan had ended.
+// StaleStepError reports a Step command that was not derived from the current record,
+// or that follows the end of the plan.
 type StaleStepError struct {
-	PreviousIndex uint64 // of the record that the step was made from
-	RecordIndex   uint64 // of the present record
+	PreviousIndex uint64 // log index of the record from which the step was derived
+	RecordIndex   uint64 // log index of the current record
 }
 
 // Error implements error.
 func (e *StaleStepError) Error() string {
 	if e.PreviousIndex == e.RecordIndex {
-		return fmt.Sprintf("the step follows log index %d, but no plan is under way", e.PreviousIndex)
+		return fmt.Sprintf("the step follows log index %d, but no plan is in progress", e.PreviousIndex)
 	}
-	return fmt.Sprintf("the step follows log index %d, the record is at %d", e.PreviousIndex, e.RecordIndex)
+	return fmt.Sprintf("the step follows log index %d, but the record is at log index %d", e.PreviousIndex, e.RecordIndex)
 }
 
-// StaleDirectiveError reports a directive that was made from an older record
-// than one that the follower has seen.
+// StaleDirectiveError reports a directive from an older record than an earlier
+// directive of the follower.
 type StaleDirectiveError struct {
-	Index   uint64 // of the record that the directive was made from
-	Highest uint64 // of the latest record that was seen
+	Index   uint64 // log index of the directive's record
+	Highest uint64 // highest log index that the follower accepted
 }
 
 // Error implements error.
 func (e *StaleDirectiveError) Error() string {
-	return fmt.Sprintf("rollout: the directive is of log index %d, %d was seen", e.Index, e.Highest)
+	return fmt.Sprintf("rollout: the directive has log index %d, but %d was accepted before", e.Index, e.Highest)
 }
--- a/fleet/rollout/golden_test.go
+++ b/fleet/rollout/golden_test.go
@@ -10,7 +10,7 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// slowerThan is a count for each of LatencyBounds.
+// slowerThan returns a count for each of LatencyBounds, halved from one to the next.
 func slowerThan[T uint64 | float64](from T) (counts [len(LatencyBounds)]T) {
 	for i := range counts {
 		counts[i] = from / T(uint64(1)<<i)
@@ -30,7 +30,7 @@
 	}
 }
 
-// goldenState is a state with each of its fields.
+// goldenState returns a state with all fields set.
 func goldenState() State {
 	return State{
 		Phase: Baking, Stage: 1, Window: 77, WindowsInPhase: 5, Requests: 4711, Crashes: 1, SlowBound: 6, Reason: "stage 1: late is worse",
@@ -42,9 +42,8 @@
 	}
 }
 
-// TestGoldenRecord writes and reads the record of rollouts, as the voters'
-// snapshots hold it and operators get it: with each phase and verdict, and each
-// field.
+// TestGoldenRecord encodes and decodes records in the format of the voters' snapshots
+// and of the operators' API, with each phase, verdict and field.
 func TestGoldenRecord(t *testing.T) {
 	golden.RoundTrip(t, "record-none.json", Record{}, json.Marshal, json.Unmarshal)
 	golden.RoundTrip(t, "record-program.json", Record{
@@ -73,17 +72,17 @@
 	}, json.Marshal, json.Unmarshal)
 }
 
-// TestGoldenCommands writes and reads a command of each kind, as the voters' log
-// holds them.
+// TestGoldenCommands encodes and decodes a command of each kind in the format of the
+// voters' log.
 func TestGoldenCommands(t *testing.T) {
 	step := Command{Kind: Step, PreviousIndex: 90, State: goldenState(), Decision: Decision{Verdict: Wait, Reason: "baking"}}
-	same := step
-	same.State.Histories, same.HistoriesUnchanged = nil, true
+	unchanged := step
+	unchanged.State.Histories, unchanged.HistoriesUnchanged = nil, true
 	for name, command := range map[string]Command{
 		"order-start-program.json":   {Kind: Start, Plan: goldenPlan(Program)},
 		"order-start-settings.json":  {Kind: Start, Plan: goldenPlan(Settings), Patch: json.RawMessage(`{"lanes":{"a":{"aim_ms":5}}}`)},
 		"order-step.json":            step,
-		"order-step-same-used.json":  same,
+		"order-step-same-used.json":  unchanged,
 		"order-stop.json":            {Kind: Stop, ID: "r-2026", Reason: "halted by an operator"},
 		"order-step-first-wait.json": {Kind: Step, PreviousIndex: 1, State: State{Phase: Watching, Window: 1, WindowsInPhase: 1}},
 	} {
@@ -91,9 +90,9 @@
 	}
 }
 
-// TestGoldenDesired checks that the golden record leads to the same versions of
-// the same servers: a new owner of another version of the program resumes the
-// stage that the one before it began.
+// TestGoldenDesired checks that the golden records give the same desired versions of the
+// same servers, so that a new owner with another version of the program resumes the
+// stage that the previous owner began.
 func TestGoldenDesired(t *testing.T) {
 	for file, record := range map[string]string{"desired-program.json": "record-program.json", "desired-settings.json": "record-settings.json"} {
 		var r Record
@@ -104,8 +103,8 @@
 	}
 }
 
-// TestGoldenMessages writes and reads what servers and the owner of the rollout
-// send each other.
+// TestGoldenMessages encodes and decodes the messages between servers and the owner of
+// the rollout's lease.
 func TestGoldenMessages(t *testing.T) {
 	report := Report{
 		Server: "s1", Zone: "z1", Incarnation: 1 << 62, Sequence: 300, Version: "2", Settings: 3, RejectedSettings: 4, RejectionReason: "settings.lanes: no",
--- a/fleet/rollout/history.go
+++ b/fleet/rollout/history.go
@@ -1,10 +1,10 @@
 package rollout
 
-// priorEvents is how many events at the fleet's rate are added to each history
-// (shrinkage): a server that had few is taken to be like the others.
+// priorEvents is the number of events at the fleet's rate that are added to each history
+// (shrinkage), so that a server with few events is assumed to be like the others.
 const priorEvents = 20
 
-// History is what a server counted while it was watched.
+// History contains a server's counts from the Watching phase.
 type History struct {
 	Requests   float64                     `json:"requests"`
 	Late       float64                     `json:"late"`
@@ -24,7 +24,7 @@
 	}
 }
 
-// sumHistories returns the history of the fleet as a whole.
+// sumHistories returns the sum of all histories.
 func sumHistories(histories map[string]History) History {
 	var sum History
 	for _, h := range histories {
@@ -39,8 +39,8 @@
 	return sum
 }
 
-// weightByHistory returns a function that weighs a server's requests by how much
-// more often than the fleet it had an event in its history.
+// weightByHistory returns a function that multiplies the requests of a sample by the
+// ratio of the server's event rate to the fleet's event rate, both from the histories.
 func weightByHistory(histories map[string]History, event comparedEvent) func(Sample) float64 {
 	fleet := sumHistories(histories)
 	events := event.historyCount(fleet)
--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -7,60 +7,61 @@
 	"slices"
 )
 
-// Server is a server that a plan covers.
+// Server is a server of a plan.
 type Server struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
 }
 
-// Stage is a part of the fleet that gets the change, and what it must show
-// before the next stage begins.
+// Stage is the share of the fleet that has the change, and the evidence that is
+// required before the next stage begins.
 type Stage struct {
-	Share       float64 `json:"share"`    // of all servers that have the change by the end of the stage; at least one server
-	BakeWindows int     `json:"bake"`     // least number of windows to compare
-	MinRequests uint64  `json:"sample"`   // least number of requests that the cohort answers
-	MaxWindows  int     `json:"patience"` // windows in a phase after which the stage rolls back if it has not shown enough
+	Share       float64 `json:"share"`    // of all servers that have the change at the end of the stage; at least one server
+	BakeWindows int     `json:"bake"`     // minimum number of windows that are compared
+	MinRequests uint64  `json:"sample"`   // minimum number of requests that the cohort answers
+	MaxWindows  int     `json:"patience"` // windows in a phase after which the rollout rolls back without sufficient evidence
 }
 
-// Plan is a change and how it goes out.
+// Plan is a change and the stages of its rollout.
 type Plan struct {
-	ID      string   `json:"id"` // also the seed of the order of the servers
+	ID      string   `json:"id"` // also the seed for the order of the servers
 	Kind    Kind     `json:"kind"`
 	From    string   `json:"from"` // old version
 	To      string   `json:"to"`   // new version
 	Servers []Server `json:"servers"`
-	Stages  []Stage  `json:"stages"` // with growing shares, the last of them 1
-	// MinWatchWindows is how many windows the servers are watched, at least, before
-	// the first stage: each is compared with its own history, as machines differ.
-	// They are watched on until their histories suffice for the comparison, for
-	// MaxWatchWindows at most.
+	Stages  []Stage  `json:"stages"` // with increasing shares; the last share is 1
+	// MinWatchWindows is the minimum number of windows for which the servers are
+	// watched before the first stage, because machines differ and the comparison uses
+	// each server's own history. Watching continues until the histories suffice for the
+	// comparison, for at most MaxWatchWindows.
 	MinWatchWindows int `json:"watch"`
 	MaxWatchWindows int `json:"watch_most"`
-	// WarmUpWindows is for how many windows after their replacement the servers of
-	// a stage are judged by their crashes alone.
+	// WarmUpWindows is the number of windows after the replacement of a stage's servers
+	// in which only their crashes count.
 	WarmUpWindows int    `json:"warm"`
 	Limits        Limits `json:"limits"`
 }
 
-// Limits are the parameters of the tests.
+// Limits are the parameters of the sequential tests.
 type Limits struct {
-	// WorseRatio is the ratio of event rates that a test detects: 1.2 is a fifth
-	// more late answers than the baseline has.
+	// WorseRatio is the ratio of event rates that a test detects: 1.2 means 20% more
+	// late answers than in the baseline.
 	WorseRatio float64 `json:"worse"`
-	// FalseHaltProbability is the probability, over a whole plan, that a change
-	// which does no worse is halted. MissProbability is that of a change which is
-	// worse by WorseRatio passing a test.
+	// FalseHaltProbability is the probability, over a complete plan, of halting a
+	// change that is no worse. MissProbability is the probability that a change that
+	// is worse by WorseRatio passes a test.
 	FalseHaltProbability float64 `json:"mistaken"`
 	MissProbability      float64 `json:"missed"`
-	// UnprovenShare is the share of the servers that may run a change which has
+	// UnprovenShare is the maximum share of the servers that may run a change that has
 	// not been shown to be no worse.
 	UnprovenShare float64 `json:"small"`
-	// NegligibleRate is the share of the requests below which an event is too
-	// rare to be compared.
+	// NegligibleRate is the rate, as a fraction of the requests, below which an event
+	// is too rare to be compared.
 	NegligibleRate float64 `json:"least"`
 }
 
-// DefaultStages returns stages of one server, 5%, 25%, 50% and all servers.
+// DefaultStages returns stages of one server, and of 5%, 25%, 50% and 100% of the
+// servers.
 func DefaultStages() []Stage {
 	return []Stage{
 		{Share: 0, BakeWindows: 20, MinRequests: 2000, MaxWindows: 900},
@@ -71,13 +72,13 @@
 	}
 }
 
-// DefaultLimits returns limits that detect a change which is a fifth worse, and
-// halt one good change in a hundred.
+// DefaultLimits returns limits that detect a change with 20% higher event rates, and
+// halt 1% of the changes that are no worse.
 func DefaultLimits() Limits {
 	return Limits{WorseRatio: 1.2, FalseHaltProbability: 0.01, MissProbability: 0.001, UnprovenShare: 0.05, NegligibleRate: 0.004}
 }
 
-// Validate returns a *PlanError where the plan is not valid.
+// Validate returns a *PlanError if the plan is invalid.
 func (p *Plan) Validate() error {
 	for _, problem := range []func() string{p.nameProblem, p.rangeProblem, p.serverProblem, p.stageProblem} {
 		if text := problem(); text != "" {
@@ -87,24 +88,24 @@
 	return nil
 }
 
-// nameProblem describes what is wrong with the plan's names and kind, "" for nothing.
+// nameProblem describes an invalid ID, kind or version of the plan, "" for none.
 func (p *Plan) nameProblem() string {
 	switch {
 	case p.ID == "" || p.From == "" || p.To == "" || p.From == p.To:
 		return fmt.Sprintf("id, from and to must be set, and from (%q) must differ from to (%q)", p.From, p.To)
 	case p.Kind != Program && p.Kind != Settings:
-		return fmt.Sprintf("the kind must be %s or %s, not %q", Program, Settings, p.Kind)
+		return fmt.Sprintf("kind is %q, want %s or %s", p.Kind, Program, Settings)
 	}
 	return ""
 }
 
-// rangeProblem describes which count or limit is out of range, "" for none.
+// rangeProblem describes a count or limit that is out of range, "" for none.
 func (p *Plan) rangeProblem() string {
 	switch {
 	case len(p.Servers) < 2:
-		return fmt.Sprintf("a comparison needs at least 2 servers, not %d", len(p.Servers))
+		return fmt.Sprintf("servers has %d entries, want at least 2 for a comparison", len(p.Servers))
 	case len(p.Stages) == 0 || p.Stages[len(p.Stages)-1].Share != 1:
-		return "the last stage must have the share 1"
+		return "the last of the stages must have share 1"
 	case !p.Limits.inRange():
 		l := p.Limits
 		return fmt.Sprintf("a limit is out of range: worse %g, mistaken %g, missed %g, small %g, least %g",
@@ -116,7 +117,7 @@
 	return ""
 }
 
-// inRange reports whether each limit is within its range.
+// inRange reports whether all limits are within their ranges.
 func (l Limits) inRange() bool {
 	return l.WorseRatio > 1 && l.WorseRatio <= 10 &&
 		l.FalseHaltProbability > 0 && l.FalseHaltProbability < 0.5 &&
@@ -125,35 +126,35 @@
 		l.UnprovenShare >= 0 && l.UnprovenShare <= 1
 }
 
-// serverProblem describes which server's name is not valid, "" for none.
+// serverProblem describes an empty or repeated server name, "" for none.
 func (p *Plan) serverProblem() string {
 	names := map[string]bool{}
 	for _, s := range p.Servers {
 		if s.Name == "" || names[s.Name] {
-			return fmt.Sprintf("server %q is named twice or has no name", s.Name)
+			return fmt.Sprintf("server name %q is empty or not unique", s.Name)
 		}
 		names[s.Name] = true
 	}
 	return ""
 }
 
-// stageProblem describes which stage is not valid, "" for none.
+// stageProblem describes an invalid stage, "" for none.
 func (p *Plan) stageProblem() string {
 	for i, s := range p.Stages {
 		if s.Share < 0 || s.Share > 1 || i > 0 && s.Share <= p.Stages[i-1].Share {
-			return fmt.Sprintf("stage %d: the shares must grow from 0 to 1, this one is %g", i, s.Share)
+			return fmt.Sprintf("stage %d: share is %g, want shares that increase from 0 to 1", i, s.Share)
 		}
 		if s.BakeWindows < 1 || s.MaxWindows < p.WarmUpWindows+s.BakeWindows {
-			return fmt.Sprintf("stage %d: bake (%d) must be at least 1, and patience (%d) at least bake and warm (%d) together",
+			return fmt.Sprintf("stage %d: bake (%d) must be at least 1, and patience (%d) at least the sum of bake and warm (%d)",
 				i, s.BakeWindows, s.MaxWindows, p.WarmUpWindows)
 		}
 	}
 	return ""
 }
 
-// serverOrder returns the servers in the order in which they get the change. It
-// takes them from one zone after the other, so that each stage is spread over
-// all zones; the plan's ID is the seed of the order.
+// serverOrder returns the servers in the order in which they get the change. It takes
+// them from the zones in rotation, so that each stage is spread over all zones. The
+// plan's ID is the seed for the order.
 func (p *Plan) serverOrder() []Server {
 	rank := func(text string) uint64 {
 		h := fnv.New64a()
@@ -175,8 +176,8 @@
 	return ordered
 }
 
-// firstTestedServers returns the cohort of the first stage that has to show that
-// it is no worse. The histories of these servers must suffice for that.
+// firstTestedServers returns the cohort of the first stage that must be shown to be no
+// worse. The histories of these servers must suffice for the test.
 func (p *Plan) firstTestedServers() []Server {
 	stage := 0
 	for p.nextStageIsSmall(stage) {
@@ -186,18 +187,18 @@
 }
 
 // nextStageIsSmall reports whether the stage after the given one is within
-// Limits.UnprovenShare, so that it may begin before anything was shown.
+// Limits.UnprovenShare, so that it may begin without a proof that the change is no worse.
 func (p *Plan) nextStageIsSmall(stage int) bool {
 	return stage+1 < len(p.Stages) && float64(p.cohortSize(stage+1)) <= p.Limits.UnprovenShare*float64(len(p.Servers))
 }
 
-// cohortSize returns how many servers have the change by the end of a stage.
+// cohortSize returns the number of servers that have the change at the end of a stage.
 func (p *Plan) cohortSize(stage int) int {
 	return min(len(p.Servers), max(1, int(p.Stages[stage].Share*float64(len(p.Servers)))))
 }
 
-// falseHaltProbabilityPerTest is the probability that one test of one stage
-// halts a change which does no worse.
+// falseHaltProbabilityPerTest returns the probability that one test of one stage halts
+// a change that is no worse.
 func (p *Plan) falseHaltProbabilityPerTest() float64 {
 	return p.Limits.FalseHaltProbability / float64(len(testNames())*len(p.Stages))
 }
--- a/fleet/rollout/record.go
+++ b/fleet/rollout/record.go
@@ -5,19 +5,19 @@
 	"strconv"
 )
 
-// Kind is what a rollout changes.
+// Kind is the kind of change that a rollout makes.
 type Kind string
 
 // The kinds of rollouts.
 const (
-	Program  Kind = "program"  // the program; an operator's starter replaces processes
+	Program  Kind = "program"  // the program; the operator's tooling replaces the processes
 	Settings Kind = "settings" // the settings of running servers
 )
 
-// settingsVersion returns the version that stands for numbered settings.
+// settingsVersion returns the version name of numbered settings.
 func settingsVersion(number uint64) string { return strconv.FormatUint(number, 10) }
 
-// runningVersion returns the version that a server runs, by its report.
+// runningVersion returns the version that a server runs according to its report.
 func (k Kind) runningVersion(r *Report) string {
 	if k == Settings {
 		return settingsVersion(r.Settings)
@@ -25,23 +25,24 @@
 	return r.Version
 }
 
-// Record is what the fleet's log came to: the latest plan and the settings in
-// force. Settings have growing numbers; each is a JSON merge patch (RFC 7396) on
-// the settings of a server's own file, which has the number 0.
+// Record is the state machine of the rollout commands in the fleet's log: the latest
+// plan and the settings in force. Settings have increasing numbers. Each is a JSON merge
+// patch (RFC 7396) on the settings of the server's own file, which have the number 0.
 type Record struct {
-	Index           uint64                     `json:"index"`          // of the log entry that changed the record last
-	Plan            *Plan                      `json:"plan,omitempty"` // the latest, also after its end
+	Index           uint64                     `json:"index"`          // of the last log entry that changed the record
+	Plan            *Plan                      `json:"plan,omitempty"` // the latest plan, also after its end
 	State           State                      `json:"state"`
 	Decision        Decision                   `json:"decision"`          // of the latest window
-	LastSettings    uint64                     `json:"last"`              // the highest number that was given
-	CurrentSettings uint64                     `json:"current"`           // in force where no plan says otherwise
-	Patches         map[uint64]json.RawMessage `json:"patches,omitempty"` // by number, of settings that a server may have to run
+	LastSettings    uint64                     `json:"last"`              // highest number assigned so far
+	CurrentSettings uint64                     `json:"current"`           // in force on servers to which no plan assigns others
+	Patches         map[uint64]json.RawMessage `json:"patches,omitempty"` // by number; of all settings that a server may have to run
 }
 
-// Ended reports whether no plan is under way.
+// Ended reports whether no plan is in progress.
 func (r *Record) Ended() bool { return r.Plan == nil || r.State.ended() }
 
-// NextCommand returns the command that enters the samples of the next window.
+// NextCommand processes the samples of the next window and returns the Step command
+// with the result.
 func (r *Record) NextCommand(samples []Sample) Command {
 	state, decision := r.Plan.Step(r.State, r.State.Window+1, samples)
 	c := Command{Kind: Step, PreviousIndex: r.Index, State: state, Decision: decision}
@@ -52,8 +53,8 @@
 	return c
 }
 
-// Apply returns the record after the command at an index of the log. Where the
-// command is refused, it returns the same record and a *CommandError.
+// Apply returns the record after the command at an index of the log. For a rejected
+// command it returns the unchanged record and a *CommandError.
 func (r Record) Apply(c Command, index uint64) (Record, error) {
 	switch c.Kind {
 	case Start:
@@ -66,7 +67,7 @@
 	return r, c.refused(index, ErrUnknownCommand)
 }
 
-// applyStart begins a plan.
+// applyStart applies a Start command, which begins a plan.
 func (r Record) applyStart(c Command, index uint64) (Record, error) {
 	switch {
 	case !r.Ended():
@@ -92,7 +93,7 @@
 	return next, nil
 }
 
-// applyStep takes in the state after a window.
+// applyStep applies a Step command, which sets the state after a window.
 func (r Record) applyStep(c Command, index uint64) (Record, error) {
 	if c.PreviousIndex != r.Index || r.Ended() {
 		return r, c.refused(index, &StaleStepError{PreviousIndex: c.PreviousIndex, RecordIndex: r.Index})
@@ -111,7 +112,7 @@
 	return r, nil
 }
 
-// applyStop halts the plan under way.
+// applyStop applies a Stop command, which halts the plan in progress.
 func (r Record) applyStop(c Command, index uint64) (Record, error) {
 	if r.Ended() || r.Plan.ID != c.ID {
 		return r, c.refused(index, ErrPlanNotInProgress)
@@ -121,8 +122,8 @@
 	return r, nil
 }
 
-// patchesInForce returns the patches without those that no server has to run once
-// no plan is under way.
+// patchesInForce returns the patch of the current settings only. Servers need no other
+// patch when no plan is in progress.
 func (r Record) patchesInForce() map[uint64]json.RawMessage {
 	patches := map[uint64]json.RawMessage{}
 	if patch, ok := r.Patches[r.CurrentSettings]; ok {
@@ -131,8 +132,8 @@
 	return patches
 }
 
-// DesiredVersions returns the version of the program that each server is to run,
-// nil where the latest plan is not for the program.
+// DesiredVersions returns the version of the program that each server should run, nil
+// if the latest plan is not of kind Program.
 func (r *Record) DesiredVersions() map[string]string {
 	if r.Plan == nil || r.Plan.Kind != Program {
 		return nil
@@ -140,8 +141,8 @@
 	return r.Plan.DesiredVersions(r.State)
 }
 
-// DesiredSettings returns the number of the settings that each server of a plan
-// is to run, and that of all other servers.
+// DesiredSettings returns the number of the settings that each server of the plan in
+// progress should run, and the number for all other servers.
 func (r *Record) DesiredSettings() (byServer map[string]uint64, others uint64) {
 	byServer = map[string]uint64{}
 	if r.Ended() || r.Plan.Kind != Settings {
--- a/fleet/rollout/sample.go
+++ b/fleet/rollout/sample.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Sample is what one server reported in one window.
+// Sample contains the counts of one server in one window.
 type Sample struct {
 	Server   string `json:"server"`
-	Version  string `json:"version"` // that it runs
+	Version  string `json:"version"` // that the server runs
 	Requests uint64 `json:"requests"`
 	Rejected uint64 `json:"refused"`
 	Late     uint64 `json:"late"` // served after the latency objective
 	Failed   uint64 `json:"failed"`
 	Crashes  uint64 `json:"crashes"`
-	// SlowerThan counts answers by time: SlowerThan[i] took LatencyBounds[i] or longer.
+	// SlowerThan counts answers by latency: SlowerThan[i] took LatencyBounds[i] or longer.
 	SlowerThan [len(LatencyBounds)]uint64 `json:"slower"`
-	// RejectedVersion is the version that the server rejected last, RejectionReason why.
+	// RejectedVersion is the version that the server rejected last, "" for none.
 	RejectedVersion string `json:"turned_down,omitempty"`
 	RejectionReason string `json:"reason,omitempty"`
 }
 
-// LatencyBounds are the times that Sample.SlowerThan counts by.
+// LatencyBounds are the latencies of the counts in Sample.SlowerThan.
 var LatencyBounds = [...]time.Duration{
 	10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
 	350 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond, time.Second, 1400 * time.Millisecond,
 	2 * time.Second, 2800 * time.Millisecond, 4 * time.Second, 5600 * time.Millisecond, 8 * time.Second,
 }
 
-// The events that the cohort and the baseline are compared by.
+// The events whose rates are compared between the cohort and the baseline.
 const (
 	lateEvent     = "late"
 	rejectedEvent = "refused"
@@ -33,15 +33,15 @@
 	slowEvent     = "slow"
 )
 
-// comparedEvent is an event whose rate is compared.
+// comparedEvent is an event whose rates are compared.
 type comparedEvent struct {
-	name         string
+	name         string // also the name of its test
 	count        func(Sample) uint64
 	historyCount func(History) float64
 }
 
-// comparedEvents returns the events; an answer is slow that took
-// LatencyBounds[slowBound] or longer.
+// comparedEvents returns all events. An answer that took LatencyBounds[slowBound] or
+// longer is slow.
 func comparedEvents(slowBound int) []comparedEvent {
 	return []comparedEvent{
 		{lateEvent, func(s Sample) uint64 { return s.Late }, func(h History) float64 { return h.Late }},
@@ -59,7 +59,7 @@
 	return []string{failedEvent, lateEvent, baselineFailuresTest, rejectedEvent, slowEvent}
 }
 
-// sumCounts adds up an event's counts.
+// sumCounts returns the sum of an event's counts.
 func sumCounts(samples []Sample, count func(Sample) uint64) float64 {
 	total := 0.0
 	for _, s := range samples {
@@ -68,7 +68,7 @@
 	return total
 }
 
-// sumWeights adds up weighted requests.
+// sumWeights returns the sum of the weighted requests.
 func sumWeights(samples []Sample, weight func(Sample) float64) float64 {
 	total := 0.0
 	for _, s := range samples {
@@ -77,7 +77,7 @@
 	return total
 }
 
-// countCrashes adds up crashes.
+// countCrashes returns the sum of the crashes.
 func countCrashes(samples []Sample) uint64 {
 	var crashes uint64
 	for _, s := range samples {
--- a/fleet/rollout/sequential.go
+++ b/fleet/rollout/sequential.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// negligibleSigmas is how many standard deviations the upper bound of a rare
-// event's count is above it.
+// negligibleSigmas is the distance, in standard deviations, between the count of a rare
+// event and its upper bound.
 const negligibleSigmas = 4
 
-// outcomeCounts are events and requests of a window. Requests are weighed by the
-// histories of the servers.
+// outcomeCounts are the events and the requests of a window. The requests are weighted
+// by the servers' histories.
 type outcomeCounts struct {
 	cohortEvents, cohortRequests     float64
 	baselineEvents, baselineRequests float64
@@ -15,27 +15,27 @@
 
 // SequentialTest is a sequential probability ratio test (Wald, "Sequential Tests
 // of Statistical Hypotheses", 1945) on whether a cohort's rate of an event is
-// Limits.WorseRatio times that of the baseline. The baseline's rate is not known
-// and changes with the hour, so each window is judged given the number of its
-// events: the cohort has the part of them that its requests are of all requests
-// if it is no worse, and a larger part if it is. Only the sums are kept.
+// Limits.WorseRatio times that of the baseline. The baseline's rate is unknown and
+// varies over the day, so the test is conditional on the number of events in each
+// window: if the cohort is no worse, its share of the events is its share of the
+// requests; if it is worse, its share is larger. Only the sums are kept.
 //
-// Events come in bursts, so that counts vary more than those of independent
-// events. The evidence is divided by the dispersion, which is their variance
-// among the servers of the baseline over their mean (quasi-likelihood; McCullagh
-// and Nelder, "Generalized Linear Models", 1989).
+// Events come in bursts, so counts vary more than those of independent events. The
+// evidence is divided by the dispersion, which is the variance of the counts among the
+// baseline's servers over their mean (quasi-likelihood; McCullagh and Nelder,
+// "Generalized Linear Models", 1989).
 type SequentialTest struct {
-	LogLikelihoodRatio float64 `json:"evidence"` // of worse to no worse
+	LogLikelihoodRatio float64 `json:"evidence"` // of the hypothesis worse to the hypothesis no worse
 	DispersionSum      float64 `json:"spread"`   // over the windows
 	Windows            int     `json:"windows"`
 	CohortEvents       float64 `json:"bad"`
-	CohortRequests     float64 `json:"of"` // weighed
+	CohortRequests     float64 `json:"of"` // weighted
 	BaselineEvents     float64 `json:"old_bad"`
-	BaselineRequests   float64 `json:"old_of"` // weighed
-	HistoryEvents      float64 `json:"past"`   // that the cohort's weights were derived from; 0 where these are exact
+	BaselineRequests   float64 `json:"old_of"` // weighted
+	HistoryEvents      float64 `json:"past"`   // from which the cohort's weights were derived; 0 if the weights are exact
 }
 
-// observe adds a window; dispersion is that of the baseline in it.
+// observe adds a window with its counts and the baseline's dispersion.
 func (t *SequentialTest) observe(c outcomeCounts, worseRatio, dispersion float64) {
 	if c.cohortRequests == 0 || c.baselineRequests == 0 {
 		return
@@ -46,23 +46,24 @@
 	t.CohortRequests += c.cohortRequests
 	t.BaselineEvents += c.baselineEvents
 	t.BaselineRequests += c.baselineRequests
-	partIfEqual := c.cohortRequests / (c.cohortRequests + c.baselineRequests)
-	if partIfEqual == 0 || partIfEqual == 1 {
+	shareIfEqual := c.cohortRequests / (c.cohortRequests + c.baselineRequests)
+	if shareIfEqual == 0 || shareIfEqual == 1 {
 		return
 	}
-	partIfWorse := c.cohortRequests * worseRatio / (c.cohortRequests*worseRatio + c.baselineRequests)
-	t.LogLikelihoodRatio += c.cohortEvents*math.Log(partIfWorse/partIfEqual) +
-		c.baselineEvents*math.Log((1-partIfWorse)/(1-partIfEqual))
+	shareIfWorse := c.cohortRequests * worseRatio / (c.cohortRequests*worseRatio + c.baselineRequests)
+	t.LogLikelihoodRatio += c.cohortEvents*math.Log(shareIfWorse/shareIfEqual) +
+		c.baselineEvents*math.Log((1-shareIfWorse)/(1-shareIfEqual))
 }
 
-// dispersion is the mean over the windows, 1 at least.
+// dispersion returns the mean dispersion over the windows, at least 1.
 func (t *SequentialTest) dispersion() float64 {
 	return max(1, t.DispersionSum/float64(max(1, t.Windows)))
 }
 
-// discountedEvidence is the log likelihood ratio, divided by the dispersion and
-// by what the error of the histories adds to the variance: the events that they
-// were derived from are limited, however many come now.
+// discountedEvidence returns the log likelihood ratio, divided by the dispersion and by
+// the factor by which the error of the histories increases the variance. That error
+// remains however many events are counted now, because the histories have a limited
+// number of events.
 func (t *SequentialTest) discountedEvidence() float64 {
 	evidence := t.LogLikelihoodRatio / t.dispersion()
 	if t.HistoryEvents > 0 && t.BaselineRequests > 0 {
@@ -71,8 +72,8 @@
 	return evidence
 }
 
-// attainableEvidence is how far below zero the discounted evidence of a cohort
-// that is no worse can be expected to fall, at most, given its history.
+// attainableEvidence returns the limit, as a positive number, to which the discounted
+// evidence of a cohort that is no worse is expected to fall below 0, given its history.
 func (t *SequentialTest) attainableEvidence(worseRatio float64) float64 {
 	if t.HistoryEvents == 0 {
 		return math.Inf(1)
@@ -80,7 +81,8 @@
 	return t.HistoryEvents * (worseRatio - 1 - math.Log(worseRatio)) / t.dispersion()
 }
 
-// isNegligible reports whether an upper bound of the cohort's rate is within rate.
+// isNegligible reports whether an upper bound of the cohort's event rate is at most
+// rate.
 func (t *SequentialTest) isNegligible(rate float64) bool {
 	if t.CohortRequests <= 0 {
 		return false
@@ -89,11 +91,11 @@
 	return upperBound/t.CohortRequests <= rate
 }
 
-// requiredEvents is how many events a cohort's history needs so that, when the
-// cohort is no worse, its evidence falls to log(MissProbability), but for the
-// given probability of a false halt. It is the n that solves
-// n*gain - z*sqrt(n*4/3)*log(WorseRatio) = -log(MissProbability): the factor 4/3 is
-// there because the stage's own counts are random as well as those of the history.
+// requiredEvents returns the number of events that a cohort's history needs so that the
+// evidence of a cohort that is no worse falls to log(MissProbability), except with the
+// given probability of a false halt. It is the solution n of
+// n*gain - z*sqrt(n*4/3)*log(WorseRatio) = -log(MissProbability). The factor 4/3
+// accounts for the randomness of the stage's own counts, in addition to the history's.
 func (l Limits) requiredEvents(falseHaltProbability float64) float64 {
 	logRatio := math.Log(l.WorseRatio)
 	gain := l.WorseRatio - 1 - logRatio
@@ -102,9 +104,9 @@
 	return root * root
 }
 
-// pearsonDispersion estimates the dispersion of an event among servers, given
-// their weighted requests, by Pearson's statistic over its degrees of freedom: 1
-// where events are independent, and 1 at least.
+// pearsonDispersion estimates the dispersion of an event's counts among servers, given
+// their weighted requests, as Pearson's statistic over its degrees of freedom. It is
+// about 1 for independent events; the result is at least 1.
 func pearsonDispersion(samples []Sample, count func(Sample) uint64, weight func(Sample) float64) float64 {
 	var events, requests float64
 	servers := 0
--- a/fleet/rollout/simulation/doc.go
+++ b/fleet/rollout/simulation/doc.go
@@ -1,7 +1,7 @@
-// Package simulation plays rollouts on a simulated fleet, from a fixed seed:
-// servers of different speeds in zones, load that changes with the hour, events
-// in bursts, lost reports, and servers that take time to be replaced.
+// Package simulation runs rollouts on a simulated fleet from a fixed seed. The fleet has
+// zones, servers with different event rates, event rates that vary over time, bursts of
+// events, lost reports, and servers that are replaced with a delay.
 //
-// [Run] owns all state of one play and starts no goroutine: plays with the same
-// [Config] come to the same [Outcome], in any order and side by side.
+// [Run] owns all state of one run and starts no goroutine. Runs with the same [Config]
+// have the same [Outcome], and may run concurrently.
 package simulation
--- a/fleet/rollout/simulation/simulation.go
+++ b/fleet/rollout/simulation/simulation.go
@@ -8,49 +8,50 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// The simulated fleet, before the change.
+// Parameters of the simulated fleet before the change. Rates are fractions of requests;
+// sigmas are standard deviations of logarithms.
 const (
 	zones = 3
 
-	lateRate     = 0.05 // of the requests of a server of ordinary speed
+	lateRate     = 0.05 // of a server with a rate factor of 1
 	rejectedRate = 0.02
 	failureRate  = 0.002
 
-	medianLatency = 0.25 // seconds, of a log-normal distribution
+	medianLatency = 0.25 // seconds; latencies have a log-normal distribution
 	latencySigma  = 0.7
 
-	serverRateSigma   = 0.3 // of the log of a server's speed
-	requestCountSigma = 0.1 // of the log of a server's requests in a window
-	burstSigma        = 0.2 // of the log of a server's event rate in a window
+	serverRateSigma   = 0.3 // of a server's rate factor
+	requestCountSigma = 0.1 // of a server's request count in a window
+	burstSigma        = 0.2 // of a server's event rate in a window
 
-	commonRateAutocorrelation = 0.98 // part of the hour's factor that a window keeps
+	commonRateAutocorrelation = 0.98 // part of commonLogRate that remains in the next window
 	commonRateSigma           = 0.05
 
 	reportLossRate         = 0.01
-	replacementProbability = 0.5 // chance that a server is replaced within a window
+	replacementProbability = 0.5 // probability that a server is replaced within a window
 )
 
-// Config is a fleet and what the change does to it.
+// Config describes a fleet and the effects of the change.
 type Config struct {
 	Plan                rollout.Plan
 	Seed                uint64
-	RequestsPerWindow   float64 // mean for one server
-	LateRatio           float64 // late answers of the change to those of the old version: 1.2 is a fifth more
+	RequestsPerWindow   float64 // mean of one server
+	LateRatio           float64 // rate of late answers of the new version to that of the old one; 1.2 means 20% more
 	FailureRatio        float64
 	LatencyRatio        float64
-	CrashesPerWindow    float64 // mean for one server that has the change
-	BaselineFailureRate float64 // rate of failures that the change causes at the old servers, times its share of the fleet
-	SilentZone          string  // whose reports of the new version are lost
-	StuckServer         string  // which does not come back from the change
-	MaxWindows          int
+	CrashesPerWindow    float64 // mean of one server that has the change
+	BaselineFailureRate float64 // failure rate that the change adds on servers with the old version, times its share of the fleet
+	SilentZone          string  // zone in which all reports of the new version are lost
+	StuckServer         string  // server that can't be rolled back
+	MaxWindows          int     // windows after which Run ends
 }
 
-// Outcome is the end of a rollout.
+// Outcome is the result of a rollout.
 type Outcome struct {
 	State     rollout.State
 	MaxShare  float64 // largest share of the servers that ran the change
 	Windows   int
-	Remaining int // servers that run the change at the end
+	Remaining int // servers that have the change at the end
 }
 
 // Servers returns n servers in three zones.
@@ -62,8 +63,8 @@
 	return servers
 }
 
-// Run plays one rollout. It calls reload with the state after each window and
-// continues from the result, as a new owner does that reads the state back.
+// Run runs one rollout. It calls reload with the state after each window and continues
+// with the result, like a new owner that reads the state from the log.
 func Run(c Config, reload func(rollout.State) rollout.State) Outcome {
 	f := newFleet(c)
 	var out Outcome
@@ -88,11 +89,11 @@
 	Config
 	random        *rand.Rand
 	versions      map[string]string  // by server
-	rateFactors   map[string]float64 // factor of each server's event rates
-	commonLogRate float64            // log of the hour's factor of all event rates
+	rateFactors   map[string]float64 // factor of each server's event rates, by server
+	commonLogRate float64            // log of the current factor of all servers' event rates
 }
 
-// newFleet returns a fleet of the old version.
+// newFleet returns a fleet whose servers run the old version.
 func newFleet(c Config) *fleet {
 	f := &fleet{
 		Config: c, random: rand.New(rand.NewPCG(c.Seed, 29)),
@@ -104,12 +105,12 @@
 	return f
 }
 
-// advanceCommonRate draws the load of the next window.
+// advanceCommonRate draws the common factor of all event rates for the next window.
 func (f *fleet) advanceCommonRate() {
 	f.commonLogRate = commonRateAutocorrelation*f.commonLogRate + commonRateSigma*f.random.NormFloat64()
 }
 
-// changed returns how many servers run the change.
+// changed returns the number of servers that have the change.
 func (f *fleet) changed() int {
 	n := 0
 	for _, version := range f.versions {
@@ -120,12 +121,12 @@
 	return n
 }
 
-// changedShare returns the share of the servers that run the change.
+// changedShare returns the share of the servers that have the change.
 func (f *fleet) changedShare() float64 {
 	return float64(f.changed()) / float64(len(f.Plan.Servers))
 }
 
-// window returns the samples of one window that are not lost.
+// window draws the samples of one window and returns those that are not lost.
 func (f *fleet) window() []rollout.Sample {
 	var samples []rollout.Sample
 	changedShare := f.changedShare()
@@ -140,7 +141,7 @@
 	return samples
 }
 
-// sample draws what one server counts in a window.
+// sample draws the counts of one server in a window.
 func (f *fleet) sample(name string, changedShare float64) rollout.Sample {
 	sample := rollout.Sample{
 		Server: name, Version: f.versions[name],
@@ -169,8 +170,8 @@
 	return sample
 }
 
-// replace brings some of the servers to the version that they are to run, as an
-// operator's starter does within one window.
+// replace switches some of the servers to their desired versions, like an operator
+// within one window.
 func (f *fleet) replace(desired map[string]string) {
 	for _, server := range f.Plan.Servers {
 		name, version := server.Name, desired[server.Name]
@@ -184,7 +185,8 @@
 	}
 }
 
-// poisson draws a count; from the normal distribution where the mean is large.
+// poisson draws from a Poisson distribution, approximated by a normal distribution if the
+// mean is large.
 func (f *fleet) poisson(mean float64) uint64 {
 	const largeMean = 50
 	if mean > largeMean {
--- a/fleet/rollout/state.go
+++ b/fleet/rollout/state.go
@@ -1,54 +1,54 @@
 package rollout
 
-// Phase is the phase that a rollout is in.
+// Phase is the phase of a rollout.
 type Phase string
 
 // The phases.
 const (
-	Watching    Phase = "watching"  // the histories of the servers are recorded, before anything changes
-	Replacing   Phase = "replacing" // the stage's servers are drained and started anew
+	Watching    Phase = "watching"  // the servers' histories are recorded before any change
+	Replacing   Phase = "replacing" // the stage's servers switch to the new version
 	Baking      Phase = "baking"    // the cohort is compared with the baseline
 	Done        Phase = "done"      // all servers have the change
-	RollingBack Phase = "back"      // all servers go back to the old version
-	Halted      Phase = "halted"    // all servers are back
+	RollingBack Phase = "back"      // all servers return to the old version
+	Halted      Phase = "halted"    // all servers run the old version again
 )
 
-// Verdict is what a window led to.
+// Verdict is the result of a window.
 type Verdict string
 
 // The verdicts.
 const (
-	Wait    Verdict = "wait"
-	Proceed Verdict = "go on"
-	Halt    Verdict = "halt"
+	Wait    Verdict = "wait"  // the phase continues, or a stage begins to bake
+	Proceed Verdict = "go on" // the next stage begins, or the rollout is done
+	Halt    Verdict = "halt"  // the rollout rolls back, or is halted
 )
 
-// State is how far a rollout is. The voters' log holds it, and a new owner of
-// the lease resumes from it. The zero State is a plan's beginning.
+// State is the progress of a rollout. It is stored in the voters' log, and a new owner
+// of the lease resumes from it. The zero State is the beginning of a plan.
 type State struct {
 	Phase          Phase                     `json:"phase"`
 	Stage          int                       `json:"stage"`
-	Window         int                       `json:"window"` // the latest that was taken in
+	Window         int                       `json:"window"` // latest window that was processed
 	WindowsInPhase int                       `json:"waited"`
-	Requests       uint64                    `json:"requests"` // that the cohort answered in this stage
-	Crashes        uint64                    `json:"crashes"`  // of the cohort in this stage
-	Tests          map[string]SequentialTest `json:"tests,omitempty"`
+	Requests       uint64                    `json:"requests"`         // answered by the cohort in this stage
+	Crashes        uint64                    `json:"crashes"`          // of the cohort in this stage
+	Tests          map[string]SequentialTest `json:"tests,omitempty"`  // by test name
 	Histories      map[string]History        `json:"used,omitempty"`   // by server
 	SlowBound      int                       `json:"slow_at"`          // index in LatencyBounds of the histories' 99th percentile
-	Reason         string                    `json:"reason,omitempty"` // of the halt
+	Reason         string                    `json:"reason,omitempty"` // of the rollback
 }
 
-// Decision is the outcome of a window.
+// Decision is the verdict on a window and its reason.
 type Decision struct {
 	Verdict Verdict `json:"verdict"`
 	Reason  string  `json:"reason"`
-	// PendingServers are those that a phase waits for: they run the wrong version,
-	// or have not reported.
+	// PendingServers are the servers that the phase waits for: they run the wrong
+	// version, or have not reported.
 	PendingServers []string `json:"missing,omitempty"`
 }
 
-// DesiredVersions returns the version that each server is to run. Whoever starts
-// programs may bring the servers there in any order.
+// DesiredVersions returns the version that each server should run. The servers may be
+// switched in any order.
 func (p *Plan) DesiredVersions(state State) map[string]string {
 	changed := 0
 	switch state.Phase {
@@ -67,8 +67,8 @@
 	return versions
 }
 
-// Stop halts a rollout at an operator's request; one that has ended or is rolling
-// back stays as it is.
+// Stop returns the state after an operator halted the rollout. A rollout that has ended
+// or is rolling back is unchanged.
 func (p *Plan) Stop(state State, reason string) State {
 	if state.ended() || state.Phase == RollingBack {
 		return state
@@ -80,7 +80,8 @@
 // ended reports whether the phase is final.
 func (s State) ended() bool { return s.Phase == Done || s.Phase == Halted }
 
-// rollBack returns the state in which all servers go back to the old version.
+// rollBack returns the state in which all servers return to the old version, and the
+// decision.
 func (s State) rollBack(reason string) (State, Decision) {
 	s.Phase, s.WindowsInPhase, s.Reason = RollingBack, 0, reason
 	return s, Decision{Verdict: Halt, Reason: reason}
--- a/fleet/rollout/step.go
+++ b/fleet/rollout/step.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// maxCohortCrashes of a cohort in one stage halt the rollout, whatever their cause.
+// maxCohortCrashes is the number of crashes of a cohort in one stage at which the
+// rollout rolls back, for whatever cause they have.
 const maxCohortCrashes = 2
 
-// Step takes in the samples of one window and returns the state after it. A
-// window that was taken in before changes nothing, so that a new owner may play
-// it again.
+// Step processes the samples of one window and returns the state after it. A window
+// that was already processed changes nothing, so a new owner may repeat it.
 func (p *Plan) Step(state State, window int, samples []Sample) (State, Decision) {
 	if state.Phase == "" {
 		state.Phase = Watching
 	} else if window <= state.Window {
-		return state, Decision{Verdict: Wait, Reason: "seen before"}
+		return state, Decision{Verdict: Wait, Reason: "the window was already processed"}
 	}
 	state.Window = window
 	if state.ended() {
@@ -42,16 +42,17 @@
 	return p.stepBaking(state, groups)
 }
 
-// sampleGroups are the samples of one window by the part that a server has in
+// sampleGroups are the samples of one window, grouped by the role of their server in
 // the comparison.
 type sampleGroups struct {
-	cohort    []Sample // run the new version, as they should
-	baseline  []Sample // run the old version, as they should
+	cohort    []Sample // of servers that run the new version, as desired
+	baseline  []Sample // of servers that run the old version, as desired
 	pending   []string // servers that run the wrong version, then those without a report
-	rejection string   // which server rejected the version that it should run, and why; "" for none
+	rejection string   // a server that rejected the desired version, and its reason; "" for none
 }
 
-// groupSamples compares what the servers run with what they should run.
+// groupSamples groups the servers by comparing their running versions with the desired
+// versions.
 func (p *Plan) groupSamples(state State, samples []Sample) sampleGroups {
 	byServer := make(map[string]Sample, len(samples))
 	for _, s := range samples {
@@ -71,7 +72,7 @@
 		case sample.Version != version:
 			wrong = append(wrong, server.Name)
 			if sample.RejectedVersion == version {
-				groups.rejection = fmt.Sprintf("%s turned %s down: %s", sample.Server, sample.RejectedVersion, sample.RejectionReason)
+				groups.rejection = fmt.Sprintf("%s rejected version %s: %s", sample.Server, sample.RejectedVersion, sample.RejectionReason)
 			}
 		case sample.Version == p.To:
 			groups.cohort = append(groups.cohort, sample)
@@ -89,7 +90,7 @@
 // rollback fails stays pending until it is repaired.
 func stepRollingBack(state State, pending []string) (State, Decision) {
 	if len(pending) > 0 {
-		return state, Decision{Verdict: Wait, Reason: "servers are not back yet: " + state.Reason, PendingServers: pending}
+		return state, Decision{Verdict: Wait, Reason: "waiting for servers to return to the old version: " + state.Reason, PendingServers: pending}
 	}
 	state.Phase = Halted
 	return state, Decision{Verdict: Halt, Reason: state.Reason}
@@ -99,14 +100,14 @@
 func (p *Plan) stepReplacing(state State, groups sampleGroups) (State, Decision) {
 	if crashes := countCrashes(groups.cohort); crashes > 0 {
 		if state.Crashes += crashes; state.Crashes >= maxCohortCrashes {
-			return state.rollBack(fmt.Sprintf("stage %d: %d crashes while it was started", state.Stage, state.Crashes))
+			return state.rollBack(fmt.Sprintf("stage %d: %d crashes while servers were replaced", state.Stage, state.Crashes))
 		}
 	}
 	if len(groups.pending) > 0 {
 		if state.WindowsInPhase >= p.Stages[state.Stage].MaxWindows {
-			return state.rollBack(fmt.Sprintf("stage %d: %d servers did not come to run %s", state.Stage, len(groups.pending), p.To))
+			return state.rollBack(fmt.Sprintf("stage %d: %d servers do not run %s", state.Stage, len(groups.pending), p.To))
 		}
-		return state, Decision{Verdict: Wait, Reason: "servers are not replaced yet", PendingServers: groups.pending}
+		return state, Decision{Verdict: Wait, Reason: "waiting for servers to be replaced", PendingServers: groups.pending}
 	}
 	state.Phase, state.WindowsInPhase = Baking, 0
 	return state, Decision{Verdict: Wait, Reason: "baking"}
--- a/fleet/rollout/watch.go
+++ b/fleet/rollout/watch.go
@@ -2,11 +2,12 @@
 
 import "maps"
 
-// stepWatching adds a window to the histories of the servers.
+// stepWatching adds a window to the servers' histories, and ends the Watching phase once
+// the histories suffice.
 func (p *Plan) stepWatching(state State, baseline []Sample) (State, Decision) {
 	if 2*len(baseline) < len(p.Servers) {
 		state.WindowsInPhase--
-		return state, Decision{Verdict: Wait, Reason: "too few servers report to watch them"}
+		return state, Decision{Verdict: Wait, Reason: "watching: too few servers report"}
 	}
 	state.Histories = recordHistories(state.Histories, baseline)
 	fleet := sumHistories(state.Histories)
@@ -20,18 +21,18 @@
 	if state.WindowsInPhase < p.MinWatchWindows {
 		return state, Decision{Verdict: Wait, Reason: "watching"}
 	}
-	reason := "the servers were watched"
+	reason := "the servers' histories were recorded"
 	if p.tooFewSlowAnswers(state, fleet) {
 		if state.WindowsInPhase < p.MaxWatchWindows {
-			return state, Decision{Verdict: Wait, Reason: "watching: too little is known of " + slowEvent}
+			return state, Decision{Verdict: Wait, Reason: "watching: too few events of kind " + slowEvent}
 		}
-		reason += ", and little is known of " + slowEvent
+		reason += ", with too few events of kind " + slowEvent
 	}
 	state.Phase, state.WindowsInPhase, state.Tests = Replacing, 0, nil
 	return state, Decision{Verdict: Proceed, Reason: reason}
 }
 
-// recordHistories returns the histories with the samples added.
+// recordHistories returns a copy of the histories with the samples added.
 func recordHistories(histories map[string]History, samples []Sample) map[string]History {
 	if histories = maps.Clone(histories); histories == nil {
 		histories = map[string]History{}
@@ -44,8 +45,8 @@
 	return histories
 }
 
-// slowBound returns the index of the first bound that at most one answer in a
-// hundred reached, or that of the last bound.
+// slowBound returns the index of the first of LatencyBounds that at most 1% of the
+// answers reached, or the index of the last one.
 func slowBound(fleet History) int {
 	bound := 0
 	for bound < len(LatencyBounds)-1 && fleet.SlowerThan[bound] > fleet.Requests/100 {
@@ -54,9 +55,10 @@
 	return bound
 }
 
-// tooFewSlowAnswers reports whether too few slow answers were counted to tell a
-// stage that is no worse from one that is. Where they are below
-// Limits.NegligibleRate that does not matter. The other events are not checked.
+// tooFewSlowAnswers reports whether the histories have too few slow answers to
+// distinguish a stage that is no worse from one that is worse. It returns false if the
+// rate of slow answers, times Limits.WorseRatio, is at most Limits.NegligibleRate. The
+// other events are not checked.
 func (p *Plan) tooFewSlowAnswers(state State, fleet History) bool {
 	slow := fleet.SlowerThan[state.SlowBound]
 	if slow*p.Limits.WorseRatio <= p.Limits.NegligibleRate*fleet.Requests {
