--- a/fleet/rollout/bake.go
+++ b/fleet/rollout/bake.go
@@ -20,7 +20,7 @@
 		return state.rollBack(fmt.Sprintf("stage %d: %d crashes", state.Stage, state.Crashes))
 	}
 	if state.WindowsInPhase <= p.WarmUpWindows {
-		return state, Decision{Verdict: Wait, Reason: "the stage's servers are warming up"}
+		return state, Decision{Verdict: Wait, Reason: "the stage's servers warm up"}
 	}
 	for _, sample := range groups.cohort {
 		state.Requests += sample.Requests
@@ -122,17 +122,17 @@
 	inconclusive := p.inconclusiveTest(state)
 	switch {
 	case len(groups.pending) > 0 && overdue:
-		return state.rollBack(fmt.Sprintf("stage %d: servers without a report, or with another version: %v", state.Stage, groups.pending))
+		return state.rollBack(fmt.Sprintf("stage %d: no word, or another version, from %v", state.Stage, groups.pending))
 	case len(groups.pending) > 0: // a crashed server reports its old version first
-		return state, Decision{Verdict: Wait, Reason: "waiting for servers without a report, or with another version", PendingServers: groups.pending}
+		return state, Decision{Verdict: Wait, Reason: "servers of the stage say nothing, or run another version", PendingServers: groups.pending}
 	case last && baked:
 		state.Phase = Done
 		return state, Decision{Verdict: Proceed, Reason: "all servers have the change"}
 	case !last && p.baselineTooSmall(state, groups.baseline):
 		if overdue {
-			return state.rollBack(fmt.Sprintf("stage %d: too few servers of the baseline report", state.Stage))
+			return state.rollBack(fmt.Sprintf("stage %d: too few old servers report to compare with", state.Stage))
 		}
-		return state, Decision{Verdict: Wait, Reason: "too few servers of the baseline report"}
+		return state, Decision{Verdict: Wait, Reason: "too few old servers report to compare with"}
 	case baked && sampled && inconclusive == "":
 		return state.nextStage()
 	case !overdue:
@@ -140,7 +140,7 @@
 	case sampled && p.nextStageIsSmall(state.Stage):
 		return state.nextStage()
 	}
-	return state.rollBack(fmt.Sprintf("stage %d: not shown to be no worse after %d windows, %d requests; inconclusive test: %s",
+	return state.rollBack(fmt.Sprintf("stage %d: not shown to be no worse after %d windows: %d requests, open: %s",
 		state.Stage, state.WindowsInPhase, state.Requests, inconclusive))
 }
 
--- a/fleet/rollout/step.go
+++ b/fleet/rollout/step.go
@@ -16,7 +16,7 @@
 	if state.Phase == "" {
 		state.Phase = Watching
 	} else if window <= state.Window {
-		return state, Decision{Verdict: Wait, Reason: "the window was already processed"}
+		return state, Decision{Verdict: Wait, Reason: "seen before"}
 	}
 	state.Window = window
 	if state.ended() {
@@ -72,7 +72,7 @@
 		case sample.Version != version:
 			wrong = append(wrong, server.Name)
 			if sample.RejectedVersion == version {
-				groups.rejection = fmt.Sprintf("%s rejected version %s: %s", sample.Server, sample.RejectedVersion, sample.RejectionReason)
+				groups.rejection = fmt.Sprintf("%s turned %s down: %s", sample.Server, sample.RejectedVersion, sample.RejectionReason)
 			}
 		case sample.Version == p.To:
 			groups.cohort = append(groups.cohort, sample)
@@ -90,7 +90,7 @@
 // rollback fails stays pending until it is repaired.
 func stepRollingBack(state State, pending []string) (State, Decision) {
 	if len(pending) > 0 {
-		return state, Decision{Verdict: Wait, Reason: "waiting for servers to return to the old version: " + state.Reason, PendingServers: pending}
+		return state, Decision{Verdict: Wait, Reason: "servers are not back yet: " + state.Reason, PendingServers: pending}
 	}
 	state.Phase = Halted
 	return state, Decision{Verdict: Halt, Reason: state.Reason}
@@ -100,14 +100,14 @@
 func (p *Plan) stepReplacing(state State, groups sampleGroups) (State, Decision) {
 	if crashes := countCrashes(groups.cohort); crashes > 0 {
 		if state.Crashes += crashes; state.Crashes >= maxCohortCrashes {
-			return state.rollBack(fmt.Sprintf("stage %d: %d crashes while servers were replaced", state.Stage, state.Crashes))
+			return state.rollBack(fmt.Sprintf("stage %d: %d crashes while it was started", state.Stage, state.Crashes))
 		}
 	}
 	if len(groups.pending) > 0 {
 		if state.WindowsInPhase >= p.Stages[state.Stage].MaxWindows {
-			return state.rollBack(fmt.Sprintf("stage %d: %d servers do not run %s", state.Stage, len(groups.pending), p.To))
+			return state.rollBack(fmt.Sprintf("stage %d: %d servers did not come to run %s", state.Stage, len(groups.pending), p.To))
 		}
-		return state, Decision{Verdict: Wait, Reason: "waiting for servers to be replaced", PendingServers: groups.pending}
+		return state, Decision{Verdict: Wait, Reason: "servers are not replaced yet", PendingServers: groups.pending}
 	}
 	state.Phase, state.WindowsInPhase = Baking, 0
 	return state, Decision{Verdict: Wait, Reason: "baking"}
--- a/fleet/rollout/watch.go
+++ b/fleet/rollout/watch.go
@@ -7,7 +7,7 @@
 func (p *Plan) stepWatching(state State, baseline []Sample) (State, Decision) {
 	if 2*len(baseline) < len(p.Servers) {
 		state.WindowsInPhase--
-		return state, Decision{Verdict: Wait, Reason: "watching: too few servers report"}
+		return state, Decision{Verdict: Wait, Reason: "too few servers report to watch them"}
 	}
 	state.Histories = recordHistories(state.Histories, baseline)
 	fleet := sumHistories(state.Histories)
@@ -21,12 +21,12 @@
 	if state.WindowsInPhase < p.MinWatchWindows {
 		return state, Decision{Verdict: Wait, Reason: "watching"}
 	}
-	reason := "the servers' histories were recorded"
+	reason := "the servers were watched"
 	if p.tooFewSlowAnswers(state, fleet) {
 		if state.WindowsInPhase < p.MaxWatchWindows {
-			return state, Decision{Verdict: Wait, Reason: "watching: too few events of kind " + slowEvent}
+			return state, Decision{Verdict: Wait, Reason: "watching: too little is known of " + slowEvent}
 		}
-		reason += ", with too few events of kind " + slowEvent
+		reason += ", and little is known of " + slowEvent
 	}
 	state.Phase, state.WindowsInPhase, state.Tests = Replacing, 0, nil
 	return state, Decision{Verdict: Proceed, Reason: reason}
