--- a/fleet/rollout/step.go
+++ b/fleet/rollout/step.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// maxCohortCrashes of a cohort in one stage halt the rollout, whatever their cause.
+// maxCohortCrashes is the number of crashes of a cohort in one stage at which the
+// rollout rolls back, for whatever cause they have.
 const maxCohortCrashes = 2
 
-// Step takes in the samples of one window and returns the state after it. A
-// window that was taken in before changes nothing, so that a new owner may play
-// it again.
+// Step processes the samples of one window and returns the state after it. A window
+// that was already processed changes nothing, so a new owner may repeat it.
 func (p *Plan) Step(state State, window int, samples []Sample) (State, Decision) {
 	if state.Phase == "" {
 		state.Phase = Watching
@@ -42,16 +42,17 @@
 	return p.stepBaking(state, groups)
 }
 
-// sampleGroups are the samples of one window by the part that a server has in
+// sampleGroups are the samples of one window, grouped by the role of their server in
 // the comparison.
 type sampleGroups struct {
-	cohort    []Sample // run the new version, as they should
-	baseline  []Sample // run the old version, as they should
+	cohort    []Sample // of servers that run the new version, as desired
+	baseline  []Sample // of servers that run the old version, as desired
 	pending   []string // servers that run the wrong version, then those without a report
-	rejection string   // which server rejected the version that it should run, and why; "" for none
+	rejection string   // a server that rejected the desired version, and its reason; "" for none
 }
 
-// groupSamples compares what the servers run with what they should run.
+// groupSamples groups the servers by comparing their running versions with the desired
+// versions.
 func (p *Plan) groupSamples(state State, samples []Sample) sampleGroups {
 	byServer := make(map[string]Sample, len(samples))
 	for _, s := range samples {
--- a/fleet/rollout/watch.go
+++ b/fleet/rollout/watch.go
@@ -2,7 +2,8 @@
 
 import "maps"
 
-// stepWatching adds a window to the histories of the servers.
+// stepWatching adds a window to the servers' histories, and ends the Watching phase once
+// the histories suffice.
 func (p *Plan) stepWatching(state State, baseline []Sample) (State, Decision) {
 	if 2*len(baseline) < len(p.Servers) {
 		state.WindowsInPhase--
@@ -21,7 +22,7 @@
 		return state, Decision{Verdict: Wait, Reason: "watching"}
 	}
 	reason := "the servers were watched"
-	if p.slowAnswersScarce(state, fleet) {
+	if p.tooFewSlowAnswers(state, fleet) {
 		if state.WindowsInPhase < p.MaxWatchWindows {
 			return state, Decision{Verdict: Wait, Reason: "watching: too little is known of " + slowEvent}
 		}
@@ -31,7 +32,7 @@
 	return state, Decision{Verdict: Proceed, Reason: reason}
 }
 
-// recordHistories returns the histories with the samples added.
+// recordHistories returns a copy of the histories with the samples added.
 func recordHistories(histories map[string]History, samples []Sample) map[string]History {
 	if histories = maps.Clone(histories); histories == nil {
 		histories = map[string]History{}
@@ -44,8 +45,8 @@
 	return histories
 }
 
-// slowBound returns the index of the first bound that at most one answer in a
-// hundred reached, or that of the last bound.
+// slowBound returns the index of the first of LatencyBounds that at most 1% of the
+// answers reached, or the index of the last one.
 func slowBound(fleet History) int {
 	bound := 0
 	for bound < len(LatencyBounds)-1 && fleet.SlowerThan[bound] > fleet.Requests/100 {
@@ -54,10 +55,11 @@
 	return bound
 }
 
-// slowAnswersScarce reports whether too few slow answers were counted to tell a
-// stage that is no worse from one that is. Where they are below
-// Limits.NegligibleRate that does not matter. The other events are not checked.
-func (p *Plan) slowAnswersScarce(state State, fleet History) bool {
+// tooFewSlowAnswers reports whether the histories have too few slow answers to
+// distinguish a stage that is no worse from one that is worse. It returns false if the
+// rate of slow answers, times Limits.WorseRatio, is at most Limits.NegligibleRate. The
+// other events are not checked.
+func (p *Plan) tooFewSlowAnswers(state State, fleet History) bool {
 	slow := fleet.SlowerThan[state.SlowBound]
 	if slow*p.Limits.WorseRatio <= p.Limits.NegligibleRate*fleet.Requests {
 		return false
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -241,7 +241,7 @@
 		t.Errorf("%v, at most %v", err, most)
 	}
 	r.wantCourse("replacing 0", "baking 0", "replacing 1", "baking 1", "replacing 2", "baking 2", "done 2")
-	if out, err := r.operator("v3", "rollout start", "--id", "r2", "--from", "v1", "--to", "v2"); err == nil || !strings.Contains(out, "was there before") {
+	if out, err := r.operator("v3", "rollout start", "--id", "r2", "--from", "v1", "--to", "v2"); err == nil || !strings.Contains(out, "the previous plan has the same id") {
 		t.Errorf("the same plan once more: %v, %s", err, out)
 	}
 }
