--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -14,13 +14,13 @@
 	"quincerail.example/quincerail/admission"
 )
 
-// bench gives a chi router with one route of each class, behind the middleware
-// or, with bare, without it.
-func bench(b *testing.B, bare bool, h http.HandlerFunc) http.Handler {
+// benchmarkHandler returns a chi router with a route of each class and one without a class,
+// without the middleware if bare is true.
+func benchmarkHandler(b *testing.B, bare bool, h http.HandlerFunc) http.Handler {
 	r := chi.NewRouter()
 	if !bare {
-		cfg := quick()
-		cfg.Cores, cfg.Memory = 0, 1<<30 // all the cores; room for the keys of a second's worth of requests
+		cfg := testConfig()
+		cfg.Cores, cfg.Memory = 0, 1<<30 // all cores; room for the keys of the requests of a second
 		a, err := admission.New(cfg)
 		if err != nil {
 			b.Fatal(err)
@@ -34,33 +34,45 @@
 	return r
 }
 
-func ok(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }
+func respondOK(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }
 
-// loop serves one request after another, each with a key of its own.
-func loop(b *testing.B, h http.Handler, path string) {
+// benchmarkRequests serves one request after another, each with a new key.
+func benchmarkRequests(b *testing.B, h http.Handler, path string) {
 	r := httptest.NewRequestWithContext(b.Context(), http.MethodPost, path, http.NoBody)
-	n := 0
+	key := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		n++
-		r.Header.Set("Idempotency-Key", strconv.Itoa(n))
+		key++
+		r.Header.Set("Idempotency-Key", strconv.Itoa(key))
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, r)
 		if w.Code != http.StatusOK {
-			b.Fatalf("status %d", w.Code)
+			b.Fatalf("status = %d, want 200", w.Code)
 		}
 	}
 }
 
-// The cost of the middleware per request is the difference to Bare.
-func BenchmarkBare(b *testing.B)        { loop(b, bench(b, true, ok), "/sida") }
-func BenchmarkSafe(b *testing.B)        { loop(b, bench(b, false, ok), "/sida") }
-func BenchmarkKeyed(b *testing.B)       { loop(b, bench(b, false, ok), "/gava") }
-func BenchmarkPassThrough(b *testing.B) { loop(b, bench(b, false, ok), "/om") }
+// The cost of the middleware per request is the difference to BenchmarkBare, which runs without
+// it.
+func BenchmarkBare(b *testing.B) {
+	benchmarkRequests(b, benchmarkHandler(b, true, respondOK), "/sida")
+}
+
+func BenchmarkIdempotent(b *testing.B) {
+	benchmarkRequests(b, benchmarkHandler(b, false, respondOK), "/sida")
+}
+
+func BenchmarkKeyed(b *testing.B) {
+	benchmarkRequests(b, benchmarkHandler(b, false, respondOK), "/gava")
+}
+
+func BenchmarkPassThrough(b *testing.B) {
+	benchmarkRequests(b, benchmarkHandler(b, false, respondOK), "/om")
+}
 
-// BenchmarkOverload has twice as many callers as cores, each asking again as
-// soon as it is answered, for work of 200 µs on a core: what is served per
-// second, and what share is turned away.
+// BenchmarkOverload runs twice as many callers as cores. Each sends its next request as soon as
+// the last is answered, and each request takes 200 µs of a core. It reports the rate of served
+// requests and the fraction of refused ones.
 func BenchmarkOverload(b *testing.B) {
 	for _, bare := range []bool{true, false} {
 		b.Run(map[bool]string{true: "bare", false: "admission"}[bare], func(b *testing.B) {
@@ -69,7 +81,7 @@
 				}
 				_, _ = w.Write([]byte("ok"))
 			}
-			h := bench(b, bare, work)
+			h := benchmarkHandler(b, bare, work)
 			var served, refused atomic.Int64
 			b.SetParallelism(2)
 			began := time.Now()
--- a/admission/chiroutes/chiroutes.go
+++ b/admission/chiroutes/chiroutes.go
@@ -1,8 +1,7 @@
-// Package chiroutes holds the admission library's adapter for chi routers
-// (github.com/go-chi/chi/v5): a check, at start, that a router serves every
-// route that the configuration leads to a class. A description that names a
-// path the router does not serve, or under another method, is a copy that has
-// drifted; its requests would pass untouched, or be admitted and then not found.
+// Package chiroutes is the admission library's adapter for chi routers
+// (github.com/go-chi/chi/v5). It checks at startup that a router serves every route to which
+// the configuration assigns a class. If the API description and the router differ in a path or
+// a method, requests would bypass admission, or would be admitted and then get a 404 or 405.
 package chiroutes
 
 import (
@@ -17,27 +16,26 @@
 	"quincerail.example/quincerail/describe"
 )
 
-// parameter is a path segment that stands for any one: {name} or {name:regexp}
-// in chi, {name} in OpenAPI.
-var parameter = regexp.MustCompile(`\{[^}]*\}`)
+// pathParameter matches a path parameter: {name} or {name:regexp} in chi, {name} in OpenAPI.
+var pathParameter = regexp.MustCompile(`\{[^}]*\}`)
 
-// shape returns a pattern with its parameters' names left out, so that /a/{id} and
-// /a/{key} are one path.
-func shape(pattern string) string {
-	return parameter.ReplaceAllString(strings.TrimSuffix(pattern, "/"), "{}")
+// normalizePath removes a trailing slash and the names of the parameters from a pattern, so
+// that /a/{id} and /a/{key} are equal.
+func normalizePath(pattern string) string {
+	return pathParameter.ReplaceAllString(strings.TrimSuffix(pattern, "/"), "{}")
 }
 
-// ErrUnserved is wrapped by Verify's error.
+// ErrUnserved means that the router does not serve all routes with a class. Verify wraps it.
 var ErrUnserved = errors.New("routes with a class that the router does not serve")
 
-// Verify checks that r serves each of routes, by method and path; a route without
-// a method needs the path under some method. The error wraps ErrUnserved and
-// names every route that is missing, in the order of routes, or is that of a router
-// that can't be walked.
+// Verify checks that r serves the method and path of each of the routes. For a route without
+// a method, r must serve the path with at least one method. If routes are missing, the error
+// wraps ErrUnserved and names them in the order of routes. An error of chi.Walk is returned
+// wrapped.
 func Verify(routes describe.Routes, r chi.Routes) error {
-	served := map[string]map[string]bool{} // path shape, method
+	served := map[string]map[string]bool{} // by normalized path, then by method
 	err := chi.Walk(r, func(method, pattern string, _ http.Handler, _ ...func(http.Handler) http.Handler) error {
-		s := shape(pattern)
+		s := normalizePath(pattern)
 		if served[s] == nil {
 			served[s] = map[string]bool{}
 		}
@@ -49,7 +47,7 @@
 	}
 	var missing []string
 	for _, route := range routes {
-		methods := served[shape(route.Path)]
+		methods := served[normalizePath(route.Path)]
 		if route.Method == "" && len(methods) == 0 || route.Method != "" && !methods[strings.ToUpper(route.Method)] {
 			missing = append(missing, strings.TrimSpace(route.Method+" "+route.Path)+" ("+route.Class+")")
 		}
--- a/admission/chiroutes/chiroutes_test.go
+++ b/admission/chiroutes/chiroutes_test.go
@@ -10,7 +10,7 @@
 	"quincerail.example/quincerail/describe"
 )
 
-func TestVerify(t *testing.T) {
+func TestVerify_NamesUnservedRoutes(t *testing.T) {
 	ok := func(http.ResponseWriter, *http.Request) {}
 	r := chi.NewRouter()
 	r.Get("/kampanjer/{id}", ok)
@@ -22,13 +22,13 @@
 		{Path: "/gavor", Class: "gava"},
 	}
 	if err := Verify(served, r); err != nil {
-		t.Errorf("all are served: %v", err)
+		t.Errorf("Verify of served routes = %v, want no error", err)
 	}
 	drifted := append(served, describe.Route{Method: "POST", Path: "/kampanjer/{kampanj}", Class: "sida"},
 		describe.Route{Path: "/om", Class: "sida"})
 	err := Verify(drifted, r)
 	want := "chiroutes: routes with a class that the router does not serve: POST /kampanjer/{kampanj} (sida), /om (sida)"
 	if !errors.Is(err, ErrUnserved) || err.Error() != want {
-		t.Errorf("got  %v\nwant %s", err, want)
+		t.Errorf("Verify = %v\nwant     %s", err, want)
 	}
 }
--- a/admission/config.go
+++ b/admission/config.go
@@ -12,78 +12,78 @@
 	"quincerail.example/quincerail/match"
 )
 
-// Defaults of a Config's fields and of Shutdown.
+// Default values of the fields of Config, and of the timeout of Shutdown.
 const (
-	defaultGrace  = 2 * time.Second
-	defaultStop   = 5 * time.Second // after which a Shutdown ends whose context has no deadline
-	defaultMemory = 64 << 20        // in bytes
-	defaultBody   = 64 << 10        // in bytes
+	defaultDrainGrace  = 2 * time.Second
+	defaultStopTimeout = 5 * time.Second // timeout of Shutdown if its context has no deadline
+	defaultMemory      = 64 << 20        // in bytes
+	defaultMaxBody     = 64 << 10        // in bytes
 )
 
-// Settings that a Config does not have. decision.Settings documents those of the module.
+// Settings that Config does not expose. decision.Settings documents those of the decision
+// module.
 const (
 	deadlineSlack     = 60 * time.Millisecond
 	overloadRatio     = 8 // runnable requests per core that the process survives
 	overloadWindow    = 1500 * time.Millisecond
 	batchInterval     = 4 * time.Millisecond
-	answerMargin      = 250 * time.Millisecond // how long before the stop all is answered
-	maxRetryAfter     = time.Second            // longest Retry-After
-	requestOverheadKB = 16                     // memory reserved for a request beside its body
-	keyTableFraction  = 8                      // one part in so many of the memory is for cached responses
+	answerMargin      = 250 * time.Millisecond // all requests are answered this long before the stop
+	maxRetryAfter     = time.Second            // upper limit of Retry-After
+	requestOverheadKB = 16                     // memory reserved for a request in addition to its body
+	keyTableFraction  = 8                      // cached responses may use 1/keyTableFraction of Config.Memory
 )
 
 const bytesPerKB = 1024
 
-// Config is what a Server is made of. Classes is required; every other field
-// has a default where it is zero.
+// Config configures a Server. Classes is required. Every other field has a default, which
+// replaces the zero value.
 type Config struct {
-	// Classes are the kinds of requests, with their latency objectives, deadlines,
-	// priority weights and effects; package describe reads them from OpenAPI and
-	// AsyncAPI documents.
+	// Classes are the request classes, with their latency objectives, deadlines, priority
+	// weights and idempotency. Package describe reads them from OpenAPI and AsyncAPI
+	// documents.
 	Classes []describe.Class
-	// Routes lead requests to classes, by method and path. Requests that no
-	// route matches, and no rule takes, pass to the handler untouched.
+	// Routes assign requests to classes by method and path. Requests that match neither a
+	// rule nor a route are passed to the handler unchanged.
 	Routes describe.Routes
-	// Rules, where not nil, give class and key before the routes are looked at:
-	// the first rule that takes a request decides (package match). Their set may
-	// be replaced while requests come; each request is classified by one set.
+	// Rules, if not nil, are evaluated before the routes. The first rule that matches a
+	// request determines its class and key (package match). The rule set may be replaced
+	// while requests are served; each request is classified by a single set.
 	Rules *match.Rules
-	// Cores is the number of cores that the handlers share; 0 for GOMAXPROCS.
+	// Cores is the number of cores that the handlers share; 0 means GOMAXPROCS.
 	Cores int
-	// Memory bounds what queued and running requests and cached responses take, in
-	// bytes; 0 for 64 MiB. A request reserves 16 KiB and the size of its body.
+	// Memory limits the memory of queued requests, running requests and cached responses,
+	// in bytes; 0 means 64 MiB. A request reserves 16 KiB plus the size of its body.
 	Memory int64
-	// MaxBody bounds a request's body, in bytes; 0 for 64 KiB. A longer one is
-	// answered 413 and never seen by the module.
+	// MaxBody limits the size of a request's body, in bytes; 0 means 64 KiB. A request with
+	// a larger body is rejected with status 413 and does not reach the decision module.
 	MaxBody int64
-	// DrainGrace is how long after Drain arrivals may still run; 0 for 2 s.
+	// DrainGrace is how long after the call of Drain new requests may still run; 0 means 2 s.
 	DrainGrace time.Duration
-	// Pools, where not nil, bound the handlers of each class that run at once,
-	// with limits that follow their latencies (package limits): for handlers
-	// that wait for another service, whose overload the process's own gauges
-	// don't show. Nil leaves the bound to the module's concurrency limit alone.
+	// Pools, if not nil, limit the concurrent handlers of each class. The limits adapt to
+	// the measured latencies (package limits). They are meant for handlers that wait for
+	// another service, because the gauges of this process don't show that service's
+	// overload. If nil, only the decision module's concurrency limit applies.
 	Pools *Pools
-	// Logger takes the server's log events; nil for slog.Default().
+	// Logger receives the server's log events; nil means slog.Default().
 	Logger *slog.Logger
-	// Seed seeds the module's random choices; 0 for one from the clock.
+	// Seed seeds the decision module's random choices; 0 means a seed from the clock.
 	Seed int64
 }
 
-// Pools are the settings of the work pools: the class of cheap requests for which slots
-// are reserved under any load, and how many slots.
+// Pools configure the concurrency limits per class.
 type Pools struct {
-	Cheapest string
-	Reserve  int
+	Cheapest string // name of the class with the cheapest requests; empty for none
+	Reserve  int    // number of slots that only this class may use
 }
 
-// FromDocument returns the configuration of a description's classes and routes. Its other
-// fields are zero, so they have their defaults.
+// FromDocument returns a configuration with the classes and routes of an API description.
+// The other fields are zero.
 func FromDocument(d *describe.Document) Config {
 	return Config{Classes: d.Classes, Routes: d.Routes}
 }
 
-// withDefaults validates a configuration and fills in what is zero. The error names the
-// first invalid field.
+// withDefaults validates a configuration and replaces zero values by their defaults. The
+// error names the first invalid field.
 func (c Config) withDefaults() (Config, error) {
 	if err := c.validate(); err != nil {
 		return c, err
@@ -95,10 +95,10 @@
 		c.Memory = defaultMemory
 	}
 	if c.MaxBody == 0 {
-		c.MaxBody = defaultBody
+		c.MaxBody = defaultMaxBody
 	}
 	if c.DrainGrace == 0 {
-		c.DrainGrace = defaultGrace
+		c.DrainGrace = defaultDrainGrace
 	}
 	if c.Logger == nil {
 		c.Logger = slog.Default()
@@ -109,7 +109,7 @@
 	return c, nil
 }
 
-// validate returns an error that names the first invalid field, if there is one.
+// validate returns an error that names the first invalid field, or nil.
 func (c Config) validate() error {
 	known, err := c.validateClasses()
 	if err != nil {
@@ -117,45 +117,46 @@
 	}
 	for i, r := range c.Routes {
 		if !known[r.Class] {
-			return fmt.Errorf("routes[%d] %s %s: class %q is not among the classes", i, r.Method, r.Path, r.Class)
+			return fmt.Errorf("routes[%d] %s %s: class %q is not defined", i, r.Method, r.Path, r.Class)
 		}
 	}
 	switch {
 	case c.Pools != nil && c.Pools.Cheapest != "" && !known[c.Pools.Cheapest]:
-		return fmt.Errorf("pools: cheapest class %q is not among the classes", c.Pools.Cheapest)
+		return fmt.Errorf("pools: cheapest class %q is not defined", c.Pools.Cheapest)
 	case c.Pools != nil && c.Pools.Reserve < 0:
-		return fmt.Errorf("pools: reserve %d: it may not be negative", c.Pools.Reserve)
+		return fmt.Errorf("pools: reserve %d is negative", c.Pools.Reserve)
 	case c.Cores < 0, c.Memory < 0, c.MaxBody < 0, c.DrainGrace < 0:
-		return fmt.Errorf("cores %d, memory %d, max body %d, drain grace %v: none may be negative",
+		return fmt.Errorf("cores %d, memory %d, max body %d, drain grace %v: values must not be negative",
 			c.Cores, c.Memory, c.MaxBody, c.DrainGrace)
 	}
 	return nil
 }
 
-// validateClasses returns the set of the classes' names, or an error that names the first
-// invalid class.
+// validateClasses returns the set of class names, or an error that names the first invalid
+// class.
 func (c Config) validateClasses() (known map[string]bool, err error) {
 	if len(c.Classes) == 0 {
-		return nil, errors.New("classes: none, at least one is needed")
+		return nil, errors.New("classes: none are defined, at least one is required")
 	}
 	known = make(map[string]bool, len(c.Classes))
 	for i, class := range c.Classes {
 		at := fmt.Sprintf("classes[%d] %q", i, class.Name)
 		switch {
 		case class.Name == "" || known[class.Name]:
-			return nil, fmt.Errorf("%s: a name of its own is needed", at)
+			return nil, fmt.Errorf("%s: name is empty or not unique", at)
 		case class.LatencyObjective <= 0 || class.Deadline < class.LatencyObjective:
-			return nil, fmt.Errorf("%s: aim %v, deadline %v: an aim and a deadline no shorter are needed",
+			return nil, fmt.Errorf("%s: latency objective %v must be positive and not longer than the deadline %v",
 				at, class.LatencyObjective, class.Deadline)
 		case class.Idempotency == decision.Keyed && class.KeyWindow <= 0:
-			return nil, fmt.Errorf("%s: a keyed class needs a window", at)
+			return nil, fmt.Errorf("%s: key window %v of a keyed class must be positive", at, class.KeyWindow)
 		}
 		known[class.Name] = true
 	}
 	return known, nil
 }
 
-// settings returns the decision module's settings and the names of the classes.
+// settings returns the settings of the decision module, and the class names in the order of
+// Settings.Classes.
 func (c Config) settings() (decision.Settings, []string) {
 	s := decision.Settings{
 		Cores: c.Cores, Servers: 1, Callers: 1, MemoryKB: float64(c.Memory) / bytesPerKB,
--- a/admission/frameworks_test.go
+++ b/admission/frameworks_test.go
@@ -17,12 +17,12 @@
 	"quincerail.example/quincerail/describe"
 )
 
-// These tests play the framework's own timeouts, which fire before the
-// module's, over loopback and on the real clock: net/http's deadlines do not
-// follow a synctest bubble.
+// These tests use timeouts of net/http that fire before those of the decision module. They run
+// over loopback and on the real clock, because net/http's deadlines don't use the fake clock of
+// a synctest bubble.
 
-// quick is a configuration whose classes give up after a few seconds.
-func quick() admission.Config {
+// testConfig returns a configuration whose classes have a deadline of 3 s.
+func testConfig() admission.Config {
 	return admission.Config{
 		Classes: []describe.Class{
 			{Name: "sida", Class: decision.Class{LatencyObjective: time.Second, Deadline: 3 * time.Second, Weight: 1}},
@@ -36,13 +36,13 @@
 	}
 }
 
-// serve gives a loopback server whose handler is h behind the middleware, and
-// its address.
-func serve(t *testing.T, configure func(*http.Server), wrap func(http.Handler) http.Handler,
+// startServer starts a loopback server with h behind the middleware, and the result of wrap in
+// front of both. It returns the server's URL.
+func startServer(t *testing.T, configure func(*http.Server), wrap func(http.Handler) http.Handler,
 	h http.Handler,
 ) (*admission.Server, string) {
 	t.Helper()
-	a, err := admission.New(quick())
+	a, err := admission.New(testConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,9 +54,10 @@
 	return a, ts.URL
 }
 
-func same(h http.Handler) http.Handler { return h }
+// unwrapped is a wrap argument of startServer that adds nothing.
+func unwrapped(h http.Handler) http.Handler { return h }
 
-// post sends a request with the key "k", and gives the answer's status and body.
+// post sends a request with the key "k" and returns the status and body of the response.
 func post(ctx context.Context, url, body string) (status int, text string, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -71,31 +72,31 @@
 	return resp.StatusCode, string(read), errors.Join(err, resp.Body.Close())
 }
 
-// TestWriteTimeout has the server's WriteTimeout end before the class's
-// deadline, and the handler hang: the caller still gets a whole answer, in
-// time for it to be written, and the handler's context ends.
-func TestWriteTimeout(t *testing.T) {
-	stopped := make(chan struct{}, 1)
+// TestWriteTimeout_AnswersBeforeIt runs a handler that blocks, with a WriteTimeout that is
+// shorter than the class's deadline. The caller still gets a complete response, and the
+// handler's context is cancelled.
+func TestWriteTimeout_AnswersBeforeIt(t *testing.T) {
+	cancelled := make(chan struct{}, 1)
 	hang := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		stopped <- struct{}{}
+		cancelled <- struct{}{}
 	})
-	_, url := serve(t, func(s *http.Server) { s.WriteTimeout = 800 * time.Millisecond }, same, hang)
+	_, url := startServer(t, func(s *http.Server) { s.WriteTimeout = 800 * time.Millisecond }, unwrapped, hang)
 	status, _, err := post(t.Context(), url+"/sida", "x")
 	if err != nil {
-		t.Fatalf("no whole answer: %v", err)
+		t.Fatalf("no complete response: %v", err)
 	}
 	if status != http.StatusServiceUnavailable && status != http.StatusGatewayTimeout {
-		t.Errorf("status %d, want 503 or 504", status)
+		t.Errorf("status = %d, want 503 or 504", status)
 	}
-	<-stopped
+	<-cancelled
 }
 
-// TestTimeoutHandler has http.TimeoutHandler before the middleware fire first:
-// its request's context ends, which counts as a caller that left. A safe run
-// is stopped; a keyed one goes on, and its repeat gets its result.
-func TestTimeoutHandler(t *testing.T) {
-	stopped, release := make(chan string, 2), make(chan struct{})
+// TestTimeoutHandler_KeyedRunContinues puts an http.TimeoutHandler with a short timeout in front
+// of the middleware. It cancels the request's context, which counts as a disconnected caller.
+// An idempotent run is cancelled. A keyed run continues, and a retry gets its result.
+func TestTimeoutHandler_KeyedRunContinues(t *testing.T) {
+	cancelled, release := make(chan string, 2), make(chan struct{})
 	h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if r.URL.Path == "/gava" {
@@ -104,81 +105,81 @@
 			return
 		}
 		<-r.Context().Done()
-		stopped <- r.URL.Path
+		cancelled <- r.URL.Path
 	})
-	early := func(h http.Handler) http.Handler { return http.TimeoutHandler(h, 200*time.Millisecond, "for sent") }
-	a, url := serve(t, func(*http.Server) {}, early, h)
-	ask := func(path string) (int, string) {
+	shortTimeout := func(h http.Handler) http.Handler { return http.TimeoutHandler(h, 200*time.Millisecond, "for sent") }
+	a, url := startServer(t, func(*http.Server) {}, shortTimeout, h)
+	postTo := func(path string) (int, string) {
 		status, text, err := post(t.Context(), url+path, "10 kr")
 		if err != nil {
 			t.Fatal(err)
 		}
 		return status, text
 	}
-	if status, _ := ask("/sida"); status != http.StatusServiceUnavailable {
-		t.Errorf("the timeout handler's status: %d", status)
+	if status, _ := postTo("/sida"); status != http.StatusServiceUnavailable {
+		t.Errorf("status of the TimeoutHandler = %d, want 503", status)
 	}
-	if got := <-stopped; got != "/sida" {
-		t.Errorf("stopped %s", got)
+	if got := <-cancelled; got != "/sida" {
+		t.Errorf("cancelled handler = %s, want /sida", got)
 	}
-	if status, _ := ask("/gava"); status != http.StatusServiceUnavailable {
-		t.Errorf("the timeout handler's status: %d", status)
+	if status, _ := postTo("/gava"); status != http.StatusServiceUnavailable {
+		t.Errorf("status of the TimeoutHandler = %d, want 503", status)
 	}
 	close(release)
-	// The repeat joins the run that went on, or gets its kept result.
-	if status, text := ask("/gava"); status != http.StatusOK || text != "tack för 10 kr" {
-		t.Errorf("the repeat: %d %q", status, text)
+	// The retry waits for the run that continues, or gets its cached result.
+	if status, text := postTo("/gava"); status != http.StatusOK || text != "tack för 10 kr" {
+		t.Errorf("response to the retry = %d %q, want 200 and the result of the run", status, text)
 	}
 	if got := a.Stats(); got.Runs != 2 || got.Gone != 2 || got.Served != 1 {
-		t.Errorf("stats %+v, want 2 runs, 2 gone, 1 served", got)
+		t.Errorf("Stats() = %+v, want Runs 2, Gone 2, Served 1", got)
 	}
 }
 
-// TestClientCancels has the client give up through its context: no answer is
-// owed and the handler's context ends.
-func TestClientCancels(t *testing.T) {
-	stopped := make(chan struct{}, 1)
-	begun := make(chan struct{}, 1)
+// TestClientDisconnect_CancelsHandler cancels the client's context: the request counts as gone,
+// and the handler's context is cancelled.
+func TestClientDisconnect_CancelsHandler(t *testing.T) {
+	cancelled := make(chan struct{}, 1)
+	started := make(chan struct{}, 1)
 	h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-r.Context().Done()
-		stopped <- struct{}{}
+		cancelled <- struct{}{}
 	})
-	a, url := serve(t, func(*http.Server) {}, same, h)
+	a, url := startServer(t, func(*http.Server) {}, unwrapped, h)
 	ctx, cancel := context.WithCancel(t.Context())
-	go func() { <-begun; cancel() }()
+	go func() { <-started; cancel() }()
 	if _, _, err := post(ctx, url+"/sida", "x"); !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v", err)
+		t.Errorf("error = %v, want context.Canceled", err)
 	}
-	<-stopped
+	<-cancelled
 	if got := a.Stats(); got.Gone != 1 {
-		t.Errorf("stats %+v, want one gone", got)
+		t.Errorf("Stats() = %+v, want Gone 1", got)
 	}
 }
 
-// TestBusyHandler has a handler take the only core and never wait: the module's
-// timers still come, its caller is answered by its due time, and the handler
-// counts as stuck until it lets go.
-func TestBusyHandler(t *testing.T) {
+// TestBusyHandler_IsAnsweredByDeadline runs a handler that uses the only core and never blocks.
+// The core's timers still fire, the caller is answered by the deadline, and the handler counts
+// as stuck until it returns.
+func TestBusyHandler_IsAnsweredByDeadline(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	var release atomic.Bool
-	begun := make(chan struct{}, 1)
+	started := make(chan struct{}, 1)
 	spin := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		for !release.Load() {
 		}
 	})
-	a, url := serve(t, func(*http.Server) {}, same, spin)
-	began := time.Now()
+	a, url := startServer(t, func(*http.Server) {}, unwrapped, spin)
+	startedAt := time.Now()
 	status, _, err := post(t.Context(), url+"/sida", "x")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); status != http.StatusServiceUnavailable || took > 3*time.Second+time.Second {
-		t.Errorf("status %d after %v, want 503 within the deadline of 3 s", status, took)
+	if took := time.Since(startedAt); status != http.StatusServiceUnavailable || took > 3*time.Second+time.Second {
+		t.Errorf("status = %d after %v, want 503 within 1 s of the deadline of 3 s", status, took)
 	}
-	<-begun
-	for a.Stats().Stuck != 1 { // it is told to stop in the batch that answered it
+	<-started
+	for a.Stats().Stuck != 1 { // the core cancels the run in the batch that answers the request
 		runtime.Gosched()
 	}
 	release.Store(true)
@@ -186,6 +187,6 @@
 		runtime.Gosched()
 	}
 	if got := a.Stats(); got.Stuck != 0 || got.Refused != 1 {
-		t.Errorf("stats %+v once it let go", got)
+		t.Errorf("after the handler returned: Stats() = %+v, want Stuck 0, Refused 1", got)
 	}
 }
--- a/admission/listener.go
+++ b/admission/listener.go
@@ -5,16 +5,18 @@
 	"sync"
 )
 
-// This package has a listener of its own because http.Server.Shutdown closes, without an answer,
-// a connection whose request is complete only after Shutdown began (net/http's conn.serve
-// returns once the server is shutting down). A caller that had sent a part of its request
-// when the drain began would get nothing, although all that is read must be answered. So
-// after the grace the socket is closed here, which refuses new callers and proves to them
-// that nothing ran, while http.Server goes on serving the open connections: requests that
-// become complete on them are shed, with Retry-After, until they are closed or the stop is
-// near.
+// The package has its own listener because of how http.Server.Shutdown treats a connection
+// whose request is received completely only after Shutdown was called: net/http's conn.serve
+// returns, and the connection is closed without a response. A caller that had sent a part of
+// its request when the drain began would get no response, although every request that is
+// read must be answered.
+//
+// Therefore the listening sockets are closed here at the end of the grace. New callers are
+// refused, which proves to them that their requests did not run. The http.Server continues
+// to serve the open connections: requests that are completed on them are shed with
+// Retry-After, until the connections are closed or the stop is near.
 
-// listener is a net.Listener whose connections the server counts.
+// listener is a net.Listener that counts the connections it accepts.
 type listener struct {
 	net.Listener
 	server *Server
@@ -22,12 +24,13 @@
 	once   sync.Once
 }
 
-// Listener wraps l for http.Server.Serve. After the drain's grace it takes no
-// new connections: the socket is closed, and Accept waits until the
-// http.Server closes the listener. Connections that are open are served to the
-// end, and Shutdown waits for them. Serve on it for a drain that answers all
-// that is read; with ListenAndServe, a request that is read whole after the
-// grace may be dropped unanswered, as net/http does in its Shutdown.
+// Listener wraps l for http.Server.Serve. At the end of the drain's grace its socket is
+// closed, and Accept blocks until the http.Server closes the listener. Open connections are
+// still served, and Shutdown waits for them.
+//
+// A drain answers every request that was read only if the server uses this listener. With
+// ListenAndServe, a request that is received completely after the grace may be dropped
+// without a response by http.Server.Shutdown.
 func (s *Server) Listener(l net.Listener) net.Listener {
 	w := &listener{Listener: l, server: s, closed: make(chan struct{})}
 	s.connections.mu.Lock()
@@ -45,13 +48,13 @@
 	for {
 		nc, err := w.Listener.Accept()
 		if err != nil {
-			if w.server.connections.areListenersClosed() { // by the drain, not by the http.Server
+			if w.server.connections.areListenersClosed() { // the socket was closed by the drain, not by the http.Server
 				<-w.closed
 				return nil, net.ErrClosed
 			}
 			return nil, err
 		}
-		if c := w.server.connections.open(nc); c != nil {
+		if c := w.server.connections.add(nc); c != nil {
 			return c, nil
 		}
 	}
@@ -63,7 +66,7 @@
 	return w.Listener.Close()
 }
 
-// connections counts the open connections of a server's listeners.
+// connections holds a server's listeners and counts their open connections.
 type connections struct {
 	mu              sync.Mutex
 	listeners       []net.Listener
@@ -72,8 +75,9 @@
 	idle            chan struct{} // made by closeListeners; closed once no connection is open
 }
 
-// open counts a connection. It closes it and returns nil if the grace is over.
-func (c *connections) open(nc net.Conn) net.Conn {
+// add counts a connection and returns it wrapped. After closeListeners it closes the
+// connection and returns nil.
+func (c *connections) add(nc net.Conn) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.listenersClosed {
@@ -92,7 +96,7 @@
 }
 
 // closeListeners closes the sockets. It returns a channel that is closed once no connection
-// is open, and whether there are listeners at all.
+// is open, and reports whether there are any listeners.
 func (c *connections) closeListeners() (idle <-chan struct{}, exist bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +112,7 @@
 	return c.idle, len(c.listeners) > 0
 }
 
-// connectionClosed counts a connection that has closed.
+// connectionClosed decrements the count when a connection is closed.
 func (c *connections) connectionClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +121,7 @@
 	}
 }
 
-// countedConn is a connection that is counted until it is closed.
+// countedConn is a connection that is counted as open until Close is called.
 type countedConn struct {
 	net.Conn
 	connections *connections
@@ -130,6 +134,6 @@
 	return c.Conn.Close()
 }
 
-// closeListener closes a socket. An error leaves nothing to do: the socket is closed, or
-// the http.Server has closed it before.
+// closeListener closes a socket. Errors are ignored: the socket is closed anyway, or the
+// http.Server has already closed it.
 func closeListener(l net.Listener) { _ = l.Close() }
--- a/admission/machine.go
+++ b/admission/machine.go
@@ -8,35 +8,35 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// healthCheckTimeout is how soon a new goroutine must be scheduled for the process to
-// be healthy in a deep health check. Where handlers that never wait occupy all cores,
-// it is scheduled late.
+// healthCheckTimeout is the time within which a new goroutine must be scheduled for a deep
+// health check to succeed. Goroutines are scheduled late if handlers that never block occupy
+// all cores.
 const healthCheckTimeout = 100 * time.Millisecond
 
-// processMachine is the dispatch.Machine of a service: it reads the gauges of this process,
-// where the daemon asks the processor for them. CoreUtilization is the part of the
-// configured cores' time since the last reading that the process used (getrusage(2), user
-// and system). The other gauges are negative, which means unknown. RunnableTasks is one of
-// them, so that the module counts its own runs: the number of runnable goroutines
-// (runtime/metrics) would include those that serve connections. A reading takes about a
-// microsecond.
+// processMachine is the dispatch.Machine of a service. It reads the gauges of its own
+// process; the daemon requests them from the processor instead. CoreUtilization is the CPU
+// time (getrusage(2), user and system) that the process used since the last reading, as a
+// fraction of the time of the configured cores. The other gauges are negative, which means
+// unknown. RunnableTasks is unknown so that the decision module counts its own runs: the
+// number of runnable goroutines (runtime/metrics) would include those that serve
+// connections. A reading takes about a microsecond.
 type processMachine struct {
 	cores float64
 
-	mu  sync.Mutex    // the core's timers read at any time
-	cpu time.Duration // at the last reading
-	at  time.Time
+	mu  sync.Mutex    // the core's timers may call ReadGauges at any time
+	cpu time.Duration // CPU time of the process at the last reading
+	at  time.Time     // time of the last reading
 }
 
-// newProcessMachine makes a machine of so many cores. Its first reading covers the time
-// from now on.
+// newProcessMachine returns a machine with this number of cores. Its first reading covers the
+// time since this call.
 func newProcessMachine(cores int) *processMachine {
 	p := &processMachine{cores: float64(cores)}
 	p.cpu, p.at = cpuTime(), time.Now()
 	return p
 }
 
-// cpuTime returns the CPU time that the process has used, or 0 if that is unknown.
+// cpuTime returns the CPU time that the process has used, or 0 if it can't be read.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -61,6 +61,6 @@
 // CheckHealth implements dispatch.Machine: the process is healthy if a new goroutine is
 // scheduled within healthCheckTimeout.
 func (p *processMachine) CheckHealth(reply func(healthy bool)) {
-	asked := time.Now()
-	go func() { reply(time.Since(asked) < healthCheckTimeout) }()
+	startedAt := time.Now()
+	go func() { reply(time.Since(startedAt) < healthCheckTimeout) }()
 }
--- a/admission/machine_test.go
+++ b/admission/machine_test.go
@@ -8,9 +8,9 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// TestProcessGauges has goroutines take the cores without waiting: the gauge
-// counts the cores as busy; what wants a core is not told.
-func TestProcessGauges(t *testing.T) {
+// TestProcessMachine_ReportsCoreUtilizationOnly runs goroutines that use the cores without
+// blocking: CoreUtilization is above 0, and the other gauges are unknown.
+func TestProcessMachine_ReportsCoreUtilizationOnly(t *testing.T) {
 	const spinners = 3
 	var stop atomic.Bool
 	started := make(chan struct{}, spinners)
@@ -26,18 +26,18 @@
 		<-started
 	}
 	p := newProcessMachine(runtime.GOMAXPROCS(0))
-	for cpuTime() == p.cpu { // until the spinners' time is counted
+	for cpuTime() == p.cpu { // until the process's CPU time includes the spinners
 		runtime.Gosched()
 	}
 	var g decision.Gauges
 	p.ReadGauges(func(read decision.Gauges) { g = read })
 	if !(g.CoreUtilization > 0 && g.CoreUtilization <= 1) {
-		t.Errorf("core use %v, want a share above 0", g.CoreUtilization)
+		t.Errorf("CoreUtilization = %v, want above 0 and at most 1", g.CoreUtilization)
 	}
 	if g.RunnableTasks >= 0 || g.MemoryUtilization >= 0 || g.Connections >= 0 {
-		t.Errorf("on the cores %v, memory %v, connections %v: none is known", g.RunnableTasks, g.MemoryUtilization, g.Connections)
+		t.Errorf("RunnableTasks = %v, MemoryUtilization = %v, Connections = %v, want negative values", g.RunnableTasks, g.MemoryUtilization, g.Connections)
 	}
-	good := make(chan bool)
-	p.CheckHealth(func(ok bool) { good <- ok })
-	<-good // with spinners on every core it may be late; that it answers is what counts here
+	healthy := make(chan bool)
+	p.CheckHealth(func(ok bool) { healthy <- ok })
+	<-healthy // either value: with spinners on every core the goroutine may be scheduled late
 }
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -18,31 +18,30 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// The experiment: a service of 8 cores whose handlers do their work on a
-// stand-in machine below them (4 cores, at 3 runs a core half as quick), over
-// loopback, with an open stream of callers. The service does not know where
-// the machine starts to get less done. Reports are dear (20 ms of work) and
-// most of the load; pings are cheap (1 ms) and few. The machine can do 200
-// reports a second at best.
+// The experiment: a service configured with 8 cores, whose handlers do their work on a fake
+// machine behind it (4 cores; at 3 runs per core it has half its speed). Requests arrive over
+// loopback as an open-loop Poisson process. The service does not know at which concurrency the
+// machine's throughput falls. Reports are expensive (20 ms of work) and most of the load; pings
+// are cheap (1 ms) and few. The machine can do at most 200 reports per second.
 const (
 	reportWork = 20 * time.Millisecond
 	pingWork   = time.Millisecond
-	capacity   = 4 / 0.020 // reports a second
-	pingRate   = 10        // a second
+	capacity   = 4 / 0.020 // reports per second
+	pingRate   = 10        // pings per second
 	objective  = time.Second
 )
 
 func newMachine() *fakes.Machine { return &fakes.Machine{Cores: 4, ThrashAt: 2, Thrash: 0.5} }
 
-// outcome is what the callers of an experiment came to.
-type outcome struct {
-	served      int             // reports within their objective
-	refused     int             // 503 with Retry-After
-	latencies   []time.Duration // of reports served
-	pings, late int             // pings served within their objective, and pings that were not
+// loadResult counts the outcomes of the requests of an experiment.
+type loadResult struct {
+	served                   int             // reports served within the latency objective
+	refused                  int             // 503 with Retry-After
+	latencies                []time.Duration // of reports served
+	pingsInTime, pingsMissed int             // pings served within the latency objective, and all other pings
 }
 
-// overloadConfig is a service of reports and pings, with or without pools.
+// overloadConfig returns the configuration of the service, with or without pools.
 func overloadConfig(pools bool, seed int64) admission.Config {
 	class := func(weight float64) decision.Class {
 		return decision.Class{LatencyObjective: objective, Deadline: 2 * objective, Weight: weight}
@@ -61,14 +60,14 @@
 	return cfg
 }
 
-// machineHandler does the work of a request on a machine that all requests share.
+// machineHandler returns a handler that does the work of all requests on one machine.
 func machineHandler(m *fakes.Machine) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		took := reportWork
+		work := reportWork
 		if r.URL.Path == "/ping" {
-			took = pingWork
+			work = pingWork
 		}
-		if m.Do(r.Context(), took) != nil {
+		if m.Do(r.Context(), work) != nil {
 			http.Error(w, "stopped", http.StatusInternalServerError)
 			return
 		}
@@ -76,13 +75,13 @@
 	})
 }
 
-// overloadClient sends requests and counts what becomes of them.
+// overloadClient sends requests and counts their outcomes.
 type overloadClient struct {
 	http *http.Client
 	url  string
 
 	mu sync.Mutex
-	outcome
+	loadResult
 }
 
 // send sends one request and counts its outcome.
@@ -93,9 +92,9 @@
 		return
 	}
 	r.Header.Set("Content-Type", "text/plain")
-	began := time.Now()
+	startedAt := time.Now()
 	resp, err := c.http.Do(r)
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	if err == nil {
 		defer func() { _ = resp.Body.Close() }()
 	}
@@ -107,18 +106,18 @@
 	}
 	switch {
 	case path == "/ping" && inTime:
-		c.pings++
+		c.pingsInTime++
 	case path == "/ping":
-		c.late++
+		c.pingsMissed++
 	case inTime:
 		c.served++
 		c.latencies = append(c.latencies, took)
 	}
 }
 
-// overload plays a load, in reports a second, for a span, against the
-// service with or without pools.
-func overload(t testing.TB, load float64, span time.Duration, pools bool, seed int64) outcome {
+// runOverload sends a load of so many reports per second, plus the pings, to a service with or
+// without pools for the duration span.
+func runOverload(t testing.TB, load float64, span time.Duration, pools bool, seed int64) loadResult {
 	t.Helper()
 	a, err := admission.New(overloadConfig(pools, seed))
 	if err != nil {
@@ -148,11 +147,11 @@
 		wg.Go(func() { client.send(t, path) })
 	}
 	wg.Wait()
-	return client.outcome
+	return client.loadResult
 }
 
-// p99 is the 99th percentile of the latencies.
-func (o outcome) p99() time.Duration {
+// p99 returns the 99th percentile of the latencies, 0 if there are none.
+func (o loadResult) p99() time.Duration {
 	if len(o.latencies) == 0 {
 		return 0
 	}
@@ -160,48 +159,48 @@
 	return o.latencies[len(o.latencies)*99/100]
 }
 
-// TestOverload offers twice what the machine can do, over loopback: with the
-// pools the reports served within their aim stay within a tenth of what the
-// machine serves at its capacity, the pings are served within theirs, and what
-// is turned away says when to come back. Without the pools the module's run
-// limit follows the process's idle cores, and the machine below thrashes.
-func TestOverload(t *testing.T) {
+// TestPools_KeepThroughputUnderOverload offers twice the load that the machine can do. With
+// pools, the rate of reports served within the latency objective stays within a tenth of the
+// rate at capacity, pings are served within theirs, and refused requests carry Retry-After.
+// Without pools, the decision module's concurrency limit follows the idle cores of the process,
+// and the machine thrashes.
+func TestPools_KeepThroughputUnderOverload(t *testing.T) {
 	if testing.Short() {
-		t.Skip("4 s on the real clock")
+		t.Skip("takes three times 4 s on the real clock")
 	}
 	const span = 4 * time.Second
-	peak := overload(t, capacity, span, true, 1)
-	twice := overload(t, 2*capacity, span, true, 2)
-	without := overload(t, 2*capacity, span, false, 2)
-	perSecond := func(o outcome) float64 { return float64(o.served) / span.Seconds() }
-	t.Logf("served a second: %.0f at the capacity, %.0f at twice it, %.0f at twice it without the pools",
+	peak := runOverload(t, capacity, span, true, 1)
+	twice := runOverload(t, 2*capacity, span, true, 2)
+	without := runOverload(t, 2*capacity, span, false, 2)
+	perSecond := func(o loadResult) float64 { return float64(o.served) / span.Seconds() }
+	t.Logf("reports served per second: %.0f at capacity, %.0f at twice the capacity, %.0f at twice the capacity without pools",
 		perSecond(peak), perSecond(twice), perSecond(without))
 	if perSecond(twice) < 0.9*perSecond(peak) {
-		t.Errorf("at twice the capacity %.0f served a second, at the capacity %.0f", perSecond(twice), perSecond(peak))
+		t.Errorf("reports served per second at twice the capacity = %.0f, want at least 90%% of the %.0f at capacity", perSecond(twice), perSecond(peak))
 	}
-	if want := pingRate * span.Seconds(); float64(twice.pings) < 0.8*want || twice.late > 2 {
-		t.Errorf("pings: %d served in time, %d not, of about %.0f", twice.pings, twice.late, want)
+	if want := pingRate * span.Seconds(); float64(twice.pingsInTime) < 0.8*want || twice.pingsMissed > 2 {
+		t.Errorf("pings: %d served in time, %d missed, of about %.0f; want at least 80%% in time and at most 2 missed", twice.pingsInTime, twice.pingsMissed, want)
 	}
 	if twice.refused == 0 {
-		t.Error("nothing was turned away at twice the capacity")
+		t.Error("no request was refused at twice the capacity")
 	}
 	if perSecond(without) >= perSecond(twice) {
-		t.Errorf("without the pools %.0f a second: the machine does not thrash", perSecond(without))
+		t.Errorf("reports served per second without pools = %.0f, want less than the %.0f with pools", perSecond(without), perSecond(twice))
 	}
 }
 
-// BenchmarkOverloadTable plays the experiment at half, once, twice and four
-// times the capacity, with and without the pools; docs/pools.md has the table.
+// BenchmarkOverloadTable runs the experiment at half, once, twice and four times the capacity,
+// with and without pools. docs/pools.md has the table.
 func BenchmarkOverloadTable(b *testing.B) {
 	for _, load := range []float64{0.5, 1, 2, 4} {
 		for _, pools := range []bool{false, true} {
 			b.Run(fmt.Sprintf("load=%.1f/pools=%t", load, pools), func(b *testing.B) {
 				for b.Loop() {
-					o := overload(b, load*capacity, 5*time.Second, pools, 7)
+					o := runOverload(b, load*capacity, 5*time.Second, pools, 7)
 					b.ReportMetric(float64(o.served)/5, "served/s")
 					b.ReportMetric(float64(o.p99().Milliseconds()), "p99-ms")
 					b.ReportMetric(float64(o.refused)/5, "refused/s")
-					b.ReportMetric(float64(o.pings)/5, "pings/s")
+					b.ReportMetric(float64(o.pingsInTime)/5, "pings/s")
 				}
 			})
 		}
--- a/admission/run.go
+++ b/admission/run.go
@@ -13,20 +13,20 @@
 	"quincerail.example/quincerail/protocol/httpresult"
 )
 
-// stuckAfter is how long a handler may take to return after its context was
-// cancelled before that is logged.
-const stuckAfter = time.Second
+// lateReturnThreshold is the time after the cancellation of its context beyond which a
+// handler's return is logged as late.
+const lateReturnThreshold = time.Second
 
-// The states of a run. A run that is not cancelled goes from working to returned; one that
-// is goes through cancelled, and counts in Stats.Stuck until its handler returns.
+// The states of a run. A run changes from running to returned, by way of cancelled if it is
+// cancelled in between. A cancelled run counts in Stats.Stuck until its handler returns.
 const (
-	working   int32 = iota // its handler runs
-	cancelled              // its context was cancelled and its handler has not returned
-	returned               // its handler has returned
+	running   int32 = iota // the handler runs
+	cancelled              // the context was cancelled and the handler has not returned
+	returned               // the handler has returned
 )
 
-// run is the backend of one request: the handler behind the middleware, in a
-// goroutine of its own.
+// run is the dispatch.Backend of one request. It calls the handler behind the middleware on
+// a separate goroutine.
 type run struct {
 	server      *Server
 	next        http.Handler
@@ -41,9 +41,9 @@
 	return &run{server: s, next: next, request: r}
 }
 
-// Start implements dispatch.Backend. The decision module or the deadline cancels the
-// handler's context. The end of the caller's connection does not: a keyed run goes on after
-// its caller left, so that a retry gets its result.
+// Start implements dispatch.Backend. The handler's context is cancelled by the decision module
+// or at the deadline, but not by the end of the caller's connection: a keyed run continues
+// after its caller has disconnected, so that a retry gets its result.
 func (b *run) Start(r dispatch.Run) {
 	b.server.stats.runs.Add(1)
 	b.server.stats.running.Add(1)
@@ -52,26 +52,25 @@
 	b.server.workers.start(job{b, ctx, r})
 }
 
-// workerIdle is how long a goroutine that has run a handler waits for the next
-// before it ends.
+// workerIdle is how long a worker goroutine waits for another job before it exits.
 const workerIdle = 10 * time.Second
 
-// workers are goroutines that have run handlers and wait for more, so that the
-// next run finds a stack grown to its handler's size (a new goroutine starts
-// small and copies its stack as it grows, for every request).
+// workers is a pool of goroutines that are reused for handlers. A reused goroutine has a stack
+// that has already grown to the size the handlers need; a new goroutine starts with a small
+// stack and copies it as it grows, for every request.
 type workers struct {
-	jobs chan job
-	done <-chan struct{}
+	jobs chan job        // unbuffered: a send succeeds only if a worker is idle
+	done <-chan struct{} // closed when the server is closed
 }
 
-// job is a run for a worker, with its context and what the core told of it.
+// job is a run for a worker, with the handler's context and the run's description by the core.
 type job struct {
-	run *run
-	ctx context.Context
-	r   dispatch.Run
+	run  *run
+	ctx  context.Context
+	spec dispatch.Run
 }
 
-// start gives a job to a worker that waits, or to a new one.
+// start passes a job to an idle worker, or to a new one if there is none.
 func (w *workers) start(j job) {
 	select {
 	case w.jobs <- j:
@@ -80,12 +79,13 @@
 	}
 }
 
-// work serves a job, and then others until none comes for workerIdle or the server is closed.
+// work serves a job and then further jobs. It returns when there is none for workerIdle, or
+// when the server is closed.
 func (w *workers) work(j job) {
 	idle := time.NewTimer(workerIdle)
 	defer idle.Stop()
 	for {
-		j.run.serve(j.ctx, j.r)
+		j.run.serve(j.ctx, j.spec)
 		idle.Reset(workerIdle)
 		select {
 		case j = <-w.jobs:
@@ -97,10 +97,10 @@
 	}
 }
 
-// serve calls the handler and reports to the core how the run ended.
+// serve calls the handler and reports the end of the run to the core.
 func (b *run) serve(ctx context.Context, r dispatch.Run) {
 	defer b.cancel()
-	began := time.Now()
+	startedAt := time.Now()
 	w := &recorder{header: make(http.Header)}
 	panicked := w.serve(b.next, b.handlerRequest(ctx, r))
 	b.server.stats.running.Add(-1)
@@ -109,32 +109,33 @@
 		b.recordPanic(r, panicked)
 	}
 	end, result := w.outcome(wasCancelled, panicked != nil || ctx.Err() != nil)
-	b.server.core.RunCompleted(r.ID, end, time.Since(began), result)
+	b.server.core.RunCompleted(r.ID, end, time.Since(startedAt), result)
 }
 
-// handlerRequest returns the request that the handler gets, with the body that was read.
+// handlerRequest returns the request for the handler, with the body that the middleware has
+// read.
 func (b *run) handlerRequest(ctx context.Context, r dispatch.Run) *http.Request {
 	request, body := b.request.Clone(ctx), r.Payload.Body
 	request.Body, request.ContentLength = &bodyReader{bytes.NewReader(body)}, int64(len(body))
 	return request
 }
 
-// handlerReturned records that the handler has returned, and reports whether it had been
+// handlerReturned records that the handler has returned, and reports whether its run had been
 // cancelled before.
 func (b *run) handlerReturned(r dispatch.Run) (wasCancelled bool) {
 	if b.state.Swap(returned) != cancelled {
 		return false
 	}
 	b.server.stats.stuck.Add(-1)
-	if late := time.Since(time.Unix(0, b.cancelledAt.Load())); late > stuckAfter {
+	if late := time.Since(time.Unix(0, b.cancelledAt.Load())); late > lateReturnThreshold {
 		b.server.cfg.Logger.Warn("handler_returned_late", "class", r.Class, "request", r.ID,
 			"after_cancel", late.Round(time.Millisecond))
 	}
 	return true
 }
 
-// recordPanic counts a handler's panic, and logs it unless the handler aborted its
-// response on purpose.
+// recordPanic counts a handler's panic. It logs the panic unless the handler aborted its
+// response on purpose with http.ErrAbortHandler.
 func (b *run) recordPanic(r dispatch.Run, panicked any) {
 	b.server.stats.panics.Add(1)
 	if panicked == any(http.ErrAbortHandler) {
@@ -143,17 +144,17 @@
 	b.server.cfg.Logger.Error("handler_panicked", "class", r.Class, "request", r.ID, "panic", fmt.Sprint(panicked))
 }
 
-// Cancel implements dispatch.Backend: it cancels the handler's context. Until the handler
-// returns, the run counts in Stats.Stuck and keeps its place among the core's runs.
+// Cancel implements dispatch.Backend by cancelling the handler's context. Until the handler
+// returns, the run counts in Stats.Stuck and still counts as running in the core.
 func (b *run) Cancel(string) {
-	b.cancelledAt.CompareAndSwap(0, time.Now().UnixNano()) // before the state, which the handler's return reads
-	if b.state.CompareAndSwap(working, cancelled) {
+	b.cancelledAt.CompareAndSwap(0, time.Now().UnixNano()) // before the state changes, because handlerReturned reads it after that
+	if b.state.CompareAndSwap(running, cancelled) {
 		b.server.stats.stuck.Add(1)
 	}
 	b.cancel()
 }
 
-// bodyReader is a request's body as a handler reads it, from what was read.
+// bodyReader is the Body of a request whose body was already read into memory.
 type bodyReader struct{ *bytes.Reader }
 
 // Close implements io.Closer.
@@ -165,20 +166,20 @@
 // SkipCall implements dispatch.Backend: handlers make their downstream calls themselves.
 func (b *run) SkipCall(string, uint64) {}
 
-// recorder is the http.ResponseWriter that a handler writes to. The caller gets none of
-// it before the handler has returned.
+// recorder is the http.ResponseWriter of a handler. It holds the response in memory; nothing is
+// sent to the caller before the handler has returned.
 type recorder struct {
-	header http.Header
-	sent   []dispatch.Field // the headers as they were when the status was written
-	status int
-	body   bytes.Buffer
+	header      http.Header
+	sentHeaders []dispatch.Field // the headers at the time of WriteHeader
+	status      int
+	body        bytes.Buffer
 }
 
 // Header implements http.ResponseWriter.
 func (w *recorder) Header() http.Header { return w.header }
 
-// WriteHeader implements http.ResponseWriter. What the handler changes in the
-// headers afterwards is not sent, as under net/http.
+// WriteHeader implements http.ResponseWriter. As in net/http, later changes of the headers are
+// not sent.
 func (w *recorder) WriteHeader(status int) {
 	if w.status != 0 || status < http.StatusOK {
 		return
@@ -191,7 +192,7 @@
 	slices.Sort(names)
 	for _, name := range names {
 		for _, value := range w.header[name] {
-			w.sent = append(w.sent, dispatch.Field{Name: name, Value: value})
+			w.sentHeaders = append(w.sentHeaders, dispatch.Field{Name: name, Value: value})
 		}
 	}
 }
@@ -202,8 +203,8 @@
 	return w.body.Write(p)
 }
 
-// serve calls the handler, and returns what it panicked with, or nil. A panic must not end
-// the process, as it does not under net/http.
+// serve calls the handler and returns the value of its panic, or nil. As in net/http, a panic
+// of a handler must not end the process.
 func (w *recorder) serve(next http.Handler, r *http.Request) (panicked any) {
 	defer func() { panicked = recover() }()
 	next.ServeHTTP(w, r)
@@ -211,8 +212,9 @@
 	return nil
 }
 
-// outcome returns how the run ended and its result, once the handler has returned. failed
-// means that the handler panicked or its time ran out: its response is not a result then.
+// outcome returns the end of the run and its result, after the handler has returned. failed
+// means that the handler panicked or its deadline passed; its response is then discarded,
+// unless the run was cancelled.
 func (w *recorder) outcome(wasCancelled, failed bool) (dispatch.RunEnd, dispatch.Payload) {
 	switch {
 	case wasCancelled:
@@ -225,7 +227,7 @@
 	return dispatch.RunSucceeded, w.result()
 }
 
-// result returns the recorded response as a result.
+// result returns the recorded response in the form that the core caches and forwards.
 func (w *recorder) result() dispatch.Payload {
-	return httpresult.Encode(w.status, w.sent, w.body.Bytes())
+	return httpresult.Encode(w.status, w.sentHeaders, w.body.Bytes())
 }
--- a/admission/server.go
+++ b/admission/server.go
@@ -1,26 +1,28 @@
-// Package admission embeds the app server's decisions in a Go service as net/http
-// middleware: which requests are admitted, in which order they run, which are shed, and
-// that a request with an idempotency key runs once within its window. It runs the
-// daemon's core (package dispatch) and decision module (package policy) with the service's
-// handlers as the backend, and keeps the daemon's rules:
+// Package admission embeds the app server's admission control in a Go service as net/http
+// middleware. It decides which requests are admitted, in which order they run and which are
+// shed, and it runs a request with an idempotency key once within its window. The package
+// runs the daemon's core (package dispatch) and decision module (package policy) with the
+// service's handlers as the backend. It follows the same rules as the daemon:
 //
-//   - every request that matches a route gets one final answer by its deadline: its
-//     class's, or sooner where the http.Server's WriteTimeout ends first;
-//   - a keyed request (header Idempotency-Key, or the route's own) runs at most once
-//     within its window; retries get the first result, also while the first still runs;
-//   - a request is shed at once, with 503 and Retry-After: its handler never ran, or its
-//     class is idempotent;
-//   - after Drain, what arrives later than the grace never runs, and all that was read is
-//     answered before the stop.
+//   - Every request that matches a rule or a route gets exactly one final answer by its
+//     deadline. The deadline is that of its class, or earlier if the http.Server's
+//     WriteTimeout ends first.
+//   - A keyed request (header Idempotency-Key, or the header that the route names) runs at
+//     most once within its window. Retries get the result of the first attempt, also while
+//     that is still running.
+//   - A request that is shed is answered at once, with status 503 and Retry-After. Its handler
+//     never ran, or its class is idempotent.
+//   - After Drain, requests that arrive after the grace never run, and all requests that were
+//     read are answered before the stop.
 //
-// Handlers run in goroutines of their own, with a context that is cancelled by the
-// decision module or at the deadline. A handler that ignores it keeps its place among the
-// runs until it returns (Stats.Stuck), as it still uses a core or a connection. Responses
-// of classed routes are held in memory, because a response may have to be sent again, or
-// not at all: they can't be streamed.
+// Handlers run on separate goroutines, with a context that is cancelled by the decision module
+// or at the deadline. A handler that ignores its context counts as running until it returns
+// (Stats.Stuck), because it still uses a core or a connection. Responses of classified
+// requests are held in memory and can't be streamed, because a response may be sent several
+// times or not at all.
 //
-// The daemon's design and rules are in docs/architecture.md; embedding is in
-// docs/library.md.
+// docs/architecture.md describes the daemon's design and rules, docs/library.md the use of
+// this package.
 package admission
 
 import (
@@ -35,11 +37,11 @@
 	"quincerail.example/quincerail/dispatch"
 )
 
-// Server admits requests before a service's handlers. Its methods are safe
-// for concurrent use.
+// Server controls the admission of requests to a service's handlers. Its methods are safe for
+// concurrent use.
 type Server struct {
 	cfg         Config
-	table       *describe.Table // of cfg.Routes
+	table       *describe.Table // compiled from cfg.Routes
 	core        *dispatch.Core
 	stop        context.CancelFunc
 	draining    atomic.Bool
@@ -48,8 +50,7 @@
 	workers     workers
 }
 
-// New starts a server; Close ends it. The error names the field of the configuration that
-// makes no sense.
+// New starts a server; Close stops it. The error names the invalid field of the configuration.
 func New(cfg Config) (*Server, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -76,28 +77,32 @@
 	}, nil
 }
 
-// Config returns the configuration in force, with its defaults filled in.
+// Config returns the server's configuration, with zero values replaced by their defaults.
 func (s *Server) Config() Config { return s.cfg }
 
-// Drain prepares for the end of the process at stopAt: health checks fail from now on,
-// responses ask for their connection to be closed, what arrives later than the grace is
-// shed, and all is answered 250 ms before stopAt.
+// Drain begins a graceful shutdown of a process that stops at stopAt. From now on, health
+// checks fail and responses carry the header Connection: close. Requests that arrive after
+// the grace are shed. All requests are answered by 250 ms before stopAt.
 func (s *Server) Drain(stopAt time.Time) {
 	s.draining.Store(true)
 	s.core.Drain(s.core.DrainNoticeTime(), stopAt)
 }
 
-// Shutdown drains and then shuts hs down. For the grace the listeners stay
-// open, so that callers learn of the drain and go elsewhere. Then the sockets
-// of those made by Listener close, while the connections that are open are
-// served until they end or the stop is near, and hs.Shutdown follows. Without
-// such listeners, hs.Shutdown follows the grace at once. The process ends at
-// ctx's deadline, or 5 s from now if it has none; Close comes last. The error
-// is that of hs.Shutdown, but for its deadline.
+// Shutdown drains the server and then shuts hs down, in these steps:
+//
+//   - The listeners stay open for the grace, so that callers learn of the drain and use another
+//     server.
+//   - The sockets of the listeners that were wrapped by Listener are closed. Open connections are
+//     served until all are closed or the stop is near. This step is skipped if there are no
+//     such listeners.
+//   - hs.Shutdown and then Close are called.
+//
+// The stop is at ctx's deadline, or 5 s from now if ctx has none. The error is that of
+// hs.Shutdown, except that context.DeadlineExceeded is not an error.
 func (s *Server) Shutdown(ctx context.Context, hs *http.Server) error {
 	stopAt, ok := ctx.Deadline()
 	if !ok {
-		stopAt = time.Now().Add(defaultStop)
+		stopAt = time.Now().Add(defaultStopTimeout)
 	}
 	s.Drain(stopAt)
 	last, cancel := context.WithDeadline(context.WithoutCancel(ctx), stopAt.Add(-answerMargin))
@@ -109,7 +114,7 @@
 		grace.Stop()
 	}
 	if idle, wrapped := s.connections.closeListeners(); wrapped {
-		hs.SetKeepAlivesEnabled(false) // each answer closes its connection
+		hs.SetKeepAlivesEnabled(false) // net/http closes each connection after its next response
 		select {
 		case <-idle:
 		case <-last.Done():
@@ -117,21 +122,21 @@
 	}
 	err := hs.Shutdown(last)
 	s.Close()
-	if errors.Is(err, context.DeadlineExceeded) { // connections with an incomplete request are owed nothing
+	if errors.Is(err, context.DeadlineExceeded) { // an incomplete request needs no response
 		err = nil
 	}
 	return err
 }
 
-// Close ends the server. Later requests are shed; those whose handlers were started and
-// have no answer yet fail, as they may have run.
+// Close stops the server. Later requests are shed. Requests that have no answer yet fail,
+// because their handlers may have run.
 func (s *Server) Close() {
 	s.stop()
 	<-s.core.Done()
 }
 
-// Health answers health checks: 200 while requests are admitted, else 503. With the query
-// parameter deep=1 a new goroutine must also be scheduled within 100 ms.
+// Health answers health checks: status 200 while requests are admitted, 503 otherwise. A deep
+// check (query parameter deep=1) also fails if a new goroutine is not scheduled within 100 ms.
 func (s *Server) Health(w http.ResponseWriter, r *http.Request) {
 	healthy := make(chan bool, 1)
 	deep := r.URL.Query().Get("deep") == "1"
@@ -142,5 +147,5 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Stats returns the counts so far.
+// Stats returns the current values of the counters.
 func (s *Server) Stats() Stats { return s.stats.read() }
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -6,30 +6,30 @@
 	"quincerail.example/quincerail/dispatch"
 )
 
-// Stats are a server's counts since New. Each request that matched a rule or a route
-// is counted once, by its answer or as Gone. Health checks are not counted.
+// Stats are a server's counters since New. Each request that matched a rule or a route is
+// counted once: by the kind of its response, or as Gone. Health checks are not counted.
 type Stats struct {
-	Served   uint64 // with a handler's response, its own run's or that of an earlier attempt with its key
-	Refused  uint64 // 503 with Retry-After: its handler never ran, or its class is idempotent
-	Failed   uint64 // 502, or the handler's own 5xx: it may have run
-	TimedOut uint64 // 504: its time was over
-	Rejected uint64 // 400 or 413 (no key, a body too large) or 422 (a key that came with another body)
-	Gone     uint64 // its caller left first, or a framework's timeout ended its request
-	Passed   uint64 // matched no route, and went to the handler untouched
+	Served   uint64 // answered with a handler's response, of its own run or of another attempt with its key
+	Refused  uint64 // shed, 503 with Retry-After: its handler never ran, or its class is idempotent
+	Failed   uint64 // 502, or the handler's own 5xx response: it may have run
+	TimedOut uint64 // 504: its deadline passed
+	Rejected uint64 // 400 (invalid or missing key), 413 (body too large) or 422 (key reused with another body)
+	Gone     uint64 // no response: the caller disconnected, or a framework's timeout cancelled the request
+	Passed   uint64 // matched no rule and no route, and was passed to the handler unchanged
 
-	Runs    uint64 // handler calls begun
-	Running int64  // of those, calls that have not returned
-	Stuck   int64  // of those, calls that were cancelled and have not returned
+	Runs    uint64 // handler calls started
+	Running int64  // handler calls that have not returned
+	Stuck   int64  // handler calls that were cancelled and have not returned
 	Panics  uint64 // handler calls that panicked
 }
 
-// counters are the counts behind Stats.
+// counters holds the values of Stats.
 type counters struct {
 	served, refused, failed, timedOut, rejected, gone, passed, runs, panics atomic.Uint64
 	running, stuck                                                          atomic.Int64
 }
 
-// countOutcome counts a request's final answer.
+// countOutcome counts a request by the kind of its final answer.
 func (c *counters) countOutcome(k dispatch.OutcomeKind) {
 	switch k {
 	case dispatch.Served:
@@ -45,7 +45,7 @@
 	}
 }
 
-// read returns the counts so far. They are not read at one instant.
+// read returns the current values. They are not a consistent snapshot.
 func (c *counters) read() Stats {
 	return Stats{
 		Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(),
--- a/admission/wrap.go
+++ b/admission/wrap.go
@@ -13,21 +13,21 @@
 	"quincerail.example/quincerail/protocol/httpresult"
 )
 
-// writeMargin is how long before the http.Server's write deadline an answer is
-// due: the module may answer up to deadlineSlack later, and the bytes must still be
-// written after that.
+// writeMargin is the time between a request's deadline and the write deadline of the
+// http.Server. The decision module may answer up to deadlineSlack after the request's
+// deadline, and the response must still be written after that.
 const writeMargin = 2 * deadlineSlack
 
-// Wrap is the middleware for net/http, and for routers that take
-// func(http.Handler) http.Handler, chi among them. Requests that a route of
-// the configuration leads to a class are admitted as the package says; all
-// others go to next untouched.
+// Wrap is the middleware for net/http and for routers that take
+// func(http.Handler) http.Handler, such as chi. Requests to which a rule or a route of the
+// configuration assigns a class are admitted as the package documentation describes. All
+// others are passed to next unchanged.
 func (s *Server) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		arrivedAt := time.Now()
 		class, err := s.classify(w, r)
 		switch {
-		case err != nil: // the request is answered, or its caller has gone
+		case err != nil: // the request was answered, or its caller has disconnected
 		case class.Name == "":
 			s.stats.passed.Add(1)
 			next.ServeHTTP(w, r)
@@ -37,16 +37,16 @@
 	})
 }
 
-// classification is what a rule or a route makes of a request. Its name is empty where
-// none applies.
+// classification is the class and key that a rule or a route assigns to a request. Name is
+// empty if neither matches.
 type classification struct {
-	Name string // of the class
-	Key  string // idempotency key; empty for none
+	Name string // name of the class
+	Key  string // idempotency key; empty if there is none
 }
 
-// classify asks the rules, where there are any, and then the routes. It returns an
-// error if a rule needed a body that could not be read; nothing is left to do then (see
-// readBodyOrRespond).
+// classify evaluates the rules, if there are any, and then the routes. It returns an error if
+// the rules need the body and it can't be read; the request needs no further handling then
+// (see readBodyOrRespond).
 func (s *Server) classify(w http.ResponseWriter, r *http.Request) (classification, error) {
 	if s.cfg.Rules != nil {
 		class, err := s.classifyByRules(w, r, s.cfg.Rules.Load())
@@ -65,8 +65,8 @@
 	return classification{Name: route.Class, Key: key}, nil
 }
 
-// classifyByRules asks the rules. Where they look at bodies, the body is read first and
-// then replaced, so that it can be read again.
+// classifyByRules evaluates the rules. If they use the body, it reads the body first and
+// replaces r.Body, so that the body can be read again.
 func (s *Server) classifyByRules(w http.ResponseWriter, r *http.Request, rules *match.Set) (classification, error) {
 	if rules == nil {
 		return classification{}, nil
@@ -86,20 +86,21 @@
 	return classification{Name: result.Class, Key: result.Key}, nil
 }
 
-// readBodyOrRespond reads a request's body. Where it can't, it answers and counts the
-// request, or counts it as gone if its caller's connection broke, and returns the error.
+// readBodyOrRespond reads a request's body. If the body is too large, it answers the request,
+// counts it as rejected and returns the error. If the caller's connection failed, it counts
+// the request as gone and returns the error.
 func (s *Server) readBodyOrRespond(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := readBody(w, r, s.cfg.MaxBody)
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
 		s.stats.rejected.Add(1)
 		http.Error(w, http.StatusText(http.StatusRequestEntityTooLarge), http.StatusRequestEntityTooLarge)
-	} else if err != nil { // the caller's connection broke while it sent
+	} else if err != nil { // the caller's connection failed while the body was read
 		s.stats.gone.Add(1)
 	}
 	return body, err
 }
 
-// admit submits one request of a class to the core, and writes its answer.
+// admit submits a classified request to the core and writes its answer.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, arrivedAt time.Time, class classification, next http.Handler) {
 	body, err := s.readBodyOrRespond(w, r)
 	if err != nil {
@@ -115,7 +116,7 @@
 		s.stats.refused.Add(1)
 		shed(w, maxRetryAfter)
 		return
-	} else if err != nil { // a keyed class without its key, or one too long, or a class that is not known
+	} else if err != nil { // a key is missing or too long, or the class is unknown
 		s.stats.rejected.Add(1)
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -123,24 +124,25 @@
 	select {
 	case o := <-answer:
 		s.respond(w, o)
-	case <-r.Context().Done(): // the caller left, or a framework's timeout fired before ours
-		s.stats.gone.Add(1) // before the run is cancelled
+	case <-r.Context().Done(): // the caller disconnected, or a framework's timeout fired before the deadline
+		s.stats.gone.Add(1) // counted before the run is cancelled
 		s.core.CallerDisconnected(id, answer)
 	case <-s.core.Done():
 		select {
-		case o := <-answer: // it came just before the end
+		case o := <-answer: // the core answered just before it stopped
 			s.respond(w, o)
-		default: // it may have run, so it is not shed
+		default: // the handler may have run, so the request must not be shed
 			s.respond(w, dispatch.Outcome{Kind: dispatch.Failed})
 		}
 	}
 }
 
-// writeDeadline returns by when a request must be answered so that the http.Server can
-// still write the answer: writeMargin before its WriteTimeout ends, or half of a
-// WriteTimeout that is too short for that. It is zero where there is no WriteTimeout.
-// net/http sets the write deadline once the request's header is read, just before the
-// handlers are called, so arrivedAt is a little late, and the margin covers that too.
+// writeDeadline returns the time by which a request must be answered so that the http.Server
+// can still write the response. That is writeMargin before the end of its WriteTimeout, or
+// half of the WriteTimeout if it is not longer than 2*writeMargin. The result is zero if there
+// is no WriteTimeout. net/http sets the write deadline when it has read the request's header,
+// just before it calls the handler. arrivedAt is therefore slightly late; the margin covers
+// that as well.
 func writeDeadline(r *http.Request, arrivedAt time.Time) time.Time {
 	hs, ok := r.Context().Value(http.ServerContextKey).(*http.Server)
 	if !ok || hs.WriteTimeout <= 0 {
@@ -152,24 +154,24 @@
 	return arrivedAt.Add(hs.WriteTimeout - writeMargin)
 }
 
-// responder passes the answer to the goroutine that serves the request.
+// responder passes the core's answer to the goroutine that serves the request.
 type responder chan dispatch.Outcome
 
-// Respond implements dispatch.Responder. It does not block: there is one answer, and
-// the channel has room for it.
+// Respond implements dispatch.Responder. It does not block: the core calls it once, and the
+// channel has a buffer of one.
 func (answer responder) Respond(_ string, o dispatch.Outcome) { answer <- o }
 
 // respond counts an outcome and writes it to the caller.
 func (s *Server) respond(w http.ResponseWriter, o dispatch.Outcome) {
 	s.stats.countOutcome(o.Kind)
-	if s.draining.Load() { // callers go to another
+	if s.draining.Load() { // so that callers reconnect to another server
 		w.Header().Set("Connection", "close")
 	}
 	if o.Kind == dispatch.Shed {
 		shed(w, o.RetryAfter)
 		return
 	}
-	if o.Kind != dispatch.Served && len(o.Result.Fields) == 0 { // there is no response of the handler's
+	if o.Kind != dispatch.Served && len(o.Result.Fields) == 0 { // there is no response of a handler
 		status := httpresult.Status(o.Kind)
 		http.Error(w, http.StatusText(status), status)
 		return
@@ -179,17 +181,17 @@
 		w.Header().Add(h.Name, h.Value)
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a caller that has gone is noticed by net/http
+	_, _ = w.Write(body) // net/http handles a write error, which means that the caller has disconnected
 }
 
-// shed answers 503 with a Retry-After of whole seconds, at least one.
+// shed answers with status 503 and a Retry-After header in whole seconds, at least one.
 func shed(w http.ResponseWriter, retryAfter time.Duration) {
 	w.Header().Set("Retry-After", httpresult.RetryAfter(retryAfter))
 	http.Error(w, http.StatusText(http.StatusServiceUnavailable), http.StatusServiceUnavailable)
 }
 
-// readBody reads a request's body, at most limit bytes of it, into a slice of
-// its length where that is known.
+// readBody reads a request's body. It returns an *http.MaxBytesError if the body is longer
+// than limit bytes. If the length is known, the slice is allocated with that length.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
--- a/cmd/fleet-experiment/failover.go
+++ b/cmd/fleet-experiment/failover.go
@@ -53,7 +53,7 @@
 		}
 	}
 	c.print(times)
-	printActs(fleet)
+	printWrites(fleet)
 	return nil
 }
 
@@ -64,7 +64,7 @@
 	owner := acts[len(acts)-1]
 	firstLine := len(fleet.Lines())
 	began := time.Now()
-	if err := endOwner(fleet, owner.By, kill); err != nil {
+	if err := stopOwner(fleet, owner.By, kill); err != nil {
 		return 0, err
 	}
 	next, err := fleet.AwaitAct("the next owner's act", len(acts), func(a fakes.FencedWrite) bool {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := bringBack(fleet, owner.By, kill); err != nil {
+	if err := resumeOwner(fleet, owner.By, kill); err != nil {
 		return 0, err
 	}
 	_, err = fleet.Await("the lease's change at "+owner.By, firstLine, func(l fleettest.Line) bool {
@@ -82,14 +82,14 @@
 	return next.At.Sub(began), err
 }
 
-func endOwner(fleet *fleettest.Fleet, name string, kill bool) error {
+func stopOwner(fleet *fleettest.Fleet, name string, kill bool) error {
 	if kill {
 		return fleet.Kill(name)
 	}
 	return fleet.Signal(name, syscall.SIGSTOP)
 }
 
-func bringBack(fleet *fleettest.Fleet, name string, killed bool) error {
+func resumeOwner(fleet *fleettest.Fleet, name string, killed bool) error {
 	if killed {
 		return fleet.Launch(name)
 	}
@@ -113,8 +113,8 @@
 	}
 }
 
-// printActs counts the acts at the registry, and those that its fence had to refuse.
-func printActs(fleet *fleettest.Fleet) {
+// printWrites counts the acts at the registry, and those that its fence had to refuse.
+func printWrites(fleet *fleettest.Fleet) {
 	acts, _ := fleet.Registry.Writes()
 	stale, refused := 0, 0
 	var highest lease.Token
--- a/cmd/fleet-experiment/quota.go
+++ b/cmd/fleet-experiment/quota.go
@@ -67,7 +67,7 @@
 	servedBefore   float64
 	servedDuring   float64
 	servedAfter    float64
-	roundsToKnow   int     // until all members knew what any had known, after healing
+	convergenceRounds   int     // until all members knew what any had known, after healing
 	bytesPerSecond float64 // of each member
 	inFlight       plotter.XYs
 }
@@ -91,7 +91,7 @@
 			return r.err
 		}
 		fmt.Printf("| %d | %s | %d | %.3f | %.3f | %.3f | %d | %.0f |\n", r.members, r.partition.name, max(0, r.result.overshoot),
-			r.result.servedBefore, r.result.servedDuring, r.result.servedAfter, r.result.roundsToKnow, r.result.bytesPerSecond)
+			r.result.servedBefore, r.result.servedDuring, r.result.servedAfter, r.result.convergenceRounds, r.result.bytesPerSecond)
 		if r.partition.name != chartedPartition {
 			continue
 		}
@@ -141,11 +141,11 @@
 	r.result.servedDuring = p.step(c.Cut, 0)
 	fleet.Partition(func(int) int { return 0 })
 	known := fleet.LatestHeartbeats()
-	for r.result.roundsToKnow < c.Heal/2 && !fleet.Converged(known) {
+	for r.result.convergenceRounds < c.Heal/2 && !fleet.Converged(known) {
 		p.step(1, 0)
-		r.result.roundsToKnow++
+		r.result.convergenceRounds++
 	}
-	left := c.Heal - r.result.roundsToKnow
+	left := c.Heal - r.result.convergenceRounds
 	r.result.servedAfter = p.step(left, left/2)
 	r.result.overshoot = fleet.Overshoot()
 	r.result.bytesPerSecond = fleet.MeanSentBytes() / (float64(p.rounds) * quotaRoundInterval.Seconds())
--- a/cmd/fleet-experiment/rollout.go
+++ b/cmd/fleet-experiment/rollout.go
@@ -49,7 +49,7 @@
 type rolloutResult struct {
 	kind         string
 	done, halted int
-	wide         int     // that reached more than wideShare of the servers
+	overWideShare         int     // that reached more than wideShare of the servers
 	maxShare     float64 // of the servers that any reached
 	windows      []int   // that each took, in order
 }
@@ -61,7 +61,7 @@
 	for _, kind := range changeKinds {
 		r := summarize(kind.name, c.simulate(kind))
 		n := len(r.windows)
-		fmt.Printf("| %s | %d | %d | %d | %.2f | %d | %d, %d |\n", r.kind, c.Trials, r.done, r.halted, r.maxShare, r.wide,
+		fmt.Printf("| %s | %d | %d | %d | %.2f | %d | %d, %d |\n", r.kind, c.Trials, r.done, r.halted, r.maxShare, r.overWideShare,
 			r.windows[n/2], r.windows[n*9/10])
 		results = append(results, r)
 	}
@@ -107,7 +107,7 @@
 			r.halted++
 		}
 		if o.MaxShare > wideShare {
-			r.wide++
+			r.overWideShare++
 		}
 		r.maxShare = max(r.maxShare, o.MaxShare)
 		r.windows = append(r.windows, o.Windows)
