--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	doc, err := describe.Load(text)
+	doc, err := describe.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -300,7 +300,7 @@
 // TestRules_ClassifyRequestsWithoutRoute classifies requests that match no route by rules: a
 // gift with its key in the body runs once, and a new rule set applies to later requests.
 func TestRules_ClassifyRequestsWithoutRoute(t *testing.T) {
-	var rules match.Rules
+	var rules match.ActiveRules
 	set := func(class string) *match.Set {
 		s, err := match.Parse(fmt.Sprintf(`
 [[rule]]
--- a/admission/config.go
+++ b/admission/config.go
@@ -48,7 +48,7 @@
 	// Rules, if not nil, are evaluated before the routes. The first rule that matches a
 	// request determines its class and key (package match). The rule set may be replaced
 	// while requests are served; each request is classified by a single set.
-	Rules *match.Rules
+	Rules *match.ActiveRules
 	// Cores is the number of cores that the handlers share; 0 means GOMAXPROCS.
 	Cores int
 	// Memory limits the memory of queued requests, running requests and cached responses,
--- a/frontend/thrift/connection_test.go
+++ b/frontend/thrift/connection_test.go
@@ -19,7 +19,7 @@
 
 // newFrontend returns a frontend with the core of b and without operator rules.
 func newFrontend(b *frontendtest.Backend) *Frontend {
-	return New(Options{Core: b.Core, Rules: &match.Rules{}, Log: slog.Default()})
+	return New(Options{Core: b.Core, Rules: &match.ActiveRules{}, Log: slog.Default()})
 }
 
 // TestRespond_FaultForTooLargeResult: a request gets a fault if its result is larger than the
