--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -208,10 +208,10 @@
 // by the deadline, and that the handler's context is cancelled.
 func TestWrap_DeadlineCancelsHandler(t *testing.T) {
 	runTest(t, nil, func(t *testing.T, s *service) {
-		began := time.Now()
+		startedAt := time.Now()
 		w := s.do(t.Context(), "GET", "/kampanjer/evig", "", "")
 		checkResponse(t, w, http.StatusGatewayTimeout, "")
-		if took := time.Since(began); took > 9260*time.Millisecond {
+		if took := time.Since(startedAt); took > 9260*time.Millisecond {
 			t.Errorf("answered after %v, want at most 9.26 s", took)
 		}
 		<-s.returned
@@ -223,13 +223,13 @@
 // as running and stuck until it returns.
 func TestWrap_StuckHandlerCountsUntilItReturns(t *testing.T) {
 	runTest(t, nil, func(t *testing.T, s *service) {
-		began := time.Now()
+		startedAt := time.Now()
 		w := s.do(t.Context(), "GET", "/kampanjer/dov", "", "")
 		checkResponse(t, w, http.StatusServiceUnavailable, "")
 		if w.Header().Get("Retry-After") == "" {
 			t.Error("Retry-After is missing")
 		}
-		if took := time.Since(began); took > 9260*time.Millisecond {
+		if took := time.Since(startedAt); took > 9260*time.Millisecond {
 			t.Errorf("answered after %v, want at most 9.26 s", took)
 		}
 		synctest.Wait()
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -71,8 +71,8 @@
 }
 
 // BenchmarkOverload runs twice as many callers as cores. Each sends its next request as soon as
-// the last is answered, and each request takes 200 µs of a core. It reports the rate of served
-// requests and the fraction of refused ones.
+// the previous one is answered, and a request takes 200 µs of a core. The benchmark reports the
+// rate of served requests and the fraction of refused ones.
 func BenchmarkOverload(b *testing.B) {
 	for _, bare := range []bool{true, false} {
 		b.Run(map[bool]string{true: "bare", false: "admission"}[bare], func(b *testing.B) {
@@ -84,7 +84,7 @@
 			h := benchmarkHandler(b, bare, work)
 			var served, refused atomic.Int64
 			b.SetParallelism(2)
-			began := time.Now()
+			startedAt := time.Now()
 			b.RunParallel(func(pb *testing.PB) {
 				r := httptest.NewRequestWithContext(b.Context(), http.MethodPost, "/sida", http.NoBody)
 				for pb.Next() {
@@ -97,7 +97,7 @@
 					}
 				}
 			})
-			took := time.Since(began).Seconds()
+			took := time.Since(startedAt).Seconds()
 			b.ReportMetric(float64(served.Load())/took, "served/s")
 			b.ReportMetric(float64(refused.Load())/float64(b.N), "refused/op")
 			b.ReportMetric(float64(runtime.GOMAXPROCS(0))/200e-6, "capacity/s")
--- a/admission/server.go
+++ b/admission/server.go
@@ -90,8 +90,8 @@
 
 // Shutdown drains the server and then shuts hs down, in these steps:
 //
-//   - The listeners stay open for the grace, so that callers learn of the drain and use another
-//     server.
+//   - The listeners stay open for the grace, but at most for half of the time until the stop,
+//     so that callers learn of the drain and use another server.
 //   - The sockets of the listeners that were wrapped by Listener are closed. Open connections are
 //     served until all are closed or the stop is near. This step is skipped if there are no
 //     such listeners.
@@ -105,7 +105,7 @@
 		stopAt = time.Now().Add(defaultStopTimeout)
 	}
 	s.Drain(stopAt)
-	last, cancel := context.WithDeadline(context.WithoutCancel(ctx), stopAt.Add(-answerMargin))
+	answerCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), stopAt.Add(-answerMargin))
 	defer cancel()
 	grace := time.NewTimer(min(s.cfg.DrainGrace, time.Until(stopAt)/2))
 	select {
@@ -117,10 +117,10 @@
 		hs.SetKeepAlivesEnabled(false) // net/http closes each connection after its next response
 		select {
 		case <-idle:
-		case <-last.Done():
+		case <-answerCtx.Done():
 		}
 	}
-	err := hs.Shutdown(last)
+	err := hs.Shutdown(answerCtx)
 	s.Close()
 	if errors.Is(err, context.DeadlineExceeded) { // an incomplete request needs no response
 		err = nil
--- a/cmd/fault-soak/main.go
+++ b/cmd/fault-soak/main.go
@@ -1,7 +1,7 @@
-// Command fault-soak runs real processes of the program under overlapping faults, seed
-// after seed, and judges what their clients saw by the platform's rules. It prints a line
-// for each seed, and each broken rule. Its exit code is 0 if no rule was broken, 1 if one
-// was, and 2 if the soak itself failed.
+// Command fault-soak runs processes of the app server under overlapping faults, one seed after
+// another, and checks the outcomes that their clients saw against the platform's rules. It
+// prints a line for each seed and for each violation. The exit code is 0 if no seed broke a
+// rule, 1 if one did, and 2 if the soak itself failed.
 //
 //	go run ./cmd/fault-soak --seeds 20 --nodes 12 --seconds 30
 package main
@@ -25,40 +25,40 @@
 // command is the command line.
 type command struct {
 	First   uint64   `default:"1"  help:"First seed."`
-	Seeds   uint64   `default:"5"  help:"How many seeds to play, one after the other."`
-	Nodes   int      `default:"12" help:"Processes of the program at a time (10 to 40)."`
-	Seconds int      `default:"20" help:"How long faults are played for each seed."`
-	Binary  string   `help:"The program; built from the source where it is not given."                type:"path"`
-	System  bool     `help:"Also have system calls fail and Unix time stepped; builds the program with the fault layer."`
-	Without []string `help:"Kinds of clients to leave out, so as to tell causes apart."`
-	Logs    string   `help:"Folder for the logs of the nodes of seeds that broke a rule."             type:"path"`
+	Seeds   uint64   `default:"5"  help:"Number of seeds to run, one after another."`
+	Nodes   int      `default:"12" help:"Number of concurrent processes of the app server (10 to 40)."`
+	Seconds int      `default:"20" help:"Duration of the faults for each seed, in seconds."`
+	Binary  string   `help:"Path of the app server's program; built from source if empty." type:"path"`
+	System  bool     `help:"Also inject failing system calls and steps of Unix time; builds the program with the fault layer."`
+	Without []string `help:"Client behaviours to leave out, to isolate the cause of a violation."`
+	Logs    string   `help:"Folder for the nodes' logs of seeds that broke a rule; none are kept if empty." type:"path"`
 }
 
 func main() {
 	var c command
-	kong.Parse(&c, kong.Description("Plays overlapping faults on real processes and checks the platform's rules."))
+	kong.Parse(&c, kong.Description("Runs app server processes under overlapping faults and checks the platform's rules."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	broken, err := c.run(ctx)
+	violating, err := c.run(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	if broken > 0 {
-		fmt.Printf("%d of %d seeds broke a rule\n", broken, c.Seeds)
+	if violating > 0 {
+		fmt.Printf("%d of %d seeds broke a rule\n", violating, c.Seeds)
 		os.Exit(1)
 	}
 	fmt.Printf("%d seeds, no rule broken\n", c.Seeds)
 }
 
-// run plays the seeds and returns how many broke a rule. It stops at the first error of the
-// soak itself.
-func (c command) run(ctx context.Context) (broken int, err error) {
+// run runs the seeds and returns the number of seeds that broke a rule. It stops at the first
+// error of the soak itself.
+func (c command) run(ctx context.Context) (violating int, err error) {
 	dir, err := os.MkdirTemp("", "fault-soak")
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // an error leaves files in the system's folder for temporary files
+	defer func() { _ = os.RemoveAll(dir) }() // a failure only leaves temporary files behind
 	if c.Binary == "" {
 		build := fleettest.Build
 		if c.System {
@@ -74,21 +74,21 @@
 			Dir: filepath.Join(dir, fmt.Sprint(seed)), Faults: c.System, Without: c.Without,
 		})
 		if err != nil {
-			return broken, err
+			return violating, err
 		}
 		printResult(seed, result)
 		if !result.Broken() {
 			continue
 		}
-		broken++
+		violating++
 		if err := c.keepLogs(seed, result); err != nil {
-			return broken, err
+			return violating, err
 		}
 	}
-	return broken, nil
+	return violating, nil
 }
 
-// printResult prints what one seed found.
+// printResult prints the counts, the violations and the failures of one seed.
 func printResult(seed uint64, r faultsoak.SoakResult) {
 	fmt.Printf("seed %d: %d requests, outcomes %v, late %d, crossed %d, excused %d, events %v\n",
 		seed, r.Requests, r.Outcomes, len(r.Late), r.Crossed, r.Excused, r.Events)
@@ -103,7 +103,7 @@
 	}
 }
 
-// keepLogs writes the nodes' logs, where a folder was given for them.
+// keepLogs writes the nodes' logs of a seed to the folder c.Logs, if it is set.
 func (c command) keepLogs(seed uint64, r faultsoak.SoakResult) error {
 	if c.Logs == "" {
 		return nil
--- a/cmd/fleet-experiment/failover.go
+++ b/cmd/fleet-experiment/failover.go
@@ -14,10 +14,11 @@
 
 const failoverVoters = 5
 
-// failoverCmd ends owners, one after the other, at drawn moments.
+// failoverCmd stops lease owners at random times, one after another, and measures how long the
+// failover takes.
 type failoverCmd struct {
-	Trials   int    `default:"100" help:"Owners to end, half killed and half paused."`
-	Election int    `default:"1000" help:"Election time-out and lease, in ms."`
+	Trials   int    `default:"100" help:"Number of owners to stop; half are killed and half are paused."`
+	Election int    `default:"1000" help:"Election timeout and lease duration, in ms."`
 	Seed     uint64 `default:"1"`
 }
 
@@ -30,12 +31,12 @@
 	return withFleet(options, c.measure)
 }
 
-// failoverTimes are how long lease owners took to be succeeded, by how they ended.
+// failoverTimes holds the failover times by how the owner was stopped: SIGKILL or SIGSTOP.
 type failoverTimes struct{ killed, paused []time.Duration }
 
 func (c *failoverCmd) measure(fleet *fleettest.Fleet) error {
 	rng := rand.New(rand.NewPCG(c.Seed, 1))
-	if _, err := fleet.AwaitAct("the first act", 0, func(a fakes.FencedWrite) bool { return a.Accepted }); err != nil {
+	if _, err := fleet.AwaitAct("the first fenced write", 0, func(w fakes.FencedWrite) bool { return w.Accepted }); err != nil {
 		return err
 	}
 	var times failoverTimes
@@ -57,18 +58,19 @@
 	return nil
 }
 
-// replaceOwner ends the present owner, by SIGKILL or SIGSTOP, waits for the next
-// owner's first act, and brings the former one back. It returns the time between.
+// replaceOwner stops the current lease owner by SIGKILL or SIGSTOP, waits for the first fenced
+// write of the next owner, and then restarts or continues the former owner. It returns the time
+// from the stop to that write.
 func replaceOwner(fleet *fleettest.Fleet, kill bool) (time.Duration, error) {
-	acts, _ := fleet.Registry.Writes()
-	owner := acts[len(acts)-1]
+	writes, _ := fleet.Registry.Writes()
+	owner := writes[len(writes)-1]
 	firstLine := len(fleet.Lines())
-	began := time.Now()
+	stoppedAt := time.Now()
 	if err := stopOwner(fleet, owner.By, kill); err != nil {
 		return 0, err
 	}
-	next, err := fleet.AwaitAct("the next owner's act", len(acts), func(a fakes.FencedWrite) bool {
-		return a.Accepted && a.Token.Compare(owner.Token) > 0
+	next, err := fleet.AwaitAct("the next owner's fenced write", len(writes), func(w fakes.FencedWrite) bool {
+		return w.Accepted && w.Token.Compare(owner.Token) > 0
 	})
 	if err != nil {
 		return 0, err
@@ -76,10 +78,10 @@
 	if err := resumeOwner(fleet, owner.By, kill); err != nil {
 		return 0, err
 	}
-	_, err = fleet.Await("the lease's change at "+owner.By, firstLine, func(l fleettest.Line) bool {
+	_, err = fleet.Await("the new lease in the log of "+owner.By, firstLine, func(l fleettest.Line) bool {
 		return l.Child == owner.By && l.Event == "lease" && fleettest.ParseToken(l.Fields["token"]).Compare(next.Token) >= 0
 	})
-	return next.At.Sub(began), err
+	return next.At.Sub(stoppedAt), err
 }
 
 func stopOwner(fleet *fleettest.Fleet, name string, kill bool) error {
@@ -97,7 +99,7 @@
 }
 
 func (c *failoverCmd) print(times failoverTimes) {
-	fmt.Println("| owner | trials | p50 | p99 | most | in election time-outs (p99) |\n| --- | --- | --- | --- | --- | --- |")
+	fmt.Println("| owner | trials | p50 | p99 | max | p99 in election timeouts |\n| --- | --- | --- | --- | --- | --- |")
 	for _, row := range []struct {
 		name  string
 		times []time.Duration
@@ -113,20 +115,21 @@
 	}
 }
 
-// printWrites counts the acts at the registry, and those that its fence had to refuse.
+// printWrites counts the fenced writes at the registry by whether their token was current and
+// whether the registry accepted them.
 func printWrites(fleet *fleettest.Fleet) {
-	acts, _ := fleet.Registry.Writes()
+	writes, _ := fleet.Registry.Writes()
 	stale, refused := 0, 0
 	var highest lease.Token
-	for _, a := range acts {
+	for _, w := range writes {
 		switch {
-		case !a.Accepted:
+		case !w.Accepted:
 			refused++
-		case a.Token.Compare(highest) < 0:
+		case w.Token.Compare(highest) < 0:
 			stale++
 		default:
-			highest = a.Token
+			highest = w.Token
 		}
 	}
-	fmt.Printf("\n%d acts, %d refused as stale, %d stale accepted; violations: %v\n", len(acts), refused, stale, fleet.Violations())
+	fmt.Printf("\n%d fenced writes, %d refused as stale, %d stale accepted; violations: %v\n", len(writes), refused, stale, fleet.Violations())
 }
--- a/cmd/fleet-experiment/main.go
+++ b/cmd/fleet-experiment/main.go
@@ -1,6 +1,6 @@
-// Command fleet-experiment measures fleets, of real processes on loopback and in
-// the simulations of the quota and of rollouts. It is no part of CI; docs/fleet.md,
-// docs/share.md and docs/rollout.md have its tables.
+// Command fleet-experiment measures fleets: as processes on loopback, and in the simulations of
+// the quota and of rollouts. CI does not run it. docs/fleet.md, docs/share.md and
+// docs/rollout.md have its tables.
 //
 //	go run ./cmd/fleet-experiment failover --trials 100
 //	go run ./cmd/fleet-experiment traffic --members 295
@@ -19,14 +19,14 @@
 	"quincerail.example/quincerail/internal/fleettest"
 )
 
-// startTimeout is how long a fleet's processes may take to start.
+// startTimeout limits the time in which all processes of a fleet start.
 const startTimeout = 2 * time.Minute
 
 type cli struct {
-	Failover failoverCmd `cmd:"" help:"Time from an owner's end to the next owner's first act."`
-	Traffic  trafficCmd  `cmd:"" help:"Messages, bytes and CPU time of each member of a fleet at rest."`
-	Quota    quotaCmd    `cmd:"" name:"share" help:"Partitions of fleets in the simulation of the quota: a table, and charts."`
-	Rollout  rolloutCmd  `cmd:"" help:"Rollouts of good and bad changes on a made-up fleet."`
+	Failover failoverCmd `cmd:"" help:"Time from the stop of a lease owner to the first fenced write of its successor."`
+	Traffic  trafficCmd  `cmd:"" help:"Messages, bytes and CPU time per member of an idle fleet."`
+	Quota    quotaCmd    `cmd:"" name:"share" help:"Simulates network partitions of a fleet that shares a quota; writes a table and charts."`
+	Rollout  rolloutCmd  `cmd:"" help:"Simulates rollouts of good and bad changes; writes a table and a chart."`
 }
 
 func main() {
--- a/cmd/fleet-experiment/quota.go
+++ b/cmd/fleet-experiment/quota.go
@@ -18,32 +18,34 @@
 
 const (
 	quotaRoundInterval = 200 * time.Millisecond
-	// quotaPerMember is how much a fleet may have in flight for each member.
+	// quotaPerMember is the quota in requests in flight, divided by the number of members.
 	quotaPerMember = 8
-	// progressRounds is how many rounds lie between two reports of progress.
+	// progressRounds is the number of rounds between two progress messages.
 	progressRounds = 100
-	// chartedPartition is the partition that a chart is drawn of.
+	// chartedPartition is the partition for which a chart is drawn.
 	chartedPartition = "halves"
 )
 
-// quotaCmd simulates partitions of fleets, and writes a table and charts.
+// quotaCmd simulates network partitions of fleets that share a quota. It prints a table and
+// writes charts.
 type quotaCmd struct {
-	Members []int    `default:"300,3000" help:"Sizes of fleets."`
+	Members []int    `default:"300,3000" help:"Numbers of members of the fleets."`
 	Seed    uint64   `default:"1"`
-	Warm    int      `default:"200" help:"Rounds (200 ms) before the cut."`
-	Cut     int      `default:"100" help:"Rounds that it lasts."`
-	Heal    int      `default:"250" help:"Rounds after it."`
-	Only    []string `help:"Names of partitions; all without it."`
-	Beside  int      `default:"2" help:"Plays at a time: one of 3,000 members takes some GiB."`
+	Warm    int      `default:"200" help:"Number of rounds (200 ms each) before the partition."`
+	Cut     int      `default:"100" help:"Number of rounds of the partition."`
+	Heal    int      `default:"250" help:"Number of rounds after the partition."`
+	Only    []string `help:"Names of the partitions to simulate; all if empty."`
+	Beside  int      `default:"2" help:"Number of concurrent simulations. A fleet of 3,000 members needs several GiB of memory."`
 	Charts  string   `default:"docs" help:"Folder for the charts."`
 }
 
-// partition divides members into groups that don't reach each other.
+// partition divides the members into groups that don't receive each other's messages.
 type partition struct {
 	name  string
-	group func(member, members int) int
+	group func(member, members int) int // group of the member with this index in a fleet of this size
 }
 
+// partitions are the partitions by name. Under "none hears any" every member is isolated.
 var partitions = []partition{
 	{chartedPartition, func(member, _ int) int { return member % 2 }},
 	{"thirds", func(member, _ int) int { return member % 3 }},
@@ -52,7 +54,7 @@
 	{"none hears any", func(member, _ int) int { return member }},
 }
 
-// groupOf is the group of a member in a partition of two.
+// groupOf returns the group of a member in a partition with two groups.
 func groupOf(separated bool) int {
 	if separated {
 		return 1
@@ -60,19 +62,19 @@
 	return 0
 }
 
-// quotaResult is what a simulation measured. Served is the share of the demand that
-// was in flight, of the demand that the quota allows.
+// quotaResult holds the measurements of a simulation. The served fields are the requests in
+// flight divided by the demand, which is capped at the quota.
 type quotaResult struct {
-	overshoot      int64
-	servedBefore   float64
-	servedDuring   float64
-	servedAfter    float64
-	convergenceRounds   int     // until all members knew what any had known, after healing
-	bytesPerSecond float64 // of each member
-	inFlight       plotter.XYs
+	overshoot         int64
+	servedBefore      float64
+	servedDuring      float64
+	servedAfter       float64
+	convergenceRounds int     // from the end of the partition until all members have the state that any had by then
+	bytesPerSecond    float64 // sent, mean of all members
+	inFlight          plotter.XYs
 }
 
-// quotaRun is one simulation.
+// quotaRun is one simulation and its result.
 type quotaRun struct {
 	members   int
 	partition partition
@@ -84,7 +86,7 @@
 func (c *quotaCmd) Run() error {
 	runs := c.plan()
 	c.simulateAll(runs)
-	fmt.Println("| members | partition | overshoot | served before | cut | after | rounds to know | bytes/s a member |")
+	fmt.Println("| members | partition | overshoot | served before | during | after | rounds to converge | bytes/s per member |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range runs {
 		if r.err != nil {
@@ -129,7 +131,7 @@
 	tasks.Wait()
 }
 
-// simulate runs a fleet whole, partitioned and healed.
+// simulate runs a fleet before, during and after a partition, and records the result in r.
 func (c *quotaCmd) simulate(r *quotaRun) error {
 	fleet, err := simulation.New(c.config(r.members))
 	if err != nil {
@@ -140,21 +142,23 @@
 	fleet.Partition(func(member int) int { return r.partition.group(member, r.members) })
 	r.result.servedDuring = p.step(c.Cut, 0)
 	fleet.Partition(func(int) int { return 0 })
-	known := fleet.LatestHeartbeats()
-	for r.result.convergenceRounds < c.Heal/2 && !fleet.Converged(known) {
+	heartbeats := fleet.LatestHeartbeats()
+	for r.result.convergenceRounds < c.Heal/2 && !fleet.Converged(heartbeats) {
 		p.step(1, 0)
 		r.result.convergenceRounds++
 	}
-	left := c.Heal - r.result.convergenceRounds
-	r.result.servedAfter = p.step(left, left/2)
+	remaining := c.Heal - r.result.convergenceRounds
+	r.result.servedAfter = p.step(remaining, remaining/2)
 	r.result.overshoot = fleet.Overshoot()
 	r.result.bytesPerSecond = fleet.MeanSentBytes() / (float64(p.rounds) * quotaRoundInterval.Seconds())
 	return nil
 }
 
-// config is the fleet's: messages are lost, doubled and late, and clocks drift.
+// config returns the configuration of a fleet on a network that loses, duplicates and delays
+// messages, with clocks that drift.
 func (c *quotaCmd) config(members int) simulation.Config {
-	// Updates take longer in a large fleet, and all members send one each heartbeat.
+	// In a large fleet updates take longer to reach all members, and each member sends one per
+	// heartbeat.
 	sessionTimeout := max(90*time.Second, time.Duration(members)*100*time.Millisecond)
 	return simulation.Config{
 		Members: members, Capacity: uint64(members) * quotaPerMember, Seed: c.Seed, RoundInterval: quotaRoundInterval,
@@ -168,15 +172,15 @@
 	}
 }
 
-// quotaProgress steps a simulation and records what it serves.
+// quotaProgress runs the rounds of a simulation and records the requests in flight.
 type quotaProgress struct {
 	run    *quotaRun
 	fleet  *simulation.Fleet
 	rounds int
 }
 
-// step runs rounds, and returns the mean share of the demand that was served in those
-// from measureFrom on.
+// step runs a number of rounds. It returns the mean fraction of the demand that was served, over
+// the rounds from index measureFrom on.
 func (p *quotaProgress) step(rounds, measureFrom int) float64 {
 	served, measured := 0.0, 0
 	for i := range rounds {
@@ -196,10 +200,10 @@
 	return served / float64(measured)
 }
 
-// chart draws the limit and what was in flight over a simulation.
+// chart writes a chart of the quota and of the requests in flight over a simulation.
 func (c *quotaCmd) chart(r *quotaRun) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%d members, in halves from %v to %v", r.members,
+	p.Title.Text = fmt.Sprintf("%d members, partitioned into halves from %v to %v", r.members,
 		time.Duration(c.Warm)*quotaRoundInterval, time.Duration(c.Warm+c.Cut)*quotaRoundInterval)
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "in flight at the shared dependency"
 	p.Y.Min = 0
--- a/cmd/fleet-experiment/rollout.go
+++ b/cmd/fleet-experiment/rollout.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	rolloutRequestsPerWindow = 110 // of each server
+	rolloutRequestsPerWindow = 110 // mean per server
 	rolloutMaxWindows        = 6000
-	// wideShare is the share of servers that a bad change should not reach.
+	// wideShare is the fraction of servers beyond which a rollout counts as wide.
 	wideShare = 0.05
 )
 
-// rolloutCmd simulates rollouts of changes of each kind.
+// rolloutCmd simulates rollouts of each kind of change. It prints a table and writes a chart.
 type rolloutCmd struct {
-	Trials  int    `default:"200" help:"Of each kind."`
+	Trials  int    `default:"200" help:"Number of rollouts of each kind of change."`
 	Servers int    `default:"100"`
 	Charts  string `default:"docs" help:"Folder for the chart."`
 }
 
-// changeKind is a kind of change, by what it does to the servers that run it.
+// changeKind is a kind of change; apply sets its effect on the servers.
 type changeKind struct {
 	name  string
 	apply func(*simulation.Config)
@@ -42,21 +42,21 @@
 	{"twice the failures", func(c *simulation.Config) { c.FailureRatio = 2 }},
 	{"a fifth slower", func(c *simulation.Config) { c.LatencyRatio = 1.2 }},
 	{"crashes once in ten windows", func(c *simulation.Config) { c.CrashesPerWindow = 0.1 }},
-	{"the old servers fail beside it", func(c *simulation.Config) { c.BaselineFailures = 0.5 }},
+	{"failures at servers with the old version", func(c *simulation.Config) { c.BaselineFailures = 0.5 }},
 }
 
-// rolloutResult is what the trials of a kind of change came to.
+// rolloutResult summarizes the trials of a kind of change.
 type rolloutResult struct {
-	kind         string
-	done, halted int
-	overWideShare         int     // that reached more than wideShare of the servers
-	maxShare     float64 // of the servers that any reached
-	windows      []int   // that each took, in order
+	kind          string
+	done, halted  int
+	overWideShare int     // trials in which the change ran on more than wideShare of the servers
+	maxShare      float64 // largest fraction of the servers that ran the change in any trial
+	windows       []int   // duration of each trial, ascending
 }
 
 // Run implements the sub-command.
 func (c *rolloutCmd) Run() error {
-	fmt.Println("| change | trials | done | halted | most servers reached | over 5% | windows (p50, p90) |\n| --- | --- | --- | --- | --- | --- | --- |")
+	fmt.Println("| change | trials | done | halted | max share of servers | over 5% | windows (p50, p90) |\n| --- | --- | --- | --- | --- | --- | --- |")
 	var results []rolloutResult
 	for _, kind := range changeKinds {
 		r := summarize(kind.name, c.simulate(kind))
@@ -68,7 +68,7 @@
 	return c.chart(results)
 }
 
-// simulate runs the trials of a kind of change, one on each processor at a time.
+// simulate runs the trials of a kind of change, at most one per CPU at a time.
 func (c *rolloutCmd) simulate(kind changeKind) []simulation.Outcome {
 	outcomes := make([]simulation.Outcome, c.Trials)
 	var tasks sync.WaitGroup
@@ -97,6 +97,7 @@
 	}
 }
 
+// summarize returns the result of the trials of a kind of change.
 func summarize(kind string, outcomes []simulation.Outcome) rolloutResult {
 	r := rolloutResult{kind: kind}
 	for _, o := range outcomes {
@@ -116,7 +117,7 @@
 	return r
 }
 
-// chart draws which share of the trials of each kind had ended by a window.
+// chart writes a chart of the fraction of trials that ended by each window, for each kind.
 func (c *rolloutCmd) chart(results []rolloutResult) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d servers, %d trials of each kind", c.Servers, c.Trials)
@@ -135,7 +136,8 @@
 	return p.Save(18*vg.Centimeter, 9*vg.Centimeter, filepath.Join(c.Charts, "rollout.svg"))
 }
 
-// endedShare is a step function: the share of trials that ended by each window.
+// endedShare returns the points of a step function: the fraction of trials that ended by each
+// window.
 func (c *rolloutCmd) endedShare(windows []int) plotter.XYs {
 	var points plotter.XYs
 	for ended, window := range windows {
--- a/cmd/fleet-experiment/traffic.go
+++ b/cmd/fleet-experiment/traffic.go
@@ -18,24 +18,24 @@
 
 const (
 	trafficVoters = 5
-	// clockTicks is how many ticks a second of CPU time has in /proc (USER_HZ).
+	// clockTicks is the number of ticks per second of CPU time in /proc (USER_HZ).
 	clockTicks = 100
-	// Fields of /proc/PID/stat behind the command's name (proc(5)).
+	// Indexes of the fields of /proc/PID/stat after the command name (proc(5)).
 	fieldUserTime   = 11
 	fieldSystemTime = 12
 )
 
-// trafficCmd measures a fleet at rest.
+// trafficCmd measures the messages, bytes and CPU time of an idle fleet.
 type trafficCmd struct {
-	Members int           `default:"295" help:"Members that are no voters."`
+	Members int           `default:"295" help:"Number of members in addition to the voters."`
 	For     time.Duration `default:"30s"`
 }
 
-// usage is what a member has used up to a moment.
+// usage holds the counters of a member at the time of a scrape.
 type usage struct {
 	messages, bytes float64
 	cpuSeconds      float64
-	aliveMembers    float64 // that it knows of
+	aliveMembers    float64 // members that it considers alive
 }
 
 // Run implements the sub-command.
@@ -44,22 +44,22 @@
 }
 
 func (c *trafficCmd) measure(fleet *fleettest.Fleet) error {
-	time.Sleep(c.For) // until all know of all
+	time.Sleep(c.For) // until all members know each other
 	before, err := usageOfAll(fleet)
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	time.Sleep(c.For)
 	after, err := usageOfAll(fleet)
 	if err != nil {
 		return err
 	}
-	printTraffic(before, after, time.Since(began).Seconds())
+	printTraffic(before, after, time.Since(startedAt).Seconds())
 	return nil
 }
 
-// usageOfAll reads each member's usage by its name.
+// usageOfAll returns the usage of all members by name.
 func usageOfAll(fleet *fleettest.Fleet) (map[string]usage, error) {
 	all := map[string]usage{}
 	for _, line := range fleet.Lines() {
@@ -83,7 +83,7 @@
 	for _, u := range after {
 		alive += u.aliveMembers
 	}
-	fmt.Printf("%d processes, each knows %.1f as alive\n\n", len(after), alive/float64(len(after)))
+	fmt.Printf("%d processes, alive members known to each: %.1f on average\n\n", len(after), alive/float64(len(after)))
 	fmt.Println("| members | messages/s | bytes/s | CPU ms/s |\n| --- | --- | --- | --- |")
 	for _, role := range []struct{ name, prefix string }{{"voters", "v"}, {"plain", "m"}} {
 		var n, messages, bytes, cpu float64
@@ -104,7 +104,7 @@
 	}
 }
 
-// scrape reads a member's metrics.
+// scrape reads a member's metrics. It leaves cpuSeconds at zero.
 func scrape(address string) (u usage, err error) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
@@ -134,7 +134,7 @@
 	}, nil
 }
 
-// cpuSeconds reads the processor time that a process has used.
+// cpuSeconds returns the CPU time that a process has used.
 func cpuSeconds(pid int) (float64, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/example/client/main.go
+++ b/example/client/main.go
@@ -1,5 +1,5 @@
-// Command ask sends one request to an app server, over Thrift or uwsgi, and
-// prints what came of it.
+// Command client sends one request to an app server over Thrift or uwsgi, and prints the
+// outcome.
 package main
 
 import (
@@ -13,43 +13,43 @@
 )
 
 func main() {
-	uwsgi := flag.Bool("uwsgi", false, "ask over uwsgi, not Thrift")
+	uwsgi := flag.Bool("uwsgi", false, "send the request over uwsgi instead of Thrift")
 	class := flag.String("class", "kampanjsida", "class of the request")
-	key := flag.String("key", "", "key of a keyed request")
-	team := flag.String("team", "", "tenant of a request, over Thrift")
-	limit := flag.Int("limit", 0, "milliseconds that the caller waits, over Thrift; 0 does not tell")
-	body := flag.String("body", "hej", "body; its first word may be fail, hang or call")
+	key := flag.String("key", "", "idempotency key of a keyed request")
+	team := flag.String("team", "", "tenant of the request (Thrift only)")
+	limit := flag.Int("limit", 0, "milliseconds that the caller waits (Thrift only); 0 sends no limit")
+	body := flag.String("body", "hej", "body of the request; the processor fails, hangs or calls the ledger if the first word is fail, hang or call")
 	flag.Parse()
-	further := make(map[string]string)
+	fields := make(map[string]string)
 	if *team != "" {
-		further["team"] = *team
+		fields["team"] = *team
 	}
 	if *limit != 0 {
-		further["limit"] = strconv.Itoa(*limit)
+		fields["limit"] = strconv.Itoa(*limit)
 	}
-	caller, address := fakes.ThriftWith(further), "127.0.0.1:9090"
+	client, address := fakes.ThriftWith(fields), "127.0.0.1:9090"
 	if *uwsgi {
-		caller, address = fakes.UWSGI, "127.0.0.1:3031"
+		client, address = fakes.UWSGI, "127.0.0.1:3031"
 	}
-	if err := run(caller, address, *class, *key, *body); err != nil {
-		fmt.Fprintln(os.Stderr, "ask:", err)
+	if err := run(client, address, *class, *key, *body); err != nil {
+		fmt.Fprintln(os.Stderr, "client:", err)
 		os.Exit(1)
 	}
 }
 
-func run(caller fakes.Client, address, class, key, body string) error {
-	began := time.Now()
-	try, err := caller(address, class, key, body)
+func run(client fakes.Client, address, class, key, body string) error {
+	startedAt := time.Now()
+	attempt, err := client(address, class, key, body)
 	if err != nil {
 		return err
 	}
-	if err := try.Send(); err != nil {
+	if err := attempt.Send(); err != nil {
 		return err
 	}
-	o, err := try.Outcome()
+	outcome, err := attempt.Outcome()
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s %q in %v\n", o.Kind, o.Body, time.Since(began).Round(time.Millisecond))
+	fmt.Printf("%s %q in %v\n", outcome.Kind, outcome.Body, time.Since(startedAt).Round(time.Millisecond))
 	return nil
 }
--- a/example/dependencies/main.go
+++ b/example/dependencies/main.go
@@ -1,6 +1,8 @@
-// Command toy plays all the parties that an app server needs, so that one can
-// be tried on a single machine: processor, ledger, announce service and a uwsgi
-// application server. It prints the reports that reach its announce service.
+// Command dependencies runs fakes of the services that an app server needs, so that one can be
+// tried on a single machine: the processor, the ledger (shared dependency), the discovery
+// service ("announce" in the configuration) and a uwsgi application server. It prints the
+// requests that are started and stopped, and the reports to the discovery service when they
+// change.
 package main
 
 import (
@@ -13,7 +15,7 @@
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "toy:", err)
+		fmt.Fprintln(os.Stderr, "dependencies:", err)
 		os.Exit(1)
 	}
 }
@@ -29,23 +31,23 @@
 	if _, err := fakes.NewUWSGIServer("127.0.0.1:3032", work); err != nil {
 		return err
 	}
-	announce, err := fakes.NewDiscoveryService("127.0.0.1:8500")
+	discovery, err := fakes.NewDiscoveryService("127.0.0.1:8500")
 	if err != nil {
 		return err
 	}
 	fmt.Println("processor 127.0.0.1:9300, ledger 127.0.0.1:7700, announce 127.0.0.1:8500, uwsgi app 127.0.0.1:3032")
-	last := ""
+	lastReport := ""
 	for {
 		select {
 		case body := <-work.Started():
 			fmt.Println("begun:", body)
 		case body := <-work.Stopped():
 			fmt.Println("stopped:", body)
-		case report := <-announce.Reports:
-			if report != last {
+		case report := <-discovery.Reports:
+			if report != lastReport {
 				fmt.Println("reported:", report)
 			}
-			last = report
+			lastReport = report
 		}
 	}
 }
--- a/example/web/gifts/gifts.go
+++ b/example/web/gifts/gifts.go
@@ -1,9 +1,7 @@
-// Package gifts is the sample service of the admission library: a chi router
-// whose every route does the service's own work behind the admission
-// middleware, with health at /-/healthy. The routes and their classes come
-// from the configuration, as an OpenAPI document gives them; the command in
-// the folder above serves it on a port, and the daemon's test suite runs
-// against it unchanged.
+// Package gifts is the sample service of the admission library: a chi router with the
+// admission middleware and a health check at /-/healthy. The routes and their classes come
+// from an admission.Config, which may be read from an OpenAPI document. Command web in the
+// parent folder serves it on a port. The daemon's test suite also runs against this service.
 package gifts
 
 import (
@@ -19,11 +17,11 @@
 	"quincerail.example/quincerail/admission/chiroutes"
 )
 
-// Work is what the service does for a request of a class: its result, or an
-// error for a failure. It should end when ctx does.
+// Work does the work for a request of a class and returns the body of the response. An error
+// is answered with status 500. Work should return when ctx is cancelled.
 type Work func(ctx context.Context, class string, body []byte) ([]byte, error)
 
-// HealthPath is where health checks are answered.
+// HealthPath is the path of the health check.
 const HealthPath = "/-/healthy"
 
 // Service is the sample service. It is an http.Handler.
@@ -32,8 +30,8 @@
 	router    *chi.Mux
 }
 
-// New makes the service of a configuration's routes. The error is the
-// configuration's.
+// New creates a service that does work on the routes of a configuration. It returns an error
+// if the configuration is invalid, or if the router does not serve its routes.
 func New(cfg admission.Config, work Work) (*Service, error) {
 	a, err := admission.New(cfg)
 	if err != nil {
@@ -50,13 +48,14 @@
 			r.Method(route.Method, route.Path, h)
 		}
 	}
-	if err := chiroutes.Verify(cfg.Routes, r); err != nil { // as a hand-made router would be checked
+	if err := chiroutes.Verify(cfg.Routes, r); err != nil { // shows the check that a router with handwritten routes needs
 		a.Close()
 		return nil, err
 	}
 	return &Service{admission: a, router: r}, nil
 }
 
+// handler returns the handler of a route of a class.
 func handler(class string, work Work) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -77,7 +76,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// Stats gives the admission counts so far.
+// Stats returns the counters of the admission server.
 func (s *Service) Stats() admission.Stats { return s.admission.Stats() }
 
 // Listener wraps l for hs.Serve; see admission.Server.Listener.
@@ -88,5 +87,5 @@
 	return s.admission.Shutdown(ctx, hs)
 }
 
-// Close ends the service at once.
+// Close stops the service without a drain; see admission.Server.Close.
 func (s *Service) Close() { s.admission.Close() }
--- a/example/web/main.go
+++ b/example/web/main.go
@@ -1,6 +1,6 @@
-// Command web is the sample service of the admission library (package gifts)
-// on a port: campaign pages and gifts, with the classes and routes of web.json,
-// an OpenAPI document. SIGTERM drains it.
+// Command web serves the sample service of the admission library (package gifts) on a port:
+// campaign pages and gifts, with the classes and routes of the OpenAPI document web.json.
+// SIGTERM and SIGINT start a graceful shutdown.
 package main
 
 import (
@@ -25,7 +25,9 @@
 //go:embed web.json
 var document []byte
 
-const stopIn = 5 * time.Second
+// shutdownTimeout is the time between the signal and the stop of the service. It also limits
+// the reading of a request's header.
+const shutdownTimeout = 5 * time.Second
 
 func main() {
 	address := flag.String("listen", "127.0.0.1:8080", "address to serve on")
@@ -36,7 +38,7 @@
 	}
 }
 
-// work makes pages and takes gifts.
+// work returns a campaign page, or records a gift in the log and returns a receipt.
 func work(_ context.Context, class string, body []byte) ([]byte, error) {
 	switch class {
 	case "kampanjsida":
@@ -57,21 +59,21 @@
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Addr: address, Handler: service, ReadHeaderTimeout: stopIn, WriteTimeout: 10 * time.Second}
+	server := &http.Server{Addr: address, Handler: service, ReadHeaderTimeout: shutdownTimeout, WriteTimeout: 10 * time.Second}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	failed := make(chan error, 1)
-	go func() { failed <- server.ListenAndServe() }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.ListenAndServe() }()
 	slog.Info("listening", "address", address)
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		service.Close()
 		return err
 	case <-ctx.Done():
 	}
-	ending, cancel := context.WithTimeout(context.Background(), stopIn)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := service.Shutdown(ending, server); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	if err := service.Shutdown(shutdownCtx, server); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	slog.Info("stopped", "stats", fmt.Sprintf("%+v", service.Stats()))
