--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -21,12 +21,12 @@
 	if !bare {
 		cfg := testConfig()
 		cfg.Cores, cfg.Memory = 0, 1<<30 // all cores; room for the keys of the requests of a second
-		a, err := admission.New(cfg)
+		server, err := admission.New(cfg)
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.Cleanup(a.Close)
-		r.Use(a.Wrap)
+		b.Cleanup(server.Close)
+		r.Use(server.Wrap)
 	}
 	r.Post("/sida", h)
 	r.Post("/gava", h)
--- a/admission/frameworks_test.go
+++ b/admission/frameworks_test.go
@@ -42,16 +42,16 @@
 	h http.Handler,
 ) (*admission.Server, string) {
 	t.Helper()
-	a, err := admission.New(testConfig())
+	server, err := admission.New(testConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(a.Close)
-	ts := httptest.NewUnstartedServer(wrap(a.Wrap(h)))
+	t.Cleanup(server.Close)
+	ts := httptest.NewUnstartedServer(wrap(server.Wrap(h)))
 	configure(ts.Config)
 	ts.Start()
 	t.Cleanup(ts.Close)
-	return a, ts.URL
+	return server, ts.URL
 }
 
 // unwrapped is a wrap argument of startServer that adds nothing.
@@ -108,7 +108,7 @@
 		cancelled <- r.URL.Path
 	})
 	shortTimeout := func(h http.Handler) http.Handler { return http.TimeoutHandler(h, 200*time.Millisecond, "for sent") }
-	a, url := startServer(t, func(*http.Server) {}, shortTimeout, h)
+	server, url := startServer(t, func(*http.Server) {}, shortTimeout, h)
 	postTo := func(path string) (int, string) {
 		status, text, err := post(t.Context(), url+path, "10 kr")
 		if err != nil {
@@ -130,7 +130,7 @@
 	if status, text := postTo("/gava"); status != http.StatusOK || text != "tack för 10 kr" {
 		t.Errorf("response to the retry = %d %q, want 200 and the result of the run", status, text)
 	}
-	if got := a.Stats(); got.Runs != 2 || got.Gone != 2 || got.Served != 1 {
+	if got := server.Stats(); got.Runs != 2 || got.Gone != 2 || got.Served != 1 {
 		t.Errorf("Stats() = %+v, want Runs 2, Gone 2, Served 1", got)
 	}
 }
@@ -145,14 +145,14 @@
 		<-r.Context().Done()
 		cancelled <- struct{}{}
 	})
-	a, url := startServer(t, func(*http.Server) {}, unwrapped, h)
+	server, url := startServer(t, func(*http.Server) {}, unwrapped, h)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-started; cancel() }()
 	if _, _, err := post(ctx, url+"/sida", "x"); !errors.Is(err, context.Canceled) {
 		t.Errorf("error = %v, want context.Canceled", err)
 	}
 	<-cancelled
-	if got := a.Stats(); got.Gone != 1 {
+	if got := server.Stats(); got.Gone != 1 {
 		t.Errorf("Stats() = %+v, want Gone 1", got)
 	}
 }
@@ -169,7 +169,7 @@
 		for !release.Load() {
 		}
 	})
-	a, url := startServer(t, func(*http.Server) {}, unwrapped, spin)
+	server, url := startServer(t, func(*http.Server) {}, unwrapped, spin)
 	startedAt := time.Now()
 	status, _, err := post(t.Context(), url+"/sida", "x")
 	if err != nil {
@@ -179,14 +179,14 @@
 		t.Errorf("status = %d after %v, want 503 within 1 s of the deadline of 3 s", status, took)
 	}
 	<-started
-	for a.Stats().Stuck != 1 { // the core cancels the run in the batch that answers the request
+	for server.Stats().Stuck != 1 { // the core cancels the run in the batch that answers the request
 		runtime.Gosched()
 	}
 	release.Store(true)
-	for a.Stats().Running != 0 {
+	for server.Stats().Running != 0 {
 		runtime.Gosched()
 	}
-	if got := a.Stats(); got.Stuck != 0 || got.Refused != 1 {
+	if got := server.Stats(); got.Stuck != 0 || got.Refused != 1 {
 		t.Errorf("after the handler returned: Stats() = %+v, want Stuck 0, Refused 1", got)
 	}
 }
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -119,12 +119,12 @@
 // without pools for the duration span.
 func runOverload(t testing.TB, load float64, span time.Duration, pools bool, seed int64) loadResult {
 	t.Helper()
-	a, err := admission.New(overloadConfig(pools, seed))
+	server, err := admission.New(overloadConfig(pools, seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
-	ts := httptest.NewServer(a.Wrap(machineHandler(newMachine())))
+	defer server.Close()
+	ts := httptest.NewServer(server.Wrap(machineHandler(newMachine())))
 	defer ts.Close()
 	client := &overloadClient{
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}, Timeout: 2 * objective},
--- a/example/web/gifts/gifts.go
+++ b/example/web/gifts/gifts.go
@@ -33,13 +33,13 @@
 // New creates a service that does work on the routes of a configuration. It returns an error
 // if the configuration is invalid, or if the router does not serve its routes.
 func New(cfg admission.Config, work Work) (*Service, error) {
-	a, err := admission.New(cfg)
+	server, err := admission.New(cfg)
 	if err != nil {
 		return nil, err
 	}
 	r := chi.NewRouter()
-	r.Use(a.Wrap)
-	r.Get(HealthPath, a.Health)
+	r.Use(server.Wrap)
+	r.Get(HealthPath, server.Health)
 	for _, route := range cfg.Routes {
 		h := handler(route.Class, work)
 		if route.Method == "" {
@@ -49,10 +49,10 @@
 		}
 	}
 	if err := chiroutes.Verify(cfg.Routes, r); err != nil { // shows the check that a router with handwritten routes needs
-		a.Close()
+		server.Close()
 		return nil, err
 	}
-	return &Service{admission: a, router: r}, nil
+	return &Service{admission: server, router: r}, nil
 }
 
 // handler returns the handler of a route of a class.
