--- a/backend/commands.go
+++ b/backend/commands.go
@@ -49,7 +49,7 @@
 // and those that were issued while no connection was ready. p.mu is held.
 func (p *Processor) resendLocked() {
 	if p.everReady {
-		p.log.Info("processor_link_restored", "commands_sent_again", len(p.pending))
+		p.log.Info("processor_connection_restored", "commands_sent_again", len(p.pending))
 	}
 	p.everReady = true
 	for i := range p.pending {
@@ -84,13 +84,13 @@
 }
 
 // ReadGauges implements dispatch.Machine. It does not call reply if the connection is not
-// ready or breaks before the answer. It aborts the connection if more than
-// maxUnansweredQueries calls in a row got no notice.
+// ready or breaks before the answer. It aborts the connection if the
+// processor has sent no notice during the last maxUnansweredQueries calls.
 func (p *Processor) ReadGauges(reply func(decision.Gauges)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.unansweredQueries++; p.unansweredQueries > maxUnansweredQueries && p.everGreeted && p.currentConn != nil {
-		p.log.Warn("processor_link_silent", "unanswered", p.unansweredQueries)
+		p.log.Warn("processor_connection_silent", "unanswered", p.unansweredQueries)
 		p.unansweredQueries = 0
 		p.currentConn.Abort() // the redialer opens a new one
 		return
--- a/backend/processor.go
+++ b/backend/processor.go
@@ -106,7 +106,7 @@
 	checks := p.disconnectLocked()
 	p.mu.Unlock()
 	if err != nil { // nil if this side closed it
-		p.log.Warn("processor_link_lost", "error", err.Error())
+		p.log.Warn("processor_connection_lost", "error", err.Error())
 	}
 	reportUnhealthy(checks)
 }
--- a/cmd/quincerail/versions_test.go
+++ b/cmd/quincerail/versions_test.go
@@ -180,7 +180,8 @@
 	expectedWarnings = []string{
 		"announce", "fleet_direction_refused", "rollout_directive_refused", "fleet_publish_failed",
 		"fleet_share_fenced", "quota_member_fenced",
-		"lease_lapsed", "processor_link_lost", "processor_reject", "rollout_refused", "suppressed",
+		"lease_lapsed", "processor_link_lost", "processor_connection_lost", "processor_reject", "rollout_refused",
+		"suppressed",
 	}
 	// unreadableEventParts are parts of the names of events, of any level, that report a stored
 	// record or a message that could not be decoded.
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -17,8 +17,8 @@
 //   - submit.go: a frontend submits the attempt. The core itself answers it if it must not
 //     reach the module.
 //   - admit.go: the attempt is registered with its key and reported to the module.
-//   - claim.go: the module starts the attempt. Its key is claimed, also in the journal and
-//     from the predecessor if there are any.
+//   - claim.go: the module starts the attempt. Its key is claimed in the key table, and also
+//     in the journal and from the predecessor if they exist.
 //   - start.go: the attempt takes a slot of its class's pool, and the backend starts the run.
 //   - downstream_calls.go: the core makes the calls to the shared dependency that the run
 //     asks for.
@@ -37,12 +37,12 @@
 //     request carry the same key; all but the first are duplicates of it.
 //   - The module starts an attempt; the backend starts its run. The attempt may wait
 //     between the two: see the states in attempt.go.
-//   - A claim is an attempt's right to run for its key (package idempotency). During an
-//     upgrade, the predecessor is the older of the two processes and the successor the
-//     newer one; each is the other's peer.
-//   - The core sheds attempts on its own as well, with the longest Retry-After: before the
-//     backend is ready, when the key table is full (both in submit.go), and if an attempt
-//     that the module has started may not run (shedNotStarted in start.go).
+//   - A claim is an attempt's right to run for its key (package idempotency).
+//   - During an upgrade, the predecessor is the older of the two processes and the successor
+//     the newer one. Each is the other's peer.
+//   - The core also sheds attempts without the module, with the longest Retry-After: before
+//     the backend is ready, when the key table is full (both in submit.go), and if an attempt
+//     that the module has started must not run (shedNotStarted in start.go).
 //
 // The core asks package guard before each start, downstream call and answer
 // (invariants.go).
--- a/guard/doc.go
+++ b/guard/doc.go
@@ -8,12 +8,12 @@
 // reads no clock. The facts describe the present state. An expired timer or a peer's claim
 // is not enough, because the state may have changed since:
 //
-//   - [MayClose]: a connection is closed only if its socket was just read empty, no response
+//   - [MayClose]: a connection is closed only if a read has just emptied its socket, no response
 //     is pending, and its peer was notified long enough ago;
 //   - [MayContinue]: a connection is not closed because of one invalid message, since the
 //     requests before and after it still get their responses;
 //   - [MayRetry]: a connection is closed after a failed read or write only if the error
-//     proves that the connection has ended. Downstream calls are up to [MayCall];
+//     proves that the connection has ended. For downstream calls, see [MayCall];
 //   - [MayExit]: a process exits only if no accepted connection or request is left. It isn't
 //     enough that the planned time of the exit has passed;
 //   - [MayStart]: while the process drains, a request is run only if it was read before the
@@ -26,6 +26,6 @@
 //     proved that it had no effect. Package policy decides when to retry.
 //
 // A denial is an error of type [*DenialError], or a [HoldReason] if the caller has to check
-// again later. A [Monitor] counts denials. It also counts and logs violations, which are
-// rules that a later check found broken.
+// again later. A [Monitor] counts denials. It also counts and logs violations: cases in which
+// a check after the action finds that a rule was broken.
 package guard
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -1,5 +1,5 @@
-// Package idempotency implements the table of idempotency keys. It ensures that only one of the
-// attempts of a request, which all carry the same key, runs within the key's window, and that
+// Package idempotency implements the table of idempotency keys. All attempts of a request carry
+// the same key. The table ensures that only one of them runs within the key's window, and that
 // the others get its result.
 //
 // # Lifecycle of a key
@@ -21,8 +21,8 @@
 // [Entry.Completed] is about the owner, not about a run: an entry whose owner was shed is
 // completed and not run.
 //
-// [Table.Expire] removes an entry once no attempt refers to it and its window is over for
-// every attempt that may still be read.
+// [Table.Expire] removes an entry once no attempt refers to it and its window is over, also for
+// attempts that arrived within the window and may be registered later (AllowLateness).
 //
 // # Bounds
 //
@@ -42,8 +42,8 @@
 //
 // # Replication
 //
-// A [KeyState] is the state of a key that is sent to another process or to a [Journal] on disk
-// ([Entry.State]); [Table.Apply] applies a received one. Its JSON is stored.
+// A [KeyState] is the state of a key in the form in which it is sent to another process and
+// stored by a [Journal] as JSON. [Entry.State] returns it; [Table.Apply] applies a received one.
 //
 // # Goroutines and time
 //
--- a/limits/doc.go
+++ b/limits/doc.go
@@ -34,12 +34,12 @@
 //
 // estimates how many of the runs in flight wait downstream rather than execute. The limit
 // grows while fewer than alpha runs wait, and shrinks while more than beta wait. It changes
-// by about one slot for each limit's worth of runs that end, which is once per round trip.
-// So it settles a few runs above the point from which more concurrent runs only wait longer,
-// and below the point from which the total throughput falls.
+// by about one slot each time that as many runs as the limit have ended, which is once per
+// round trip. So it settles a few runs above the point from which more concurrent runs only
+// wait longer, and below the point from which the total throughput falls.
 //
-// The minimum is taken of means over about twenty runs rather than of single runs. Runs
-// differ in their work, so the shortest latency doesn't show how long a run takes if it
+// The minimum is that of means over about twenty runs, not that of single runs. Runs differ in
+// their work, so the shortest single latency doesn't show how long a typical run takes if it
 // doesn't wait. The minimum grows by a hundred-thousandth with each run, so that it adapts
 // within some tens of thousands of runs if the downstream becomes permanently slower.
 package limits
--- a/policy/average.go
+++ b/policy/average.go
@@ -27,13 +27,13 @@
 	return rate
 }
 
-// decayFactor returns the factor of an exponential decayFactor over the elapsed time.
+// decayFactor returns the factor of an exponential decay over the elapsed time.
 func decayFactor(elapsed, timeConstant time.Duration) float64 {
 	return math.Exp(-float64(elapsed) / float64(timeConstant))
 }
 
-// sampleWeight returns the weight of a sample that covers a span of time, in a moving average
-// with a time constant.
+// sampleWeight returns the weight of a sample that covers the time span, in a moving average
+// with the given time constant.
 func sampleWeight(span, timeConstant time.Duration) float64 {
 	return min(1, float64(span)/float64(timeConstant))
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -10,7 +10,7 @@
 //   - passes each event to its method (RequestReceived, RunDone, CallNeeded, CallDone,
 //     RequestCancelled, Drain), with the current time of a monotonic clock;
 //   - calls Tick with the gauges whenever a timer of SetTimer is due;
-//   - calls Decide after each batch of events. Most actions are called from there.
+//   - calls Decide after each batch of events. Decide calls most of the host's actions.
 //
 // # Terms
 //
@@ -18,11 +18,11 @@
 //     a result, DuplicateOf names the earlier one.
 //   - Read lag and read share concern reading requests from connections. In
 //     result_cache.go, a read is a request that changes nothing.
-//   - A call is retried by the instance, within a run, at the expense of the retry
-//     budgets of the instance and of the fleet. A request is retried by its caller.
+//   - The instance retries a call within a run, if the retry budgets of the instance and of
+//     the fleet permit it. The caller retries a request.
 //   - An abandoned call is one that timed out or whose run ended. The dependency may work on
 //     it for Settings.AbandonedCallDuration more. A skipped call is not made, or not again.
-//   - A degraded answer is that of a request whose call was skipped.
+//   - A degraded answer is the answer to a request whose call was skipped.
 //   - The pressure is the smoothed probability of shedding. Load reports are computed from it.
 //
 // # Where decisions are made
--- a/transport/doc.go
+++ b/transport/doc.go
@@ -4,7 +4,7 @@
 //
 // Names follow net/http. [Server] accepts and counts connections (server.go, listener.go).
 // [Conn] is one connection: the methods for other goroutines (conn.go), the state machine
-// and the rules for closing (state.go), the loop that reads (serve.go, source.go) and
-// writes (write.go), and the half-close with the close reasons (ending.go). [Redialer]
-// keeps one outgoing connection open (redial.go).
+// and the rules for closing (state.go), the read loop (serve.go, source.go), writes
+// (write.go), and the half-close with the close reasons (ending.go). [Redialer] keeps one
+// outgoing connection open (redial.go).
 package transport
