--- a/internal/faultsoak/badmessage_test.go
+++ b/internal/faultsoak/badmessage_test.go
@@ -6,55 +6,56 @@
 	"time"
 )
 
-// Requests before and after a bad message, on one connection.
+// Numbers of requests before and after a bad message on one connection, and the duration of
+// their runs.
 const (
-	beforeBadMessage = 4
-	afterBadMessage  = 8
-	openFor          = 250 * time.Millisecond // that a run of these tests takes
+	beforeBadMessage      = 4
+	afterBadMessage       = 8
+	badMessageRunDuration = 250 * time.Millisecond
 )
 
-// TestBadMessageCostsNoOtherRequest: a message that makes no sense comes on a connection
-// with requests open, or with none. All requests before it and after it are answered.
-func TestBadMessageCostsNoOtherRequest(t *testing.T) {
+// A bad message on a connection, with or without open requests, must not cost the answer to
+// any request before or after it.
+func TestBadMessage_OtherRequestsOnConnectionAreAnswered(t *testing.T) {
 	for _, before := range []int{0, beforeBadMessage} {
 		for _, bad := range badMessages {
 			t.Run(fmt.Sprintf("%s after %d requests", bad.Name, before), func(t *testing.T) {
 				t.Parallel()
-				b := newBenchOf(t, openFor)
+				b := newTestNodeWithRunDuration(t, badMessageRunDuration)
 				c := b.dial()
-				b.askSome(c, "before", before)
-				noise := bad.Append(c.NextSeq(bad.Counts))
-				b.ask(c, Ask{Body: "page right behind", Write: behind(noise)})
-				b.askSome(c, "after", afterBadMessage-1)
+				b.sendSeveral(c, "before", before)
+				message := bad.Append(c.NextSeq(bad.TakesSeq))
+				b.send(c, RequestSpec{Body: "page in the same write", Write: writeTogether(message)})
+				b.sendSeveral(c, "after", afterBadMessage-1)
 				c.AwaitAnswers()
-				report := b.verdict()
-				if answered := answers(report); answered != before+afterBadMessage {
-					t.Errorf("%d requests were answered, want %d", answered, before+afterBadMessage)
+				report := b.checkRules()
+				if answered := countAnswers(report); answered != before+afterBadMessage {
+					t.Errorf("got %d answers, want %d", answered, before+afterBadMessage)
 				}
 			})
 		}
 	}
 }
 
-// askSome sends requests with a short pause after each.
-func (b *bench) askSome(c *Client, name string, n int) {
+// sendSeveral sends n requests with a short pause after each.
+func (b *testNode) sendSeveral(c *Client, name string, n int) {
 	b.Helper()
-	const apart = 15 * time.Millisecond
+	const interval = 15 * time.Millisecond
 	for i := range n {
-		b.ask(c, Ask{Body: fmt.Sprint("page ", name, " ", i)})
-		time.Sleep(apart)
+		b.send(c, RequestSpec{Body: fmt.Sprint("page ", name, " ", i)})
+		time.Sleep(interval)
 	}
 }
 
-// behind writes a message in one piece with what is before it.
-func behind(before []byte) func(write func([]byte) error, message []byte) error {
+// writeTogether returns a RequestSpec.Write that writes before and the message in one call.
+func writeTogether(before []byte) func(write func([]byte) error, message []byte) error {
 	return func(write func([]byte) error, message []byte) error {
 		return write(append(append([]byte(nil), before...), message...))
 	}
 }
 
-// answers is how many answers a report counts.
-func answers(report Report) (n int) {
+// countAnswers returns the number of answers of all kinds in a report.
+func countAnswers(report Report) (n int) {
 	for _, kind := range report.Outcomes {
 		n += kind
 	}
--- a/internal/faultsoak/client.go
+++ b/internal/faultsoak/client.go
@@ -17,36 +17,36 @@
 
 const clientDialTimeout = time.Second
 
-// ErrEnded is returned by Send if the connection has ended.
-var ErrEnded = errors.New("faultsoak: the connection has ended")
+// ErrConnectionClosed is returned by Send if the connection is closed.
+var ErrConnectionClosed = errors.New("faultsoak: the connection is closed")
 
-// Ask is a request to send.
-type Ask struct {
+// RequestSpec describes a request to send.
+type RequestSpec struct {
 	Class, Key, Body string
 	Deadline         time.Duration
-	Fields           map[string]string // further fields, or others
-	DoorEarly        time.Duration     // how much earlier than now the field door says that it reached the machine
-	// Write cuts the message into pieces and writes them; nil writes it at once.
+	Fields           map[string]string // additional fields; they override the default ones
+	ArrivalOffset    time.Duration     // the field door is this much before the time of sending
+	// Write writes message by calls of write. Nil means one call with the whole message.
 	Write func(write func([]byte) error, message []byte) error
 }
 
-// Client is one connection of a balancer. Its reads are done by a goroutine of its
-// own until the connection ends.
+// Client is one connection of a balancer. A goroutine reads replies until the connection is
+// closed.
 type Client struct {
 	conn    net.Conn
 	history *History
 	record  *ConnRecord
 	done    chan struct{}
 
-	writing sync.Mutex // one message at a time
+	writeMu sync.Mutex // held while a message is written; guards seq
 	seq     int32
 
-	mu       sync.Mutex
-	open     map[int32]*Request
-	givenUp  map[int32]*Request // by GiveUp: they may be answered or not
-	answered *sync.Cond
-	closed   bool // by the client
-	expired  bool // the wait for answers has lasted long enough
+	mu        sync.Mutex
+	open      map[int32]*Request
+	cancelled map[int32]*Request // requests of Cancel, which may still be answered
+	answered  *sync.Cond
+	closed    bool // by Close or Reset
+	expired   bool // clientTimeout has passed in awaitAnswersOrTimeout
 }
 
 // Dial opens a connection to a node.
@@ -57,7 +57,7 @@
 		return nil, fmt.Errorf("faultsoak: %w", err)
 	}
 	c := &Client{
-		conn: conn, history: history, done: make(chan struct{}), open: map[int32]*Request{}, givenUp: map[int32]*Request{},
+		conn: conn, history: history, done: make(chan struct{}), open: map[int32]*Request{}, cancelled: map[int32]*Request{},
 		record: &ConnRecord{Node: node, Opened: time.Now()},
 	}
 	c.answered = sync.NewCond(&c.mu)
@@ -66,27 +66,27 @@
 	return c, nil
 }
 
-// Send writes a request. The error is ErrEnded if the connection has ended; another means
-// that the request was not written whole, and the request is returned too.
-func (c *Client) Send(a Ask) (*Request, error) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+// Send writes a request. It returns ErrConnectionClosed if the connection is closed. With
+// any other error the request was not written completely, and is returned too.
+func (c *Client) Send(spec RequestSpec) (*Request, error) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	select {
 	case <-c.done:
-		return nil, ErrEnded
+		return nil, ErrConnectionClosed
 	default:
 	}
 	c.seq++
-	door := time.Now().Add(-a.DoorEarly)
+	arrival := time.Now().Add(-spec.ArrivalOffset)
 	r := &Request{
-		Node: c.record.Node, ID: fakes.NewID(), Conn: c.record, Seq: c.seq, Class: a.Class, Key: a.Key, Body: a.Body,
-		Deadline: a.Deadline, Door: door,
+		Node: c.record.Node, ID: fakes.NewID(), Conn: c.record, Seq: c.seq, Class: spec.Class, Key: spec.Key, Body: spec.Body,
+		Deadline: spec.Deadline, Arrival: arrival,
 	}
 	c.mu.Lock()
 	c.open[c.seq] = r
 	c.mu.Unlock()
 	c.history.addRequest(r)
-	message := c.message(a, r.ID, door)
+	message := c.message(spec, r.ID, arrival)
 	var began time.Time
 	write := func(p []byte) error {
 		began = time.Now()
@@ -94,8 +94,8 @@
 		return err
 	}
 	var err error
-	if a.Write != nil {
-		err = a.Write(write, message)
+	if spec.Write != nil {
+		err = spec.Write(write, message)
 	} else {
 		err = write(message)
 	}
@@ -108,44 +108,45 @@
 	return r, nil
 }
 
-// message returns the bytes of a request.
-func (c *Client) message(a Ask, id string, door time.Time) []byte {
+// message encodes a request.
+func (c *Client) message(spec RequestSpec, id string, arrival time.Time) []byte {
 	fields := map[string]string{
-		"verb": a.Class, "txn": id, "lb": "1", "ram": "20", "standing": "0.5",
+		"verb": spec.Class, "txn": id, "lb": "1", "ram": "20", "standing": "0.5",
 	}
-	if a.Key != "" {
-		fields["unique"] = a.Key
+	if spec.Key != "" {
+		fields["unique"] = spec.Key
 	}
-	maps.Copy(fields, a.Fields)
-	fields["door"] = strconv.FormatInt(door.UnixMilli(), 10)
-	return fakes.AppendExecuteFields(nil, c.seq, fields, []byte(a.Body))
+	maps.Copy(fields, spec.Fields)
+	fields["door"] = strconv.FormatInt(arrival.UnixMilli(), 10)
+	return fakes.AppendExecuteFields(nil, c.seq, fields, []byte(spec.Body))
 }
 
-// GiveUp tells the node that nobody waits for a request any more, by an interrupt.
-func (c *Client) GiveUp(r *Request) {
-	c.history.update(func() { r.GivenUp = true })
+// Cancel cancels a request with the message interrupt.
+func (c *Client) Cancel(r *Request) {
+	c.history.update(func() { r.Cancelled = true })
 	c.mu.Lock()
 	if c.open[r.Seq] != nil {
-		c.givenUp[r.Seq] = r
+		c.cancelled[r.Seq] = r
 		delete(c.open, r.Seq)
 		c.answered.Broadcast()
 	}
 	c.mu.Unlock()
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	_, _ = c.conn.Write(fakes.AppendInterrupt(nil, r.Seq)) // the connection may have ended
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	_, _ = c.conn.Write(fakes.AppendInterrupt(nil, r.Seq)) // an error means that the connection is closed
 }
 
-// Leaving reports whether the node has asked that nothing new is sent.
+// Leaving reports whether the node has sent the message leaving, which asks for no new
+// requests on the connection.
 func (c *Client) Leaving() (leaving bool) {
 	c.history.update(func() { leaving = !c.record.LeavingAt.IsZero() })
 	return leaving
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-// AwaitAnswers waits until nothing is open on the connection, or it has ended.
+// AwaitAnswers waits until no request is open or the connection is closed.
 func (c *Client) AwaitAnswers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,7 +155,7 @@
 	}
 }
 
-// awaitAnswersOrTimeout is AwaitAnswers for at most clientTimeout.
+// awaitAnswersOrTimeout is like AwaitAnswers, but waits for at most clientTimeout.
 func (c *Client) awaitAnswersOrTimeout() {
 	stop := time.AfterFunc(clientTimeout, func() {
 		c.mu.Lock()
@@ -171,14 +172,14 @@
 	c.expired = false
 }
 
-// Open returns how many requests are open: not answered and not given up.
+// Open returns the number of requests that are neither answered nor cancelled.
 func (c *Client) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// Close ends the connection as a balancer does.
+// Close closes the connection as a balancer does, and waits until reading has ended.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -187,7 +188,7 @@
 	<-c.done
 }
 
-// Reset ends the connection at once, with what is open on it.
+// Reset closes the connection with a TCP reset, even if requests are open.
 func (c *Client) Reset() {
 	c.mu.Lock()
 	c.closed = true
@@ -196,28 +197,28 @@
 	<-c.done
 }
 
-// CloseWrite shuts the writing side only.
+// CloseWrite shuts down the writing side of the connection.
 func (c *Client) CloseWrite() {
 	if tcp, ok := c.conn.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // the connection may have ended
+		_ = tcp.CloseWrite() // an error means that the connection is closed
 	}
 }
 
-// WriteRaw writes bytes that belong to no request.
+// WriteRaw writes bytes that aren't recorded as a request.
 func (c *Client) WriteRaw(p []byte) error {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	if _, err := c.conn.Write(p); err != nil {
 		return fmt.Errorf("faultsoak: %w", err)
 	}
 	return nil
 }
 
-// NextSeq returns the sequence number of the next call. If take is set, the number is taken,
-// for a call that is to be written by WriteRaw.
+// NextSeq returns the sequence number of the next call. If take is set, it reserves the
+// number for a call that the caller writes with WriteRaw.
 func (c *Client) NextSeq(take bool) int32 {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	next := c.seq + 1
 	if take {
 		c.seq = next
@@ -225,7 +226,7 @@
 	return next
 }
 
-// forget has a request count as open no more.
+// forget removes a request from the open ones.
 func (c *Client) forget(seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,7 +234,7 @@
 	c.answered.Broadcast()
 }
 
-// read reads replies until the connection ends.
+// read reads replies until the connection is closed.
 func (c *Client) read() {
 	defer close(c.done)
 	r := bufio.NewReader(c.conn)
@@ -252,40 +253,41 @@
 	}
 }
 
-// answer records an answer with its request, or with a new one if there is none.
+// answer records an answer in its request. If no such request is open, it records a new
+// request with an answer of kind kindUnexpected, which the oracle reports.
 func (c *Client) answer(reply fakes.Reply) {
 	outcome := reply.Outcome()
 	answer := Answer{Kind: outcome.Kind, Body: outcome.Body, At: time.Now()}
 	c.mu.Lock()
 	request := c.open[reply.Seq]
-	if givenUp := c.givenUp[reply.Seq]; givenUp != nil {
-		request = givenUp
-		delete(c.givenUp, reply.Seq)
+	if cancelled := c.cancelled[reply.Seq]; cancelled != nil {
+		request = cancelled
+		delete(c.cancelled, reply.Seq)
 	}
 	c.mu.Unlock()
 	if request == nil {
-		request = &Request{Node: c.record.Node, Conn: c.record, Seq: reply.Seq, Body: "answered twice or never asked"}
+		request = &Request{Node: c.record.Node, Conn: c.record, Seq: reply.Seq, Body: "answered twice or never sent"}
 		c.history.addRequest(request)
-		answer.Kind = kindUnasked
+		answer.Kind = kindUnexpected
 	}
 	c.history.update(func() { request.Answers = append(request.Answers, answer) })
 	c.forget(reply.Seq)
 }
 
-// end records how the connection ended.
+// end records how the connection was closed.
 func (c *Client) end(err error) {
 	at := time.Now()
 	kind := ResetByNode
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		kind = EndedByNode
+		kind = ClosedByNode
 	}
 	c.mu.Lock()
 	if c.closed {
-		kind = EndedByClient
+		kind = ClosedByClient
 	}
 	clear(c.open)
 	c.answered.Broadcast()
 	c.mu.Unlock()
-	c.history.update(func() { c.record.End, c.record.EndedAt, c.record.Err = kind, at, err })
+	c.history.update(func() { c.record.End, c.record.ClosedAt, c.record.Err = kind, at, err })
 	_ = c.conn.Close()
 }
--- a/internal/faultsoak/clients.go
+++ b/internal/faultsoak/clients.go
@@ -8,78 +8,80 @@
 	"time"
 )
 
-// Pauses and bounds of the clients.
+// Times and limits of the clients.
 const (
-	redialPause   = 30 * time.Millisecond
-	clientTimeout = 15 * time.Second // for the answers to what a client has open
-	restTimeout   = 12 * time.Second // for a node to end a connection that rests
-	pipelined     = 20               // requests that one connection has open at most
-	maxUnanswered = 64               // keyed requests that wait to be asked again
+	redialPause      = 30 * time.Millisecond
+	clientTimeout    = 15 * time.Second // for the answers to all open requests of a client
+	idleTimeout      = 12 * time.Second // for a node to close an idle connection
+	maxOpenRequests  = 20               // most open requests on a pipelining connection
+	maxQueuedRetries = 64               // most keyed requests that wait for a retry
 )
 
-// population is the clients of one node.
-type population struct {
+// clientGroup is the clients of one node. It makes their requests.
+type clientGroup struct {
 	node    *Node
 	history *History
-	serial  *atomic.Int64 // names requests, over all nodes
-	// unanswered holds keyed requests whose connection ended without their answer; they
-	// are asked again.
-	unanswered chan Ask
+	serial  *atomic.Int64 // number of the last request, shared by all nodes
+	// retryQueue holds keyed requests that got no answer and are to be retried.
+	retryQueue chan RequestSpec
 }
 
-// behaviour is what a client does with one connection, until it is done with it.
-type behaviour func(ctx context.Context, p *population, c *Client, rng *rand.Rand)
+// behaviour is what a client does on one connection. The caller closes the connection after
+// it returns.
+type behaviour func(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand)
 
-// behaviours lists the clients that each node has, by name.
+// behaviours lists the clients of each node. The names are the client kinds that
+// SoakOptions.Without selects.
 var behaviours = []struct {
 	name string
 	do   behaviour
 }{
-	{"steady", steady},
-	{"steady", steady},
-	{"steady", steady},
-	{"pipelining", pipelining},
-	{"slow", slow},
-	{"slow", slow},
-	{"resting", resting},
-	{"newcomer", newcomer},
-	{"newcomer", newcomer},
-	{"stubborn", stubborn},
-	{"persistent", persistent},
-	{"persistent", persistent},
-	{"knocking", knocking},
-	{"knocking", knocking},
-	{"noisy", noisy},
-	{"noisy", noisy},
-	{"borrowing", borrowing},
-	{"half-closing", halfClosing},
-	{"giving up", givingUp},
-	{"spoiling", spoiling},
+	{"steady", sendSequentially},
+	{"steady", sendSequentially},
+	{"steady", sendSequentially},
+	{"pipelining", sendPipelined},
+	{"slow", sendSlowly},
+	{"slow", sendSlowly},
+	{"resting", idleAfterRequest},
+	{"newcomer", requestAfterDelay},
+	{"newcomer", requestAfterDelay},
+	{"stubborn", ignoreLeaving},
+	{"persistent", pipelineUntilClosed},
+	{"persistent", pipelineUntilClosed},
+	{"knocking", reconnectPerRequest},
+	{"knocking", reconnectPerRequest},
+	{"noisy", sendBadMessages},
+	{"noisy", sendBadMessages},
+	{"borrowing", reuseRequestIDs},
+	{"half-closing", halfClose},
+	{"giving up", cancelRequests},
+	{"spoiling", sendUnframedBytes},
 }
 
-// run has one client connect again and again until ctx ends.
-func (p *population) run(ctx context.Context, do behaviour, rng *rand.Rand) {
+// run opens one connection after the other until ctx is done.
+func (group *clientGroup) run(ctx context.Context, do behaviour, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		if !p.once(ctx, do, rng) {
-			pause(ctx, redialPause)
+		if !group.runOnce(ctx, do, rng) {
+			sleep(ctx, redialPause)
 		}
 	}
 }
 
-// once has one client connect once. It reports whether it was let in.
-func (p *population) once(ctx context.Context, do behaviour, rng *rand.Rand) bool {
-	c, err := Dial(p.history, p.node.Name, p.node.Address)
+// runOnce opens one connection and runs a behaviour on it. It reports whether the node
+// accepted the connection.
+func (group *clientGroup) runOnce(ctx context.Context, do behaviour, rng *rand.Rand) bool {
+	c, err := Dial(group.history, group.node.Name, group.node.Address)
 	if err != nil {
 		return false
 	}
-	do(ctx, p, c, rng)
+	do(ctx, group, c, rng)
 	c.awaitAnswersOrTimeout()
 	c.Close()
 	return true
 }
 
-// pause waits. It reports whether ctx goes on.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d, or until ctx is done. It reports whether d has passed.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -88,13 +90,14 @@
 	}
 }
 
-func between(rng *rand.Rand, least, most time.Duration) time.Duration {
+func randomDuration(rng *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(rng.Int64N(int64(most-least)+1))
 }
 
-// ask draws a request. Most are reads, some call the ledger, fail, or never end.
-func (p *population) ask(rng *rand.Rand) Ask {
-	n := p.serial.Add(1)
+// newRequest draws a request. Most only run for a while; some call the shared dependency,
+// fail, or run until they are cancelled.
+func (group *clientGroup) newRequest(rng *rand.Rand) RequestSpec {
+	n := group.serial.Add(1)
 	word := "page"
 	switch draw := rng.IntN(100); {
 	case draw < 25:
@@ -104,54 +107,55 @@
 	case draw < 30:
 		word = "hang"
 	}
-	a := Ask{Class: SafeClass, Deadline: SafeDeadline, Body: fmt.Sprintf("%s %d", word, n)}
+	spec := RequestSpec{Class: SafeClass, Deadline: SafeDeadline, Body: fmt.Sprintf("%s %d", word, n)}
 	switch rng.IntN(4) {
 	case 0:
-		a.Class, a.Deadline = HistoryClass, HistoryDeadline
-		if word == "call" { // the class makes no calls
-			a.Body = fmt.Sprintf("page %d", n)
+		spec.Class, spec.Deadline = HistoryClass, HistoryDeadline
+		if word == "call" { // the class makes no downstream calls
+			spec.Body = fmt.Sprintf("page %d", n)
 		}
 	case 1:
-		a.Class, a.Deadline, a.Key = KeyedClass, KeyedDeadline, fmt.Sprintf("key-%d", n)
+		spec.Class, spec.Deadline, spec.Key = KeyedClass, KeyedDeadline, fmt.Sprintf("key-%d", n)
 	}
-	return a
+	return spec
 }
 
-// askAgain gives a keyed request whose connection ended without its answer, else a new one.
-func (p *population) askAgain(rng *rand.Rand) Ask {
+// nextRequest returns a keyed request from the retry queue, or a new request if it is empty.
+func (group *clientGroup) nextRequest(rng *rand.Rand) RequestSpec {
 	select {
-	case a := <-p.unanswered:
-		return a
+	case spec := <-group.retryQueue:
+		return spec
 	default:
-		return p.ask(rng)
+		return group.newRequest(rng)
 	}
 }
 
-// keep has a keyed request asked again if it has no answer.
-func (p *population) keep(a Ask, r *Request) {
+// queueRetry adds a keyed request without an answer to the retry queue.
+func (group *clientGroup) queueRetry(spec RequestSpec, r *Request) {
 	answered := true
-	p.history.update(func() { answered = len(r.Answers) > 0 })
-	if answered || a.Key == "" {
+	group.history.update(func() { answered = len(r.Answers) > 0 })
+	if answered || spec.Key == "" {
 		return
 	}
 	select {
-	case p.unanswered <- a:
-	default: // enough of them wait
+	case group.retryQueue <- spec:
+	default: // the retry queue is full
 	}
 }
 
-// steady sends one request after the other, and repeats keyed ones now and then.
-func steady(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	for !c.Leaving() && pause(ctx, between(rng, 5*time.Millisecond, 60*time.Millisecond)) {
-		a := p.askAgain(rng)
-		r, err := c.Send(a)
+// sendSequentially sends a request after the answer to the previous one, and sometimes sends
+// a keyed request twice. It stops when the node sends leaving.
+func sendSequentially(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	for !c.Leaving() && sleep(ctx, randomDuration(rng, 5*time.Millisecond, 60*time.Millisecond)) {
+		spec := group.nextRequest(rng)
+		r, err := c.Send(spec)
 		if err != nil {
 			return
 		}
 		c.awaitAnswersOrTimeout()
-		p.keep(a, r)
-		if a.Key != "" && rng.IntN(3) == 0 && !c.Leaving() {
-			if _, err := c.Send(a); err != nil {
+		group.queueRetry(spec, r)
+		if spec.Key != "" && rng.IntN(3) == 0 && !c.Leaving() {
+			if _, err := c.Send(spec); err != nil {
 				return
 			}
 			c.awaitAnswersOrTimeout()
@@ -159,31 +163,31 @@
 	}
 }
 
-// pipelining has many requests open at a time, until it is told to leave.
-func pipelining(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	pipeline(ctx, p, c, rng, func() bool { return !c.Leaving() })
+// sendPipelined keeps up to maxOpenRequests open until the node sends leaving.
+func sendPipelined(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	pipeline(ctx, group, c, rng, func() bool { return !c.Leaving() })
 }
 
-// pipeline sends requests, many of them open at a time, for as long as it may.
-func pipeline(ctx context.Context, p *population, c *Client, rng *rand.Rand, may func() bool) {
-	for may() && pause(ctx, between(rng, time.Millisecond, 30*time.Millisecond)) {
-		for c.Open() >= pipelined {
-			if !pause(ctx, time.Millisecond) {
+// pipeline sends requests while may returns true, with up to maxOpenRequests open at a time.
+func pipeline(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand, may func() bool) {
+	for may() && sleep(ctx, randomDuration(rng, time.Millisecond, 30*time.Millisecond)) {
+		for c.Open() >= maxOpenRequests {
+			if !sleep(ctx, time.Millisecond) {
 				return
 			}
 		}
-		if _, err := c.Send(p.ask(rng)); err != nil {
+		if _, err := c.Send(group.newRequest(rng)); err != nil {
 			return
 		}
 	}
 }
 
-// slow writes its requests in pieces, over up to the time that their class has.
-func slow(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	for !c.Leaving() && pause(ctx, between(rng, time.Millisecond, 300*time.Millisecond)) {
-		a := p.ask(rng)
-		a.Write = pieces(rng, 2+rng.IntN(20), between(rng, 20*time.Millisecond, 1800*time.Millisecond))
-		if _, err := c.Send(a); err != nil {
+// sendSlowly writes each request in pieces, over up to 1.8 s.
+func sendSlowly(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	for !c.Leaving() && sleep(ctx, randomDuration(rng, time.Millisecond, 300*time.Millisecond)) {
+		spec := group.newRequest(rng)
+		spec.Write = writeInPieces(rng, 2+rng.IntN(20), randomDuration(rng, 20*time.Millisecond, 1800*time.Millisecond))
+		if _, err := c.Send(spec); err != nil {
 			return
 		}
 		if rng.IntN(2) == 0 {
@@ -192,8 +196,9 @@
 	}
 }
 
-// pieces cuts a message at random places and writes them evenly over a time.
-func pieces(rng *rand.Rand, n int, over time.Duration) func(write func([]byte) error, message []byte) error {
+// writeInPieces returns a RequestSpec.Write that cuts a message at random offsets into up to
+// n pieces and writes them with equal pauses, within about the time over.
+func writeInPieces(rng *rand.Rand, n int, over time.Duration) func(write func([]byte) error, message []byte) error {
 	return func(write func([]byte) error, message []byte) error {
 		for i := n; i > 0 && len(message) > 0; i-- {
 			size := len(message)
@@ -211,76 +216,79 @@
 	}
 }
 
-// resting asks once and keeps its connection until the node ends it.
-func resting(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	if _, err := c.Send(p.ask(rng)); err != nil {
+// idleAfterRequest sends one request and keeps the connection until the node closes it, for
+// at most idleTimeout.
+func idleAfterRequest(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	if _, err := c.Send(group.newRequest(rng)); err != nil {
 		return
 	}
 	select {
 	case <-ctx.Done():
 	case <-c.Done():
-	case <-time.After(restTimeout):
+	case <-time.After(idleTimeout):
 	}
 }
 
-// newcomer connects, waits, and asks once if it was not told to leave.
-func newcomer(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	if !pause(ctx, between(rng, 0, 2600*time.Millisecond)) || c.Leaving() {
+// requestAfterDelay waits on a new connection, then sends one request unless the node has
+// sent leaving.
+func requestAfterDelay(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	if !sleep(ctx, randomDuration(rng, 0, 2600*time.Millisecond)) || c.Leaving() {
 		return
 	}
-	a := p.ask(rng)
+	spec := group.newRequest(rng)
 	if rng.IntN(2) == 0 {
-		a.Write = pieces(rng, 4, between(rng, time.Millisecond, 700*time.Millisecond))
+		spec.Write = writeInPieces(rng, 4, randomDuration(rng, time.Millisecond, 700*time.Millisecond))
 	}
-	if _, err := c.Send(a); err != nil {
+	if _, err := c.Send(spec); err != nil {
 		return
 	}
 	c.awaitAnswersOrTimeout()
 }
 
-// stubborn goes on sending on an open connection, whatever it is told.
-func stubborn(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	for pause(ctx, between(rng, 20*time.Millisecond, 250*time.Millisecond)) {
-		if _, err := c.Send(p.ask(rng)); err != nil {
+// ignoreLeaving sends requests until the connection is closed, also after the message
+// leaving.
+func ignoreLeaving(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	for sleep(ctx, randomDuration(rng, 20*time.Millisecond, 250*time.Millisecond)) {
+		if _, err := c.Send(group.newRequest(rng)); err != nil {
 			return
 		}
 	}
 }
 
-// halfClosing shuts its writing end with requests open.
-func halfClosing(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
+// halfClose sends some requests and shuts down the writing side while they are open.
+func halfClose(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
 	for range 1 + rng.IntN(4) {
-		if _, err := c.Send(p.ask(rng)); err != nil {
+		if _, err := c.Send(group.newRequest(rng)); err != nil {
 			return
 		}
 	}
-	pause(ctx, between(rng, 0, 20*time.Millisecond))
+	sleep(ctx, randomDuration(rng, 0, 20*time.Millisecond))
 	c.CloseWrite()
 	c.awaitAnswersOrTimeout()
 }
 
-// givingUp takes requests back.
-func givingUp(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	for !c.Leaving() && pause(ctx, between(rng, 10*time.Millisecond, 100*time.Millisecond)) {
-		r, err := c.Send(p.ask(rng))
+// cancelRequests sends requests and cancels half of them.
+func cancelRequests(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	for !c.Leaving() && sleep(ctx, randomDuration(rng, 10*time.Millisecond, 100*time.Millisecond)) {
+		r, err := c.Send(group.newRequest(rng))
 		if err != nil {
 			return
 		}
 		if rng.IntN(2) == 0 {
-			pause(ctx, between(rng, 0, 30*time.Millisecond))
-			c.GiveUp(r)
+			sleep(ctx, randomDuration(rng, 0, 30*time.Millisecond))
+			c.Cancel(r)
 		}
 	}
 }
 
-// spoiling sends a request, and bytes that are no message.
-func spoiling(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	if !pause(ctx, between(rng, 100*time.Millisecond, 600*time.Millisecond)) || c.Leaving() {
+// sendUnframedBytes sends a request, followed by bytes that are not a message.
+func sendUnframedBytes(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	if !sleep(ctx, randomDuration(rng, 100*time.Millisecond, 600*time.Millisecond)) || c.Leaving() {
 		return
 	}
-	if _, err := c.Send(p.ask(rng)); err != nil {
+	if _, err := c.Send(group.newRequest(rng)); err != nil {
 		return
 	}
-	_ = c.WriteRaw([]byte("\x00\x00\x00\x04spam and more")) // the connection may have ended
+	_ = c.WriteRaw([]byte("\x00\x00\x00\x04spam and more")) // an error means that the connection is closed
 	c.awaitAnswersOrTimeout()
 }
--- a/internal/faultsoak/exit_test.go
+++ b/internal/faultsoak/exit_test.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// TestStalledProcessAnswersBeforeItEnds: a process that was told to stop stands still over
-// the moment at which it planned to end, and goes on well before it is killed. What was open
-// then, what came meanwhile on open connections, and what came on new ones is answered.
-func TestStalledProcessAnswersBeforeItEnds(t *testing.T) {
-	const plannedEnd = 1900 * time.Millisecond
-	for _, at := range []time.Duration{0, 500 * time.Millisecond, drainGrace, plannedEnd - 220*time.Millisecond} {
-		t.Run(fmt.Sprint("from ", at, " after the notice"), func(t *testing.T) {
+// A draining process is paused past its planned exit and resumed well before it is killed.
+// It must answer the requests that were open before the pause and those that arrive during
+// the pause, on open and on new connections.
+func TestDrain_AnswersRequestsWhenPausedPastPlannedExit(t *testing.T) {
+	const plannedExit = 1900 * time.Millisecond
+	for _, at := range []time.Duration{0, 500 * time.Millisecond, drainGrace, plannedExit - 220*time.Millisecond} {
+		t.Run(fmt.Sprint("paused from ", at, " after SIGTERM"), func(t *testing.T) {
 			t.Parallel()
 			config := defaultConfig(t)
-			config["stop_ms"] = plannedEnd.Milliseconds()
-			b := newBenchWith(t, NodeConfig{Binary: builtProgram, Took: 5 * time.Millisecond, Config: config})
+			config["stop_ms"] = plannedExit.Milliseconds()
+			b := newTestNodeFrom(t, NodeConfig{Binary: builtProgram, RunDuration: 5 * time.Millisecond, Config: config})
 			clients := b.dialMany()
-			for i, c := range clients[:connections/2] {
-				b.ask(c, Ask{Body: fmt.Sprint("hang ", i)})
+			for i, c := range clients[:connectionCount/2] {
+				b.send(c, RequestSpec{Body: fmt.Sprint("hang ", i)})
 			}
-			notice := b.signal(syscall.SIGTERM)
-			b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: notice})
-			time.Sleep(time.Until(notice.Add(at)))
-			b.pause(time.Until(notice.Add(plannedEnd+300*time.Millisecond)), func() {
+			sigtermAt := b.signal(syscall.SIGTERM)
+			b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: sigtermAt})
+			time.Sleep(time.Until(sigtermAt.Add(at)))
+			b.pause(time.Until(sigtermAt.Add(plannedExit+300*time.Millisecond)), func() {
 				for i, c := range clients {
-					b.ask(c, Ask{Body: fmt.Sprint("page ", i)})
+					b.send(c, RequestSpec{Body: fmt.Sprint("page ", i)})
 				}
-				for i := 0; i < connections && at < drainGrace; i++ { // it listens until then
+				for i := 0; i < connectionCount && at < drainGrace; i++ { // the process listens until then
 					c := b.dial()
 					clients = append(clients, c)
-					b.ask(c, Ask{Body: fmt.Sprint("page of a new one ", i)})
+					b.send(c, RequestSpec{Body: fmt.Sprint("page on a new connection ", i)})
 				}
 			})
-			await(clients)
-			b.verdict()
+			awaitAnswers(clients)
+			b.checkRules()
 		})
 	}
 }
--- a/internal/faultsoak/faults.go
+++ b/internal/faultsoak/faults.go
@@ -10,73 +10,73 @@
 
 const (
 	controlTimeout = time.Second
-	// lastMoments is how long before a kill a node is not paused any more: one that is
-	// paused when it is killed can't answer.
-	lastMoments = 1200 * time.Millisecond
-	crowdSize   = 200
+	// minPauseEndBeforeKill is the least time between the end of a pause and a kill. A
+	// node that is still paused shortly before it is killed can't answer its requests.
+	minPauseEndBeforeKill = 1200 * time.Millisecond
+	crowdSize             = 200
 )
 
-// operator plays faults on one node. Each kind has a goroutine of its own, so that they
-// overlap.
-type operator struct {
+// faultInjector injects faults into one node. Each faultLoop has its own goroutine, so that
+// faults of different loops overlap.
+type faultInjector struct {
 	node    *Node
 	history *History
-	clients *population
-	crowds  bool                             // there are crowds of clients that ask
-	fail    func(format string, args ...any) // a step that must succeed did not
+	clients *clientGroup
+	crowds  bool                             // inject crowds of clients that send requests
+	fail    func(format string, args ...any) // records a failed step of the soak
 
-	configuring sync.Mutex // the configuration file may be spoilt
-	wallSeconds int64      // by which Unix time is off; used by the loop of system faults alone
+	configMu    sync.Mutex // held while the configuration file may be invalid, and during a start
+	wallSeconds int64      // current offset of Unix time; used only by systemLoop
 
-	mu       sync.Mutex
-	killAt   time.Time // when a process that drains is killed; zero else
-	expected bool      // the process may end: a fault ends it
+	mu           sync.Mutex
+	killAt       time.Time // when a draining process will be killed; otherwise zero
+	exitExpected bool      // the process may exit because of a fault
 }
 
-// fault plays once and returns when it is over.
-type fault func(ctx context.Context, o *operator, rng *rand.Rand)
+// fault injects a fault once and returns when the fault is over.
+type fault func(ctx context.Context, inj *faultInjector, rng *rand.Rand)
 
-// faultLoop draws one of its faults again and again.
+// faultLoop repeatedly draws and injects one of its faults.
 type faultLoop struct {
-	least, most time.Duration // between two of them
+	least, most time.Duration // range of the pause before each fault
 	faults      []fault
 }
 
-// faultLoops lists the loops of each node.
+// faultLoops lists the loops that every node has.
 var faultLoops = []faultLoop{
 	{300 * time.Millisecond, 4 * time.Second, []fault{shortPause, shortPause, longPause}},
 	{4 * time.Second, 12 * time.Second, []fault{restart, upgrade, upgrade, crash}},
 	{500 * time.Millisecond, 4 * time.Second, relayFaults(processorRelay)},
 	{time.Second, 5 * time.Second, relayFaults(dependencyRelay)},
 	{time.Second, 5 * time.Second, relayFaults(discoveryRelay)},
-	{time.Second, 6 * time.Second, []fault{reloadGood, reloadSpoilt, reloadCut}},
-	{2 * time.Second, 8 * time.Second, []fault{sendAway}},
-	{2 * time.Second, 8 * time.Second, []fault{crowd}},
+	{time.Second, 6 * time.Second, []fault{reloadValid, reloadInvalidJSON, reloadWithoutSettings}},
+	{2 * time.Second, 8 * time.Second, []fault{disableTraffic}},
+	{2 * time.Second, 8 * time.Second, []fault{silentCrowd}},
 }
 
-// crowdLoop is one more loop for the nodes of a soak with crowds.
-var crowdLoop = faultLoop{time.Second, 4 * time.Second, []fault{askingCrowd}}
+// crowdLoop is an additional loop for nodes in a soak with crowds.
+var crowdLoop = faultLoop{time.Second, 4 * time.Second, []fault{requestingCrowd}}
 
-// play starts all loops of a node. They end with ctx.
-func (o *operator) play(ctx context.Context, rngs func() *rand.Rand, done *sync.WaitGroup) {
+// play starts the loops of a node. They stop when ctx is done.
+func (inj *faultInjector) play(ctx context.Context, nextRNG func() *rand.Rand, done *sync.WaitGroup) {
 	loops := faultLoops
-	if o.node.Faults {
+	if inj.node.Faults {
 		loops = append(slices.Clone(loops), systemLoop)
 	}
-	if o.crowds {
+	if inj.crowds {
 		loops = append(slices.Clone(loops), crowdLoop)
 	}
 	for _, loop := range loops {
-		rng := rngs()
+		rng := nextRNG()
 		done.Go(func() {
-			for pause(ctx, between(rng, loop.least, loop.most)) {
-				loop.faults[rng.IntN(len(loop.faults))](ctx, o, rng)
+			for sleep(ctx, randomDuration(rng, loop.least, loop.most)) {
+				loop.faults[rng.IntN(len(loop.faults))](ctx, inj, rng)
 			}
 		})
 	}
 }
 
-// record adds an event of the node that happens now.
-func (o *operator) record(kind EventKind) {
-	o.history.Add(Event{Node: o.node.Name, Kind: kind, At: time.Now()})
+// record adds an event of the node with the current time.
+func (inj *faultInjector) record(kind EventKind) {
+	inj.history.Add(Event{Node: inj.node.Name, Kind: kind, At: time.Now()})
 }
--- a/internal/faultsoak/faults_operator.go
+++ b/internal/faultsoak/faults_operator.go
@@ -12,62 +12,66 @@
 	"time"
 )
 
-// reload has the node read its configuration again. writeErr is how writing that ended.
-func (o *operator) reload(writeErr error) {
+// reload sends SIGHUP, so that the node reads its configuration again. writeErr is the result
+// of writing the configuration file.
+func (inj *faultInjector) reload(writeErr error) {
 	if writeErr != nil {
-		o.fail("%v", writeErr)
+		inj.fail("%v", writeErr)
 		return
 	}
-	o.record(Reloaded)
-	_ = o.node.Signal(syscall.SIGHUP) // it may have ended
+	inj.record(Reloaded)
+	_ = inj.node.Signal(syscall.SIGHUP) // an error means that it has exited
 }
 
-func reloadGood(_ context.Context, o *operator, _ *rand.Rand) { o.reload(o.node.WriteConfig(nil)) }
+func reloadValid(_ context.Context, inj *faultInjector, _ *rand.Rand) {
+	inj.reload(inj.node.WriteConfig(nil))
+}
 
-func reloadSpoilt(ctx context.Context, o *operator, rng *rand.Rand) {
-	o.configuring.Lock()
-	defer o.configuring.Unlock()
-	o.reload(o.node.WriteConfigText("no JSON"))
-	pause(ctx, between(rng, 0, 300*time.Millisecond))
-	o.restoreConfig()
+func reloadInvalidJSON(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
+	inj.configMu.Lock()
+	defer inj.configMu.Unlock()
+	inj.reload(inj.node.WriteConfigText("no JSON"))
+	sleep(ctx, randomDuration(rng, 0, 300*time.Millisecond))
+	inj.restoreConfig()
 }
 
-func reloadCut(ctx context.Context, o *operator, rng *rand.Rand) {
-	o.configuring.Lock()
-	defer o.configuring.Unlock()
-	o.reload(o.node.WriteConfig(map[string]any{"settings": map[string]any{}}))
-	pause(ctx, between(rng, 0, 300*time.Millisecond))
-	o.restoreConfig()
+func reloadWithoutSettings(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
+	inj.configMu.Lock()
+	defer inj.configMu.Unlock()
+	inj.reload(inj.node.WriteConfig(map[string]any{"settings": map[string]any{}}))
+	sleep(ctx, randomDuration(rng, 0, 300*time.Millisecond))
+	inj.restoreConfig()
 }
 
-// restoreConfig puts the good file back, which a restart reads.
-func (o *operator) restoreConfig() {
-	if err := o.node.WriteConfig(nil); err != nil {
-		o.fail("%v", err)
+// restoreConfig writes the valid configuration file again, as a restart reads it.
+func (inj *faultInjector) restoreConfig() {
+	if err := inj.node.WriteConfig(nil); err != nil {
+		inj.fail("%v", err)
 	}
 }
 
-// sendAway disables traffic by the operators' calls for a while, and enables it again.
-func sendAway(ctx context.Context, o *operator, rng *rand.Rand) {
-	if callOperators(o.node.Control(), "drain-on") {
-		o.record(SentAway)
+// disableTraffic disables traffic with the operators' command drain-on for a while, and
+// enables it again with drain-off.
+func disableTraffic(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
+	if callOperatorPort(inj.node.Control(), "drain-on") {
+		inj.record(TrafficDisabled)
 	}
-	pause(ctx, between(rng, 200*time.Millisecond, 5*time.Second))
-	if callOperators(o.node.Control(), "drain-off") {
-		o.record(FetchedBack)
+	sleep(ctx, randomDuration(rng, 200*time.Millisecond, 5*time.Second))
+	if callOperatorPort(inj.node.Control(), "drain-off") {
+		inj.record(TrafficEnabled)
 	}
 }
 
-// callOperators makes one operators' call, and reports whether it was answered with done.
-// A process that is paused or has ended does not answer.
-func callOperators(address, line string) bool {
+// callOperatorPort sends one operators' command and reports whether the reply starts with
+// done. A process that is paused or has exited does not reply.
+func callOperatorPort(address, line string) bool {
 	dialer := net.Dialer{Timeout: controlTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", address)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(controlTimeout)) // a call without it waits longer
+	_ = conn.SetDeadline(time.Now().Add(controlTimeout)) // an error means that the call may wait longer
 	if _, err := fmt.Fprintf(conn, "%s\n", line); err != nil {
 		return false
 	}
@@ -75,19 +79,19 @@
 	return err == nil && strings.HasPrefix(answer, "done")
 }
 
-// crowd opens connections that say nothing.
-func crowd(ctx context.Context, o *operator, rng *rand.Rand) {
-	o.record(Crowded)
+// silentCrowd opens many connections and sends nothing on them.
+func silentCrowd(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
+	inj.record(ConnectionCrowd)
 	var conns []net.Conn
 	for range crowdSize/2 + rng.IntN(crowdSize/2) {
 		dialer := net.Dialer{Timeout: clientDialTimeout}
-		conn, err := dialer.DialContext(ctx, "tcp", o.node.Address)
+		conn, err := dialer.DialContext(ctx, "tcp", inj.node.Address)
 		if err != nil {
 			break
 		}
 		conns = append(conns, conn)
 	}
-	pause(ctx, between(rng, 100*time.Millisecond, 3*time.Second))
+	sleep(ctx, randomDuration(rng, 100*time.Millisecond, 3*time.Second))
 	for _, conn := range conns {
 		if rng.IntN(2) == 0 {
 			reset(conn)
@@ -97,13 +101,13 @@
 	}
 }
 
-// askingCrowd has many clients connect at a time, send requests and stay for a while.
-func askingCrowd(ctx context.Context, o *operator, rng *rand.Rand) {
-	o.record(Crowded)
+// requestingCrowd connects many clients at a time, which send requests and stay for a while.
+func requestingCrowd(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
+	inj.record(ConnectionCrowd)
 	var clients sync.WaitGroup
 	for range crowdSize/2 + rng.IntN(crowdSize/2) {
 		draws := rand.New(rand.NewPCG(rng.Uint64(), 0))
-		clients.Go(func() { o.clients.once(ctx, asking, draws) })
+		clients.Go(func() { inj.clients.runOnce(ctx, crowdClient, draws) })
 	}
 	clients.Wait()
 }
--- a/internal/faultsoak/faults_process.go
+++ b/internal/faultsoak/faults_process.go
@@ -8,163 +8,166 @@
 	"time"
 )
 
-func shortPause(_ context.Context, o *operator, rng *rand.Rand) {
-	o.pause(between(rng, 60*time.Millisecond, 400*time.Millisecond))
+func shortPause(_ context.Context, inj *faultInjector, rng *rand.Rand) {
+	inj.pause(randomDuration(rng, 60*time.Millisecond, 400*time.Millisecond))
 }
 
-func longPause(_ context.Context, o *operator, rng *rand.Rand) {
-	o.pause(between(rng, 700*time.Millisecond, 2500*time.Millisecond))
+func longPause(_ context.Context, inj *faultInjector, rng *rand.Rand) {
+	inj.pause(randomDuration(rng, 700*time.Millisecond, 2500*time.Millisecond))
 }
 
-// pause stops the process by SIGSTOP for a time, unless it is about to be killed.
-func (o *operator) pause(d time.Duration) {
-	o.mu.Lock()
-	killAt := o.killAt
-	o.mu.Unlock()
-	if !killAt.IsZero() && time.Until(killAt) < d+lastMoments {
+// pause stops the process with SIGSTOP for a time, unless it will be killed too soon after.
+func (inj *faultInjector) pause(d time.Duration) {
+	inj.mu.Lock()
+	killAt := inj.killAt
+	inj.mu.Unlock()
+	if !killAt.IsZero() && time.Until(killAt) < d+minPauseEndBeforeKill {
 		return
 	}
-	at, process := time.Now(), o.node.process()
+	at, process := time.Now(), inj.node.process()
 	if process.signal(syscall.SIGSTOP) != nil {
-		return // it has ended
+		return // the process has exited
 	}
 	time.Sleep(d)
-	_ = process.signal(syscall.SIGCONT) // it may have been killed
-	o.history.Add(Event{Node: o.node.Name, Kind: Paused, At: at, Until: time.Now()})
+	_ = process.signal(syscall.SIGCONT) // an error means that it was killed
+	inj.history.Add(Event{Node: inj.node.Name, Kind: Paused, At: at, Until: time.Now()})
 }
 
-// expect records whether the process may end, and when it is killed (zero: not, or at once).
-func (o *operator) expect(ended bool, killAt time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.expected, o.killAt = ended, killAt
+// setExpectedExit records whether the process may exit, and when it will be killed. A zero
+// killAt means that no kill is planned, or that it comes at once.
+func (inj *faultInjector) setExpectedExit(expected bool, killAt time.Time) {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	inj.exitExpected, inj.killAt = expected, killAt
 }
 
-// restart drains the process, kills it when the platform would, and starts another. The
-// notice may be one of a series of signals, and the new process may get its own right away.
-func restart(ctx context.Context, o *operator, rng *rand.Rand) {
+// restart drains the process, kills it when the platform would, and starts a new one. The
+// SIGTERM may be one of a series of signals. The new process may be restarted soon after it
+// listens.
+func restart(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
 	for range 1 + rng.IntN(2) {
-		if !o.restartOnce(ctx, rng) || rng.IntN(2) == 0 {
+		if !inj.restartOnce(ctx, rng) || rng.IntN(2) == 0 {
 			return
 		}
-		if !pause(ctx, between(rng, 0, 400*time.Millisecond)) {
+		if !sleep(ctx, randomDuration(rng, 0, 400*time.Millisecond)) {
 			return
 		}
 	}
 }
 
-// restartOnce reports whether the new process listens.
-func (o *operator) restartOnce(ctx context.Context, rng *rand.Rand) (listens bool) {
-	process := o.node.process()
-	o.signalSeries(ctx, process, rng)
+// restartOnce restarts the process once and reports whether the new process listens.
+func (inj *faultInjector) restartOnce(ctx context.Context, rng *rand.Rand) (listens bool) {
+	process := inj.node.process()
+	inj.signalSeries(ctx, process, rng)
 	notice := time.Now()
-	o.expect(true, notice.Add(LongestStop))
-	o.history.Add(Event{Node: o.node.Name, Kind: Terminated, At: notice})
-	byItself, err := process.stop()
+	inj.setExpectedExit(true, notice.Add(MinKillDelay))
+	inj.history.Add(Event{Node: inj.node.Name, Kind: Terminated, At: notice})
+	exitedInTime, err := process.stop()
 	switch {
 	case err != nil:
-		o.fail("%v", err)
+		inj.fail("%v", err)
 		return false
-	case byItself:
-		o.record(Exited)
+	case exitedInTime:
+		inj.record(Exited)
 	default:
-		o.record(Killed)
+		inj.record(Killed)
 	}
-	return o.launch()
+	return inj.launch()
 }
 
-// signalSeries sends signals to a process that is about to be told to stop: one before, and
-// others beside until it has ended.
-func (o *operator) signalSeries(ctx context.Context, process *process, rng *rand.Rand) {
+// signalSeries sometimes sends further signals to a process that is about to get SIGTERM:
+// possibly a SIGHUP before, and others in the background until the process has exited.
+func (inj *faultInjector) signalSeries(ctx context.Context, process *process, rng *rand.Rand) {
 	series := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGCONT}
 	if rng.IntN(2) == 0 {
 		return
 	}
 	if rng.IntN(2) == 0 {
-		_ = process.signal(syscall.SIGHUP) // it may have ended
+		_ = process.signal(syscall.SIGHUP) // an error means that it has exited
 	}
 	seed, exited := rng.Uint64(), process.done()
 	go func() {
-		o.record(Signalled)
+		inj.record(SignalSeries)
 		draws := rand.New(rand.NewPCG(seed, 0))
 		for range 1 + draws.IntN(6) {
-			if !pause(ctx, between(draws, 2*time.Millisecond, 900*time.Millisecond)) {
+			if !sleep(ctx, randomDuration(draws, 2*time.Millisecond, 900*time.Millisecond)) {
 				return
 			}
 			select {
-			case <-exited: // it may have been started anew
+			case <-exited: // a restarted process must not get the signals
 				return
 			default:
 			}
-			_ = process.signal(series[draws.IntN(len(series))]) // likewise
+			_ = process.signal(series[draws.IntN(len(series))]) // an error means that it has exited
 		}
 	}()
 }
 
-// upgrade has a new process take over. A node whose processes inherit no socket is
-// restarted.
-func upgrade(ctx context.Context, o *operator, rng *rand.Rand) {
-	if !o.node.Inherit {
-		restart(ctx, o, rng)
+// upgrade starts a new process that takes over from the current one. If the node's processes
+// don't inherit the socket, it restarts the process instead.
+func upgrade(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
+	if !inj.node.InheritSocket {
+		restart(ctx, inj, rng)
 		return
 	}
-	o.configuring.Lock()
-	defer o.configuring.Unlock()
-	// The old process may be killed as long after this as the new one takes to get ready.
-	o.expect(true, time.Now().Add(LongestStop))
-	o.record(Upgraded)
-	switch err := o.node.Upgrade(); {
+	inj.configMu.Lock()
+	defer inj.configMu.Unlock()
+	// The old process gets SIGTERM only when the new one is ready, so the kill may come later
+	// than this by the start time of the new one.
+	inj.setExpectedExit(true, time.Now().Add(MinKillDelay))
+	inj.record(Upgraded)
+	switch err := inj.node.Upgrade(); {
 	case errors.Is(err, ErrNotReady):
-		o.record(Crashed) // the new one, which was ended
+		inj.record(Crashed) // the new process, which was killed
 	case err != nil:
-		o.fail("%v", err)
+		inj.fail("%v", err)
 	}
-	o.expect(false, time.Time{})
+	inj.setExpectedExit(false, time.Time{})
 }
 
-// crash kills the process without notice and starts another.
-func crash(_ context.Context, o *operator, _ *rand.Rand) {
-	o.expect(true, time.Time{})
-	o.record(Crashed)
-	o.node.Kill()
-	o.launch()
+// crash kills the process without SIGTERM and starts a new one.
+func crash(_ context.Context, inj *faultInjector, _ *rand.Rand) {
+	inj.setExpectedExit(true, time.Time{})
+	inj.record(Crashed)
+	inj.node.Kill()
+	inj.launch()
 }
 
-// launch starts the process anew, and reports whether it listens. The event counts from
-// before the start: the former process has ended, and what runs from then on runs in the
-// new one, which serves before this goroutine hears of it.
-func (o *operator) launch() (listens bool) {
-	o.configuring.Lock()
-	defer o.configuring.Unlock()
+// launch restarts the process and reports whether it listens. The time of the event is that
+// before the start: the previous process has exited by then, so all later runs belong to
+// the new process, which may serve before Launch returns.
+func (inj *faultInjector) launch() (listens bool) {
+	inj.configMu.Lock()
+	defer inj.configMu.Unlock()
 	began := time.Now()
-	if err := o.node.Launch(); err != nil {
-		o.fail("%v", err)
+	if err := inj.node.Launch(); err != nil {
+		inj.fail("%v", err)
 		return false
 	}
-	o.history.Add(Event{Node: o.node.Name, Kind: Restarted, At: began})
-	o.expect(false, time.Time{})
+	inj.history.Add(Event{Node: inj.node.Name, Kind: Restarted, At: began})
+	inj.setExpectedExit(false, time.Time{})
 	return true
 }
 
-// watch reports a process that ends though nobody ended it.
-func (o *operator) watch(ctx context.Context) {
+// watch records a failure if the process exits although no fault ended it.
+func (inj *faultInjector) watch(ctx context.Context) {
 	for {
-		process := o.node.process()
+		process := inj.node.process()
 		exited := process.done()
 		select {
 		case <-ctx.Done():
 			return
 		case <-exited:
 		}
-		o.mu.Lock()
-		expected := o.expected
-		o.mu.Unlock()
-		replaced := process != o.node.process() || exited != process.done()
-		if !expected && !replaced && ctx.Err() == nil {
-			o.fail("%s ended by itself: %v", o.node.Name, o.node.Ended())
+		inj.mu.Lock()
+		exitExpected := inj.exitExpected
+		inj.mu.Unlock()
+		replaced := process != inj.node.process() || exited != process.done()
+		if !exitExpected && !replaced && ctx.Err() == nil {
+			inj.fail("%s exited unexpectedly: %v", inj.node.Name, inj.node.ExitError())
 			return
 		}
-		if !pause(ctx, redialPause) {
+		if !sleep(ctx, redialPause) {
 			return
 		}
 	}
--- a/internal/faultsoak/faults_relay.go
+++ b/internal/faultsoak/faults_relay.go
@@ -6,46 +6,46 @@
 	"time"
 )
 
-// relayed is a party that a node reaches through a relay: the relay, and the event that
-// stands for its faults.
-type relayed struct {
+// relayedService is a service that a node reaches through a relay. kind is the event that
+// records its faults.
+type relayedService struct {
 	relay func(*Node) *Relay
 	kind  EventKind
 }
 
-// The parties that a node reaches through relays.
+// The services that a node reaches through relays.
 var (
-	processorRelay  = relayed{(*Node).ProcessorRelay, ProcessorBad}
-	dependencyRelay = relayed{func(n *Node) *Relay { return n.DependencyRelay }, LedgerBad}
-	discoveryRelay  = relayed{func(n *Node) *Relay { return n.DiscoveryRelay }, AnnounceBad}
+	processorRelay  = relayedService{(*Node).ProcessorRelay, ProcessorFault}
+	dependencyRelay = relayedService{func(n *Node) *Relay { return n.DependencyRelay }, DependencyFault}
+	discoveryRelay  = relayedService{func(n *Node) *Relay { return n.DiscoveryRelay }, DiscoveryFault}
 )
 
-// relayFaults are the faults of a party: its connections are reset, it is silent, or it
-// refuses connections.
-func relayFaults(party relayed) []fault {
-	return []fault{party.resets, party.outage(Silent), party.outage(Refuse)}
+// relayFaults returns the faults of a service: its connections are reset, data is held back,
+// or connections are refused.
+func relayFaults(service relayedService) []fault {
+	return []fault{service.resetRepeatedly, service.outage(Silent), service.outage(Refuse)}
 }
 
-// resets resets a relay's connections again and again.
-func (p relayed) resets(ctx context.Context, o *operator, rng *rand.Rand) {
-	relay := p.relay(o.node)
-	o.record(p.kind)
+// resetRepeatedly resets the relay's connections up to 12 times.
+func (p relayedService) resetRepeatedly(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
+	relay := p.relay(inj.node)
+	inj.record(p.kind)
 	for range 1 + rng.IntN(12) {
 		relay.Reset()
-		if !pause(ctx, between(rng, 20*time.Millisecond, 500*time.Millisecond)) {
+		if !sleep(ctx, randomDuration(rng, 20*time.Millisecond, 500*time.Millisecond)) {
 			return
 		}
 	}
 }
 
-// outage is a fault that puts a relay into a mode for a while.
-func (p relayed) outage(mode RelayMode) fault {
-	return func(ctx context.Context, o *operator, rng *rand.Rand) {
-		relay := p.relay(o.node)
-		duration := between(rng, 100*time.Millisecond, 3*time.Second)
-		o.record(p.kind)
+// outage returns a fault that puts the relay into a mode for a while.
+func (p relayedService) outage(mode RelayMode) fault {
+	return func(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
+		relay := p.relay(inj.node)
+		duration := randomDuration(rng, 100*time.Millisecond, 3*time.Second)
+		inj.record(p.kind)
 		relay.SetMode(mode)
-		pause(ctx, duration)
+		sleep(ctx, duration)
 		relay.SetMode(Forward)
 	}
 }
--- a/internal/faultsoak/history.go
+++ b/internal/faultsoak/history.go
@@ -5,64 +5,63 @@
 	"time"
 )
 
-// EndKind says who ended a connection.
+// EndKind tells which side closed a connection.
 type EndKind int
 
-// The kinds.
+// The ways in which a connection ends.
 const (
-	StillOpen   EndKind = iota
-	EndedByNode         // the client read the end of the stream
-	ResetByNode         // a read or write failed
-	EndedByClient
+	StillOpen    EndKind = iota
+	ClosedByNode         // the client read EOF
+	ResetByNode          // a read or write failed
+	ClosedByClient
 )
 
-// String names a kind.
 func (k EndKind) String() string {
-	return [...]string{"open", "ended by the node", "reset by the node", "ended by the client"}[k]
+	return [...]string{"open", "closed by the node", "reset by the node", "closed by the client"}[k]
 }
 
-// The kinds of answers that the oracle distinguishes. kindServed is that of fakes.Outcome.
+// Kinds of answers that the oracle treats separately. kindServed is a kind of fakes.Outcome.
 const (
-	kindServed  = "served"
-	kindUnasked = "unasked" // to no open request: it was answered before, or never sent
+	kindServed     = "served"
+	kindUnexpected = "unasked" // an answer to a request that was answered before or never sent
 )
 
-// Answer is a final answer that a client read.
+// Answer is a final answer that a client received.
 type Answer struct {
-	Kind string // that of fakes.Outcome, or kindUnasked
+	Kind string // kind of fakes.Outcome, or kindUnexpected
 	Body string
 	At   time.Time
 }
 
-// Request is one attempt of a request as its client saw it.
+// Request is the client's record of one attempt of a request.
 type Request struct {
 	Node     string
-	ID       string // its field txn
+	ID       string // field txn
 	Conn     *ConnRecord
 	Seq      int32
 	Class    string
-	Key      string // of a keyed class, the same for all attempts
+	Key      string // idempotency key; "" if the class is not keyed
 	Body     string
-	Deadline time.Duration // of its class, from Door
-	Door     time.Time     // its field door: when it reached the machine
-	// LastWriteBegan and Written are when the last write of the request began and
-	// returned. They are zero if it was not written whole.
+	Deadline time.Duration // counts from Arrival
+	Arrival  time.Time     // field door: when the request reached the machine
+	// LastWriteBegan and Written are the times at which the last write of the request
+	// began and returned. They are zero if the request was not written completely.
 	LastWriteBegan, Written time.Time
-	GivenUp                 bool // the client sent interrupt
+	Cancelled               bool // the client sent the message interrupt
 	Answers                 []Answer
 }
 
-// ConnRecord is what became of one connection.
+// ConnRecord records the lifetime of one connection.
 type ConnRecord struct {
 	Node      string
 	Opened    time.Time
-	LeavingAt time.Time // when the message leaving was read; zero for never
-	EndedAt   time.Time
+	LeavingAt time.Time // when the client received the message leaving; zero if it did not
+	ClosedAt  time.Time
 	End       EndKind
 	Err       error
 }
 
-// Event is a fault or a lifecycle step that was played on a node.
+// Event is an injected fault or a lifecycle step of a node.
 type Event struct {
 	Node  string
 	Kind  EventKind
@@ -70,31 +69,31 @@
 	Until time.Time // when a pause ended; zero for other events
 }
 
-// EventKind names an event.
+// EventKind is the kind of an event.
 type EventKind string
 
-// The events that the oracle takes into account. Others are only printed.
+// The kinds of events. The oracle evaluates Paused, Terminated, Crashed and Restarted; the
+// others are only printed.
 const (
-	Paused       EventKind = "paused"       // SIGSTOP until SIGCONT
-	Terminated   EventKind = "terminated"   // SIGTERM
-	Killed       EventKind = "killed"       // SIGKILL that follows SIGTERM
-	Crashed      EventKind = "crashed"      // SIGKILL without notice
-	Exited       EventKind = "exited"       // the process ended by itself
-	Restarted    EventKind = "restarted"    // a new process was started after the former one ended
-	Upgraded     EventKind = "upgraded"     // a new process is started beside, the old one is stopped
-	SentAway     EventKind = "sent_away"    // drain-on was answered: operators disabled traffic
-	FetchedBack  EventKind = "fetched_back" // drain-off was answered: operators enabled it again
-	ProcessorBad EventKind = "processor"    // a fault of the relay to the processor
-	LedgerBad    EventKind = "ledger"       // a fault of the relay to the ledger
-	AnnounceBad  EventKind = "announce"     // a fault of the relay to the announce service
-	Reloaded     EventKind = "reload"       // SIGHUP
-	Crowded      EventKind = "crowd"        // many connections at a time
-	Signalled    EventKind = "signals"      // a series of signals
-	SystemBad    EventKind = "system"       // failing system calls, or a step of Unix time
+	Paused          EventKind = "paused"       // from SIGSTOP to SIGCONT
+	Terminated      EventKind = "terminated"   // SIGTERM
+	Killed          EventKind = "killed"       // SIGKILL after SIGTERM
+	Crashed         EventKind = "crashed"      // SIGKILL without SIGTERM
+	Exited          EventKind = "exited"       // the process exited after SIGTERM, before SIGKILL
+	Restarted       EventKind = "restarted"    // a new process was started after the previous one had exited
+	Upgraded        EventKind = "upgraded"     // a new process takes over from a running one, which is then stopped
+	TrafficDisabled EventKind = "sent_away"    // operators disabled traffic with the command drain-on
+	TrafficEnabled  EventKind = "fetched_back" // operators enabled traffic with the command drain-off
+	ProcessorFault  EventKind = "processor"    // a fault of the relay to the processor
+	DependencyFault EventKind = "ledger"       // a fault of the relay to the shared dependency
+	DiscoveryFault  EventKind = "announce"     // a fault of the relay to the discovery service
+	Reloaded        EventKind = "reload"       // SIGHUP
+	ConnectionCrowd EventKind = "crowd"        // many connections were opened at a time
+	SignalSeries    EventKind = "signals"      // further signals around a SIGTERM
+	SystemFault     EventKind = "system"       // a new fault plan: failing system calls, or a step of the wall clock
 )
 
-// History is all that clients saw and all that was played. It is safe for concurrent
-// use.
+// History records requests, connections and events. It is safe for concurrent use.
 type History struct {
 	mu       sync.Mutex
 	requests []*Request
@@ -121,9 +120,9 @@
 	h.events = append(h.events, e)
 }
 
-// recent returns the id of the request that was sent back requests before the last; "" if
-// there are not as many.
-func (h *History) recent(back int) string {
+// recentID returns the ID of the request that was sent back requests before the last one,
+// or "" if there is none.
+func (h *History) recentID(back int) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.requests) <= back {
@@ -132,7 +131,7 @@
 	return h.requests[len(h.requests)-1-back].ID
 }
 
-// update changes a record under the history's lock.
+// update calls change, which may read or write records, while holding the history's lock.
 func (h *History) update(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/faultsoak/node.go
+++ b/internal/faultsoak/node.go
@@ -13,50 +13,51 @@
 )
 
 const (
-	readyTimeout       = 6 * time.Second // for the process that takes over to be ready
+	readyTimeout       = 6 * time.Second // for a new process to be ready to take over
 	readyCheckInterval = 30 * time.Millisecond
 )
 
-// Errors of nodes.
+// Errors returned by methods of Node.
 var (
-	ErrNotStarted = errors.New("faultsoak: the process ended before it listened")
-	ErrNotReady   = errors.New("faultsoak: the process that takes over is not ready")
+	ErrNotStarted = errors.New("faultsoak: the process did not start listening")
+	ErrNotReady   = errors.New("faultsoak: the new process is not ready to take over")
 )
 
-// NodeConfig is what a node is made of.
+// NodeConfig configures a node.
 type NodeConfig struct {
-	Name    string
-	Binary  string         // path of the program
-	Dir     string         // where its configuration is written
-	Config  map[string]any // the platform's configuration; addresses are filled in
-	Took    time.Duration  // of a run, for bodies that name no other
-	Env     []string       // of the process, beside the test's own
-	Args    []string
-	Faults  bool // Binary is of a build with faults
-	Keys    bool // its keys outlive the process, in a folder of its own
-	Inherit bool // its processes inherit the listening socket, and take over from each other
-	LogSink LogSink
+	Name          string
+	Binary        string         // path of the program
+	Dir           string         // folder for the configuration file and the keys
+	Config        map[string]any // the platform's configuration; addresses are filled in
+	RunDuration   time.Duration  // duration of runs that neither fail nor hang
+	Env           []string       // added to the inherited environment
+	Args          []string
+	Faults        bool // Binary was built by BuildWithFaults
+	DurableKeys   bool // keys are stored in a folder and kept across restarts
+	InheritSocket bool // processes inherit the listening socket and can take over from each other
+	LogSink       LogSink
 }
 
-// LogSink says what becomes of a process's log once it listens.
+// LogSink tells what happens to a process's log pipe after the process listens.
 type LogSink int
 
-// The sinks.
+// The ways of treating the log pipe.
 const (
-	LogRead   LogSink = iota // it is read and kept
-	LogUnread                // its pipe stays open, but nobody reads it any more
-	LogClosed                // its pipe has no reader any more
+	LogRead   LogSink = iota // the log is read and kept
+	LogUnread                // the pipe stays open, but is no longer read
+	LogClosed                // the reading end is closed
 )
 
-// Run is a run that the processor began.
+// Run is a run that the processor started.
 type Run struct {
 	Node string
 	Body string
 	At   time.Time
 }
 
-// Node is one app server among fakes: a process of the program, or two while one takes
-// over. A process that has ended may be started again, with the same address.
+// Node is an app server with fakes of the services around it. It has one process of the
+// program, or two during a handover. A process that has exited may be started again, with
+// the same address.
 type Node struct {
 	NodeConfig
 
@@ -64,12 +65,12 @@
 	Work       *fakes.Work
 	Dependency *fakes.Dependency
 	Discovery  *fakes.DiscoveryService
-	// Relays stand between the processes and the fakes.
+	// The relays are between the processes and the fakes.
 	DependencyRelay, DiscoveryRelay *Relay
 
-	listener  net.Listener // that processes inherit; nil else
+	listener  net.Listener // inherited by the processes; nil without InheritSocket
 	socket    *os.File
-	processes int // made so far
+	processes int // number of processes created
 
 	mu      sync.Mutex
 	current *process
@@ -77,9 +78,9 @@
 	log     []string
 }
 
-// StartNode starts the fakes and the process.
+// StartNode starts the fakes and the process. It returns when the process listens.
 func StartNode(config NodeConfig) (*Node, error) {
-	n := &Node{NodeConfig: config, Work: fakes.NewWork(config.Took)}
+	n := &Node{NodeConfig: config, Work: fakes.NewWork(config.RunDuration)}
 	if err := n.start(); err != nil {
 		n.Close()
 		return nil, err
@@ -121,19 +122,20 @@
 	return err
 }
 
-// listen finds the node's address, and opens the socket that its processes inherit.
+// listen chooses the node's address, and with InheritSocket opens the socket that its
+// processes inherit.
 func (n *Node) listen() (err error) {
-	if !n.Inherit {
+	if !n.InheritSocket {
 		n.Address, err = freeAddress()
 		return err
 	}
-	if n.listener, err = listenAnywhere(); err != nil {
+	if n.listener, err = listenLoopback(); err != nil {
 		return err
 	}
 	n.Address = n.listener.Addr().String()
 	tcp, ok := n.listener.(*net.TCPListener)
 	if !ok {
-		return fmt.Errorf("faultsoak: a listener of type %T", n.listener)
+		return fmt.Errorf("faultsoak: listener has type %T, want *net.TCPListener", n.listener)
 	}
 	if n.socket, err = tcp.File(); err != nil {
 		return fmt.Errorf("faultsoak: %w", err)
@@ -141,7 +143,8 @@
 	return nil
 }
 
-// recordRuns keeps what the processor begins, and drains what the fakes tell.
+// recordRuns records the runs that the processor starts. It discards the other events of
+// the fakes, so that their channels don't fill up.
 func (n *Node) recordRuns() {
 	for {
 		select {
@@ -157,14 +160,14 @@
 	}
 }
 
-// Runs returns the runs that were begun so far.
+// Runs returns the runs that were started so far.
 func (n *Node) Runs() []Run {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]Run(nil), n.runs...)
 }
 
-// Log returns the lines that the processes logged so far.
+// Log returns the lines that the processes have logged so far.
 func (n *Node) Log() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -186,56 +189,61 @@
 	return n.log[len(n.log)-1]
 }
 
-// process returns the process that serves: the successor from when Upgrade has found it ready.
+// process returns the current process. During Upgrade this is the old process until the
+// new one is ready.
 func (n *Node) process() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current
 }
 
-// Ready waits until the processor is asked for its gauges: requests are run.
-func (n *Node) Ready() { <-n.process().processor.Up() }
+// AwaitReady waits until the process has requested the processor's gauges. From then on it
+// runs requests.
+func (n *Node) AwaitReady() { <-n.process().processor.Up() }
 
-// ProcessorRelay returns the relay between the process that serves and its processor.
+// ProcessorRelay returns the relay between the current process and its processor.
 func (n *Node) ProcessorRelay() *Relay { return n.process().relay }
 
-// Control returns the address at which operators call the process that serves.
+// Control returns the address for operators' commands to the current process.
 func (n *Node) Control() string { return n.process().control }
 
-// FaultsAddress returns the address of the fault layer of the process that serves.
+// FaultsAddress returns the address of the fault layer of the current process.
 func (n *Node) FaultsAddress() string { return n.process().faults }
 
-// WriteConfig writes the configuration file with changes of its top level. The
-// process takes it over at SIGHUP.
+// WriteConfig writes the configuration file, with changes of top-level settings. The
+// process reads it on SIGHUP.
 func (n *Node) WriteConfig(changes map[string]any) error { return n.process().writeConfig(changes) }
 
-// WriteConfigText replaces the configuration file whole.
+// WriteConfigText replaces the content of the configuration file.
 func (n *Node) WriteConfigText(text string) error { return n.process().writeConfigText(text) }
 
-// Launch starts the process, anew after it has ended, and returns once it listens.
+// Launch starts the process, or restarts it after it has exited. It returns when the
+// process listens.
 func (n *Node) Launch() error { return n.process().launch() }
 
-// Signal sends a signal to the process. One that has ended takes none.
+// Signal sends a signal to the current process. It returns an error if the process has
+// exited.
 func (n *Node) Signal(s syscall.Signal) error { return n.process().signal(s) }
 
-// Exited returns a channel that is closed when the process that serves has ended.
+// Exited returns a channel that is closed when the current process has exited.
 func (n *Node) Exited() <-chan struct{} { return n.process().done() }
 
-// Ended returns how the last process ended: nil for exit code 0.
-func (n *Node) Ended() error {
+// ExitError returns the result of waiting for the current process: nil for exit code 0, or
+// if it has not exited yet.
+func (n *Node) ExitError() error {
 	p := n.process()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.exitErr
 }
 
-// Kill ends the process at once, and waits for that.
+// Kill sends SIGKILL to the current process and waits until it has exited.
 func (n *Node) Kill() { n.process().kill() }
 
-// Upgrade has a new process take over from the one at work, as the platform does: the
-// old one is told to stop once the new one is ready. It returns when the old one has
-// ended. Where the new one does not get ready in time, it is ended, and ErrNotReady
-// returned.
+// Upgrade starts a new process that takes over from the current one, as the platform does:
+// it stops the old process when the new one is ready. It returns when the old process has
+// exited. If the new process does not become ready in time, Upgrade kills it and returns
+// ErrNotReady.
 func (n *Node) Upgrade() error {
 	old := n.process()
 	next, err := n.newProcess()
@@ -259,17 +267,17 @@
 	return err
 }
 
-// awaitReady waits until the process says that it can serve.
+// awaitReady polls the process until it reports that it can serve, for at most readyTimeout.
 func (p *process) awaitReady() bool {
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyCheckInterval) {
-		if callOperators(p.control, "check") {
+		if callOperatorPort(p.control, "check") {
 			return true
 		}
 	}
 	return false
 }
 
-// Close ends the process and the fakes.
+// Close kills the process and closes the fakes.
 func (n *Node) Close() {
 	if p := n.process(); p != nil {
 		if p.done() != nil {
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -8,36 +8,37 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// Terms are the figures of the rules, as the platform's settings state them.
-type Terms struct {
-	Grace       time.Duration // of a drain
-	AnswerSlack time.Duration // past the deadline
-	Window      time.Duration // of keyed classes
-	// DurableKeys names the nodes whose keys outlive their processes.
+// RuleSettings are the limits of the rules that the platform's settings state.
+type RuleSettings struct {
+	Grace       time.Duration // of a drain: requests are accepted for this long after SIGTERM
+	AnswerSlack time.Duration // allowed past a request's deadline
+	Window      time.Duration // in which a key runs at most once
+	// DurableKeys contains the nodes that keep their keys across restarts.
 	DurableKeys map[string]bool
 }
 
-// Slacks of the platform's rules, and of a busy test machine.
+// Tolerances of the platform's rules, and for a busy test machine.
 const (
-	socketSlack  = 50 * time.Millisecond  // on every time limit, and for a request that crosses a close
-	machineSlack = 300 * time.Millisecond // clients and fakes of a test share its machine
-	// maxLateShare of the requests may have no final answer in their time.
+	socketSlack  = 50 * time.Millisecond  // on time limits, and between a write and a close that cross
+	machineSlack = 300 * time.Millisecond // delays of clients and fakes, which share the machine with the nodes
+	// maxLateShare is the share of late requests from which the rule about late answers is
+	// broken.
 	maxLateShare = 3.0 / 1000
 )
 
-// The rules, as reports name them.
+// The names of the rules in reports.
 const (
-	ruleLost      = "lost"      // each request that was written whole is answered
-	ruleDuplicate = "duplicate" // each has one answer, and a key one run in its window
-	ruleDrain     = "drain"     // nothing runs that came after the grace of a drain
-	ruleLate      = "late"      // answers are in time
-	ruleSpoilt    = "spoilt"    // an answer is that of a run made for its request
+	ruleLost      = "lost"      // each completely written request is answered
+	ruleDuplicate = "duplicate" // a request has at most one answer, and a key at most one run in its window
+	ruleDrain     = "drain"     // a request that arrives after the grace of a drain is not run
+	ruleLate      = "late"      // answers are sent before the deadline plus slack
+	ruleWrongBody = "spoilt"    // a served answer has the result of its own request
 )
 
-// bodyWithoutCall is the result of a run that went on without its call.
+// bodyWithoutCall is the result of a run that continued without its downstream call.
 const bodyWithoutCall = "without"
 
-// Violation is a broken rule.
+// Violation is a violation of a rule.
 type Violation struct {
 	Rule    string // one of the rules above
 	Node    string
@@ -45,31 +46,31 @@
 	Message string
 }
 
-// String describes the violation.
 func (v Violation) String() string { return fmt.Sprintf("%s: %s: %s", v.Rule, v.Node, v.Message) }
 
-// Report is the oracle's verdict, with counts that show what was played.
+// Report is the result of Check, with counts of the answers.
 type Report struct {
 	Violations []Violation
 	Outcomes   map[string]int // answers by kind
-	Crossed    int            // unanswered requests that crossed a close within socketSlack
-	Excused    int            // unanswered as their node crashed or their client left
-	Late       []Violation    // answers past their time: the rule is broken by maxLateShare of all
+	Crossed    int            // unanswered requests written at most socketSlack before the connection closed
+	Excused    int            // unanswered requests that need no answer, see checkUnanswered
+	Late       []Violation    // late answers; violations if they reach maxLateShare of all requests
 }
 
-// check is the oracle at work on one history.
-type check struct {
-	terms  Terms
-	events []Event
-	runs   []Run
-	report Report
+// checker evaluates the rules on one history.
+type checker struct {
+	settings RuleSettings
+	events   []Event
+	runs     []Run
+	report   Report
 }
 
-// Check judges a history. runs are what the processors of all nodes began.
-func Check(h *History, runs []Run, terms Terms) Report {
+// Check evaluates the rules on a history. runs are the runs that the processors of all
+// nodes started.
+func Check(h *History, runs []Run, settings RuleSettings) Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := &check{terms: terms, events: h.events, runs: runs, report: Report{Outcomes: map[string]int{}}}
+	c := &checker{settings: settings, events: h.events, runs: runs, report: Report{Outcomes: map[string]int{}}}
 	for _, r := range h.requests {
 		c.checkAnswers(r)
 	}
@@ -81,22 +82,23 @@
 	return c.report
 }
 
-// violate reports a violation.
-func (c *check) violate(rule, node string, at time.Time, format string, args ...any) {
+// violate adds a violation to the report.
+func (c *checker) violate(rule, node string, at time.Time, format string, args ...any) {
 	c.report.Violations = append(c.report.Violations,
 		Violation{Rule: rule, Node: node, At: at, Message: fmt.Sprintf(format, args...)})
 }
 
-// checkAnswers checks that a request has one whole answer, in time, of a run made for it.
-func (c *check) checkAnswers(r *Request) {
+// checkAnswers checks that a request has exactly one answer, and checks that answer.
+func (c *checker) checkAnswers(r *Request) {
 	for _, a := range r.Answers {
 		c.report.Outcomes[a.Kind]++
 	}
 	switch {
-	case len(r.Answers) == 1 && r.Answers[0].Kind == kindUnasked:
-		c.violate(ruleDuplicate, r.Node, r.Answers[0].At, "an answer to request %d, which has one already", r.Seq)
+	case len(r.Answers) == 1 && r.Answers[0].Kind == kindUnexpected:
+		c.violate(ruleDuplicate, r.Node, r.Answers[0].At,
+			"unexpected answer to request number %d: answered before, or never sent", r.Seq)
 	case len(r.Answers) > 1:
-		c.violate(ruleDuplicate, r.Node, r.Answers[1].At, "%d answers to %q", len(r.Answers), r.Body)
+		c.violate(ruleDuplicate, r.Node, r.Answers[1].At, "got %d answers to %q, want 1", len(r.Answers), r.Body)
 	case len(r.Answers) == 1:
 		c.checkAnswer(r, r.Answers[0])
 	default:
@@ -104,54 +106,58 @@
 	}
 }
 
-// checkAnswer checks the only answer to a request: its body, and that it was in time.
-func (c *check) checkAnswer(r *Request, a Answer) {
+// checkAnswer checks the body and the time of the only answer to a request.
+func (c *checker) checkAnswer(r *Request, a Answer) {
 	if want := fakes.Result(r.Body); a.Kind == kindServed && a.Body != want && a.Body != bodyWithoutCall {
-		c.violate(ruleSpoilt, r.Node, a.At, "%q was served with %q", r.Body, a.Body)
+		c.violate(ruleWrongBody, r.Node, a.At, "%q was served with body %q, want %q", r.Body, a.Body, want)
 	}
-	if r.Written.IsZero() || r.GivenUp {
+	if r.Written.IsZero() || r.Cancelled {
 		return
 	}
-	if late := a.At.Sub(c.lastMoment(r)) - c.pausedWithin(r.Node, r.Door, a.At); late > 0 {
+	if late := a.At.Sub(c.answerDeadline(r)) - c.pausedWithin(r.Node, r.Arrival, a.At); late > 0 {
 		message := fmt.Sprintf("%q was answered %v late", r.Body, late)
 		c.report.Late = append(c.report.Late, Violation{Rule: ruleLate, Node: r.Node, At: a.At, Message: message})
 	}
 }
 
-// lastMoment returns by when a request is to be answered, without its node's pauses.
-func (c *check) lastMoment(r *Request) time.Time {
-	due := r.Door.Add(r.Deadline)
+// answerDeadline returns the latest time for the answer to a request, not counting the
+// node's pauses.
+func (c *checker) answerDeadline(r *Request) time.Time {
+	due := r.Arrival.Add(r.Deadline)
 	if r.Written.After(due) {
-		due = r.Written // never before it could be read
+		due = r.Written // a request can't be answered before it is written
 	}
-	return due.Add(c.terms.AnswerSlack + socketSlack + machineSlack)
+	return due.Add(c.settings.AnswerSlack + socketSlack + machineSlack)
 }
 
-// checkUnanswered tells a lost request from one that nobody owes an answer.
-func (c *check) checkUnanswered(r *Request) {
+// checkUnanswered reports an unanswered request as lost unless it needs no answer: it was
+// written incompletely or cancelled, its client closed the connection before the deadline,
+// its node crashed, or it crossed a close.
+func (c *checker) checkUnanswered(r *Request) {
 	conn := r.Conn
 	switch {
-	case r.Written.IsZero() || r.GivenUp:
+	case r.Written.IsZero() || r.Cancelled:
 		c.report.Excused++
-	case conn.End == EndedByClient && conn.EndedAt.Before(c.lastMoment(r)):
+	case conn.End == ClosedByClient && conn.ClosedAt.Before(c.answerDeadline(r)):
 		c.report.Excused++
-	case conn.End == EndedByClient:
-		c.violate(ruleLost, r.Node, r.Written, "%q had no answer in %v, when its client left", r.Body,
-			conn.EndedAt.Sub(r.Written).Round(time.Millisecond))
+	case conn.End == ClosedByClient:
+		c.violate(ruleLost, r.Node, r.Written,
+			"%q had no answer %v after it was written, when its client closed the connection", r.Body,
+			conn.ClosedAt.Sub(r.Written).Round(time.Millisecond))
 	case conn.End == StillOpen:
 		c.violate(ruleLost, r.Node, r.Written, "%q has no answer on an open connection", r.Body)
-	case c.crashedBetween(r.Node, r.LastWriteBegan, conn.EndedAt):
+	case c.crashedBetween(r.Node, r.LastWriteBegan, conn.ClosedAt):
 		c.report.Excused++
-	case conn.EndedAt.Sub(r.LastWriteBegan) <= socketSlack:
+	case conn.ClosedAt.Sub(r.LastWriteBegan) <= socketSlack:
 		c.report.Crossed++
 	default:
 		c.violate(ruleLost, r.Node, r.Written, "%q was written %v before its connection was %v (%v)%s", r.Body,
-			conn.EndedAt.Sub(r.LastWriteBegan).Round(time.Millisecond), conn.End, conn.Err, c.eventsBefore(r.Node, conn.EndedAt))
+			conn.ClosedAt.Sub(r.LastWriteBegan).Round(time.Millisecond), conn.End, conn.Err, c.eventsBefore(r.Node, conn.ClosedAt))
 	}
 }
 
-// eventsBefore describes what was played on a node within some seconds before a time.
-func (c *check) eventsBefore(node string, at time.Time) (text string) {
+// eventsBefore describes the events of a node in the seconds before a time.
+func (c *checker) eventsBefore(node string, at time.Time) (text string) {
 	const before = 4 * time.Second
 	for _, e := range c.events {
 		if ago := at.Sub(e.At); e.Node == node && ago > -socketSlack && ago < before {
@@ -164,8 +170,8 @@
 	return text
 }
 
-// pausedWithin returns for how long a node was paused in a span.
-func (c *check) pausedWithin(node string, from, to time.Time) (total time.Duration) {
+// pausedWithin returns the total time that a node was paused between from and to.
+func (c *checker) pausedWithin(node string, from, to time.Time) (total time.Duration) {
 	for _, e := range c.events {
 		if e.Node != node || e.Kind != Paused {
 			continue
@@ -182,16 +188,18 @@
 	return total
 }
 
-// crashedBetween reports whether a node was killed without notice in a span.
-func (c *check) crashedBetween(node string, from, to time.Time) bool {
+// crashedBetween reports whether a node was killed without SIGTERM between from and to,
+// within socketSlack.
+func (c *checker) crashedBetween(node string, from, to time.Time) bool {
 	return slices.ContainsFunc(c.events, func(e Event) bool {
 		return e.Node == node && e.Kind == Crashed && e.At.After(from.Add(-socketSlack)) && e.At.Before(to.Add(socketSlack))
 	})
 }
 
-// checkKeyedRuns checks that no key runs twice within its window in one life of a node, or at
-// all where its keys outlive its process.
-func (c *check) checkKeyedRuns(requests []*Request) {
+// checkKeyedRuns checks that a node runs no key twice within the key's window. A run is
+// matched to requests by body, as attempts with one key have the same body. A restart
+// resets the window unless the node keeps its keys across restarts.
+func (c *checker) checkKeyedRuns(requests []*Request) {
 	keyed := map[string]bool{}
 	for _, r := range requests {
 		if r.Key != "" {
@@ -205,59 +213,59 @@
 		}
 		id := run.Node + " " + run.Body
 		before, ran := last[id]
-		if ran && run.At.Sub(before.At) < c.terms.Window &&
-			(c.terms.DurableKeys[run.Node] || !c.restartedBetween(run.Node, before.At, run.At)) {
+		if ran && run.At.Sub(before.At) < c.settings.Window &&
+			(c.settings.DurableKeys[run.Node] || !c.restartedBetween(run.Node, before.At, run.At)) {
 			c.violate(ruleDuplicate, run.Node, run.At, "%q ran again after %v", run.Body, run.At.Sub(before.At))
 		}
 		last[id] = run
 	}
 }
 
-// restartedBetween reports whether a node's process was started anew in a span.
-func (c *check) restartedBetween(node string, from, to time.Time) bool {
+// restartedBetween reports whether a node's process was restarted between from and to.
+func (c *checker) restartedBetween(node string, from, to time.Time) bool {
 	return slices.ContainsFunc(c.events, func(e Event) bool {
 		return e.Node == node && e.Kind == Restarted && e.At.After(from) && e.At.Before(to)
 	})
 }
 
-// checkRunsInDrains checks that no run began for a request that came after the grace of its
-// node's drain. Requests are told apart by their bodies; where several attempts share one,
-// any that came in time allows the run.
-func (c *check) checkRunsInDrains(requests []*Request) {
+// checkRunsInDrains checks that no run was started for a request that arrived after the
+// grace of its node's drain. A run is matched to requests by body. If several attempts have
+// the same body, one that arrived in time is enough.
+func (c *checker) checkRunsInDrains(requests []*Request) {
 	attempts := map[string][]*Request{}
 	for _, r := range requests {
 		attempts[r.Node+" "+r.Body] = append(attempts[r.Node+" "+r.Body], r)
 	}
 	for _, run := range c.runs {
-		notice, ok := c.noticeBefore(run.Node, run.At)
+		sigtermAt, ok := c.lastSIGTERM(run.Node, run.At)
 		if !ok {
 			continue
 		}
-		last := notice.Add(c.terms.Grace + socketSlack)
-		// A pause counts where it overlaps the grace: nothing was taken in meanwhile.
+		last := sigtermAt.Add(c.settings.Grace + socketSlack)
+		// A pause counts as part of the grace, as the process accepts nothing while paused.
 		inTime := slices.ContainsFunc(attempts[run.Node+" "+run.Body], func(r *Request) bool {
 			return !r.LastWriteBegan.IsZero() && !r.LastWriteBegan.After(last)
 		})
 		if !inTime {
-			c.violate(ruleDrain, run.Node, run.At, "%q ran %v after SIGTERM; it came after the grace", run.Body,
-				run.At.Sub(notice).Round(time.Millisecond))
+			c.violate(ruleDrain, run.Node, run.At, "%q ran %v after SIGTERM, but arrived after the grace", run.Body,
+				run.At.Sub(sigtermAt).Round(time.Millisecond))
 		}
 	}
 }
 
-// noticeBefore returns when the process that served a node at a time got SIGTERM, if it had
-// by then.
-func (c *check) noticeBefore(node string, at time.Time) (notice time.Time, ok bool) {
+// lastSIGTERM returns the time of the last SIGTERM to a node, up to at. ok is false if
+// the node's process got none since its last restart.
+func (c *checker) lastSIGTERM(node string, at time.Time) (sigtermAt time.Time, ok bool) {
 	for _, e := range c.events {
 		if e.Node != node || e.At.After(at) {
 			continue
 		}
 		switch e.Kind {
 		case Terminated:
-			notice, ok = e.At, true
+			sigtermAt, ok = e.At, true
 		case Restarted:
 			ok = false
 		}
 	}
-	return notice, ok
+	return sigtermAt, ok
 }
--- a/internal/faultsoak/passingerror_test.go
+++ b/internal/faultsoak/passingerror_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestPassingErrorsEndNoConnection: reads or writes of sockets fail now and then with an
-// error that does not say that the connection has ended, as Linux documents them for read,
-// write, recv and send. All requests are answered on the connections they were written to.
-func TestPassingErrorsEndNoConnection(t *testing.T) {
+// Reads or writes of sockets sometimes fail with errors that don't mean that the connection
+// is closed, as Linux documents them for read, write, recv and send. Each request must be
+// answered on the connection on which it was sent.
+func TestTransientSocketErrors_KeepConnectionsOpen(t *testing.T) {
 	withFaults, err := BuildWithFaults(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 	} {
 		t.Run(fmt.Sprint(rule.Call, " ", rule.Errno), func(t *testing.T) {
 			t.Parallel()
-			b := newBenchWith(t, NodeConfig{Binary: withFaults, Faults: true, Took: 5 * time.Millisecond})
+			b := newTestNodeFrom(t, NodeConfig{Binary: withFaults, Faults: true, RunDuration: 5 * time.Millisecond})
 			clients := b.dialMany()
 			rule.Probability, rule.Burst = 0.05, 2
 			if err := b.node.SetFaults(FaultPlan{Seed: 1, Rules: []FaultRule{rule}}); err != nil {
@@ -35,13 +35,13 @@
 			const each = 20
 			for i := range each {
 				for j, c := range clients {
-					b.ask(c, Ask{Body: fmt.Sprint("page ", i, " ", j)})
+					b.send(c, RequestSpec{Body: fmt.Sprint("page ", i, " ", j)})
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			await(clients)
-			if n := answers(b.verdict()); n != each*connections {
-				t.Errorf("%d answers to %d requests", n, each*connections)
+			awaitAnswers(clients)
+			if n := countAnswers(b.checkRules()); n != each*connectionCount {
+				t.Errorf("got %d answers, want %d", n, each*connectionCount)
 			}
 		})
 	}
--- a/internal/faultsoak/persistentclients.go
+++ b/internal/faultsoak/persistentclients.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// Clients that go on using what they have until it is taken from them, whatever they are
-// told.
+// Clients that don't stop when the node sends the message leaving: they use a connection
+// until the node closes it.
 
-// persistent has many requests open at a time, whatever it is told, until its connection
-// ends.
-func persistent(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	pipeline(ctx, p, c, rng, func() bool { return true })
+// pipelineUntilClosed keeps up to maxOpenRequests open until the connection is closed.
+func pipelineUntilClosed(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	pipeline(ctx, group, c, rng, func() bool { return true })
 }
 
-// knocking asks once on each of its connections, and comes with the next one at once. Some
-// stay until they are ended.
-func knocking(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	if _, err := c.Send(p.ask(rng)); err != nil {
+// reconnectPerRequest sends one request on each connection and then reconnects at once. On
+// some connections it first waits until the node closes them, for at most idleTimeout.
+func reconnectPerRequest(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	if _, err := c.Send(group.newRequest(rng)); err != nil {
 		return
 	}
 	c.awaitAnswersOrTimeout()
@@ -26,18 +25,19 @@
 		select {
 		case <-ctx.Done():
 		case <-c.Done():
-		case <-time.After(restTimeout):
+		case <-time.After(idleTimeout):
 		}
 	}
 }
 
-// asking is one of a crowd: it comes at any time, asks some times and stays for a while.
-func asking(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
+// crowdClient is one client of a crowd: it sends up to three requests and then keeps the
+// connection for a while.
+func crowdClient(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
 	for range 1 + rng.IntN(3) {
-		if _, err := c.Send(p.ask(rng)); err != nil {
+		if _, err := c.Send(group.newRequest(rng)); err != nil {
 			return
 		}
-		if !pause(ctx, between(rng, 0, 300*time.Millisecond)) {
+		if !sleep(ctx, randomDuration(rng, 0, 300*time.Millisecond)) {
 			return
 		}
 	}
@@ -45,55 +45,55 @@
 	select {
 	case <-ctx.Done():
 	case <-c.Done():
-	case <-time.After(between(rng, 0, 2*time.Second)):
+	case <-time.After(randomDuration(rng, 0, 2*time.Second)):
 	}
 }
 
-// maxNoise is how often a noisy client sends what is no message: fewer than have its
-// connection ended.
-const maxNoise = 40
+// maxBadMessages is the number of bad messages that sendBadMessages sends on a connection.
+// It is below the number at which the node closes the connection.
+const maxBadMessages = 40
 
-// noisy sends requests, and what is no message between them.
-func noisy(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
-	noise := 0
-	for pause(ctx, between(rng, time.Millisecond, 60*time.Millisecond)) {
-		if _, err := c.Send(p.ask(rng)); err != nil {
+// sendBadMessages sends requests with bad messages between them.
+func sendBadMessages(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
+	sent := 0
+	for sleep(ctx, randomDuration(rng, time.Millisecond, 60*time.Millisecond)) {
+		if _, err := c.Send(group.newRequest(rng)); err != nil {
 			return
 		}
-		if noise < maxNoise && rng.IntN(4) == 0 {
-			noise++
+		if sent < maxBadMessages && rng.IntN(4) == 0 {
+			sent++
 			bad := badMessages[rng.IntN(len(badMessages))]
-			if c.WriteRaw(bad.Append(c.NextSeq(bad.Counts))) != nil {
+			if c.WriteRaw(bad.Append(c.NextSeq(bad.TakesSeq))) != nil {
 				return
 			}
 		}
-		if c.Open() >= pipelined || noise == maxNoise {
+		if c.Open() >= maxOpenRequests || sent == maxBadMessages {
 			c.awaitAnswersOrTimeout()
 		}
-		if noise == maxNoise {
+		if sent == maxBadMessages {
 			return
 		}
 	}
 }
 
-// recentRequests is among how many of the last requests a borrowing client picks.
-const recentRequests = 20
+// maxRecentOffset is the number of recent requests from which reuseRequestIDs picks an ID.
+const maxRecentOffset = 20
 
-// borrowing sends requests under ids that others use, takes back requests under numbers that
-// it never had, and leaves. Its own answers are of no interest.
-func borrowing(ctx context.Context, p *population, c *Client, rng *rand.Rand) {
+// reuseRequestIDs sends requests with the IDs of recent requests, often of other clients,
+// and cancels some of them. It closes or resets the connection without using the answers.
+func reuseRequestIDs(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand) {
 	for range 1 + rng.IntN(6) {
-		if !pause(ctx, between(rng, 0, 30*time.Millisecond)) {
+		if !sleep(ctx, randomDuration(rng, 0, 30*time.Millisecond)) {
 			return
 		}
-		a := p.ask(rng)
-		a.Fields = map[string]string{"txn": p.history.recent(rng.IntN(recentRequests))}
-		r, err := c.Send(a)
+		spec := group.newRequest(rng)
+		spec.Fields = map[string]string{"txn": group.history.recentID(rng.IntN(maxRecentOffset))}
+		r, err := c.Send(spec)
 		if err != nil {
 			return
 		}
 		if rng.IntN(3) == 0 {
-			c.GiveUp(r)
+			c.Cancel(r)
 		}
 	}
 	if rng.IntN(2) == 0 {
--- a/internal/faultsoak/process.go
+++ b/internal/faultsoak/process.go
@@ -22,30 +22,32 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// listeningEvent is in the line that a process logs once it listens.
+// listeningEvent occurs in the line that a process logs when it listens.
 const listeningEvent = "event=listening"
 
-// startTimeout bounds the wait for a process to say that it listens.
+// startTimeout limits the wait for a process to log that it listens.
 const startTimeout = 20 * time.Second
 
-// process is one process of a node, with what belongs to it alone: its processor, which
-// numbers notices for it, its address for operators' calls and its configuration file.
+// process is one process of a node. It has its own processor, as the processor numbers
+// notices for each process, its own address for operators' commands and its own
+// configuration file.
 type process struct {
 	node    *Node
 	control string
-	faults  string // address of the fault layer; "" without one
-	config  string // path of the configuration
+	faults  string // address of the fault layer; "" if the build has none
+	config  string // path of the configuration file
 
 	processor *fakes.Processor
 	relay     *Relay
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
-	ended  error
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	exitErr error
 }
 
-// newProcess starts the processor of a process that is still to be launched.
+// newProcess makes a process and starts its processor and relay. launch starts the process
+// itself.
 func (n *Node) newProcess() (*process, error) {
 	processor, err := fakes.NewProcessor("127.0.0.1:0", n.Work)
 	if err != nil {
@@ -70,13 +72,14 @@
 	return p, nil
 }
 
-// lastHost numbers the loopback addresses that were given to processes.
+// lastHost is the number of the last loopback host that freeAddress chose.
 var lastHost atomic.Uint32
 
-// freeAddress finds an address on loopback that a process may listen on, now and after a
-// restart. Its host is no other's, so that no connection gets its port meanwhile.
+// freeAddress returns a free loopback address for a process to listen on, now and after a
+// restart. Each address has a host of its own, so that no outgoing connection takes the
+// port in between.
 func freeAddress() (string, error) {
-	const hosts = 250 // in the last byte
+	const hosts = 250 // values of each byte that varies
 	n := lastHost.Add(1)
 	host := fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%hosts, 1+n/hosts%hosts, 1+n%hosts)
 	var config net.ListenConfig
@@ -84,7 +87,7 @@
 	if err != nil {
 		return "", fmt.Errorf("faultsoak: %w", err)
 	}
-	defer func() { _ = listener.Close() }() // the process takes the port
+	defer func() { _ = listener.Close() }() // the process listens on the port
 	return listener.Addr().String(), nil
 }
 
@@ -94,7 +97,7 @@
 	p.processor.Close()
 }
 
-// writeConfig writes the configuration file with changes of its top level.
+// writeConfig writes the configuration file, with changes of top-level settings.
 func (p *process) writeConfig(changes map[string]any) error {
 	n := p.node
 	config := maps.Clone(n.Config)
@@ -109,7 +112,7 @@
 	return p.writeConfigText(string(text))
 }
 
-// writeConfigText replaces the configuration file as a whole: a reader never sees a part.
+// writeConfigText replaces the configuration file atomically, by a rename.
 func (p *process) writeConfigText(text string) error {
 	next := p.config + ".next"
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
@@ -121,12 +124,12 @@
 	return nil
 }
 
-// command makes the process's command line and environment. SIGHUP is ignored until the
-// program asks for it, as the deploy file's line run has it.
+// command returns the process's command line and environment. SIGHUP is ignored until the
+// program handles it, as with the run line of the deploy file.
 func (p *process) command() *exec.Cmd {
 	n := p.node
 	args := append([]string{"-c", `trap '' HUP; exec "$0" "$@"`, n.Binary}, n.Args...)
-	if n.Keys {
+	if n.DurableKeys {
 		args = append(args, "--keys", filepath.Join(n.Dir, "keys"))
 	}
 	cmd := exec.CommandContext(context.Background(), "/bin/sh", args...)
@@ -138,7 +141,8 @@
 	return cmd
 }
 
-// launch starts the process, anew after it has ended, and returns once it listens.
+// launch starts the process, or restarts it after it has exited. It returns when the
+// process listens.
 func (p *process) launch() error {
 	cmd := p.command()
 	stderr, err := cmd.StderrPipe()
@@ -150,7 +154,7 @@
 	}
 	if pipe, ok := stderr.(*os.File); ok && p.node.LogSink != LogRead {
 		const smallPipe = 4096
-		_, _ = unix.FcntlInt(pipe.Fd(), unix.F_SETPIPE_SZ, smallPipe) // else it only holds more
+		_, _ = unix.FcntlInt(pipe.Fd(), unix.F_SETPIPE_SZ, smallPipe) // if it fails, the pipe only has a larger capacity
 	}
 	listening, exited := make(chan struct{}), make(chan struct{})
 	p.mu.Lock()
@@ -167,18 +171,19 @@
 	case <-exited:
 		return fmt.Errorf("%w: %s: %s", ErrNotStarted, p.node.Name, p.node.lastLogged())
 	case <-time.After(startTimeout):
-		return fmt.Errorf("%w in %v: %s", ErrNotStarted, startTimeout, p.node.Name)
+		return fmt.Errorf("%w within %v: %s", ErrNotStarted, startTimeout, p.node.Name)
 	}
 }
 
-// readLog keeps the lines that the process logs, and closes listening once it listens. It
-// returns at the end of the log, or then already if the log is not to be read any further.
+// readLog records the lines that the process logs, and closes listening when the process
+// listens. It returns at the end of the log, or when the process listens unless LogSink is
+// LogRead.
 func (p *process) readLog(stderr io.Reader, listening chan<- struct{}) {
-	told := false
+	listens := false
 	for s := bufio.NewScanner(stderr); s.Scan(); {
 		p.node.logged(s.Text())
-		if !told && strings.Contains(s.Text(), listeningEvent) {
-			told = true
+		if !listens && strings.Contains(s.Text(), listeningEvent) {
+			listens = true
 			close(listening)
 			if p.node.LogSink != LogRead {
 				return
@@ -187,21 +192,21 @@
 	}
 }
 
-// awaitExit waits until the process has ended, and keeps how.
+// awaitExit waits until the process has exited, and records the result.
 func (p *process) awaitExit(cmd *exec.Cmd, stderr io.Closer) {
 	if p.node.LogSink == LogClosed {
-		_ = stderr.Close() // it was opened here
+		_ = stderr.Close() // an error leaves nothing to clean up
 	}
-	if p.node.LogSink != LogRead { // cmd.Wait closes the pipe
-		_, _ = cmd.Process.Wait() // how it ended is not asked for in these cases
+	if p.node.LogSink != LogRead { // cmd.Wait would close the pipe while the process runs
+		_, _ = cmd.Process.Wait() // the exit status is not used with these sinks
 	}
 	err := cmd.Wait()
 	p.mu.Lock()
-	p.ended = err
+	p.exitErr = err
 	p.mu.Unlock()
 }
 
-// signal sends a signal. It fails for a process that has ended.
+// signal sends a signal. It returns an error if the process has exited.
 func (p *process) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -212,31 +217,32 @@
 	return nil
 }
 
-// done returns a channel that is closed when the process has ended; nil before it is
-// launched.
+// done returns a channel that is closed when the process has exited. The channel is nil
+// before the first launch.
 func (p *process) done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// kill ends the process at once, and waits for that.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *process) kill() {
-	_ = p.signal(syscall.SIGKILL) // it may have ended already
+	_ = p.signal(syscall.SIGKILL) // an error means that it has exited
 	<-p.done()
 }
 
-// stop sends SIGTERM, and SIGKILL at LongestStop after it, when the platform may send it at
-// the earliest. It reports whether the process ended before SIGKILL.
-func (p *process) stop() (byItself bool, err error) {
-	notice := time.Now()
+// stop sends SIGTERM, and SIGKILL if the process still runs after MinKillDelay, the earliest
+// time at which the platform may send it. It reports whether the process exited before
+// SIGKILL.
+func (p *process) stop() (exitedInTime bool, err error) {
+	sigtermAt := time.Now()
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return false, err
 	}
 	select {
 	case <-p.done():
 		return true, nil
-	case <-time.After(time.Until(notice.Add(LongestStop))):
+	case <-time.After(time.Until(sigtermAt.Add(MinKillDelay))):
 		p.kill()
 		return false, nil
 	}
--- a/internal/faultsoak/relay.go
+++ b/internal/faultsoak/relay.go
@@ -13,43 +13,43 @@
 	relayBufferBytes = 16 << 10
 )
 
-// RelayMode says what a relay does with what passes.
+// RelayMode tells how a relay treats connections and data.
 type RelayMode int
 
-// The modes.
+// The modes of a relay.
 const (
-	Forward RelayMode = iota // everything is passed on
-	Silent                   // connections stay open, nothing passes
-	Refuse                   // connections are reset, and new ones too
+	Forward RelayMode = iota // data is forwarded
+	Silent                   // connections stay open, data is held back until the mode changes
+	Refuse                   // open and new connections are reset
 )
 
-// Relay is a TCP proxy in front of one party.
+// Relay is a TCP proxy in front of one service.
 type Relay struct {
 	listener net.Listener
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	target  string
-	mode    RelayMode
-	conns   map[net.Conn]bool
-	frozen  map[net.Conn]bool // those of conns on which nothing passes any more
-	closed  bool
+	mu         sync.Mutex
+	changed    *sync.Cond
+	target     string
+	mode       RelayMode
+	conns      map[net.Conn]bool
+	blackholed map[net.Conn]bool // connections whose data is discarded
+	closed     bool
 }
 
-// NewRelay starts a relay to an address.
+// NewRelay starts a relay that forwards to an address.
 func NewRelay(target string) (*Relay, error) {
-	listener, err := listenAnywhere()
+	listener, err := listenLoopback()
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: listener, target: target, conns: map[net.Conn]bool{}, frozen: map[net.Conn]bool{}}
+	r := &Relay{listener: listener, target: target, conns: map[net.Conn]bool{}, blackholed: map[net.Conn]bool{}}
 	r.changed = sync.NewCond(&r.mu)
 	go r.accept()
 	return r, nil
 }
 
-// listenAnywhere listens on a free port of loopback.
-func listenAnywhere() (net.Listener, error) {
+// listenLoopback listens on a free port of 127.0.0.1.
+func listenLoopback() (net.Listener, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +61,7 @@
 // Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetMode changes what happens to what passes.
+// SetMode changes the mode. Refuse also resets the open connections.
 func (r *Relay) SetMode(mode RelayMode) {
 	r.mu.Lock()
 	r.mode = mode
@@ -72,17 +72,17 @@
 	}
 }
 
-// Freeze has nothing pass any more on the connections that are open, as if the other end
-// had vanished without closing them. New connections are passed on.
-func (r *Relay) Freeze() {
+// Blackhole discards all further data on the open connections, as if the other end had
+// vanished without closing them. New connections are forwarded.
+func (r *Relay) Blackhole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for conn := range r.conns {
-		r.frozen[conn] = true
+		r.blackholed[conn] = true
 	}
 }
 
-// Reset resets the connections that are open.
+// Reset resets the open connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// Close ends the relay.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -105,7 +105,7 @@
 // reset closes a connection so that its peer sees a reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // the connection may have ended already
+		_ = tcp.SetLinger(0) // an error means that the connection is closed
 	}
 	_ = conn.Close()
 }
@@ -121,9 +121,9 @@
 	}
 }
 
-// forward connects to the target and passes on what arrives on either side.
+// forward connects to the target and copies data in both directions.
 func (r *Relay) forward(in net.Conn) {
-	if !r.await() {
+	if !r.awaitForwarding() {
 		reset(in)
 		return
 	}
@@ -140,8 +140,8 @@
 	r.copy(out, in)
 }
 
-// await waits while the relay is silent. It reports whether connections are passed on.
-func (r *Relay) await() bool {
+// awaitForwarding waits while the relay is silent. It reports whether data may be forwarded.
+func (r *Relay) awaitForwarding() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.mode == Silent && !r.closed {
@@ -150,22 +150,22 @@
 	return r.mode == Forward && !r.closed
 }
 
-func (r *Relay) isFrozen(conn net.Conn) bool {
+func (r *Relay) isBlackholed(conn net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.frozen[conn]
+	return r.blackholed[conn]
 }
 
-// copy passes one direction on until either end closes.
+// copy copies data in one direction until either connection is closed. Then it closes both.
 func (r *Relay) copy(from, to net.Conn) {
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if !r.await() {
+			if !r.awaitForwarding() {
 				break
 			}
-			if r.isFrozen(from) {
+			if r.isBlackholed(from) {
 				continue
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -179,8 +179,8 @@
 	r.mu.Lock()
 	delete(r.conns, from)
 	delete(r.conns, to)
-	delete(r.frozen, from)
-	delete(r.frozen, to)
+	delete(r.blackholed, from)
+	delete(r.blackholed, to)
 	r.mu.Unlock()
 	_ = to.Close()
 	_ = from.Close()
--- a/internal/faultsoak/reproduction_test.go
+++ b/internal/faultsoak/reproduction_test.go
@@ -14,28 +14,28 @@
 
 func TestMain(m *testing.M) { os.Exit(fleettest.Main(m, &builtProgram)) }
 
-const connections = 16 // of a test of what connections lose
+const connectionCount = 16 // opened by dialMany
 
-// bench is one node with a history, for a test that plays its faults by hand.
-type bench struct {
+// testNode is a node with a history, for a test that injects its own faults.
+type testNode struct {
 	*testing.T
 	node    *Node
 	history History
 }
 
-func newBench(t *testing.T) *bench {
+func newTestNode(t *testing.T) *testNode {
 	t.Helper()
-	return newBenchOf(t, 5*time.Millisecond)
+	return newTestNodeWithRunDuration(t, 5*time.Millisecond)
 }
 
-// newBenchOf makes a bench whose runs take a time.
-func newBenchOf(t *testing.T, took time.Duration) *bench {
+// newTestNodeWithRunDuration starts a node whose runs take a time.
+func newTestNodeWithRunDuration(t *testing.T, took time.Duration) *testNode {
 	t.Helper()
-	return newBenchWith(t, NodeConfig{Binary: builtProgram, Took: took})
+	return newTestNodeFrom(t, NodeConfig{Binary: builtProgram, RunDuration: took})
 }
 
-// newBenchWith makes a bench whose node has the default configuration.
-func newBenchWith(t *testing.T, config NodeConfig) *bench {
+// newTestNodeFrom starts a node, by default with the configuration of DefaultConfig.
+func newTestNodeFrom(t *testing.T, config NodeConfig) *testNode {
 	t.Helper()
 	config.Name, config.Dir = "n1", t.TempDir()
 	if config.Config == nil {
@@ -46,8 +46,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Close)
-	n.Ready()
-	return &bench{T: t, node: n}
+	n.AwaitReady()
+	return &testNode{T: t, node: n}
 }
 
 func defaultConfig(t *testing.T) map[string]any {
@@ -59,7 +59,7 @@
 	return config
 }
 
-func (b *bench) dial() *Client {
+func (b *testNode) dial() *Client {
 	b.Helper()
 	c, err := Dial(&b.history, b.node.Name, b.node.Address)
 	if err != nil {
@@ -68,18 +68,19 @@
 	return c
 }
 
-// ask sends a request whose body names it.
-func (b *bench) ask(c *Client, a Ask) {
+// send sends a request, by default of the safe class. It logs an error, as the node may have
+// closed the connection.
+func (b *testNode) send(c *Client, spec RequestSpec) {
 	b.Helper()
-	if a.Class == "" {
-		a.Class, a.Deadline = SafeClass, SafeDeadline
+	if spec.Class == "" {
+		spec.Class, spec.Deadline = SafeClass, SafeDeadline
 	}
-	if _, err := c.Send(a); err != nil {
-		b.Logf("%s: %v", a.Body, err)
+	if _, err := c.Send(spec); err != nil {
+		b.Logf("%s: %v", spec.Body, err)
 	}
 }
 
-func (b *bench) signal(s syscall.Signal) time.Time {
+func (b *testNode) signal(s syscall.Signal) time.Time {
 	b.Helper()
 	if err := b.node.Signal(s); err != nil {
 		b.Fatal(err)
@@ -87,8 +88,8 @@
 	return time.Now()
 }
 
-// pause has the process stand still while f is called, and for the rest of a time.
-func (b *bench) pause(d time.Duration, f func()) {
+// pause stops the process for d, and calls f while it is stopped.
+func (b *testNode) pause(d time.Duration, f func()) {
 	b.Helper()
 	at := b.signal(syscall.SIGSTOP)
 	f()
@@ -96,10 +97,10 @@
 	b.history.Add(Event{Node: b.node.Name, Kind: Paused, At: at, Until: b.signal(syscall.SIGCONT)})
 }
 
-// verdict fails the test for each broken rule.
-func (b *bench) verdict() Report {
+// checkRules fails the test for each violation of a rule.
+func (b *testNode) checkRules() Report {
 	b.Helper()
-	report := Check(&b.history, b.node.Runs(), DefaultTerms)
+	report := Check(&b.history, b.node.Runs(), DefaultRuleSettings)
 	for _, v := range report.Violations {
 		b.Error(v)
 	}
@@ -107,17 +108,19 @@
 	return report
 }
 
-// allAnswered fails the test for each broken rule, and if not each connection has had
-// one answer: also where the node ended it while the request was written.
-func (b *bench) allAnswered() {
+// checkAllAnswered fails the test for each violation of a rule, and unless there is one
+// answer for each connection of dialMany. This is stricter than the rules, which allow no
+// answer if the node closes the connection while the request is written.
+func (b *testNode) checkAllAnswered() {
 	b.Helper()
-	if n := answers(b.verdict()); n != connections {
-		b.Errorf("%d answers to %d requests", n, connections)
+	if n := countAnswers(b.checkRules()); n != connectionCount {
+		b.Errorf("got %d answers, want %d", n, connectionCount)
 	}
 }
 
-// inPieces writes a message evenly over a time.
-func inPieces(pieces int, over time.Duration) func(write func([]byte) error, message []byte) error {
+// writeEvenly returns a RequestSpec.Write that writes a message in equal pieces with equal
+// pauses, over a time.
+func writeEvenly(pieces int, over time.Duration) func(write func([]byte) error, message []byte) error {
 	return func(write func([]byte) error, message []byte) error {
 		for i := range pieces {
 			if err := write(message[len(message)*i/pieces : len(message)*(i+1)/pieces]); err != nil {
@@ -131,29 +134,29 @@
 	}
 }
 
-// await waits until all connections have their answers, or have ended.
-func await(clients []*Client) {
+// awaitAnswers waits until each connection has its answers or is closed.
+func awaitAnswers(clients []*Client) {
 	for _, c := range clients {
 		c.AwaitAnswers()
 	}
 }
 
-// dialMany opens the test's connections.
-func (b *bench) dialMany() (clients []*Client) {
+// dialMany opens connectionCount connections.
+func (b *testNode) dialMany() (clients []*Client) {
 	b.Helper()
-	for range connections {
+	for range connectionCount {
 		clients = append(clients, b.dial())
 	}
 	return clients
 }
 
-// askAll sends a request on each connection, in pieces, and returns a function that
-// waits until all are written.
-func (b *bench) askAll(clients []*Client, pieces int, over time.Duration) (written func()) {
+// sendAll starts to send a request on each connection, in pieces, and returns a function
+// that waits until all requests are written.
+func (b *testNode) sendAll(clients []*Client, pieces int, over time.Duration) (written func()) {
 	done := make(chan struct{})
 	for i, c := range clients {
 		go func() {
-			b.ask(c, Ask{Body: fmt.Sprint("request ", i), Write: inPieces(pieces, over)})
+			b.send(c, RequestSpec{Body: fmt.Sprint("request ", i), Write: writeEvenly(pieces, over)})
 			done <- struct{}{}
 		}()
 	}
@@ -164,163 +167,163 @@
 	}
 }
 
-// TestConnectionsKeepRequestsThatCameUnread: a request whose last byte was written to
-// an open connection is answered, although the process stood still while it came, or
-// its client took its time, or connections were scarce.
-func TestConnectionsKeepRequestsThatCameUnread(t *testing.T) {
-	t.Run("first request comes while the process stands still", func(t *testing.T) {
+// A request whose last byte was written to an open connection must be answered, even if the
+// process is paused while it arrives, its client writes slowly, or the node is short of
+// connections and closes idle ones.
+func TestConnection_AnswersCompletelyWrittenRequests(t *testing.T) {
+	t.Run("first request arrives while the process is paused", func(t *testing.T) {
 		t.Parallel()
-		b := newBench(t)
+		b := newTestNode(t)
 		clients := b.dialMany()
 		time.Sleep(900 * time.Millisecond)
-		b.pause(2600*time.Millisecond, func() { b.askAll(clients, 1, 0)() })
-		await(clients)
-		b.allAnswered()
+		b.pause(2600*time.Millisecond, func() { b.sendAll(clients, 1, 0)() })
+		awaitAnswers(clients)
+		b.checkAllAnswered()
 	})
-	t.Run("second half comes while the process stands still", func(t *testing.T) {
+	t.Run("second half arrives while the process is paused", func(t *testing.T) {
 		t.Parallel()
-		b := newBench(t)
+		b := newTestNode(t)
 		clients := b.dialMany()
-		written := b.askAll(clients, 2, 1500*time.Millisecond)
+		written := b.sendAll(clients, 2, 1500*time.Millisecond)
 		time.Sleep(time.Second)
 		b.pause(2600*time.Millisecond, written)
-		await(clients)
-		b.allAnswered()
+		awaitAnswers(clients)
+		b.checkAllAnswered()
 	})
 	t.Run("client writes slowly", func(t *testing.T) {
 		t.Parallel()
-		b := newBench(t)
+		b := newTestNode(t)
 		clients := b.dialMany()
-		b.askAll(clients, 24, 2400*time.Millisecond)()
-		await(clients)
-		b.allAnswered()
+		b.sendAll(clients, 24, 2400*time.Millisecond)()
+		awaitAnswers(clients)
+		b.checkAllAnswered()
 	})
 	t.Run("connections are scarce", func(t *testing.T) {
 		t.Parallel()
-		b := newBench(t) // 256 descriptors
+		b := newTestNode(t) // limited to 256 sockets
 		clients := b.dialMany()
-		written := b.askAll(clients, 6, time.Second)
+		written := b.sendAll(clients, 6, time.Second)
 		for range 140 {
 			b.dial()
 			time.Sleep(2 * time.Millisecond)
 		}
 		written()
-		await(clients)
-		b.allAnswered()
+		awaitAnswers(clients)
+		b.checkAllAnswered()
 	})
 }
 
-// TestDrainCountsFromTheNotice: what comes after the grace of a drain is never run and
-// what came is answered, although the process stood still as the notice or the end of
-// the grace came, or a request's field door lies in the grace.
-func TestDrainCountsFromTheNotice(t *testing.T) {
-	t.Run("process stands still at the notice", func(t *testing.T) {
+// The grace of a drain counts from SIGTERM. Requests that arrive after it must not run, and
+// earlier ones must be answered, even if the process is paused at SIGTERM or at the end of
+// the grace, or if the field door of a later request is a time within the grace.
+func TestDrain_RunsNoRequestThatArrivesAfterGrace(t *testing.T) {
+	t.Run("process is paused at SIGTERM", func(t *testing.T) {
 		t.Parallel()
-		b := newBench(t)
+		b := newTestNode(t)
 		c := b.dial()
-		b.ask(c, Ask{Body: "before"})
+		b.send(c, RequestSpec{Body: "before"})
 		c.AwaitAnswers()
-		var notice time.Time
-		b.pause(800*time.Millisecond, func() { notice = b.signal(syscall.SIGTERM) })
-		b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: notice})
-		time.Sleep(time.Until(notice.Add(drainGrace + 100*time.Millisecond)))
+		var sigtermAt time.Time
+		b.pause(800*time.Millisecond, func() { sigtermAt = b.signal(syscall.SIGTERM) })
+		b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: sigtermAt})
+		time.Sleep(time.Until(sigtermAt.Add(drainGrace + 100*time.Millisecond)))
 		for i := range 20 {
-			b.ask(c, Ask{Body: fmt.Sprint("after the grace ", i)})
+			b.send(c, RequestSpec{Body: fmt.Sprint("after the grace ", i)})
 			time.Sleep(30 * time.Millisecond)
 		}
 		c.AwaitAnswers()
-		b.verdict()
+		b.checkRules()
 	})
-	t.Run("door lies in the grace", func(t *testing.T) {
+	t.Run("field door is within the grace", func(t *testing.T) {
 		t.Parallel()
-		b := newBench(t)
+		b := newTestNode(t)
 		c := b.dial()
-		b.ask(c, Ask{Body: "before"})
+		b.send(c, RequestSpec{Body: "before"})
 		c.AwaitAnswers()
-		notice := b.signal(syscall.SIGTERM)
-		b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: notice})
-		time.Sleep(time.Until(notice.Add(drainGrace + 100*time.Millisecond)))
+		sigtermAt := b.signal(syscall.SIGTERM)
+		b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: sigtermAt})
+		time.Sleep(time.Until(sigtermAt.Add(drainGrace + 100*time.Millisecond)))
 		for i := range 5 {
-			b.ask(c, Ask{Body: fmt.Sprint("early door ", i), DoorEarly: 600 * time.Millisecond})
+			b.send(c, RequestSpec{Body: fmt.Sprint("early door ", i), ArrivalOffset: 600 * time.Millisecond})
 			time.Sleep(30 * time.Millisecond)
 		}
 		c.AwaitAnswers()
-		b.verdict()
+		b.checkRules()
 	})
-	t.Run("connections wait in the queue as the grace ends", func(t *testing.T) {
+	t.Run("connections wait in the accept queue when the grace ends", func(t *testing.T) {
 		t.Parallel()
-		b := newBench(t)
-		notice := b.signal(syscall.SIGTERM)
-		b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: notice})
-		time.Sleep(time.Until(notice.Add(drainGrace - 100*time.Millisecond)))
+		b := newTestNode(t)
+		sigtermAt := b.signal(syscall.SIGTERM)
+		b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: sigtermAt})
+		time.Sleep(time.Until(sigtermAt.Add(drainGrace - 100*time.Millisecond)))
 		var clients []*Client
 		b.pause(500*time.Millisecond, func() {
 			for i := range 16 {
 				c := b.dial()
 				clients = append(clients, c)
-				b.ask(c, Ask{Body: fmt.Sprint("queued ", i)})
+				b.send(c, RequestSpec{Body: fmt.Sprint("queued ", i)})
 			}
 		})
-		await(clients)
-		b.verdict()
+		awaitAnswers(clients)
+		b.checkRules()
 	})
 }
 
-// TestSilentProcessorLinkIsReplaced: the link to the processor falls silent for good, with
-// no reset. Requests are served again within a few seconds, over a new link.
-func TestSilentProcessorLinkIsReplaced(t *testing.T) {
-	b := newBench(t)
+// The connection to the processor stops transferring data without a reset. The node must
+// open a new one and serve requests again within a few seconds.
+func TestProcessorConnection_SilentConnectionIsReplaced(t *testing.T) {
+	b := newTestNode(t)
 	c := b.dial()
-	b.ask(c, Ask{Body: "before"})
+	b.send(c, RequestSpec{Body: "before"})
 	c.AwaitAnswers()
-	b.node.ProcessorRelay().Freeze()
+	b.node.ProcessorRelay().Blackhole()
 	time.Sleep(4 * time.Second)
 	c = b.dial()
 	for i := range 5 {
-		b.ask(c, Ask{Body: fmt.Sprint("after ", i)})
+		b.send(c, RequestSpec{Body: fmt.Sprint("after ", i)})
 		c.AwaitAnswers()
 	}
-	if served := b.verdict().Outcomes["served"]; served != 6 {
-		t.Errorf("%d requests were served, want 6", served)
+	if served := b.checkRules().Outcomes["served"]; served != 6 {
+		t.Errorf("got %d served requests, want 6", served)
 	}
 }
 
-// TestCrowdedNodeShuts: a node whose table of connections is full of silent ones, and
-// whose accept queue holds more, is told to stop and stands still over the end of the
-// grace. What was written to the connections behind the silent ones is answered.
-func TestCrowdedNodeShuts(t *testing.T) {
-	b := newBench(t)
-	notice := b.signal(syscall.SIGTERM)
-	b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: notice})
+// A node gets SIGTERM and is paused past the end of the grace, while more silent connections
+// arrive than it can hold, so that some wait in the accept queue. It must answer the requests
+// on the connections that are queued after the silent ones.
+func TestDrain_AnswersRequestsQueuedAfterSilentConnections(t *testing.T) {
+	b := newTestNode(t)
+	sigtermAt := b.signal(syscall.SIGTERM)
+	b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: sigtermAt})
 	var clients []*Client
 	b.pause(drainGrace+100*time.Millisecond, func() {
 		for range crowdSize + 50 {
 			b.dial()
 		}
 		clients = b.dialMany()
-		b.askAll(clients, 1, 0)()
+		b.sendAll(clients, 1, 0)()
 	})
-	await(clients)
-	b.allAnswered()
+	awaitAnswers(clients)
+	b.checkAllAnswered()
 }
 
-// TestAllIsAnsweredBeforeTheEarliestKill: SIGKILL comes as early as the platform's
-// terms allow, whatever stop_ms says. What was written until shortly before has its
-// answer, also on connections that clients go on sending on.
-func TestAllIsAnsweredBeforeTheEarliestKill(t *testing.T) {
+// SIGKILL comes at the earliest time that the platform allows, before stop_ms has passed.
+// Requests written until shortly before must be answered by then, also on a connection whose
+// client keeps sending.
+func TestDrain_AnswersAllBeforeEarliestKill(t *testing.T) {
 	for _, paused := range []time.Duration{0, 600 * time.Millisecond} {
-		t.Run(fmt.Sprint("stands still for ", paused), func(t *testing.T) {
+		t.Run(fmt.Sprint("paused for ", paused), func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t) // stop_ms is 6 s
-			resting, busy := b.dial(), b.dial()
-			b.ask(resting, Ask{Body: "rests"})
-			resting.AwaitAnswers()
-			var notice time.Time
-			b.pause(paused, func() { notice = b.signal(syscall.SIGTERM) })
-			b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: notice})
-			kill := notice.Add(LongestStop)
+			b := newTestNode(t) // stop_ms is 6 s
+			idle, busy := b.dial(), b.dial()
+			b.send(idle, RequestSpec{Body: "idle"})
+			idle.AwaitAnswers()
+			var sigtermAt time.Time
+			b.pause(paused, func() { sigtermAt = b.signal(syscall.SIGTERM) })
+			b.history.Add(Event{Node: b.node.Name, Kind: Terminated, At: sigtermAt})
+			kill := sigtermAt.Add(MinKillDelay)
 			for i := 0; time.Now().Before(kill.Add(-20 * time.Millisecond)); i++ {
-				if _, err := busy.Send(Ask{Class: SafeClass, Deadline: SafeDeadline, Body: fmt.Sprint("hang late ", i)}); err != nil {
+				if _, err := busy.Send(RequestSpec{Class: SafeClass, Deadline: SafeDeadline, Body: fmt.Sprint("hang late ", i)}); err != nil {
 					break
 				}
 				time.Sleep(150 * time.Millisecond)
@@ -328,8 +331,8 @@
 			time.Sleep(time.Until(kill))
 			b.node.Kill()
 			<-busy.Done()
-			<-resting.Done()
-			b.verdict()
+			<-idle.Done()
+			b.checkRules()
 		})
 	}
 }
--- a/internal/faultsoak/settings.go
+++ b/internal/faultsoak/settings.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Classes of the settings that nodes are given, with their deadlines.
+// The request classes in the settings of the nodes, with their deadlines, and further
+// limits in these settings.
 const (
 	SafeClass       = "page"
 	SafeDeadline    = 3 * time.Second
@@ -19,15 +20,15 @@
 	answerSlack     = 60 * time.Millisecond
 )
 
-// LongestStop is how long after SIGTERM the platform sends SIGKILL at the earliest: the
-// longest deadline, which counts for at most 3 s, and 0.7 s.
-const LongestStop = 3700 * time.Millisecond
+// MinKillDelay is the shortest time between the platform's SIGTERM and SIGKILL: the longest
+// deadline, capped at 3 s, plus 0.7 s.
+const MinKillDelay = 3700 * time.Millisecond
 
-// DefaultTerms are the figures of the rules in the settings that nodes are given.
-var DefaultTerms = Terms{Grace: drainGrace, AnswerSlack: answerSlack, Window: keyedWindow}
+// DefaultRuleSettings are the limits that the settings of the nodes state.
+var DefaultRuleSettings = RuleSettings{Grace: drainGrace, AnswerSlack: answerSlack, Window: keyedWindow}
 
-// DefaultConfig returns a configuration in the platform's form, without addresses. Its
-// stop_ms is longer than LongestStop.
+// DefaultConfig returns a configuration in the platform's format, without addresses. Its
+// stop_ms is greater than MinKillDelay.
 func DefaultConfig() (map[string]any, error) {
 	text := fmt.Sprintf(`{
   "seed": "8c1f30d27a5be964", "stop_ms": 6000,
--- a/internal/faultsoak/soak.go
+++ b/internal/faultsoak/soak.go
@@ -14,57 +14,58 @@
 	"time"
 )
 
-// SoakOptions are what a soak is made of.
+// SoakOptions configures Soak.
 type SoakOptions struct {
 	Seed     uint64
 	Nodes    int
-	Duration time.Duration // of the faults; the clients' last answers come after it
+	Duration time.Duration // how long faults are injected; the soak then waits for the last answers
 	Binary   string        // path of the program
-	Dir      string        // where each node gets a folder
-	Env      []string      // of the processes, beside that of this one
-	Faults   bool          // Binary is of a build with faults
-	Without  []string      // the behaviours of clients to leave out, so as to tell causes apart
+	Dir      string        // parent of the nodes' folders
+	Env      []string      // added to the environment that the processes inherit
+	Faults   bool          // Binary was built by BuildWithFaults
+	Without  []string      // client kinds to leave out, to isolate the cause of a violation
 }
 
-// crowdEvery is how many seeds there are for each one with crowds of clients that ask.
-const crowdEvery = 3
+// crowdSeedInterval is the distance between seeds whose soaks have crowds of clients that
+// send requests.
+const crowdSeedInterval = 3
 
-// crowded reports whether the seed has crowds of clients that ask.
-func (opt SoakOptions) crowded() bool { return opt.Seed%crowdEvery == 0 }
+// hasCrowds reports whether the soak of the seed has crowds of clients that send requests.
+func (opt SoakOptions) hasCrowds() bool { return opt.Seed%crowdSeedInterval == 0 }
 
-// stopTimes are the values of stop_ms, of which the seed chooses one: longer than
-// LongestStop, after which the platform may kill the process, or shorter.
-var stopTimes = []int{6000, 3300, 1900}
+// stopTimesMillis are the values of stop_ms that the seed chooses from. The platform may
+// kill a process from MinKillDelay after SIGTERM; the values lie on both sides of it.
+var stopTimesMillis = []int{6000, 3300, 1900}
 
-// SoakResult is what a soak found.
+// SoakResult is the result of a soak.
 type SoakResult struct {
 	Report
 
 	Requests int
-	Events   map[EventKind]int
-	Failures []string            // steps of the soak that failed, and processes that ended by themselves
-	Reported []string            // violations that the nodes logged themselves
-	Logs     map[string][]string // of each node
+	Events   map[EventKind]int   // number of events by kind
+	Failures []string            // failed steps of the soak, and processes that exited unexpectedly
+	Reported []string            // rule violations that the nodes logged
+	Logs     map[string][]string // log lines by node
 }
 
-// Broken reports whether the soak found anything.
+// Broken reports whether the soak found a violation or a failure.
 func (r SoakResult) Broken() bool {
 	return len(r.Violations)+len(r.Failures)+len(r.Reported) > 0
 }
 
-// soak is one that is under way.
+// soak is the state of a running soak.
 type soak struct {
 	opt     SoakOptions
 	history History
-	serial  atomic.Int64 // numbers the requests
+	serial  atomic.Int64 // number of the last request
 
 	mu       sync.Mutex
 	failures []string
 }
 
-// Soak runs nodes under faults drawn from a seed, and judges what their clients saw.
-// The faults of a seed are the same each time, their timing against the processes' work
-// is not.
+// Soak runs nodes under faults drawn from a seed and checks what their clients received.
+// A seed always gives the same faults, but their timing relative to the work of the
+// processes varies between runs.
 func Soak(ctx context.Context, opt SoakOptions) (SoakResult, error) {
 	s := &soak{opt: opt}
 	nodes, err := s.start()
@@ -76,34 +77,34 @@
 	if err != nil {
 		return SoakResult{}, err
 	}
-	faults, endFaults := context.WithCancel(ctx)
+	faultsCtx, endFaults := context.WithCancel(ctx)
 	defer endFaults()
-	asking, endAsking := context.WithCancel(ctx)
-	defer endAsking()
-	var operators, clients sync.WaitGroup
+	clientsCtx, endClients := context.WithCancel(ctx)
+	defer endClients()
+	var injectors, clients sync.WaitGroup
 	for i, n := range nodes {
-		rngs := generators(opt.Seed, i)
-		p := &population{node: n, history: &s.history, serial: &s.serial, unanswered: make(chan Ask, maxUnanswered)}
-		o := &operator{node: n, history: &s.history, clients: p, crowds: opt.crowded(), fail: s.fail}
-		go o.watch(faults)
-		o.play(faults, rngs, &operators)
-		p.start(asking, opt.Without, rngs, &clients)
+		nextRNG := rngSource(opt.Seed, i)
+		group := &clientGroup{node: n, history: &s.history, serial: &s.serial, retryQueue: make(chan RequestSpec, maxQueuedRetries)}
+		inj := &faultInjector{node: n, history: &s.history, clients: group, crowds: opt.hasCrowds(), fail: s.fail}
+		go inj.watch(faultsCtx)
+		inj.play(faultsCtx, nextRNG, &injectors)
+		group.start(clientsCtx, opt.Without, nextRNG, &clients)
 	}
-	pause(ctx, opt.Duration)
+	sleep(ctx, opt.Duration)
 	endFaults()
-	operators.Wait()
+	injectors.Wait()
 	for _, n := range nodes {
-		_ = n.Signal(syscall.SIGCONT) // it may have ended
+		_ = n.Signal(syscall.SIGCONT) // an error means that it has exited
 	}
-	endAsking()
+	endClients()
 	clients.Wait()
 	return s.result(nodes), ctx.Err()
 }
 
-// generators returns a function that makes random generators for a node, one after the
-// other: the same ones for the same seed.
-func generators(seed uint64, node int) func() *rand.Rand {
-	const nodeShift = 16 // a node has fewer generators than 1 << nodeShift
+// rngSource returns a function that makes random generators for a node. The sequence of
+// generators depends only on seed and node.
+func rngSource(seed uint64, node int) func() *rand.Rand {
+	const nodeShift = 16 // fewer than 1<<nodeShift generators per node
 	made := uint64(0)
 	return func() *rand.Rand {
 		made++
@@ -111,32 +112,32 @@
 	}
 }
 
-// start starts the clients of each behaviour, except those whose names are in without. They
-// end with ctx.
-func (p *population) start(ctx context.Context, without []string, rngs func() *rand.Rand, done *sync.WaitGroup) {
+// start starts the clients of each kind, except for the kinds in without. The clients stop
+// when ctx is done.
+func (group *clientGroup) start(ctx context.Context, without []string, nextRNG func() *rand.Rand, done *sync.WaitGroup) {
 	for _, b := range behaviours {
-		rng := rngs() // also for one that is left out, so that the others draw the same
+		rng := nextRNG() // drawn for omitted kinds too, so that the other kinds keep their generators
 		if slices.Contains(without, b.name) {
 			continue
 		}
-		done.Go(func() { p.run(ctx, b.do, rng) })
+		done.Go(func() { group.run(ctx, b.do, rng) })
 	}
 }
 
-// fail records a step of the soak that failed.
+// fail records a failed step of the soak.
 func (s *soak) fail(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
-// start starts the nodes. It returns those that were started also with an error.
+// start starts the nodes. With an error it returns the nodes that were started before it.
 func (s *soak) start() (nodes []*Node, err error) {
 	config, err := DefaultConfig()
 	if err != nil {
 		return nil, err
 	}
-	config["stop_ms"] = stopTimes[s.opt.Seed/crowdEvery%uint64(len(stopTimes))]
+	config["stop_ms"] = stopTimesMillis[s.opt.Seed/crowdSeedInterval%uint64(len(stopTimesMillis))]
 	for i := range s.opt.Nodes {
 		name := fmt.Sprintf("n%d", i+1)
 		dir := filepath.Join(s.opt.Dir, name)
@@ -144,26 +145,27 @@
 			return nodes, fmt.Errorf("faultsoak: %w", err)
 		}
 		n, err := StartNode(NodeConfig{
-			Name: name, Binary: s.opt.Binary, Dir: dir, Config: config, Took: 5 * time.Millisecond, Env: s.opt.Env,
-			Faults: s.opt.Faults, Inherit: i%2 == 1, Keys: i%4 == 0,
+			Name: name, Binary: s.opt.Binary, Dir: dir, Config: config, RunDuration: 5 * time.Millisecond, Env: s.opt.Env,
+			Faults: s.opt.Faults, InheritSocket: i%2 == 1, DurableKeys: i%4 == 0,
 		})
 		if err != nil {
 			return nodes, err
 		}
 		nodes = append(nodes, n)
-		n.Ready()
+		n.AwaitReady()
 	}
 	return nodes, nil
 }
 
-// ruleViolation and lateAnswer are parts of the lines that nodes log. The oracle judges late
-// answers itself, as their rule allows a share of them.
+// ruleViolationEvent and lateAnswerRule occur in log lines of nodes. Lines about late
+// answers don't count here: the rule allows a share of late answers, which the oracle
+// checks.
 const (
-	ruleViolation = "event=rule_violation"
-	lateAnswer    = "rule=late_answer"
+	ruleViolationEvent = "event=rule_violation"
+	lateAnswerRule     = "rule=late_answer"
 )
 
-// result judges the soak once clients and operators have ended.
+// result evaluates the soak after clients and fault injectors have finished.
 func (s *soak) result(nodes []*Node) SoakResult {
 	var runs []Run
 	logs := map[string][]string{}
@@ -172,22 +174,22 @@
 		runs = append(runs, n.Runs()...)
 		logs[n.Name] = n.Log()
 		for _, line := range logs[n.Name] {
-			if strings.Contains(line, ruleViolation) && !strings.Contains(line, lateAnswer) {
+			if strings.Contains(line, ruleViolationEvent) && !strings.Contains(line, lateAnswerRule) {
 				reported = append(reported, n.Name+": "+line)
 			}
 		}
 	}
-	terms := DefaultTerms
-	terms.DurableKeys = map[string]bool{}
+	settings := DefaultRuleSettings
+	settings.DurableKeys = map[string]bool{}
 	for _, n := range nodes {
-		terms.DurableKeys[n.Name] = n.Keys
+		settings.DurableKeys[n.Name] = n.DurableKeys
 	}
-	result := SoakResult{Report: Check(&s.history, runs, terms), Failures: s.failures, Reported: reported, Logs: logs}
+	result := SoakResult{Report: Check(&s.history, runs, settings), Failures: s.failures, Reported: reported, Logs: logs}
 	result.Requests, result.Events = s.history.counts()
 	return result
 }
 
-// counts returns how many requests were sent and how often each event was played.
+// counts returns the number of requests sent and the number of events of each kind.
 func (h *History) counts() (requests int, events map[EventKind]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/faultsoak/soak_test.go
+++ b/internal/faultsoak/soak_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// playSoak plays a short soak. Longer ones, over many seeds, are for the command
-// fault-soak.
-func playSoak(t *testing.T, opt SoakOptions) {
+// runSoak runs a short soak and fails the test for each finding. The command fault-soak runs
+// longer soaks over many seeds.
+func runSoak(t *testing.T, opt SoakOptions) {
 	t.Helper()
 	opt.Nodes, opt.Duration, opt.Dir = 4, 8*time.Second, t.TempDir()
 	result, err := Soak(t.Context(), opt)
@@ -27,21 +27,22 @@
 	}
 }
 
-// TestSoak has all faults but those of the system below.
-func TestSoak(t *testing.T) {
-	playSoak(t, SoakOptions{Seed: 1, Binary: builtProgram})
+// Injects all faults except for failing system calls, clock steps and crowds that send
+// requests.
+func TestSoak_ProcessAndRelayFaults(t *testing.T) {
+	runSoak(t, SoakOptions{Seed: 1, Binary: builtProgram})
 }
 
-// TestSoakWithSystemFaults has system calls fail and Unix time stepped beside.
-func TestSoakWithSystemFaults(t *testing.T) {
+// Injects failing system calls and clock steps as well.
+func TestSoak_SystemFaults(t *testing.T) {
 	withFaults, err := BuildWithFaults(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	playSoak(t, SoakOptions{Seed: 2, Binary: withFaults, Faults: true})
+	runSoak(t, SoakOptions{Seed: 2, Binary: withFaults, Faults: true})
 }
 
-// TestSoakWithCrowds has crowds of clients that ask beside.
-func TestSoakWithCrowds(t *testing.T) {
-	playSoak(t, SoakOptions{Seed: crowdEvery, Binary: builtProgram})
+// Injects crowds of clients that send requests as well.
+func TestSoak_RequestingCrowds(t *testing.T) {
+	runSoak(t, SoakOptions{Seed: crowdSeedInterval, Binary: builtProgram})
 }
--- a/internal/faultsoak/systemfaults.go
+++ b/internal/faultsoak/systemfaults.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// systemLoop is one more loop for the nodes of a build with faults.
-var systemLoop = faultLoop{200 * time.Millisecond, 3 * time.Second, []fault{systemCallsFail, systemCallsFail, wallClockSteps}}
+// systemLoop is an additional loop for nodes of a build with the fault layer.
+var systemLoop = faultLoop{200 * time.Millisecond, 3 * time.Second, []fault{failSystemCalls, failSystemCalls, stepWallClock}}
 
-// systemFaults lists how system calls fail, as Linux documents it. What fails for good
-// on a real socket, as a reset does, is left to the relays and clients.
+// systemFaults lists failures of system calls that Linux documents. Failures that are
+// permanent on a real socket, such as a reset, are injected by relays and clients instead.
 var systemFaults = []FaultRule{
 	{Call: "read", Probability: 0.3},
 	{Call: "write", Probability: 0.3},
@@ -40,7 +40,7 @@
 	{Call: "socket", Probability: 0.5, Errno: syscall.ENOBUFS, Burst: 3},
 }
 
-// diskFaults lists how the folder of a node's keys fails.
+// diskFaults lists failures of writes and syncs of a node's key files.
 var diskFaults = []FaultRule{
 	{Call: "write", Files: true, Probability: 1, Errno: syscall.ENOSPC},
 	{Call: "write", Files: true, Probability: 0.3, Errno: syscall.EIO, Burst: 2},
@@ -48,36 +48,37 @@
 	{Call: "fsync", Files: true, Probability: 0.5, Errno: syscall.EIO, Burst: 2},
 }
 
-// wallSteps are seconds by which Unix time may be off.
-var wallSteps = []int64{-3600, -60, -5, -1, 1, 5, 60, 3600}
+// wallOffsetSeconds are the offsets of Unix time that stepWallClock chooses from.
+var wallOffsetSeconds = []int64{-3600, -60, -5, -1, 1, 5, 60, 3600}
 
-// setFaults gives the fault layer a plan. A node that is paused or has ended takes none.
-func (o *operator) setFaults(plan FaultPlan) {
-	if o.node.SetFaults(plan) == nil {
-		o.record(SystemBad)
+// setFaults sends a plan to the fault layer and records it. A process that is paused or has
+// exited does not accept one.
+func (inj *faultInjector) setFaults(plan FaultPlan) {
+	if inj.node.SetFaults(plan) == nil {
+		inj.record(SystemFault)
 	}
 }
 
-// systemCallsFail has some system calls fail for a while.
-func systemCallsFail(ctx context.Context, o *operator, rng *rand.Rand) {
-	plan := FaultPlan{Seed: rng.Uint64(), WallSeconds: o.wallSeconds}
+// failSystemCalls makes some system calls fail for a while.
+func failSystemCalls(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
+	plan := FaultPlan{Seed: rng.Uint64(), WallSeconds: inj.wallSeconds}
 	for range 1 + rng.IntN(4) {
 		rule := systemFaults[rng.IntN(len(systemFaults))]
-		// One rule a call: where several had the same call fail, hardly any would succeed.
+		// At most one rule for each call: with several, the call would hardly ever succeed.
 		if !slices.ContainsFunc(plan.Rules, func(r FaultRule) bool { return r.Call == rule.Call }) {
 			plan.Rules = append(plan.Rules, rule)
 		}
 	}
-	if o.node.Keys && rng.IntN(2) == 0 {
+	if inj.node.DurableKeys && rng.IntN(2) == 0 {
 		plan.Rules = append(plan.Rules, diskFaults[rng.IntN(len(diskFaults))])
 	}
-	o.setFaults(plan)
-	pause(ctx, between(rng, 200*time.Millisecond, 3*time.Second))
-	o.setFaults(FaultPlan{WallSeconds: o.wallSeconds})
+	inj.setFaults(plan)
+	sleep(ctx, randomDuration(rng, 200*time.Millisecond, 3*time.Second))
+	inj.setFaults(FaultPlan{WallSeconds: inj.wallSeconds})
 }
 
-// wallClockSteps steps the Unix time that the process sees.
-func wallClockSteps(_ context.Context, o *operator, rng *rand.Rand) {
-	o.wallSeconds = wallSteps[rng.IntN(len(wallSteps))]
-	o.setFaults(FaultPlan{WallSeconds: o.wallSeconds})
+// stepWallClock changes the offset of the process's Unix time.
+func stepWallClock(_ context.Context, inj *faultInjector, rng *rand.Rand) {
+	inj.wallSeconds = wallOffsetSeconds[rng.IntN(len(wallOffsetSeconds))]
+	inj.setFaults(FaultPlan{WallSeconds: inj.wallSeconds})
 }
--- a/internal/faultsoak/takeover_test.go
+++ b/internal/faultsoak/takeover_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// TestTakeOverFromAStalledProcess: a process takes over from one that stands still and
-// can't tell its keys. A key that ran there is not run again: at worst its repeat fails.
-func TestTakeOverFromAStalledProcess(t *testing.T) {
+// A process takes over from a paused one, which can't hand over its keys. A key that ran in
+// the old process must not run again in the new one; a retry with it may fail.
+func TestHandover_FromPausedProcessRunsNoKeyAgain(t *testing.T) {
 	config, err := DefaultConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
 	n, err := StartNode(NodeConfig{
-		Name: "n1", Binary: builtProgram, Dir: t.TempDir(), Config: config, Took: 5 * time.Millisecond, Inherit: true,
+		Name: "n1", Binary: builtProgram, Dir: t.TempDir(), Config: config, RunDuration: 5 * time.Millisecond, InheritSocket: true,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Close()
-	n.Ready()
-	b := &bench{T: t, node: n}
-	gift := Ask{Class: KeyedClass, Deadline: KeyedDeadline, Key: "key", Body: "gift"}
+	n.AwaitReady()
+	b := &testNode{T: t, node: n}
+	gift := RequestSpec{Class: KeyedClass, Deadline: KeyedDeadline, Key: "key", Body: "gift"}
 	c := b.dial()
-	b.ask(c, gift)
+	b.send(c, gift)
 	c.AwaitAnswers()
 	c.Close()
 	old := n.process()
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = old.signal(syscall.SIGCONT) }()
-	stalled := time.Now()
+	pausedAt := time.Now()
 	next, err := n.newProcess()
 	if err != nil {
 		t.Fatal(err)
@@ -46,16 +46,16 @@
 	}
 	defer next.kill()
 	if !next.awaitReady() {
-		t.Fatal("it does not get ready")
+		t.Fatalf("the new process is not ready after %v", readyTimeout)
 	}
-	if waited := time.Since(stalled); waited > keyedWindow {
-		t.Fatalf("the key's window is over after %v", waited)
+	if waited := time.Since(pausedAt); waited > keyedWindow {
+		t.Fatalf("handover took %v, want at most the key's window of %v", waited, keyedWindow)
 	}
 	c = b.dial()
-	b.ask(c, gift)
+	b.send(c, gift)
 	c.AwaitAnswers()
-	b.verdict()
+	b.checkRules()
 	if runs := n.Work.Runs("gift"); runs != 1 {
-		t.Errorf("the gift ran %d times", runs)
+		t.Errorf("the keyed request ran %d times, want 1", runs)
 	}
 }
