--- a/cmd/fleet-experiment/failover.go
+++ b/cmd/fleet-experiment/failover.go
@@ -35,7 +35,7 @@
 
 func (c *failoverCmd) measure(fleet *fleettest.Fleet) error {
 	rng := rand.New(rand.NewPCG(c.Seed, 1))
-	if _, err := fleet.AwaitAct("the first act", 0, func(a fakes.FencedWrite) bool { return a.Accepted }); err != nil {
+	if _, err := fleet.AwaitWrite("the first act", 0, func(a fakes.FencedWrite) bool { return a.Accepted }); err != nil {
 		return err
 	}
 	var times failoverTimes
@@ -67,7 +67,7 @@
 	if err := endOwner(fleet, owner.By, kill); err != nil {
 		return 0, err
 	}
-	next, err := fleet.AwaitAct("the next owner's act", len(acts), func(a fakes.FencedWrite) bool {
+	next, err := fleet.AwaitWrite("the next owner's act", len(acts), func(a fakes.FencedWrite) bool {
 		return a.Accepted && a.Token.Compare(owner.Token) > 0
 	})
 	if err != nil {
--- a/cmd/quincerail/versions_operators_test.go
+++ b/cmd/quincerail/versions_operators_test.go
@@ -88,7 +88,7 @@
 
 // rolloutStatus requests the status of the rollout from a voter.
 func (f *versionsFleet) rolloutStatus(voter string) (s rolloutStatus, err error) {
-	address, err := f.Operators(voter)
+	address, err := f.OperatorAddress(voter)
 	if err != nil {
 		return s, err
 	}
@@ -156,7 +156,7 @@
 // operatorCommandOutput runs an operators' sub-command of a program against a voter, and
 // returns its output.
 func (f *versionsFleet) operatorCommandOutput(program, voter, command string, args ...string) (string, error) {
-	address, err := f.Operators(voter)
+	address, err := f.OperatorAddress(voter)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/quincerail/versions_voters_test.go
+++ b/cmd/quincerail/versions_voters_test.go
@@ -127,7 +127,7 @@
 		programs: []string{o.Binary, o.Versions[currentVersion]},
 	}
 	o.Dir, o.Seed, o.Example = t.TempDir(), 26, filepath.Join("..", "..", "example", "config.json")
-	o.Voters, o.Load, o.Took, o.TurnsAway, o.Within = 3, 4, 60*time.Millisecond, 8, conditionTimeout
+	o.Voters, o.Load, o.CallDuration, o.RejectEvery, o.Within = 3, 4, 60*time.Millisecond, 8, conditionTimeout
 	o.Adjust = func(config map[string]any) {
 		adjustSettings(config)
 		config["control"] = anyPort
@@ -137,12 +137,12 @@
 		"election_ms": 500, "lease_ms": 500, "probe_ms": 50, "window_ms": 200, "budget_calls": budgetCalls,
 		"budget_repeats": budgetRepeats, "horizon_ms": 3000, "hold_ms": 600,
 	}
-	o.Own, o.Files = map[string]map[string]any{}, map[string]map[string]any{}
+	o.MemberSettings, o.OperatorFileKeys = map[string]map[string]any{}, map[string]map[string]any{}
 	for _, name := range []string{"v1", "v2", "v3", "v4"} {
-		o.Own[name] = map[string]any{"operators": anyPort}
+		o.MemberSettings[name] = map[string]any{"operators": anyPort}
 	}
 	for _, name := range []string{"v1", "v2", "v3", "v4", "m1"} {
-		o.Files[name] = map[string]any{
+		o.OperatorFileKeys[name] = map[string]any{
 			"keys": map[string]any{"dir": filepath.Join(o.Dir, name+"-keys")},
 			"log":  map[string]any{"level": "debug", "repeats": 100}, // some reports of undecodable messages are logged at debug level only
 		}
@@ -292,7 +292,7 @@
 func (f *versionsFleet) awaitRegistryWrite(what string) {
 	f.t.Helper()
 	writes, _ := f.Registry.Writes()
-	_, err := f.AwaitAct(what, len(writes), func(w fakes.FencedWrite) bool { return w.Accepted })
+	_, err := f.AwaitWrite(what, len(writes), func(w fakes.FencedWrite) bool { return w.Accepted })
 	must(f.t, 0, err)
 }
 
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -35,7 +35,7 @@
 
 func start(t *testing.T, own map[string]map[string]any) run {
 	t.Helper()
-	return startWith(t, fleettest.Options{Own: own, Settings: map[string]any{"election_ms": 300, "lease_ms": 300, "probe_ms": 20}})
+	return startWith(t, fleettest.Options{MemberSettings: own, Settings: map[string]any{"election_ms": 300, "lease_ms": 300, "probe_ms": 20}})
 }
 
 func startWith(t *testing.T, o fleettest.Options) run {
@@ -88,7 +88,7 @@
 
 func (r run) act(what string, is func(fakes.FencedWrite) bool) fakes.FencedWrite {
 	r.t.Helper()
-	a, err := r.AwaitAct(what, 0, is)
+	a, err := r.AwaitWrite(what, 0, is)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -177,7 +177,7 @@
 	acts, _ := r.Registry.Writes()
 	for range 30 { // of the majority's owner
 		n := len(acts)
-		if _, err := r.AwaitAct("more acts", n, func(a fakes.FencedWrite) bool { return a.Accepted }); err != nil {
+		if _, err := r.AwaitWrite("more acts", n, func(a fakes.FencedWrite) bool { return a.Accepted }); err != nil {
 			t.Fatal(err)
 		}
 		acts, _ = r.Registry.Writes()
@@ -294,7 +294,7 @@
 // with messages lost, doubled and reordered, with members paused, killed and
 // restarted, the bound holds at every instant, and work goes on.
 func TestBudget(t *testing.T) {
-	r := startWith(t, fleettest.Options{Load: 4, Took: 60 * time.Millisecond, TurnsAway: 8, Settings: map[string]any{
+	r := startWith(t, fleettest.Options{Load: 4, CallDuration: 60 * time.Millisecond, RejectEvery: 8, Settings: map[string]any{
 		"election_ms": 300, "lease_ms": 300,
 		"budget_calls": budget, "budget_repeats": repeats, "horizon_ms": 3000, "hold_ms": 600,
 	}})
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -41,11 +41,11 @@
 	}
 	o.Version, o.Voters, o.Members, o.Load, o.Within = "v1", 3, 3, 8, 2*time.Minute
 	o.Settings = map[string]any{"election_ms": 500, "lease_ms": 500, "window_ms": window.Milliseconds()}
-	o.Own = map[string]map[string]any{}
+	o.MemberSettings = map[string]map[string]any{}
 	for i, name := range []string{"v1", "v2", "v3", "m1", "m2", "m3"} {
-		o.Own[name] = map[string]any{"zone": fmt.Sprint("hall", i%3+1)}
+		o.MemberSettings[name] = map[string]any{"zone": fmt.Sprint("hall", i%3+1)}
 		if i < 3 {
-			o.Own[name]["operators"] = "127.0.0.1:0"
+			o.MemberSettings[name]["operators"] = "127.0.0.1:0"
 		}
 	}
 	o.Adjust = func(config map[string]any) {
@@ -83,7 +83,7 @@
 // operator runs one of the program's commands against a voter.
 func (r run) operator(voter, command string, args ...string) (string, error) {
 	r.t.Helper()
-	address, err := r.Operators(voter)
+	address, err := r.OperatorAddress(voter)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	file := filepath.Join(r.t.TempDir(), "plan.toml")
 	writeFile(r.t, file, fmt.Sprintf(plan, patience, worse))
 	r.until("v1 knows of all servers", func() (string, bool) {
-		s, err := r.Change("v1")
+		s, err := r.ChangeStatus("v1")
 		return fmt.Sprint(len(s.Servers), " ", err), err == nil && len(s.Servers) == 6
 	})
 	if out, err := r.operator("v1", "rollout start", append([]string{"--plan", file}, args...)...); err != nil {
@@ -195,7 +195,7 @@
 func (r run) rolloutOwner() string {
 	r.t.Helper()
 	for _, v := range []string{"v1", "v2", "v3"} {
-		if s, err := r.Change(v); err == nil && s.Owner != "" {
+		if s, err := r.ChangeStatus(v); err == nil && s.Owner != "" {
 			return s.Owner
 		}
 	}
@@ -250,9 +250,9 @@
 // one can't read: the old servers' failures halt it.
 func TestRolloutMixed(t *testing.T) {
 	const post = "post := ledger.AppendCall(nil, id, wait, body)"
-	r := versions(t, fleettest.Options{Class: "ny-gava", Took: 5 * time.Millisecond}, map[string]fleettest.Edit{"newform": {
+	r := versions(t, fleettest.Options{Class: "ny-gava", CallDuration: 5 * time.Millisecond}, map[string]fleettest.Edit{"newform": {
 		File: filepath.Join("..", "downstream", "pool.go"), Old: post,
-		New: fmt.Sprintf("post := ledger.AppendCall(nil, id, wait, append([]byte(%q), body...))", fakes.NewForm),
+		New: fmt.Sprintf("post := ledger.AppendCall(nil, id, wait, append([]byte(%q), body...))", fakes.NewFormPrefix),
 	}})
 	r.begin(900, 1.5, "--id", "r3", "--from", "v1", "--to", "newform")
 	starter := r.Starter(nil)
@@ -276,7 +276,7 @@
 	// The plan's name draws which server is the first: a plain member here.
 	var first string
 	r.until("a server is to run v2", func() (string, bool) {
-		s, err := r.Change("v1")
+		s, err := r.ChangeStatus("v1")
 		for name, version := range s.Desired {
 			if version == "v2" {
 				first = name
@@ -287,8 +287,8 @@
 	if !strings.HasPrefix(first, "m") {
 		t.Fatalf("the first is %s", first)
 	}
-	zone := r.Own(first)["zone"]
-	r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind == "gossip" && r.Own(p.From)["zone"] == zone })
+	zone := r.MemberSettings(first)["zone"]
+	r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind == "gossip" && r.MemberSettings(p.From)["zone"] == zone })
 	back := r.phase("back", "0")
 	if !strings.Contains(back.Fields["reason"], "no word") && !strings.Contains(back.Fields["reason"], "did not come to run") {
 		t.Errorf("halted for %q", back.Fields["reason"])
@@ -350,7 +350,7 @@
 // runSettings checks that all servers run settings of a number, as a voter knows.
 func (r run) runSettings(number uint64) {
 	r.t.Helper()
-	s, err := r.Change("v1")
+	s, err := r.ChangeStatus("v1")
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -370,7 +370,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := versions(t, fleettest.Options{Word: "page", Files: map[string]map[string]any{"m2": {"rules": rules}}}, nil)
+	r := versions(t, fleettest.Options{Word: "page", OperatorFileKeys: map[string]map[string]any{"m2": {"rules": rules}}}, nil)
 	good, bad := settingsPatches(t)
 	r.begin(900, 1.5, "--id", "s1", "--settings", good)
 	r.phase("done", "2")
--- a/fleet/voters_test.go
+++ b/fleet/voters_test.go
@@ -58,7 +58,7 @@
 	acts, _ := r.Registry.Writes()
 	for range 30 {
 		n := len(acts)
-		if _, err := r.AwaitAct("more acts", n, func(a fakes.FencedWrite) bool { return a.Accepted && a.By != gone }); err != nil {
+		if _, err := r.AwaitWrite("more acts", n, func(a fakes.FencedWrite) bool { return a.Accepted && a.By != gone }); err != nil {
 			r.t.Fatal(err)
 		}
 		acts, _ = r.Registry.Writes()
@@ -80,7 +80,7 @@
 		own[name] = map[string]any{"operators": "127.0.0.1:0"}
 	}
 	r := startFleet(t, fleettest.Options{
-		Voters: 3, Joining: 1, Members: 1, Own: own,
+		Voters: 3, Joining: 1, Members: 1, MemberSettings: own,
 		Settings: map[string]any{"election_ms": 300, "lease_ms": 300, "probe_ms": 20},
 	})
 	first := r.after(lease.Token{})
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	acts, _ := r.Registry.Writes()
-	next, err := r.AwaitAct("acts of two of three", len(acts), func(a fakes.FencedWrite) bool { return a.Accepted && a.By != dead })
+	next, err := r.AwaitWrite("acts of two of three", len(acts), func(a fakes.FencedWrite) bool { return a.Accepted && a.By != dead })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -15,31 +15,33 @@
 	"quincerail.example/quincerail/protocol/uwsgi"
 )
 
-// answerTimeout is how long a caller waits for an answer, longer than any deadline of
-// the tests.
+// answerTimeout limits the wait for a response. It is longer than any request deadline
+// in the tests.
 const answerTimeout = 20 * time.Second
 
-// Outcome is the answer that a client got.
+// Outcome is the response that a client received.
 type Outcome struct {
-	Kind string // served, refused, failed, rejected
-	Body string // served
+	Kind string // served, refused (shed), failed or rejected (invalid request)
+	Body string // result of a served request; otherwise empty
 }
 
-// Attempt is one attempt of a request, on a connection of its own. It can be sent in two
-// parts, so that the server has read a half of it in between.
+// Attempt is one attempt of a request, on its own connection. SendHalf followed by Send
+// sends it in two parts, so that a test can act while the server has read only the first.
 type Attempt struct {
 	conn        net.Conn
 	r           *bufio.Reader
 	unsent      []byte
-	arrivalTime []byte // part of unsent: set when the last byte is sent
+	arrivalTime []byte // slice of unsent with the arrival time, which Send sets; may be nil
 	readOutcome func(*bufio.Reader) (Outcome, error)
 	cancel      func(net.Conn)
 }
 
-// Client makes attempts over one frontend.
+// Client connects to a frontend at address and prepares an attempt; Attempt.Send sends it.
+// An empty key sends no idempotency key.
 type Client func(address, class, key, body string) (*Attempt, error)
 
-// Send sends all that has not been sent.
+// Send sends the unsent rest of the request, with the current time as its arrival time if
+// the protocol has one.
 func (t *Attempt) Send() error {
 	copy(t.arrivalTime, arrivalTime())
 	_, err := t.conn.Write(t.unsent)
@@ -47,7 +49,7 @@
 	return err
 }
 
-// SendHalf sends the first half of what has not been sent.
+// SendHalf sends the first half of the unsent bytes.
 func (t *Attempt) SendHalf() error {
 	n := len(t.unsent) / 2
 	_, err := t.conn.Write(t.unsent[:n])
@@ -55,7 +57,7 @@
 	return err
 }
 
-// Outcome waits for the answer, and closes the connection.
+// Outcome waits for the response and closes the connection.
 func (t *Attempt) Outcome() (Outcome, error) {
 	defer closeIgnoringError(t.conn)
 	if err := t.conn.SetReadDeadline(time.Now().Add(answerTimeout)); err != nil {
@@ -64,10 +66,11 @@
 	return t.readOutcome(t.r)
 }
 
-// Cancel gives the request up in the way of the protocol.
+// Cancel cancels the request as its protocol does: over Thrift with an interrupt message,
+// over uwsgi and HTTP by closing the connection.
 func (t *Attempt) Cancel() { t.cancel(t.conn) }
 
-// Disconnect closes the connection.
+// Disconnect closes the connection without cancelling the request first.
 func (t *Attempt) Disconnect() { closeIgnoringError(t.conn) }
 
 func dial(address string, request []byte) (*Attempt, error) {
@@ -79,29 +82,30 @@
 	return &Attempt{conn: nc, r: bufio.NewReader(nc), unsent: request}, nil
 }
 
-// Thrift is a caller that speaks the balancers' protocol.
+// Thrift is a Client of the frontend for balancers.
 func Thrift(address, class, key, body string) (*Attempt, error) {
 	return thriftAttempt(address, class, key, body, nil)
 }
 
-// ThriftWith gives one whose requests carry further fields, or others.
-func ThriftWith(further map[string]string) Client {
+// ThriftWith returns a Client like Thrift whose requests have extraFields added to the
+// default fields, or in place of them where the names are equal.
+func ThriftWith(extraFields map[string]string) Client {
 	return func(address, class, key, body string) (*Attempt, error) {
-		return thriftAttempt(address, class, key, body, further)
+		return thriftAttempt(address, class, key, body, extraFields)
 	}
 }
 
-func thriftAttempt(address, class, key, body string, further map[string]string) (*Attempt, error) {
+func thriftAttempt(address, class, key, body string, extraFields map[string]string) (*Attempt, error) {
 	fields := map[string]string{"verb": class, "txn": NewID(), "lb": "1", "ram": "20", "standing": "0.5"}
 	if key != "" {
 		fields["unique"] = key
 	}
-	maps.Copy(fields, further)
+	maps.Copy(fields, extraFields)
 	t, err := dial(address, AppendExecute(nil, 1, fields, []byte(body)))
 	if err != nil {
 		return nil, err
 	}
-	end := len(t.unsent) - 1 // the struct's end
+	end := len(t.unsent) - 1 // of the arrival time; the last byte ends the arguments struct
 	t.arrivalTime = t.unsent[end-len(arrivalTime()) : end]
 	t.readOutcome = func(r *bufio.Reader) (Outcome, error) {
 		for {
@@ -115,7 +119,7 @@
 	return t, nil
 }
 
-// UWSGI is a caller that speaks uwsgi. It asks for the path /CLASS.
+// UWSGI is a Client of the uwsgi frontend. It posts to the path /CLASS.
 func UWSGI(address, class, key, body string) (*Attempt, error) {
 	vars := []uwsgi.Var{{Name: "REQUEST_METHOD", Value: "POST"}, {Name: "PATH_INFO", Value: "/" + class}}
 	if key != "" {
@@ -134,15 +138,15 @@
 		if err != nil {
 			return Outcome{}, err
 		}
-		later := slices.ContainsFunc(resp.Headers, func(h uwsgi.Var) bool { return h.Name == "Retry-After" })
-		return httpOutcome(resp.Status, later, string(resp.Body))
+		retryAfter := slices.ContainsFunc(resp.Headers, func(h uwsgi.Var) bool { return h.Name == "Retry-After" })
+		return httpOutcome(resp.Status, retryAfter, string(resp.Body))
 	}
 	t.cancel = func(nc net.Conn) { closeIgnoringError(nc) }
 	return t, nil
 }
 
-// HTTP is a caller that speaks HTTP/1.1. It posts to the path /CLASS, with the
-// key in the header Idempotency-Key.
+// HTTP is a Client of the HTTP/1.1 frontend. It posts to the path /CLASS and sends the key
+// in the header Idempotency-Key.
 func HTTP(address, class, key, body string) (*Attempt, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST /%s HTTP/1.1\r\nHost: %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n",
@@ -171,7 +175,8 @@
 	return t, nil
 }
 
-// httpOutcome reads an HTTP status as the fronts use them.
+// httpOutcome maps the status of a response to its outcome. A 503 counts as refused only
+// with a Retry-After header; any other status is an error.
 func httpOutcome(status int, retryAfter bool, body string) (Outcome, error) {
 	switch {
 	case status == 200:
@@ -183,5 +188,5 @@
 	case status == 400, status == 422:
 		return Outcome{Kind: "rejected"}, nil
 	}
-	return Outcome{}, fmt.Errorf("status %d", status)
+	return Outcome{}, fmt.Errorf("fakes: unexpected response status %d", status)
 }
--- a/internal/fakes/listen.go
+++ b/internal/fakes/listen.go
@@ -7,15 +7,15 @@
 	"net"
 )
 
-// listen opens a TCP listener. The listener outlives any one test's context: whoever
-// starts a fake closes it.
+// listen opens a TCP listener. It has no context because it outlives that of a single test;
+// the owner of the fake closes it.
 func listen(address string) (net.Listener, error) {
 	var config net.ListenConfig
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// accept serves connections, each in a goroutine that closes it at its end, until the
-// listener is closed.
+// accept accepts connections until the listener is closed. It calls serve for each in a
+// goroutine and closes the connection when serve returns.
 func accept(l net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := l.Accept()
@@ -29,8 +29,9 @@
 	}
 }
 
-// closeIgnoringError closes what a fake no longer uses; nothing depends on the result.
+// closeIgnoringError closes c. An error doesn't matter, because the fake no longer uses c.
 func closeIgnoringError(c io.Closer) { _ = c.Close() }
 
-// send writes to a peer. A peer that has gone is noticed by the next read.
+// send writes formatted text to a peer. It ignores errors: the next read from a closed
+// connection reports them.
 func send(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
--- a/internal/fakes/machine.go
+++ b/internal/fakes/machine.go
@@ -6,26 +6,28 @@
 	"time"
 )
 
-// Machine is a fake of what a service's handlers wait for, a database say:
-// cores that share their time among what runs on them, and that get less done
-// in total once more than ThrashAt runs a core are on them, Thrash of their
-// speed less for each further run a core (at least a tenth is left). Do waits,
-// in real time, as long as the work takes on it. It is safe for concurrent use.
+// Machine is a fake of a resource that a service's handlers wait for, for example a
+// database. Its cores divide their time equally among the running jobs. It slows down
+// under overload: above ThrashAt jobs per core, each further job per core reduces the
+// speed by the share Thrash, to a tenth at least. Do waits in real time until its job is
+// done. A Machine is safe for concurrent use.
 type Machine struct {
-	Cores, ThrashAt, Thrash float64
+	Cores    float64
+	ThrashAt float64 // jobs per core above which the speed falls
+	Thrash   float64 // share of the speed that each further job per core costs
 
 	mu    sync.Mutex
 	jobs  map[*machineJob]struct{}
-	at    time.Time // when the jobs' work was last counted
+	at    time.Time // when advance last updated the jobs
 	timer *time.Timer
 }
 
 type machineJob struct {
-	left float64 // core-seconds of work
+	left float64 // remaining work in core-seconds
 	done chan struct{}
 }
 
-// speed is each job's share of a core with n on the machine.
+// speed returns the work that each of n jobs gets done per second, in core-seconds.
 func (m *Machine) speed(n int) float64 {
 	if n == 0 {
 		return 1
@@ -37,8 +39,8 @@
 	return min(1, m.Cores/float64(n)) * efficiency
 }
 
-// Do runs work that takes so long on one idle core, until it is done or ctx
-// ends; an ended ctx takes the work off the machine.
+// Do runs a job and returns when it is done. work is its duration on one idle core. When
+// ctx ends first, Do removes the job and returns ctx.Err().
 func (m *Machine) Do(ctx context.Context, work time.Duration) error {
 	j := &machineJob{left: work.Seconds(), done: make(chan struct{})}
 	m.mu.Lock()
@@ -62,7 +64,8 @@
 	}
 }
 
-// advance counts the work done since the last time, and ends what is done.
+// advance subtracts the work done since its last call from each job and completes the jobs
+// without remaining work. The lock is held.
 func (m *Machine) advance() {
 	now := time.Now()
 	elapsed := now.Sub(m.at).Seconds()
@@ -76,7 +79,7 @@
 	}
 }
 
-// schedule sets the timer for the next job to end.
+// schedule sets the timer to the time at which the next job will be done. The lock is held.
 func (m *Machine) schedule() {
 	if m.timer != nil {
 		m.timer.Stop()
--- a/internal/fakes/processor.go
+++ b/internal/fakes/processor.go
@@ -12,56 +12,58 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// usagesUntilUp is how often the app server asks for the gauges before its module counts
-// as at work.
-const usagesUntilUp = 3
+// gaugeRequestsUntilUp is the number of gauge requests from the app server after which
+// its backend module counts as running.
+const gaugeRequestsUntilUp = 3
 
-// Processor is a fake of the processor.
+// Processor is a fake of the processor. It keeps its runs and notices while no app server
+// is connected, and sends a reconnecting app server the notices that it has not received.
 type Processor struct {
 	work      *Work
-	listener  net.Listener // the newest
+	listener  net.Listener // of the current address
 	startedAt time.Time
-	up        chan struct{}
+	up        chan struct{} // closed by the request number gaugeRequestsUntilUp
 
 	mu            sync.Mutex
-	link          net.Conn
-	notices       []string // as sent; number n is at n-1
-	runs          map[string]*run
+	conn          net.Conn        // last connection that sent hello; nil after Disconnect
+	notices       []string        // as sent; notice n has index n-1
+	runs          map[string]*run // by id, also those that are completed
 	running       int
 	gaugeRequests int
 }
 
 type run struct {
 	body       string
-	awaitsCall bool
+	awaitsCall bool // waits for the reply to its downstream call
 	timer      *time.Timer
 	completed  bool
 }
 
-// NewProcessor starts a processor that does some work.
+// NewProcessor starts a processor that listens at address and runs work.
 func NewProcessor(address string, work *Work) (*Processor, error) {
 	l, err := listen(address)
 	if err != nil {
-		return nil, fmt.Errorf("processor: %w", err)
+		return nil, fmt.Errorf("fake processor: %w", err)
 	}
 	p := &Processor{work: work, listener: l, startedAt: time.Now(), up: make(chan struct{}), runs: make(map[string]*run)}
 	go accept(l, p.serve)
 	return p, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens at.
 func (p *Processor) Addr() string { return p.listener.Addr().String() }
 
-// Up is closed when the app server's module is at work: it asks for the gauges
-// again and again.
+// Up returns a channel that is closed when the app server's backend module is running: it
+// has requested the gauges several times by then.
 func (p *Processor) Up() <-chan struct{} { return p.up }
 
-// Listen has it listen at a new address, and no more at the old one. The link that
-// is open goes on until the app server opens the next.
+// Listen replaces the listener by one at a new address. An open connection stays in use
+// until the app server opens the next. Listen must not be called concurrently with itself,
+// Addr or Close.
 func (p *Processor) Listen(address string) error {
 	l, err := listen(address)
 	if err != nil {
-		return fmt.Errorf("processor: %w", err)
+		return fmt.Errorf("fake processor: %w", err)
 	}
 	closeIgnoringError(p.listener)
 	p.listener = l
@@ -69,19 +71,19 @@
 	return nil
 }
 
-// Close ends it.
+// Close closes the listener and the connection to the app server.
 func (p *Processor) Close() {
 	closeIgnoringError(p.listener)
 	p.Disconnect()
 }
 
-// Disconnect breaks the link. Runs continue.
+// Disconnect closes the connection to the app server. Runs continue.
 func (p *Processor) Disconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.link != nil {
-		closeIgnoringError(p.link)
-		p.link = nil
+	if p.conn != nil {
+		closeIgnoringError(p.conn)
+		p.conn = nil
 	}
 }
 
@@ -98,7 +100,7 @@
 	}
 }
 
-// command carries out one command. The lock is held.
+// command executes one command of the app server. The lock is held.
 func (p *Processor) command(nc net.Conn, words []string, body string) {
 	id := words[len(words)-1]
 	if len(words) > 1 {
@@ -119,7 +121,7 @@
 	case "without":
 		p.endCall(id, "without")
 	case "usage":
-		if p.gaugeRequests++; p.gaugeRequests == usagesUntilUp {
+		if p.gaugeRequests++; p.gaugeRequests == gaugeRequestsUntilUp {
 			close(p.up)
 		}
 		send(nc, "used %s 0.1 %d 0.1 1\r\n", id, p.running)
@@ -128,26 +130,27 @@
 	}
 }
 
-// connect greets the app server, and sends the notices after the last that it has.
+// connect replies to hello and sends the notices after lastNotice, the number of the last
+// that the app server has received.
 func (p *Processor) connect(nc net.Conn, lastNotice string) {
-	last, _ := strconv.Atoi(lastNotice) // 0 for what is no number
-	p.link = nc
+	last, _ := strconv.Atoi(lastNotice) // 0 if it is not a number
+	p.conn = nc
 	send(nc, "hi old %d\r\n", time.Since(p.startedAt).Milliseconds())
 	for _, n := range p.notices[min(last, len(p.notices)):] {
 		send(nc, "%s", n)
 	}
 }
 
-// cancel stops a run.
+// cancel stops a run if it has not completed.
 func (p *Processor) cancel(id string) {
 	if r := p.runs[id]; r != nil && !r.completed {
-		p.work.stopped(r.body)
+		p.work.recordStop(r.body)
 		p.complete(id, r, "cut", nil)
 	}
 }
 
-// endCall completes a run that waits for its call, with the call's reply. It returns
-// false if the run does not wait for one.
+// endCall completes a run that waits for its downstream call, with the reply as its result.
+// It returns false if the run doesn't wait for a call.
 func (p *Processor) endCall(id, reply string) bool {
 	r := p.runs[id]
 	if r == nil || !r.awaitsCall {
@@ -158,6 +161,8 @@
 	return true
 }
 
+// begin starts a run. A repeated begin of a completed run sends a notice that its result is
+// no longer available; one of a current run has no effect.
 func (p *Processor) begin(id, body string) {
 	if r := p.runs[id]; r != nil {
 		if r.completed {
@@ -176,7 +181,7 @@
 		r.awaitsCall = true
 		p.notice(fmt.Sprintf("ask %%d %s %d\r\n", id, len(body)), []byte(body))
 	default:
-		r.timer = time.AfterFunc(p.work.time(body), func() {
+		r.timer = time.AfterFunc(p.work.duration(body), func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			if !r.completed {
@@ -186,20 +191,21 @@
 	}
 }
 
-func (p *Processor) complete(id string, r *run, end string, result []byte) {
+func (p *Processor) complete(id string, r *run, status string, result []byte) {
 	r.completed = true
 	p.running--
-	p.notice(fmt.Sprintf("complete %%d %s %s 1 %d\r\n", id, end, len(result)), append([]byte{}, result...))
+	p.notice(fmt.Sprintf("complete %%d %s %s 1 %d\r\n", id, status, len(result)), append([]byte{}, result...))
 }
 
-// notice numbers a notice, remembers it and sends it if there is a link.
-func (p *Processor) notice(form string, body []byte) {
-	text := strings.Replace(form, "%d", strconv.Itoa(len(p.notices)+1), 1)
+// notice gives a notice the next number, in place of the %d in format, stores it, and sends
+// it if an app server is connected. A non-nil body follows on a line of its own.
+func (p *Processor) notice(format string, body []byte) {
+	text := strings.Replace(format, "%d", strconv.Itoa(len(p.notices)+1), 1)
 	if body != nil {
 		text += string(body) + "\r\n"
 	}
 	p.notices = append(p.notices, text)
-	if p.link != nil {
-		send(p.link, "%s", text)
+	if p.conn != nil {
+		send(p.conn, "%s", text)
 	}
 }
--- a/internal/fakes/services.go
+++ b/internal/fakes/services.go
@@ -12,19 +12,24 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// Dependency is a fake of the shared dependency. It answers a call by its body's second
-// word: full, error, expired or moot, hold (no reply until Release), break (it closes
-// the connection), else posted with Result(body).
+// Dependency is a fake of the shared dependency. The text after the first space of a call's
+// body selects the reply:
+//
+//	full                  queue_full
+//	error, expired, moot  this status
+//	hold                  none before Release
+//	break                 none; it closes the connection
+//	else                  posted, with Result(body)
 type Dependency struct {
 	listener  net.Listener
-	Calls     chan string // bodies
-	Abandoned chan string // ids of calls that were given up
+	Calls     chan string // bodies of calls; the test receives them
+	Abandoned chan string // ids of abandoned calls; the test receives them
 
 	mu   sync.Mutex
-	held []func() // replies to calls that are held
+	held []func() // send the replies to held calls
 }
 
-// Release replies to the calls that are held.
+// Release replies to the held calls.
 func (s *Dependency) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,21 +39,21 @@
 	s.held = nil
 }
 
-// NewDependency starts a ledger.
+// NewDependency starts a shared dependency that listens at address.
 func NewDependency(address string) (*Dependency, error) {
 	l, err := listen(address)
 	if err != nil {
-		return nil, fmt.Errorf("ledger: %w", err)
+		return nil, fmt.Errorf("fake shared dependency: %w", err)
 	}
 	s := &Dependency{listener: l, Calls: make(chan string, 1024), Abandoned: make(chan string, 1024)}
 	go accept(l, s.serve)
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens at.
 func (s *Dependency) Addr() string { return s.listener.Addr().String() }
 
-// Close ends it.
+// Close closes the listener. Open connections stay open.
 func (s *Dependency) Close() { closeIgnoringError(s.listener) }
 
 func (s *Dependency) serve(nc net.Conn) {
@@ -62,22 +67,22 @@
 			s.Abandoned <- words[1]
 			continue
 		}
-		_, how, _ := strings.Cut(string(body), " ")
+		_, action, _ := strings.Cut(string(body), " ")
 		post := func() {
 			result := Result(string(body))
 			send(nc, "%s posted %d\r\n%s\r\n", words[1], len(result), result)
 		}
-		if how == "hold" {
+		if action == "hold" {
 			s.mu.Lock()
 			s.held = append(s.held, post)
 			s.mu.Unlock()
 		}
 		s.Calls <- string(body)
-		switch how {
+		switch action {
 		case "full":
 			send(nc, "%s queue_full\r\n", words[1])
 		case "error", "expired", "moot":
-			send(nc, "%s %s\r\n", words[1], how)
+			send(nc, "%s %s\r\n", words[1], action)
 		case "hold":
 		case "break":
 			return
@@ -90,27 +95,27 @@
 // DiscoveryService is a fake of the discovery service.
 type DiscoveryService struct {
 	listener net.Listener
-	Reports  chan string // path and body of each report
+	Reports  chan string // method, path and body of each request; dropped while the channel is full
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// NewDiscoveryService starts an announce service.
+// NewDiscoveryService starts a discovery service that listens at address.
 func NewDiscoveryService(address string) (*DiscoveryService, error) {
 	l, err := listen(address)
 	if err != nil {
-		return nil, fmt.Errorf("announce: %w", err)
+		return nil, fmt.Errorf("fake discovery service: %w", err)
 	}
 	s := &DiscoveryService{listener: l, Reports: make(chan string, 1024)}
 	go accept(l, s.serve)
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens at.
 func (s *DiscoveryService) Addr() string { return s.listener.Addr().String() }
 
-// Close ends it, with its connections.
+// Close closes the listener and all connections.
 func (s *DiscoveryService) Close() {
 	closeIgnoringError(s.listener)
 	s.mu.Lock()
@@ -136,7 +141,7 @@
 		}
 		select {
 		case s.Reports <- req.Method + " " + req.URL.Path + " " + string(body):
-		default: // nobody is looking
+		default: // the test doesn't receive reports
 		}
 		send(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 	}
--- a/internal/fakes/shared_dependency.go
+++ b/internal/fakes/shared_dependency.go
@@ -11,49 +11,50 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// SharedDependency is a fake of a dependency that a whole fleet shares: each call takes
-// the same time there, whether it is abandoned or not. It counts how many calls were in
-// flight at most, and how many retries came within a span at most. It rejects the first
-// call of some of the requests that call it. A body that begins with NewForm leaves a
-// record there which calls without it can't read: each such record has one of them fail.
+// SharedDependency is a fake of a dependency that a whole fleet shares. Each call takes the
+// same time, even if it is abandoned. The fake counts the calls in flight and the retries,
+// and rejects the first call of some requests with queue_full.
+//
+// A call whose body begins with NewFormPrefix stores a record that calls without the prefix
+// can't read: for each such record, one later call without the prefix fails.
 type SharedDependency struct {
 	listener    net.Listener
 	duration    time.Duration
-	rejectEvery int // the first call of one in so many requests; 0 for none
+	rejectEvery int // one in rejectEvery requests has its first call rejected; 0 for none
 
-	mu          sync.Mutex
-	seen        map[string]bool // requests that called
-	retries     []time.Time
-	newForm     int // records that the old form's calls can't read
-	inFlight    int
-	maxInFlight int
-	completed   int
-	changed     chan struct{} // closed and made anew when a call ends
+	mu             sync.Mutex
+	seen           map[string]bool // ids of the calls received; a repeated id is a retry
+	retries        []time.Time     // their arrival times
+	newFormRecords int             // stored records that calls without NewFormPrefix can't read
+	inFlight       int
+	maxInFlight    int // since the last Count
+	completed      int
+	changed        chan struct{} // closed and replaced when a call ends
 }
 
-// NewForm is what calls of a newer version's form begin with.
-const NewForm = "new form "
+// NewFormPrefix begins the bodies of calls in the form that a newer version sends.
+const NewFormPrefix = "new form "
 
-// NewSharedDependency starts a dependency whose calls take so long each, and which
-// rejects the first call of one in rejectEvery requests; of none for 0.
+// NewSharedDependency starts a shared dependency that listens at address. Each call takes
+// duration. The first call of one in rejectEvery requests is rejected; of none for 0.
 func NewSharedDependency(address string, duration time.Duration, rejectEvery int) (*SharedDependency, error) {
 	l, err := listen(address)
 	if err != nil {
-		return nil, fmt.Errorf("ledger: %w", err)
+		return nil, fmt.Errorf("fake shared dependency: %w", err)
 	}
 	s := &SharedDependency{listener: l, duration: duration, rejectEvery: rejectEvery, seen: map[string]bool{}, changed: make(chan struct{})}
 	go accept(l, s.serve)
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens at.
 func (s *SharedDependency) Addr() string { return s.listener.Addr().String() }
 
-// Close ends it.
+// Close closes the listener. Open connections stay open.
 func (s *SharedDependency) Close() { closeIgnoringError(s.listener) }
 
-// Count returns how many calls were in flight at most since the last Count,
-// how many calls have ended, and a channel that is closed when one more does.
+// Count returns the maximum number of calls in flight since the last Count, the number of
+// calls that have ended, and a channel that is closed when the next call ends.
 func (s *SharedDependency) Count() (most, done int, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +62,8 @@
 	return most, s.completed, s.changed
 }
 
-// Retries gives how many repeats came, and how many within any span at most.
+// Retries returns the number of retries, and the maximum number within any interval shorter
+// than span.
 func (s *SharedDependency) Retries(span time.Duration) (all, most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +77,8 @@
 	return len(s.retries), most
 }
 
-// recordCall notes a call, and tells whether it is turned away. The lock is held.
+// recordCall records a call and returns whether to reject it with queue_full. The lock is
+// held.
 func (s *SharedDependency) recordCall(id string) (full bool) {
 	if s.seen[id] {
 		s.retries = append(s.retries, time.Now())
@@ -86,7 +89,7 @@
 }
 
 func (s *SharedDependency) serve(nc net.Conn) {
-	var mu sync.Mutex // one answer at a time
+	var writing sync.Mutex // serializes the replies
 	r := bufio.NewReader(nc)
 	for {
 		words, body, err := lines.Read(r, func(w []string) bool { return w[0] == "post" })
@@ -94,21 +97,21 @@
 			return
 		}
 		if words[0] != "post" {
-			continue // it goes on to its end
+			continue // an abandoned call still takes its time
 		}
 		s.mu.Lock()
 		if s.recordCall(words[1]) {
 			s.mu.Unlock()
-			mu.Lock()
+			writing.Lock()
 			send(nc, "%s queue_full\r\n", words[1])
-			mu.Unlock()
+			writing.Unlock()
 			continue
 		}
 		status := "posted"
-		if strings.HasPrefix(string(body), NewForm) {
-			s.newForm++
-		} else if s.newForm > 0 {
-			s.newForm--
+		if strings.HasPrefix(string(body), NewFormPrefix) {
+			s.newFormRecords++
+		} else if s.newFormRecords > 0 {
+			s.newFormRecords--
 			status = "error"
 		}
 		s.inFlight++
@@ -121,8 +124,8 @@
 			close(s.changed)
 			s.changed = make(chan struct{})
 			s.mu.Unlock()
-			mu.Lock()
-			defer mu.Unlock()
+			writing.Lock()
+			defer writing.Unlock()
 			if status != "posted" {
 				send(nc, "%s %s\r\n", words[1], status)
 				return
--- a/internal/fakes/thrift.go
+++ b/internal/fakes/thrift.go
@@ -14,18 +14,19 @@
 	"quincerail.example/quincerail/protocol/thrift"
 )
 
-// NewID gives an id for a try. Ids never return, over all callers.
+// NewID returns a random id for an attempt, unique across all clients.
 func NewID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// arrivalTime is the present time as the field of that name has it.
+// arrivalTime returns the current time as the field door has it: in Unix milliseconds.
 func arrivalTime() string { return strconv.FormatInt(time.Now().UnixMilli(), 10) }
 
-// AppendExecute appends a call of execute that arrives now. The field door is
-// the last thing in it but for the end.
+// AppendExecute appends a framed execute call with the given fields and a field door that
+// holds the current time. The value of door is followed only by the byte that ends the
+// arguments struct, so that a client can overwrite it in place.
 func AppendExecute(to []byte, seq int32, fields map[string]string, body []byte) []byte {
 	args := appendString([]byte{11, 0, 2}, string(body))
 	args = append(args, 13, 0, 1, 11, 11)
@@ -37,7 +38,7 @@
 	return appendMessage(to, thrift.Call, "execute", seq, args)
 }
 
-// AppendExecuteFields appends a call of execute with just these fields.
+// AppendExecuteFields appends a framed execute call with exactly the given fields.
 func AppendExecuteFields(to []byte, seq int32, fields map[string]string, body []byte) []byte {
 	args := appendString([]byte{11, 0, 2}, string(body))
 	args = append(args, 13, 0, 1, 11, 11)
@@ -48,14 +49,14 @@
 	return appendMessage(to, thrift.Call, "execute", seq, args)
 }
 
-// AppendInterrupt appends the message that a call is given up. As on the
-// platform, it has no sequence number of its own.
+// AppendInterrupt appends a message that cancels the call with the sequence number target.
+// Its own sequence number is 0, as on the platform.
 func AppendInterrupt(to []byte, target int32) []byte {
 	args := binary.BigEndian.AppendUint32([]byte{8, 0, 1}, uint32(target))
 	return appendMessage(to, thrift.Oneway, "interrupt", 0, args)
 }
 
-// AppendCheck appends a health check.
+// AppendCheck appends a health check. probe is its only argument.
 func AppendCheck(to []byte, seq int32, probe bool) []byte {
 	args := []byte{2, 0, 1, 0}
 	if probe {
@@ -75,18 +76,19 @@
 	return append(binary.BigEndian.AppendUint32(to, uint32(len(m))), m...)
 }
 
-// Reply is a message from the app server.
+// Reply is a message from the app server. Only a message of type thrift.Reply has the fields
+// after Seq.
 type Reply struct {
 	Type        thrift.MessageType
 	Name        string
 	Seq         int32
-	ResultField int16 // field of the result: 0 Answer, 1 Shed, 2 Fault
+	ResultField int16 // id of the field in the result struct: 0 Answer, 1 Shed, 2 Fault
 	Body        string
 	Fields      map[string]string
 	Healthy     bool
 }
 
-// Outcome says what an execute's reply means.
+// Outcome returns the outcome that a reply to execute stands for.
 func (r Reply) Outcome() Outcome {
 	switch {
 	case r.Type == thrift.Exception:
@@ -99,7 +101,7 @@
 	return Outcome{"served", r.Body}
 }
 
-// ReadReply reads one message from the app server.
+// ReadReply reads one framed message from the app server.
 func ReadReply(r *bufio.Reader) (Reply, error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
@@ -112,28 +114,30 @@
 	return parseReply(frame)
 }
 
-var errReply = errors.New("a reply that can't be read")
+var errMalformedReply = errors.New("fakes: malformed reply")
 
+// parseReply decodes a message without its length. A panic of a slice expression, for a
+// message that is too short, becomes errMalformedReply.
 func parseReply(b []byte) (reply Reply, err error) {
 	defer func() {
 		if recover() != nil {
-			err = errReply
+			err = errMalformedReply
 		}
 	}()
 	take := func(n int) []byte { p := b[:n]; b = b[n:]; return p }
 	u32 := func() int { return int(binary.BigEndian.Uint32(take(4))) }
 	text := func() string { return string(take(u32())) }
-	v := take(4)
-	if v[0] != 0x80 || v[1] != 1 {
-		return reply, errReply
+	version := take(4)
+	if version[0] != 0x80 || version[1] != 1 {
+		return reply, errMalformedReply
 	}
-	reply.Type = thrift.MessageType(v[3])
+	reply.Type = thrift.MessageType(version[3])
 	reply.Name, reply.Seq = text(), int32(u32())
 	if reply.Type != thrift.Reply {
 		return reply, nil
 	}
 	if kind := take(1)[0]; kind != 12 {
-		return reply, errReply
+		return reply, errMalformedReply
 	}
 	reply.ResultField = int16(binary.BigEndian.Uint16(take(2)))
 	reply.Fields = make(map[string]string)
@@ -151,11 +155,11 @@
 		case 2:
 			reply.Healthy = take(1)[0] != 0
 		default:
-			return reply, errReply
+			return reply, errMalformedReply
 		}
 	}
 	if strings.TrimRight(string(b), "\x00") != "" {
-		return reply, errReply
+		return reply, errMalformedReply
 	}
 	return reply, nil
 }
--- a/internal/fakes/work.go
+++ b/internal/fakes/work.go
@@ -1,7 +1,8 @@
-// Package fakes has fakes of the parties around the app server, made from their
-// published protocols: processor, shared dependency (the platform's ledger), discovery
-// service (its announce service), uwsgi application server, a receiver of fenced writes,
-// and clients of both frontends. The tests and the example use them.
+// Package fakes provides fakes of the parties that the app server communicates with,
+// written from their published protocols: processor, shared dependency (the platform's
+// ledger), discovery service (the platform's announce service), uwsgi application server,
+// registry (a receiver of fenced writes), and clients of the frontends. The tests and the
+// example use them.
 package fakes
 
 import (
@@ -14,49 +15,55 @@
 	"time"
 )
 
-// Work is what a fake backend does with a body, by its first word:
+// Work defines how a fake backend runs a request. The first word of the body selects what
+// a run does:
 //
-//	fail  it fails
-//	hang  it runs until it is cancelled
-//	call  it calls the dependency with the whole body, and returns the reply
-//	else  it returns Result(body)
+//	fail   it fails
+//	hang   it runs until it is cancelled
+//	call   Processor only: it calls the shared dependency with the whole body, and returns
+//	       the reply
+//	break  UWSGIServer only: it closes the connection without a response
+//	else   it returns Result(body) after Duration or SlowDuration
 //
 // It is safe for concurrent use.
 type Work struct {
-	Duration time.Duration // of work that neither fails nor hangs
-	// Of each thousand bodies, drawn by their hashes, so many take Slow.
+	Duration time.Duration // of a run that returns Result(body)
+	// SlowPerThousand of 1000 bodies, selected by their hash, take SlowDuration in place of
+	// Duration. UWSGIServer ignores it.
 	SlowPerThousand uint64
 	SlowDuration    time.Duration
 
 	mu            sync.Mutex
-	counts        map[string]int
-	class         map[string]string // under which a body came last, over the processor's link
+	counts        map[string]int    // runs started, by body
+	class         map[string]string // class of the last run that the processor received, by body
 	started       chan string
 	stoppedBodies chan string
 }
 
-// NewWork makes work that takes a time.
-func NewWork(took time.Duration) *Work {
-	return &Work{Duration: took, counts: make(map[string]int), class: make(map[string]string), started: make(chan string, 1024), stoppedBodies: make(chan string, 1024)}
+// NewWork returns Work whose runs take duration.
+func NewWork(duration time.Duration) *Work {
+	return &Work{Duration: duration, counts: make(map[string]int), class: make(map[string]string), started: make(chan string, 1024), stoppedBodies: make(chan string, 1024)}
 }
 
-// Result is what work on a body returns.
+// Result returns the result of a run of body.
 func Result(body string) string { return "done: " + body }
 
-// Started gives the body of each run as it begins.
+// Started returns a channel that receives the body of each run when it starts. It holds
+// 1024 bodies; a run doesn't start while it is full.
 func (w *Work) Started() <-chan string { return w.started }
 
-// Stopped gives the body of each run that was stopped.
+// Stopped returns a channel that receives the body of each run that was cancelled. It holds
+// 1024 bodies; cancelling blocks while it is full.
 func (w *Work) Stopped() <-chan string { return w.stoppedBodies }
 
-// Runs tells how often work on a body was begun.
+// Runs returns the number of runs of body that were started.
 func (w *Work) Runs(body string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.counts[body]
 }
 
-// Class tells under which class the processor was told to run a body.
+// Class returns the class of the last command to run body that the processor received.
 func (w *Work) Class(body string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -69,7 +76,7 @@
 	w.class[body] = class
 }
 
-// Total tells how many runs were begun, of all bodies.
+// Total returns the number of runs of all bodies that were started.
 func (w *Work) Total() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -80,6 +87,7 @@
 	return n
 }
 
+// start records a run and returns the first word of its body.
 func (w *Work) start(body string) (word string) {
 	w.mu.Lock()
 	w.counts[body]++
@@ -89,32 +97,32 @@
 	return word
 }
 
-// time is how long work on a body takes.
-func (w *Work) time(body string) time.Duration {
+// duration returns how long a run of body takes.
+func (w *Work) duration(body string) time.Duration {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, body) // a hash never fails
+	_, _ = io.WriteString(h, body) // writing to a hash never fails
 	if h.Sum64()%1000 < w.SlowPerThousand {
 		return w.SlowDuration
 	}
 	return w.Duration
 }
 
-func (w *Work) stopped(body string) { w.stoppedBodies <- body }
+func (w *Work) recordStop(body string) { w.stoppedBodies <- body }
 
-// ErrFailed is what Do gives for work that fails or is stopped.
-var ErrFailed = errors.New("the work failed")
+// ErrFailed is the error of a run in Do that fails or is cancelled.
+var ErrFailed = errors.New("fakes: work failed or was cancelled")
 
-// Do does the work of a body in a handler of the service itself: work that
-// hangs runs until ctx ends.
+// Do runs body in the calling goroutine, for a handler inside the service. A run that hangs
+// is cancelled when ctx ends; other runs ignore ctx.
 func (w *Work) Do(ctx context.Context, body string) (string, error) {
 	switch w.start(body) {
 	case "fail":
 		return "", ErrFailed
 	case "hang":
 		<-ctx.Done()
-		w.stopped(body)
+		w.recordStop(body)
 		return "", ErrFailed
 	}
-	time.Sleep(w.time(body))
+	time.Sleep(w.duration(body))
 	return Result(body), nil
 }
--- a/internal/faultproxy/datagram.go
+++ b/internal/faultproxy/datagram.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// forwardDatagrams forwards datagrams, from a socket of its own for each sender.
+// forwardDatagrams forwards datagrams until the socket is closed. It uses one socket to the
+// target for each sender.
 func (l *Link) forwardDatagrams() {
 	buffer := make([]byte, bufferBytes)
 	for {
@@ -29,8 +30,8 @@
 	}
 }
 
-// deliverDatagram sends a datagram after a delay; it is lost if the socket has
-// been closed by then.
+// deliverDatagram sends a datagram after a delay. The datagram is lost if the socket is
+// closed before.
 func deliverDatagram(out net.Conn, message []byte, delay time.Duration) {
 	send := func() { _, _ = out.Write(message) }
 	if delay == 0 {
@@ -40,7 +41,8 @@
 	time.AfterFunc(delay, send)
 }
 
-// sourceFor returns the socket to the target for a sender's datagrams.
+// sourceFor returns the socket that forwards the datagrams of the sender from, and opens it
+// if necessary.
 func (l *Link) sourceFor(from net.Addr) (net.Conn, error) {
 	l.mu.Lock()
 	out := l.sources[from.String()]
--- a/internal/faultproxy/doc.go
+++ b/internal/faultproxy/doc.go
@@ -1,15 +1,15 @@
-// Package faultproxy injects faults between processes of a test on loopback: each
-// direction of each pair of processes has a proxy of its own, which loses, delays,
-// duplicates, reorders or blocks what passes. What it does to each message is drawn
-// from a fixed seed.
+// Package faultproxy injects faults into the traffic between processes of a test on
+// loopback. Each direction between two processes has its own proxy, which loses, delays,
+// duplicates, reorders or blocks messages. The faults of each message are drawn from a
+// fixed seed.
 //
 // A proxy ([Link]) listens on one port for TCP and UDP. On UDP the faults apply to
-// datagrams. On TCP they apply to frames (a length of four bytes, big endian, and as
-// many bytes) where the link was opened as framed; otherwise to what is read at one
-// time, which is only delayed or blocked, never lost or duplicated. The first frame
-// of a connection, its handshake, is always delivered first, and once.
+// datagrams. On TCP they apply to frames (a big-endian length of four bytes, followed by
+// as many bytes) if the link was opened as framed. Otherwise they apply to the bytes of
+// one read, which are only delayed or blocked, never lost or duplicated. The first frame
+// of a connection, its handshake, is always delivered first and exactly once.
 //
-// A [Network] owns the links of a test. Each link owns its sockets, with one
-// goroutine that accepts, two for each connection, and one for datagrams; Close ends
+// A [Network] owns the links of a test. Each link owns its sockets. It has one goroutine
+// that accepts connections, two for each connection, and one for datagrams; Close ends
 // them.
 package faultproxy
--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -14,9 +14,10 @@
 	bufferBytes = 64 << 10
 )
 
-// Link is the proxy of one direction between two processes, for one kind of traffic.
+// Link is the proxy of one direction between two processes, for one kind of traffic. Its
+// methods are safe for concurrent use.
 type Link struct {
-	From, To, Kind string
+	From, To, Kind string // names of the processes and of the traffic, as passed to Open
 
 	framed   bool
 	listener net.Listener
@@ -26,14 +27,14 @@
 	rng     *rand.Rand
 	rule    Rule
 	target  string
-	conns   map[net.Conn]bool
-	sources map[string]net.Conn // sockets to the target, by the address of the datagrams' sender
+	conns   map[net.Conn]bool   // both ends of each forwarded connection
+	sources map[string]net.Conn // sockets to the target for datagrams, by their sender's address
 }
 
-// Addr is the address that the sender is given for the receiver.
+// Addr returns the proxy's address, which the sender uses as the receiver's.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// SetRule puts a rule on the link.
+// SetRule replaces the link's rule. A partition also closes the open connections.
 func (l *Link) SetRule(rule Rule) {
 	l.mu.Lock()
 	l.rule = rule
@@ -43,6 +44,7 @@
 	}
 }
 
+// setTarget replaces the address that the link forwards to and closes the open connections.
 func (l *Link) setTarget(address string) {
 	l.mu.Lock()
 	l.target = address
@@ -50,7 +52,7 @@
 	l.closeConnections()
 }
 
-// closeConnections ends the connections that are open.
+// closeConnections closes the open connections and the sockets for datagrams.
 func (l *Link) closeConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,8 +65,8 @@
 	}
 }
 
-// drawDeliveries draws what happens to one message: the delay of each of its
-// deliveries, none where it is lost, or that the link is partitioned.
+// drawDeliveries draws the faults of one message. It returns the delay of each delivery
+// (none if the message is lost), or that the link is partitioned.
 func (l *Link) drawDeliveries() (delays []time.Duration, partitioned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,6 +83,7 @@
 	return delays, false
 }
 
+// drawCopies draws how often a message is delivered. The lock is held.
 func (l *Link) drawCopies() int {
 	if l.rng.Float64() < l.rule.Loss {
 		return 0
@@ -91,7 +94,7 @@
 	return 1
 }
 
-// dial connects to the target. It fails where there is none, or the link is
+// dial connects to the target. It returns net.ErrClosed if no target is set or the link is
 // partitioned.
 func (l *Link) dial(network string) (net.Conn, error) {
 	l.mu.Lock()
@@ -104,7 +107,7 @@
 	return dialer.DialContext(context.Background(), network, target)
 }
 
-// closeAll closes sockets. An error means only that one has ended already.
+// closeAll closes sockets. It ignores errors: they only mean that a socket was closed before.
 func closeAll(sockets ...io.Closer) {
 	for _, socket := range sockets {
 		_ = socket.Close()
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -9,37 +9,39 @@
 	"time"
 )
 
-// maxListenAttempts is how often a port is looked for that is free for TCP and UDP.
+// maxListenAttempts limits the ports that listenBoth tries; a port that is free for TCP may
+// be in use for UDP.
 const maxListenAttempts = 20
 
-// Rule says what happens to what passes in one direction. The zero Rule delivers
-// everything at once.
+// Rule defines the faults of one direction. The zero Rule delivers every message once and
+// without delay.
 type Rule struct {
-	Partitioned bool          // nothing is delivered, and connections end
-	Loss        float64       // share that is not delivered
-	Duplicate   float64       // share that is delivered twice
+	Partitioned bool          // nothing is delivered, and connections are closed
+	Loss        float64       // probability that a message is lost
+	Duplicate   float64       // probability that a message that is not lost is delivered twice
 	Delay       time.Duration // of each delivery
-	Jitter      time.Duration // further delay, drawn for each, so that some overtake others
+	Jitter      time.Duration // upper bound of a random additional delay of each delivery, which reorders them
 }
 
-// Network is the links of a test. Its methods are safe for concurrent use.
+// Network owns the links of a test. Its methods are safe for concurrent use.
 type Network struct {
 	mu     sync.Mutex
 	seed   uint64
 	links  map[linkKey]*Link
-	opened uint64
+	opened uint64 // number of links opened; selects the random sequence of the next
 }
 
-// linkKey names a direction between two processes, for one kind of traffic.
+// linkKey identifies a link: a direction between two processes, for one kind of traffic.
 type linkKey struct{ from, to, kind string }
 
-// NewNetwork makes a network whose faults are drawn from a seed.
+// NewNetwork returns a network without links whose faults are drawn from seed.
 func NewNetwork(seed uint64) *Network {
 	return &Network{seed: seed, links: map[linkKey]*Link{}}
 }
 
-// Open returns the link of a direction, opening it first if need be. What reaches
-// its Addr is forwarded to its target, once there is one.
+// Open returns the link from one process to another for a kind of traffic, and opens it if
+// necessary; framed counts only then. The link forwards traffic from its Addr to its target
+// after SetTarget; connections before that are closed.
 func (n *Network) Open(from, to, kind string, framed bool) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,21 +78,22 @@
 	return nil, nil, err
 }
 
-// SetRule puts a rule on every link that the test picks.
-func (n *Network) SetRule(rule Rule, picks func(l *Link) bool) {
+// SetRule replaces the rule of each link for which matches returns true.
+func (n *Network) SetRule(rule Rule, matches func(l *Link) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links {
-		if picks(l) {
+		if matches(l) {
 			l.SetRule(rule)
 		}
 	}
 }
 
-// Heal removes all faults.
+// Heal removes the faults of all links.
 func (n *Network) Heal() { n.SetRule(Rule{}, func(*Link) bool { return true }) }
 
-// SetTarget has every link to a process, for one kind of traffic, lead to an address.
+// SetTarget sets the address that all links to a process forward one kind of traffic to, and
+// closes their open connections. A link opened later has no target.
 func (n *Network) SetTarget(to, kind, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,7 +104,7 @@
 	}
 }
 
-// Close ends all links.
+// Close closes all links with their connections.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/faultproxy/stream.go
+++ b/internal/faultproxy/stream.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// forwardConnection forwards a connection in both directions until it ends.
-// Responses on it get no faults of their own: they belong to the link's direction.
+// forwardConnection forwards a connection in both directions until it is closed. The faults
+// apply only to the link's direction; responses pass without faults.
 func (l *Link) forwardConnection(in net.Conn) {
 	out, err := l.dial("tcp")
 	if err != nil {
@@ -35,17 +35,17 @@
 	responsesDone := make(chan struct{})
 	go func() {
 		defer close(responsesDone)
-		_, _ = io.Copy(in, out) // its error is the connection's end
+		_, _ = io.Copy(in, out) // an error only means that the connection was closed
 		closeAll(in)
 	}()
 	l.forwardStream(in, out)
 	if tcp, ok := out.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // the connection may have ended already
+		_ = tcp.CloseWrite() // the connection may be closed already
 	}
 	<-responsesDone
 }
 
-// track has closeConnections end connections.
+// track registers connections for closeConnections.
 func (l *Link) track(conns ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,6 +54,7 @@
 	}
 }
 
+// release closes connections and removes their registration.
 func (l *Link) release(conns ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,13 +64,13 @@
 	}
 }
 
-// forwardStream forwards messages until the connection ends or is partitioned.
-// Frames may overtake each other; bytes without frames stay in order.
+// forwardStream forwards messages until the connection is closed or the link is partitioned.
+// Frames may overtake each other; bytes of an unframed link stay in order.
 func (l *Link) forwardStream(in io.Reader, out net.Conn) {
-	var writing sync.Mutex // one write at a time
+	var writing sync.Mutex // serializes the writes
 	var deliveries sync.WaitGroup
 	defer deliveries.Wait()
-	inOrder := true // the first frame is a handshake
+	inOrder := true // for the first frame, the handshake, and on unframed links always
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := l.readMessage(in, buffer)
@@ -93,14 +94,14 @@
 				time.Sleep(delay)
 				writing.Lock()
 				defer writing.Unlock()
-				_, _ = out.Write(message) // lost if the connection has ended
+				_, _ = out.Write(message) // lost if the connection is closed
 			})
 		}
 	}
 }
 
-// deliverNow writes a message once, after the first delay if there is any. It
-// returns false where the connection has ended.
+// deliverNow writes a message once, after the first of delays if there is one. It returns
+// false if the write fails.
 func deliverNow(out net.Conn, message []byte, delays []time.Duration) bool {
 	if len(delays) > 0 {
 		time.Sleep(delays[0])
@@ -109,7 +110,8 @@
 	return err == nil
 }
 
-// readMessage reads one frame, or what there is where the link is not framed.
+// readMessage reads one frame with its length into buffer, or the available bytes if the
+// link is not framed, and returns the number of bytes.
 func (l *Link) readMessage(in io.Reader, buffer []byte) (int, error) {
 	if !l.framed {
 		return in.Read(buffer)
@@ -120,7 +122,7 @@
 	length := int(binary.BigEndian.Uint32(buffer))
 	end := frameHeaderBytes + length
 	if end > len(buffer) {
-		return 0, fmt.Errorf("faultproxy: a frame of %d bytes", length)
+		return 0, fmt.Errorf("faultproxy: frame of %d bytes is too long", length)
 	}
 	_, err := io.ReadFull(in, buffer[frameHeaderBytes:end])
 	return end, err
--- a/internal/fleettest/build.go
+++ b/internal/fleettest/build.go
@@ -9,26 +9,27 @@
 	"strings"
 )
 
-// Build builds the program into a folder, and gives its path.
+// Build builds the program into a folder and returns its path.
 func Build(dir string) (string, error) {
 	path := filepath.Join(dir, "quincerail")
 	return path, build(path)
 }
 
+// build runs go build for the program with additional flags.
 func build(path string, flags ...string) error {
 	args := append([]string{"build", "-buildvcs=false", "-o", path}, flags...)
 	out, err := exec.CommandContext(context.Background(), "go", append(args, "quincerail.example/quincerail/cmd/quincerail")...).CombinedOutput()
 	if err != nil {
-		return fmt.Errorf("fleettest: %w: %s", err, out)
+		return fmt.Errorf("fleettest: go build: %w: %s", err, out)
 	}
 	return nil
 }
 
-// Edit is a change of one place of a source file, which must be there once.
+// Edit replaces the text Old, which must occur exactly once in a source file, by New.
 type Edit struct{ File, Old, New string }
 
-// BuildVariant builds another version of the program into a folder: the source
-// with an edit, by the compiler's overlay; the files stay as they are.
+// BuildVariant builds the program with an edit of its source into a folder and returns its
+// path. It uses the compiler's overlay, so the source file itself doesn't change.
 func BuildVariant(dir, name string, e Edit) (string, error) {
 	file, err := filepath.Abs(e.File)
 	if err != nil {
@@ -39,7 +40,7 @@
 		return "", fmt.Errorf("fleettest: %w", err)
 	}
 	if n := strings.Count(string(text), e.Old); n != 1 {
-		return "", fmt.Errorf("fleettest: %s has %q %d times, once wanted", e.File, e.Old, n)
+		return "", fmt.Errorf("fleettest: %s contains %q %d times, want 1", e.File, e.Old, n)
 	}
 	edited, overlay := filepath.Join(dir, name+".go"), filepath.Join(dir, name+".json")
 	if err := os.WriteFile(edited, []byte(strings.Replace(string(text), e.Old, e.New, 1)), 0o600); err != nil {
@@ -52,8 +53,8 @@
 	return path, build(path, "-overlay", overlay)
 }
 
-// Main runs a package's tests (a *testing.M) with the program built for them,
-// and gives their exit code.
+// Main builds the program for a package's tests (a *testing.M), stores its path in binary,
+// runs the tests and returns their exit code.
 func Main(tests interface{ Run() int }, binary *string) int {
 	dir, err := os.MkdirTemp("", "quincerail")
 	if err != nil {
--- a/internal/fleettest/callers.go
+++ b/internal/fleettest/callers.go
@@ -9,21 +9,22 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// keyedClass is the example's class whose requests have a key.
+// keyedClass is the class of the example configuration whose requests have an idempotency
+// key.
 const keyedClass = "ny-gava"
 
-// callerPause is when a member that did not answer is asked again.
-const callerPause = 20 * time.Millisecond
+// callerRetryDelay is a caller's delay after a request without a response.
+const callerRetryDelay = 20 * time.Millisecond
 
-// errNotListening is given for a member that has not said where it listens.
-var errNotListening = errors.New("fleettest: the member does not listen yet")
+// errNotListening is the error of a request to a member that has not logged its address.
+var errNotListening = errors.New("fleettest: the member has not logged its address")
 
-// ask has one caller ask a member for work until the fleet is closed.
-func (f *Fleet) ask(c *Child, caller int) {
+// runCaller sends requests to a member, one after the other, until the callers are stopped.
+func (f *Fleet) runCaller(c *Child, caller int) {
 	for n := 0; ; n++ {
 		pause := time.Duration(0)
-		if err := f.askOnce(c, fmt.Sprintf("%s-%d-%d", c.Name, caller, n)); err != nil {
-			pause = callerPause
+		if err := f.sendRequest(c, fmt.Sprintf("%s-%d-%d", c.Name, caller, n)); err != nil {
+			pause = callerRetryDelay
 		}
 		select {
 		case <-f.closed:
@@ -33,8 +34,8 @@
 	}
 }
 
-// askOnce sends one request, named by id, and waits for its outcome.
-func (f *Fleet) askOnce(c *Child, id string) error {
+// sendRequest sends one request, whose body and key contain id, and waits for its outcome.
+func (f *Fleet) sendRequest(c *Child, id string) error {
 	class, word := cmp.Or(f.opt.Class, "kampanjsida"), cmp.Or(f.opt.Word, "call")
 	address := c.address.Load()
 	if address == nil {
@@ -44,18 +45,18 @@
 	if class == keyedClass {
 		key = id
 	}
-	try, err := fakes.Thrift(*address, class, key, word+" "+id)
+	attempt, err := fakes.Thrift(*address, class, key, word+" "+id)
 	if err != nil {
 		return err
 	}
-	if err := try.Send(); err != nil {
+	if err := attempt.Send(); err != nil {
 		return err
 	}
-	_, err = try.Outcome()
+	_, err = attempt.Outcome()
 	return err
 }
 
-// StopCallers ends the callers, and returns when they have.
+// StopCallers stops the callers and waits until they have ended.
 func (f *Fleet) StopCallers() {
 	f.stopCallers()
 	f.callers.Wait()
--- a/internal/fleettest/fleettest.go
+++ b/internal/fleettest/fleettest.go
@@ -1,10 +1,10 @@
-// Package fleettest starts several processes of the program for a test, with a
-// proxy of package faultproxy in each direction between them, pauses, kills and
-// restarts them by their own process ids, and follows their logs.
+// Package fleettest runs several processes of the program in a test, with a proxy of
+// package faultproxy in each direction between them. It starts, signals, kills and
+// restarts the processes, each by its own process id, and reads their logs.
 //
-// A [Fleet] owns its processes (Child), the stand-ins for the parties around them,
-// the proxies and the callers. A goroutine for each process reads its log; one for
-// each caller sends requests until StopCallers or Close.
+// A [Fleet] owns its processes ([Child]), the fakes of the other parties, the proxies and
+// the callers. One goroutine for each process reads its log; one for each caller sends
+// requests until StopCallers or Close.
 package fleettest
 
 import (
@@ -18,29 +18,31 @@
 
 const (
 	anyPort     = "127.0.0.1:0"
-	unreachable = "127.0.0.1:1" // nobody listens there
+	unreachable = "127.0.0.1:1" // no process listens there
 
 	defaultTimeout = 30 * time.Second // of Await
 )
 
-// Fleet is the processes of a test.
+// Fleet is a group of processes, the members, in a test. Members are named as described at
+// [Options].
 type Fleet struct {
 	Net      *faultproxy.Network
 	Registry *fakes.Registry
 	Ledger   *fakes.SharedDependency // nil without load
-	Children map[string]*Child
+	Children map[string]*Child       // by name
 
 	opt         Options
-	stopCallers func() // ends the callers
-	closed      chan struct{}
+	stopCallers func()        // closes closed, once
+	closed      chan struct{} // closed when the callers are to stop
 	callers     sync.WaitGroup
-	gossip      map[string]string // where members hear the others
-	mu          sync.Mutex
+	gossip      map[string]string // gossip addresses of the members, without proxies
+	mu          sync.Mutex        // guards lines, changed and writes to gossip
 	lines       []Line
-	changed     chan struct{}
+	changed     chan struct{} // closed and replaced at each line
 }
 
-// Start starts all members, and returns once each says where it listens.
+// Start starts all members and returns when each has logged its listen addresses. After an
+// error no process is left running.
 func Start(opt Options) (*Fleet, error) {
 	f := &Fleet{Net: faultproxy.NewNetwork(opt.Seed), Children: map[string]*Child{}, opt: opt, gossip: map[string]string{}, closed: make(chan struct{}), changed: make(chan struct{})}
 	f.stopCallers = sync.OnceFunc(func() { close(f.closed) })
@@ -52,7 +54,7 @@
 		return nil, fmt.Errorf("fleettest: %w", err)
 	}
 	if opt.Load > 0 {
-		if f.Ledger, err = fakes.NewSharedDependency(anyPort, opt.Took, opt.TurnsAway); err != nil {
+		if f.Ledger, err = fakes.NewSharedDependency(anyPort, opt.CallDuration, opt.RejectEvery); err != nil {
 			f.Registry.Close()
 			return nil, fmt.Errorf("fleettest: %w", err)
 		}
@@ -62,9 +64,9 @@
 	if opt.Direct {
 		proxied = voters
 	}
-	err = f.launch(proxied, func(name string) error { return f.prepare(name, voters, proxied) })
+	err = f.prepareAndLaunch(proxied, func(name string) error { return f.prepare(name, voters, proxied) })
 	if err == nil && opt.Direct {
-		err = f.launch(all[len(voters):], func(name string) error { return f.prepare(name, nil, voters) })
+		err = f.prepareAndLaunch(all[len(voters):], func(name string) error { return f.prepare(name, nil, voters) })
 	}
 	if err != nil {
 		f.Close()
@@ -73,7 +75,7 @@
 	return f, nil
 }
 
-// memberNames gives the names of the founding voters, and of all members.
+// memberNames returns the names of the founding voters and of all members.
 func (o Options) memberNames() (voters, all []string) {
 	for i := range o.Voters {
 		voters = append(voters, fmt.Sprint("v", i+1))
@@ -88,8 +90,8 @@
 	return voters, all
 }
 
-// launch prepares some members, and then starts them.
-func (f *Fleet) launch(names []string, prepare func(string) error) error {
+// prepareAndLaunch calls prepare for each of the members and then starts their processes.
+func (f *Fleet) prepareAndLaunch(names []string, prepare func(string) error) error {
 	for _, name := range names {
 		if err := prepare(name); err != nil {
 			return err
@@ -104,12 +106,12 @@
 	return nil
 }
 
-// Close kills all processes and ends what stands around them.
+// Close kills all processes, stops the callers, and closes the fakes and proxies.
 func (f *Fleet) Close() {
 	f.stopCallers()
 	for _, c := range f.Children {
 		if c.cmd != nil && c.cmd.Process != nil {
-			_ = c.cmd.Process.Kill() // it may have ended
+			_ = c.cmd.Process.Kill() // it may have exited
 			<-c.exited
 		}
 	}
--- a/internal/fleettest/logs.go
+++ b/internal/fleettest/logs.go
@@ -9,18 +9,20 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// Line is one line of a child's log.
+// Line is one line of a process's log, which consists of key=value fields.
 type Line struct {
-	Child  string
-	Event  string
-	Fields map[string]string
-	At     time.Time // when it was read
-	Text   string
+	Child  string            // name of the member
+	Event  string            // the field event
+	Fields map[string]string // values without their quotes
+	At     time.Time         // when it was read
+	Text   string            // the whole line
 }
 
+// field matches one key=value field; a quoted value may contain spaces.
 var field = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-func (f *Fleet) take(child, text string) {
+// recordLine parses a line of a member's log, appends it to the lines and wakes the waiters.
+func (f *Fleet) recordLine(child, text string) {
 	l := Line{Child: child, Fields: map[string]string{}, At: time.Now(), Text: text}
 	for _, m := range field.FindAllStringSubmatch(text, -1) {
 		l.Fields[m[1]] = strings.Trim(m[2], `"`)
@@ -33,14 +35,15 @@
 	f.changed = make(chan struct{})
 }
 
-// Lines gives all lines of the logs so far, in the order in which they were read.
+// Lines returns the lines of all logs so far, in the order in which they were read. After
+// the exit of a process its log has an additional line with the event exited.
 func (f *Fleet) Lines() []Line {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lines[:len(f.lines):len(f.lines)]
 }
 
-// Log gives the text of one child's log.
+// Log returns the text of one member's log, over all its processes.
 func (f *Fleet) Log(name string) string {
 	var b strings.Builder
 	for _, l := range f.Lines() {
@@ -51,8 +54,9 @@
 	return b.String()
 }
 
-// Await waits for a line from a place of Lines on, and gives it. The error
-// names what was waited for, when that takes too long.
+// Await waits until Lines, from the index from on, has a line for which is returns true, and
+// returns the first such line. After Options.Within it returns an error that contains what,
+// the description of the line.
 func (f *Fleet) Await(what string, from int, is func(Line) bool) (Line, error) {
 	deadline := time.After(f.opt.Within)
 	for {
@@ -67,26 +71,26 @@
 		select {
 		case <-changed:
 		case <-deadline:
-			return Line{}, fmt.Errorf("fleettest: %s did not come within %v", what, f.opt.Within)
+			return Line{}, fmt.Errorf("fleettest: timed out after %v waiting for %s", f.opt.Within, what)
 		}
 	}
 }
 
-// AwaitAct waits for a piece of fleet work that the registry was handed, from a
-// place of its Acts on.
-func (f *Fleet) AwaitAct(what string, from int, is func(fakes.FencedWrite) bool) (fakes.FencedWrite, error) {
+// AwaitWrite waits like Await for a write among those that the registry received, from the
+// index from of its Writes on.
+func (f *Fleet) AwaitWrite(what string, from int, is func(fakes.FencedWrite) bool) (fakes.FencedWrite, error) {
 	deadline := time.After(f.opt.Within)
 	for {
-		acts, changed := f.Registry.Writes()
-		for ; from < len(acts); from++ {
-			if is(acts[from]) {
-				return acts[from], nil
+		writes, changed := f.Registry.Writes()
+		for ; from < len(writes); from++ {
+			if is(writes[from]) {
+				return writes[from], nil
 			}
 		}
 		select {
 		case <-changed:
 		case <-deadline:
-			return fakes.FencedWrite{}, fmt.Errorf("fleettest: %s did not come within %v", what, f.opt.Within)
+			return fakes.FencedWrite{}, fmt.Errorf("fleettest: timed out after %v waiting for %s", f.opt.Within, what)
 		}
 	}
 }
--- a/internal/fleettest/metrics.go
+++ b/internal/fleettest/metrics.go
@@ -10,13 +10,13 @@
 	"github.com/prometheus/common/model"
 )
 
-// Scrape gives a member's metrics of a name, by the value of their only label
-// ("" without one).
+// Scrape returns the values of a member's gauge or counter metric, by the value of its only
+// label ("" for a metric without labels).
 func (f *Fleet) Scrape(name, metric string) (map[string]float64, error) {
 	var address string
 	for _, l := range f.Lines() {
 		if l.Child == name && l.Event == "metrics" {
-			address = l.Fields["address"] // the latest life's
+			address = l.Fields["address"] // of the latest process
 		}
 	}
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/metrics", http.NoBody)
@@ -44,10 +44,11 @@
 	return out, nil
 }
 
-// Converge scrapes a metric of all members, again and again, until what they
-// say satisfies is, and gives how long that took.
+// Converge scrapes a metric of all members repeatedly until is returns true for the values,
+// by member and label, and returns the time that this took. It returns an error after the
+// duration within.
 func (f *Fleet) Converge(metric string, within time.Duration, is func(all map[string]map[string]float64) bool) (time.Duration, error) {
-	began := time.Now()
+	start := time.Now()
 	all := map[string]map[string]float64{}
 	for {
 		for name := range f.Children {
@@ -56,16 +57,16 @@
 				return 0, err
 			}
 		}
-		took := time.Since(began)
+		took := time.Since(start)
 		if is(all) {
 			return took, nil
 		}
 		if took > within {
-			return took, fmt.Errorf("fleettest: %s after %v: %v", metric, took, all)
+			return took, fmt.Errorf("fleettest: metric %s has not converged after %v: %v", metric, took, all)
 		}
-		time.Sleep(scrapeEvery)
+		time.Sleep(scrapeInterval)
 	}
 }
 
-// scrapeEvery is how often Converge looks.
-const scrapeEvery = 50 * time.Millisecond
+// scrapeInterval is the pause of Converge between two rounds of scrapes.
+const scrapeInterval = 50 * time.Millisecond
--- a/internal/fleettest/prepare.go
+++ b/internal/fleettest/prepare.go
@@ -12,9 +12,10 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// prepare writes a member's files, and starts its processor and callers.
+// prepare writes a member's files and starts its processor and callers. It doesn't start its
+// process.
 func (f *Fleet) prepare(name string, voters, all []string) error {
-	c := &Child{Name: name, dir: filepath.Join(f.opt.Dir, name), files: f.opt.Files[name]}
+	c := &Child{Name: name, dir: filepath.Join(f.opt.Dir, name), files: f.opt.OperatorFileKeys[name]}
 	c.config = filepath.Join(c.dir, "config.json")
 	if err := os.MkdirAll(c.dir, 0o700); err != nil {
 		return fmt.Errorf("fleettest: %w", err)
@@ -29,18 +30,18 @@
 	if err := writeJSON(c.config, config); err != nil {
 		return err
 	}
-	if err := c.become(f.opt.Binary, f.opt.Version); err != nil {
+	if err := c.setVersion(f.opt.Binary, f.opt.Version); err != nil {
 		return err
 	}
 	f.Children[name] = c
 	for i := range f.opt.Load {
-		f.callers.Go(func() { f.ask(c, i) })
+		f.callers.Go(func() { f.runCaller(c, i) })
 	}
 	return nil
 }
 
-// configuration gives a member's configuration, the example's with addresses of the
-// fleet. It starts the member's processor where there is load.
+// configuration returns a member's configuration: the example's with the addresses of the
+// fleet. In a fleet with load it starts the member's processor.
 func (f *Fleet) configuration(c *Child) (map[string]any, error) {
 	text, err := os.ReadFile(f.opt.Example)
 	if err != nil {
@@ -65,7 +66,7 @@
 	if c.processor, err = fakes.NewProcessor(anyPort, work); err != nil {
 		return nil, fmt.Errorf("fleettest: %w", err)
 	}
-	go func() { // nobody else receives them
+	go func() { // a full channel would block the processor
 		for range work.Started() {
 		}
 	}()
@@ -73,7 +74,7 @@
 	return config, nil
 }
 
-// fleetSettings gives the part [fleet] of a member's operator's file.
+// fleetSettings returns the fleet section of a member's operator file.
 func (f *Fleet) fleetSettings(c *Child, voters, all []string) (map[string]any, error) {
 	publish, err := f.Net.Open(c.Name, "registry", "publish", false)
 	if err != nil {
@@ -89,10 +90,11 @@
 		}
 	}
 	maps.Copy(settings, f.opt.Settings)
-	maps.Copy(settings, f.opt.Own[c.Name])
+	maps.Copy(settings, f.opt.MemberSettings[c.Name])
 	return settings, nil
 }
 
+// addVoterSettings adds the settings of a voter, and of one that waits to be added.
 func (f *Fleet) addVoterSettings(c *Child, settings map[string]any, voters []string) (err error) {
 	settings["role"], settings["raft"], settings["dir"] = "voter", anyPort, filepath.Join(c.dir, "log")
 	if settings["voters"], err = f.addresses(c.Name, "raft", true, voters); err != nil {
@@ -101,7 +103,7 @@
 	if slices.Contains(voters, c.Name) {
 		return nil
 	}
-	p, err := f.Net.Open("voters", c.Name, "raft", true) // the log has one address for all
+	p, err := f.Net.Open("voters", c.Name, "raft", true) // the replicated log stores one address of it for all voters
 	if err != nil {
 		return err
 	}
@@ -109,8 +111,9 @@
 	return nil
 }
 
-// addresses gives where a member reaches others, by name: at the proxies between
-// them, but for plain members of a fleet without proxies.
+// addresses returns the addresses at which a member reaches others, by name. They are the
+// addresses of the proxies between them, except for members that Options.Direct connects
+// without proxies.
 func (f *Fleet) addresses(name, kind string, framed bool, others []string) (map[string]string, error) {
 	out := map[string]string{}
 	for _, other := range others {
@@ -141,8 +144,9 @@
 	return nil
 }
 
-// become has the next life of a member be that of a version of the program.
-func (c *Child) become(binary, version string) error {
+// setVersion sets the program and version of the member's next process and writes its
+// operator file.
+func (c *Child) setVersion(binary, version string) error {
 	c.binary = binary
 	c.version.Store(&version)
 	if version != "" {
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -13,26 +13,27 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// Child is one process, or the place of one that has ended.
+// Child is a member of the fleet: its latest process, which may have exited, and what the
+// next one is started with.
 type Child struct {
 	Name   string
-	Raft   string // of a voter that is to be added: where the others reach it
+	Raft   string // address at which the other voters reach a voter that waits to be added; otherwise empty
 	cmd    *exec.Cmd
-	exited chan struct{}
+	exited chan struct{} // closed after the process has exited and its log was read
 	args   []string
-	config string
+	config string // path of the configuration file
 	dir    string
-	fleet  map[string]any // of its operator's file, and the rest of that
-	files  map[string]any
+	fleet  map[string]any // fleet section of the operator file
+	files  map[string]any // further keys of the operator file
 	binary string
 
-	processor *fakes.Processor // where there is load
+	processor *fakes.Processor // nil in a fleet without load
 	address   atomic.Pointer[string]
-	version   atomic.Pointer[string] // that it runs, or is about to
+	version   atomic.Pointer[string] // of the current or next process
 }
 
-// Replace ends a member's process as an operator does, and starts one of another
-// version in its place.
+// Replace terminates a member's process with SIGTERM, as an operator does, and starts one of
+// another version in its place.
 func (f *Fleet) Replace(name, version string) error {
 	c := f.Children[name]
 	binary := f.opt.Versions[version]
@@ -40,20 +41,20 @@
 		binary = f.opt.Binary
 	}
 	if binary == "" {
-		return fmt.Errorf("fleettest: no version %s", version)
+		return fmt.Errorf("fleettest: version %s is neither Options.Version nor in Options.Versions", version)
 	}
 	if err := f.Signal(name, syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
 	<-c.exited
-	if err := c.become(binary, version); err != nil {
+	if err := c.setVersion(binary, version); err != nil {
 		return err
 	}
 	return f.Launch(name)
 }
 
-// Launch starts a member's process, anew after it has ended, and returns once
-// it says where it listens.
+// Launch starts a member's process, again after it has exited, and returns when the process
+// has logged its listen addresses.
 func (f *Fleet) Launch(name string) error {
 	c := f.Children[name]
 	f.mu.Lock()
@@ -72,23 +73,23 @@
 	cmd, exited := c.cmd, c.exited
 	go func() {
 		for s := bufio.NewScanner(stderr); s.Scan(); {
-			f.take(name, s.Text())
+			f.recordLine(name, s.Text())
 		}
-		_ = cmd.Wait() // how it ended is what the test caused
-		f.take(name, "event=exited")
+		_ = cmd.Wait() // the test causes the exit, so the error doesn't matter
+		f.recordLine(name, "event=exited")
 		close(exited)
 	}()
-	l, err := f.Await("where "+name+" listens", from, func(l Line) bool {
+	l, err := f.Await("the fleet addresses of "+name, from, func(l Line) bool {
 		return l.Child == name && (l.Event == "fleet" || l.Event == "exited")
 	})
 	if err != nil {
 		return err
 	}
 	if l.Event == "exited" {
-		return fmt.Errorf("fleettest: %s ended at its start: %s", name, f.Log(name))
+		return fmt.Errorf("fleettest: %s exited during startup, log: %s", name, f.Log(name))
 	}
 	if f.Ledger != nil {
-		l, err := f.Await("where "+name+" takes callers", from, func(l Line) bool { return l.Child == name && l.Event == "listening" })
+		l, err := f.Await("the request address of "+name, from, func(l Line) bool { return l.Child == name && l.Event == "listening" })
 		if err != nil {
 			return err
 		}
@@ -106,12 +107,12 @@
 // Signal sends a signal to a member's process.
 func (f *Fleet) Signal(name string, s syscall.Signal) error {
 	if err := f.Children[name].cmd.Process.Signal(s); err != nil {
-		return fmt.Errorf("fleettest: %s: %w", name, err)
+		return fmt.Errorf("fleettest: signal %v to %s: %w", s, name, err)
 	}
 	return nil
 }
 
-// Kill ends a member's process at once, and waits for that.
+// Kill sends SIGKILL to a member's process and waits for its exit.
 func (f *Fleet) Kill(name string) error {
 	if err := f.Signal(name, syscall.SIGKILL); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
@@ -120,11 +121,11 @@
 	return nil
 }
 
-// Own gives a member's own part of the operator's file.
-func (f *Fleet) Own(name string) map[string]any { return f.opt.Own[name] }
+// MemberSettings returns the entry of a member in Options.MemberSettings.
+func (f *Fleet) MemberSettings(name string) map[string]any { return f.opt.MemberSettings[name] }
 
-// Pid is the id of a member's process.
+// Pid returns the process id of a member.
 func (f *Fleet) Pid(name string) int { return f.Children[name].cmd.Process.Pid }
 
-// Exited is closed when a member's process has ended.
+// Exited returns a channel that is closed when a member's process has exited.
 func (f *Fleet) Exited(name string) <-chan struct{} { return f.Children[name].exited }
--- a/internal/fleettest/starter.go
+++ b/internal/fleettest/starter.go
@@ -14,13 +14,13 @@
 	"quincerail.example/quincerail/fleet"
 )
 
-// Change asks a voter about the fleet's changes, as an operator does.
-func (f *Fleet) Change(name string) (s fleet.ChangeStatus, err error) {
-	address, err := f.Operators(name)
+// ChangeStatus requests the status of the fleet's changes from a voter, as an operator does.
+func (f *Fleet) ChangeStatus(name string) (s fleet.ChangeStatus, err error) {
+	address, err := f.OperatorAddress(name)
 	if err != nil {
 		return s, err
 	}
-	client := http.Client{Timeout: 2 * time.Second} // a voter may be stopped
+	client := http.Client{Timeout: 2 * time.Second} // a paused voter doesn't respond
 	defer client.CloseIdleConnections()
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/changes", http.NoBody)
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return s, fmt.Errorf("fleettest: %s: %s", name, resp.Status)
+		return s, fmt.Errorf("fleettest: GET /changes of %s: status %s", name, resp.Status)
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
 		return s, fmt.Errorf("fleettest: %w", err)
@@ -40,41 +40,41 @@
 	return s, nil
 }
 
-// Operators gives where operators call a voter about the fleet's changes.
-func (f *Fleet) Operators(name string) (string, error) {
+// OperatorAddress returns the address at which a voter takes operators' requests.
+func (f *Fleet) OperatorAddress(name string) (string, error) {
 	for _, l := range slices.Backward(f.Lines()) {
 		if l.Child == name && l.Event == "operators" {
 			return l.Fields["address"], nil
 		}
 	}
-	return "", fmt.Errorf("fleettest: %s has not said where operators call it", name)
+	return "", fmt.Errorf("fleettest: %s has not logged its address for operators", name)
 }
 
-// Starter stands in for the operator's starter of programs: it asks the voters
-// which version each member is to run, and replaces those that run another, one
-// after the other. It is a receiver of fleet work: what is older than what it has
-// seen it does not carry out.
+// Starter is a fake of the operator's program starter. It polls the voters for the version
+// that each member should run, and replaces members that run another version, one after the
+// other. It ignores a status that is older than the newest that it has seen.
 type Starter struct {
 	f      *Fleet
 	refuse func(name, version string) bool
 	stop   chan struct{}
 	done   chan struct{}
 
-	mu     sync.Mutex
-	index  uint64
-	most   map[string]int // members that ran a version at one time, at most
-	failed error
+	mu         sync.Mutex
+	index      uint64         // log index of the newest status seen
+	maxRunning map[string]int // maximum number of members that ran a version at one time
+	failed     error          // of the last replacement that failed
 }
 
-// Starter starts one. refuse tells which replacements fail; nil for none.
+// Starter starts a Starter. It skips the replacements for which refuse returns true; refuse
+// may be nil.
 func (f *Fleet) Starter(refuse func(name, version string) bool) *Starter {
-	s := &Starter{f: f, refuse: refuse, stop: make(chan struct{}), done: make(chan struct{}), most: map[string]int{}}
+	s := &Starter{f: f, refuse: refuse, stop: make(chan struct{}), done: make(chan struct{}), maxRunning: map[string]int{}}
 	go s.run()
 	return s
 }
 
-// starterEvery is how often the starter asks.
-const starterEvery = 50 * time.Millisecond
+// starterPollInterval is the pause of a Starter between two rounds of polls.
+const starterPollInterval = 50 * time.Millisecond
 
 func (s *Starter) run() {
 	defer close(s.done)
@@ -82,26 +82,27 @@
 		select {
 		case <-s.stop:
 			return
-		case <-time.After(starterEvery):
+		case <-time.After(starterPollInterval):
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.f.Children)) {
 			if !strings.HasPrefix(name, "v") {
 				continue
 			}
-			status, err := s.f.Change(name)
+			status, err := s.f.ChangeStatus(name)
 			if err != nil || status.Record.Index < s.index {
-				continue // it is stopped, or behind
+				continue // the voter is paused, or its status is older
 			}
 			s.index = status.Record.Index
-			if s.carryOut(status.Desired) {
-				break // that took its time
+			if s.replaceOne(status.Desired) {
+				break // the status is outdated after a replacement
 			}
 		}
 	}
 }
 
-// carryOut replaces one member that runs another version than it should, if any.
-func (s *Starter) carryOut(desired map[string]string) bool {
+// replaceOne replaces the first member that runs another version than the desired one. It
+// returns whether it tried a replacement.
+func (s *Starter) replaceOne(desired map[string]string) bool {
 	for _, name := range slices.Sorted(maps.Keys(desired)) {
 		c, version := s.f.Children[name], desired[name]
 		if *c.version.Load() == version || s.refuse != nil && s.refuse(name, version) {
@@ -120,22 +121,22 @@
 				running++
 			}
 		}
-		s.most[version] = max(s.most[version], running)
+		s.maxRunning[version] = max(s.maxRunning[version], running)
 		s.mu.Unlock()
 		return true
 	}
 	return false
 }
 
-// Stop ends the starter, and gives how many members ran each version that it
-// started at one time, at most, and what failed.
+// Stop stops the starter. It returns the maximum number of members that ran each started
+// version at one time, and the error of the last replacement that failed.
 func (s *Starter) Stop() (most map[string]int, err error) {
 	close(s.stop)
 	<-s.done
-	return s.most, s.failed
+	return s.maxRunning, s.failed
 }
 
-// Running counts the members that run a version.
+// Running returns the number of members whose current or next process has a version.
 func (f *Fleet) Running(version string) (n int) {
 	for _, c := range f.Children {
 		if *c.version.Load() == version {
--- a/internal/fleettest/violations.go
+++ b/internal/fleettest/violations.go
@@ -7,29 +7,30 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// Violations lists what must not be: an act accepted at the registry under a lower
-// token than one before it, one token acted under by two members, or a member's log
-// in which the tokens of judgements go down within one incarnation of its process.
+// Violations returns a description of each violation of the fencing rules so far: a write
+// that the registry accepted under a lower token than the previous accepted one, accepted
+// writes of two members under one token, or a process that logged updates of the
+// dependency's health with decreasing tokens.
 func (f *Fleet) Violations() []string {
-	acts, _ := f.Registry.Writes()
-	return append(actViolations(acts), logViolations(f.Lines())...)
+	writes, _ := f.Registry.Writes()
+	return append(writeViolations(writes), logViolations(f.Lines())...)
 }
 
-func actViolations(acts []fakes.FencedWrite) (violations []string) {
-	var highest lease.Token
+func writeViolations(writes []fakes.FencedWrite) (violations []string) {
+	var previous lease.Token
 	owner := map[lease.Token]string{}
-	for _, a := range acts {
-		if !a.Accepted {
+	for _, w := range writes {
+		if !w.Accepted {
 			continue
 		}
-		if a.Token.Compare(highest) < 0 {
-			violations = append(violations, fmt.Sprintf("the registry accepted %v of %s after %v", a.Token, a.By, highest))
+		if w.Token.Compare(previous) < 0 {
+			violations = append(violations, fmt.Sprintf("the registry accepted token %v of %s after the higher token %v", w.Token, w.By, previous))
 		}
-		highest = a.Token
-		if by, ok := owner[a.Token]; ok && by != a.By {
-			violations = append(violations, fmt.Sprintf("%s and %s acted under %v", by, a.By, a.Token))
+		previous = w.Token
+		if by, ok := owner[w.Token]; ok && by != w.By {
+			violations = append(violations, fmt.Sprintf("%s and %s both wrote under token %v", by, w.By, w.Token))
 		}
-		owner[a.Token] = a.By
+		owner[w.Token] = w.By
 	}
 	return violations
 }
@@ -40,10 +41,10 @@
 		switch l.Event {
 		case "fleet":
 			delete(seen, l.Child)
-		case "dependency_health_changed", "judgement": // judgement: of versions before it was renamed
+		case "dependency_health_changed", "judgement": // judgement is the event's name in earlier versions
 			t := ParseToken(l.Fields["token"])
 			if t.Compare(seen[l.Child]) < 0 {
-				violations = append(violations, fmt.Sprintf("%s took %v in after %v", l.Child, t, seen[l.Child]))
+				violations = append(violations, fmt.Sprintf("%s logged token %v after the higher token %v", l.Child, t, seen[l.Child]))
 			}
 			seen[l.Child] = t
 		}
@@ -51,7 +52,8 @@
 	return violations
 }
 
-// ParseToken reads a token as logs show it; the zero token if it is none.
+// ParseToken parses a token in the form of the logs. It returns the zero token if s is not a
+// token.
 func ParseToken(s string) (t lease.Token) {
 	if _, err := fmt.Sscanf(s, "%d.%d", &t.Term, &t.Index); err != nil {
 		return lease.Token{}
