--- a/fleet/gossip/transport.go
+++ b/fleet/gossip/transport.go
@@ -9,11 +9,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxBindAttempts is how often any port is tried: one that is free for TCP may be
-// taken for UDP.
+// maxBindAttempts is the number of attempts to bind any free port. Several may be
+// needed, because a port that is free for TCP may be in use for UDP.
 const maxBindAttempts = 10
 
-// listen opens a port for UDP and TCP, any where port is 0.
+// listen opens a port for UDP and TCP: any free port if port is 0.
 func listen(host string, port int, logger *log.Logger) (t *memberlist.NetTransport, err error) {
 	config := &memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger}
 	for range maxBindAttempts {
@@ -25,19 +25,18 @@
 	return t, err
 }
 
-// trafficCounts are what went over the network: datagrams sent, and both directions
-// of the streams that were opened here.
+// trafficCounts counts the datagrams sent and streams opened by this member, and
+// their bytes, for streams in both directions.
 type trafficCounts struct{ messages, bytes atomic.Int64 }
 
-// seedTransport reaches seeds by the addresses that the operator gave, and counts
-// what it sends.
+// seedTransport contacts seeds at their configured addresses and counts traffic.
 type seedTransport struct {
 	*memberlist.NetTransport
-	seeds map[string]string // name to address
-	sent  *trafficCounts
+	seeds   map[string]string // name to address
+	traffic *trafficCounts
 }
 
-// withSeedAddress replaces a seed's address by the operator's.
+// withSeedAddress replaces the address of a seed by the configured one.
 func (t seedTransport) withSeedAddress(a memberlist.Address) memberlist.Address {
 	if address, ok := t.seeds[a.Name]; ok {
 		a.Addr = address
@@ -47,8 +46,8 @@
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
 func (t seedTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	t.sent.messages.Add(1)
-	t.sent.bytes.Add(int64(len(b)))
+	t.traffic.messages.Add(1)
+	t.traffic.bytes.Add(int64(len(b)))
 	return t.NetTransport.WriteToAddress(b, t.withSeedAddress(a))
 }
 
@@ -58,26 +57,26 @@
 	if err != nil {
 		return nil, err
 	}
-	t.sent.messages.Add(1)
-	return countingConn{conn, t.sent}, nil
+	t.traffic.messages.Add(1)
+	return countingConn{conn, t.traffic}, nil
 }
 
-// countingConn is a stream whose bytes are counted, in both directions.
+// countingConn counts a stream's bytes in both directions.
 type countingConn struct {
 	net.Conn
-	sent *trafficCounts
+	traffic *trafficCounts
 }
 
 // Read implements net.Conn.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.sent.bytes.Add(int64(n))
+	c.traffic.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.sent.bytes.Add(int64(n))
+	c.traffic.bytes.Add(int64(n))
 	return n, err
 }
--- a/fleet/rafttransport/receiver.go
+++ b/fleet/rafttransport/receiver.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// accept receives on every connection that comes in, until Close.
+// accept accepts connections and starts a receiver for each, until Close.
 func (t *Transport) accept() {
 	for {
 		conn, err := t.listener.Accept()
@@ -15,25 +15,26 @@
 			select {
 			case <-t.ctx.Done():
 				return
-			case <-time.After(minBackoff): // descriptors may run short for a while
+			case <-time.After(minBackoff): // the error may be temporary, such as too many open files
 				continue
 			}
 		}
-		if !t.track(conn) {
+		if !t.trackConn(conn) {
 			t.closeQuietly(conn)
 			continue
 		}
 		t.tasks.Go(func() {
-			defer t.release(conn)
+			defer t.closeConn(conn)
 			t.receive(conn)
 		})
 	}
 }
 
-// receive hands over the messages of an inbound connection until it ends.
+// receive passes the messages of an inbound connection to Options.Receive until
+// the connection is closed or fails.
 func (t *Transport) receive(conn net.Conn) {
 	reader := bufio.NewReader(conn)
-	if !t.acceptHello(conn, reader) {
+	if !t.receiveHello(conn, reader) {
 		return
 	}
 	for {
@@ -45,9 +46,9 @@
 	}
 }
 
-// acceptHello reads a connection's first frame, and returns whether it is that of
-// a peer which wants to reach this voter.
-func (t *Transport) acceptHello(conn net.Conn, reader *bufio.Reader) bool {
+// receiveHello reads a connection's first frame and reports whether it is a valid
+// Hello. It logs a Hello that is not.
+func (t *Transport) receiveHello(conn net.Conn, reader *bufio.Reader) bool {
 	if err := conn.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return false
 	}
@@ -56,14 +57,15 @@
 		return false
 	}
 	var hello Hello
-	if err := json.Unmarshal(frame, &hello); err != nil || !t.isForThisVoter(hello) {
+	if err := json.Unmarshal(frame, &hello); err != nil || !t.validHello(hello) {
 		t.log.Warn("fleet_hello_refused", "fleet", hello.Fleet, "from", hello.From, "to", hello.To)
 		return false
 	}
 	return conn.SetReadDeadline(time.Time{}) == nil
 }
 
-func (t *Transport) isForThisVoter(hello Hello) bool {
+// validHello reports whether a Hello is from a peer of the same fleet to this voter.
+func (t *Transport) validHello(hello Hello) bool {
 	if hello.Fleet != t.options.Fleet || hello.To != t.options.Self {
 		return false
 	}
