--- a/cmd/fleet-experiment/failover.go
+++ b/cmd/fleet-experiment/failover.go
@@ -36,7 +36,7 @@
 
 func (c *failoverCmd) measure(fleet *fleettest.Fleet) error {
 	rng := rand.New(rand.NewPCG(c.Seed, 1))
-	if _, err := fleet.AwaitAct("the first fenced write", 0, func(w fakes.FencedWrite) bool { return w.Accepted }); err != nil {
+	if _, err := fleet.AwaitWrite("the first fenced write", 0, func(w fakes.FencedWrite) bool { return w.Accepted }); err != nil {
 		return err
 	}
 	var times failoverTimes
@@ -69,7 +69,7 @@
 	if err := stopOwner(fleet, owner.By, kill); err != nil {
 		return 0, err
 	}
-	next, err := fleet.AwaitAct("the next owner's fenced write", len(writes), func(w fakes.FencedWrite) bool {
+	next, err := fleet.AwaitWrite("the next owner's fenced write", len(writes), func(w fakes.FencedWrite) bool {
 		return w.Accepted && w.Token.Compare(owner.Token) > 0
 	})
 	if err != nil {
