--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -15,20 +15,20 @@
 )
 
 // goldenChange is what operators are told of a rollout.
-func goldenChange() fleet.ChangeStatus {
+func goldenChange() fleet.RolloutStatus {
 	plan := &rollout.Plan{
 		ID: "r1", Kind: rollout.Program, From: "1", To: "2", Servers: []rollout.Server{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z2"}},
 		Stages: rollout.DefaultStages(), MinWatchWindows: 300, MaxWatchWindows: 3000, WarmUpWindows: 2, Limits: rollout.DefaultLimits(),
 	}
-	return fleet.ChangeStatus{
+	return fleet.RolloutStatus{
 		Record: rollout.Record{
 			Index: 40, Plan: plan, State: rollout.State{Phase: rollout.Baking, Stage: 1, Window: 9},
 			Decision: rollout.Decision{Verdict: rollout.Wait, Reason: "baking", PendingServers: []string{"b"}}, LastSettings: 3, CurrentSettings: 2,
 			Patches: map[uint64]json.RawMessage{2: json.RawMessage(`{"queue":null}`)},
 		},
-		Owner: "v1", Token: lease.Token{Term: 2, Index: 17}, Desired: map[string]string{"a": "2", "b": "1"},
+		Owner: "v1", Token: lease.Token{Term: 2, Index: 17}, DesiredVersions: map[string]string{"a": "2", "b": "1"},
 		Servers: []fleet.ServerStatus{
-			{Name: "a", Zone: "z1", Version: "2", Settings: 2, TurnedDown: 3, Reason: "settings.lanes: no", Leaving: true},
+			{Name: "a", Zone: "z1", Version: "2", SettingsNumber: 2, RejectedSettings: 3, RejectionReason: "settings.lanes: no", Leaving: true},
 			{Name: "b", Zone: "z2", Version: "1"},
 		},
 	}
@@ -41,7 +41,7 @@
 		{Voter: consensus.Voter{Name: "v1", Address: "10.0.0.1:7000"}, Alive: true},
 		{Voter: consensus.Voter{Name: "v4", Address: "10.0.0.4:7000", Learner: true}},
 	}
-	for name, v := range map[string]any{"changes.json": goldenChange(), "changes-none.json": fleet.ChangeStatus{}, "voters.json": voters} {
+	for name, v := range map[string]any{"changes.json": goldenChange(), "changes-none.json": fleet.RolloutStatus{}, "voters.json": voters} {
 		endpoint := &resource{get: func() (any, error) { return v, nil }}
 		w := httptest.NewRecorder()
 		endpoint.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", nil))
@@ -51,7 +51,7 @@
 		golden.Equal(t, name, w.Body.Bytes())
 	}
 	golden.Decodes(t, "changes.json", goldenChange(), json.Unmarshal)
-	golden.Decodes(t, "changes-none.json", fleet.ChangeStatus{}, json.Unmarshal)
+	golden.Decodes(t, "changes-none.json", fleet.RolloutStatus{}, json.Unmarshal)
 	golden.Decodes(t, "voters.json", voters, json.Unmarshal)
 }
 
--- a/admin/http.go
+++ b/admin/http.go
@@ -93,7 +93,7 @@
 	switch {
 	case errors.As(err, &malformed):
 		return http.StatusBadRequest
-	case errors.Is(err, fleet.ErrNoVoter):
+	case errors.Is(err, fleet.ErrNotVoter):
 		return http.StatusMisdirectedRequest
 	case errors.Is(err, context.DeadlineExceeded):
 		return http.StatusServiceUnavailable
--- a/admin/rollouts.go
+++ b/admin/rollouts.go
@@ -20,12 +20,12 @@
 	Settings json.RawMessage `json:"settings,omitempty"`
 }
 
-// NewRolloutHandler returns the endpoint for rollouts: GET returns a fleet.ChangeStatus,
+// NewRolloutHandler returns the endpoint for rollouts: GET returns a fleet.RolloutStatus,
 // POST takes a ChangeRequest, DELETE halts the plan that the query's id names, for the
 // query's reason.
 func NewRolloutHandler(member *fleet.Fleet) http.Handler {
 	return &resource{
-		get:          func() (any, error) { return member.Change() },
+		get:          func() (any, error) { return member.RolloutStatus() },
 		maxBodyBytes: maxRolloutBytes,
 		create: func(ctx context.Context, body *json.Decoder) error {
 			var request ChangeRequest
@@ -33,10 +33,10 @@
 			if err := body.Decode(&request); err != nil {
 				return &malformedBodyError{err}
 			}
-			return member.StartChange(ctx, request.Plan, request.Settings)
+			return member.StartRollout(ctx, request.Plan, request.Settings)
 		},
 		remove: func(ctx context.Context, query url.Values) error {
-			return member.StopChange(ctx, query.Get("id"), query.Get("reason"))
+			return member.StopRollout(ctx, query.Get("id"), query.Get("reason"))
 		},
 	}
 }
--- a/cmd/quincerail/rollout.go
+++ b/cmd/quincerail/rollout.go
@@ -34,7 +34,7 @@
 
 // Run implements the sub-command.
 func (c *rolloutStatusCmd) Run() error {
-	var s fleet.ChangeStatus
+	var s fleet.RolloutStatus
 	if err := c.call(http.MethodGet, admin.PathRollouts, nil, nil, &s); err != nil {
 		return err
 	}
@@ -68,16 +68,16 @@
 }
 
 // printServers prints a table of what each server runs.
-func printServers(s fleet.ChangeStatus) error {
+func printServers(s fleet.RolloutStatus) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) // keeps an error until Flush
 	_, _ = fmt.Fprintln(w, "server\tzone\tversion\tto run\tsettings\t")
 	for _, server := range s.Servers {
 		remark := ""
-		if server.TurnedDown != 0 {
-			remark = fmt.Sprintf("turned %d down: %s", server.TurnedDown, server.Reason)
+		if server.RejectedSettings != 0 {
+			remark = fmt.Sprintf("turned %d down: %s", server.RejectedSettings, server.RejectionReason)
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n",
-			server.Name, server.Zone, server.Version, s.Desired[server.Name], server.Settings, remark)
+			server.Name, server.Zone, server.Version, s.DesiredVersions[server.Name], server.SettingsNumber, remark)
 	}
 	return w.Flush()
 }
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -77,40 +77,40 @@
 // The error names the key at fault.
 func (f *File) FleetConfig(name, dependencyAddress string, logger *slog.Logger) (*fleet.Config, error) {
 	keys := &f.Fleet
-	if fleet.Role(keys.Role) == fleet.Off {
+	if fleet.Role(keys.Role) == fleet.RoleOff {
 		return nil, nil
 	}
 	c := &fleet.Config{
-		Fleet:  keys.Name,
-		Self:   name,
-		Role:   fleet.Role(keys.Role),
-		Logger: logger,
-
-		Raft:   keys.Raft,
-		Gossip: keys.Gossip,
-		Dir:    keys.Dir,
-		Voters: keys.Voters,
-		Join:   keys.Join,
-		Seeds:  keys.Seeds,
-
-		Election:  milliseconds(keys.ElectionMS),
-		Term:      milliseconds(keys.LeaseMS),
-		Drift:     keys.Drift,
-		ClockRate: keys.ClockRate,
-
-		Probe:      dependencyAddress,
-		ProbeEvery: milliseconds(keys.ProbeMS),
-		Slow:       milliseconds(keys.SlowMS),
-		Publish:    keys.Publish,
-
-		Budget:  keys.Budget,
-		Repeats: keys.Repeats,
-		Horizon: milliseconds(keys.HorizonMS),
-		Hold:    milliseconds(keys.HoldMS),
-
-		Window:  milliseconds(keys.WindowMS),
-		Version: keys.Version,
-		Zone:    keys.Zone,
+		FleetName: keys.Name,
+		Self:      name,
+		Role:      fleet.Role(keys.Role),
+		Logger:    logger,
+
+		RaftAddress:   keys.Raft,
+		GossipAddress: keys.Gossip,
+		LogDir:        keys.Dir,
+		Voters:        keys.Voters,
+		Join:          keys.Join,
+		Seeds:         keys.Seeds,
+
+		ElectionTimeout: milliseconds(keys.ElectionMS),
+		LeaseDuration:   milliseconds(keys.LeaseMS),
+		MaxClockDrift:   keys.Drift,
+		ClockRate:       keys.ClockRate,
+
+		DependencyAddress: dependencyAddress,
+		ProbeInterval:     milliseconds(keys.ProbeMS),
+		SlowThreshold:     milliseconds(keys.SlowMS),
+		PublishURL:        keys.Publish,
+
+		MaxCalls:            keys.Budget,
+		MaxRetriesPerSecond: keys.Repeats,
+		SessionTimeout:      milliseconds(keys.HorizonMS),
+		MaxCallDuration:     milliseconds(keys.HoldMS),
+
+		RolloutWindow: milliseconds(keys.WindowMS),
+		Version:       keys.Version,
+		Zone:          keys.Zone,
 	}
 	return c, c.Validate()
 }
--- a/downstream/quota.go
+++ b/downstream/quota.go
@@ -139,10 +139,10 @@
 // how many calls the core would have in flight without the quotas.
 func ApplyFleetBounds(core *dispatch.Core, member *fleet.Fleet) {
 	bounds := decision.FleetBounds{MaxCalls: math.Inf(1)}
-	if member.QuotaAgent(fleet.Repeats) != nil {
-		bounds.AcquireRetry = member.Repeat
+	if member.QuotaAgent(fleet.RetryQuota) != nil {
+		bounds.AcquireRetry = member.AcquireRetry
 	}
-	calls := member.QuotaAgent(fleet.Calls)
+	calls := member.QuotaAgent(fleet.CallQuota)
 	if calls == nil {
 		if bounds.AcquireRetry != nil {
 			_ = core.SetFleetBounds(bounds, func(int) {}) // it fails once the core has stopped
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -11,103 +11,108 @@
 	"quincerail.example/quincerail/fleet/quota"
 )
 
-// Names of the leases. The log stores them.
+// Names of the leases, as stored in the log.
 const (
-	HealthLease  = "registry" // on probing the shared dependency and publishing its health
-	QuotaLease   = "bank"     // on granting and reclaiming rights of the fleet's quotas
-	RolloutLease = "rollout"  // on driving a change through the fleet
+	HealthLease  = "registry" // to probe the shared dependency and publish its health
+	QuotaLease   = "bank"     // to grant and reclaim rights of the fleet's quotas
+	RolloutLease = "rollout"  // to drive a rollout through the fleet
 )
 
-// Role is a member's part.
+// Role says whether a process takes part in the fleet, and whether it votes.
 type Role string
 
 // The roles.
 const (
-	Off    Role = "off"
-	Voter  Role = "voter"  // agrees on leases and may own them
-	Member Role = "member" // receives results only
+	RoleOff    Role = "off"
+	RoleVoter  Role = "voter"  // replicates the log and may own leases
+	RoleMember Role = "member" // takes part in gossip only
 )
 
-// heartbeatsPerHorizon is how many heartbeats a quota's member sends in a horizon.
-const heartbeatsPerHorizon = 10
+// heartbeatsPerSessionTimeout is the number of heartbeats that a quota member sends
+// in one session timeout.
+const heartbeatsPerSessionTimeout = 10
 
-// Config is what a member is started with.
+// Config configures a member of the fleet.
 type Config struct {
-	Fleet  string // the fleet's name: members of two fleets refuse each other
-	Self   string
-	Role   Role
-	Raft   string            // address where a voter listens for the others
-	Gossip string            // address, TCP and UDP, where a member listens for the others
-	Dir    string            // of a voter's log
-	Voters map[string]string // name to Raft address of the founding voters, or of the present ones where this one joins them
-	Join   bool              // this voter joins a running group, once it is added there
-	Seeds  map[string]string // name to Gossip address of members to join by
-
-	Election time.Duration // without a message from a leader, until a voter becomes a candidate (one to two of it)
-	Term     time.Duration // of a lease
-	Drift    float64       // most that a member's clock runs fast or slow by
-	// ClockRate is that of the clock that leases are counted by. It is 1 except in
-	// tests of clock drift.
+	FleetName     string // members reject peers that name another fleet
+	Self          string // name of this member, unique in the fleet
+	Role          Role
+	RaftAddress   string            // TCP listen address for the other voters; voters only
+	GossipAddress string            // TCP and UDP listen address for the other members
+	LogDir        string            // directory of a voter's log
+	Voters        map[string]string // Raft addresses by name: the founding voters, or the current ones if Join is set
+	Join          bool              // join a running group, after an operator has added this voter to it
+	Seeds         map[string]string // gossip addresses by name of the members to contact first
+
+	// ElectionTimeout is the base of the randomized election timeout: a voter becomes
+	// a candidate after one to two times ElectionTimeout without a leader's message.
+	ElectionTimeout time.Duration
+	LeaseDuration   time.Duration
+	MaxClockDrift   float64 // bound on a clock's rate error, as a fraction: 0.05 is 5%
+	// ClockRate multiplies the rate of the clock that times leases and quotas. It is
+	// 1 except in tests of clock drift.
 	ClockRate float64
 
-	Probe      string        // address of the shared dependency
-	ProbeEvery time.Duration // between two probes
-	Slow       time.Duration // a probe that takes longer finds the dependency slow
-	Publish    string        // URL that the dependency's health is put to; "" for none
-
-	// Budget is how many calls the whole fleet may have in flight at the shared
-	// dependency, at any instant and in any partition; 0 for no such bound. It is
-	// the same at each member.
-	Budget uint64
-	// Repeats is how many retries of calls the whole fleet may make in any second;
-	// 0 for no such bound.
-	Repeats uint64
-	Horizon time.Duration // without an acknowledgement of the allocator's leader, until a member makes no calls
-	Hold    time.Duration // the longest that a call is in flight
-
-	// Window is how often members report their counts, and how long a rollout's
-	// windows are; 0 for no rollouts. It is the same at each member.
-	Window  time.Duration
-	Version string // of the program, as the operator names it
-	Zone    string // of this process
+	DependencyAddress string        // TCP address to probe
+	ProbeInterval     time.Duration // also the interval of health updates
+	SlowThreshold     time.Duration // a probe that takes longer reports DependencySlow
+	PublishURL        string        // target of an HTTP PUT of each health update; "" for none
+
+	// MaxCalls bounds the calls that the whole fleet has in flight at the shared
+	// dependency, at any instant and in any partition; 0 for no bound. All members
+	// must have the same value.
+	MaxCalls uint64
+	// MaxRetriesPerSecond bounds the retries of calls that the whole fleet makes in
+	// any second; 0 for no bound.
+	MaxRetriesPerSecond uint64
+	// SessionTimeout is the time without an acknowledgement from the allocator's
+	// leader after which a member makes no calls.
+	SessionTimeout  time.Duration
+	MaxCallDuration time.Duration // upper bound on the time that a call is in flight
+
+	// RolloutWindow is the interval between members' reports and the length of a
+	// rollout's windows; 0 disables rollouts. All members must have the same value.
+	RolloutWindow time.Duration
+	Version       string // of the program, named by the operator
+	Zone          string // failure zone of this process
 
 	Logger *slog.Logger // nil for slog.Default()
 }
 
-// ConfigError reports an operator's key whose value can't be used.
+// ConfigError reports an invalid value in the operator's file.
 type ConfigError struct {
-	Key string // in the operator's file
+	Key string // key in the operator's file
 	Err error
 }
 
 // Error implements error.
 func (e *ConfigError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 func configErrorf(key, format string, args ...any) error {
 	return &ConfigError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// Validate returns a *ConfigError for the first key with a value that can't be used.
+// Validate returns a *ConfigError for the first key with an invalid value.
 func (c *Config) Validate() error {
-	if c.Budget > 0 || c.Repeats > 0 {
+	if c.MaxCalls > 0 || c.MaxRetriesPerSecond > 0 {
 		if err := c.quotaTiming().Validate(); err != nil {
 			return &ConfigError{Key: quotaTimingKey(err), Err: err}
 		}
 	}
-	if c.Window > 0 && c.Version == "" {
-		return configErrorf("fleet.version", "a name for this version of the program wanted, as rollouts compare versions")
+	if c.RolloutWindow > 0 && c.Version == "" {
+		return configErrorf("fleet.version", "must name the version of the program, because rollouts compare versions")
 	}
-	if c.Role != Voter {
+	if c.Role != RoleVoter {
 		return nil
 	}
 	if _, ok := c.Voters[c.Self]; !ok && !c.Join {
-		return configErrorf("fleet.voters", "this process, %s, is a voter and not among them", c.Self)
+		return configErrorf("fleet.voters", "must contain this process, %s, because it is a voter", c.Self)
 	}
 	if !slices.Contains([]int{1, 3, 5}, len(c.Voters)) && !c.Join {
-		return configErrorf("fleet.voters", "%d, 3 or 5 wanted (1 to try it)", len(c.Voters))
+		return configErrorf("fleet.voters", "has %d voters, must have 3 or 5 (or 1 for a trial)", len(c.Voters))
 	}
 	if err := c.leaseTiming().Validate(); err != nil {
 		return &ConfigError{Key: leaseTimingKey(err), Err: err}
@@ -115,8 +120,8 @@
 	return nil
 }
 
-// leaseTimingKey returns the operator's key that an error of lease.Timing is about.
-// The interval between renewals is a part of the lease's duration.
+// leaseTimingKey returns the key in the operator's file for an error of
+// lease.Timing. The renewal interval is derived from the lease duration.
 func leaseTimingKey(err error) string {
 	var invalid *lease.ConfigError
 	if errors.As(err, &invalid) && invalid.Field == "ClockDrift" {
@@ -125,9 +130,9 @@
 	return "fleet.lease_ms"
 }
 
-// quotaTimingKey returns the operator's key that an error of quota.Timing is about.
-// The interval between heartbeats is a part of the horizon, and the time that a
-// right is held has to fit in it.
+// quotaTimingKey returns the key in the operator's file for an error of
+// quota.Timing. The heartbeat interval is derived from the session timeout, which
+// must also exceed the time that a right is held.
 func quotaTimingKey(err error) string {
 	var invalid *quota.TimingError
 	if errors.As(err, &invalid) && invalid.Field == "MaxClockDrift" {
@@ -137,27 +142,28 @@
 }
 
 func (c *Config) leaseTiming() lease.Timing {
-	return lease.Timing{Duration: c.Term, ClockDrift: c.Drift, RenewInterval: c.Term / 4}
+	return lease.Timing{Duration: c.LeaseDuration, ClockDrift: c.MaxClockDrift, RenewInterval: c.LeaseDuration / 4}
 }
 
 func (c *Config) quotaTiming() quota.Timing {
 	return quota.Timing{
-		SessionTimeout:    c.Horizon,
-		MaxClockDrift:     c.Drift,
-		MaxHoldTime:       max(c.Hold, c.retryHoldTime()),
-		HeartbeatInterval: c.Horizon / heartbeatsPerHorizon,
+		SessionTimeout:    c.SessionTimeout,
+		MaxClockDrift:     c.MaxClockDrift,
+		MaxHoldTime:       max(c.MaxCallDuration, c.retryHoldTime()),
+		HeartbeatInterval: c.SessionTimeout / heartbeatsPerSessionTimeout,
 	}
 }
 
-// retryHoldTime is how long a retry keeps its right: a second on any clock, so that
-// each of the retries in any second had a right of its own.
+// retryHoldTime returns how long a retry keeps its right: at least a second by any
+// clock within the drift bound, so that all retries in any second hold distinct
+// rights. It returns 0 if retries are not bounded.
 func (c *Config) retryHoldTime() time.Duration {
-	if c.Repeats == 0 {
+	if c.MaxRetriesPerSecond == 0 {
 		return 0
 	}
-	return time.Duration(float64(time.Second) * (1 + c.Drift))
+	return time.Duration(float64(time.Second) * (1 + c.MaxClockDrift))
 }
 
-// healthMaxAge is how long the health of the shared dependency counts without an
-// update: five probes, and two terms for another owner to start.
-func (c *Config) healthMaxAge() time.Duration { return 5*c.ProbeEvery + 2*c.Term }
+// healthMaxAge returns the age at which the last health update expires: five probe
+// intervals, and two lease durations for another owner to take over.
+func (c *Config) healthMaxAge() time.Duration { return 5*c.ProbeInterval + 2*c.LeaseDuration }
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -13,8 +13,8 @@
 // the cause can be found in it.
 func TestConfigErrors(t *testing.T) {
 	valid := Config{
-		Self: "v1", Role: Voter, Voters: map[string]string{"v1": "localhost:1"},
-		Term: time.Second, Drift: 0.05, Budget: 8, Horizon: time.Minute, Hold: time.Second, Window: time.Second, Version: "1",
+		Self: "v1", Role: RoleVoter, Voters: map[string]string{"v1": "localhost:1"},
+		LeaseDuration: time.Second, MaxClockDrift: 0.05, MaxCalls: 8, SessionTimeout: time.Minute, MaxCallDuration: time.Second, RolloutWindow: time.Second, Version: "1",
 	}
 	if err := valid.Validate(); err != nil {
 		t.Fatal(err)
@@ -23,11 +23,11 @@
 		key    string
 		change func(c *Config)
 	}{
-		{"fleet.lease_ms", func(c *Config) { c.Term = 0 }},
-		{"fleet.drift", func(c *Config) { c.Drift = 0.5 }},
-		{"fleet.drift", func(c *Config) { c.Drift, c.Budget = 0.5, 0 }},
-		{"fleet.horizon_ms", func(c *Config) { c.Horizon = 0 }},
-		{"fleet.horizon_ms", func(c *Config) { c.Hold = time.Hour }},
+		{"fleet.lease_ms", func(c *Config) { c.LeaseDuration = 0 }},
+		{"fleet.drift", func(c *Config) { c.MaxClockDrift = 0.5 }},
+		{"fleet.drift", func(c *Config) { c.MaxClockDrift, c.MaxCalls = 0.5, 0 }},
+		{"fleet.horizon_ms", func(c *Config) { c.SessionTimeout = 0 }},
+		{"fleet.horizon_ms", func(c *Config) { c.MaxCallDuration = time.Hour }},
 		{"fleet.version", func(c *Config) { c.Version = "" }},
 		{"fleet.voters", func(c *Config) { c.Self = "v2" }},
 		{"fleet.voters", func(c *Config) { c.Voters = map[string]string{"v1": "localhost:1", "v2": "localhost:2"} }},
@@ -41,13 +41,13 @@
 		}
 	}
 	config := valid
-	config.Term = 0
+	config.LeaseDuration = 0
 	var invalidLease *lease.ConfigError
 	if err := config.Validate(); !errors.As(err, &invalidLease) {
 		t.Errorf("%v is no lease.ConfigError", err)
 	}
 	config = valid
-	config.Horizon = 0
+	config.SessionTimeout = 0
 	var invalidQuota *quota.TimingError
 	if err := config.Validate(); !errors.As(err, &invalidQuota) {
 		t.Errorf("%v is no quota.TimingError", err)
@@ -70,7 +70,7 @@
 		{"last", []VoterStatus{voter("a", true, false), voter("b", true, true)}, func(err error) bool { return errors.Is(err, ErrLastVoter) }},
 		{"majority alive", []VoterStatus{voter("a", false, false), voter("b", true, false), voter("c", true, false)}, func(err error) bool { return err == nil }},
 		{"half alive", []VoterStatus{voter("a", true, false), voter("b", true, false), voter("c", false, false)}, func(err error) bool {
-			return errors.As(err, &noMajority) && noMajority.Staying == 2 && len(noMajority.Dead) == 1
+			return errors.As(err, &noMajority) && noMajority.RemainingVoters == 2 && len(noMajority.DeadVoters) == 1
 		}},
 	} {
 		if err := checkRemoval(c.voters, "a"); !c.want(err) {
--- a/fleet/dependency_health.go
+++ b/fleet/dependency_health.go
@@ -9,26 +9,26 @@
 	"quincerail.example/quincerail/fleet/lease"
 )
 
-// State is the state of the shared dependency.
-type State string
+// DependencyState is the state of the shared dependency, as found by a probe.
+type DependencyState string
 
 // The states.
 const (
-	Unknown State = "unknown" // no report yet, or none for too long
-	Good    State = "good"
-	Slow    State = "slow"
-	Down    State = "down" // no connection
+	DependencyUnknown DependencyState = "unknown" // no update yet, or the latest one has expired
+	DependencyGood    DependencyState = "good"
+	DependencySlow    DependencyState = "slow"
+	DependencyDown    DependencyState = "down" // the connection failed or timed out
 )
 
-// DependencyHealth is the result of a probe by the owner of HealthLease, under its
-// token. Of two with the same token, the one with the higher Seq is the later.
+// DependencyHealth is the result of a probe by the owner of HealthLease. Results are
+// ordered by Token, and by Sequence within a token.
 type DependencyHealth struct {
-	Lease string        `json:"lease"`
-	Token lease.Token   `json:"token"`
-	Seq   uint64        `json:"seq"`
-	By    string        `json:"by"`
-	State State         `json:"state"`
-	Took  time.Duration `json:"took_ns"` // of the probe
+	Lease         string          `json:"lease"`
+	Token         lease.Token     `json:"token"`
+	Sequence      uint64          `json:"seq"`
+	ProbedBy      string          `json:"by"`
+	State         DependencyState `json:"state"`
+	ProbeDuration time.Duration   `json:"took_ns"` // time until the connection was established or failed
 }
 
 // supersedes reports whether h is later than other.
@@ -36,28 +36,28 @@
 	if order := h.Token.Compare(other.Token); order != 0 {
 		return order > 0
 	}
-	return h.Seq > other.Seq
+	return h.Sequence > other.Sequence
 }
 
-// healthView is a member's replica of the latest health of each lease. It is a
-// receiver of fleet work: an update that the fence refuses changes nothing.
+// healthView is a member's replica of the latest health, by lease. It ignores
+// updates that the fence rejects.
 type healthView struct {
 	log    *slog.Logger
 	fence  *lease.Fence
-	maxAge time.Duration // after which the latest health counts as unknown
+	maxAge time.Duration // age at which the latest health counts as unknown
 
-	mu        sync.Mutex
-	latest    map[string]DependencyHealth
-	updatedAt time.Time
-	stale     int // updates that the fence refused
+	mu         sync.Mutex
+	latest     map[string]DependencyHealth
+	updatedAt  time.Time
+	staleCount int // number of updates that the fence rejected
 }
 
 func newHealthView(log *slog.Logger, fence *lease.Fence, maxAge time.Duration) *healthView {
 	return &healthView{log: log, fence: fence, maxAge: maxAge, latest: map[string]DependencyHealth{}}
 }
 
-// mergeUpdate merges an encoded DependencyHealth, and returns its topic and whether
-// it was new.
+// mergeUpdate merges an encoded DependencyHealth. It returns the update's topic and
+// whether the update superseded the known health.
 func (v *healthView) mergeUpdate(update []byte) (topic string, isNew bool) {
 	var health DependencyHealth
 	if err := json.Unmarshal(update, &health); err != nil || health.Lease != HealthLease {
@@ -66,19 +66,20 @@
 	}
 	if err := v.fence.Admit(health.Lease, health.Token); err != nil {
 		v.mu.Lock()
-		v.stale++
+		v.staleCount++
 		v.mu.Unlock()
-		v.log.Debug(eventStaleUpdateRefused, "by", health.By, "error", err.Error())
+		v.log.Debug(eventStaleUpdateRefused, "by", health.ProbedBy, "error", err.Error())
 		return "", false
 	}
 	previous, isNew := v.replace(health)
 	if isNew && (previous.State != health.State || previous.Token != health.Token) {
-		v.log.Info(eventHealthChanged, "of", health.Lease, "state", string(health.State), "by", health.By, "token", health.Token.String())
+		v.log.Info(eventHealthChanged, "lease", health.Lease, "state", string(health.State), "by", health.ProbedBy, "token", health.Token.String())
 	}
 	return health.Lease, isNew
 }
 
-// replace stores health if it is later than what was known, which it returns.
+// replace stores health if it supersedes the known health, and returns the previous
+// health.
 func (v *healthView) replace(health DependencyHealth) (previous DependencyHealth, isNew bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -91,8 +92,8 @@
 	return previous, true
 }
 
-// current returns the latest health. Its state is Unknown after maxAge without an
-// update: a dependency that was good may have failed since.
+// current returns the latest health. Its State is DependencyUnknown after maxAge
+// without an update, because the dependency's state may have changed since.
 func (v *healthView) current() DependencyHealth {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -101,12 +102,12 @@
 		health.Lease = HealthLease
 	}
 	if !ok || time.Since(v.updatedAt) > v.maxAge {
-		health.State = Unknown
+		health.State = DependencyUnknown
 	}
 	return health
 }
 
-// encodedUpdates returns all that is known, encoded for mergeUpdate.
+// encodedUpdates returns the latest health of each lease, encoded for mergeUpdate.
 func (v *healthView) encodedUpdates() [][]byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -119,9 +120,9 @@
 	return updates
 }
 
-// staleUpdates returns how many updates the fence refused.
+// staleUpdates returns the number of updates that the fence rejected.
 func (v *healthView) staleUpdates() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.stale
+	return v.staleCount
 }
--- a/fleet/dependency_health_test.go
+++ b/fleet/dependency_health_test.go
@@ -15,18 +15,18 @@
 func TestDependencyHealthAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &healthView{log: logging.Discard(), fence: &lease.Fence{}, latest: map[string]DependencyHealth{}, maxAge: 3 * time.Second}
-		if s := b.current().State; s != Unknown {
+		if s := b.current().State; s != DependencyUnknown {
 			t.Errorf("before any word: %s", s)
 		}
 		for _, c := range []struct {
 			j    DependencyHealth
 			news bool
-			want State
+			want DependencyState
 		}{
-			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Seq: 2, State: Good}, true, Good},
-			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Seq: 1, State: Down}, false, Good},
-			{DependencyHealth{Token: lease.Token{Term: 2, Index: 9}, Seq: 1, State: Slow}, true, Slow},
-			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Seq: 3, State: Good}, false, Slow},
+			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Sequence: 2, State: DependencyGood}, true, DependencyGood},
+			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Sequence: 1, State: DependencyDown}, false, DependencyGood},
+			{DependencyHealth{Token: lease.Token{Term: 2, Index: 9}, Sequence: 1, State: DependencySlow}, true, DependencySlow},
+			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Sequence: 3, State: DependencyGood}, false, DependencySlow},
 		} {
 			c.j.Lease = HealthLease
 			piece, err := json.Marshal(c.j)
@@ -37,11 +37,11 @@
 				t.Errorf("%+v: news %t, %s", c.j, news, b.current().State)
 			}
 		}
-		if b.stale != 1 {
-			t.Errorf("%d refused as stale", b.stale)
+		if b.staleCount != 1 {
+			t.Errorf("%d refused as stale", b.staleCount)
 		}
 		time.Sleep(3*time.Second + 1)
-		if s := b.current().State; s != Unknown {
+		if s := b.current().State; s != DependencyUnknown {
 			t.Errorf("after 3 s without news: %s", s)
 		}
 	})
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,47 +1,48 @@
-// Package fleet makes processes of the program act together. A small group of
-// voters agrees on who owns each piece of fleet work (package lease over package
-// consensus). All members learn of each other and of the results by gossip
-// (package gossip). Every receiver refuses what a former owner still sends
+// Package fleet coordinates the processes of the program. A small group of voters
+// agrees on who owns the lease on each fleet-wide task (package lease over package
+// consensus). Gossip (package gossip) tells all members who the members are and
+// what the owners decided. Every receiver rejects messages from a former owner
 // (lease.Fence).
 //
-// A [Fleet] is one process's membership. It has four units, and each owns its state:
+// A [Fleet] is one process's membership. It has five units, and each owns its state:
 //
 //	unit           files                     state                       written by
 //	-------------  ------------------------  --------------------------  ------------------------------------
 //	stateMachine   state_machine.go,         leases, free rights of the  the goroutine of consensus.Node
-//	               log_entries.go            quotas, record of rollouts
+//	               log_entries.go            quotas, rollout record
 //	healthView     dependency_health.go      latest health of the        gossip's goroutines, the checker
 //	                                         shared dependency
-//	healthChecker  health_checker.go         token that it probes under  its own goroutine
+//	healthChecker  health_checker.go         fencing token of its probe  its own goroutine
 //	QuotaAgent     quota_agent.go,           this member's rights, and   gossip's and consensus' goroutines,
 //	               quota_messages.go         the allocator's leader      its ticker, callers of TryAcquire
 //	rolloutDriver  rollout_driver.go,        reports, directives, the    gossip's goroutines, its ticker,
 //	               rollout_operations.go     number of settings in use   the goroutine that applies settings
 //
-// Each state but the checker's has a mutex. A QuotaAgent locks the stateMachine's
-// while it holds its own, never the other way round; nothing is sent under a lock.
-// Only voters have a stateMachine.
+// Each unit except the healthChecker has a mutex. A QuotaAgent locks the
+// stateMachine's mutex while it holds its own; the reverse order never occurs. No
+// message is sent while a mutex is held. Only voters have a stateMachine.
 //
 // # Leases
 //
-//	lease         its owner, a voter
+//	lease         task of its owner, a voter
 //	------------  -----------------------------------------------------------------
-//	HealthLease   probes the shared dependency, and publishes its health
-//	QuotaLease    grants rights to members, and reclaims those of fenced ones
-//	RolloutLease  compares changed servers with others, and takes the rollout's steps
+//	HealthLease   probes the shared dependency and publishes its health
+//	QuotaLease    grants rights to members and reclaims those of fenced members
+//	RolloutLease  compares changed servers with the others and drives the rollout
 //
-// An owner asks [Fleet.Owner] right before each act, and sends the token with it. The
-// log refuses commands under a token that is not the present grant's, receivers of
-// gossip refuse tokens lower than the highest that they have seen.
+// An owner calls [Fleet.HoldsLease] right before each action and sends the fencing
+// token with it. The state machine rejects log commands whose token is not that of
+// the current grant. Receivers of gossip reject tokens lower than the highest one
+// seen.
 //
 // # Start and stop
 //
 // [Start] creates the quota agents and the rollout driver, then starts the voter
-// (transport, then log), gossip, and at last the three workers. A step that fails
-// stops the voter again. [Fleet.Stop] ends the workers, resigns the leases and
-// waits until the log has that, transfers leadership, leaves gossip, and stops the
+// (transport, then log), gossip, and finally the three workers. If a step fails, it
+// stops the voter. [Fleet.Stop] stops the workers, resigns the leases and waits until
+// the log has the resignations, transfers leadership, leaves gossip, and stops the
 // log and its transport.
 //
-// The algorithms, with their sources, are those of the packages lease, consensus,
-// gossip, quota and rollout.
+// The packages lease, consensus, gossip, quota and rollout describe the algorithms
+// and name their sources.
 package fleet
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -14,7 +14,7 @@
 	"quincerail.example/quincerail/fleet/rafttransport"
 )
 
-// leaveTimeout is how long a member that stops waits for its leave to spread.
+// leaveTimeout bounds how long Stop waits for gossip to spread the leave message.
 const leaveTimeout = 300 * time.Millisecond
 
 // Fleet is this process's membership. Its methods are safe for concurrent use.
@@ -23,43 +23,43 @@
 	log           *slog.Logger
 	self          lease.Owner
 	fence         *lease.Fence
-	clock         func() time.Duration // that leases and quotas are counted by
+	clock         func() time.Duration // times leases and quotas
 	healthView    *healthView
-	quotaAgents   map[string]*QuotaAgent // by the name of the quota; those that the fleet has
+	quotaAgents   map[string]*QuotaAgent // by the quota's name; only the configured quotas
 	rolloutDriver *rolloutDriver
 	membership    *gossip.Membership // set before gossipStarted is closed
 
-	cancel            context.CancelFunc // ends the workers
-	gossipStarted     chan struct{}      // closed when membership may be used
-	healthCheckerDone chan struct{}      // closed when the worker has ended
-	quotaDone         chan struct{}      // likewise
-	rolloutDone       chan struct{}      // likewise
+	cancel            context.CancelFunc // stops the workers
+	gossipStarted     chan struct{}      // closed when membership is set
+	healthCheckerDone chan struct{}      // closed when the health checker has returned
+	quotaDone         chan struct{}      // closed when runQuotaAgents has returned
+	rolloutDone       chan struct{}      // closed when the rollout driver has returned
 
-	// Of a voter; nil in other members.
+	// Set in voters only.
 	stateMachine *stateMachine
 	node         *consensus.Node
 	transport    *rafttransport.Transport
 }
 
-// Stats are a member's counts.
+// Stats holds statistics of a member.
 type Stats struct {
-	Alive    int   // members that are thought to be alive, this one too
-	Owner    bool  // of HealthLease
-	Messages int64 // sent to other members, to voters among them
-	Bytes    int64 // likewise
-	Stale    int   // updates refused for their token
-	State    State // of the shared dependency, as this member knows
-	Budgets  map[string]BudgetStats
+	AliveMembers    int                   // members that gossip considers alive, including this one
+	OwnsHealthLease bool                  // this process may act as the owner of HealthLease
+	MessagesSent    int64                 // to other members, by gossip and by Raft
+	BytesSent       int64                 // to other members, by gossip and by Raft
+	StaleUpdates    int                   // health updates rejected for a stale fencing token
+	Dependency      DependencyState       // latest known state of the shared dependency
+	Quotas          map[string]QuotaStats // by the quota's name
 }
 
-// BudgetStats are a member's part of one quota.
-type BudgetStats struct {
-	Rights int // that this member may have in flight
-	InHand int // of them used
-	Free   int // that nobody holds, as a voter's log has it; 0 at other members
+// QuotaStats holds the statistics of one quota at a member.
+type QuotaStats struct {
+	Rights int // rights that this member has
+	InUse  int // rights of this member in use
+	Free   int // rights granted to no member, according to the log; 0 if this member is not a voter
 }
 
-// Start joins the fleet. Others need not run yet.
+// Start starts this process's membership. The other members need not run yet.
 func Start(config Config) (*Fleet, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 	if f.transport != nil {
 		raftAddress = f.transport.Addr().String()
 	}
-	f.log.Info(eventFleetJoined, "name", config.Self, "role", string(config.Role), "raft", raftAddress, "gossip", f.membership.Addr())
+	f.log.Info(eventJoined, "name", config.Self, "role", string(config.Role), "raft", raftAddress, "gossip", f.membership.Addr())
 	return f, nil
 }
 
@@ -97,20 +97,20 @@
 	return f
 }
 
-// newIncarnation draws the number of an incarnation; it is never 0.
+// newIncarnation returns a random incarnation number, which is never 0.
 func newIncarnation() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails (crypto/rand)
 	return binary.BigEndian.Uint64(b[:])>>1 + 1
 }
 
-// start starts the units. Where it fails, stopVoter ends what it started.
+// start starts the units. After an error, the caller must call stopVoter.
 func (f *Fleet) start() error {
 	if err := f.createQuotaAgents(); err != nil {
 		return err
 	}
 	f.rolloutDriver = newRolloutDriver(f)
-	if f.config.Role == Voter {
+	if f.config.Role == RoleVoter {
 		if err := f.startVoter(); err != nil {
 			return err
 		}
@@ -126,9 +126,9 @@
 func (f *Fleet) startGossip() error {
 	var err error
 	f.membership, err = gossip.Start(gossip.Options{
-		Fleet:    f.config.Fleet,
+		Fleet:    f.config.FleetName,
 		Self:     f.config.Self,
-		Listen:   f.config.Gossip,
+		Listen:   f.config.GossipAddress,
 		Seeds:    f.config.Seeds,
 		Role:     string(f.config.Role),
 		Delegate: delegate{f},
@@ -156,49 +156,50 @@
 	}()
 	go func() {
 		defer close(f.rolloutDone)
-		if f.config.Window > 0 {
+		if f.config.RolloutWindow > 0 {
 			f.rolloutDriver.run(ctx)
 		}
 	}()
 }
 
-// Owner reports whether this process may act as the owner of a lease now, and under
-// which token. Call it right before each act, and send the token with the act.
-func (f *Fleet) Owner(name string) (lease.Token, bool) {
+// HoldsLease reports whether this process may act as the owner of a lease now, and
+// returns the fencing token. Call it right before each action and send the token with
+// the action.
+func (f *Fleet) HoldsLease(name string) (lease.Token, bool) {
 	if f.stateMachine == nil {
 		return lease.Token{}, false
 	}
-	return f.stateMachine.holds(name)
+	return f.stateMachine.holdsLease(name)
 }
 
-// DependencyHealth returns the latest health of the shared dependency that this
-// member knows. Its State is Unknown where there was no update for five probes and
-// two terms.
+// DependencyHealth returns the latest known health of the shared dependency. Its
+// State is DependencyUnknown after five probe intervals and two lease durations
+// without an update.
 func (f *Fleet) DependencyHealth() DependencyHealth { return f.healthView.current() }
 
-// Stats returns the member's counts.
+// Stats returns the member's statistics.
 func (f *Fleet) Stats() Stats {
 	s := Stats{
-		Alive:   len(f.membership.Alive()),
-		Stale:   f.healthView.staleUpdates(),
-		State:   f.DependencyHealth().State,
-		Budgets: map[string]BudgetStats{},
+		AliveMembers: len(f.membership.Alive()),
+		StaleUpdates: f.healthView.staleUpdates(),
+		Dependency:   f.DependencyHealth().State,
+		Quotas:       map[string]QuotaStats{},
 	}
-	_, s.Owner = f.Owner(HealthLease)
-	s.Messages, s.Bytes = f.membership.Sent()
+	_, s.OwnsHealthLease = f.HoldsLease(HealthLease)
+	s.MessagesSent, s.BytesSent = f.membership.Sent()
 	if f.transport != nil {
 		messages, bytes := f.transport.Sent()
-		s.Messages, s.Bytes = s.Messages+messages, s.Bytes+bytes
+		s.MessagesSent, s.BytesSent = s.MessagesSent+messages, s.BytesSent+bytes
 	}
 	for kind, agent := range f.quotaAgents {
 		rights, used := agent.Usage()
-		s.Budgets[kind] = BudgetStats{Rights: int(rights), InHand: int(used), Free: f.stateMachine.freeRights(kind)}
+		s.Quotas[kind] = QuotaStats{Rights: int(rights), InUse: int(used), Free: f.stateMachine.freeRights(kind)}
 	}
 	return s
 }
 
-// Stop ends the workers, resigns this process's leases, transfers leadership and
-// leaves. It waits for the log to have the resignations for timeout at most.
+// Stop stops the workers, resigns this process's leases, transfers leadership and
+// leaves the fleet. It waits at most timeout for the log to have the resignations.
 func (f *Fleet) Stop(timeout time.Duration) {
 	f.cancel()
 	<-f.healthCheckerDone
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -30,7 +30,7 @@
 	return &stateMachine{
 		log: logging.Discard(), fence: &lease.Fence{}, leaseClient: member, ownerChanged: make(chan struct{}, 1),
 		clock: func() time.Duration { return time.Since(began) }, waiters: map[uint64]chan error{},
-		allocators:        map[string]*quota.Allocator{Calls: quota.NewAllocator(8), Repeats: quota.NewAllocator(100)},
+		allocators:        map[string]*quota.Allocator{CallQuota: quota.NewAllocator(8), RetryQuota: quota.NewAllocator(100)},
 		onAccountsChanged: func(string, []quota.Delta) {},
 	}
 }
@@ -53,7 +53,7 @@
 	}
 	leases := func(c lease.Command) command { return command{Command: &c} }
 	banks := func(of string, token lease.Token, o quota.Command) command {
-		return command{Quota: &quotaCommand{Budget: of, Token: token, Command: o}}
+		return command{Quota: &quotaCommand{QuotaName: of, Token: token, Command: o}}
 	}
 	rollouts := func(o rolloutCommand) command { return command{Rollout: &o} }
 	return []goldenEntry{
@@ -62,11 +62,11 @@
 		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: HealthLease, Owner: owner, Token: registry, Nonce: 3})},
 		{"entry-lease-take-bank.json", leases(lease.Command{Kind: lease.Acquire, Lease: QuotaLease, Owner: owner, Nonce: 4})},
 		{"entry-lease-take-rollout.json", leases(lease.Command{Kind: lease.Acquire, Lease: RolloutLease, Owner: lease.Owner{Member: "v2", Incarnation: 7}, Nonce: 1})},
-		{"entry-bank-grant.json", banks(Calls, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 5})},
-		{"entry-bank-grant-another.json", banks(Calls, bank, quota.Command{Kind: quota.Grant, Target: b, Amount: 2})},
-		{"entry-bank-repeats.json", banks(Repeats, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 10})},
-		{"entry-bank-fence.json", banks(Calls, bank, quota.Command{Kind: quota.Fence, Target: b})},
-		{"entry-bank-settle.json", banks(Calls, bank, quota.Command{Kind: quota.Reclaim, Reports: map[quota.ID]map[quota.ID]quota.TransferReport{b: {a: {Received: 1}}}})},
+		{"entry-bank-grant.json", banks(CallQuota, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 5})},
+		{"entry-bank-grant-another.json", banks(CallQuota, bank, quota.Command{Kind: quota.Grant, Target: b, Amount: 2})},
+		{"entry-bank-repeats.json", banks(RetryQuota, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 10})},
+		{"entry-bank-fence.json", banks(CallQuota, bank, quota.Command{Kind: quota.Fence, Target: b})},
+		{"entry-bank-settle.json", banks(CallQuota, bank, quota.Command{Kind: quota.Reclaim, Reports: map[quota.ID]map[quota.ID]quota.TransferReport{b: {a: {Received: 1}}}})},
 		{"entry-rollout-start.json", rollouts(rolloutCommand{Nonce: 1 << 63, Command: rollout.Command{Kind: rollout.Start, Plan: plan}})},
 		{"entry-rollout-step.json", rollouts(rolloutCommand{Token: driver, Command: rollout.Command{
 			Kind: rollout.Step, PreviousIndex: 11,
@@ -74,7 +74,7 @@
 			Decision: rollout.Decision{Verdict: rollout.Wait, Reason: "watching"},
 		}})},
 		{"entry-rollout-stop.json", rollouts(rolloutCommand{Nonce: 8, Command: rollout.Command{Kind: rollout.Stop, ID: "r1", Reason: "halted"}})},
-		{"entry-bank-stale.json", banks(Calls, registry, quota.Command{Kind: quota.Grant, Target: a, Amount: 1})},
+		{"entry-bank-stale.json", banks(CallQuota, registry, quota.Command{Kind: quota.Grant, Target: a, Amount: 1})},
 	}
 }
 
@@ -112,8 +112,8 @@
 		t.Errorf("%s owns the lease that was given up", owner)
 	}
 	// 5 and 2 of 8 were granted, and of the 2 one is with the other member for good.
-	if m.freeRights(Calls) != 2 || m.freeRights(Repeats) != 90 {
-		t.Errorf("%d calls and %d repeats are free", m.freeRights(Calls), m.freeRights(Repeats))
+	if m.freeRights(CallQuota) != 2 || m.freeRights(RetryQuota) != 90 {
+		t.Errorf("%d calls and %d repeats are free", m.freeRights(CallQuota), m.freeRights(RetryQuota))
 	}
 	if r := m.rolloutRecord(); r.Plan.ID != "r1" || r.State.Phase != rollout.RollingBack || r.Index != 13 {
 		t.Errorf("the record: %+v", r)
@@ -132,8 +132,8 @@
 	if err := m.Restore(golden.Bytes(t, "snapshot-new.json")); err != nil {
 		t.Fatal(err)
 	}
-	if owner, token := m.grant(HealthLease); owner != "" || token != (lease.Token{}) || m.freeRights(Calls) != 8 || m.rolloutRecord().Plan != nil {
-		t.Errorf("%s owns under %v, %d free, %+v", owner, token, m.freeRights(Calls), m.rolloutRecord())
+	if owner, token := m.grant(HealthLease); owner != "" || token != (lease.Token{}) || m.freeRights(CallQuota) != 8 || m.rolloutRecord().Plan != nil {
+		t.Errorf("%s owns under %v, %d free, %+v", owner, token, m.freeRights(CallQuota), m.rolloutRecord())
 	}
 }
 
@@ -252,7 +252,7 @@
 		quotaAgents: map[string]*QuotaAgent{}, gossipStarted: make(chan struct{}),
 	}
 	f.healthView = &healthView{log: f.log, fence: &lease.Fence{}, latest: map[string]DependencyHealth{}, maxAge: time.Hour}
-	for kind, first := range map[string][2]byte{Calls: {updateCallsQuota, requestCallsTransfer}, Repeats: {updateRetryQuota, requestRetryTransfer}} {
+	for kind, first := range map[string][2]byte{CallQuota: {updateCallsQuota, requestCallsTransfer}, RetryQuota: {updateRetryQuota, requestRetryTransfer}} {
 		b, err := newQuotaAgent(kind, first[0], first[1], 8, quota.Timing{SessionTimeout: time.Second, HeartbeatInterval: time.Second / 10}, f, func() time.Duration { return 0 })
 		if err != nil {
 			t.Fatal(err)
@@ -260,7 +260,7 @@
 		f.quotaAgents[kind] = b
 	}
 	f.rolloutDriver = newRolloutDriver(f)
-	f.Follow(goldenTarget{})
+	f.SetRolloutTarget(goldenTarget{})
 	return f
 }
 
@@ -277,11 +277,11 @@
 // TestGoldenBudgetPieces writes and reads what members tell each other about the
 // budgets, with the byte that says what a piece is.
 func TestGoldenBudgetPieces(t *testing.T) {
-	for _, kind := range []string{Calls, Repeats} {
+	for _, kind := range []string{CallQuota, RetryQuota} {
 		writer, reader := goldenFleet(t, "m1"), goldenFleet(t, "m2")
 		b := writer.quotaAgents[kind]
 		golden.Equal(t, kind+"-item", b.encodeUpdate(goldenItem))
-		b.alive = func() []string { return []string{"m1", "m2"} }
+		b.aliveMembers = func() []string { return []string{"m1", "m2"} }
 		b.send = func(to string, piece []byte) {
 			if to != "m2" {
 				t.Errorf("%s was asked", to)
@@ -309,7 +309,7 @@
 // owner's direction to a member.
 func TestGoldenRolloutPieces(t *testing.T) {
 	member, voter := goldenFleet(t, "m1"), goldenFleet(t, "v1")
-	member.rolloutDriver.voters = func() []string { return []string{"v1"} }
+	member.rolloutDriver.aliveVoters = func() []string { return []string{"v1"} }
 	member.rolloutDriver.send = func(_ string, piece []byte) { golden.Equal(t, "report", piece) }
 	member.rolloutDriver.sendReport(true)
 	delegate{voter}.MergeUpdate(golden.Bytes(t, "report"))
@@ -338,7 +338,7 @@
 // TestGoldenDependencyHealth writes and reads the word on the shared dependency, as
 // members hear it and as the operator's registry is told it.
 func TestGoldenDependencyHealth(t *testing.T) {
-	j := DependencyHealth{Lease: HealthLease, Token: lease.Token{Term: 2, Index: 300}, Seq: 9, By: "v1", State: Slow, Took: 31 * time.Millisecond}
+	j := DependencyHealth{Lease: HealthLease, Token: lease.Token{Term: 2, Index: 300}, Sequence: 9, ProbedBy: "v1", State: DependencySlow, ProbeDuration: 31 * time.Millisecond}
 	writer, reader := goldenFleet(t, "v1"), goldenFleet(t, "m1")
 	writer.quotaAgents, writer.healthView.latest[HealthLease] = nil, j
 	pieces := (delegate{writer}).KnownUpdates()
@@ -363,5 +363,5 @@
 		t.Fatal(err)
 	}
 	golden.Equal(t, "publish.json", <-asked)
-	golden.RoundTrip(t, "states.json", []State{Unknown, Good, Slow, Down}, json.Marshal, json.Unmarshal)
+	golden.RoundTrip(t, "states.json", []DependencyState{DependencyUnknown, DependencyGood, DependencySlow, DependencyDown}, json.Marshal, json.Unmarshal)
 }
--- a/fleet/health_checker.go
+++ b/fleet/health_checker.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	probeTimeoutFactor = 4   // of Config.Slow, until a probe finds the dependency down
-	maxLoggedReason    = 512 // bytes of a refusal of the operator's registry
+	probeTimeoutFactor = 4   // timeout of a probe in multiples of Config.SlowThreshold
+	maxReasonBytes     = 512 // limit on the logged part of an error response of the operator's registry
 )
 
 // healthChecker probes the shared dependency and publishes its health while this
-// process owns HealthLease. Its fields are used by the goroutine of run alone.
+// process owns HealthLease. Only the goroutine of run uses its fields.
 type healthChecker struct {
 	config       *Config
 	log          *slog.Logger
 	view         *healthView
-	owner        func(lease string) (lease.Token, bool)
-	ownerChanged <-chan struct{} // nil in a member that is no voter
+	holdsLease   func(lease string) (lease.Token, bool)
+	ownerChanged <-chan struct{} // nil if this member is not a voter
 	broadcast    func(topic string, update []byte)
 	client       *http.Client
 
-	sequence uint64
-	held     lease.Token // of the previous check; zero while the lease was not held
+	sequence  uint64
+	heldToken lease.Token // token of the previous check; zero if that check did not hold the lease
 }
 
 func newHealthChecker(f *Fleet) *healthChecker {
 	c := &healthChecker{
-		config:    &f.config,
-		log:       f.log,
-		view:      f.healthView,
-		owner:     f.Owner,
-		broadcast: f.broadcast,
-		client:    &http.Client{Timeout: f.config.Term},
+		config:     &f.config,
+		log:        f.log,
+		view:       f.healthView,
+		holdsLease: f.HoldsLease,
+		broadcast:  f.broadcast,
+		client:     &http.Client{Timeout: f.config.LeaseDuration},
 	}
 	if f.stateMachine != nil {
 		c.ownerChanged = f.stateMachine.ownerChanged
@@ -49,10 +49,11 @@
 	return c
 }
 
-// run checks in each interval, and as soon as a lease has a new owner.
+// run calls check in each probe interval, and whenever a lease has changed owners,
+// until ctx is done.
 func (c *healthChecker) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
-	ticker := time.NewTicker(c.config.ProbeEvery)
+	ticker := time.NewTicker(c.config.ProbeInterval)
 	defer ticker.Stop()
 	for c.sequence = 1; ; c.sequence++ {
 		select {
@@ -65,28 +66,29 @@
 	}
 }
 
-// check probes if this process owns the lease, and publishes the result if it owns
-// it under the same token still.
+// check probes the dependency if this process owns the lease. It publishes the result
+// only if the process still owns the lease under the same token after the probe.
 func (c *healthChecker) check(ctx context.Context) {
-	token, owns := c.owner(HealthLease)
-	if c.held != (lease.Token{}) && (!owns || token != c.held) {
-		c.log.Warn(eventLeaseLapsed, "lease", HealthLease, "token", c.held.String())
+	token, owns := c.holdsLease(HealthLease)
+	if c.heldToken != (lease.Token{}) && (!owns || token != c.heldToken) {
+		c.log.Warn(eventLeaseLapsed, "lease", HealthLease, "token", c.heldToken.String())
 	}
 	if !owns {
-		c.held = lease.Token{}
+		c.heldToken = lease.Token{}
 		return
 	}
-	c.held = token
-	state, took := probeDependency(ctx, c.config.Probe, c.config.Slow)
-	if now, owns := c.owner(HealthLease); !owns || now != token {
+	c.heldToken = token
+	state, took := probeDependency(ctx, c.config.DependencyAddress, c.config.SlowThreshold)
+	if now, owns := c.holdsLease(HealthLease); !owns || now != token {
 		return
 	}
 	c.publish(ctx, DependencyHealth{
-		Lease: HealthLease, Token: token, Seq: c.sequence, By: c.config.Self, State: state, Took: took,
+		Lease: HealthLease, Token: token, Sequence: c.sequence, ProbedBy: c.config.Self, State: state, ProbeDuration: took,
 	})
 }
 
-// publish sends a result to all members and to the operator's registry.
+// publish merges a result into this member's view, and sends it to all members and to
+// the operator's registry.
 func (c *healthChecker) publish(ctx context.Context, health DependencyHealth) {
 	update, err := json.Marshal(health)
 	if err != nil {
@@ -95,37 +97,38 @@
 	}
 	c.view.mergeUpdate(update)
 	c.broadcast(health.Lease, append([]byte{updateHealth}, update...))
-	if c.config.Publish == "" {
+	if c.config.PublishURL == "" {
 		return
 	}
-	if err := publishHealth(ctx, c.client, c.config.Publish, health); err != nil && ctx.Err() == nil {
+	if err := publishHealth(ctx, c.client, c.config.PublishURL, health); err != nil && ctx.Err() == nil {
 		c.log.Warn(eventHealthPublishFailed, "token", health.Token.String(), "error", err.Error())
 	}
 }
 
-// probeDependency connects to the dependency, and returns its state and how long
-// that took. It makes no call, which would take a slot of the fleet's.
-func probeDependency(ctx context.Context, address string, slow time.Duration) (State, time.Duration) {
+// probeDependency connects to the dependency, and returns the dependency's state and
+// the time to connect. It makes no call, as a call would use up capacity of the
+// fleet's call quota.
+func probeDependency(ctx context.Context, address string, slow time.Duration) (DependencyState, time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeoutFactor*slow)
 	defer cancel()
 	began := time.Now()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	took := time.Since(began)
 	if err != nil {
-		return Down, took
+		return DependencyDown, took
 	}
-	_ = conn.Close() // the connection was made, and nothing was written
+	_ = conn.Close() // nothing was written
 	if took > slow {
-		return Slow, took
+		return DependencySlow, took
 	}
-	return Good, took
+	return DependencyGood, took
 }
 
-// PublishError reports that the operator's registry refused a DependencyHealth:
-// with 409 where it has seen a higher token.
+// PublishError reports that the operator's registry rejected a DependencyHealth. The
+// status is 409 if the registry has seen a higher token.
 type PublishError struct {
 	Status string // of the HTTP response
-	Reason string // the start of its body
+	Reason string // start of the response's body
 }
 
 // Error implements error.
@@ -133,7 +136,8 @@
 	return fmt.Sprintf("fleet: publish: %s: %s", e.Status, e.Reason)
 }
 
-// publishHealth sends a result to the operator's registry with an HTTP PUT.
+// publishHealth sends a result to the operator's registry by HTTP PUT. A status other
+// than 2xx is a *PublishError.
 func publishHealth(ctx context.Context, client *http.Client, url string, health DependencyHealth) error {
 	body, err := json.Marshal(health)
 	if err != nil {
@@ -148,8 +152,8 @@
 	if err != nil {
 		return fmt.Errorf("fleet: publish: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }()                            // it is only read
-	reason, _ := io.ReadAll(io.LimitReader(response.Body, maxLoggedReason)) // for the log only
+	defer func() { _ = response.Body.Close() }()                           // only read, so a failed close loses nothing
+	reason, _ := io.ReadAll(io.LimitReader(response.Body, maxReasonBytes)) // part of a log message only, so a read error is ignored
 	if response.StatusCode/100 != 2 {
 		return &PublishError{Status: response.Status, Reason: string(bytes.TrimSpace(reason))}
 	}
--- a/fleet/log_entries.go
+++ b/fleet/log_entries.go
@@ -9,38 +9,39 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// command is an entry of the voters' log: one of its members is set. The tag makes
-// the embedded *lease.Command a member of its own, "lease", whatever the type is
-// called.
+// command is an entry of the voters' log; exactly one of its fields is set. The tag
+// encodes the embedded *lease.Command as the member "lease" instead of inlining its
+// fields.
 type command struct {
 	*lease.Command `json:"lease,omitempty"`
 	Quota          *quotaCommand   `json:"bank,omitempty"`
 	Rollout        *rolloutCommand `json:"rollout,omitempty"`
 }
 
-// rolloutCommand changes the record of rollouts: a step under the token of
-// RolloutLease, or an operator's command, whose nonce names the waiting caller.
+// rolloutCommand changes the rollout record. It is either a step of the owner of
+// RolloutLease, with that lease's token, or an operator's command, whose nonce
+// identifies the caller that waits for the outcome.
 type rolloutCommand struct {
 	Token   lease.Token     `json:"token,omitzero"`
 	Nonce   uint64          `json:"nonce,omitempty"`
 	Command rollout.Command `json:"order"`
 }
 
-// quotaCommand changes the allocator of a quota, under the token of QuotaLease.
+// quotaCommand changes the allocator of a quota. Token is that of QuotaLease.
 type quotaCommand struct {
-	Budget  string        `json:"of"`
-	Token   lease.Token   `json:"token"`
-	Command quota.Command `json:"order"`
+	QuotaName string        `json:"of"`
+	Token     lease.Token   `json:"token"`
+	Command   quota.Command `json:"order"`
 }
 
-// snapshot is the state of a stateMachine in the log's snapshots.
+// snapshot is the encoded form of a stateMachine in the log's snapshots.
 type snapshot struct {
 	Leases     *lease.Table                `json:"leases"`
 	Allocators map[string]*quota.Allocator `json:"banks,omitempty"`
 	Record     rollout.Record              `json:"rollout"`
 }
 
-// encodeLeaseCommands encodes commands on leases as entries of the log.
+// encodeLeaseCommands encodes lease commands as log entries, like encodeCommands.
 func encodeLeaseCommands(log *slog.Logger, leaseCommands []lease.Command) [][]byte {
 	commands := make([]command, len(leaseCommands))
 	for i := range leaseCommands {
@@ -49,8 +50,8 @@
 	return encodeCommands(log, commands...)
 }
 
-// encodeCommands encodes commands as entries of the log. One that can't be encoded
-// is logged and left out.
+// encodeCommands encodes commands as log entries. It logs and omits commands that
+// can't be encoded.
 func encodeCommands(log *slog.Logger, commands ...command) [][]byte {
 	var entries [][]byte
 	for _, c := range commands {
--- a/fleet/log_events.go
+++ b/fleet/log_events.go
@@ -1,8 +1,8 @@
 package fleet
 
-// Messages of the log events; docs/operating.md lists them with what to do.
+// Names of the log events. docs/operating.md lists them with the operator's response.
 const (
-	eventFleetJoined           = "fleet"
+	eventJoined                = "fleet"
 	eventLeaveFailed           = "fleet_leave"
 	eventLeaseOwnerChanged     = "lease"
 	eventLeaseLapsed           = "lease_lapsed"
--- a/fleet/quota_agent.go
+++ b/fleet/quota_agent.go
@@ -14,72 +14,72 @@
 
 const (
 	quotaTickInterval = 100 * time.Millisecond
-	proposeAgainAfter = time.Second // since the last proposals, while none of them is in the log
+	reproposeInterval = time.Second // time until commands are proposed again if none of the previous ones is in the log
 )
 
-// The fleet's quotas.
+// Names of the fleet's quotas, as stored in the log and in metrics.
 const (
-	Calls   = "calls"   // calls in flight at the shared dependency
-	Repeats = "repeats" // retries made in any second
+	CallQuota  = "calls"   // calls in flight at the shared dependency
+	RetryQuota = "repeats" // retries made in any second
 )
 
-// QuotaAgent holds this member's rights of one of the fleet's quotas (package
-// quota), and leads its allocator while this process owns QuotaLease. Its methods
-// are safe for concurrent use.
+// QuotaAgent holds this member's rights to one of the fleet's quotas (package quota).
+// While this process owns QuotaLease, the agent also runs the allocator's leader. Its
+// methods are safe for concurrent use.
 type QuotaAgent struct {
-	kind        string // name of the quota
-	updateKind  byte   // first byte of its updates
-	requestKind byte   // first byte of its transfer requests
-	name        string // of this member
-	timing      quota.Timing
-	total       uint64
-	log         *slog.Logger
-	clock       func() time.Duration
-	broadcast   func(topic string, update []byte)
-	send        func(to string, message []byte)
-	alive       func() []string // members that are thought to be alive
-	voters      func() []string // those of them that are voters: one of them leads the allocator
+	quotaName    string // name of the quota
+	updateKind   byte   // first byte of the quota's updates
+	requestKind  byte   // first byte of the quota's transfer requests
+	memberName   string // of this member
+	timing       quota.Timing
+	total        uint64
+	log          *slog.Logger
+	clock        func() time.Duration
+	broadcast    func(topic string, update []byte)
+	send         func(to string, message []byte)
+	aliveMembers func() []string // names of the members that gossip considers alive
+	aliveVoters  func() []string // names of the voters among them; one of the voters runs the allocator's leader
 
-	mu          sync.Mutex
-	member      *quota.Member
-	leader      *quota.AllocatorLeader // nil while this process does not own QuotaLease
-	leaderToken lease.Token            // that it leads under
-	proposedAt  time.Duration          // when commands were proposed of which none is in the log yet; 0 for none
-	onRelease   func()
-	onAvailable func(available uint64)
-	counts      map[string]uint64 // since the last tick
+	mu            sync.Mutex
+	member        *quota.Member
+	leader        *quota.AllocatorLeader // nil unless this process owned QuotaLease at the last tick
+	leaderToken   lease.Token            // token of QuotaLease that leader was created for
+	proposedAt    time.Duration          // time of the last proposal; 0 if the log has changed accounts since
+	onRelease     func()
+	onAvailable   func(available uint64)
+	pendingCounts map[string]uint64 // increments of the fleet's counters since the last tick
 }
 
 func newQuotaAgent(kind string, updateKind, requestKind byte, total uint64, timing quota.Timing, f *Fleet, clock func() time.Duration) (*QuotaAgent, error) {
 	a := &QuotaAgent{
-		kind:        kind,
-		updateKind:  updateKind,
-		requestKind: requestKind,
-		name:        f.config.Self,
-		timing:      timing,
-		total:       total,
-		log:         f.log,
-		clock:       clock,
-		broadcast:   f.broadcast,
-		send:        f.send,
-		alive:       f.aliveMembers,
-		voters:      f.aliveVoters,
-		onRelease:   func() {},
-		onAvailable: func(uint64) {},
-		counts:      map[string]uint64{},
+		quotaName:     kind,
+		updateKind:    updateKind,
+		requestKind:   requestKind,
+		memberName:    f.config.Self,
+		timing:        timing,
+		total:         total,
+		log:           f.log,
+		clock:         clock,
+		broadcast:     f.broadcast,
+		send:          f.send,
+		aliveMembers:  f.aliveMembers,
+		aliveVoters:   f.aliveVoters,
+		onRelease:     func() {},
+		onAvailable:   func(uint64) {},
+		pendingCounts: map[string]uint64{},
 	}
 	return a, a.startIncarnation()
 }
 
-// createQuotaAgents creates an agent for each quota that the fleet is configured with.
+// createQuotaAgents creates an agent for each quota with a configured bound.
 func (f *Fleet) createQuotaAgents() error {
 	for _, q := range []struct {
 		kind                    string
 		updateKind, requestKind byte
 		total                   uint64
 	}{
-		{Calls, updateCallsQuota, requestCallsTransfer, f.config.Budget},
-		{Repeats, updateRetryQuota, requestRetryTransfer, f.config.Repeats},
+		{CallQuota, updateCallsQuota, requestCallsTransfer, f.config.MaxCalls},
+		{RetryQuota, updateRetryQuota, requestRetryTransfer, f.config.MaxRetriesPerSecond},
 	} {
 		if q.total == 0 {
 			continue
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// runQuotaAgents ticks the agents until ctx is done.
+// runQuotaAgents calls tick of each agent in each quotaTickInterval until ctx is done.
 func (f *Fleet) runQuotaAgents(ctx context.Context) {
 	if len(f.quotaAgents) == 0 {
 		return
@@ -114,14 +114,15 @@
 	}
 }
 
-// QuotaAgent returns the agent of one of the fleet's quotas, nil where the fleet
-// has none of that name.
+// QuotaAgent returns the agent of a quota, CallQuota or RetryQuota. It returns nil if
+// that quota is not configured.
 func (f *Fleet) QuotaAgent(kind string) *QuotaAgent { return f.quotaAgents[kind] }
 
-// Repeat takes one of the retries that the fleet may make, and reports whether one
-// was left here. A fleet without such a quota has no bound.
-func (f *Fleet) Repeat() bool {
-	agent := f.quotaAgents[Repeats]
+// AcquireRetry acquires a right for one retry and reports whether one was available at
+// this member. The right is released after retryHoldTime. If retries are not bounded,
+// AcquireRetry always returns true.
+func (f *Fleet) AcquireRetry() bool {
+	agent := f.quotaAgents[RetryQuota]
 	if agent == nil {
 		return true
 	}
@@ -132,14 +133,15 @@
 	return ok
 }
 
-// startIncarnation replaces the member by a new incarnation, which has no rights and
-// knows what the one before knew of the others. The lock is held, or not needed.
+// startIncarnation replaces the member by a new incarnation, which has no rights but
+// keeps the previous one's knowledge of the other members. The caller holds mu, or is
+// the constructor.
 func (a *QuotaAgent) startIncarnation() error {
 	incarnation := newIncarnation()
-	id := quota.ID{Member: a.name, Incarnation: incarnation}
+	id := quota.ID{Member: a.memberName, Incarnation: incarnation}
 	member, err := quota.NewMember(id, a.timing, mathrand.New(mathrand.NewPCG(incarnation, 1)))
 	if err != nil {
-		return fmt.Errorf("fleet: quota of %s: %w", a.kind, err)
+		return fmt.Errorf("fleet: quota of %s: %w", a.quotaName, err)
 	}
 	if a.member != nil {
 		for _, delta := range stateDeltas(a.member.State()) {
@@ -150,13 +152,13 @@
 	return nil
 }
 
-// TryAcquire takes a right for one more call, if one is available. Call release
-// once, when the call has ended and can't be at the dependency any more; that has
-// to be within the configuration's Hold.
+// TryAcquire acquires a right for one call or retry if one is available. The caller
+// must call release exactly once, when the dependency can no longer be running the
+// call, and at most Config.MaxCallDuration after TryAcquire.
 func (a *QuotaAgent) TryAcquire() (release func(), ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	member := a.member // a right goes back to the incarnation that it is of
+	member := a.member // release returns the right to the incarnation that it was acquired from
 	if !member.TryAcquire(a.clock()) {
 		return nil, false
 	}
@@ -167,53 +169,55 @@
 	}, true
 }
 
-// OnRelease sets a function that is called from another goroutine whenever more
-// rights may be available.
+// OnRelease sets a function that is called from another goroutine when rights may
+// have become available.
 func (a *QuotaAgent) OnRelease(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.onRelease = f
 }
 
-// OnAvailable sets a function that is called from another goroutine ten times a
-// second with the number of rights that this member may use: none where its
-// heartbeats have not been acknowledged for too long.
+// OnAvailable sets a function that is called from another goroutine in each
+// quotaTickInterval with the number of rights that this member may use. The number is
+// 0 if the member's heartbeats were not acknowledged for Config.SessionTimeout.
 func (a *QuotaAgent) OnAvailable(f func(available uint64)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.onAvailable = f
 }
 
-// ReportDemand sets how many rights the member would use if it had them.
+// ReportDemand sets the number of rights that the member would use if it had them. A
+// negative number counts as 0.
 func (a *QuotaAgent) ReportDemand(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.member.ReportDemand(uint64(max(0, n)))
 }
 
-// AddToCounter adds one to a counter of the whole fleet's.
+// AddToCounter adds one to a fleet-wide counter. The next tick publishes it.
 func (a *QuotaAgent) AddToCounter(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.counts[name]++
+	a.pendingCounts[name]++
 }
 
-// CounterValue returns what all members have counted, as far as this one knows.
+// CounterValue returns the sum of a counter over all members, as far as this member
+// has received their updates.
 func (a *QuotaAgent) CounterValue(name string) int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.member.State().CounterValue(name)
 }
 
-// Usage returns how many rights this member has, and how many of them are in use.
+// Usage returns the number of this member's rights, and of those in use.
 func (a *QuotaAgent) Usage() (rights, used uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.member.Rights(), a.member.InUse()
 }
 
-// mergeAccounts merges accounts that the log changed. All members are sent the
-// fenced ones, each other member its own.
+// mergeAccounts merges accounts that the log changed. It broadcasts fenced accounts to
+// all members, and sends each other account to its member.
 func (a *QuotaAgent) mergeAccounts(accounts []quota.Delta) {
 	a.mu.Lock()
 	a.proposedAt = 0
@@ -233,13 +237,13 @@
 	a.sendToOwners(live)
 }
 
-// tick sends the member's messages. Where this process owns QuotaLease, by m, it
-// returns the allocator leader's commands as entries for the log. m is nil in a
-// member that is no voter.
+// tick sends the member's messages and calls the callbacks of OnRelease and
+// OnAvailable. If this process owns QuotaLease according to m, tick returns the
+// allocator leader's commands as log entries. m is nil if this member is not a voter.
 func (a *QuotaAgent) tick(m *stateMachine) [][]byte {
 	a.mu.Lock()
 	now := a.clock()
-	a.addCounts()
+	a.flushCounts()
 	a.restartIfFenced()
 	messages := a.member.Tick(now)
 	commands, acknowledgements := a.tickLeader(now, m)
@@ -261,58 +265,60 @@
 	onAvailable(available)
 	entries := make([]command, len(commands))
 	for i := range commands {
-		entries[i].Quota = &quotaCommand{Budget: a.kind, Token: token, Command: commands[i]}
+		entries[i].Quota = &quotaCommand{QuotaName: a.quotaName, Token: token, Command: commands[i]}
 	}
 	return encodeCommands(a.log, entries...)
 }
 
-// addCounts adds what was counted since the last tick to the fleet's counters. The
-// lock is held.
-func (a *QuotaAgent) addCounts() {
-	for name, n := range a.counts {
+// flushCounts adds pendingCounts to the member's counters and clears it. The caller
+// holds mu.
+func (a *QuotaAgent) flushCounts() {
+	for name, n := range a.pendingCounts {
 		a.member.AddToCounter(name, n, 0)
 	}
-	clear(a.counts)
+	clear(a.pendingCounts)
 }
 
-// restartIfFenced starts a new incarnation where this one is fenced. The lock is held.
+// restartIfFenced starts a new incarnation if the current one is fenced. The caller
+// holds mu.
 func (a *QuotaAgent) restartIfFenced() {
 	if !a.member.Fenced() {
 		return
 	}
-	a.log.Warn(eventQuotaMemberFenced, "budget", a.kind, "member", a.name)
+	a.log.Warn(eventQuotaMemberFenced, "budget", a.quotaName, "member", a.memberName)
 	if err := a.startIncarnation(); err != nil {
 		a.log.Error(eventQuotaStartFailed, "error", err.Error())
 	}
 }
 
-// tickLeader ticks the allocator's leader, if this process owns QuotaLease. It
-// returns the commands to propose, and the accounts that acknowledge heartbeats. The
-// lock is held.
+// tickLeader ticks the allocator's leader if this process owns QuotaLease. It returns
+// the commands to propose, and the accounts that acknowledge heartbeats. While
+// proposed commands may still reach the log, it returns no commands, for at most
+// reproposeInterval. The caller holds mu.
 func (a *QuotaAgent) tickLeader(now time.Duration, m *stateMachine) (commands []quota.Command, acknowledgements []quota.Delta) {
-	if !a.electLeader(now, m) {
+	if !a.updateLeader(now, m) {
 		return nil, nil
 	}
 	m.mu.Lock()
-	commands, acknowledgements = a.leader.Tick(now, a.member.State(), m.allocators[a.kind])
+	commands, acknowledgements = a.leader.Tick(now, a.member.State(), m.allocators[a.quotaName])
 	m.mu.Unlock()
 	for _, account := range acknowledgements {
 		a.member.Merge(account)
 	}
-	if len(commands) == 0 || a.proposedAt != 0 && now-a.proposedAt < proposeAgainAfter {
+	if len(commands) == 0 || a.proposedAt != 0 && now-a.proposedAt < reproposeInterval {
 		return nil, acknowledgements
 	}
 	a.proposedAt = now
 	return commands, acknowledgements
 }
 
-// electLeader creates the allocator's leader when this process has got QuotaLease,
-// and drops it when the lease is lost. It reports whether there is one. The lock is
-// held.
-func (a *QuotaAgent) electLeader(now time.Duration, m *stateMachine) bool {
+// updateLeader creates the allocator's leader when this process has acquired
+// QuotaLease, drops it when the process has lost the lease, and reports whether there
+// is a leader. The caller holds mu.
+func (a *QuotaAgent) updateLeader(now time.Duration, m *stateMachine) bool {
 	token, owns := lease.Token{}, false
 	if m != nil {
-		token, owns = m.holds(QuotaLease)
+		token, owns = m.holdsLease(QuotaLease)
 	}
 	if !owns {
 		a.leader = nil
--- a/fleet/quota_messages.go
+++ b/fleet/quota_messages.go
@@ -9,7 +9,7 @@
 	"quincerail.example/quincerail/fleet/quota"
 )
 
-// stateDeltas returns a state as the deltas that it consists of.
+// stateDeltas splits a state into one delta for each member state and each account.
 func stateDeltas(state quota.State) (deltas []quota.Delta) {
 	for id, member := range state.Members {
 		deltas = append(deltas, quota.Delta{ID: id, MemberState: member})
@@ -20,7 +20,8 @@
 	return deltas
 }
 
-// mergeUpdate merges an encoded delta, and returns its topic and whether it was new.
+// mergeUpdate merges an encoded delta. It returns the update's topic and whether the
+// delta changed the member's state.
 func (a *QuotaAgent) mergeUpdate(update []byte) (topic string, isNew bool) {
 	delta, ok := decodeUpdate[quota.Delta](a.log, update)
 	if !ok {
@@ -29,10 +30,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	_, isNew = a.member.Merge(delta)
-	return a.updateName(delta), isNew
+	return a.updateTopic(delta), isNew
 }
 
-// handleRequest takes another member's request for rights.
+// handleRequest passes an encoded transfer request of another member to this one.
 func (a *QuotaAgent) handleRequest(message []byte) {
 	request, ok := decodeUpdate[quota.TransferRequest](a.log, message)
 	if !ok {
@@ -43,15 +44,16 @@
 	a.member.HandleRequest(request)
 }
 
-// updateName returns an update's topic: a later update of the topic replaces it.
-func (a *QuotaAgent) updateName(delta quota.Delta) string {
+// updateTopic returns the gossip topic of a delta. A later update of the same topic
+// replaces an earlier one.
+func (a *QuotaAgent) updateTopic(delta quota.Delta) string {
 	if delta.MemberState != nil {
-		return a.kind + " row " + delta.ID.String()
+		return a.quotaName + " row " + delta.ID.String()
 	}
-	return a.kind + " account " + delta.ID.String()
+	return a.quotaName + " account " + delta.ID.String()
 }
 
-// encodedUpdates returns all that is known, for members that join.
+// encodedUpdates returns the whole known state as encoded updates.
 func (a *QuotaAgent) encodedUpdates() (updates [][]byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -63,7 +65,8 @@
 	return updates
 }
 
-// encodeUpdate encodes a delta as an update; nil where that fails, which is logged.
+// encodeUpdate encodes a delta as an update. If that fails, it logs the error and
+// returns nil.
 func (a *QuotaAgent) encodeUpdate(delta quota.Delta) []byte {
 	body, err := cbor.Marshal(delta)
 	if err != nil {
@@ -73,8 +76,9 @@
 	return append([]byte{a.updateKind}, body...)
 }
 
-// sendHeartbeat spreads the member's own state, if there is news of it. It goes to
-// the voters directly too, so that the allocator's leader has it soon.
+// sendHeartbeat broadcasts the member's own state unless state is nil. It also sends
+// the state directly to the voters, so that the allocator's leader receives it
+// without gossip's delay.
 func (a *QuotaAgent) sendHeartbeat(state *quota.Delta) {
 	if state == nil {
 		return
@@ -83,27 +87,27 @@
 	if update == nil {
 		return
 	}
-	a.broadcast(a.updateName(*state), update)
-	for _, voter := range a.voters() {
-		if voter != a.name {
+	a.broadcast(a.updateTopic(*state), update)
+	for _, voter := range a.aliveVoters() {
+		if voter != a.memberName {
 			a.send(voter, update)
 		}
 	}
 }
 
-// requestTransfer sends a request for rights to some members: those that the member
-// named, and the rest drawn.
-func (a *QuotaAgent) requestTransfer(request quota.TransferRequest, named []quota.ID) {
+// requestTransfer sends a request for rights to at most quota.RequestFanout other
+// live members: those in preferred first, then random ones.
+func (a *QuotaAgent) requestTransfer(request quota.TransferRequest, preferred []quota.ID) {
 	body, err := cbor.Marshal(request)
 	if err != nil {
 		a.log.Error(eventQuotaEncodeFailed, "error", err.Error())
 		return
 	}
-	others := slices.DeleteFunc(a.alive(), func(name string) bool { return name == a.name })
+	others := slices.DeleteFunc(a.aliveMembers(), func(name string) bool { return name == a.memberName })
 	for n := range min(quota.RequestFanout, len(others)) {
 		i := mathrand.IntN(len(others))
-		if n < len(named) {
-			if i = slices.Index(others, named[n].Member); i < 0 {
+		if n < len(preferred) {
+			if i = slices.Index(others, preferred[n].Member); i < 0 {
 				continue
 			}
 		}
@@ -112,20 +116,21 @@
 	}
 }
 
-// sendToOwners sends each delta to the member that it is about.
+// sendToOwners sends each delta to the member whose state or account it is, except to
+// this member.
 func (a *QuotaAgent) sendToOwners(deltas []quota.Delta) {
 	for _, delta := range deltas {
-		if update := a.encodeUpdate(delta); update != nil && delta.ID.Member != a.name {
+		if update := a.encodeUpdate(delta); update != nil && delta.ID.Member != a.memberName {
 			a.send(delta.ID.Member, update)
 		}
 	}
 }
 
-// broadcastAll spreads deltas to all members.
+// broadcastAll broadcasts each delta to all members.
 func (a *QuotaAgent) broadcastAll(deltas []quota.Delta) {
 	for _, delta := range deltas {
 		if update := a.encodeUpdate(delta); update != nil {
-			a.broadcast(a.updateName(delta), update)
+			a.broadcast(a.updateTopic(delta), update)
 		}
 	}
 }
--- a/fleet/rollout_driver.go
+++ b/fleet/rollout_driver.go
@@ -13,37 +13,39 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// Target is what a rollout changes and compares: this process. Its methods are
-// called from the fleet's goroutines.
-type Target interface {
-	// Totals returns what was counted since the process began.
+// RolloutTarget is the process that a rollout changes and measures. The fleet calls its
+// methods from its own goroutines.
+type RolloutTarget interface {
+	// Totals returns the counts since the process started.
 	Totals() rollout.Totals
-	// Apply puts settings in force: a JSON merge patch (RFC 7396) on those of the
-	// process's own file, nil for the file alone. With an error nothing has changed.
+	// Apply applies settings: a JSON merge patch (RFC 7396) on those of the process's
+	// own file, or nil for the file's settings. After an error, the settings in use are
+	// unchanged.
 	Apply(patch json.RawMessage) error
 }
 
-// rolloutDriver is a member's part in rollouts. Every member reports to the voters
-// and applies the owner's directives; the owner of RolloutLease takes the steps.
+// rolloutDriver runs a member's side of rollouts. Every member sends reports to the
+// voters and applies the owner's directives. The owner of RolloutLease also proposes
+// the rollout's steps.
 type rolloutDriver struct {
 	config       *Config
 	log          *slog.Logger
 	incarnation  uint64
-	stateMachine *stateMachine // nil in a member that is no voter
+	stateMachine *stateMachine // nil if this member is not a voter
 	node         interface{ RunInLoop(func() [][]byte) }
-	voters       func() []string
+	aliveVoters  func() []string
 	send         func(to string, message []byte)
 	sendReliable func(to string, message []byte) error
-	owner        func(lease string) (lease.Token, bool)
+	holdsLease   func(lease string) (lease.Token, bool)
 
-	directives chan rollout.Directive // the latest that is to be applied
+	directives chan rollout.Directive // the latest directive to apply; capacity 1
 
 	mu                 sync.Mutex
-	target             Target
+	target             RolloutTarget
 	seq                uint64
-	collector          *rollout.Collector // of members' reports; each voter keeps one, so that the next owner has them
+	collector          *rollout.Collector // of members' reports; every voter has one, so that a new owner knows the reports
 	follower           rollout.Follower
-	directivesInFlight map[string]bool // by member
+	directivesInFlight map[string]bool // members that a directive is being sent to
 }
 
 func newRolloutDriver(f *Fleet) *rolloutDriver {
@@ -51,22 +53,23 @@
 		config:             &f.config,
 		log:                f.log,
 		incarnation:        f.self.Incarnation,
-		voters:             f.aliveVoters,
-		owner:              f.Owner,
+		aliveVoters:        f.aliveVoters,
+		holdsLease:         f.HoldsLease,
 		directives:         make(chan rollout.Directive, 1),
 		collector:          rollout.NewCollector(),
 		directivesInFlight: map[string]bool{},
 	}
 }
 
-// Follow sets the target that the fleet reports on, and whose settings it changes.
-func (f *Fleet) Follow(target Target) {
+// SetRolloutTarget sets the process whose totals this member reports and whose settings
+// rollouts change. Without a target, the member sends no reports.
+func (f *Fleet) SetRolloutTarget(target RolloutTarget) {
 	f.rolloutDriver.mu.Lock()
 	defer f.rolloutDriver.mu.Unlock()
 	f.rolloutDriver.target = target
 }
 
-// report returns this process's next report; nil while there is no target.
+// report returns this process's next report, and nil if there is no target.
 func (d *rolloutDriver) report(leaving bool) *rollout.Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,7 +96,7 @@
 		return
 	}
 	message := append([]byte{messageReport}, body...)
-	for _, voter := range d.voters() {
+	for _, voter := range d.aliveVoters() {
 		if voter == d.config.Self {
 			d.receiveReport(body)
 		} else {
@@ -102,7 +105,7 @@
 	}
 }
 
-// receiveReport takes a member's report.
+// receiveReport passes an encoded report of a member to the collector.
 func (d *rolloutDriver) receiveReport(message []byte) {
 	report, ok := decodeUpdate[rollout.Report](d.log, message)
 	if !ok {
@@ -113,8 +116,8 @@
 	d.collector.Observe(report)
 }
 
-// receiveDirective takes the owner's directive on this process's settings, unless
-// it is a former owner's.
+// receiveDirective queues the owner's encoded directive on this process's settings. It
+// rejects directives of former owners.
 func (d *rolloutDriver) receiveDirective(message []byte) {
 	directive, ok := decodeUpdate[rollout.Directive](d.log, message)
 	if !ok {
@@ -130,17 +133,17 @@
 	if !apply {
 		return
 	}
-	select { // drop an earlier one
+	select { // drop an earlier directive
 	case <-d.directives:
 	default:
 	}
 	select {
 	case d.directives <- directive:
-	default: // a later one was put there meanwhile
+	default: // another goroutine has queued a directive meanwhile
 	}
 }
 
-// applyDirectives applies directives as they come.
+// applyDirectives applies queued directives until ctx is done.
 func (d *rolloutDriver) applyDirectives(ctx context.Context) {
 	for {
 		select {
@@ -152,8 +155,8 @@
 	}
 }
 
-// applyDirective applies a directive. Without a target it does nothing: the owner
-// sends the directive again.
+// applyDirective applies a directive to the target. Without a target it does nothing,
+// because the owner sends the directive again.
 func (d *rolloutDriver) applyDirective(directive rollout.Directive) {
 	d.mu.Lock()
 	target := d.target
@@ -172,13 +175,14 @@
 	d.log.Info(eventSettingsApplied, "settings", directive.SettingsNumber, "token", directive.Token.String(), "entry", directive.Index)
 }
 
-// run reports in each window, and takes the rollout's steps while this process owns
-// RolloutLease.
+// run sends a report in each window, and proposes the rollout's steps while this
+// process owns RolloutLease. When ctx is done, it sends a last report, marked as
+// leaving, and returns.
 func (d *rolloutDriver) run(ctx context.Context) {
 	var applier sync.WaitGroup
 	defer applier.Wait()
 	applier.Go(func() { d.applyDirectives(ctx) })
-	ticker := time.NewTicker(d.config.Window)
+	ticker := time.NewTicker(d.config.RolloutWindow)
 	defer ticker.Stop()
 	var previous lease.Token
 	for {
@@ -195,9 +199,10 @@
 	}
 }
 
-// endWindow ends a window, and returns the token under which this process owns the
-// lease. previous is that of the window before: an owner proposes no step in its
-// first window, as the owner before may have judged a part of it.
+// endWindow ends a window. It returns the token under which this process owns
+// RolloutLease, and zero if it doesn't own the lease. previous is the result of the
+// previous window. An owner proposes no step in its first window, because the former
+// owner may already have evaluated a part of that window.
 func (d *rolloutDriver) endWindow(previous lease.Token) lease.Token {
 	record := d.stateMachine.rolloutRecord()
 	kind := rollout.Program
@@ -207,7 +212,7 @@
 	d.mu.Lock()
 	samples := d.collector.EndWindow(kind)
 	d.mu.Unlock()
-	token, owns := d.owner(RolloutLease)
+	token, owns := d.holdsLease(RolloutLease)
 	if !owns {
 		return lease.Token{}
 	}
@@ -223,8 +228,9 @@
 	d.node.RunInLoop(func() [][]byte { return entries })
 }
 
-// sendDirectives sends the settings of the log's record to the servers that run
-// others, under the owner's token.
+// sendDirectives sends directives to the servers whose latest report has other
+// settings than the record wants. It skips servers that are leaving or have rejected
+// these settings.
 func (d *rolloutDriver) sendDirectives(record *rollout.Record, token lease.Token) {
 	byServer, others := record.DesiredSettings()
 	for _, report := range d.latestReports() {
@@ -247,8 +253,8 @@
 	}
 }
 
-// sendDirective sends an encoded directive to a server, unless one is on its way
-// there.
+// sendDirective sends an encoded directive to a server in a goroutine of its own,
+// unless an earlier send to that server has not returned yet.
 func (d *rolloutDriver) sendDirective(server string, body []byte) {
 	if server == d.config.Self {
 		d.receiveDirective(body)
--- a/fleet/rollout_operations.go
+++ b/fleet/rollout_operations.go
@@ -11,55 +11,56 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// resubmitInterval is how often an operator's command that may have been lost is
-// proposed again.
+// resubmitInterval is the interval at which an operator's command is proposed again
+// until the log has it, because a proposal may be lost.
 const resubmitInterval = 300 * time.Millisecond
 
-// ChangeStatus is what a voter knows of the fleet's rollouts.
-type ChangeStatus struct {
-	Record  rollout.Record    `json:"record"`
-	Owner   string            `json:"owner"`   // of RolloutLease
-	Token   lease.Token       `json:"token"`   // of its grant
-	Desired map[string]string `json:"desired"` // version of the program that each server of a plan is to run
-	Servers []ServerStatus    `json:"servers"` // whose reports this voter has
+// RolloutStatus describes the fleet's rollouts as a voter knows them.
+type RolloutStatus struct {
+	Record          rollout.Record    `json:"record"`
+	Owner           string            `json:"owner"`   // of RolloutLease
+	Token           lease.Token       `json:"token"`   // of the owner's grant
+	DesiredVersions map[string]string `json:"desired"` // program version that the plan wants, by server
+	Servers         []ServerStatus    `json:"servers"` // servers whose reports this voter has
 }
 
-// ServerStatus is a server's latest report.
+// ServerStatus summarizes a server's latest report.
 type ServerStatus struct {
-	Name       string `json:"name"`
-	Zone       string `json:"zone"`
-	Version    string `json:"version"`
-	Settings   uint64 `json:"settings"`
-	TurnedDown uint64 `json:"turned_down,omitempty"`
-	Reason     string `json:"reason,omitempty"`
-	Leaving    bool   `json:"leaving,omitempty"`
+	Name             string `json:"name"`
+	Zone             string `json:"zone"`
+	Version          string `json:"version"`
+	SettingsNumber   uint64 `json:"settings"`
+	RejectedSettings uint64 `json:"turned_down,omitempty"`
+	RejectionReason  string `json:"reason,omitempty"`
+	Leaving          bool   `json:"leaving,omitempty"`
 }
 
-// Change returns what this voter knows of the fleet's rollouts; ErrNoVoter at a
-// member that is no voter.
-func (f *Fleet) Change() (ChangeStatus, error) {
+// RolloutStatus returns the status of the fleet's rollouts. The error is ErrNotVoter if
+// this member is not a voter.
+func (f *Fleet) RolloutStatus() (RolloutStatus, error) {
 	if f.stateMachine == nil {
-		return ChangeStatus{}, ErrNoVoter
+		return RolloutStatus{}, ErrNotVoter
 	}
 	record := f.stateMachine.rolloutRecord()
-	status := ChangeStatus{Record: record, Desired: record.DesiredVersions()}
+	status := RolloutStatus{Record: record, DesiredVersions: record.DesiredVersions()}
 	status.Owner, status.Token = f.stateMachine.grant(RolloutLease)
 	for _, report := range f.rolloutDriver.latestReports() {
 		status.Servers = append(status.Servers, ServerStatus{
-			Name: report.Server, Zone: report.Zone, Version: report.Version, Settings: report.Settings,
-			TurnedDown: report.RejectedSettings, Reason: report.RejectionReason, Leaving: report.Leaving,
+			Name: report.Server, Zone: report.Zone, Version: report.Version, SettingsNumber: report.Settings,
+			RejectedSettings: report.RejectedSettings, RejectionReason: report.RejectionReason, Leaving: report.Leaving,
 		})
 	}
 	return status, nil
 }
 
-// StartChange starts a plan. patch is that of settings, nil for a plan for the
-// program. A plan without servers is for all whose reports this voter has. The error
-// is the reason for which the log refused the plan, or wraps ctx's where the log did
-// not have it in time.
-func (f *Fleet) StartChange(ctx context.Context, plan rollout.Plan, patch json.RawMessage) error {
+// StartRollout starts a plan. patch is the JSON merge patch of a rollout of settings,
+// and nil for a rollout of the program. A plan without servers gets all servers whose
+// latest report at this voter is not marked as leaving. The error is ErrNotVoter, the
+// reason why the state machine rejected the plan, or wraps ctx.Err() if the log did
+// not have the plan when ctx was done.
+func (f *Fleet) StartRollout(ctx context.Context, plan rollout.Plan, patch json.RawMessage) error {
 	if f.stateMachine == nil {
-		return ErrNoVoter
+		return ErrNotVoter
 	}
 	if len(plan.Servers) == 0 {
 		for _, report := range f.rolloutDriver.latestReports() {
@@ -71,23 +72,24 @@
 	return f.rolloutDriver.submit(ctx, rollout.Command{Kind: rollout.Start, Plan: &plan, Patch: patch})
 }
 
-// StopChange halts the plan of an ID: all its servers roll back.
-func (f *Fleet) StopChange(ctx context.Context, id, reason string) error {
+// StopRollout halts the plan of an ID: all its servers roll back.
+func (f *Fleet) StopRollout(ctx context.Context, id, reason string) error {
 	if f.stateMachine == nil {
-		return ErrNoVoter
+		return ErrNotVoter
 	}
 	return f.rolloutDriver.submit(ctx, rollout.Command{Kind: rollout.Stop, ID: id, Reason: reason})
 }
 
-// latestReports returns the latest report of each server.
+// latestReports returns the latest report of each server that has sent one.
 func (d *rolloutDriver) latestReports() []rollout.Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.collector.LatestReports()
 }
 
-// submit proposes an operator's command until the log has it, and returns the
-// outcome.
+// submit proposes an operator's command in each resubmitInterval until the state
+// machine has applied it, and returns the outcome. The error wraps ctx.Err() if ctx is
+// done first.
 func (d *rolloutDriver) submit(ctx context.Context, c rollout.Command) error {
 	nonce := rand.Uint64()
 	outcome := d.stateMachine.registerWaiter(nonce)
@@ -98,7 +100,7 @@
 		case err := <-outcome:
 			return err
 		case <-ctx.Done():
-			return fmt.Errorf("fleet: the log did not take the order: %w", ctx.Err())
+			return fmt.Errorf("fleet: rollout command not committed: %w", ctx.Err())
 		case <-time.After(resubmitInterval):
 		}
 	}
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -277,7 +277,7 @@
 	var first string
 	r.until("a server is to run v2", func() (string, bool) {
 		s, err := r.Change("v1")
-		for name, version := range s.Desired {
+		for name, version := range s.DesiredVersions {
 			if version == "v2" {
 				first = name
 			}
@@ -355,8 +355,8 @@
 		r.t.Fatal(err)
 	}
 	for _, x := range s.Servers {
-		if x.Settings != number {
-			r.t.Errorf("%s runs settings %d", x.Name, x.Settings)
+		if x.SettingsNumber != number {
+			r.t.Errorf("%s runs settings %d", x.Name, x.SettingsNumber)
 		}
 	}
 }
--- a/fleet/state_machine.go
+++ b/fleet/state_machine.go
@@ -13,32 +13,33 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// stateMachine is a voter's replica of what the log decides: consensus.StateMachine
-// over lease.Client, quota.Allocator and rollout.Record. The log's goroutine writes
-// it; the others read it.
+// stateMachine is a voter's replica of the state that the log determines. It
+// implements consensus.StateMachine over lease.Client, quota.Allocator and
+// rollout.Record. Only the goroutine of consensus.Node writes the replicated state;
+// other goroutines read it.
 type stateMachine struct {
 	log          *slog.Logger
 	clock        func() time.Duration
 	fence        *lease.Fence
-	ownerChanged chan struct{} // has an item after a lease changed owners
+	ownerChanged chan struct{} // receives a value after a lease changed owners; capacity 1
 
-	onAccountsChanged func(budget string, accounts []quota.Delta) // called without the lock
+	onAccountsChanged func(budget string, accounts []quota.Delta) // called without holding mu
 
 	mu          sync.Mutex
 	leaseClient *lease.Client
-	allocators  map[string]*quota.Allocator // by quota
-	record      rollout.Record              // replaced, never written into
-	waiters     map[uint64]chan error       // operators' commands whose callers wait, by nonce
+	allocators  map[string]*quota.Allocator // by the quota's name
+	record      rollout.Record              // replaced as a whole, never modified in place
+	waiters     map[uint64]chan error       // channels of the callers that wait for a rollout command, by nonce
 }
 
-// newStateMachine creates the state machine of a voter that may own the leases of
-// the work that the fleet is configured for.
+// newStateMachine creates the state machine of a voter, which competes for the
+// leases that the configuration needs.
 func newStateMachine(f *Fleet) (*stateMachine, error) {
 	leases := []string{HealthLease}
 	if len(f.quotaAgents) > 0 {
 		leases = append(leases, QuotaLease)
 	}
-	if f.config.Window > 0 {
+	if f.config.RolloutWindow > 0 {
 		leases = append(leases, RolloutLease)
 	}
 	client, err := lease.NewClient(f.self, f.config.leaseTiming(), leases)
@@ -87,11 +88,11 @@
 	}
 }
 
-// applyQuotaCommand applies a command to the allocator of its quota, unless a former
-// owner of QuotaLease sent it.
+// applyQuotaCommand applies a command to the allocator of its quota. It rejects
+// commands of a former owner of QuotaLease.
 func (m *stateMachine) applyQuotaCommand(c quotaCommand, index uint64) {
 	m.mu.Lock()
-	allocator := m.allocators[c.Budget]
+	allocator := m.allocators[c.QuotaName]
 	if allocator == nil {
 		m.mu.Unlock()
 		return
@@ -106,12 +107,13 @@
 		m.log.Debug(eventQuotaCommandRefused, "error", err.Error())
 		return
 	}
-	m.log.Info(eventQuotaCommandApplied, "budget", c.Budget, "command", string(c.Command.Kind), "member", c.Command.Target.String(), "amount", c.Command.Amount)
-	m.onAccountsChanged(c.Budget, accounts)
+	m.log.Info(eventQuotaCommandApplied, "budget", c.QuotaName, "command", string(c.Command.Kind), "member", c.Command.Target.String(), "amount", c.Command.Amount)
+	m.onAccountsChanged(c.QuotaName, accounts)
 }
 
-// applyRolloutCommand applies a command to the record of rollouts, unless it is a
-// step that a former owner of RolloutLease sent. It answers the caller who waits.
+// applyRolloutCommand applies a command to the rollout record. It rejects steps of a
+// former owner of RolloutLease, and reports the outcome to the caller that waits for
+// the command.
 func (m *stateMachine) applyRolloutCommand(c rolloutCommand, index uint64) {
 	m.mu.Lock()
 	previous := m.record
@@ -124,12 +126,12 @@
 	}
 	if outcome := m.waiters[c.Nonce]; outcome != nil {
 		outcome <- err
-		delete(m.waiters, c.Nonce) // the command may be in the log twice; the second is refused
+		delete(m.waiters, c.Nonce) // a resubmitted command may be in the log twice; the second one is rejected
 	}
 	record := m.record
 	m.mu.Unlock()
 	if err != nil {
-		m.log.Warn(eventRolloutRefused, "order", string(c.Command.Kind), "token", c.Token.String(), "error", err.Error())
+		m.log.Warn(eventRolloutRefused, "command", string(c.Command.Kind), "token", c.Token.String(), "error", err.Error())
 		return
 	}
 	if previous.Plan != record.Plan || previous.State.Phase != record.State.Phase || previous.State.Stage != record.State.Stage {
@@ -138,8 +140,8 @@
 	}
 }
 
-// checkToken returns a *lease.StaleTokenError for a token that is not that of a
-// lease's present grant. The lock is held.
+// checkToken returns a *lease.StaleTokenError if token is not that of the lease's
+// current grant, or if the lease is free. The caller holds mu.
 func (m *stateMachine) checkToken(name string, token lease.Token) error {
 	if grant := m.leaseClient.Table().Grant(name); grant.Token != token || grant.Free() {
 		return &lease.StaleTokenError{Lease: name, Token: token, Highest: grant.Token}
@@ -147,15 +149,15 @@
 	return nil
 }
 
-// rolloutRecord returns the record of rollouts.
+// rolloutRecord returns the rollout record, which the caller must not modify.
 func (m *stateMachine) rolloutRecord() rollout.Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.record
 }
 
-// registerWaiter returns the channel that the outcome of an operator's command will
-// be sent to.
+// registerWaiter returns a channel that receives the outcome of the rollout command
+// with a nonce. The caller must call removeWaiter.
 func (m *stateMachine) registerWaiter(nonce uint64) <-chan error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -164,14 +166,15 @@
 	return outcome
 }
 
-// removeWaiter undoes registerWaiter.
+// removeWaiter removes the channel that registerWaiter added.
 func (m *stateMachine) removeWaiter(nonce uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.waiters, nonce)
 }
 
-// grant returns a lease's owner, "" where it is free, and the token of its grant.
+// grant returns the owner of a lease, "" if the lease is free, and the token of its
+// latest grant.
 func (m *stateMachine) grant(name string) (owner string, token lease.Token) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -179,8 +182,9 @@
 	return grant.Owner.Member, grant.Token
 }
 
-// notifyOwnerChange reports that a lease changed owners: to the log, to the fence,
-// which then knows the token before the owner's first act, and to the worker.
+// notifyOwnerChange logs a change of a lease's owner and signals ownerChanged. It
+// admits the new token to the fence first, so that the fence knows the token before
+// the owner's first action.
 func (m *stateMachine) notifyOwnerChange(change lease.OwnerChange) {
 	if change.To.Member != "" {
 		if err := m.fence.Admit(change.Lease, change.Token); err != nil {
@@ -194,15 +198,16 @@
 	}
 }
 
-// Tick implements consensus.StateMachine: the leader proposes what the lease client
-// sends.
+// Tick implements consensus.StateMachine. It returns the lease client's commands,
+// encoded as log entries.
 func (m *stateMachine) Tick(leader bool) [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return encodeLeaseCommands(m.log, m.leaseClient.Tick(m.clock(), leader))
 }
 
-// resign gives up this voter's leases for good.
+// resign returns the log entries that release this voter's leases; the voter
+// acquires no lease afterwards.
 func (m *stateMachine) resign() [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -220,7 +225,7 @@
 func (m *stateMachine) Restore(data []byte) error {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
-		return fmt.Errorf("fleet: restore a snapshot: %w", err)
+		return fmt.Errorf("fleet: decode snapshot: %w", err)
 	}
 	if s.Leases == nil {
 		s.Leases = &lease.Table{}
@@ -239,8 +244,8 @@
 	return nil
 }
 
-// restoreAllocators replaces the allocators of the quotas that the fleet still has,
-// and returns their accounts. The lock is held.
+// restoreAllocators replaces the allocators of the quotas that are still configured,
+// and returns their accounts by the quota's name. The caller holds mu.
 func (m *stateMachine) restoreAllocators(allocators map[string]*quota.Allocator) map[string][]quota.Delta {
 	accounts := map[string][]quota.Delta{}
 	for budget, allocator := range allocators {
@@ -255,14 +260,16 @@
 	return accounts
 }
 
-// holds reports whether this voter may act as a lease's owner now.
-func (m *stateMachine) holds(name string) (lease.Token, bool) {
+// holdsLease reports whether this voter may act as the owner of a lease now, and
+// returns the fencing token.
+func (m *stateMachine) holdsLease(name string) (lease.Token, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leaseClient.Holds(name, m.clock())
 }
 
-// freeRights returns how many rights of a quota nobody holds; 0 where m is nil.
+// freeRights returns the number of rights of a quota that are granted to no member.
+// It returns 0 if m is nil.
 func (m *stateMachine) freeRights(budget string) int {
 	if m == nil {
 		return 0
@@ -272,7 +279,7 @@
 	return int(m.allocators[budget].Free)
 }
 
-// ownsAnyLease reports whether the log has this voter as the owner of a lease.
+// ownsAnyLease reports whether self owns a lease according to the log.
 func (m *stateMachine) ownsAnyLease(self lease.Owner) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/fleet/state_machine_test.go
+++ b/fleet/state_machine_test.go
@@ -27,7 +27,7 @@
 	return &machineTest{t: t, stateMachine: &stateMachine{
 		log: slog.New(slog.DiscardHandler), fence: &lease.Fence{}, leaseClient: client,
 		ownerChanged: make(chan struct{}, 1), clock: func() time.Duration { return 0 }, waiters: map[uint64]chan error{},
-		allocators: map[string]*quota.Allocator{Calls: quota.NewAllocator(8)}, onAccountsChanged: func(string, []quota.Delta) {},
+		allocators: map[string]*quota.Allocator{CallQuota: quota.NewAllocator(8)}, onAccountsChanged: func(string, []quota.Delta) {},
 	}}
 }
 
@@ -71,7 +71,7 @@
 
 func (m *machineTest) grantRights(token lease.Token, n uint64) {
 	m.t.Helper()
-	m.apply(command{Quota: &quotaCommand{Budget: Calls, Token: token, Command: quota.Command{Kind: quota.Grant, Target: quota.ID{Member: "x", Incarnation: 1}, Amount: n}}})
+	m.apply(command{Quota: &quotaCommand{QuotaName: CallQuota, Token: token, Command: quota.Command{Kind: quota.Grant, Target: quota.ID{Member: "x", Incarnation: 1}, Amount: n}}})
 }
 
 func (m *machineTest) wantPhase(what string, phase rollout.Phase) {
@@ -104,7 +104,7 @@
 	m.grantRights(former, 3)
 	m.acquire(QuotaLease, "b", former)
 	m.grantRights(former, 3)
-	if free := m.freeRights(Calls); free != 5 {
+	if free := m.freeRights(CallQuota); free != 5 {
 		t.Errorf("%d rights free", free)
 	}
 
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	m.wantPhase("after the snapshot", rollout.RollingBack)
-	if owner, token := m.grant(RolloutLease); owner != "b" || token != now || m.freeRights(Calls) != 5 {
-		t.Errorf("after the snapshot: %s owns under %v, %d free", owner, token, m.freeRights(Calls))
+	if owner, token := m.grant(RolloutLease); owner != "b" || token != now || m.freeRights(CallQuota) != 5 {
+		t.Errorf("after the snapshot: %s owns under %v, %d free", owner, token, m.freeRights(CallQuota))
 	}
 }
--- a/fleet/updates.go
+++ b/fleet/updates.go
@@ -6,21 +6,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kinds of messages between members, the first byte of each. Updates are spread to
-// all members.
+// Kinds of messages between members; the first byte of a message is its kind. Gossip
+// spreads updates to all members.
 const (
 	updateHealth     = 'j' // a DependencyHealth in JSON
 	updateCallsQuota = 'c' // a quota.Delta in CBOR
-	updateRetryQuota = 'r' // likewise
+	updateRetryQuota = 'r' // a quota.Delta in CBOR
 
-	// The others go to one member each, and are not spread further.
+	// Requests and messages are sent to one member, which does not forward them.
 	requestCallsTransfer = 'C' // a quota.TransferRequest in CBOR
-	requestRetryTransfer = 'R' // likewise
+	requestRetryTransfer = 'R' // a quota.TransferRequest in CBOR
 	messageReport        = 'p' // a rollout.Report in CBOR, to a voter
 	messageDirective     = 'd' // a rollout.Directive in CBOR, from the owner of RolloutLease
 )
 
-// delegate passes gossip's messages to the units that they are for.
+// delegate implements gossip.Delegate. It passes each message to the unit that
+// handles its kind.
 type delegate struct{ f *Fleet }
 
 // MergeUpdate implements gossip.Delegate.
@@ -59,7 +60,8 @@
 	return updates
 }
 
-// decodeUpdate decodes a message in CBOR; one that is unreadable is dropped.
+// decodeUpdate decodes a CBOR message. It logs messages that can't be decoded, and
+// reports false for them.
 func decodeUpdate[T any](log *slog.Logger, message []byte) (value T, ok bool) {
 	if err := cbor.Unmarshal(message, &value); err != nil {
 		log.Debug(eventUpdateUnreadable, "bytes", len(message))
@@ -68,22 +70,24 @@
 	return value, true
 }
 
-// broadcast spreads an update to all members. Before gossip has started it does
-// nothing: the update is then among KnownUpdates.
+// broadcast spreads an update to all members; a later update of the same topic
+// replaces it. Before gossip has started, broadcast does nothing: other members
+// receive the update with KnownUpdates.
 func (f *Fleet) broadcast(topic string, update []byte) {
 	if f.hasGossip() {
 		f.membership.Broadcast(topic, update)
 	}
 }
 
-// send sends a message to one member once, without retries.
+// send sends a message to one member without retries. Before gossip has started, it
+// does nothing.
 func (f *Fleet) send(to string, message []byte) {
 	if f.hasGossip() {
 		f.membership.Send(to, message)
 	}
 }
 
-// aliveMembers returns the names of the members that are thought to be alive; none
+// aliveMembers returns the names of the members that gossip considers alive, and nil
 // before gossip has started.
 func (f *Fleet) aliveMembers() []string {
 	if !f.hasGossip() {
@@ -92,15 +96,15 @@
 	return f.membership.Alive()
 }
 
-// aliveVoters returns those of aliveMembers that are voters.
+// aliveVoters returns the names of the voters among aliveMembers.
 func (f *Fleet) aliveVoters() []string {
 	if !f.hasGossip() {
 		return nil
 	}
-	return f.membership.AliveWithRole(string(Voter))
+	return f.membership.AliveWithRole(string(RoleVoter))
 }
 
-// hasGossip reports whether membership may be used.
+// hasGossip reports whether gossip has started, so that membership is set.
 func (f *Fleet) hasGossip() bool {
 	select {
 	case <-f.gossipStarted:
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -9,7 +9,8 @@
 	"quincerail.example/quincerail/fleet/rafttransport"
 )
 
-// startVoter starts the transport and the log of a voter.
+// startVoter starts the transport and the log of a voter. After an error, the caller
+// must call stopVoter.
 func (f *Fleet) startVoter() error {
 	stateMachine, err := newStateMachine(f)
 	if err != nil {
@@ -21,14 +22,14 @@
 	peers := maps.Clone(f.config.Voters)
 	delete(peers, f.config.Self)
 	transport, err := rafttransport.Listen(rafttransport.Options{
-		Fleet:  f.config.Fleet,
+		Fleet:  f.config.FleetName,
 		Self:   f.config.Self,
-		Listen: f.config.Raft,
+		Listen: f.config.RaftAddress,
 		Peers:  peers,
 		Logger: f.log,
 		Receive: func(message []byte) {
 			<-ready
-			if f.node != nil { // nil where it did not start
+			if f.node != nil { // nil if consensus.Start failed
 				f.node.Receive(message)
 			}
 		},
@@ -42,8 +43,8 @@
 		Voters:             f.config.Voters,
 		Join:               f.config.Join,
 		OnMembershipChange: f.setPeers,
-		ElectionTimeout:    f.config.Election,
-		Dir:                f.config.Dir,
+		ElectionTimeout:    f.config.ElectionTimeout,
+		Dir:                f.config.LogDir,
 		StateMachine:       f.stateMachine,
 		Send:               f.transport.Send,
 		Logger:             f.log,
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// setPeers connects the transport to the voters that the log has, at the addresses
-// of this process's own configuration where that names them.
+// setPeers connects the transport to the voters of the log's membership. An address
+// in this process's configuration overrides the one in the log.
 func (f *Fleet) setPeers(voters []consensus.Voter) {
 	peers := map[string]string{}
 	for _, voter := range voters {
@@ -65,24 +66,24 @@
 	f.transport.SetPeers(peers)
 }
 
-// resignLeases releases what this process owns, waits until the log has that, and
-// transfers leadership.
+// resignLeases releases this process's leases, waits at most timeout until the log
+// has the releases, and transfers leadership.
 func (f *Fleet) resignLeases(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	f.node.RunInLoop(f.stateMachine.resign)
 	for f.stateMachine.ownsAnyLease(f.self) && time.Now().Before(deadline) {
 		select {
 		case <-f.stateMachine.ownerChanged:
-		case <-time.After(f.config.Election / 10):
+		case <-time.After(f.config.ElectionTimeout / 10):
 		case <-f.node.Done():
 			deadline = time.Time{}
 		}
 	}
 	f.node.TransferLeadership()
-	f.node.RunInLoop(func() [][]byte { return nil }) // returns after the transfer of leadership was sent
+	f.node.RunInLoop(func() [][]byte { return nil }) // returns after the loop has sent the transfer of leadership
 }
 
-// stopVoter stops the log and its transport, as far as they have started.
+// stopVoter stops the log and its transport. Those that have not started are skipped.
 func (f *Fleet) stopVoter() {
 	if f.node != nil {
 		if err := f.node.Stop(); err != nil {
--- a/fleet/voters.go
+++ b/fleet/voters.go
@@ -11,37 +11,37 @@
 )
 
 var (
-	// ErrNoVoter is returned where a member that is no voter is asked for what only
-	// the voters know.
-	ErrNoVoter = errors.New("fleet: this member is no voter: ask one")
-	// ErrLastVoter is returned for the removal of the only voter.
-	ErrLastVoter = errors.New("fleet: the last voter can't be removed")
+	// ErrNotVoter is returned by operations that need a voter when this member isn't
+	// one.
+	ErrNotVoter = errors.New("fleet: this member is not a voter; send the request to a voter")
+	// ErrLastVoter is returned for a removal that would leave no voter.
+	ErrLastVoter = errors.New("fleet: cannot remove the last voter")
 )
 
-// NoMajorityError is returned for the removal of a voter where most of those that
-// would stay are not alive.
+// NoMajorityError is returned for the removal of a voter if the voters that are
+// alive are no majority of the remaining ones.
 type NoMajorityError struct {
-	Staying int      // voters that would stay
-	Dead    []string // of them
+	RemainingVoters int      // number of voters after the removal
+	DeadVoters      []string // names of the remaining voters that are not alive
 }
 
 // Error implements error.
 func (e *NoMajorityError) Error() string {
-	return fmt.Sprintf("fleet: of the %d voters that would stay %v are not alive: no majority", e.Staying, e.Dead)
+	return fmt.Sprintf("fleet: no majority: of the %d remaining voters, %v are not alive", e.RemainingVoters, e.DeadVoters)
 }
 
-// VoterStatus is a voter as another one knows it. In JSON, the members of the
-// embedded struct stand beside Alive: it must stay embedded, and without a tag.
+// VoterStatus describes a voter as seen by another one. consensus.Voter must stay
+// embedded and without a tag: its fields are encoded at the same level as Alive.
 type VoterStatus struct {
 	consensus.Voter
-	Alive bool `json:"alive"` // by gossip: a hint
+	Alive bool `json:"alive"` // according to gossip, so it may be out of date
 }
 
-// Voters returns the fleet's voters, in the order of their names; ErrNoVoter at a
-// member that is no voter.
+// Voters returns the fleet's voters, sorted by name. The error is ErrNotVoter if this
+// member is not a voter.
 func (f *Fleet) Voters() ([]VoterStatus, error) {
 	if f.node == nil {
-		return nil, ErrNoVoter
+		return nil, ErrNotVoter
 	}
 	alive := f.membership.Alive()
 	var voters []VoterStatus
@@ -51,20 +51,20 @@
 	return voters, nil
 }
 
-// AddVoter adds a voter to the group, at the address where the others are to reach
-// it; it gets its vote when it has caught up. It returns once the log has the
-// change; the error wraps ctx's where it did not in time.
+// AddVoter adds a voter to the group. The other voters reach it at address. It is a
+// learner until it has caught up with the log. AddVoter returns when the log has the
+// change; the error wraps ctx.Err() if ctx is done first.
 func (f *Fleet) AddVoter(ctx context.Context, name, address string) error {
 	if f.node == nil {
-		return ErrNoVoter
+		return ErrNotVoter
 	}
 	add := func() error { return f.node.AddVoter(name, address) }
 	return f.changeMembership(ctx, add, func(voters []consensus.Voter) bool { return hasVoter(voters, name) })
 }
 
-// RemoveVoter removes a voter from the group for good. It is refused where most of
-// those that stay are not alive: they could commit nothing any more, and nobody
-// could add others.
+// RemoveVoter permanently removes a voter from the group. It returns a
+// *NoMajorityError if the live voters are no majority of the remaining ones: such a
+// group could commit no entry, so that no voter could be added either.
 func (f *Fleet) RemoveVoter(ctx context.Context, name string) error {
 	voters, err := f.Voters()
 	if err != nil {
@@ -77,8 +77,8 @@
 	return f.changeMembership(ctx, remove, func(voters []consensus.Voter) bool { return !hasVoter(voters, name) })
 }
 
-// checkRemoval returns an error where the voters without the named one have no live
-// majority.
+// checkRemoval returns an error if the voters without the named one have no live
+// majority. Learners don't count.
 func checkRemoval(voters []VoterStatus, name string) error {
 	staying, alive := 0, 0
 	var dead []string
@@ -97,7 +97,7 @@
 		return ErrLastVoter
 	}
 	if 2*alive <= staying {
-		return &NoMajorityError{Staying: staying, Dead: dead}
+		return &NoMajorityError{RemainingVoters: staying, DeadVoters: dead}
 	}
 	return nil
 }
@@ -106,7 +106,8 @@
 	return slices.ContainsFunc(voters, func(voter consensus.Voter) bool { return voter.Name == name })
 }
 
-// changeMembership proposes a change of the group until the log has it.
+// changeMembership repeats a proposal until done reports that the log's membership
+// has the change, or until ctx is done.
 func (f *Fleet) changeMembership(ctx context.Context, propose func() error, done func([]consensus.Voter) bool) error {
 	for !done(f.node.Voters()) {
 		if err := propose(); err != nil {
@@ -114,7 +115,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("fleet: the log did not take the change of voters: %w", ctx.Err())
+			return fmt.Errorf("fleet: change of voters not committed: %w", ctx.Err())
 		case <-time.After(resubmitInterval):
 		}
 	}
--- a/internal/fleettest/starter.go
+++ b/internal/fleettest/starter.go
@@ -15,7 +15,7 @@
 )
 
 // Change asks a voter about the fleet's changes, as an operator does.
-func (f *Fleet) Change(name string) (s fleet.ChangeStatus, err error) {
+func (f *Fleet) Change(name string) (s fleet.RolloutStatus, err error) {
 	address, err := f.Operators(name)
 	if err != nil {
 		return s, err
@@ -93,7 +93,7 @@
 				continue // it is stopped, or behind
 			}
 			s.index = status.Record.Index
-			if s.carryOut(status.Desired) {
+			if s.carryOut(status.DesiredVersions) {
 				break // that took its time
 			}
 		}
--- a/metrics/fleet.go
+++ b/metrics/fleet.go
@@ -7,7 +7,7 @@
 )
 
 // dependencyStates are the values of quincerail_fleet_dependency; 0 stands for unknown.
-var dependencyStates = map[fleet.State]float64{fleet.Good: 1, fleet.Slow: 2, fleet.Down: 3}
+var dependencyStates = map[fleet.DependencyState]float64{fleet.DependencyGood: 1, fleet.DependencySlow: 2, fleet.DependencyDown: 3}
 
 // ObserveFleet adds the collectors of a member of a fleet, and of the fleet's budgets that it
 // has.
@@ -20,24 +20,24 @@
 	}
 	r.registry.MustRegister(
 		gauge("quincerail_fleet_alive", "Members of the fleet that are thought to be alive.",
-			func(s fleet.Stats) float64 { return float64(s.Alive) }),
+			func(s fleet.Stats) float64 { return float64(s.AliveMembers) }),
 		gauge("quincerail_fleet_owner", "1 while this process owns the lease on the registry's judgement.",
-			func(s fleet.Stats) float64 { return oneIf(s.Owner) }),
+			func(s fleet.Stats) float64 { return oneIf(s.OwnsHealthLease) }),
 		gauge("quincerail_fleet_dependency", "How the shared dependency stands: 0 unknown, 1 good, 2 slow, 3 down.",
-			func(s fleet.Stats) float64 { return dependencyStates[s.State] }),
+			func(s fleet.Stats) float64 { return dependencyStates[s.Dependency] }),
 		counter("quincerail_fleet_messages_total", "Messages sent to other members.",
-			func(s fleet.Stats) float64 { return float64(s.Messages) }),
+			func(s fleet.Stats) float64 { return float64(s.MessagesSent) }),
 		counter("quincerail_fleet_bytes_total", "Bytes sent to other members.",
-			func(s fleet.Stats) float64 { return float64(s.Bytes) }),
+			func(s fleet.Stats) float64 { return float64(s.BytesSent) }),
 		counter("quincerail_fleet_stale_total", "Pieces of fleet work refused for their token.",
-			func(s fleet.Stats) float64 { return float64(s.Stale) }),
+			func(s fleet.Stats) float64 { return float64(s.StaleUpdates) }),
 	)
-	for _, budget := range []string{fleet.Calls, fleet.Repeats} {
+	for _, budget := range []string{fleet.CallQuota, fleet.RetryQuota} {
 		if member.QuotaAgent(budget) != nil {
 			r.observeBudget(member, budget)
 		}
 	}
-	if calls := member.QuotaAgent(fleet.Calls); calls != nil {
+	if calls := member.QuotaAgent(fleet.CallQuota); calls != nil {
 		r.observeFleetAnswers(calls)
 	}
 }
@@ -55,11 +55,11 @@
 	labels := prometheus.Labels{labelBudget: budget}
 	r.registry.MustRegister(
 		newGauge("quincerail_fleet_rights", "What this member may have in hand of the fleet's budget.",
-			labels, func() float64 { return float64(member.Stats().Budgets[budget].Rights) }),
+			labels, func() float64 { return float64(member.Stats().Quotas[budget].Rights) }),
 		newGauge("quincerail_fleet_in_hand", "What this member has in hand of the fleet's budget.",
-			labels, func() float64 { return float64(member.Stats().Budgets[budget].InHand) }),
+			labels, func() float64 { return float64(member.Stats().Quotas[budget].InUse) }),
 		newGauge("quincerail_fleet_free", "What of the fleet's budget nobody holds, by a voter's log.",
-			labels, func() float64 { return float64(member.Stats().Budgets[budget].Free) }),
+			labels, func() float64 { return float64(member.Stats().Quotas[budget].Free) }),
 	)
 }
 
--- a/server/rollouts.go
+++ b/server/rollouts.go
@@ -6,14 +6,14 @@
 	"quincerail.example/quincerail/config"
 )
 
-// fleetTarget is this process to the fleet's rollouts. It implements fleet.Target.
+// fleetTarget is this process to the fleet's rollouts. It implements fleet.RolloutTarget.
 type fleetTarget struct {
 	*outcomeCounter
 
 	server *Server
 }
 
-// Apply implements fleet.Target.
+// Apply implements fleet.RolloutTarget.
 func (t fleetTarget) Apply(patch json.RawMessage) error { return t.server.applyFleetPatch(patch) }
 
 // applyFleetPatch puts the file's configuration in force with the fleet's changes of its
--- a/server/start.go
+++ b/server/start.go
@@ -83,7 +83,7 @@
 		s.recorder.SetClasses(c.Classes)
 		s.recorder.ObserveRules(s.monitor)
 	}
-	if c.Fleet != nil && c.Fleet.Window > 0 {
+	if c.Fleet != nil && c.Fleet.RolloutWindow > 0 {
 		s.outcomes = &outcomeCounter{}
 		s.outcomes.setObjectives(c.Classes, c.Settings)
 	}
@@ -227,7 +227,7 @@
 	if s.fleet == nil {
 		return nil
 	}
-	calls := s.fleet.QuotaAgent(fleet.Calls)
+	calls := s.fleet.QuotaAgent(fleet.CallQuota)
 	if calls == nil {
 		return nil
 	}
@@ -303,7 +303,7 @@
 		go s.takeOver(c)
 	}
 	if s.outcomes != nil { // made only in a fleet with rollouts
-		s.fleet.Follow(fleetTarget{s.outcomes, s})
+		s.fleet.SetRolloutTarget(fleetTarget{s.outcomes, s})
 	}
 }
 
