--- a/fleet/config.go
+++ b/fleet/config.go
@@ -25,7 +25,7 @@
 const (
 	RoleOff    Role = "off"
 	RoleVoter  Role = "voter"  // replicates the log and may own leases
-	RoleMember Role = "member" // takes part in gossip only
+	RoleMember Role = "member" // has no log and owns no leases
 )
 
 // heartbeatsPerSessionTimeout is the number of heartbeats that a quota member sends
@@ -54,7 +54,7 @@
 	ClockRate float64
 
 	DependencyAddress string        // TCP address to probe
-	ProbeInterval     time.Duration // also the interval of health updates
+	ProbeInterval     time.Duration // between two probes
 	SlowThreshold     time.Duration // a probe that takes longer reports DependencySlow
 	PublishURL        string        // target of an HTTP PUT of each health update; "" for none
 
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -9,9 +9,9 @@
 	"quincerail.example/quincerail/fleet/quota"
 )
 
-// TestConfigErrors checks which of the operator's keys each refusal names, and that
-// the cause can be found in it.
-func TestConfigErrors(t *testing.T) {
+// TestConfigValidate_NamesInvalidKey checks that each error names the invalid key of the
+// operator's file and wraps its cause.
+func TestConfigValidate_NamesInvalidKey(t *testing.T) {
 	valid := Config{
 		Self: "v1", Role: RoleVoter, Voters: map[string]string{"v1": "localhost:1"},
 		LeaseDuration: time.Second, MaxClockDrift: 0.05, MaxCalls: 8, SessionTimeout: time.Minute, MaxCallDuration: time.Second, RolloutWindow: time.Second, Version: "1",
@@ -37,25 +37,26 @@
 		err := config.Validate()
 		var invalid *ConfigError
 		if !errors.As(err, &invalid) || invalid.Key != c.key {
-			t.Errorf("%v, want an error about %s", err, c.key)
+			t.Errorf("Validate() = %v, want a *ConfigError for %s", err, c.key)
 		}
 	}
 	config := valid
 	config.LeaseDuration = 0
 	var invalidLease *lease.ConfigError
 	if err := config.Validate(); !errors.As(err, &invalidLease) {
-		t.Errorf("%v is no lease.ConfigError", err)
+		t.Errorf("Validate() = %v, want it to wrap a *lease.ConfigError", err)
 	}
 	config = valid
 	config.SessionTimeout = 0
 	var invalidQuota *quota.TimingError
 	if err := config.Validate(); !errors.As(err, &invalidQuota) {
-		t.Errorf("%v is no quota.TimingError", err)
+		t.Errorf("Validate() = %v, want it to wrap a *quota.TimingError", err)
 	}
 }
 
-// TestCheckRemoval has a voter's removal refused where no live majority would stay.
-func TestCheckRemoval(t *testing.T) {
+// TestCheckRemoval_RequiresLiveMajority checks that a voter is removed only if the
+// remaining voters have a live majority.
+func TestCheckRemoval_RequiresLiveMajority(t *testing.T) {
 	voter := func(name string, alive, learner bool) VoterStatus {
 		status := VoterStatus{Alive: alive}
 		status.Name, status.Learner = name, learner
@@ -67,14 +68,14 @@
 		voters []VoterStatus
 		want   func(error) bool
 	}{
-		{"last", []VoterStatus{voter("a", true, false), voter("b", true, true)}, func(err error) bool { return errors.Is(err, ErrLastVoter) }},
+		{"only learners remain", []VoterStatus{voter("a", true, false), voter("b", true, true)}, func(err error) bool { return errors.Is(err, ErrLastVoter) }},
 		{"majority alive", []VoterStatus{voter("a", false, false), voter("b", true, false), voter("c", true, false)}, func(err error) bool { return err == nil }},
 		{"half alive", []VoterStatus{voter("a", true, false), voter("b", true, false), voter("c", false, false)}, func(err error) bool {
 			return errors.As(err, &noMajority) && noMajority.RemainingVoters == 2 && len(noMajority.DeadVoters) == 1
 		}},
 	} {
 		if err := checkRemoval(c.voters, "a"); !c.want(err) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: checkRemoval(voters, a) = %v", c.name, err)
 		}
 	}
 }
--- a/fleet/dependency_health_test.go
+++ b/fleet/dependency_health_test.go
@@ -10,39 +10,40 @@
 	"quincerail.example/quincerail/logging"
 )
 
-// TestDependencyHealthAges merges updates by token and number: stale ones are
-// refused, and one that nothing follows counts as unknown.
-func TestDependencyHealthAges(t *testing.T) {
+// TestHealthView_OrdersAndExpiresUpdates checks that a health view orders updates by
+// token and sequence number, rejects stale tokens, and reports DependencyUnknown after
+// maxAge without an update.
+func TestHealthView_OrdersAndExpiresUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &healthView{log: logging.Discard(), fence: &lease.Fence{}, latest: map[string]DependencyHealth{}, maxAge: 3 * time.Second}
-		if s := b.current().State; s != DependencyUnknown {
-			t.Errorf("before any word: %s", s)
+		view := &healthView{log: logging.Discard(), fence: &lease.Fence{}, latest: map[string]DependencyHealth{}, maxAge: 3 * time.Second}
+		if s := view.current().State; s != DependencyUnknown {
+			t.Errorf("state before any update = %s, want %s", s, DependencyUnknown)
 		}
 		for _, c := range []struct {
-			j    DependencyHealth
-			news bool
-			want DependencyState
+			health DependencyHealth
+			isNew  bool
+			want   DependencyState
 		}{
 			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Sequence: 2, State: DependencyGood}, true, DependencyGood},
 			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Sequence: 1, State: DependencyDown}, false, DependencyGood},
 			{DependencyHealth{Token: lease.Token{Term: 2, Index: 9}, Sequence: 1, State: DependencySlow}, true, DependencySlow},
 			{DependencyHealth{Token: lease.Token{Term: 1, Index: 5}, Sequence: 3, State: DependencyGood}, false, DependencySlow},
 		} {
-			c.j.Lease = HealthLease
-			piece, err := json.Marshal(c.j)
+			c.health.Lease = HealthLease
+			update, err := json.Marshal(c.health)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, news := b.mergeUpdate(piece); news != c.news || b.current().State != c.want {
-				t.Errorf("%+v: news %t, %s", c.j, news, b.current().State)
+			if _, isNew := view.mergeUpdate(update); isNew != c.isNew || view.current().State != c.want {
+				t.Errorf("mergeUpdate(%+v): isNew = %t, state = %s; want %t, %s", c.health, isNew, view.current().State, c.isNew, c.want)
 			}
 		}
-		if b.staleCount != 1 {
-			t.Errorf("%d refused as stale", b.staleCount)
+		if view.staleCount != 1 {
+			t.Errorf("staleCount = %d, want 1", view.staleCount)
 		}
 		time.Sleep(3*time.Second + 1)
-		if s := b.current().State; s != DependencyUnknown {
-			t.Errorf("after 3 s without news: %s", s)
+		if s := view.current().State; s != DependencyUnknown {
+			t.Errorf("state after 3 s without an update = %s, want %s", s, DependencyUnknown)
 		}
 	})
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -191,9 +191,9 @@
 		messages, bytes := f.transport.Sent()
 		s.MessagesSent, s.BytesSent = s.MessagesSent+messages, s.BytesSent+bytes
 	}
-	for kind, agent := range f.quotaAgents {
+	for name, agent := range f.quotaAgents {
 		rights, used := agent.Usage()
-		s.Quotas[kind] = QuotaStats{Rights: int(rights), InUse: int(used), Free: f.stateMachine.freeRights(kind)}
+		s.Quotas[name] = QuotaStats{Rights: int(rights), InUse: int(used), Free: f.stateMachine.freeRights(name)}
 	}
 	return s
 }
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -18,7 +18,7 @@
 	"quincerail.example/quincerail/logging"
 )
 
-// goldenMachine makes a voter's machine; it wants the leases named.
+// goldenMachine returns a voter's state machine that competes for the wanted leases.
 func goldenMachine(t *testing.T, self string, wanted ...string) *stateMachine {
 	t.Helper()
 	member, err := lease.NewClient(lease.Owner{Member: self, Incarnation: newIncarnation()},
@@ -41,51 +41,51 @@
 	c    command
 }
 
-// goldenEntries are one for each kind of command, and the last of them an old
-// owner's, which is refused; the first has index 1.
+// goldenEntries returns entries of every kind of command; the first has index 1. The last
+// one has the token of another lease, so that the state machine rejects it.
 func goldenEntries() []goldenEntry {
 	owner := lease.Owner{Member: "v1", Incarnation: 1 << 62}
-	registry, bank, driver := lease.Token{Term: 1, Index: 1}, lease.Token{Term: 1, Index: 4}, lease.Token{Term: 1, Index: 5}
+	healthToken, quotaToken, rolloutToken := lease.Token{Term: 1, Index: 1}, lease.Token{Term: 1, Index: 4}, lease.Token{Term: 1, Index: 5}
 	a, b := quota.ID{Member: "a", Incarnation: 1 << 61}, quota.ID{Member: "b", Incarnation: 1}
 	plan := &rollout.Plan{
 		ID: "r1", Kind: rollout.Program, From: "1", To: "2", MinWatchWindows: 1, MaxWatchWindows: 2, Limits: rollout.DefaultLimits(),
 		Servers: []rollout.Server{{Name: "a", Zone: "z"}, {Name: "b", Zone: "z"}}, Stages: []rollout.Stage{{Share: 1, BakeWindows: 1, MinRequests: 1, MaxWindows: 9}},
 	}
 	leases := func(c lease.Command) command { return command{Command: &c} }
-	banks := func(of string, token lease.Token, o quota.Command) command {
-		return command{Quota: &quotaCommand{QuotaName: of, Token: token, Command: o}}
+	quotas := func(name string, token lease.Token, c quota.Command) command {
+		return command{Quota: &quotaCommand{QuotaName: name, Token: token, Command: c}}
 	}
-	rollouts := func(o rolloutCommand) command { return command{Rollout: &o} }
+	rollouts := func(c rolloutCommand) command { return command{Rollout: &c} }
 	return []goldenEntry{
 		{"entry-lease-take.json", leases(lease.Command{Kind: lease.Acquire, Lease: HealthLease, Owner: owner, Nonce: 1})},
-		{"entry-lease-renew.json", leases(lease.Command{Kind: lease.Renew, Lease: HealthLease, Owner: owner, Token: registry, Nonce: 2})},
-		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: HealthLease, Owner: owner, Token: registry, Nonce: 3})},
+		{"entry-lease-renew.json", leases(lease.Command{Kind: lease.Renew, Lease: HealthLease, Owner: owner, Token: healthToken, Nonce: 2})},
+		{"entry-lease-release.json", leases(lease.Command{Kind: lease.Release, Lease: HealthLease, Owner: owner, Token: healthToken, Nonce: 3})},
 		{"entry-lease-take-bank.json", leases(lease.Command{Kind: lease.Acquire, Lease: QuotaLease, Owner: owner, Nonce: 4})},
 		{"entry-lease-take-rollout.json", leases(lease.Command{Kind: lease.Acquire, Lease: RolloutLease, Owner: lease.Owner{Member: "v2", Incarnation: 7}, Nonce: 1})},
-		{"entry-bank-grant.json", banks(CallQuota, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 5})},
-		{"entry-bank-grant-another.json", banks(CallQuota, bank, quota.Command{Kind: quota.Grant, Target: b, Amount: 2})},
-		{"entry-bank-repeats.json", banks(RetryQuota, bank, quota.Command{Kind: quota.Grant, Target: a, Amount: 10})},
-		{"entry-bank-fence.json", banks(CallQuota, bank, quota.Command{Kind: quota.Fence, Target: b})},
-		{"entry-bank-settle.json", banks(CallQuota, bank, quota.Command{Kind: quota.Reclaim, Reports: map[quota.ID]map[quota.ID]quota.TransferReport{b: {a: {Received: 1}}}})},
+		{"entry-bank-grant.json", quotas(CallQuota, quotaToken, quota.Command{Kind: quota.Grant, Target: a, Amount: 5})},
+		{"entry-bank-grant-another.json", quotas(CallQuota, quotaToken, quota.Command{Kind: quota.Grant, Target: b, Amount: 2})},
+		{"entry-bank-repeats.json", quotas(RetryQuota, quotaToken, quota.Command{Kind: quota.Grant, Target: a, Amount: 10})},
+		{"entry-bank-fence.json", quotas(CallQuota, quotaToken, quota.Command{Kind: quota.Fence, Target: b})},
+		{"entry-bank-settle.json", quotas(CallQuota, quotaToken, quota.Command{Kind: quota.Reclaim, Reports: map[quota.ID]map[quota.ID]quota.TransferReport{b: {a: {Received: 1}}}})},
 		{"entry-rollout-start.json", rollouts(rolloutCommand{Nonce: 1 << 63, Command: rollout.Command{Kind: rollout.Start, Plan: plan}})},
-		{"entry-rollout-step.json", rollouts(rolloutCommand{Token: driver, Command: rollout.Command{
+		{"entry-rollout-step.json", rollouts(rolloutCommand{Token: rolloutToken, Command: rollout.Command{
 			Kind: rollout.Step, PreviousIndex: 11,
 			State:    rollout.State{Phase: rollout.Watching, Window: 1, WindowsInPhase: 1, Histories: map[string]rollout.History{"a": {Requests: 10, Late: 1}}},
 			Decision: rollout.Decision{Verdict: rollout.Wait, Reason: "watching"},
 		}})},
 		{"entry-rollout-stop.json", rollouts(rolloutCommand{Nonce: 8, Command: rollout.Command{Kind: rollout.Stop, ID: "r1", Reason: "halted"}})},
-		{"entry-bank-stale.json", banks(CallQuota, registry, quota.Command{Kind: quota.Grant, Target: a, Amount: 1})},
+		{"entry-bank-stale.json", quotas(CallQuota, healthToken, quota.Command{Kind: quota.Grant, Target: a, Amount: 1})},
 	}
 }
 
-// TestGoldenEntries writes each entry, and has a machine apply the golden ones:
-// what they come to is the golden snapshot, which another machine takes over.
-func TestGoldenEntries(t *testing.T) {
+// TestGolden_LogEntries checks the encoding of each entry, and that applying the golden
+// entries gives the golden snapshot, which another state machine can restore.
+func TestGolden_LogEntries(t *testing.T) {
 	m := goldenMachine(t, "v3")
 	for i, e := range goldenEntries() {
 		written := encodeCommands(m.log, e.c)
 		if len(written) != 1 {
-			t.Fatalf("%s was not encoded", e.name)
+			t.Fatalf("encodeCommands(%s) gave %d entries, want 1", e.name, len(written))
 		}
 		golden.Equal(t, e.name, written[0])
 		golden.Decodes(t, e.name, e.c, json.Unmarshal)
@@ -106,23 +106,23 @@
 	}
 	golden.Equal(t, "snapshot.json", snap)
 	if owner, token := m.grant(RolloutLease); owner != "v2" || token != (lease.Token{Term: 1, Index: 5}) {
-		t.Errorf("%s owns the lease on rollouts under %v", owner, token)
+		t.Errorf("grant(%s) = %s, %v; want v2, {1 5}", RolloutLease, owner, token)
 	}
 	if owner, _ := m.grant(HealthLease); owner != "" {
-		t.Errorf("%s owns the lease that was given up", owner)
+		t.Errorf("%s owns the released lease %s", owner, HealthLease)
 	}
-	// 5 and 2 of 8 were granted, and of the 2 one is with the other member for good.
+	// 5 and 2 of 8 call rights were granted; 1 of the 2 was transferred and the other reclaimed.
 	if m.freeRights(CallQuota) != 2 || m.freeRights(RetryQuota) != 90 {
-		t.Errorf("%d calls and %d repeats are free", m.freeRights(CallQuota), m.freeRights(RetryQuota))
+		t.Errorf("free rights: %d calls, %d retries; want 2, 90", m.freeRights(CallQuota), m.freeRights(RetryQuota))
 	}
 	if r := m.rolloutRecord(); r.Plan.ID != "r1" || r.State.Phase != rollout.RollingBack || r.Index != 13 {
-		t.Errorf("the record: %+v", r)
+		t.Errorf("unexpected rollout record: %+v", r)
 	}
 }
 
-// TestGoldenSnapshotOfNothing takes over the snapshot of a log that came to
-// nothing yet.
-func TestGoldenSnapshotOfNothing(t *testing.T) {
+// TestGolden_SnapshotOfNewStateMachine checks the snapshot of a state machine without
+// entries.
+func TestGolden_SnapshotOfNewStateMachine(t *testing.T) {
 	snap, err := goldenMachine(t, "v3").Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	if owner, token := m.grant(HealthLease); owner != "" || token != (lease.Token{}) || m.freeRights(CallQuota) != 8 || m.rolloutRecord().Plan != nil {
-		t.Errorf("%s owns under %v, %d free, %+v", owner, token, m.freeRights(CallQuota), m.rolloutRecord())
+		t.Errorf("after Restore: health lease %s, %v; %d calls free; record %+v", owner, token, m.freeRights(CallQuota), m.rolloutRecord())
 	}
 }
 
@@ -152,9 +152,9 @@
 	return n
 }
 
-// TestGoldenLogs recovers the logs of two voters, a founder and one that joined
-// the group: each comes to the state and the group that they had.
-func TestGoldenLogs(t *testing.T) {
+// TestGolden_RecoversLogs recovers the logs of two voters, a founder and one that joined the
+// group. Each must reach the golden state and the golden group.
+func TestGolden_RecoversLogs(t *testing.T) {
 	for _, self := range []string{"v1", "v4"} {
 		synctest.Test(t, func(t *testing.T) {
 			m := goldenMachine(t, self)
@@ -177,10 +177,10 @@
 	}
 }
 
-// TestGoldenLogsGoOn has the two voters, a majority of their group, go on from
-// their golden logs: they elect a leader, which takes the leases under tokens that
-// have grown, and the budgets and the record of rollouts stay.
-func TestGoldenLogsGoOn(t *testing.T) {
+// TestGolden_ContinuesFromLogs runs the two voters, a majority of their group, from their
+// golden logs. They must elect a leader, which must acquire the leases with higher tokens.
+// The allocators and the rollout record must not change.
+func TestGolden_ContinuesFromLogs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, after := goldenMachine(t, "v2"), goldenMachine(t, "v2")
 		if err := before.Restore(golden.Bytes(t, "logs-state.json")); err != nil {
@@ -201,7 +201,7 @@
 			})
 		}
 		close(ready)
-		time.Sleep(20 * time.Second) // of the bubble's clock
+		time.Sleep(20 * time.Second) // by the fake clock of synctest
 		for _, n := range nodes {
 			if err := n.Stop(); err != nil {
 				t.Error(err)
@@ -217,16 +217,16 @@
 		for _, name := range []string{HealthLease, QuotaLease, RolloutLease} {
 			_, was := before.grant(name)
 			if owner, token := after.grant(name); token.Compare(was) <= 0 || machines[owner] == nil {
-				t.Errorf("%s: %s owns it under %v, after %v", name, owner, token, was)
+				t.Errorf("lease %s: owner %s with token %v, want a token above %v", name, owner, token, was)
 			}
 		}
 		if !reflect.DeepEqual(after.allocators, before.allocators) || !reflect.DeepEqual(after.rolloutRecord(), before.rolloutRecord()) {
-			t.Errorf("the budgets or the record changed: %s", snap)
+			t.Errorf("the allocators or the rollout record changed: %s", snap)
 		}
 	})
 }
 
-// goldenTotals are what the golden report counts.
+// goldenTotals returns the totals of the golden report.
 func goldenTotals() (totals rollout.Totals) {
 	totals.Requests, totals.Rejected, totals.Late, totals.Failed = 1<<33, 5, 6, 7
 	for i := range totals.SlowerThan {
@@ -235,7 +235,7 @@
 	return totals
 }
 
-// goldenTarget counts what the golden report says.
+// goldenTarget is a RolloutTarget with the totals of the golden report.
 type goldenTarget struct{}
 
 // Totals implements Target.
@@ -244,7 +244,7 @@
 // Apply implements Target.
 func (goldenTarget) Apply(json.RawMessage) error { return nil }
 
-// goldenFleet makes a member without a network.
+// goldenFleet returns a member without a network.
 func goldenFleet(t *testing.T, self string) *Fleet {
 	t.Helper()
 	f := &Fleet{
@@ -264,53 +264,54 @@
 	return f
 }
 
-// goldenItem and goldenAsk are of the golden pieces about budgets. The maps have
-// one entry each, as the order of more is not fixed.
+// goldenDelta and goldenRequest are the quota update and the transfer request of the golden
+// files. Their maps have one entry each, because the encoding of several has no fixed
+// order.
 var (
-	goldenItem = quota.Delta{ID: quota.ID{Member: "a", Incarnation: 1 << 61}, MemberState: &quota.MemberState{
+	goldenDelta = quota.Delta{ID: quota.ID{Member: "a", Incarnation: 1 << 61}, MemberState: &quota.MemberState{
 		Heartbeat: 300, Surplus: 5,
 		Counters: map[string]quota.PNCounter{"answered": {Increments: 9}},
 	}, Account: &quota.Account{LogIndex: 12, Granted: 40, Fenced: true}}
-	goldenAsk = quota.TransferRequest{From: quota.ID{Member: "b", Incarnation: 1}, Amount: 3, Account: quota.Account{LogIndex: 13, Granted: 2}}
+	goldenRequest = quota.TransferRequest{From: quota.ID{Member: "b", Incarnation: 1}, Amount: 3, Account: quota.Account{LogIndex: 13, Granted: 2}}
 )
 
-// TestGoldenBudgetPieces writes and reads what members tell each other about the
-// budgets, with the byte that says what a piece is.
-func TestGoldenBudgetPieces(t *testing.T) {
+// TestGolden_QuotaMessages checks the encoding and the handling of quota updates and transfer
+// requests, including the byte for the kind of message.
+func TestGolden_QuotaMessages(t *testing.T) {
 	for _, kind := range []string{CallQuota, RetryQuota} {
 		writer, reader := goldenFleet(t, "m1"), goldenFleet(t, "m2")
 		b := writer.quotaAgents[kind]
-		golden.Equal(t, kind+"-item", b.encodeUpdate(goldenItem))
+		golden.Equal(t, kind+"-item", b.encodeUpdate(goldenDelta))
 		b.aliveMembers = func() []string { return []string{"m1", "m2"} }
-		b.send = func(to string, piece []byte) {
+		b.send = func(to string, message []byte) {
 			if to != "m2" {
-				t.Errorf("%s was asked", to)
+				t.Errorf("transfer request sent to %s, want m2", to)
 			}
-			golden.Equal(t, kind+"-ask", piece)
+			golden.Equal(t, kind+"-ask", message)
 		}
-		b.requestTransfer(goldenAsk, nil)
+		b.requestTransfer(goldenRequest, nil)
 
 		b = reader.quotaAgents[kind]
-		if about, isNews := (delegate{reader}).MergeUpdate(golden.Bytes(t, kind+"-item")); !isNews || about != kind+" row a/2305843009213693952" {
-			t.Errorf("the item is about %q, news: %t", about, isNews)
+		if topic, isNew := (delegate{reader}).MergeUpdate(golden.Bytes(t, kind+"-item")); !isNew || topic != kind+" row a/2305843009213693952" {
+			t.Errorf("MergeUpdate(%s-item) = %q, %t; want the member state's topic, true", kind, topic, isNew)
 		}
 		delegate{reader}.MergeUpdate(golden.Bytes(t, kind+"-ask"))
-		if !reflect.DeepEqual(b.member.State().Accounts[goldenAsk.From], &goldenAsk.Account) {
-			t.Errorf("%s: after the ask: %+v", kind, b.member.State().Accounts[goldenAsk.From])
+		if !reflect.DeepEqual(b.member.State().Accounts[goldenRequest.From], &goldenRequest.Account) {
+			t.Errorf("%s: account after the transfer request: %+v", kind, b.member.State().Accounts[goldenRequest.From])
 		}
 		state := b.member.State()
-		if !reflect.DeepEqual(state.Members[goldenItem.ID], goldenItem.MemberState) || !reflect.DeepEqual(state.Accounts[goldenItem.ID], goldenItem.Account) {
-			t.Errorf("%s: after the item: %+v, %+v", kind, state.Members[goldenItem.ID], state.Accounts[goldenItem.ID])
+		if !reflect.DeepEqual(state.Members[goldenDelta.ID], goldenDelta.MemberState) || !reflect.DeepEqual(state.Accounts[goldenDelta.ID], goldenDelta.Account) {
+			t.Errorf("%s: state and account after the update: %+v, %+v", kind, state.Members[goldenDelta.ID], state.Accounts[goldenDelta.ID])
 		}
 	}
 }
 
-// TestGoldenRolloutPieces writes and reads a member's report to a voter, and the
-// owner's direction to a member.
-func TestGoldenRolloutPieces(t *testing.T) {
+// TestGolden_RolloutMessages checks the encoding and the handling of a member's report to a
+// voter, and of the owner's directive to a member.
+func TestGolden_RolloutMessages(t *testing.T) {
 	member, voter := goldenFleet(t, "m1"), goldenFleet(t, "v1")
 	member.rolloutDriver.aliveVoters = func() []string { return []string{"v1"} }
-	member.rolloutDriver.send = func(_ string, piece []byte) { golden.Equal(t, "report", piece) }
+	member.rolloutDriver.send = func(_ string, message []byte) { golden.Equal(t, "report", message) }
 	member.rolloutDriver.sendReport(true)
 	delegate{voter}.MergeUpdate(golden.Bytes(t, "report"))
 	want := rollout.Report{Server: "m1", Zone: "z1", Incarnation: 1 << 62, Sequence: 1, Version: "2", Leaving: true, Totals: goldenTotals()}
@@ -321,8 +322,8 @@
 	voter = goldenFleet(t, "v1")
 	voter.rolloutDriver.collector.Observe(rollout.Report{Server: "m1", Incarnation: 1, Sequence: 1})
 	sent := make(chan []byte, 1)
-	voter.rolloutDriver.sendReliable = func(_ string, piece []byte) error {
-		sent <- piece
+	voter.rolloutDriver.sendReliable = func(_ string, message []byte) error {
+		sent <- message
 		return nil
 	}
 	token := lease.Token{Term: 2, Index: 300}
@@ -331,37 +332,37 @@
 	golden.Equal(t, "direction", <-sent)
 	delegate{member}.MergeUpdate(golden.Bytes(t, "direction"))
 	if got, want := <-member.rolloutDriver.directives, (rollout.Directive{Token: token, Index: 90, SettingsNumber: 3, Patch: patch}); !reflect.DeepEqual(got, want) {
-		t.Errorf("direction %+v, want %+v", got, want)
+		t.Errorf("directive %+v, want %+v", got, want)
 	}
 }
 
-// TestGoldenDependencyHealth writes and reads the word on the shared dependency, as
-// members hear it and as the operator's registry is told it.
-func TestGoldenDependencyHealth(t *testing.T) {
-	j := DependencyHealth{Lease: HealthLease, Token: lease.Token{Term: 2, Index: 300}, Sequence: 9, ProbedBy: "v1", State: DependencySlow, ProbeDuration: 31 * time.Millisecond}
+// TestGolden_DependencyHealth checks the health of the shared dependency as encoded in gossip
+// and in the request to the operator's registry.
+func TestGolden_DependencyHealth(t *testing.T) {
+	health := DependencyHealth{Lease: HealthLease, Token: lease.Token{Term: 2, Index: 300}, Sequence: 9, ProbedBy: "v1", State: DependencySlow, ProbeDuration: 31 * time.Millisecond}
 	writer, reader := goldenFleet(t, "v1"), goldenFleet(t, "m1")
-	writer.quotaAgents, writer.healthView.latest[HealthLease] = nil, j
-	pieces := (delegate{writer}).KnownUpdates()
-	if len(pieces) != 1 {
-		t.Fatalf("%d pieces", len(pieces))
+	writer.quotaAgents, writer.healthView.latest[HealthLease] = nil, health
+	updates := (delegate{writer}).KnownUpdates()
+	if len(updates) != 1 {
+		t.Fatalf("KnownUpdates() gave %d updates, want 1", len(updates))
 	}
-	golden.Equal(t, "judgement", pieces[0])
-	if about, isNews := (delegate{reader}).MergeUpdate(golden.Bytes(t, "judgement")); about != HealthLease || !isNews || reader.DependencyHealth() != j {
-		t.Errorf("about %q, news: %t, %+v", about, isNews, reader.DependencyHealth())
+	golden.Equal(t, "judgement", updates[0])
+	if topic, isNew := (delegate{reader}).MergeUpdate(golden.Bytes(t, "judgement")); topic != HealthLease || !isNew || reader.DependencyHealth() != health {
+		t.Errorf("MergeUpdate(judgement) = %q, %t; health %+v", topic, isNew, reader.DependencyHealth())
 	}
 
-	asked := make(chan []byte, 1)
+	bodies := make(chan []byte, 1)
 	registry := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil || r.Method != http.MethodPut {
 			body = nil
 		}
-		asked <- body
+		bodies <- body
 	}))
 	defer registry.Close()
-	if err := publishHealth(t.Context(), registry.Client(), registry.URL, j); err != nil {
+	if err := publishHealth(t.Context(), registry.Client(), registry.URL, health); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "publish.json", <-asked)
+	golden.Equal(t, "publish.json", <-bodies)
 	golden.RoundTrip(t, "states.json", []DependencyState{DependencyUnknown, DependencyGood, DependencySlow, DependencyDown}, json.Marshal, json.Unmarshal)
 }
--- a/fleet/health_checker.go
+++ b/fleet/health_checker.go
@@ -25,7 +25,7 @@
 	config       *Config
 	log          *slog.Logger
 	view         *healthView
-	holdsLease   func(lease string) (lease.Token, bool)
+	holdsLease   func(name string) (lease.Token, bool)
 	ownerChanged <-chan struct{} // nil if this member is not a voter
 	broadcast    func(topic string, update []byte)
 	client       *http.Client
--- a/fleet/quota_agent.go
+++ b/fleet/quota_agent.go
@@ -27,10 +27,10 @@
 // While this process owns QuotaLease, the agent also runs the allocator's leader. Its
 // methods are safe for concurrent use.
 type QuotaAgent struct {
-	quotaName    string // name of the quota
+	quotaName    string // CallQuota or RetryQuota
 	updateKind   byte   // first byte of the quota's updates
 	requestKind  byte   // first byte of the quota's transfer requests
-	memberName   string // of this member
+	memberName   string // name of this member
 	timing       quota.Timing
 	total        uint64
 	log          *slog.Logger
@@ -44,15 +44,15 @@
 	member        *quota.Member
 	leader        *quota.AllocatorLeader // nil unless this process owned QuotaLease at the last tick
 	leaderToken   lease.Token            // token of QuotaLease that leader was created for
-	proposedAt    time.Duration          // time of the last proposal; 0 if the log has changed accounts since
+	proposedAt    time.Duration          // time of the last proposal; 0 if no proposed command may still be pending
 	onRelease     func()
 	onAvailable   func(available uint64)
 	pendingCounts map[string]uint64 // increments of the fleet's counters since the last tick
 }
 
-func newQuotaAgent(kind string, updateKind, requestKind byte, total uint64, timing quota.Timing, f *Fleet, clock func() time.Duration) (*QuotaAgent, error) {
+func newQuotaAgent(name string, updateKind, requestKind byte, total uint64, timing quota.Timing, f *Fleet, clock func() time.Duration) (*QuotaAgent, error) {
 	a := &QuotaAgent{
-		quotaName:     kind,
+		quotaName:     name,
 		updateKind:    updateKind,
 		requestKind:   requestKind,
 		memberName:    f.config.Self,
@@ -74,7 +74,7 @@
 // createQuotaAgents creates an agent for each quota with a configured bound.
 func (f *Fleet) createQuotaAgents() error {
 	for _, q := range []struct {
-		kind                    string
+		name                    string
 		updateKind, requestKind byte
 		total                   uint64
 	}{
@@ -84,11 +84,11 @@
 		if q.total == 0 {
 			continue
 		}
-		agent, err := newQuotaAgent(q.kind, q.updateKind, q.requestKind, q.total, f.config.quotaTiming(), f, f.clock)
+		agent, err := newQuotaAgent(q.name, q.updateKind, q.requestKind, q.total, f.config.quotaTiming(), f, f.clock)
 		if err != nil {
 			return err
 		}
-		f.quotaAgents[q.kind] = agent
+		f.quotaAgents[q.name] = agent
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 
 // QuotaAgent returns the agent of a quota, CallQuota or RetryQuota. It returns nil if
 // that quota is not configured.
-func (f *Fleet) QuotaAgent(kind string) *QuotaAgent { return f.quotaAgents[kind] }
+func (f *Fleet) QuotaAgent(name string) *QuotaAgent { return f.quotaAgents[name] }
 
 // AcquireRetry acquires a right for one retry and reports whether one was available at
 // this member. The right is released after retryHoldTime. If retries are not bounded,
--- a/fleet/quota_messages.go
+++ b/fleet/quota_messages.go
@@ -20,8 +20,8 @@
 	return deltas
 }
 
-// mergeUpdate merges an encoded delta. It returns the update's topic and whether the
-// delta changed the member's state.
+// mergeUpdate merges an encoded delta. It returns the update's topic and whether
+// gossip is to forward it (quota.Member.Merge).
 func (a *QuotaAgent) mergeUpdate(update []byte) (topic string, isNew bool) {
 	delta, ok := decodeUpdate[quota.Delta](a.log, update)
 	if !ok {
@@ -33,7 +33,7 @@
 	return a.updateTopic(delta), isNew
 }
 
-// handleRequest passes an encoded transfer request of another member to this one.
+// handleRequest passes another member's encoded transfer request to this member.
 func (a *QuotaAgent) handleRequest(message []byte) {
 	request, ok := decodeUpdate[quota.TransferRequest](a.log, message)
 	if !ok {
@@ -96,7 +96,8 @@
 }
 
 // requestTransfer sends a request for rights to at most quota.RequestFanout other
-// live members: those in preferred first, then random ones.
+// live members: those in preferred first, then random ones. It skips preferred
+// members that are not alive.
 func (a *QuotaAgent) requestTransfer(request quota.TransferRequest, preferred []quota.ID) {
 	body, err := cbor.Marshal(request)
 	if err != nil {
--- a/fleet/rollout_driver.go
+++ b/fleet/rollout_driver.go
@@ -36,7 +36,7 @@
 	aliveVoters  func() []string
 	send         func(to string, message []byte)
 	sendReliable func(to string, message []byte) error
-	holdsLease   func(lease string) (lease.Token, bool)
+	holdsLease   func(name string) (lease.Token, bool)
 
 	directives chan rollout.Directive // the latest directive to apply; capacity 1
 
@@ -253,8 +253,8 @@
 	}
 }
 
-// sendDirective sends an encoded directive to a server in a goroutine of its own,
-// unless an earlier send to that server has not returned yet.
+// sendDirective sends an encoded directive to a server without blocking, unless an
+// earlier send to that server has not returned yet.
 func (d *rolloutDriver) sendDirective(server string, body []byte) {
 	if server == d.config.Self {
 		d.receiveDirective(body)
--- a/fleet/rollout_operations.go
+++ b/fleet/rollout_operations.go
@@ -72,7 +72,8 @@
 	return f.rolloutDriver.submit(ctx, rollout.Command{Kind: rollout.Start, Plan: &plan, Patch: patch})
 }
 
-// StopRollout halts the plan of an ID: all its servers roll back.
+// StopRollout halts the plan with an ID, so that all its servers roll back. Its errors
+// are those of StartRollout.
 func (f *Fleet) StopRollout(ctx context.Context, id, reason string) error {
 	if f.stateMachine == nil {
 		return ErrNotVoter
--- a/fleet/state_machine.go
+++ b/fleet/state_machine.go
@@ -23,7 +23,7 @@
 	fence        *lease.Fence
 	ownerChanged chan struct{} // receives a value after a lease changed owners; capacity 1
 
-	onAccountsChanged func(budget string, accounts []quota.Delta) // called without holding mu
+	onAccountsChanged func(quotaName string, accounts []quota.Delta) // called without holding mu
 
 	mu          sync.Mutex
 	leaseClient *lease.Client
@@ -55,9 +55,9 @@
 		allocators:   map[string]*quota.Allocator{},
 		waiters:      map[uint64]chan error{},
 	}
-	m.onAccountsChanged = func(budget string, accounts []quota.Delta) { f.quotaAgents[budget].mergeAccounts(accounts) }
-	for budget, agent := range f.quotaAgents {
-		m.allocators[budget] = quota.NewAllocator(agent.total)
+	m.onAccountsChanged = func(quotaName string, accounts []quota.Delta) { f.quotaAgents[quotaName].mergeAccounts(accounts) }
+	for quotaName, agent := range f.quotaAgents {
+		m.allocators[quotaName] = quota.NewAllocator(agent.total)
 	}
 	return m, nil
 }
@@ -235,8 +235,8 @@
 	m.record = s.Record
 	accounts := m.restoreAllocators(s.Allocators)
 	m.mu.Unlock()
-	for budget, changed := range accounts {
-		m.onAccountsChanged(budget, changed)
+	for quotaName, changed := range accounts {
+		m.onAccountsChanged(quotaName, changed)
 	}
 	for _, change := range changes {
 		m.notifyOwnerChange(change)
@@ -248,13 +248,13 @@
 // and returns their accounts by the quota's name. The caller holds mu.
 func (m *stateMachine) restoreAllocators(allocators map[string]*quota.Allocator) map[string][]quota.Delta {
 	accounts := map[string][]quota.Delta{}
-	for budget, allocator := range allocators {
-		if m.allocators[budget] == nil {
+	for quotaName, allocator := range allocators {
+		if m.allocators[quotaName] == nil {
 			continue
 		}
-		m.allocators[budget] = allocator
+		m.allocators[quotaName] = allocator
 		for id, account := range allocator.Accounts {
-			accounts[budget] = append(accounts[budget], quota.Delta{ID: id, Account: account})
+			accounts[quotaName] = append(accounts[quotaName], quota.Delta{ID: id, Account: account})
 		}
 	}
 	return accounts
@@ -270,13 +270,13 @@
 
 // freeRights returns the number of rights of a quota that are granted to no member.
 // It returns 0 if m is nil.
-func (m *stateMachine) freeRights(budget string) int {
+func (m *stateMachine) freeRights(quotaName string) int {
 	if m == nil {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return int(m.allocators[budget].Free)
+	return int(m.allocators[quotaName].Free)
 }
 
 // ownsAnyLease reports whether self owns a lease according to the log.
--- a/fleet/state_machine_test.go
+++ b/fleet/state_machine_test.go
@@ -11,7 +11,7 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// machineTest is a state machine under test, and how many entries it has applied.
+// machineTest is a state machine under test, with the index of the last entry applied.
 type machineTest struct {
 	*stateMachine
 	t     *testing.T
@@ -43,7 +43,8 @@
 	return m.index
 }
 
-// acquire has a member acquire a lease from the owner with a token.
+// acquire makes a member acquire a lease that was last granted with token from, and
+// returns the new token.
 func (m *machineTest) acquire(name, by string, from lease.Token) lease.Token {
 	m.t.Helper()
 	return lease.Token{Term: 1, Index: m.apply(command{Command: &lease.Command{Kind: lease.Acquire, Lease: name, Owner: lease.Owner{Member: by, Incarnation: 1}, Token: from}})}
@@ -64,11 +65,14 @@
 	return started
 }
 
+// step applies a step to phase, made from the record of the entry prev, and returns its
+// entry's index.
 func (m *machineTest) step(token lease.Token, prev uint64, phase rollout.Phase) uint64 {
 	m.t.Helper()
 	return m.apply(command{Rollout: &rolloutCommand{Token: token, Command: rollout.Command{Kind: rollout.Step, PreviousIndex: prev, State: rollout.State{Phase: phase}}}})
 }
 
+// grantRights grants n rights of CallQuota to a member.
 func (m *machineTest) grantRights(token lease.Token, n uint64) {
 	m.t.Helper()
 	m.apply(command{Quota: &quotaCommand{QuotaName: CallQuota, Token: token, Command: quota.Command{Kind: quota.Grant, Target: quota.ID{Member: "x", Incarnation: 1}, Amount: n}}})
@@ -77,35 +81,35 @@
 func (m *machineTest) wantPhase(what string, phase rollout.Phase) {
 	m.t.Helper()
 	if got := m.rolloutRecord().State.Phase; got != phase {
-		m.t.Errorf("%s: %q, want %q", what, got, phase)
+		m.t.Errorf("%s: phase = %q, want %q", what, got, phase)
 	}
 }
 
-// TestMachineFencesOrders has the log refuse what a former owner still sends, of a
-// rollout and of a quota, and a step that was made from an older record; a voter
-// that restores a snapshot continues from the same state.
-func TestMachineFencesOrders(t *testing.T) {
+// TestStateMachine_RejectsStaleCommands checks that the state machine rejects quota commands
+// and rollout steps of former owners, and steps made from an older record. A state
+// machine restored from a snapshot must have the same state.
+func TestStateMachine_RejectsStaleCommands(t *testing.T) {
 	m := newMachineTest(t)
 	started := m.start()
 	m.step(lease.Token{}, started, rollout.Done)
-	m.wantPhase("nobody's step", "")
+	m.wantPhase("after a step without an owner", "")
 	old := m.acquire(RolloutLease, "a", lease.Token{})
 	at := m.step(old, started, rollout.Replacing)
-	m.wantPhase("the owner's step", rollout.Replacing)
+	m.wantPhase("after the owner's step", rollout.Replacing)
 	now := m.acquire(RolloutLease, "b", old)
 	m.step(old, at, rollout.Done)
-	m.wantPhase("the old owner's step", rollout.Replacing)
+	m.wantPhase("after a step of the former owner", rollout.Replacing)
 	m.step(now, started, rollout.Done)
-	m.wantPhase("a step from an older record", rollout.Replacing)
+	m.wantPhase("after a step from an older record", rollout.Replacing)
 	m.step(now, at, rollout.RollingBack)
-	m.wantPhase("the new owner's step", rollout.RollingBack)
+	m.wantPhase("after the new owner's step", rollout.RollingBack)
 
 	former := m.acquire(QuotaLease, "a", lease.Token{})
 	m.grantRights(former, 3)
 	m.acquire(QuotaLease, "b", former)
 	m.grantRights(former, 3)
 	if free := m.freeRights(CallQuota); free != 5 {
-		t.Errorf("%d rights free", free)
+		t.Errorf("freeRights(%s) = %d, want 5", CallQuota, free)
 	}
 
 	snap, err := m.Snapshot()
@@ -116,8 +120,8 @@
 	if err := m.Restore(snap); err != nil {
 		t.Fatal(err)
 	}
-	m.wantPhase("after the snapshot", rollout.RollingBack)
+	m.wantPhase("after Restore", rollout.RollingBack)
 	if owner, token := m.grant(RolloutLease); owner != "b" || token != now || m.freeRights(CallQuota) != 5 {
-		t.Errorf("after the snapshot: %s owns under %v, %d free", owner, token, m.freeRights(CallQuota))
+		t.Errorf("after Restore: grant = %s, %v, %d rights free; want b, %v, 5", owner, token, m.freeRights(CallQuota), now)
 	}
 }
--- a/fleet/voters.go
+++ b/fleet/voters.go
@@ -80,24 +80,24 @@
 // checkRemoval returns an error if the voters without the named one have no live
 // majority. Learners don't count.
 func checkRemoval(voters []VoterStatus, name string) error {
-	staying, alive := 0, 0
+	remaining, alive := 0, 0
 	var dead []string
 	for _, voter := range voters {
 		if voter.Name == name || voter.Learner {
 			continue
 		}
-		staying++
+		remaining++
 		if voter.Alive {
 			alive++
 		} else {
 			dead = append(dead, voter.Name)
 		}
 	}
-	if staying == 0 {
+	if remaining == 0 {
 		return ErrLastVoter
 	}
-	if 2*alive <= staying {
-		return &NoMajorityError{RemainingVoters: staying, DeadVoters: dead}
+	if 2*alive <= remaining {
+		return &NoMajorityError{RemainingVoters: remaining, DeadVoters: dead}
 	}
 	return nil
 }
--- a/fleet/voters_test.go
+++ b/fleet/voters_test.go
@@ -11,34 +11,34 @@
 	"quincerail.example/quincerail/internal/fleettest"
 )
 
-// voters waits until a voter's list of the group satisfies is.
-func (r run) voters(at, what string, is func(list string) bool) {
+// awaitVoterList waits until a voter's list of the group satisfies is.
+func (r testFleet) awaitVoterList(at, what string, is func(list string) bool) {
 	r.t.Helper()
-	r.until(what, func() (string, bool) {
-		out, err := r.operator(at, "voters list")
+	r.eventually(what, func() (string, bool) {
+		out, err := r.runOperatorCommand(at, "voters list")
 		return fmt.Sprint(err, "\n", out), err == nil && is(out)
 	})
 }
 
-// v4Joins has v4 join the group, until all four list it as a voter.
-func (r run) v4Joins() {
+// addV4 adds v4 to the group, and waits until all four voters list it as a voter.
+func (r testFleet) addV4() {
 	r.t.Helper()
-	if out, err := r.operator("v1", "voters add", "--name", "v4", "--raft", r.Children["v4"].Raft); err != nil {
+	if out, err := r.runOperatorCommand("v1", "voters add", "--name", "v4", "--raft", r.Children["v4"].Raft); err != nil {
 		r.t.Fatalf("%v: %s", err, out)
 	}
 	votes := func(list string) bool {
 		return strings.Contains(list, "v4") && !strings.Contains(list, "no vote")
 	}
 	for _, name := range []string{"v1", "v2", "v3", "v4"} {
-		r.voters(name, name+" has v4 as a voter", votes)
+		r.awaitVoterList(name, name+" lists v4 as a voter", votes)
 	}
 }
 
-// removalRefused checks that a voter can't be removed where most of those that
-// would stay are not alive, as that would end the group.
-func (r run) removalRefused(dead, name string) {
+// checkRemovalRejected waits until dead is listed as not alive, and checks that v4 then rejects
+// the removal of the named voter, because no live majority would remain.
+func (r testFleet) checkRemovalRejected(dead, name string) {
 	r.t.Helper()
-	r.voters("v4", dead+" is found dead", func(list string) bool {
+	r.awaitVoterList("v4", "v4 lists "+dead+" as not alive", func(list string) bool {
 		for _, line := range strings.Split(list, "\n") {
 			if strings.HasPrefix(line, dead+" ") {
 				return strings.Contains(line, "false")
@@ -46,35 +46,35 @@
 		}
 		return false
 	})
-	if out, err := r.operator("v4", "voters remove", "--name", name); err == nil || !strings.Contains(out, "no majority") {
-		r.t.Errorf("removed: %v, %s", err, out)
+	if out, err := r.runOperatorCommand("v4", "voters remove", "--name", name); err == nil || !strings.Contains(out, "no majority") {
+		r.t.Errorf("voters remove %s = %v, %q; want a no majority error", name, err, out)
 	}
 }
 
-// ownsNothing checks that a removed voter owns no lease from a place of the logs
-// on, while the others act.
-func (r run) ownsNothing(gone string, from int) {
+// checkOwnsNoLease checks that a removed voter has acquired no lease since line from of the
+// logs, while the registry accepts writes of other voters.
+func (r testFleet) checkOwnsNoLease(removed string, from int) {
 	r.t.Helper()
-	acts, _ := r.Registry.Writes()
+	writes, _ := r.Registry.Writes()
 	for range 30 {
-		n := len(acts)
-		if _, err := r.AwaitAct("more acts", n, func(a fakes.FencedWrite) bool { return a.Accepted && a.By != gone }); err != nil {
+		n := len(writes)
+		if _, err := r.AwaitAct("another accepted write", n, func(a fakes.FencedWrite) bool { return a.Accepted && a.By != removed }); err != nil {
 			r.t.Fatal(err)
 		}
-		acts, _ = r.Registry.Writes()
+		writes, _ = r.Registry.Writes()
 	}
 	for _, l := range r.Lines()[from:] {
-		if l.Event == "lease" && l.Fields["to"] == gone && l.Child != gone {
-			r.t.Errorf("%s was removed and owns: %s", gone, l.Text)
+		if l.Event == "lease" && l.Fields["to"] == removed && l.Child != removed {
+			r.t.Errorf("%s was removed and owns a lease: %s", removed, l.Text)
 		}
 	}
 }
 
-// TestVoters has the group of voters change while the fleet's work goes on: one
-// joins, the owner is killed and removed, a second founder is killed, and the one
-// that joined makes a majority with the last founder. The one that was removed
-// comes back on its old log, and owns nothing any more.
-func TestVoters(t *testing.T) {
+// TestVoters_GroupChangesDuringFailures changes the group of voters while the fleet is in use:
+// v4 joins, the owner is killed and removed, and a second founder is killed. v4 and the
+// last founder must form a majority. The removed voter restarts on its old log, and must
+// not own a lease.
+func TestVoters_GroupChangesDuringFailures(t *testing.T) {
 	own := map[string]map[string]any{}
 	for _, name := range []string{"v1", "v2", "v3", "v4"} {
 		own[name] = map[string]any{"operators": "127.0.0.1:0"}
@@ -83,36 +83,38 @@
 		Voters: 3, Joining: 1, Members: 1, Own: own,
 		Settings: map[string]any{"election_ms": 300, "lease_ms": 300, "probe_ms": 20},
 	})
-	first := r.after(lease.Token{})
-	r.v4Joins()
+	first := r.awaitWriteAbove(lease.Token{})
+	r.addV4()
 
-	gone := first.By
-	stay := slices.DeleteFunc([]string{"v1", "v2", "v3"}, func(name string) bool { return name == gone })
-	if err := r.Kill(gone); err != nil {
+	removed := first.By
+	stay := slices.DeleteFunc([]string{"v1", "v2", "v3"}, func(name string) bool { return name == removed })
+	if err := r.Kill(removed); err != nil {
 		t.Fatal(err)
 	}
-	old := r.act("another owner", func(a fakes.FencedWrite) bool { return a.Accepted && a.By != gone && a.Token.Compare(first.Token) > 0 })
-	if out, err := r.operator(stay[0], "voters remove", "--name", gone); err != nil {
+	old := r.awaitWrite("an accepted write of another owner", func(a fakes.FencedWrite) bool {
+		return a.Accepted && a.By != removed && a.Token.Compare(first.Token) > 0
+	})
+	if out, err := r.runOperatorCommand(stay[0], "voters remove", "--name", removed); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	r.voters("v4", "v4 has "+gone+" no more", func(list string) bool { return !strings.Contains(list, gone) })
+	r.awaitVoterList("v4", "v4 no longer lists "+removed, func(list string) bool { return !strings.Contains(list, removed) })
 	dead := stay[0]
 	if err := r.Kill(dead); err != nil {
 		t.Fatal(err)
 	}
-	acts, _ := r.Registry.Writes()
-	next, err := r.AwaitAct("acts of two of three", len(acts), func(a fakes.FencedWrite) bool { return a.Accepted && a.By != dead })
+	writes, _ := r.Registry.Writes()
+	next, err := r.AwaitAct("an accepted write with two of three voters alive", len(writes), func(a fakes.FencedWrite) bool { return a.Accepted && a.By != dead })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if next.Token.Compare(old.Token) < 0 || next.By == gone {
-		t.Errorf("%s acts under %v after %v", next.By, next.Token, old.Token)
+	if next.Token.Compare(old.Token) < 0 || next.By == removed {
+		t.Errorf("accepted a write of %s with token %v after token %v", next.By, next.Token, old.Token)
 	}
-	r.removalRefused(dead, stay[1])
+	r.checkRemovalRejected(dead, stay[1])
 
 	from := len(r.Lines())
-	if err := r.Launch(gone); err != nil {
+	if err := r.Launch(removed); err != nil {
 		t.Fatal(err)
 	}
-	r.ownsNothing(gone, from)
+	r.checkOwnsNoLease(removed, from)
 }
