--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -186,7 +186,7 @@
 		Quotas:       map[string]QuotaStats{},
 	}
 	_, s.OwnsHealthLease = f.HoldsLease(HealthLease)
-	s.MessagesSent, s.BytesSent = f.membership.Sent()
+	s.MessagesSent, s.BytesSent = f.membership.Traffic()
 	if f.transport != nil {
 		messages, bytes := f.transport.Sent()
 		s.MessagesSent, s.BytesSent = s.MessagesSent+messages, s.BytesSent+bytes
--- a/fleet/gossip/golden_test.go
+++ b/fleet/gossip/golden_test.go
@@ -8,39 +8,39 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// pieces is news that keeps what it heard.
-type pieces [][]byte
+// recordedUpdates is a Delegate that records all merged updates.
+type recordedUpdates [][]byte
 
-// MergeUpdate implements Delegate.
-func (p *pieces) MergeUpdate(piece []byte) (string, bool) {
-	*p = append(*p, slices.Clone(piece))
+// MergeUpdate implements Delegate. It reports no update as new.
+func (r *recordedUpdates) MergeUpdate(update []byte) (string, bool) {
+	*r = append(*r, slices.Clone(update))
 	return "", false
 }
 
 // KnownUpdates implements Delegate.
-func (p *pieces) KnownUpdates() [][]byte { return *p }
+func (r *recordedUpdates) KnownUpdates() [][]byte { return *r }
 
-// TestGoldenState writes and reads what two members exchange of all they know,
-// and writes what a member says of itself.
+// TestGoldenState encodes and decodes the state of a push/pull exchange, and
+// encodes a member's metadata.
 func TestGoldenState(t *testing.T) {
-	known := pieces{[]byte(`j{"lease":"registry"}`), {'c', 0xa1, 0x01, 0xff}, {}}
+	known := recordedUpdates{[]byte(`j{"lease":"registry"}`), {'c', 0xa1, 0x01, 0xff}, {}}
 	writer := memberlistDelegate{updates: &known, role: "voter"}
 	golden.Equal(t, "state.json", writer.LocalState(false))
 	golden.Equal(t, "state-joining.json", writer.LocalState(true))
 	golden.Equal(t, "role", writer.NodeMeta(512))
-	golden.Equal(t, "state-empty.json", memberlistDelegate{updates: new(pieces)}.LocalState(false))
+	golden.Equal(t, "state-empty.json", memberlistDelegate{updates: new(recordedUpdates)}.LocalState(false))
 
-	var heard pieces
-	reader := memberlistDelegate{updates: &heard}
+	var merged recordedUpdates
+	reader := memberlistDelegate{updates: &merged}
 	for _, name := range []string{"state.json", "state-joining.json", "state-empty.json"} {
-		heard = nil
+		merged = nil
 		reader.MergeRemoteState(golden.Bytes(t, name), false)
 		want := known
 		if name == "state-empty.json" {
 			want = nil
 		}
-		if !slices.EqualFunc(heard, want, bytes.Equal) {
-			t.Errorf("%s: heard %q, want %q", name, heard, want)
+		if !slices.EqualFunc(merged, want, bytes.Equal) {
+			t.Errorf("MergeRemoteState of %s merged the updates %q, want %q", name, merged, want)
 		}
 	}
 }
--- a/fleet/gossip/seeds.go
+++ b/fleet/gossip/seeds.go
@@ -6,29 +6,32 @@
 	"time"
 )
 
-// rejoinInterval is how often the seeds are joined that are not known to be alive.
+// rejoinInterval is the time between two attempts to join the seeds that are not
+// known to be alive.
 const rejoinInterval = time.Second
 
-// seed is a member to join by.
+// seed is a configured member that others contact to join the fleet.
 type seed struct{ name, address string }
 
-// memberlistName is the seed's name and address as memberlist joins it.
-func (s seed) memberlistName() string { return s.name + "/" + s.address }
+// joinAddress returns the seed's name and address in the form that
+// memberlist.Join accepts.
+func (s seed) joinAddress() string { return s.name + "/" + s.address }
 
-// seedsOf returns the seeds other than the member itself, in order.
-func seedsOf(options Options) []seed {
+// otherSeeds returns the seeds other than the member itself, sorted by name.
+func otherSeeds(options Options) []seed {
 	var seeds []seed
 	for name, address := range options.Seeds {
 		if name != options.Self {
 			seeds = append(seeds, seed{name, address})
 		}
 	}
-	slices.SortFunc(seeds, func(a, b seed) int { return cmp.Compare(a.memberlistName(), b.memberlistName()) })
+	slices.SortFunc(seeds, func(a, b seed) int { return cmp.Compare(a.joinAddress(), b.joinAddress()) })
 	return seeds
 }
 
-// joinSeeds joins the seeds, and joins again those that are not known to be alive:
-// a member that all others took for dead hears of nobody.
+// joinSeeds joins the seeds, and every rejoinInterval those that are not known to
+// be alive, until Stop. Without that, a member that all others declared dead would
+// learn of no member any more.
 func (m *Membership) joinSeeds() {
 	defer close(m.joinerDone)
 	ticker := time.NewTicker(rejoinInterval)
@@ -49,8 +52,8 @@
 		if slices.Contains(alive, s.name) {
 			continue
 		}
-		if _, err := m.list.Join([]string{s.memberlistName()}); err != nil {
-			m.log.Debug("fleet_join", "seed", s.memberlistName(), "error", err.Error())
+		if _, err := m.list.Join([]string{s.joinAddress()}); err != nil {
+			m.log.Debug("fleet_join", "seed", s.joinAddress(), "error", err.Error())
 		}
 	}
 }
--- a/fleet/state_machine.go
+++ b/fleet/state_machine.go
@@ -206,8 +206,8 @@
 	return encodeLeaseCommands(m.log, m.leaseClient.Tick(m.clock(), leader))
 }
 
-// resign returns the log entries that release this voter's leases; the voter
-// acquires no lease afterwards.
+// resign returns the log entries that release this voter's leases. Afterwards Tick
+// proposes no lease commands.
 func (m *stateMachine) resign() [][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
