--- a/downstream/quota.go
+++ b/downstream/quota.go
@@ -141,10 +141,10 @@
 // quota.
 func ApplyFleetBounds(core *dispatch.Core, member *fleet.Fleet) {
 	bounds := decision.FleetBounds{MaxCalls: math.Inf(1)}
-	if member.QuotaAgent(fleet.Repeats) != nil {
-		bounds.AcquireRetry = member.Repeat
+	if member.QuotaAgent(fleet.RetryQuota) != nil {
+		bounds.AcquireRetry = member.AcquireRetry
 	}
-	calls := member.QuotaAgent(fleet.Calls)
+	calls := member.QuotaAgent(fleet.CallQuota)
 	if calls == nil {
 		if bounds.AcquireRetry != nil {
 			_ = core.SetFleetBounds(bounds, func(int) {}) // fails only if the core has stopped
--- a/internal/fleettest/starter.go
+++ b/internal/fleettest/starter.go
@@ -15,7 +15,7 @@
 )
 
 // ChangeStatus requests the status of the fleet's changes from a voter, as an operator does.
-func (f *Fleet) ChangeStatus(name string) (s fleet.ChangeStatus, err error) {
+func (f *Fleet) ChangeStatus(name string) (s fleet.RolloutStatus, err error) {
 	address, err := f.OperatorAddress(name)
 	if err != nil {
 		return s, err
@@ -93,7 +93,7 @@
 				continue // the voter is paused, or its status is older
 			}
 			s.index = status.Record.Index
-			if s.replaceOne(status.Desired) {
+			if s.replaceOne(status.DesiredVersions) {
 				break // the status is outdated after a replacement
 			}
 		}
--- a/server/rollouts.go
+++ b/server/rollouts.go
@@ -7,14 +7,14 @@
 )
 
 // fleetTarget applies the fleet's rollouts of settings to this process, and counts its
-// outcomes for them. It implements fleet.Target.
+// outcomes for them. It implements fleet.RolloutTarget.
 type fleetTarget struct {
 	*outcomeCounter
 
 	server *Server
 }
 
-// Apply implements fleet.Target.
+// Apply implements fleet.RolloutTarget.
 func (t fleetTarget) Apply(patch json.RawMessage) error { return t.server.applyFleetPatch(patch) }
 
 // applyFleetPatch applies the configuration from the file with the settings changed by patch.
