--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -245,7 +245,7 @@
 		t.Errorf("starter: %v; at most %v servers by version", err, most)
 	}
 	r.checkPhases("replacing 0", "baking 0", "replacing 1", "baking 1", "replacing 2", "baking 2", "done 2")
-	if out, err := r.runOperatorCommand("v3", "rollout start", "--id", "r2", "--from", "v1", "--to", "v2"); err == nil || !strings.Contains(out, "was there before") {
+	if out, err := r.runOperatorCommand("v3", "rollout start", "--id", "r2", "--from", "v1", "--to", "v2"); err == nil || !strings.Contains(out, "the previous plan has the same id") {
 		t.Errorf("rollout start with a used plan ID = %v, %q; want an error", err, out)
 	}
 }
