--- a/clock/clock.go
+++ b/clock/clock.go
@@ -71,7 +71,7 @@
 }
 
 // setOffsetLocked makes an offset the current one. It removes an older offset that equals it
-// within minStep, so that each offset is kept once. c.mu must be held.
+// within minStep, so that no offset is kept twice. c.mu must be held.
 func (c *Clock) setOffsetLocked(offset time.Duration) {
 	c.offsets = slices.DeleteFunc(c.offsets, func(o time.Duration) bool { return (o - offset).Abs() < minStep })
 	if len(c.offsets) == maxOffsets {
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -53,7 +53,7 @@
 	c := newSteppedClock(time.Hour)
 	at := c.Now() + time.Second
 	if got := c.Time(at); !hasMonotonic(got) || !isNear(time.Until(got), time.Second) {
-		t.Errorf("Time(1 s from now) = %v, in %v, want a monotonic reading in 1s", got, time.Until(got))
+		t.Errorf("Time(1 s from now) = %v, which is in %v, want a time with a monotonic reading in 1s", got, time.Until(got))
 	}
 }
 
--- a/cmd/simhost/server_test.go
+++ b/cmd/simhost/server_test.go
@@ -27,7 +27,7 @@
 	} {
 		var out bytes.Buffer
 		if err := serve(strings.NewReader(c.in), &out); err != nil {
-			t.Errorf("%s: serve failed: %v", name, err)
+			t.Errorf("%s: serve = %v, want nil", name, err)
 		} else if !strings.Contains(out.String(), c.want) {
 			t.Errorf("%s: reply is %q, want it to contain %q", name, out.String(), c.want)
 		}
--- a/decision/host.go
+++ b/decision/host.go
@@ -22,13 +22,13 @@
 	// CacheResult keeps a request's result for later attempts until ttl after this call. The
 	// result may not exist yet.
 	CacheResult(id string, ttl time.Duration)
-	// EvictResult cancels CacheResult.
+	// EvictResult reverses CacheResult: the result is not kept.
 	EvictResult(id string)
 	// ServeCached answers a request with the result of the request that it duplicates, as
 	// soon as that result exists.
 	ServeCached(id string)
-	// SetHealth sets the answer to health checks. If cached is set, checks are answered from
-	// it alone; otherwise a check may do real work and call the dependency.
+	// SetHealth sets the answer to health checks. If cached is set, all checks get this
+	// answer; otherwise a check may do real work and call the dependency.
 	SetHealth(healthy, cached bool)
 	// PublishLoad sends callers a load report, in the unit of LoadReportMode.
 	PublishLoad(value float64)
--- a/decision/outcome.go
+++ b/decision/outcome.go
@@ -13,7 +13,7 @@
 	ConnectFailed           // a call never reached the dependency
 	ConnectionReset         // a call's connection broke; it may have had its effect
 	Cancelled               // a run was cancelled
-	NotStarted              // a run was not started because its request had already ended
+	NotStarted              // a run did not start, so it had no effect
 )
 
 // ProvesNoEffect reports whether a call with this outcome certainly had no effect: the
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -43,20 +43,21 @@
 	NextTier                        // the next tier of instances
 )
 
-// Class describes a class of requests.
+// Class holds the settings that all requests of a class share: its time limits, the value of
+// its answers, and whether its requests may run again.
 type Class struct {
 	LatencyObjective time.Duration // an answer this soon after the first attempt earns full weight
 	ObjectivePerCost float64       // this many times CostHint is added to a request's latency objective
 	Deadline         time.Duration // how long a caller waits for all attempts together
 	Weight           float64       // priority weight: value of an answer when not all requests can be served
 	LateWeight       float64       // fraction of Weight that a later answer earns
-	DegradedWeight   float64       // fraction that an answer without the call earns; 0 if the call is needed
+	DegradedWeight   float64       // fraction of Weight without the call; 0 if the call is needed
 	Idempotency      Idempotency
 	KeyWindow        time.Duration // keyed requests: how long after the arrival a retry may come
 	CallsDependency  bool          // its requests may call the dependency
 }
 
-// Tenant describes a customer.
+// Tenant holds the settings of one customer.
 type Tenant struct {
 	Quota float64 // requests per second over the whole fleet; 0 for no limit
 }
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -61,7 +61,7 @@
 }
 
 // ServeCached answers a duplicate with the result of the attempt that owns its key, once
-// that has ended.
+// that attempt has ended.
 func (h host) ServeCached(id string) {
 	if a := h.attempts[id]; a != nil {
 		h.awaitResult(a)
@@ -69,7 +69,7 @@
 }
 
 // awaitResult makes an attempt wait for the owner of its key, or answers it if the owner has
-// ended or it has no key.
+// ended or the attempt has no key.
 func (c *Core) awaitResult(a *attempt) {
 	if a.answered || a.entry != nil && a.entry.AwaitOwner(a.ID) {
 		return
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -23,7 +23,7 @@
 //	                 awaitingJournal             started; the claim of its key has to be made durable
 //	                 awaitingPeer                started; its key is claimed from the predecessor
 //	                 awaitingPoolSlot            started; its class's pool is full
-//	                 startDenied                 started after the drain's grace, or would wait too long for a slot
+//	                 startDenied                 started after the drain's grace, or its run is expected to end too late
 //	                 running                     started; the backend starts the run
 //	                 finished                    answered, or its caller gave up, before the start
 //	heldAfterStall   as queued                   the hold is over
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -7,8 +7,8 @@
 	"quincerail.example/quincerail/idempotency"
 )
 
-// RunCompleted reports how a run ended, after what time and with what result. The result of
-// a failed run goes into the answer as well.
+// RunCompleted reports how a run ended, how long it took, and its result. The answer has the
+// result of a failed run as well.
 func (c *Core) RunCompleted(id string, end RunEnd, took time.Duration, result Payload) {
 	c.notify(runCompleted{id, end, took, result})
 }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -50,7 +50,7 @@
 // PoolOptions configure the pools.
 type PoolOptions struct {
 	CheapestClass string
-	ReservedSlots int     // that only the cheapest class may use
+	ReservedSlots int     // slots that only the cheapest class may use
 	InitialLimit  float64 // of each pool, in slots
 }
 
@@ -136,7 +136,7 @@
 	}
 }
 
-// BackendReady reports that the backend became ready this long ago, and whether it is cold.
+// BackendReady reports how long ago the backend became ready, and whether it is cold.
 // It creates the module; the slow start of a cold backend counts from when it became ready.
 // Further calls have no effect.
 func (c *Core) BackendReady(cold bool, ago time.Duration) {
@@ -172,8 +172,8 @@
 
 // SetFleetBounds limits the module to this server's share of the fleet's resources.
 // reportDemand gets the number of calls that are in flight or waiting, regardless of the
-// bounds. It is called on Run's goroutine, as is FleetBounds.AcquireRetry, and must not
-// block.
+// bounds. It is not called before the backend is ready. reportDemand and
+// FleetBounds.AcquireRetry are called on Run's goroutine and must not block.
 func (c *Core) SetFleetBounds(b decision.FleetBounds, reportDemand func(calls int)) error {
 	return c.enqueue(fleetBoundsSet{b, reportDemand})
 }
--- a/dispatch/drain.go
+++ b/dispatch/drain.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// stopMargin is how long before the end of the process all requests are answered.
+// stopMargin is the time between the latest answers and the stop of the process.
 const stopMargin = 250 * time.Millisecond
 
 // drainState holds the deadlines of a drain or handover. Times are on the clock's timeline.
@@ -19,8 +19,8 @@
 
 // Drain begins a graceful shutdown. noticeAt is the earliest time at which the drain notice
 // may have been sent (DrainNoticeTime), and stopAt is when the process is stopped. Requests
-// that are read after the end of the grace are not started. All requests are answered by
-// stopMargin before stopAt. Further calls have no effect.
+// that are read after the end of the grace are not started. All requests are answered at
+// least stopMargin before stopAt. Further calls have no effect.
 func (c *Core) Drain(noticeAt, stopAt time.Time) { c.notify(drainNoticed{noticeAt, stopAt}) }
 
 type drainNoticed struct{ noticeAt, stopAt time.Time }
@@ -39,9 +39,9 @@
 	c.module.Drain(d.noticeAt, d.stopAt)
 }
 
-// HandOver reports that a successor receives all further requests. The open ones continue,
-// and are answered by stopMargin before stopAt, when the process is stopped. The channel is
-// closed once no request is open.
+// HandOver reports that a successor receives all further requests. The open ones continue, and
+// are answered at least stopMargin before stopAt, when the process is stopped. The returned
+// channel is closed once no request is open.
 func (c *Core) HandOver(stopAt time.Time) <-chan struct{} {
 	idle := make(chan struct{})
 	c.notify(handoverStarted{stopAt, idle})
--- a/dispatch/eventloop.go
+++ b/dispatch/eventloop.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// mailboxCapacity is how many events may be queued. Beyond it, a sender blocks, and so does
-// the connection that it serves.
+// mailboxCapacity is the maximum number of queued events. While the mailbox is full, a sender
+// blocks, and so does the connection that the sender serves.
 const mailboxCapacity = 1024
 
 // ErrStopped is returned by the methods of a core after Run has returned.
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -9,7 +9,7 @@
 // maxDeepCheckWait bounds how long a deep health check waits for the machine's report.
 const maxDeepCheckWait = time.Second
 
-// healthState holds what the reports to health checks and the discovery service depend on.
+// healthState holds the inputs of health checks and of the reports to the discovery service.
 type healthState struct {
 	healthy bool // the module's view of this server
 	// cached is set if all checks are answered from healthy: deep checks don't check the
@@ -34,7 +34,7 @@
 }
 
 // shouldReceiveTraffic reports whether this server accepts traffic and is healthy. Ready
-// reports less: only that requests can be run.
+// ignores the health and whether traffic is disabled.
 func (c *Core) shouldReceiveTraffic() bool { return c.health.healthy && c.acceptsTraffic() }
 
 // reportToRegistrar reports to the discovery service whether this server accepts traffic, and
@@ -104,10 +104,10 @@
 	}
 }
 
-// SetTrafficDisabled disables or enables traffic for operators: while disabled, health checks
-// and the discovery service report that callers should send no requests, regardless of this
-// server's health. Requests that arrive nevertheless are served. done is called once the
-// change is in force.
+// SetTrafficDisabled carries out an operator's request to disable or enable traffic. While
+// traffic is disabled, health checks fail and the discovery service gets the report that this
+// server accepts no requests. Requests that arrive nevertheless are processed as usual. done is
+// called once the change is in force.
 func (c *Core) SetTrafficDisabled(disabled bool, done func()) error {
 	return c.enqueue(trafficDisabledSet{disabled, done})
 }
--- a/dispatch/key_sharing_test.go
+++ b/dispatch/key_sharing_test.go
@@ -24,8 +24,8 @@
 }
 
 // TestCallerDisconnected_KeyedRunContinues ends the callers' connections during runs. A keyed
-// run continues until its deadline, since a retry must get its result and not run; other runs
-// are cancelled.
+// run continues until its deadline, because a retry must get its result instead of running; other
+// runs are cancelled.
 func TestCallerDisconnected_KeyedRunContinues(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		h.submit(t, "a", "gift", "k")
--- a/dispatch/keys.go
+++ b/dispatch/keys.go
@@ -19,7 +19,7 @@
 	return idempotency.Attempt{ID: a.ID, Key: a.Key, Class: a.Class, BodyHash: a.bodyHash, ArrivedAt: a.arrivedAt}
 }
 
-// keyStateWith returns keyState with Completed set to a value.
+// keyStateWith returns the state of an entry, with Completed set as given.
 func (c *Core) keyStateWith(e *idempotency.Entry, completed bool) KeyState {
 	state := c.keyState(e)
 	state.Completed = completed
--- a/dispatch/observer_test.go
+++ b/dispatch/observer_test.go
@@ -20,8 +20,8 @@
 	o.responses = append(o.responses, fmt.Sprintf("%s %d %t", class, kind, duplicate))
 }
 
-// TestObserver_GetsEachAnswerOnce checks that each answer is reported once, that of a
-// duplicate with duplicate set, and that InFlight returns to 0.
+// TestObserver_GetsEachAnswerOnce checks that each answer is reported once, with duplicate set
+// for the answer to a duplicate, and that InFlight returns to 0.
 func TestObserver_GetsEachAnswerOnce(t *testing.T) {
 	o := &observer{}
 	runTestWith(t, func(opt *Options) { opt.Observer = o }, func(t *testing.T, h *harness) {
--- a/dispatch/pools_test.go
+++ b/dispatch/pools_test.go
@@ -7,8 +7,8 @@
 // TestPools_BorrowQueueAndShed checks pools with one slot for each of three classes, while
 // the module has 8 cores. Three reads run: one in its own slot, two in borrowed ones. Two
 // more are queued, and the one that its caller cancels there never starts. After a run of one
-// second, a read that would wait for more than half its latency objective is shed at once,
-// and releases no slot.
+// second, a read whose run is expected to end after half its latency objective is shed at
+// once, and releases no slot.
 func TestPools_BorrowQueueAndShed(t *testing.T) {
 	runTestWith(t, func(o *Options) { o.Pools, o.Settings.Cores = &PoolOptions{InitialLimit: 1}, 8 }, func(t *testing.T, h *harness) {
 		for _, id := range []string{"a", "b", "c", "d", "e"} {
--- a/dispatch/replication.go
+++ b/dispatch/replication.go
@@ -33,8 +33,8 @@
 	inDoubtUntil      time.Duration        // until then, a key that the table does not know may have run
 }
 
-// ConnectPeer connects a peer, which is the predecessor or the successor of this process. It
-// is ignored if another peer is connected.
+// ConnectPeer connects a peer, which is the predecessor or the successor of this process. The
+// call has no effect if a peer is already connected.
 func (c *Core) ConnectPeer(p Peer, predecessor bool) error {
 	return c.enqueue(peerConnected{p, predecessor})
 }
@@ -190,7 +190,7 @@
 	c.resolveClaim(a, hasKey)
 }
 
-// ApplyTrafficDisabled applies what operators have set in the peer's process.
+// ApplyTrafficDisabled disables or enables traffic here, as operators have in the peer's process.
 func (c *Core) ApplyTrafficDisabled(p Peer, disabled bool) {
 	c.notify(trafficDisabledReplicated{p, disabled})
 }
--- a/dispatch/replication_test.go
+++ b/dispatch/replication_test.go
@@ -151,7 +151,7 @@
 			h.forEachCore(func(c *Core) {
 				must(t, c.CheckHealth(false, func(healthy bool) {
 					if healthy == want {
-						t.Errorf("health check = %t with traffic disabled = %t", healthy, want)
+						t.Errorf("health check = %t after SetTrafficDisabled(%t)", healthy, want)
 					}
 				}))
 			})
--- a/dispatch/respond.go
+++ b/dispatch/respond.go
@@ -101,7 +101,7 @@
 func (c *Core) InFlight() int64 { return c.inFlight.Load() }
 
 // CountUnanswered calls reply with the number of requests whose caller still waits for an answer,
-// after all requests that were submitted before it have been received.
+// after all requests that were submitted before the call have been received.
 func (c *Core) CountUnanswered(reply func(requests int)) error {
 	return c.enqueue(unansweredRequested{reply})
 }
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -10,9 +10,9 @@
 	"quincerail.example/quincerail/policy"
 )
 
-// drainNoticeDelay is how long after its sending a busy core may receive a drain notice.
-// DrainGrace counts from the receipt and is shortened by this delay, so that it does not end
-// later than a grace that counts from the sending.
+// drainNoticeDelay is the longest time between the sending of a drain notice and its receipt
+// by a busy core. DrainGrace counts from the receipt and is shortened by this delay, so that it
+// does not end later than a grace that counts from the sending.
 const drainNoticeDelay = 30 * time.Millisecond
 
 // settingsTable holds the classes and tenants in force. Each keeps its index for the life of
--- a/dispatch/settings_test.go
+++ b/dispatch/settings_test.go
@@ -202,7 +202,7 @@
 }
 
 // TestRegistrar_FollowsHealthIfSet checks that the reports to the registrar include the
-// server's health only with the setting ListFollowsHealth, and a drain in any case.
+// server's health only with the setting EndpointListOmitsUnhealthy, and a drain in any case.
 func TestRegistrar_FollowsHealthIfSet(t *testing.T) {
 	for _, follows := range []bool{true, false} {
 		runTestWith(t, func(o *Options) { o.Settings.EndpointListOmitsUnhealthy = follows }, func(t *testing.T, h *harness) {
@@ -210,7 +210,7 @@
 			h.runInLoop(h.Core, func() { host{h.Core}.SetHealth(false, true) })
 			h.wait()
 			if last() == follows {
-				t.Errorf("ListFollowsHealth = %t: report of an unhealthy server = %t, want %t", follows, last(), !follows)
+				t.Errorf("EndpointListOmitsUnhealthy = %t: unhealthy server reported as accepting = %t, want %t", follows, last(), !follows)
 			}
 			changed := settings()
 			changed.EndpointListOmitsUnhealthy = !follows
@@ -218,12 +218,12 @@
 				t.Fatal(err)
 			}
 			if last() != follows {
-				t.Errorf("ListFollowsHealth changed to %t: report of an unhealthy server = %t, want %t", !follows, last(), follows)
+				t.Errorf("EndpointListOmitsUnhealthy changed to %t: unhealthy server reported as accepting = %t, want %t", !follows, last(), follows)
 			}
 			h.Drain(time.Now(), time.Now().Add(time.Minute))
 			h.wait()
 			if last() {
-				t.Error("report after a drain = true, want false")
+				t.Error("server reported as accepting after the start of a drain, want not accepting")
 			}
 		})
 	}
@@ -242,7 +242,8 @@
 			h.sleep(time.Second)
 			value, ok := h.LoadReport()
 			if ok != (mode != decision.LoadReportNone) || mode == decision.LoadReportCredit && value < 1 {
-				t.Errorf("mode %d: LoadReport() = %v, %t", mode, value, ok)
+				t.Errorf("mode %d: LoadReport() = %v, %t, want ok = %t, and in mode %d at least 1",
+					mode, value, ok, mode != decision.LoadReportNone, decision.LoadReportCredit)
 			}
 		}
 	})
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -12,12 +12,12 @@
 const (
 	// minStall is the shortest gap between two batches that counts as a stall.
 	minStall = 50 * time.Millisecond
-	// recentStall is how long after a stall a received signal may have been sent during the
-	// stall.
+	// recentStall is the time after a stall within which a received signal may have been sent
+	// during the stall.
 	recentStall = 100 * time.Millisecond
 	// minLoggedStall is the shortest stall that is logged.
 	minLoggedStall = 250 * time.Millisecond
-	// stallHoldTime is how long no request is started after a stall of at least DrainGrace. A
+	// stallHoldTime is the time after a stall of at least DrainGrace in which no request is started. A
 	// drain notice that was sent during the stall is received within this time.
 	stallHoldTime = 50 * time.Millisecond
 )
--- a/dispatch/start.go
+++ b/dispatch/start.go
@@ -7,13 +7,14 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// poolWaitDivisor bounds the wait for a slot: it ends at the latency objective divided by
-// this, counted from the attempt's arrival. The module also sheds at half the objective.
+// poolWaitDivisor bounds the queues of the pools: an attempt is queued only if its run is
+// expected to end within the latency objective divided by this, counted from the attempt's
+// arrival. The module also sheds at half the objective.
 const poolWaitDivisor = 2
 
 // acquirePoolSlot continues the start of an attempt if its class's pool has a free slot.
-// Otherwise the attempt is queued for one, or shed at once if it would wait too long
-// (poolWaitDivisor).
+// Otherwise the attempt is queued for one, or shed at once if its run is
+// expected to end too late (poolWaitDivisor).
 func (c *Core) acquirePoolSlot(a *attempt) {
 	if c.pools == nil {
 		c.startBackend(a)
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -19,7 +19,7 @@
 	Deadline   time.Time // when its caller gives up; zero for the deadline of its class, which is also an upper bound
 	Caller     int
 	ReservedKB float64 // memory in kB that it occupies; over 0
-	Rank       float64 // rank of the caller among all callers, in [0, 1)
+	Rank       float64 // rank of the request among all requests, in [0, 1)
 	Payload    Payload
 	Backend    Backend   // runs it; nil for Options.Backend
 	Responder  Responder // gets the answer; also identifies the caller that may cancel the request
@@ -57,7 +57,7 @@
 	Respond(id string, o Outcome)
 }
 
-// RunEnd is how a run ended.
+// RunEnd is the backend's report of how a run ended.
 type RunEnd int
 
 // The ends of a run.
@@ -96,7 +96,7 @@
 	CheckHealth(reply func(healthy bool))
 }
 
-// CallOutcome is how a downstream call ended.
+// CallOutcome is the dependency's report of how a downstream call ended.
 type CallOutcome = decision.Outcome
 
 // Dependency makes the downstream calls of runs. It reports by calling
@@ -127,6 +127,6 @@
 	ObserveResponse(class string, kind OutcomeKind, took time.Duration, duplicate bool)
 }
 
-// RemovedClass is what the Observer gets instead of a class that was removed from the
-// settings after the request arrived.
+// RemovedClass is the class name that the Observer gets if the class of a request was removed
+// from the settings after the request arrived.
 const RemovedClass = "(dropped)"
--- a/guard/connection.go
+++ b/guard/connection.go
@@ -31,7 +31,7 @@
 	NoticePeriod     HoldReason = "notice_period"
 )
 
-// recheckInterval is the time until the next check where the remaining time isn't known.
+// recheckInterval is the time until the next check if it isn't known when the reason ends.
 const recheckInterval = 20 * time.Millisecond
 
 // MayClose decides whether a connection may be closed now. If not, it returns the reason,
--- a/guard/failure.go
+++ b/guard/failure.go
@@ -12,7 +12,8 @@
 	ErrTooManyFailures error = &DenialError{"too many consecutive reads or writes of the connection failed"}
 )
 
-// MaxConsecutiveFailures is how many consecutive failures of a read or write are retried.
+// MaxConsecutiveFailures is the maximum number of consecutive failures of a read or write that
+// are retried.
 const MaxConsecutiveFailures = 500
 
 // finalErrnos lists the errors that prove that a connection has ended, or that the file
@@ -26,7 +27,7 @@
 
 // MayRetry decides whether a failed read or write of a connection is retried.
 //
-// Inputs: its error, and the number of consecutive failures including this one. Rule: a
+// Inputs: the error of the call, and the number of consecutive failures including this one. Rule: a
 // system call's error that isn't in finalErrnos is retried, up to MaxConsecutiveFailures
 // times. Any other error is final. Reason: closing the connection because of a transient
 // fault would lose the requests on it.
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -160,7 +160,7 @@
 	} {
 		var denial *DenialError
 		if err.Error() != want || !errors.As(err, &denial) {
-			t.Errorf("got %T with the text %q, want a *DenialError with %q", err, err, want)
+			t.Errorf("denial is a %T with the text %q, want a *DenialError with the text %q", err, err, want)
 		}
 	}
 }
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -4,8 +4,8 @@
 //
 // # Lifecycle of a key
 //
-// An attempt is registered when it arrives ([Table.Register]), which returns the earlier
-// attempt that it duplicates, if there is one. The first attempt of a key owns it: its
+// An attempt is registered when it arrives. [Table.Register] returns the id of the attempt that
+// it duplicates, if there is one. The first attempt of a key owns it: its
 // duplicates wait for it, whether it runs or not ([Entry.AwaitOwner]). Before an attempt runs, it
 // claims the key ([Table.Claim]), which sets the key's window, counted from the arrival of
 // that attempt. An attempt that is proven not to have run releases its claim
@@ -18,8 +18,8 @@
 //	claimed    an attempt runs, in this process or in a peer: others wait for it
 //	completed  the run has ended: duplicates get its result, or fail if there is none
 //
-// [Entry.Completed] is about the owner, not about a run: an entry whose owner was shed is
-// completed and not run.
+// [Entry.Completed] reports whether the owner has ended, not whether the key has run: an entry
+// whose owner was shed is completed, and the key has not run.
 //
 // [Table.Expire] removes an entry once no attempt refers to it and its window is over for
 // every attempt that may still be read.
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -31,8 +31,8 @@
 	return &Table{entries: make(map[string]*Entry), maxBytes: maxBytes}
 }
 
-// AllowLateness sets how long after its arrival an attempt may still be registered, unless a
-// longer time is set already. Entries are kept for this time after the end of their window.
+// AllowLateness sets the longest time from an attempt's arrival to Register, unless a longer one
+// is set already. Entries are kept for this time after the end of their window.
 func (t *Table) AllowLateness(lateness time.Duration) {
 	t.maxLateness = max(t.maxLateness, lateness)
 }
@@ -127,9 +127,10 @@
 	return waiting
 }
 
-// Apply replaces the state of a key by one from a peer or the journal; expiresAt is the end of
+// Apply replaces the state of a key with one from a peer or the journal; expiresAt is the end of
 // its window on this process's timeline. A state without RanAttemptID releases the claim. If
-// the run has ended, Apply returns the ids of the duplicates that wait for it.
+// the run has ended or the claim is released, Apply returns the ids of the duplicates that wait
+// for the owner.
 func (t *Table) Apply(state KeyState, expiresAt time.Duration) (e *Entry, waiting []string) {
 	e = t.lookupOrAdd(state.Key)
 	t.evictResult(e)
--- a/idempotency/table_test.go
+++ b/idempotency/table_test.go
@@ -222,7 +222,7 @@
 		table.Register(Attempt{ID: fmt.Sprint(i), Key: fmt.Sprint("k", i)})
 	}
 	if !table.Full() || len(table.Entries()) != 3 {
-		t.Errorf("Full() = %t with %d entries, want true with 3", table.Full(), len(table.Entries()))
+		t.Errorf("Full() = %t, %d entries; want true, 3", table.Full(), len(table.Entries()))
 	}
 	if NewTable(0).Full() {
 		t.Error("Full() = true for a table without a bound, want false")
@@ -239,7 +239,7 @@
 
 	to, waiting := target.Apply(from.State(expiresAt), testWindow)
 	if len(waiting) != 0 || !to.RunsRemotely() || to.Completed() || to.RanAttemptID() != "owner" {
-		t.Fatalf("claimed: entry = %+v, waiting = %v, want it running remotely and none", to, waiting)
+		t.Fatalf("claimed: entry = %+v, waiting = %v, want RunsRemotely and no waiting duplicates", to, waiting)
 	}
 	register(t, target, attempt("duplicate", 0), "owner")
 	if !to.AwaitOwner("duplicate") {
@@ -250,7 +250,7 @@
 	source.Unregister(from, "owner")
 	to, waiting = target.Apply(from.State(expiresAt), testWindow)
 	if !slices.Equal(waiting, []string{"duplicate"}) || to.RunsRemotely() || !to.Completed() {
-		t.Errorf("completed: entry = %+v, waiting = %v, want it completed and [duplicate]", to, waiting)
+		t.Errorf("completed: entry = %+v, waiting = %v, want the entry completed and waiting = [duplicate]", to, waiting)
 	}
 	if got, want := to.State(expiresAt), from.State(expiresAt); !reflect.DeepEqual(got, want) {
 		t.Errorf("replicated state = %+v, want %+v", got, want)
@@ -281,7 +281,7 @@
 		}
 	}
 	if first.Result() != nil || first.RanAttemptID() != "0" {
-		t.Errorf("oldest entry: Result() = %v, RanAttemptID() = %q, want nil and 0", first.Result(), first.RanAttemptID())
+		t.Errorf("oldest entry: Result() = %v, RanAttemptID() = %q, want nil and \"0\"", first.Result(), first.RanAttemptID())
 	}
 	table.Expire(testWindow + time.Second)
 	if len(table.entries) != 0 || table.bytes != 0 {
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -16,7 +16,7 @@
 	gaugeSeparator  = ","
 	gaugeAssignment = ":"
 
-	// What errors say that a field should be.
+	// Descriptions of valid values, for the errors of malformed fields.
 	wantWholeNumber  = "a whole number"
 	wantNumber       = "a number"
 	wantRequestID    = "a request id"
--- a/internal/simwire/message_test.go
+++ b/internal/simwire/message_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	if m, _ := Parse("RING stats=core_use"); m.Gauges().CoreUtilization >= 0 || m.Err() == nil {
-		t.Error("Gauges() of a gauge without a value succeeded or set the gauge, want an error")
+		t.Error("Gauges() with a gauge without a value succeeded or set the gauge, want an error and no value")
 	}
 }
 
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -92,7 +92,7 @@
 	return s
 }
 
-// setObligations sets the rules that the instance must observe.
+// setObligations sets the time and load limits that the platform imposes on the instance.
 func (p *profile) setObligations(s *decision.Settings) {
 	obligations := &p.Obligations
 	s.DeadlineSlack = microseconds(obligations.AnswerSlackUs)
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// classSettings returns the settings of the class with an index. Where a list is too short, the
-// setting is left at zero.
+// classSettings returns the settings of class i. A setting whose list has no entry for the class
+// is zero.
 func (p *profile) classSettings(i int) (decision.Class, error) {
 	lane := &p.Lanes[i]
 	effect, err := lookUp("semantics", lane.Semantics, effects)
@@ -140,7 +140,8 @@
 	return c, err
 }
 
-// lookUp returns the value for a word of the wire. key is the field that the error names.
+// lookUp returns the value for a word of the wire. If the word is unknown, the error names the
+// field key.
 func lookUp[T any](key, word string, known map[string]T) (T, error) {
 	value, ok := known[word]
 	if !ok {
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -50,6 +50,6 @@
 		t.Errorf("Settings = %+v\nwant %+v", got, want)
 	}
 	if s, err := Settings(`{"caps": {"maxRetryAfterUs": 16}}`); err != nil || s.MaxRetryAfter != 0 {
-		t.Errorf("without caps.retryAfter, MaxRetryAfter = %v, error %v, want 0 and no error", s.MaxRetryAfter, err)
+		t.Errorf("without caps.retryAfter: MaxRetryAfter = %v, error = %v; want 0, nil", s.MaxRetryAfter, err)
 	}
 }
--- a/limits/config.go
+++ b/limits/config.go
@@ -8,7 +8,7 @@
 	defaultMaxLimit     = 1000
 )
 
-// Class describes the class of a pool.
+// Class is the configuration of one class, which has a pool of its own.
 type Class struct {
 	Name     string
 	Cheapest bool // its runs may take the reserved slots
--- a/limits/pools.go
+++ b/limits/pools.go
@@ -22,7 +22,7 @@
 	item  string
 }
 
-// pool is the pool of one class.
+// pool holds the limit, the slots in use and the queue of one class.
 type pool struct {
 	vegasLimit
 	inUse int      // slots that the class's runs hold, including borrowed but not reserved ones
@@ -35,7 +35,7 @@
 	queuedAt time.Duration
 }
 
-// slotSource says where a run's slot comes from.
+// slotSource is the kind of slot that a run holds.
 type slotSource uint8
 
 const (
@@ -119,8 +119,8 @@
 // Inputs: the slots in use and the limits of all pools, the reserved slots, and whether runs
 // of the class wait downstream. Rule: a slot of the class's own pool comes first; then one
 // that other pools don't use, unless runs of the class wait downstream; then a reserved one,
-// if the class is the cheapest. Reason: a class whose runs wait downstream would only
-// overload it further, and the cheapest class must run under any load.
+// if the class is the cheapest. Reason: more runs of a class whose runs wait downstream
+// would only overload the downstream further, and the cheapest class must run under any load.
 func (p *Pools) findSlot(class int) slotSource {
 	own := p.pools[class]
 	switch {
@@ -167,8 +167,8 @@
 }
 
 // Enqueue queues a run that got no slot. It returns false without queueing the run if the run
-// is expected to end later than maxTime from now. now orders the queues; it may be of any
-// clock.
+// is expected to end later than maxTime from now. The values of now order the queues; they may
+// come from any one clock.
 //
 // The expected time is (queue length + 1) / limit round trips in the queue and one for the
 // run itself, each as long as the recent mean latency. Before the first latency is observed,
--- a/limits/pools_test.go
+++ b/limits/pools_test.go
@@ -101,11 +101,11 @@
 		pools := newPools(t, 2, 0)
 		r := simulate(4, eightCores, loads, pools, 30*time.Second, nil)
 		if float64(r.servedByClass[0]) < c.wantSlow*c.slowRate*30 || float64(r.servedByClass[1]) < 0.95*400*30 {
-			t.Errorf("%.0f slow requests per second: served %v in time of %v by class", c.slowRate, r.servedByClass,
-				[]float64{c.slowRate * 30, 400 * 30})
+			t.Errorf("%.0f slow requests per second: served in time by class = %v of %v, want at least %v and 0.95 of them",
+				c.slowRate, r.servedByClass, []float64{c.slowRate * 30, 400 * 30}, c.wantSlow)
 		}
 		if pools.Limit(0) == pools.Limit(1) {
-			t.Errorf("both classes have the limit %.1f, want different ones", pools.Limit(0))
+			t.Errorf("limits of both classes = %.1f, want different limits", pools.Limit(0))
 		}
 	}
 }
@@ -137,7 +137,7 @@
 		variance += (l - mean) * (l - mean) / float64(len(secondHalf))
 	}
 	if cv := math.Sqrt(variance) / mean; cv > 0.25 {
-		t.Errorf("the limit has mean %.1f and coefficient of variation %.2f, want at most 0.25", mean, cv)
+		t.Errorf("limit has mean %.1f and coefficient of variation %.2f, want a coefficient of at most 0.25", mean, cv)
 	}
 }
 
@@ -148,7 +148,7 @@
 	first, ok := p.TryAcquire(0, "kampanj-7")
 	second, ok2 := p.TryAcquire(0, "kampanj-7")
 	if !ok || !ok2 || !second.coalesced || p.InUse(0) != 1 {
-		t.Fatalf("acquired %t and %t, second run coalesced %t, %d slots in use, want true, true, true, 1", ok, ok2, second.coalesced, p.InUse(0))
+		t.Fatalf("two reads of one item: acquired = %t and %t, second coalesced = %t, slots in use = %d; want true, true, true, 1", ok, ok2, second.coalesced, p.InUse(0))
 	}
 	limit := p.Limit(0)
 	p.Release(second, time.Hour, true)
@@ -157,7 +157,7 @@
 	}
 	p.Release(first, 10*time.Millisecond, true)
 	if third, _ := p.TryAcquire(0, "kampanj-7"); third.coalesced || p.InUse(0) != 1 {
-		t.Errorf("after both runs ended, third run coalesced %t, %d slots in use, want false, 1", third.coalesced, p.InUse(0))
+		t.Errorf("after both runs ended: third run coalesced = %t, slots in use = %d; want false, 1", third.coalesced, p.InUse(0))
 	}
 }
 
@@ -191,16 +191,16 @@
 	p := newPools(t, 2, 0)
 	permits := mustAcquire(t, p, 0, 8)
 	if _, ok := p.TryAcquire(0, ""); ok || permits[7].source != borrowedSlot || permits[3].source == borrowedSlot {
-		t.Errorf("a 9th run got a slot (%t), or the first 4 slots of %v are borrowed, or the last is not", ok, permits)
+		t.Errorf("9th run got a slot = %t, permits = %+v; want false, the 4th slot not borrowed and the 8th borrowed", ok, permits)
 	}
 	if _, ok := p.TryAcquire(1, ""); !ok {
-		t.Error("a run got no slot of its own pool while its slots are lent") // the sum of the limits is exceeded by one
+		t.Error("TryAcquire(1) = false while slots of pool 1 are lent, want true") // the sum of the limits is exceeded by one
 	}
 	if !p.Enqueue(1, "later", 0, time.Second) {
-		t.Error("Enqueue = false, want true")
+		t.Error("Enqueue(later) = false, want true")
 	}
 	if next := p.Release(permits[7], time.Millisecond, true); len(next) != 1 || next[0].ID != "later" {
-		t.Errorf("releasing a borrowed slot admits %v, want the run later", next)
+		t.Errorf("Release of a borrowed slot admits %v, want only the run \"later\"", next)
 	}
 }
 
@@ -208,7 +208,7 @@
 func TestTryAcquire_AddsPoolForNewClass(t *testing.T) {
 	p := newPools(t, 1, 0)
 	if _, ok := p.TryAcquire(3, ""); !ok || p.InUse(3) != 1 || p.Limit(3) != 4 {
-		t.Errorf("new class: acquired %t, %d slots in use, limit %v, want true, 1, 4", ok, p.InUse(3), p.Limit(3))
+		t.Errorf("new class: acquired = %t, slots in use = %d, limit = %v; want true, 1, 4", ok, p.InUse(3), p.Limit(3))
 	}
 }
 
@@ -226,7 +226,7 @@
 	p.Cancel(1, "cancelled")
 	p.Cancel(1, "unknown")
 	if p.Queued(0) != 2 || p.Queued(1) != 1 {
-		t.Errorf("%d and %d runs queued, want 2 and 1", p.Queued(0), p.Queued(1))
+		t.Errorf("after Cancel: %d and %d runs queued, want 2 and 1", p.Queued(0), p.Queued(1))
 	}
 	var admittedIDs []string
 	for _, permit := range permits[1:] { // of class 0, so the run of class 1 borrows its slot
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,8 +12,8 @@
 	minRetryAfterScale      = shedOnsetFraction // least scale of Retry-After for a shed arrival
 	retryWeightFactor       = 0.75              // of the weight of a first attempt
 	arrivalRateTimeConstant = 5 * time.Second
-	quotaToleranceSigma     = 2 // standard deviations that a tenant's arrivals may exceed its quota by
-	tenantWeightSteps       = 4 // steps of a tenant's weight factor; equal weights run in order of arrival
+	quotaToleranceSigma     = 2 // standard deviations by which a tenant's arrivals may exceed its quota
+	tenantWeightSteps       = 4 // a tenant's weight factor is rounded to a multiple of 1 over this
 )
 
 // admitReceived admits or sheds the requests that were read since the last batch.
@@ -29,10 +29,10 @@
 // sheds it.
 //
 // It sheds a request when memory is short, and at random with two probabilities. One grows
-// with the waits in the queue, the other with the expected wait for a call. In the latter
-// case Retry-After is 0 unless the instance drains, because it has room for requests
-// without calls. But most callers are advised not to retry elsewhere, because the other
-// instances lack call quota too.
+// with the waits in the queue, the other with the expected wait for a call. A request shed
+// for its expected call wait gets a Retry-After of 0 unless the instance drains, because the
+// instance has room for requests without calls. Most of its callers are advised not to retry
+// elsewhere, because the other instances lack call quota too.
 func (in *Instance) admit(req *request) {
 	if in.coalesce(req) {
 		return
@@ -74,8 +74,8 @@
 }
 
 // shedProbability returns the probability of shedding an arrival, 0 to 1. It grows with
-// the longest wait among the requests that would run before the arrival. Old requests of
-// lower weight don't count.
+// the longest wait among the requests that would run before the arrival. Requests of
+// lower weight don't count, however old they are.
 func (in *Instance) shedProbability(req *request) float64 {
 	probability := 0.0
 	for _, other := range in.queue {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -39,7 +39,7 @@
 	in.RequestReceived(0, decision.Request{ID: "plain", Class: 1, ReservedKB: 1})
 	in.Decide(0)
 	if host.count("refuse calls 0s true") != 1 {
-		t.Errorf("want the calling request shed without Retry-After, no retry advised: %v", host.actions)
+		t.Errorf("actions = %v, want \"calls\" shed with Retry-After 0 and noRetryElsewhere", host.actions)
 	}
 	if host.count("run plain") != 1 {
 		t.Errorf("the request without calls was not run: %v", host.actions)
@@ -64,7 +64,7 @@
 		in.CallNeeded(0, "a")
 		in.Decide(0)
 		if host.count("run a") != 1 || host.count("skip a") != len(want)/len("skip a") {
-			t.Errorf("credit %v: want \"run a\" and %q: %v", credit, want, host.actions)
+			t.Errorf("credit %v: actions = %v, want \"run a\" and %q", credit, host.actions, want)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	in.RequestReceived(0, decision.Request{ID: "first", ReservedKB: 1})
 	in.Decide(0)
 	if host.count("run first") != 1 || host.count("run retry") != 0 {
-		t.Errorf("want only the first attempt run: %v", host.actions)
+		t.Errorf("actions = %v, want only the first attempt run", host.actions)
 	}
 }
 
@@ -112,7 +112,7 @@
 	in.RequestReceived(now, decision.Request{ID: "new", ReservedKB: 1, ReadLag: 150 * ms})
 	in.Decide(now)
 	if host.count("refuse new") != 1 || strings.HasSuffix(host.actions[len(host.actions)-1], "true") {
-		t.Fatalf("want new shed at once, with a retry elsewhere allowed: %v", host.actions)
+		t.Fatalf("actions = %v, want \"new\" shed at once without noRetryElsewhere", host.actions)
 	}
 	in.RunDone(now, "slow", decision.Succeeded, now)
 	in.load.pressure = 0
@@ -123,6 +123,6 @@
 		in.RunDone(now, fmt.Sprint(i), decision.Succeeded, 50*ms)
 	}
 	if got := in.maxQueueWait(&request{class: &s.Classes[0], dueAt: time.Hour}); got != time.Second {
-		t.Errorf("maxQueueWait = %v after fast runs, want half of the objective: %v", got, time.Second)
+		t.Errorf("maxQueueWait = %v after fast runs, want half of the objective (%v)", got, time.Second)
 	}
 }
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -6,7 +6,7 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// minRetryAfterJitter is the least random factor on Retry-After; the greatest is 1 more.
+// minRetryAfterJitter is the least random factor on Retry-After; the greatest is 1 + minRetryAfterJitter.
 // Without jitter all callers would retry at once.
 const minRetryAfterJitter = 0.5
 
--- a/policy/average.go
+++ b/policy/average.go
@@ -8,7 +8,7 @@
 // ewmaWeight is the weight of the newest sample in exponentially weighted moving averages.
 const ewmaWeight = 0.1
 
-// movingAverage returns the average after one more sample with a weight from 0 to 1.
+// movingAverage returns the average after one more sample. The weight of the sample is 0 to 1.
 func movingAverage(average, sample, weight float64) float64 {
 	return average + weight*(sample-average)
 }
@@ -27,7 +27,7 @@
 	return rate
 }
 
-// decayFactor returns the factor of an exponential decayFactor over the elapsed time.
+// decayFactor returns the factor of an exponential decay over the elapsed time.
 func decayFactor(elapsed, timeConstant time.Duration) float64 {
 	return math.Exp(-float64(elapsed) / float64(timeConstant))
 }
--- a/policy/call_quota.go
+++ b/policy/call_quota.go
@@ -10,7 +10,7 @@
 
 const (
 	callUtilizationTarget    = 0.4         // fraction of CallQuota in flight on average
-	hungCallUtilizationLimit = 0.9         // the same if all calls hang
+	hungCallUtilizationLimit = 0.9         // fraction of CallQuota over CallQuotaWindow if all calls hang
 	minCallQuota             = 0.005       // calls in flight; a CallQuota of 0 may be a rounded value
 	callCreditWindow         = time.Second // an idle instance accrues credit for this long
 	callBurstFactor          = 2.0         // calls in flight at full credit, as a multiple of the target
--- a/policy/call_quota_test.go
+++ b/policy/call_quota_test.go
@@ -205,7 +205,7 @@
 	}
 	in.Decide(ms)
 	if n := host.count("call"); n != 0 {
-		t.Errorf("%d calls made at MaxCalls 0", n)
+		t.Errorf("%d calls at MaxCalls 0, want 0", n)
 	}
 	if wanted := in.SetFleetBounds(decision.FleetBounds{MaxCalls: 2}); wanted != running {
 		t.Errorf("SetFleetBounds = %d, want %d", wanted, running)
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -27,14 +27,14 @@
 		in.now = now + time.Duration(i)
 	}
 	if !in.updateBreaker() || host.count("log below") != 1 {
-		t.Fatalf("breaker closed after 8 failures, or not logged as open: %v", host.actions)
+		t.Fatalf("after 8 failures: breaker closed, or not logged as open; actions = %v", host.actions)
 	}
 	in.timeouts.idempotentCalls = 0
 	for i := range diagnosticInterval {
 		callAt(now+time.Duration(i), fmt.Sprint("r", i))
 	}
 	if host.count("call") != 1 || host.count("fail") != diagnosticInterval-1 {
-		t.Fatalf("want one diagnostic call and all other requests failed: %v", host.actions)
+		t.Fatalf("actions = %v, want one diagnostic call and all other requests failed", host.actions)
 	}
 	in.CallDone(now+100*ms, "r4", decision.Succeeded, 50*ms)
 	if in.updateBreaker() {
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	inFlightUtilizationLimit = 0.85 // fraction of the requests in flight that the cores survive
+	inFlightUtilizationLimit = 0.85 // maximum in flight, as a fraction of the number that the cores survive
 	busyRunnablePerCore      = 1.5  // runnable tasks per core above which the cores count as busy
 	busyCoreUtilization      = 0.95 // utilization from which the cores count as busy
 	concurrencyDecrease      = 0.05 // fraction of the excess over the number of cores, per timer
@@ -129,7 +129,7 @@
 	if in.exceedsMemory(more) {
 		return false
 	}
-	waitsForCall := in.callShedProbability(req) > 0 // false for NaN, when both waits are 0
+	waitsForCall := in.callShedProbability(req) > 0 // false for NaN: the expected and the maximum wait are 0
 	return !waitsForCall
 }
 
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -98,14 +98,14 @@
 	in.Decide(ms)
 	if host.count("halt low") != 1 || host.count("run high") != 1 ||
 		host.count("run same")+host.count("halt high") != 0 {
-		t.Fatalf("want low preempted for high, and high not preempted for same: %v", host.actions)
+		t.Fatalf("actions = %v, want low preempted for high, and high not preempted for same", host.actions)
 	}
 	in.RunDone(500*ms, "high", decision.Succeeded, 500*ms)
 	in.Decide(500 * ms)
 	in.RunDone(900*ms, "same", decision.Succeeded, 400*ms)
 	in.Decide(900 * ms)
 	if host.count("run low") != 2 || host.count("fail low")+host.count("refuse low") != 0 {
-		t.Errorf("preempted run not resumed, or its request failed or shed: %v", host.actions)
+		t.Errorf("actions = %v, want low resumed, and neither failed nor shed", host.actions)
 	}
 }
 
@@ -120,7 +120,7 @@
 	in.RequestReceived(0, decision.Request{ID: "high", Class: 2, ReservedKB: 30})
 	in.Decide(0)
 	if host.count("run low") != 1 || host.count("halt")+host.count("run high") != 0 {
-		t.Errorf("want low not preempted while high lacks memory: %v", host.actions)
+		t.Errorf("actions = %v, want low not preempted while high lacks memory", host.actions)
 	}
 	in.RunDone(ms, "low", decision.Succeeded, ms)
 	in.RequestReceived(ms, decision.Request{ID: "small", ReservedKB: 1})
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -6,12 +6,12 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// drainMarginTimers is the number of timer intervals, before the end of a drain, at which
-// all requests have their answers.
+// drainMarginTimers is the margin, in timer intervals, between the last answers and the end
+// of a drain.
 const drainMarginTimers = 2
 
 // drainState is the state of a graceful shutdown. The instance sheds requests that arrive
-// more than DrainGrace after its start, and answers all others before its end. A drain
+// more than DrainGrace after the drain starts, and answers all others before it ends. A drain
 // changes the results of admit (arrivedAfterDrain), answerDeadline (limitAnswerDeadline),
 // retryAfter and adviseNoRetry, and stops updateHealth, so that the health stays bad.
 type drainState struct {
@@ -20,8 +20,8 @@
 	stopAt    time.Duration // when the process exits
 }
 
-// limitAnswerDeadline returns the latest time for an answer, which a drain moves to before
-// its end.
+// limitAnswerDeadline returns answerBy, or during a drain an earlier time if answerBy is not
+// sufficiently before the end of the drain (drainMarginTimers).
 func (d *drainState) limitAnswerDeadline(answerBy, timerInterval time.Duration) time.Duration {
 	if !d.started {
 		return answerBy
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -16,11 +16,11 @@
 	in.RequestReceived(3*time.Second, decision.Request{ID: "late", Class: 1, ReservedKB: 1})
 	in.Decide(3 * time.Second)
 	if host.count("run early") != 1 || host.count("refuse late") != 1 {
-		t.Errorf("want the arrival within DrainGrace run and the later one shed: %v", host.actions)
+		t.Errorf("actions = %v, want the arrival within DrainGrace run and the later one shed", host.actions)
 	}
 	in.Decide(4*time.Second - in.timerInterval)
 	if host.count("fail early") != 1 {
-		t.Errorf("running request not answered before the end of the drain: %v", host.actions)
+		t.Errorf("actions before the end of the drain = %v, want the running request failed", host.actions)
 	}
 }
 
--- a/policy/health.go
+++ b/policy/health.go
@@ -10,11 +10,11 @@
 	unhealthyErrorRate      = 0.4 // largest error rate of a healthy instance
 	errorRateTimeConstant   = 8 * time.Second
 	readLagTimeConstant     = time.Second
-	minHealthChangeInterval = 8 * time.Second // after a change, before read lag alone makes it unhealthy
+	minHealthChangeInterval = 8 * time.Second // after a change, during which read lag alone has no effect
 )
 
 // healthMonitor evaluates the instance's own health from two signals. The error rate of its
-// runs detects fast failures: an instance with these looks idle and attracts requests. The
+// runs detects fast failures: an instance whose runs fail fast looks idle and attracts requests. The
 // read lag detects an instance that hangs or is slow: it still reads requests, but late.
 type healthMonitor struct {
 	healthy         bool
@@ -23,7 +23,7 @@
 	lagIgnoredUntil time.Duration // read lag does not make it unhealthy before this time
 }
 
-// recordRun records a run; bad says that it failed or hung.
+// recordRun records a run. bad is true if the run failed or hangs.
 func (h *healthMonitor) recordRun(bad bool) { h.errorRate = movingRate(h.errorRate, bad) }
 
 // recordRead records the read lag of a request.
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -34,7 +34,7 @@
 				serve(fmt.Sprint("bad", i), endBadly)
 			}
 			if in.health.healthy || host.count("health false") != 1 {
-				t.Fatalf("healthy = %v at an error rate of %v, want one report of bad health: %v",
+				t.Fatalf("healthy = %v at error rate %v, want false and one report of it; actions = %v",
 					in.health.healthy, in.health.errorRate, host.actions)
 			}
 			for i := range 40 {
@@ -43,7 +43,8 @@
 				})
 			}
 			if !in.health.healthy || host.count("health true") != 2 {
-				t.Errorf("not healthy again: error rate %v", in.health.errorRate)
+				t.Errorf("recovered: healthy = %v, error rate %v, want true and reported; actions = %v",
+					in.health.healthy, in.health.errorRate, host.actions)
 			}
 		})
 	}
--- a/policy/histogram.go
+++ b/policy/histogram.go
@@ -67,7 +67,7 @@
 // binStart returns the start of bin k.
 func (h *latencyHistogram) binStart(k int) float64 { return float64(k) * h.binWidth }
 
-// costTerms returns the costTerms a and b of the expected cost of an attempt with time-out t:
+// costTerms returns the terms a and b of the expected cost of an attempt with time-out t:
 // E = a + b × E(next attempts). b is the probability that the attempt times out, and a is
 // the cost of the attempt itself (equations 4 and 5, with the integral of b from t on).
 func (h *latencyHistogram) costTerms(t float64) (a, b float64) {
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -37,7 +37,7 @@
 func (r *recordingHost) SetTimer(d time.Duration, token int64)    { r.add("wake %v %d", d, token) }
 func (r *recordingHost) Log(event decision.Event)                 { r.add("log %s", simwire.LogText(event)) }
 
-// count returns the number of actions that start with the words of a prefix.
+// count returns the number of actions that consist of or start with the words of a prefix.
 func (r *recordingHost) count(prefix string) int {
 	n := 0
 	for _, action := range r.actions {
@@ -48,7 +48,7 @@
 	return n
 }
 
-// testSettings returns testSettings with one class of each kind of idempotency.
+// testSettings returns settings with one class of each kind of idempotency.
 func testSettings() decision.Settings {
 	return decision.Settings{
 		Classes: []decision.Class{
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -14,7 +14,7 @@
 
 const (
 	maxTimerInterval       = 25 * time.Millisecond
-	timersPerDeadlineSlack = 4 // limits how late a timer makes an answer
+	timersPerDeadlineSlack = 4 // the timer interval is at most DeadlineSlack over this
 )
 
 // Instance makes the decisions of one server. It is not safe for concurrent use.
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -60,10 +60,10 @@
 	}
 }
 
-// answerDeadline returns the latest time for a request's answer. It is a part of DeadlineSlack
-// after the deadline, because an earlier answer would cut runs short. It is the end of the
-// latency objective if a late answer earns nothing and answering ends the work of the request
-// (answerEndsWork). During a drain, it is before the end of the drain.
+// answerDeadline returns the latest time for a request's answer: the deadline plus a part of
+// DeadlineSlack, because an earlier answer would cut runs short. If an answer after the latency
+// objective earns nothing and answering ends the work of the request (answerEndsWork), it
+// returns the end of the objective. During a drain, the time is before the end of the drain.
 func (in *Instance) answerDeadline(req *request) time.Duration {
 	by := req.dueAt + in.settings.DeadlineSlack/lateAnswerDivisor
 	objectiveEnd := req.arrivedAt + in.latencyObjective(req)
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -14,8 +14,8 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// A recording feeds random events to the module and pins its actions. The golden files were
-// written by the module of revision af00f38. Each has one line per block of actions, with the
+// A recording sends random events to an instance and compares its actions with golden files,
+// which the code of revision af00f38 wrote. Each file has one line per block of actions, with the
 // number of actions of each kind and a hash of the block.
 const (
 	recordingSeeds    = 12
@@ -135,7 +135,7 @@
 func (p *recording) play(t *testing.T) []string {
 	t.Helper()
 	drained := false
-	stepsPerArrival := []int{1, 6, 15}[p.seed%3] // average number of steps between bursts of requests
+	stepsPerArrival := []int{1, 6, 15}[p.seed%3] // requests may arrive in one of this many steps
 	end := recordedTime
 	if stepsPerArrival == 1 {
 		end /= 6
@@ -219,7 +219,7 @@
 	p.host.add("wanted %d", p.module.SetFleetBounds(bounds))
 }
 
-// sendRequest sends a random sendRequest. One in five duplicates an earlier sendRequest.
+// sendRequest sends a random request. One in five duplicates an earlier request.
 func (p *recording) sendRequest(now time.Duration) {
 	id := fmt.Sprint(len(p.ids))
 	class := p.rng.Intn(len(p.settings.Classes))
@@ -277,7 +277,8 @@
 	}
 }
 
-// sendRunEvent makes a run need a call, ends it, or cancels its request.
+// sendRunEvent sends CallNeeded, RunDone or RequestCancelled for a running request, at
+// random, or none of them.
 func (p *recording) sendRunEvent(now time.Duration, id string) {
 	switch p.rng.Intn(30) {
 	case 0, 3, 4, 5:
@@ -341,7 +342,7 @@
 	return text.String()
 }
 
-// The actions must be the same, to the last digit, as those of the module of revision af00f38.
+// The actions must be the same, to the last digit, as those of the code of revision af00f38.
 func TestInstance_ActionsMatchTheRecordings(t *testing.T) {
 	for seed := int64(1); seed <= recordingSeeds; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -352,7 +353,7 @@
 	}
 }
 
-// The sequences of time-outs must be the same, to the nanosecond, as those that the module of
+// The sequences of time-outs must be the same, to the nanosecond, as those that the code of
 // revision af00f38 computed from latency distributions with one to four modes.
 func TestOptimizer_SequencesMatchTheRecording(t *testing.T) {
 	var text strings.Builder
--- a/policy/request.go
+++ b/policy/request.go
@@ -52,7 +52,7 @@
 	mayHaveRun  bool          // it or the request that it duplicates may have had the effect
 	preempting  bool          // its run was cancelled and will be resumed
 	cachedUntil time.Duration // when its cached result expires; 0 if none is cached
-	runTime     time.Duration // total run time; while it runs, less the time at which it started
+	runTime     time.Duration // total run time; while it runs, the total before this run minus its start
 	callCount   int           // calls that its run has needed so far, without retries
 	call        callProgress  // the current call
 }
--- a/policy/result_cache_test.go
+++ b/policy/result_cache_test.go
@@ -18,6 +18,6 @@
 	in.RequestReceived(time.Second, decision.Request{ID: "c", Class: 1, ReservedKB: 1, DuplicateOf: "a"})
 	in.Decide(time.Second)
 	if host.count("run") != 1 || host.count("reuse") != 2 || host.count("refuse") != 0 {
-		t.Errorf("want one request run, two coalesced and none shed: %v", host.actions)
+		t.Errorf("actions = %v, want one request run, two coalesced and none shed", host.actions)
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -26,7 +26,7 @@
 // available reports whether a retry may be made.
 func (b *retryBudget) available() bool { return b.tokens >= 1 }
 
-// tryWithdraw withdraws one retry if it is available, and reports whether it did.
+// tryWithdraw withdraws one token if at least one is left, and reports whether it did.
 func (b *retryBudget) tryWithdraw() bool {
 	if !b.available() {
 		return false
@@ -35,7 +35,7 @@
 	return true
 }
 
-// withdraw withdraws one retry, or the remaining fraction of one.
+// withdraw withdraws one token, or the fraction that is left.
 func (b *retryBudget) withdraw() { b.tokens = max(0, b.tokens-1) }
 
 // retryOrSkipCall schedules the retry of a call that did not succeed. If no retry is
@@ -56,10 +56,10 @@
 	}
 }
 
-// acquireCallRetry reports whether a call may be retried, and withdraws the retry from the
-// budget. A call of an idempotent request may be retried within the budget. A call that had
-// no effect may be retried in any class and beyond the budget if its request would fail
-// without it; this withdraws what is left of the budget.
+// acquireCallRetry reports whether a call may be retried. If so, it withdraws one token from
+// the budget, or the fraction that is left. A call of an idempotent request may be retried
+// while the budget has a retry left. A call that had no effect may also be retried in other
+// classes, or without a retry left, if the request can't be answered without the call.
 func (in *Instance) acquireCallRetry(req *request, noEffect bool) bool {
 	if req.class.Idempotency == decision.Idempotent && in.retries.tryWithdraw() {
 		return true
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -5,14 +5,14 @@
 func TestRetryBudget_DepositsAndWithdrawals(t *testing.T) {
 	budget := retryBudget{}
 	if budget.tryWithdraw() {
-		t.Fatal("tryWithdraw from an empty budget = true")
+		t.Fatal("tryWithdraw from an empty budget = true, want false")
 	}
 	const callsPerRetry = 11 // ten times 0.1 is slightly less than 1 in floating point
 	for range callsPerRetry {
 		budget.deposit()
 	}
 	if !budget.tryWithdraw() || budget.tryWithdraw() {
-		t.Errorf("not exactly one retry after %d deposits: %v tokens left", callsPerRetry, budget.tokens)
+		t.Errorf("not exactly one retry after %d deposits; tokens = %v", callsPerRetry, budget.tokens)
 	}
 	budget.withdraw()
 	if budget.tokens != 0 {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -30,7 +30,8 @@
 			want = "skip a"
 		}
 		if host.count("call a") != 2 || host.count(want) != 1 {
-			t.Errorf("DegradedWeight %v, no budget: want %q, no call: %v", degradedWeight, want, host.actions)
+			t.Errorf("DegradedWeight %v: actions without budget = %v, want %q and 2 calls",
+				degradedWeight, host.actions, want)
 		}
 	}
 }
@@ -50,12 +51,12 @@
 	in.Decide(5 * ms)
 	in.Decide(time.Second)
 	if host.count("call a") != 2 || host.count("fail a") != 0 {
-		t.Errorf("want a second call and no failure: %v", host.actions)
+		t.Errorf("after a rejected call: actions = %v, want a second call and no failure", host.actions)
 	}
 	in.CallDone(1100*ms, "a", decision.TimedOut, 100*ms)
 	in.Decide(2 * time.Second)
 	if host.count("call a") != 2 || host.count("fail a") != 1 {
-		t.Errorf("want the request failed after a call that may have had its effect: %v", host.actions)
+		t.Errorf("after a time-out: actions = %v, want the request failed and no third call", host.actions)
 	}
 }
 
--- a/policy/timeouts.go
+++ b/policy/timeouts.go
@@ -39,7 +39,7 @@
 }
 
 // chooseTimeout returns the time-out of an attempt of a call, and counts the attempt if its
-// request is idempotent (nextDiagnostic). The call of another request gets all remaining
+// request is idempotent (nextDiagnostic). A call of any other request gets all remaining
 // time, because it is retried only if it had no effect.
 //
 // A time-out before the last of the sequence requires that the budget has a retry left.
@@ -65,9 +65,10 @@
 	}
 }
 
-// nextDiagnostic counts an idempotent call, and reports whether it is diagnostic and the
-// time-out for that case. All calls are diagnostic until the Optimizer has a sequence. Every
-// callsPerSolve calls the Optimizer recomputes the sequence.
+// nextDiagnostic counts an attempt of an idempotent call. It returns the Controller's
+// time-out, and whether the attempt is diagnostic and uses this time-out. All attempts are
+// diagnostic until the Optimizer has a sequence. Every callsPerSolve attempts, the Optimizer
+// recomputes the sequence.
 func (t *callTimeouts) nextDiagnostic() (timeoutChoice, bool) {
 	t.idempotentCalls++
 	if t.idempotentCalls%callsPerSolve == 0 {
--- a/policy/timeouts_test.go
+++ b/policy/timeouts_test.go
@@ -83,7 +83,7 @@
 	before := c.timeout
 	c.recordSuccess(100*ms, time.Second)
 	if c.timeout >= before {
-		t.Fatalf("timeout = %v after a success, want less than before", c.timeout)
+		t.Fatalf("timeout = %v after a success, want less than the earlier %v", c.timeout, before)
 	}
 	for range 1000 {
 		c.recordSuccess(100*ms, time.Second)
@@ -106,6 +106,6 @@
 	}
 	in.timeouts.controller.recordTimeout(time.Second)
 	if got := in.timeouts.controller.timeout; got <= s.AbandonedCallDuration {
-		t.Errorf("timeout = %v after a time-out, want more than AbandonedCallDuration", got)
+		t.Errorf("timeout = %v after a time-out, want more than %v", got, s.AbandonedCallDuration)
 	}
 }
--- a/policy/walk_test.go
+++ b/policy/walk_test.go
@@ -223,16 +223,15 @@
 	}
 }
 
-// Parts of a random walk.
+// Durations of a random walk.
 const (
 	walkDuration = 20 * time.Second
 	walkDrain    = 8 * time.Second // from the start of the drain to the end of the walk
 	walkStopTime = 5 * time.Second // from the start of the drain to its end
 )
 
-// randomWalk sends a random but valid sequence of events and returns the actions. On average,
-// requests arrive in one of stepsPerArrival steps. With 100 steps, that is about two requests
-// per second.
+// randomWalk sends a random but valid sequence of events and returns the actions. A larger
+// stepsPerArrival makes arrivals rarer.
 func randomWalk(t *testing.T, s decision.Settings, seed int64, stepsPerArrival int) []string {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
@@ -363,7 +362,7 @@
 	}
 }
 
-// sendRunEvent makes a run need a call, or ends it.
+// sendRunEvent sends CallNeeded or RunDone for a running request, at random, or neither.
 func (c *invariantChecker) sendRunEvent(
 	in *Instance, req *attempt, rng *rand.Rand, outcome decision.Outcome,
 ) bool {
@@ -379,7 +378,7 @@
 	return false
 }
 
-// endRun ends a run, or the wait of a coalesced request, with an answer.
+// endRun ends a run or a coalesced request, which is thereby answered.
 func (c *invariantChecker) endRun(in *Instance, req *attempt, outcome decision.Outcome) {
 	req.state, req.answered = isFinished, true
 	in.RunDone(c.now, req.id, outcome, 0)
