--- a/decision/settings.go
+++ b/decision/settings.go
@@ -30,7 +30,7 @@
 	LoadReportNone    LoadReportMode = iota // no load reports are sent
 	LoadReportMinRank                       // callers send only requests of this rank or higher
 	LoadReportCredit                        // requests that each caller may have in flight at this instance
-	LoadReportWeight                        // probability that a caller which picked this instance uses it
+	LoadReportWeight                        // probability that a caller uses an instance after picking it
 )
 
 // DependencyKind says what requests call while they run.
@@ -53,7 +53,7 @@
 	LateWeight       float64       // fraction of Weight that a later answer earns
 	DegradedWeight   float64       // fraction of Weight without the call; 0 if the call is needed
 	Idempotency      Idempotency
-	KeyWindow        time.Duration // keyed requests: how long after the arrival a retry may come
+	KeyWindow        time.Duration // keyed requests: time after the arrival within which retries may arrive
 	CallsDependency  bool          // its requests may call the dependency
 }
 
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -14,7 +14,7 @@
 // Its lifecycle is a state machine. The decision module starts a queued or paused attempt
 // (host.Run). From then until the core reports the end of the run (RunDone), the module
 // counts the attempt as running, even while the core waits before the backend may start the
-// run.
+// run. The table omits the prefix of the states' names.
 //
 //	from             to                          when
 //	received         queued                      admitted: reported to the decision module
--- a/dispatch/attempt_test.go
+++ b/dispatch/attempt_test.go
@@ -84,8 +84,8 @@
 	return id
 }
 
-// stateWalk applies random events to the attempts of a core that has some of the parts for
-// which a start may wait: a journal, pools, pausing and a predecessor.
+// stateWalk applies random events to the attempts of a core that has a random subset of a
+// journal, pools, decision.CancelPause and a predecessor.
 type stateWalk struct {
 	*harness
 	journal     *journal           // nil for none
@@ -238,7 +238,7 @@
 
 // FuzzAttemptStates applies random events to attempts. Each transition has to be in the
 // table, the state of an attempt has to agree with its other fields, and every attempt has to
-// be answered after its deadline.
+// be answered once its deadline has passed.
 func FuzzAttemptStates(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
 		w := newStateWalk(t, s)
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -47,8 +47,8 @@
 }
 
 // TestDrain_ShedsBeforeGraceEndsIfNoticeIsLate submits requests shortly before the grace
-// ends. The drain notice may have been received up to drainNoticeDelay late, so the last one
-// does not run.
+// ends. The drain notice may have been received up to drainNoticeDelay late, so the last
+// request does not run.
 func TestDrain_ShedsBeforeGraceEndsIfNoticeIsLate(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		h.Drain(time.Now(), time.Now().Add(10*time.Second))
@@ -74,7 +74,7 @@
 		h.wait()
 		other.wantAnswer(t, "a", Rejected, "")
 		if len(h.cancelled) > 0 {
-			t.Errorf("another caller has cancelled %v", h.cancelled)
+			t.Errorf("cancelled = %v by another caller, want none", h.cancelled)
 		}
 		h.completeRun("a", RunSucceeded, "thanks")
 		h.wantAnswer(t, "a", Served, "thanks")
--- a/dispatch/downstream_calls.go
+++ b/dispatch/downstream_calls.go
@@ -115,8 +115,8 @@
 
 func (e callEndedByCore) apply(c *Core) { c.finishCall(e.attempt, e.number, e.outcome, nil) }
 
-// CallCompleted reports how the call of a run with that number ended. It is ignored if the
-// call was abandoned or is not the latest of its run.
+// CallCompleted reports how the run's call with the given number ended. The report is ignored
+// if the call was abandoned or is not the latest of its run.
 func (c *Core) CallCompleted(id string, number int, outcome CallOutcome, reply []byte) {
 	c.notify(callCompleted{id, number, outcome, reply})
 }
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -19,10 +19,10 @@
 )
 
 // harness runs a core with a fake backend, dependency, registrar and responder, and records
-// the core's calls to them. Its maps are by the attempt's id.
+// the core's calls to them. The keys of its maps are attempt ids.
 type harness struct {
 	*Core
-	successor     *Core          // the second core of a takeover; nil for none
+	successor     *Core          // the second core during an upgrade; nil for none
 	changeOptions func(*Options) // applied to the options of each core that is started
 	cancel        context.CancelFunc
 
@@ -36,7 +36,7 @@
 	callInFlight    map[string]int // number of the call that is in flight
 	callReplies     map[string]string
 	callAbandonedAt map[string]time.Time // when the latest call of a run was abandoned
-	earlyCalls      []string             // ids of runs whose next call came within a batch after that
+	earlyCalls      []string             // ids of runs whose next call came within a batch interval after that time
 	accepting       []bool               // all reports to the registrar
 }
 
@@ -259,11 +259,11 @@
 	})
 }
 
-// wantAnswer checks that a request has exactly one answer, of a kind and with a body.
+// wantAnswer checks that a request has exactly one answer, with the given kind and body.
 func (h *harness) wantAnswer(t *testing.T, id string, kind OutcomeKind, body string) {
 	t.Helper()
 	got := h.answers[id]
 	if len(got) != 1 || got[0].Kind != kind || string(got[0].Result.Body) != body {
-		t.Errorf("request %s: got answers %+v, want one of kind %d with body %q", id, got, kind, body)
+		t.Errorf("request %s: got answers %+v, want one of kind %v with body %q", id, got, kind, body)
 	}
 }
--- a/dispatch/key_sharing_test.go
+++ b/dispatch/key_sharing_test.go
@@ -43,7 +43,7 @@
 			h.wantAnswer(t, id, Served, "thanks")
 		}
 		if len(h.answers["a"]) > 0 {
-			t.Errorf("request a without a caller got answers %v, want none", h.answers["a"])
+			t.Errorf("answers to request a, whose caller has disconnected = %v, want none", h.answers["a"])
 		}
 		h.submit(t, "e", "gift", "k2")
 		h.CallerDisconnected("e", responder{h})
--- a/dispatch/races_test.go
+++ b/dispatch/races_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// applySettingsBefore applies settings between the Submit calls in submit and the receipt of
-// their requests.
+// applySettingsBefore calls submit, and applies settings before the core receives the requests
+// that submit has submitted.
 func (h *harness) applySettingsBefore(t *testing.T, s decision.Settings, classes, tenants []string, submit func()) {
 	t.Helper()
 	gate, applied := make(chan struct{}), make(chan error, 1)
@@ -157,7 +157,7 @@
 				return healthy
 			}
 			if health() || len(h.accepting) > 0 {
-				t.Errorf("before the backend is ready: healthy, or reports to the registrar %v, want neither", h.accepting)
+				t.Errorf("before the backend is ready: health check passed, or reports to the registrar = %v; want neither", h.accepting)
 			}
 			if draining {
 				core.Drain(time.Now(), time.Now().Add(10*time.Second))
--- a/dispatch/replication_test.go
+++ b/dispatch/replication_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// loopbackPeer is a Peer that passes all messages to another core at once. That core knows
-// this side as the peer reverse.
+// loopbackPeer is a Peer that passes all messages to another core at once. reverse is the Peer
+// by which that core reaches this one.
 type loopbackPeer struct {
 	target  *Core
 	reverse *loopbackPeer
@@ -85,7 +85,7 @@
 		}
 		h.wait()
 		if h.starts["one"]+h.starts["other"] != 1 {
-			t.Errorf("starts of one = %d and of other = %d, want 1 in all", h.starts["one"], h.starts["other"])
+			t.Errorf("starts of one = %d and of other = %d, want a total of 1", h.starts["one"], h.starts["other"])
 		}
 		h.completeRun("one", RunSucceeded, "thanks")
 		h.completeRun("other", RunSucceeded, "thanks")
@@ -151,7 +151,7 @@
 			h.forEachCore(func(c *Core) {
 				must(t, c.CheckHealth(false, func(healthy bool) {
 					if healthy == want {
-						t.Errorf("health check = %t after SetTrafficDisabled(%t)", healthy, want)
+						t.Errorf("health check = %t after SetTrafficDisabled(%t), want %t", healthy, want, !want)
 					}
 				}))
 			})
--- a/dispatch/requests_fuzz_test.go
+++ b/dispatch/requests_fuzz_test.go
@@ -118,14 +118,14 @@
 		t.Errorf("request %s: got %d answers, want 1, or at most 1 if cancelled", id, len(answers))
 	}
 	if late := w.answeredAt[id].Sub(request.arrivedAt.Add(testDeadline + testSlack)); late > 0 {
-		t.Errorf("request %s: answered %v after its deadline and slack", id, late)
+		t.Errorf("request %s: answered %v after the end of its deadline slack", id, late)
 	}
 	if w.starts[id] > 0 && !w.drainedAt.IsZero() && request.arrivedAt.After(w.drainedAt.Add(testGrace)) {
 		t.Errorf("request %s: ran although it arrived after the grace", id)
 	}
 }
 
-// checkKey checks that a key ran once in its window, and that no attempt that ran was shed.
+// checkKey checks that a key ran at most once in its window, and that no attempt that ran was shed.
 func (w *requestWalk) checkKey(t *testing.T, id string, ran map[string]time.Time) {
 	t.Helper()
 	request, answers, starts := w.requests[id], w.answers[id], w.starts[id]
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -64,7 +64,7 @@
 	} {
 		reason, retryAfter := MayExit(x.exit)
 		if reason != x.reason || (retryAfter > 0) != (reason != NotHeld) {
-			t.Errorf("%s: MayExit = %q, %v, want %q, and a time only with a reason", name, reason, retryAfter, x.reason)
+			t.Errorf("%s: MayExit = %q, %v, want %q, and a retry time only with a reason", name, reason, retryAfter, x.reason)
 		}
 	}
 }
--- a/idempotency/table_test.go
+++ b/idempotency/table_test.go
@@ -92,7 +92,7 @@
 }
 
 // TestRegister_AtWindowEdges registers attempts around the end of a key's window: those that
-// arrived in it are duplicates of the run, and later ones become the owner.
+// arrived before its end are duplicates of the run, and a later one becomes the owner.
 func TestRegister_AtWindowEdges(t *testing.T) {
 	const end = testWindow + WindowTolerance
 	for name, tc := range map[string]struct {
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestExpire_AfterWindowAndLateness expires an entry: not before the window and the allowed
-// lateness are over, and not while an attempt is registered.
+// TestExpire_AfterWindowAndLateness checks that an entry is removed only after the window and the
+// allowed lateness, and not while an attempt is registered.
 func TestExpire_AfterWindowAndLateness(t *testing.T) {
 	table := NewTable(0)
 	table.AllowLateness(testLateness)
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -17,8 +17,8 @@
 // Seed returns the seed of an instance's random numbers, 0 if absent.
 func (m *Message) Seed() int64 { return m.int(fieldSeed) }
 
-// Settings returns the settings of an instance. It reports errors like the function
-// [Settings], and not by Err.
+// Settings returns the settings of an instance. It returns the error of the function
+// [Settings], which Err does not return.
 func (m *Message) Settings() (decision.Settings, error) { return Settings(m.fields[fieldSettings]) }
 
 // RequestID returns the ID of the request that an event is about. It is required.
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -97,7 +97,8 @@
 // Log implements decision.Host.
 func (r *Reply) Log(event decision.Event) { r.appendTextLine(actionLog, LogText(event)) }
 
-// ReportFailure replaces the buffered actions by a message that the instance has failed.
+// ReportFailure replaces the buffered actions with a message that reports the failure of the
+// instance and its cause.
 func (r *Reply) ReportFailure(cause string) {
 	r.buf = r.buf[:0]
 	r.appendTextLine(instanceFailed, cause)
--- a/limits/simulation_test.go
+++ b/limits/simulation_test.go
@@ -46,7 +46,7 @@
 }
 
 // result holds the counts of a simulation. Served requests are those that ended within
-// requestTimeout.
+// requestTimeout; late ones ended after it, or were still queued.
 type result struct {
 	served, shed, late int
 	servedByClass      []int
--- a/policy/call_quota_test.go
+++ b/policy/call_quota_test.go
@@ -65,7 +65,7 @@
 	}
 	mean := float64(busy) / float64(duration)
 	if want := in.targetCallConcurrency(); mean > 1.1*want || mean < 0.7*want {
-		t.Errorf("mean of calls in flight = %.3f, want 70%% to 110%% of %.3f", mean, want)
+		t.Errorf("mean number of calls in flight = %.3f, want 70%% to 110%% of %.3f", mean, want)
 	}
 }
 
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -13,7 +13,7 @@
 	busyCoreUtilization      = 0.95 // utilization from which the cores count as busy
 	concurrencyDecrease      = 0.05 // fraction of the excess over the number of cores, per timer
 	concurrencyIncrease      = 0.25 // requests, per timer
-	preemptionWeightRatio    = 0.5  // largest weight of a preempted run, as a fraction of the other's
+	preemptionWeightRatio    = 0.5  // largest weight of a preempted run, as a fraction of the next run's
 )
 
 // concurrencyLimit is the number of requests that may run at a time, and related averages.
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -100,7 +100,7 @@
 		in.Decide(now)
 	}
 	if host.count("health false") != 1 || !in.health.healthy {
-		t.Errorf("healthy = %v after %v without requests, at an error rate of %v",
+		t.Errorf("healthy = %v after %v without requests, at error rate %v, want true and one earlier false",
 			in.health.healthy, 2*errorRateTimeConstant, in.health.errorRate)
 	}
 }
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -10,8 +10,8 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// A credit divided among all of a thousand callers was too small for any of them to send, and
-// never changed by an absolute minimum step.
+// A credit that was divided among all of a thousand callers was too small for any of them to
+// send. Its changes were below a fixed minimum, so that no new report was published.
 func TestPublishLoad_DividesCreditAmongRecentCallersAndFollowsPressure(t *testing.T) {
 	s := testSettings()
 	s.LoadReportMode, s.Callers, s.LoadReportTTL = decision.LoadReportCredit, 1000, time.Second
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -8,7 +8,7 @@
 
 const (
 	queueWaitDivisor       = 2    // a request may wait for its latency objective divided by this
-	memoryUtilizationLimit = 0.92 // fraction of MemoryKB to reserve; reads in progress need the rest
+	memoryUtilizationLimit = 0.92 // maximum reserved fraction of MemoryKB; reads in progress need the rest
 	lateAnswerDivisor      = 2    // answers are due at the deadline plus DeadlineSlack divided by this
 )
 
