--- a/decision/settings.go
+++ b/decision/settings.go
@@ -51,7 +51,7 @@
 	Deadline         time.Duration // how long a caller waits for all attempts together
 	Weight           float64       // priority weight: value of an answer when not all requests can be served
 	LateWeight       float64       // fraction of Weight that a later answer earns
-	DegradedWeight   float64       // fraction of Weight without the call; 0 if the call is needed
+	DegradedWeight   float64       // fraction of Weight earned without the call; 0 if it is needed
 	Idempotency      Idempotency
 	KeyWindow        time.Duration // keyed requests: time after the arrival within which retries may arrive
 	CallsDependency  bool          // its requests may call the dependency
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -17,8 +17,8 @@
 	recentStall = 100 * time.Millisecond
 	// minLoggedStall is the shortest stall that is logged.
 	minLoggedStall = 250 * time.Millisecond
-	// stallHoldTime is the time after a stall of at least DrainGrace in which no request is started. A
-	// drain notice that was sent during the stall is received within this time.
+	// stallHoldTime is the time after a stall of at least DrainGrace in which no request is
+	// started. A drain notice that was sent during the stall is received within this time.
 	stallHoldTime = 50 * time.Millisecond
 )
 
--- a/dispatch/start.go
+++ b/dispatch/start.go
@@ -13,8 +13,8 @@
 const poolWaitDivisor = 2
 
 // acquirePoolSlot continues the start of an attempt if its class's pool has a free slot.
-// Otherwise the attempt is queued for one, or shed at once if its run is
-// expected to end too late (poolWaitDivisor).
+// Otherwise the attempt is queued for one, or shed at once if its run is expected to end
+// too late (poolWaitDivisor).
 func (c *Core) acquirePoolSlot(a *attempt) {
 	if c.pools == nil {
 		c.startBackend(a)
--- a/guard/connection.go
+++ b/guard/connection.go
@@ -31,7 +31,7 @@
 	NoticePeriod     HoldReason = "notice_period"
 )
 
-// recheckInterval is the time until the next check if it isn't known when the reason ends.
+// recheckInterval is the time until the next check if the end of the reason can't be predicted.
 const recheckInterval = 20 * time.Millisecond
 
 // MayClose decides whether a connection may be closed now. If not, it returns the reason,
--- a/guard/failure.go
+++ b/guard/failure.go
@@ -27,7 +27,7 @@
 
 // MayRetry decides whether a failed read or write of a connection is retried.
 //
-// Inputs: the error of the call, and the number of consecutive failures including this one. Rule: a
+// Inputs: the error, and the number of consecutive failures including this one. Rule: a
 // system call's error that isn't in finalErrnos is retried, up to MaxConsecutiveFailures
 // times. Any other error is final. Reason: closing the connection because of a transient
 // fault would lose the requests on it.
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -5,8 +5,8 @@
 // # Lifecycle of a key
 //
 // An attempt is registered when it arrives. [Table.Register] returns the id of the attempt that
-// it duplicates, if there is one. The first attempt of a key owns it: its
-// duplicates wait for it, whether it runs or not ([Entry.AwaitOwner]). Before an attempt runs, it
+// it duplicates, if there is one. The first attempt of a key owns the key: its duplicates wait
+// for it, whether it runs or not ([Entry.AwaitOwner]). Before an attempt runs, it
 // claims the key ([Table.Claim]), which sets the key's window, counted from the arrival of
 // that attempt. An attempt that is proven not to have run releases its claim
 // ([Table.ReleaseClaim]). The result of a successful run is stored ([Table.StoreResult]). An
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -140,8 +140,8 @@
 	return c, err
 }
 
-// lookUp returns the value for a word of the wire. If the word is unknown, the error names the
-// field key.
+// lookUp returns the value for a word of the wire. key is the name of the field, for the error
+// about an unknown word.
 func lookUp[T any](key, word string, known map[string]T) (T, error) {
 	value, ok := known[word]
 	if !ok {
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -6,8 +6,8 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// minRetryAfterJitter is the least random factor on Retry-After; the greatest is 1 + minRetryAfterJitter.
-// Without jitter all callers would retry at once.
+// minRetryAfterJitter is the least random factor on Retry-After; the greatest is
+// 1 + minRetryAfterJitter. Without jitter all callers would retry at once.
 const minRetryAfterJitter = 0.5
 
 // fail answers a request with an error, unless it is already answered.
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -18,8 +18,8 @@
 //     a result, DuplicateOf names the earlier one.
 //   - Read lag and read share concern reading requests from connections. In
 //     result_cache.go, a read is a request that changes nothing.
-//   - A call is retried by the instance, within a run, and uses the retry budgets of
-//     the instance and of the fleet. A request is retried by its caller.
+//   - The instance retries a call, within a run, and uses its own retry budget and the
+//     fleet's for this. The caller retries a request.
 //   - An abandoned call is one that timed out or whose run ended. The dependency may work on
 //     it for Settings.AbandonedCallDuration more. A skipped call is not made, or not again.
 //   - A degraded answer is that of a request whose call was skipped.
