--- a/policy/admission.go
+++ b/policy/admission.go
@@ -13,7 +13,7 @@
 	retryWeightFactor       = 0.75              // of the weight of a first attempt
 	arrivalRateTimeConstant = 5 * time.Second
 	quotaToleranceSigma     = 2 // standard deviations by which a tenant's arrivals may exceed its quota
-	tenantWeightSteps       = 4 // steps of a tenant's weight factor, so that similar requests run in order of arrival
+	tenantWeightSteps       = 4 // steps of a tenant's weight factor; equal weights run in order of arrival
 )
 
 // admitReceived admits or sheds the requests that were read since the last batch.
