--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -14,7 +14,7 @@
 // Its lifecycle is a state machine. The decision module starts a queued or paused attempt
 // (host.Run). From then until the core reports the end of the run (RunDone), the module
 // counts the attempt as running, even while the core waits before the backend may start the
-// run.
+// run. The table omits the prefix of the states' names.
 //
 //	from             to                          when
 //	received         queued                      admitted: reported to the decision module
@@ -23,7 +23,7 @@
 //	                 awaitingJournal             started; the claim of its key has to be made durable
 //	                 awaitingPeer                started; its key is claimed from the predecessor
 //	                 awaitingPoolSlot            started; its class's pool is full
-//	                 startDenied                 started after the drain's grace, or would wait too long for a slot
+//	                 startDenied                 started after the drain's grace, or its run is expected to end too late
 //	                 running                     started; the backend starts the run
 //	                 finished                    answered, or its caller gave up, before the start
 //	heldAfterStall   as queued                   the hold is over
--- a/dispatch/key_sharing_test.go
+++ b/dispatch/key_sharing_test.go
@@ -24,8 +24,8 @@
 }
 
 // TestCallerDisconnected_KeyedRunContinues ends the callers' connections during runs. A keyed
-// run continues until its deadline, since a retry must get its result and not run; other runs
-// are cancelled.
+// run continues until its deadline, because a retry must get its result instead of running; other
+// runs are cancelled.
 func TestCallerDisconnected_KeyedRunContinues(t *testing.T) {
 	runTest(t, func(t *testing.T, h *harness) {
 		h.submit(t, "a", "gift", "k")
@@ -43,7 +43,7 @@
 			h.wantAnswer(t, id, Served, "thanks")
 		}
 		if len(h.answers["a"]) > 0 {
-			t.Errorf("request a without a caller got answers %v, want none", h.answers["a"])
+			t.Errorf("answers to request a, whose caller has disconnected = %v, want none", h.answers["a"])
 		}
 		h.submit(t, "e", "gift", "k2")
 		h.CallerDisconnected("e", responder{h})
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -64,7 +64,7 @@
 	} {
 		reason, retryAfter := MayExit(x.exit)
 		if reason != x.reason || (retryAfter > 0) != (reason != NotHeld) {
-			t.Errorf("%s: MayExit = %q, %v, want %q, and a time only with a reason", name, reason, retryAfter, x.reason)
+			t.Errorf("%s: MayExit = %q, %v, want %q, and a retry time only with a reason", name, reason, retryAfter, x.reason)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 	} {
 		var denial *DenialError
 		if err.Error() != want || !errors.As(err, &denial) {
-			t.Errorf("got %T with the text %q, want a *DenialError with %q", err, err, want)
+			t.Errorf("denial is a %T with the text %q, want a *DenialError with the text %q", err, err, want)
 		}
 	}
 }
--- a/policy/call_quota_test.go
+++ b/policy/call_quota_test.go
@@ -65,7 +65,7 @@
 	}
 	mean := float64(busy) / float64(duration)
 	if want := in.targetCallConcurrency(); mean > 1.1*want || mean < 0.7*want {
-		t.Errorf("mean of calls in flight = %.3f, want 70%% to 110%% of %.3f", mean, want)
+		t.Errorf("mean number of calls in flight = %.3f, want 70%% to 110%% of %.3f", mean, want)
 	}
 }
 
@@ -205,7 +205,7 @@
 	}
 	in.Decide(ms)
 	if n := host.count("call"); n != 0 {
-		t.Errorf("%d calls made at MaxCalls 0", n)
+		t.Errorf("%d calls at MaxCalls 0, want 0", n)
 	}
 	if wanted := in.SetFleetBounds(decision.FleetBounds{MaxCalls: 2}); wanted != running {
 		t.Errorf("SetFleetBounds = %d, want %d", wanted, running)
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	inFlightUtilizationLimit = 0.85 // fraction of the requests in flight that the cores survive
+	inFlightUtilizationLimit = 0.85 // maximum in flight, as a fraction of the number that the cores survive
 	busyRunnablePerCore      = 1.5  // runnable tasks per core above which the cores count as busy
 	busyCoreUtilization      = 0.95 // utilization from which the cores count as busy
 	concurrencyDecrease      = 0.05 // fraction of the excess over the number of cores, per timer
 	concurrencyIncrease      = 0.25 // requests, per timer
-	preemptionWeightRatio    = 0.5  // largest weight of a preempted run, as a fraction of the other's
+	preemptionWeightRatio    = 0.5  // largest weight of a preempted run, as a fraction of the next run's
 )
 
 // concurrencyLimit is the number of requests that may run at a time, and related averages.
@@ -129,7 +129,7 @@
 	if in.exceedsMemory(more) {
 		return false
 	}
-	waitsForCall := in.callShedProbability(req) > 0 // false for NaN, when both waits are 0
+	waitsForCall := in.callShedProbability(req) > 0 // false for NaN: the expected and the maximum wait are 0
 	return !waitsForCall
 }
 
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -18,8 +18,8 @@
 //     a result, DuplicateOf names the earlier one.
 //   - Read lag and read share concern reading requests from connections. In
 //     result_cache.go, a read is a request that changes nothing.
-//   - The instance retries a call within a run, if the retry budgets of the instance and of
-//     the fleet permit it. The caller retries a request.
+//   - The instance retries a call, within a run, and uses its own retry budget and the
+//     fleet's for this. The caller retries a request.
 //   - An abandoned call is one that timed out or whose run ended. The dependency may work on
 //     it for Settings.AbandonedCallDuration more. A skipped call is not made, or not again.
 //   - A degraded answer is the answer to a request whose call was skipped.
