--- a/admin/http.go
+++ b/admin/http.go
@@ -29,7 +29,8 @@
 }
 
 // resource is an endpoint for one kind of object of the fleet: GET returns the status in JSON,
-// POST creates an object, DELETE removes one. An error is answered with its text and one of
+// POST creates an object, DELETE removes one. The response to a failed request has the text of
+// the error and one of these statuses:
 //
 //	400  the body is malformed or incomplete
 //	409  the fleet refused the request
@@ -79,7 +80,7 @@
 	_ = json.NewEncoder(w).Encode(status) // fails if the operator has disconnected
 }
 
-// writeResult answers a POST or DELETE, or any request that failed with err.
+// writeResult answers a POST or DELETE whose result is err, or a GET that failed with err.
 func writeResult(w http.ResponseWriter, err error) {
 	if err == nil {
 		w.WriteHeader(http.StatusNoContent)
--- a/admin/rollouts.go
+++ b/admin/rollouts.go
@@ -10,8 +10,8 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// maxRolloutBytes bounds a RolloutRequest, whose settings may be as long as those of a
-// configuration.
+// maxRolloutBytes is the maximum size of a RolloutRequest. Its settings may be as long as those
+// of a configuration.
 const maxRolloutBytes = 4 << 20
 
 // RolloutRequest is the body of an operator's request to start a rollout.
--- a/backend/commands.go
+++ b/backend/commands.go
@@ -20,10 +20,9 @@
 )
 
 // pendingCommand is a command that the processor may not have read yet. It is dropped when
-// it need not be sent again. That is the case when the processor answers a query that was
-// sent after the command on the same connection, because the processor reads in order. It
-// is also the case when a later notice of its run shows that the command was read or is
-// obsolete.
+// it need not be sent again: when the processor answers a query that was sent after the
+// command on the same connection, because the processor reads in order, or when a later
+// notice of the command's run shows that the command was read or is obsolete.
 type pendingCommand struct {
 	encoded        []byte
 	runID          string
--- a/backend/processor_test.go
+++ b/backend/processor_test.go
@@ -172,7 +172,7 @@
 			f.complete(id)
 		}
 		if len(got) != len(sent) {
-			t.Errorf("%d responses to %d requests", len(got), len(sent))
+			t.Errorf("%d responses to %d requests, want one to each", len(got), len(sent))
 		}
 		wantServed(t, got, len(sent))
 		f.breakConn()
@@ -184,7 +184,7 @@
 	t.Helper()
 	for range requests {
 		if response := <-got; !strings.HasSuffix(response, fmt.Sprint(" ", dispatch.Served)) {
-			t.Errorf("response %s, want outcome %v", response, dispatch.Served)
+			t.Errorf("response %s, want one with outcome %v", response, dispatch.Served)
 		}
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -68,7 +68,7 @@
 }
 
 // The platform may kill the process before stop_ms has passed: killMargin after the longest
-// deadline of the classes, or after maxKillDeadline if that is shorter.
+// deadline of the classes, which counts as maxKillDeadline if it is longer than that.
 const (
 	maxKillDeadline = 3 * time.Second
 	killMargin      = 700 * time.Millisecond
@@ -190,7 +190,7 @@
 }
 
 // missingIn returns the path of the first key that reference has and value lacks, "" if there
-// is none. Both values are at the given path. Keys that deployments may leave out don't count.
+// is none. path is the path of both values. Keys that deployments may leave out don't count.
 func missingIn(value, reference gjson.Result, path string) string {
 	if reference.IsArray() && value.IsArray() && reference.Get("0").IsObject() {
 		return missingInItems(value, reference.Get("0"), path)
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -118,7 +118,8 @@
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // Error lists all problems of an operator's file. A problem has the key's path, the reason
-// and, if the file is CUE, the line.
+// and, if known, the position in the file. In a TOML file, the position is that in the file's
+// JSON encoding, which has one line.
 type Error struct {
 	File     string
 	Problems []string
@@ -129,8 +130,8 @@
 	return fmt.Sprintf("%s: %s", e.File, strings.Join(e.Problems, "; "))
 }
 
-// Load reads an operator's file. For the path "" it returns the defaults. The error is an
-// *Error if the file was read and is not valid.
+// Load reads an operator's file. For the path "" it returns the defaults. If the file was read
+// and is not valid, the error is an *Error.
 func Load(path string) (*File, error) {
 	ctx := cuecontext.New()
 	schema := ctx.CompileString(operatorSchema, cue.Filename(schemaFile)).LookupPath(cue.ParsePath("#Operator"))
@@ -186,8 +187,8 @@
 	rankSchemaReason // a reason from the schema's own error()
 )
 
-// problems returns a line for each invalid path: the reason with the highest rank and, if
-// known, its line in the file.
+// problems returns one text for each invalid path: the path, the reason with the highest rank
+// and, if known, the position in the file.
 func problems(err error) []string {
 	var paths []string // in the order of the errors
 	best := map[string]problem{}
@@ -211,7 +212,7 @@
 
 // problem is one of CUE's reasons why a path is invalid.
 type problem struct {
-	text string // path, reason and line
+	text string // the path, the reason and, if known, the position
 	rank int
 }
 
@@ -233,8 +234,8 @@
 	return rankSchemaReason
 }
 
-// filePosition returns the line of the operator's file that an error refers to, in
-// parentheses, or "" if it refers to none.
+// filePosition returns the first line of the operator's file that an error refers to, in
+// parentheses, or "" if it refers to none. For a TOML file it is a line of the JSON encoding.
 func filePosition(e cueerrors.Error) string {
 	for _, p := range e.InputPositions() {
 		if p.Filename() != schemaFile && p.Line() > 0 {
--- a/config/parse.go
+++ b/config/parse.go
@@ -42,18 +42,18 @@
 		strings.HasSuffix(path, ".aimStretch")
 }
 
-// maxNumber is an upper bound for the numbers of the file, which prevents an overflow when
-// their unit is converted.
+// maxNumber is an exclusive upper bound on the numbers in the file. It prevents an overflow
+// when their unit is converted.
 const maxNumber = 1e12
 
 var (
 	errFileNotObject     = errors.New("the configuration is not a JSON object")
-	errNotPositive       = errors.New("not a number above 0 and below 1e12")
-	errNotText           = errors.New("not a string, or empty")
-	errNotObject         = errors.New("not a JSON object")
-	errNotHex            = errors.New("not a hexadecimal number of up to 64 bits")
-	errNotUniqueName     = errors.New("not a string, empty, or not unique")
-	errNotZeroOrPositive = errors.New("not a number of at least 0 and below 1e12")
+	errNotPositive       = errors.New("must be a number that is above 0 and below 1e12")
+	errNotText           = errors.New("must be a non-empty string")
+	errNotObject         = errors.New("must be a JSON object")
+	errNotHex            = errors.New("must be a hexadecimal number of up to 64 bits")
+	errNotUniqueName     = errors.New("must be a non-empty string that no other tenant has")
+	errNotZeroOrPositive = errors.New("must be a number that is at least 0 and below 1e12")
 )
 
 // reader reads typed values from a JSON text and keeps the first error.
@@ -86,7 +86,8 @@
 	return value.Num
 }
 
-// seed returns the value of key, which must be a string with a hexadecimal number.
+// seed returns the value of key, which must be a string with a hexadecimal number of up to 64
+// bits.
 func (r *reader) seed(key string) int64 {
 	seed, err := strconv.ParseUint(r.string(key), 16, 64)
 	if err != nil {
@@ -152,11 +153,12 @@
 	return nil
 }
 
-// maxShareError is the tolerance of the sum of the tenants' shares, which are rounded.
+// maxShareError is how far the sum of the tenants' shares, which are rounded, may differ from
+// 1.
 const maxShareError = 0.02
 
 // readTenants returns the names of the tenants. Each tenant must have a share and a quota, and
-// the sum of the shares must be 1.
+// the sum of the shares must be 1, within maxShareError.
 func readTenants(settings gjson.Result) (names []string, err error) {
 	sum := 0.0
 	for i, tenant := range settings.Get(keyTenants).Array() {
--- a/config/uwsgi.go
+++ b/config/uwsgi.go
@@ -62,7 +62,7 @@
 	c.KeyVariable = cmp.Or(c.KeyVariable, defaultKeyVariable)
 	c.MaxBody = cmp.Or(c.MaxBody, defaultMaxBody)
 	if c.MaxBody < 0 || c.MaxBody > maxBodyLimit {
-		return nil, keyErrorf("max_body", "%d is not from 1 to %d bytes", c.MaxBody, maxBodyLimit)
+		return nil, keyErrorf("max_body", "%d is not between 1 and %d bytes", c.MaxBody, maxBodyLimit)
 	}
 	if err := c.addDescribedRoutes(filepath.Dir(path)); err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 
 func checkAddress(key, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return keyErrorf(key, "not an address with a port: %w", err)
+		return keyErrorf(key, "must be an address with a port: %w", err)
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 			return keyErrorf("route.class", "class %q is not in the settings", r.Class)
 		}
 		if !strings.HasPrefix(r.Path, "/") {
-			return keyErrorf("route.path", "%q does not begin with /", r.Path)
+			return keyErrorf("route.path", "must begin with /, not %q", r.Path)
 		}
 	}
 	return nil
--- a/discovery/registrar.go
+++ b/discovery/registrar.go
@@ -125,7 +125,8 @@
 	}
 }
 
-// logOutage logs when reports begin to fail and when they are accepted again.
+// logOutage logs the first failed report of an outage, and the first report that is accepted
+// after it.
 func (r *Registrar) logOutage(s *session, err error) {
 	failing := err != nil
 	if failing == s.failing || errors.Is(err, errSuperseded) {
@@ -139,7 +140,7 @@
 	r.log.Warn("announce", "down", failing, "error", text)
 }
 
-// session is the state that Run keeps between reports.
+// session is the state that Run keeps between reports. Only the goroutine of Run uses it.
 type session struct {
 	registrar *Registrar
 	address   string
--- a/frontend/thrift/connection.go
+++ b/frontend/thrift/connection.go
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// checkHealth responds to a health checkHealth.
+// checkHealth responds to a health check.
 func (c *connection) checkHealth(m *protocol.Message) {
 	c.mu.Lock()
 	c.pendingChecks++
@@ -220,8 +220,8 @@
 	}
 }
 
-// addOpenRequest records an addOpenRequest request. It returns an error if too many requests are addOpenRequest
-// or if the ID is in use.
+// addOpenRequest records an open request. It returns an error if too many requests are open or
+// if the ID is in use.
 func (c *connection) addOpenRequest(id string, seq int32) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -310,7 +310,7 @@
 }
 
 // notify notifies the peer, once, to send no new request on the connection, and returns the
-// rest of the notice period. If the peer has sent only malformed messages, notify does
+// remaining notice period. If the peer has sent only malformed messages, notify does
 // nothing and returns 0. Only the goroutine that serves the connection may call it.
 func (c *connection) notify() time.Duration {
 	if c.invalidMessages > 0 && c.validMessages == 0 {
@@ -359,8 +359,8 @@
 	return !c.notifiedAt.IsZero()
 }
 
-// isIdle reports whether nothing is pending and no message was read or queued for longer
-// than the given time.
+// isIdle reports whether nothing is pending and the last message was read or queued longer
+// than timeout ago.
 func (c *connection) isIdle(timeout time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/frontend/thrift/frontend.go
+++ b/frontend/thrift/frontend.go
@@ -192,8 +192,9 @@
 	f.callsSinceReclaim, f.lastReclaim = 0, time.Now()
 }
 
-// reclaimSilent notifies the peers that have sent no message, closes the idle connections
-// whose notice period is over, and returns the other idle connections.
+// reclaimSilent notifies the peers that have sent no message for silentTimeoutNearLimit, and
+// closes the idle connections whose notice period is over. It returns the connections that
+// have sent a message and have been idle for idleTimeoutNearLimit.
 func (f *Frontend) reclaimSilent() (idle []*connection) {
 	f.connections.Each(func(c *connection) {
 		switch {
--- a/frontend/thrift/request.go
+++ b/frontend/thrift/request.go
@@ -14,7 +14,7 @@
 // Bounds of request fields.
 const (
 	maxClockSkew    = 5 * time.Second     // how far the clock of a caller may be ahead of this process's clock
-	maxTimeoutMS    = 24 * 60 * 60 * 1000 // longer timeouts are reduced to it; the deadline of every class is shorter
+	maxTimeoutMS    = 24 * 60 * 60 * 1000 // a longer timeout is reduced to this; the deadline of every class is shorter
 	maxReservedKB   = 2000                // exclusive bound
 	attemptIDDigits = 16                  // hexadecimal
 )
@@ -94,8 +94,9 @@
 	return err
 }
 
-// parseDeadline returns when the caller stops waiting, or zero if the message does not say.
-// The deadline of the class applies if it is earlier or if this one is zero.
+// parseDeadline returns when the caller stops waiting, or zero if the message has no timeout or
+// a timeout of 0. The class's deadline applies instead if it is earlier, or if the result is
+// zero.
 func parseDeadline(arrivedAt time.Time, fields map[string]string) (time.Time, error) {
 	timeout := fields[protocol.FieldTimeout]
 	if timeout == "" {
--- a/frontend/thrift/sequence.go
+++ b/frontend/thrift/sequence.go
@@ -9,20 +9,20 @@
 	duplicate                       // the number was used before, so a reply would be the second one with it
 )
 
-// sequenceWindow is the number of latest sequence numbers that are remembered, and the most
-// that a call may be ahead of the highest one. It is the number of bits of
+// sequenceWindow is how many of the latest sequence numbers are remembered, and how far the
+// number of a call may be ahead of the highest one. It is the number of bits of
 // sequenceTracker.received.
 const sequenceWindow = 64
 
-// sequenceTracker checks the sequenceTracker numbers of the calls on one connection, which start at
-// 1 and increase by 1. The zero value is ready for use.
+// sequenceTracker checks the sequence numbers of the calls on one connection, which start at 1
+// and increase by 1. The zero value is ready for use.
 type sequenceTracker struct {
 	highest       int32  // highest number of a call
 	received      uint64 // bit i is set if highest-i was received
 	highestOneway int32  // highest number of a oneway message that continued the count; may be below highest
 }
 
-// recordOneway records the number of a recordOneway message. Some peers number these messages
+// recordOneway records the number of a oneway message. Some peers number these messages
 // together with the calls and others do not; both are accepted.
 func (s *sequenceTracker) recordOneway(number int32) {
 	if number == max(s.highest, s.highestOneway)+1 {
@@ -30,7 +30,7 @@
 	}
 }
 
-// recordCall records the number of a recordCall and returns its order.
+// recordCall records the number of a call and returns the call's order.
 func (s *sequenceTracker) recordCall(number int32) sequenceOrder {
 	ahead := int64(number) - int64(s.highest)
 	switch {
--- a/frontend/uwsgi/frontend.go
+++ b/frontend/uwsgi/frontend.go
@@ -98,7 +98,7 @@
 // written.
 func (f *Frontend) PendingConns() int { return f.connections.Count((*connection).isPending) }
 
-// EndGrace is called when the grace period of a drain is over. It rejects the requests that
-// are not read by then. The core sheds those that arrive within requestTimeoutAfterGrace; the
+// EndGrace is called when the grace period of a drain is over. Requests that have not been read
+// by then do not run: the core sheds those that arrive within requestTimeoutAfterGrace, and the
 // frontend rejects the others.
 func (f *Frontend) EndGrace() { f.connections.Each((*connection).endGrace) }
--- a/handover/endpoint.go
+++ b/handover/endpoint.go
@@ -182,7 +182,7 @@
 		return path, func() {}
 	}
 	directory, err := os.Open(e.directory)
-	if err != nil { // the socket can't be opened either
+	if err != nil { // then listening or dialing fails too, and reports the error
 		return path, func() {}
 	}
 	release = func() { _ = directory.Close() } // the error is ignored: nothing was read or written
--- a/handover/endpoint_test.go
+++ b/handover/endpoint_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestEndpoint_ReportsRefusedUnixSockets simulates a platform that refuses Unix sockets with
-// ENOSYS, as the fleet days do. Connect must dial once and return without a predecessor, and
+// ENOSYS, as the platform of the fleet days does. Connect must dial once and return without a predecessor, and
 // Listen must return the error, so that the process serves alone.
 func TestEndpoint_ReportsRefusedUnixSockets(t *testing.T) {
 	core, err := dispatch.New(dispatch.Options{Classes: []string{"page"}, Settings: decision.Settings{
@@ -35,7 +35,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if peer, err := endpoint.Connect(ctx); peer != nil || err != nil || dials != 1 {
-		t.Errorf("Connect() = %v, %v after %d dials, want no peer and no error after 1", peer, err, dials)
+		t.Errorf("Connect() = %v, %v after %d dials, want nil, nil after 1 dial", peer, err, dials)
 	}
 	if _, err := endpoint.Listen(ctx); !errors.Is(err, syscall.ENOSYS) {
 		t.Errorf("Listen() error = %v, want %v", err, syscall.ENOSYS)
--- a/handover/peer.go
+++ b/handover/peer.go
@@ -29,23 +29,24 @@
 	PeerDisconnected(p dispatch.Peer)
 	// ApplyKey applies the state of a key that the peer has replicated.
 	ApplyKey(p dispatch.Peer, key dispatch.KeyState)
-	// ApplyTrafficDisabled applies whether operators have disabled traffic in the peer.
+	// ApplyTrafficDisabled disables traffic if operators have disabled it in the peer, else
+	// enables it.
 	ApplyTrafficDisabled(p dispatch.Peer, on bool)
 	// ReplicateKeys replicates the next batch of keys to a successor.
 	ReplicateKeys(p dispatch.Peer)
-	// ClaimRequested decides a successor's claim, that is, whether its attempt may run, and
+	// ClaimRequested decides a successor's claim: whether the successor's attempt may run. It
 	// replies with DecideClaim.
 	ClaimRequested(p dispatch.Peer, key dispatch.KeyState)
 	// ClaimDecided reports the predecessor's decision on a claim of this process.
 	ClaimDecided(p dispatch.Peer, ranAttemptID string, granted bool)
 }
 
-// role is the role of the other process.
+// role says whether the other process is this process's predecessor or its successor.
 type role int
 
 const (
 	predecessor role = iota // the older process, which decides claims
-	successor
+	successor               // the newer process, which takes over
 )
 
 // Peer is the other process. It implements dispatch.Peer, whose methods queue messages and do
@@ -107,8 +108,8 @@
 }
 
 // markReplicated records that the successor has all keys. It returns false if that was
-// recorded before. Only one goroutine may call it: the connection's in the successor, the
-// core's in the predecessor.
+// recorded before. Only one goroutine may call it: in the successor the goroutine that serves
+// the connection, in the predecessor the core's.
 func (p *Peer) markReplicated() bool {
 	if p.hasKeys() {
 		return false
--- a/handover/peer_test.go
+++ b/handover/peer_test.go
@@ -113,7 +113,7 @@
 		peer.RequestClaim(keyState("d", "attempt"))
 		synctest.Wait()
 		if !slices.Equal(predecessorKeys.claims, []string{"d"}) || !slices.Equal(successorKeys.granted, []string{"attempt"}) {
-			t.Errorf("claims %q, granted attempts %q, want claim of d granted to attempt", predecessorKeys.claims, successorKeys.granted)
+			t.Errorf("claimed keys %q, granted attempts %q, want [\"d\"] and [\"attempt\"]", predecessorKeys.claims, successorKeys.granted)
 		}
 		if !slices.Equal(predecessorKeys.roles, []bool{false}) || !slices.Equal(successorKeys.roles, []bool{true}) {
 			t.Errorf("isPredecessor of peers: %v in the predecessor, %v in the successor, want [false] and [true]", predecessorKeys.roles, successorKeys.roles)
--- a/metrics/fleet.go
+++ b/metrics/fleet.go
@@ -9,8 +9,8 @@
 // dependencyStates maps states to the values of quincerail_fleet_dependency; 0 is unknown.
 var dependencyStates = map[fleet.State]float64{fleet.Good: 1, fleet.Slow: 2, fleet.Down: 3}
 
-// RegisterFleet adds the collectors of a member of a fleet and of the fleet's budgets that the
-// member takes part in.
+// RegisterFleet adds the collectors that report the fleet as this member sees it, and those of
+// each budget that the member takes part in.
 func (r *Recorder) RegisterFleet(member *fleet.Fleet) {
 	gauge := func(name, help string, value func(fleet.Stats) float64) prometheus.Collector {
 		return newGauge(name, help, nil, func() float64 { return value(member.Stats()) })
@@ -50,7 +50,8 @@
 	return 0
 }
 
-// registerBudget adds the collectors of a member's part of one of the fleet's budgets.
+// registerBudget adds the gauges for one of the fleet's budgets: the member's rights, how many
+// of them it uses, and how many rights no member holds.
 func (r *Recorder) registerBudget(member *fleet.Fleet, budget string) {
 	labels := prometheus.Labels{labelBudget: budget}
 	r.registry.MustRegister(
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -113,7 +113,8 @@
 	return prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help, ConstLabels: labels}, value)
 }
 
-// SetCore sets the core whose open requests are reported. Until then the gauge is 0.
+// SetCore sets the core whose open requests quincerail_open_requests reports. Before SetCore is
+// called, the gauge is 0.
 func (r *Recorder) SetCore(core *dispatch.Core) { r.core.Store(core) }
 
 func (r *Recorder) openRequests() float64 {
@@ -150,8 +151,8 @@
 	}
 }
 
-// RegisterRules adds the counters of the violations of each rule, and of the operations that
-// were denied because they would have broken it.
+// RegisterRules adds two counters for each rule: its violations, and the operations that were
+// denied because they would have broken it.
 func (r *Recorder) RegisterRules(monitor *guard.Monitor) {
 	for _, rule := range guard.Rules {
 		labels := prometheus.Labels{labelRule: string(rule)}
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -66,6 +66,6 @@
 	r.ObserveResponse("gift", dispatch.Served, 0, false)
 	r.SetClasses([]string{"gift", "book"})
 	if got := scrape(t, r); strings.Contains(got, `class="page"`) || !strings.Contains(got, `class="gift"`) {
-		t.Errorf("after class page was removed, /metrics must count gift and not page:\n%s", got)
+		t.Errorf("/metrics after the removal of class page, want a count for class gift and none for page:\n%s", got)
 	}
 }
--- a/protocol/control/control.go
+++ b/protocol/control/control.go
@@ -34,7 +34,7 @@
 	return command, err
 }
 
-// AppendAnswer appends the answer to a command to dst: done if err is nil, else error and the
+// AppendAnswer appends to dst the answer to a command: done if err is nil, else error and the
 // text of err on one line.
 func AppendAnswer(dst []byte, err error) []byte {
 	if err == nil {
--- a/protocol/discovery/discovery.go
+++ b/protocol/discovery/discovery.go
@@ -25,7 +25,7 @@
 // The connection must be closed.
 var ErrMalformed = errors.New("broken answer")
 
-// AppendReport appends to dst the report whether the server of that name accepts requests.
+// AppendReport appends to dst a report that states whether the named server accepts requests.
 // The platform defines the path and the JSON key.
 func AppendReport(dst []byte, host, name string, accepting bool) []byte {
 	body := `{"accepting":"` + strconv.FormatBool(accepting) + `"}`
--- a/protocol/handover/handover.go
+++ b/protocol/handover/handover.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// AppendKey appends the state of a key to dst. It omits a result that has fields or a body
-// larger than lines.MaxBody; retries of the request then fail.
+// AppendKey appends to dst the message with the state of a key. It omits a result that has
+// fields, or a body larger than lines.MaxBody; retries of the request then fail.
 func AppendKey(dst []byte, k idempotency.KeyState) []byte {
 	var body []byte
 	if r := k.Result; r != nil && len(r.Fields) == 0 && len(r.Body) <= lines.MaxBody {
@@ -118,12 +118,12 @@
 	return lines.Append(dst, body, stateWords(Key, k, strconv.FormatBool(k.Completed))...)
 }
 
-// AppendClaim appends to dst the request to run an attempt.
+// AppendClaim appends to dst the message that asks whether an attempt may run.
 func AppendClaim(dst []byte, k idempotency.KeyState) []byte {
 	return lines.Append(dst, nil, stateWords(Claim, k, strconv.FormatInt(k.ArrivedAt.UnixNano(), 10))...)
 }
 
-// AppendClaimReply appends the reply to a claim to dst.
+// AppendClaimReply appends to dst the reply to a claim.
 func AppendClaimReply(dst []byte, attemptID string, granted bool) []byte {
 	kind := Deny
 	if granted {
@@ -132,16 +132,17 @@
 	return lines.Append(dst, nil, string(kind), attemptID)
 }
 
-// AppendNextBatch appends to dst the request for the next batch of keys.
+// AppendNextBatch appends to dst the message that requests the next batch of keys.
 func AppendNextBatch(dst []byte) []byte { return lines.Append(dst, nil, string(NextBatch)) }
 
-// AppendBatchEnd appends to dst the message that all keys of a batch were sent. isLast is
-// whether it was the last batch.
+// AppendBatchEnd appends to dst the message that ends a batch of keys. isLast reports whether
+// it is the last batch.
 func AppendBatchEnd(dst []byte, isLast bool) []byte {
 	return lines.Append(dst, nil, string(BatchEnd), strconv.FormatBool(isLast))
 }
 
-// AppendTrafficDisabled appends to dst the message whether operators have disabled traffic.
+// AppendTrafficDisabled appends to dst the message that states whether operators have disabled
+// traffic.
 func AppendTrafficDisabled(dst []byte, disabled bool) []byte {
 	return lines.Append(dst, nil, string(TrafficDisabled), strconv.FormatBool(disabled))
 }
--- a/protocol/processor/processor.go
+++ b/protocol/processor/processor.go
@@ -140,33 +140,34 @@
 	return lines.Append(dst, nil, string(Hello), strconv.FormatUint(lastNotice, 10))
 }
 
-// AppendStart appends the command to run a request to dst. The command has no effect if the
-// request is already running.
+// AppendStart appends to dst the command that starts a run. The command has no effect if the
+// run has already started.
 func AppendStart(dst []byte, id, class string, body []byte) []byte {
 	return lines.Append(dst, append([]byte{}, body...), string(Start), id, class)
 }
 
-// AppendCancel appends the command to cancel a run to dst.
+// AppendCancel appends to dst the command that cancels a run.
 func AppendCancel(dst []byte, id string) []byte { return lines.Append(dst, nil, string(Cancel), id) }
 
-// AppendCallReply appends the reply to the downstream call that a run waits for to dst.
+// AppendCallReply appends to dst the command with the reply to the downstream call that a run
+// waits for.
 func AppendCallReply(dst []byte, id string, reply []byte) []byte {
 	return lines.Append(dst, append([]byte{}, reply...), string(ReplyToCall), id)
 }
 
-// AppendSkipCall appends to dst the command to continue a run without its downstream call.
+// AppendSkipCall appends to dst the command that continues a run without its downstream call.
 // notice is the number of the notice that requested the call.
 func AppendSkipCall(dst []byte, id string, notice uint64) []byte {
 	return lines.Append(dst, nil, string(SkipCall), id, strconv.FormatUint(notice, 10))
 }
 
-// AppendReadGauges appends the command to report the gauges to dst. The reply has the same
+// AppendReadGauges appends to dst the command that requests the gauges. The reply has the same
 // tag.
 func AppendReadGauges(dst []byte, tag string) []byte {
 	return lines.Append(dst, nil, string(ReadGauges), tag)
 }
 
-// AppendHealthCheck appends the command to do the work of a deep health check to dst. The
+// AppendHealthCheck appends to dst the command that does the work of a deep health check. The
 // reply has the same tag.
 func AppendHealthCheck(dst []byte, tag string) []byte {
 	return lines.Append(dst, nil, string(CheckHealth), tag)
--- a/protocol/thrift/encoder.go
+++ b/protocol/thrift/encoder.go
@@ -20,7 +20,7 @@
 	answerOKFieldID     = 3
 )
 
-// AppendAnswer appends the reply of execute or check to dst.
+// AppendAnswer appends to dst the reply to a call of execute or check.
 func AppendAnswer(dst []byte, name string, seq int32, a Answer) []byte {
 	return appendFrame(dst, Reply, name, seq, func(b []byte) []byte {
 		b = append(b, typeStruct, 0, successFieldID)
@@ -36,12 +36,12 @@
 	})
 }
 
-// AppendShed appends execute's reply with the exception Shed to dst: the attempt did not run.
+// AppendShed appends to dst execute's reply with the exception Shed: the attempt did not run.
 func AppendShed(dst []byte, seq int32, fields map[string]string) []byte {
 	return appendDeclaredException(dst, seq, shedFieldID, fields)
 }
 
-// AppendFault appends execute's reply with the exception Fault to dst: the attempt failed.
+// AppendFault appends to dst execute's reply with the exception Fault: the attempt failed.
 func AppendFault(dst []byte, seq int32, fields map[string]string) []byte {
 	return appendDeclaredException(dst, seq, faultFieldID, fields)
 }
@@ -52,7 +52,8 @@
 	faultFieldID = 2
 )
 
-// appendDeclaredException appends execute's reply with the exception of a field id to dst.
+// appendDeclaredException appends to dst execute's reply with the declared exception whose field
+// id is id.
 func appendDeclaredException(dst []byte, seq int32, id byte, fields map[string]string) []byte {
 	return appendFrame(dst, Reply, methodExecute, seq, func(b []byte) []byte {
 		b = append(b, typeStruct, 0, id)
@@ -61,7 +62,7 @@
 	})
 }
 
-// AppendException appends an application exception to dst. exceptionType is one of the types
+// AppendException appends to dst an application exception. exceptionType is one of the types
 // that this package declares.
 func AppendException(dst []byte, name string, seq int32, exceptionType int32, text string) []byte {
 	return appendFrame(dst, Exception, name, seq, func(b []byte) []byte {
@@ -72,7 +73,7 @@
 	})
 }
 
-// AppendLeaving appends the oneway message leaving to dst: the server accepts no new request
+// AppendLeaving appends to dst the oneway message leaving: the server accepts no new request
 // on the connection.
 func AppendLeaving(dst []byte) []byte {
 	return appendFrame(dst, Oneway, methodLeaving, 0, func(b []byte) []byte { return b })
--- a/protocol/uwsgi/request.go
+++ b/protocol/uwsgi/request.go
@@ -208,7 +208,7 @@
 	return append(dst, v.Value...), nil
 }
 
-// AppendPong appends the answer to a ping to dst. It is a packet without variables.
+// AppendPong appends to dst the answer to a ping, which is a packet without variables.
 func AppendPong(dst []byte) []byte {
 	const pongModifier2 = 1
 	return append(dst, ModifierPing, 0, 0, pongModifier2)
--- a/protocol/uwsgi/response.go
+++ b/protocol/uwsgi/response.go
@@ -85,8 +85,8 @@
 	return response, nil
 }
 
-// hasBody reports whether a response to a method with a status has a body. Its headers don't
-// matter.
+// hasBody reports whether a response with the given status to a request with the given method
+// has a body, whatever its headers say.
 func hasBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// newInheritedSocket opens a listening socket. A configuration that was changed by inherit
-// makes a server inherit the socket.
+// newInheritedSocket opens a listening socket. inherit changes a configuration so that a server
+// with it inherits the socket.
 func newInheritedSocket(t *testing.T) (listener net.Listener, inherit func(*config.Config)) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("a folder with a long name ", 4)) // too long for a Unix socket's address
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -157,12 +157,12 @@
 	for key, where := range map[string]*harness{"ran": predecessor, "runs": predecessor, "new": successor} {
 		body := "gift " + key
 		if a, b := predecessor.work.Runs(body), successor.work.Runs(body); a+b != 1 || where.work.Runs(body) != 1 {
-			t.Errorf("%s: %d runs in the predecessor and %d in the successor, want 1 in all, where it was sent first", body, a, b)
+			t.Errorf("%s: %d runs in the predecessor and %d in the successor, want 1 in total, in the process that received it first", body, a, b)
 		}
 	}
 	for len(predecessor.discovery.Reports) > 0 {
 		if report := <-predecessor.discovery.Reports; strings.Contains(report, "false") {
-			t.Errorf("the predecessor reported %s, want no report of false", report)
+			t.Errorf("the predecessor sent the report %s, want none of accepting false", report)
 		}
 	}
 }
--- a/server/crossing_test.go
+++ b/server/crossing_test.go
@@ -131,7 +131,7 @@
 				h.startShutdown()
 				got := b.replies(4)
 				if took := time.Since(began); took > 1500*time.Millisecond { // the kill time; answers are due 250 ms before it
-					t.Errorf("answered %v after the drain began, want at most 1.5s", took)
+					t.Errorf("last answer %v after the drain began, want at most 1.5s", took)
 				}
 				b.expectEOF() // a process that is killed does not close its connections gracefully
 				<-h.drained
@@ -164,19 +164,19 @@
 	}
 	conns["early"].write(halves["early"])
 	if got := conns["early"].replies(1)[1]; got != "served" {
-		t.Errorf("outcome of a request completed within the grace = %s, want served", got)
+		t.Errorf("outcome of a request whose last bytes arrived within the grace = %s, want served", got)
 	}
 	h.waitClosed(t)
 	if _, err := conns["late"].Write(halves["late"]); err == nil {
 		reply, err := fakes.ReadReply(conns["late"].r)
 		if err == nil && reply.Outcome().Kind != "refused" || err != nil && !errors.Is(err, io.EOF) {
-			t.Errorf("reply to a request completed after the grace = %+v, %v, want refused or EOF", reply, err)
+			t.Errorf("reply to a request whose last bytes arrived after the grace = %+v, %v, want refused or EOF", reply, err)
 		}
 	}
 	conns["never"].expectEOF()
 	<-h.drained
 	if n := h.work.Runs("late"); n > 0 {
-		t.Errorf("a request completed after the grace ran %d times, want 0", n)
+		t.Errorf("a request whose last bytes arrived after the grace ran %d times, want 0", n)
 	}
 }
 
--- a/server/listeners.go
+++ b/server/listeners.go
@@ -23,7 +23,7 @@
 // readHeaderTimeout bounds the time for reading the headers of an operator's HTTP request.
 const readHeaderTimeout = 5 * time.Second
 
-// The server checks for idle connections idleChecksPerTimeout times in the idle timeout, at an
+// The server checks for idle connections idleChecksPerTimeout times per idle timeout, but at an
 // interval within these bounds.
 const (
 	idleChecksPerTimeout = 4
@@ -44,9 +44,9 @@
 // frontend accepts requests over one protocol.
 type frontend interface {
 	Serve(c *transport.Conn) // serves a connection until it ends
-	ReclaimConnections()     // closes connections near the limit
+	ReclaimConnections()     // closes idle connections when their number is near the limit
 	NotifyDraining()         // tells callers to use other servers
-	EndGrace()               // makes requests that have not arrived by now be rejected
+	EndGrace()               // ends the grace period: requests that arrive from now on do not run
 	Drain(by time.Time)      // closes each connection once nothing is pending on it, at the latest at the given time
 	PendingConns() int       // number of connections that may have an unread request or an unwritten answer
 }
--- a/server/observers.go
+++ b/server/observers.go
@@ -9,7 +9,7 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// observer returns the observer that the core calls for each answer, nil if there is none.
+// observer returns the observer that the core calls for each response, nil if there is none.
 func (s *Server) observer() dispatch.Observer {
 	var observers multiObserver
 	if s.recorder != nil {
@@ -24,7 +24,7 @@
 	return observers
 }
 
-// multiObserver calls several observers for each answer.
+// multiObserver calls several observers for each response.
 type multiObserver []dispatch.Observer
 
 // ObserveResponse implements dispatch.Observer.
@@ -34,8 +34,8 @@
 	}
 }
 
-// outcomeCounter counts outcomes and latencies, by which a rollout compares servers. Its
-// methods may be called from any goroutine.
+// outcomeCounter counts the outcomes and latencies of this process's requests. A rollout
+// compares servers by these counts. Its methods may be called from any goroutine.
 type outcomeCounter struct {
 	mu         sync.Mutex
 	objectives map[string]time.Duration // latency objective by class
--- a/server/reload.go
+++ b/server/reload.go
@@ -8,12 +8,13 @@
 
 // Reload applies a new configuration while requests are served: the addresses of the
 // processor, the shared dependency and the discovery service, the settings, the limits of
-// memory and cores, the rules, and the time from SIGTERM to the kill. The fleet's patch of the
-// settings is applied to the new settings too. If uwsgiFile is nil, the uwsgi frontend keeps
+// memory and cores, the rules, and the time from SIGTERM to the kill. It merges the fleet's
+// patch, if there is one, into the new settings. If uwsgiFile is nil, the uwsgi frontend keeps
 // its configuration.
 //
-// An error names the invalid key, and nothing has changed then. Changed keys that need a
-// restart, such as the limit of file descriptors, are logged and keep their values.
+// If Reload returns an error, nothing has changed; the error names the invalid key unless the
+// server has stopped. Changed keys that need a restart, such as the limit of file descriptors,
+// are logged and keep their values.
 func (s *Server) Reload(c *config.Config, uwsgiFile *config.UWSGI) error {
 	s.reloadMu.Lock()
 	defer s.reloadMu.Unlock()
@@ -28,8 +29,8 @@
 	return nil
 }
 
-// validate returns a configuration with the fleet's patch applied. It returns an error if c
-// lacks a key that the active file has.
+// validate returns c with the fleet's patch merged into its settings. It returns an error if c
+// lacks a key that the active file has, or if the patched configuration is invalid.
 func (s *Server) validate(c *config.Config) (*config.Config, error) {
 	if err := c.CheckComplete(s.fileConfig); err != nil {
 		return nil, err
@@ -41,8 +42,8 @@
 	return next, nil
 }
 
-// apply makes next the active configuration. The core validates the settings before anything
-// has changed.
+// apply makes next the active configuration. The core validates the settings first; if it
+// returns an error, nothing has changed.
 func (s *Server) apply(next *config.Config, uwsgiFile *config.UWSGI) error {
 	if err := s.core.UpdateSettings(next.Settings, next.Classes, next.Tenants); err != nil {
 		return err
--- a/server/rollouts.go
+++ b/server/rollouts.go
@@ -6,8 +6,8 @@
 	"quincerail.example/quincerail/config"
 )
 
-// fleetTarget applies the fleet's rollouts of settings to this process, and counts its
-// outcomes for them. It implements fleet.Target.
+// fleetTarget applies the settings of the fleet's rollouts to this process, and reports the
+// counts of outcomes by which a rollout compares servers. It implements fleet.Target.
 type fleetTarget struct {
 	*outcomeCounter
 
@@ -17,8 +17,8 @@
 // Apply implements fleet.Target.
 func (t fleetTarget) Apply(patch json.RawMessage) error { return t.server.applyFleetPatch(patch) }
 
-// applyFleetPatch applies the configuration from the file with the settings changed by patch.
-// After an error nothing has changed.
+// applyFleetPatch merges patch into the settings of the configuration from the file, and makes
+// the result the active configuration. If it returns an error, nothing has changed.
 func (s *Server) applyFleetPatch(patch json.RawMessage) error {
 	s.reloadMu.Lock()
 	defer s.reloadMu.Unlock()
@@ -37,8 +37,8 @@
 }
 
 // checkClassesKept returns an error if next lacks a class that the rules or the uwsgi frontend
-// may assign: next would be valid by itself, but requests would get a class that it does not
-// have.
+// may assign. The settings in next may be valid without that class, but requests would get a
+// class that they lack.
 func (s *Server) checkClassesKept(next *config.Config) error {
 	if s.uwsgi == nil && s.fileConfig.Rules == nil {
 		return nil
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -8,10 +8,10 @@
 	"quincerail.example/quincerail/handover"
 )
 
-// Deadlines of the shutdown's steps, as the time before the process may be killed.
+// Deadlines of the shutdown's steps, as times before the platform may kill the process.
 const (
-	answerMargin     = 200 * time.Millisecond // every request is answered, and the server starts to close connections
-	disconnectMargin = 140 * time.Millisecond // connections are closed, even in the middle of a message
+	answerMargin     = 200 * time.Millisecond // all requests must be answered; the server starts to close connections
+	disconnectMargin = 140 * time.Millisecond // all connections are closed, even in the middle of a message
 	exitMargin       = 80 * time.Millisecond  // the process exits
 )
 
@@ -58,7 +58,8 @@
 }
 
 // leaveFleet releases this process's leases in its fleet, so that other members can acquire
-// them at once. The returned channel is closed when that is done or has timed out.
+// them at once. The returned channel is closed when the leases are released or the release has
+// timed out.
 func (s *Server) leaveFleet() <-chan struct{} {
 	left := make(chan struct{})
 	if s.fleet == nil {
@@ -84,10 +85,10 @@
 // drain runs through the states notifying, rejecting and closing (see state). It skips
 // closing if all connections have ended before the answer deadline.
 //
-// An inherited listening socket stays open until the state closing. A caller whose
-// connection is refused takes that as proof that nothing ran. But another process holds an
-// inherited socket too: after this process closed its descriptor, a new connection would not
-// be refused. It would wait in the accept queue and never be served.
+// An inherited listening socket stays open until the state closing, because another process
+// holds it too. If this process closed its descriptor earlier, a new connection would not be
+// refused, which proves to the caller that its request did not run. The connection would wait
+// in the accept queue and never be served.
 func (s *Server) drain() {
 	graceEnd, killAt := s.beginDrain()
 
@@ -112,8 +113,8 @@
 	s.closeConnections(killAt, accepted, done)
 }
 
-// beginDrain starts the drain of the core. Requests must be accepted until graceEnd, and the
-// process may be killed at killAt.
+// beginDrain starts the drain of the core. It returns the time until which requests must be
+// accepted, and the time from which the platform may kill the process.
 func (s *Server) beginDrain() (graceEnd, killAt time.Time) {
 	active := s.activeConfig.Load()
 	noticeAt := s.core.DrainNoticeTime() // of SIGTERM
@@ -162,8 +163,8 @@
 	}
 }
 
-// endGrace makes the frontends mark what they have received: the core sheds requests that
-// arrive later.
+// endGrace tells the frontends that the grace period is over. Requests that arrive from now on
+// are shed.
 func (s *Server) endGrace() {
 	for _, l := range s.listeners {
 		l.frontend.EndGrace()
@@ -183,11 +184,12 @@
 	return done
 }
 
-// closeConnections closes the connections, and returns when the process may exit: when done
-// is closed, or exitMargin before killAt, or later if package guard does not allow the exit,
-// since the process may have been suspended until then. The channel accepted must be closed
-// once no connection waits to be accepted, and done once the connections have ended and the
-// requests are answered.
+// closeConnections closes the connections, and returns when the process may exit. That is when
+// done is closed, or exitMargin before killAt. It is later if package guard does not allow the
+// exit: after a suspension, the process may still have requests to read and answer.
+//
+// The caller must close accepted once no connection waits to be accepted, and done once the
+// connections have ended and the requests are answered.
 func (s *Server) closeConnections(killAt time.Time, accepted, done <-chan struct{}) {
 	for _, l := range s.listeners {
 		l.frontend.Drain(killAt.Add(-disconnectMargin))
@@ -223,7 +225,7 @@
 	}
 }
 
-// exitFacts returns the input of package guard's decision whether the process may exit.
+// exitFacts returns the inputs of guard.MayExit. checks is the number of earlier checks.
 func (s *Server) exitFacts(accepted <-chan struct{}, checks int) guard.ExitState {
 	facts := guard.ExitState{Checks: checks}
 	if !isClosed(accepted) {
@@ -238,8 +240,8 @@
 	return facts
 }
 
-// reportStopped logs that the process may exit, and whether connections are still open. It
-// reports unanswered requests as lost, which violates a rule of package guard.
+// reportStopped logs that the process may exit, and whether connections are still open. If
+// requests are unanswered, it also records a violation of guard.LostRequest.
 func (s *Server) reportStopped(connections string) {
 	open := s.unanswered()
 	if open > 0 {
@@ -265,9 +267,9 @@
 }
 
 // handOver leaves new connections to a successor on the same socket. It returns when the
-// open requests are answered and the callers have closed their connections, or shortly
-// before this process may be killed. It stops this process's reports to the discovery
-// service, so that the successor's reports stay valid.
+// open requests are answered and all connections have ended, or shortly before this process
+// may be killed. It stops this process's reports to the discovery service, so that they do not
+// replace the successor's.
 func (s *Server) handOver(successor *handover.Peer) {
 	s.enter(stateHandingOver)
 	killAt := s.core.DrainNoticeTime().Add(s.activeConfig.Load().KillDelay())
@@ -285,7 +287,7 @@
 
 // notifyUntil notifies callers every renotifyInterval until done or answerDeadline is closed,
 // and reports whether done was closed. At each repetition the Thrift frontend closes the idle
-// connections whose callers it notified before.
+// connections whose callers it notified longer ago than its notice period.
 func (s *Server) notifyUntil(done, answerDeadline <-chan struct{}) bool {
 	ticker := time.NewTicker(renotifyInterval)
 	defer ticker.Stop()
--- a/server/start.go
+++ b/server/start.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// keyTableMemoryDivisor is the divisor of the process's memory that gives the bound for
-	// the table of idempotency keys.
+	// keyTableMemoryDivisor bounds the table of idempotency keys: it may use the process's
+	// memory divided by this number.
 	keyTableMemoryDivisor = 8
 
 	// keysSyncNever is the value of Config.KeysSync that leaves syncing to the operating
@@ -90,8 +90,8 @@
 }
 
 // prepare creates the parts whose creation can fail, each after the parts that it needs, and
-// opens the listeners. Only the fleet's messages and the operators' HTTP requests are served
-// before run.
+// opens the listeners. Until run is called, the process serves only the fleet's messages,
+// /metrics and the operators' HTTP requests.
 func (s *Server) prepare(c *config.Config, uwsgiFile *config.UWSGI) error {
 	recovered, err := s.openJournal(c)
 	if err != nil {
@@ -221,8 +221,8 @@
 	return nil
 }
 
-// quotaLimiter returns the limiter of downstream calls to this process's rights in the fleet's
-// quota, nil if there is no such quota.
+// quotaLimiter returns a limiter that keeps downstream calls within this process's rights to
+// the fleet's quota of calls. It returns nil if there is no such quota.
 func (s *Server) quotaLimiter(c *config.Config) *downstream.QuotaLimiter {
 	if s.fleet == nil {
 		return nil
@@ -234,8 +234,8 @@
 	return downstream.NewQuotaLimiter(s.dependency, calls, func() time.Duration { return c.Settings.AbandonedCallDuration })
 }
 
-// attachCore sets the core, or the limiter between the core and the dependency, as the
-// receiver of the other parts' events.
+// attachCore connects the other parts to the core, which receives their events. The outcomes
+// of downstream calls go through the limiter if there is one.
 func (s *Server) attachCore(limiter *downstream.QuotaLimiter) {
 	s.processor.Attach(s.core)
 	if limiter != nil {
@@ -322,9 +322,10 @@
 	s.enter(stateServing)
 }
 
-// takeOver starts to serve once the keys of the predecessor, the process that serves on the
-// same socket, are replicated, or at once if there is no predecessor. After the predecessor
-// has disconnected, a successor may take over from this process.
+// takeOver starts to serve once the predecessor, the process that serves on the same socket,
+// has replicated its keys, or at once if there is no predecessor. If the predecessor does not
+// replicate its keys in time, requests whose keys are unknown fail. After the predecessor has
+// disconnected, a successor may take over from this process.
 func (s *Server) takeOver(c *config.Config) {
 	predecessor, err := s.handover.Connect(s.lifetimeCtx)
 	if err != nil && s.markKeysInDoubt(c) != nil {
@@ -346,8 +347,8 @@
 	return s.core.MarkUnknownKeysInDoubt(predecessorKilled.Add(longestKeyWindow(c.Settings)))
 }
 
-// serveWithPredecessor starts to serve, and returns when the predecessor has disconnected. The
-// limit of connections is lower until then, as both processes accept connections.
+// serveWithPredecessor starts to serve, and returns when the predecessor has disconnected.
+// Until then the limit of connections is lower, because both processes accept connections.
 func (s *Server) serveWithPredecessor(predecessor *handover.Peer, c *config.Config) {
 	platform := s.listeners[0].server
 	platform.SetLimit(connectionLimit(c, handoverDescriptorShare))
--- a/server/state_test.go
+++ b/server/state_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestState_OnlyMovesForward checks that a server never enters an earlier state again. A
-// process that takes over may start to serve only after SIGTERM, for example.
+// TestState_OnlyMovesForward checks that a server never returns to an earlier state. For
+// example, a takeover that ends after SIGTERM must not move a draining server to serving.
 func TestState_OnlyMovesForward(t *testing.T) {
 	var s Server
 	if s.hasStartedServing() {
--- a/server/suite_test.go
+++ b/server/suite_test.go
@@ -298,9 +298,8 @@
 			return fmt.Sprintf("%s, %s, %s, %d run, %d others", describeOutcome(a), describeOutcome(b), describeOutcome(c), h.work.Runs("gift"), h.work.Runs("more"))
 		},
 	},
-	// A request that runs when the drain begins is served, and so is one that is completed
-	// within the grace. One that was half read when the drain began and is completed after the
-	// grace never runs.
+	// A request that runs when the drain begins is served, and so is one whose last bytes
+	// arrive within the grace. One whose last bytes arrive after the grace never runs.
 	{
 		"drain", shortGrace, "served done: running, served done: early, refused, 0 late runs, drained",
 		func(t *testing.T, h *harness, f frontend) string {
--- a/server/tenants_test.go
+++ b/server/tenants_test.go
@@ -83,7 +83,7 @@
 			t.Errorf("%s: reply to request %d = %+v, want %s", test.name, b.seq, reply, test.want)
 		}
 		if runs := h.work.Runs(test.name); (runs == 1) != (test.want == "served") || runs > 1 {
-			t.Errorf("%s: %d runs of a request with outcome %s", test.name, runs, test.want)
+			t.Errorf("%s: the request ran %d times, want 1 if served, else 0 (outcome %s)", test.name, runs, test.want)
 		}
 	}
 }
--- a/transport/errors.go
+++ b/transport/errors.go
@@ -8,5 +8,6 @@
 var ErrMessageSkipped = errors.New("skipped bytes that are not a message")
 
 // ErrPeerNotReading is wrapped by the error that Conn.Serve returns for an aborted
-// connection: the peer left too many bytes unread, or Conn.Abort was called for any reason.
+// connection. The cause is either a peer that left too many bytes unread, or a call of
+// Conn.Abort, for whatever reason.
 var ErrPeerNotReading = errors.New("connection aborted: peer stopped reading")
--- a/transport/write.go
+++ b/transport/write.go
@@ -9,9 +9,9 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// Limits for writing to a peer that does not read. The limit is a number of attempts, each
-// with its own deadline, and not one deadline for all: a process that was suspended past
-// that deadline would give up without having tried.
+// Limits for writing to a peer that does not read. A flush makes a limited number of attempts,
+// each with its own deadline. With one deadline for all attempts, a process that was suspended
+// past it would give up without an attempt.
 const (
 	// writeAttemptTimeout bounds one attempt.
 	writeAttemptTimeout = 500 * time.Millisecond
