--- a/backend/commands.go
+++ b/backend/commands.go
@@ -84,7 +84,8 @@
 
 // ReadGauges implements dispatch.Machine. It does not call reply if the connection is not
 // ready or breaks before the answer. It aborts the connection if more than
-// maxUnansweredQueries calls in a row got no notice.
+// maxUnansweredQueries calls in a row got no notice, unless the processor has never answered a
+// hello.
 func (p *Processor) ReadGauges(reply func(decision.Gauges)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/backend/processor.go
+++ b/backend/processor.go
@@ -17,9 +17,9 @@
 	"quincerail.example/quincerail/transport"
 )
 
-// maxUnansweredQueries is how many gauge queries in a row may pass without any notice from
-// the processor. One more aborts the connection, and the address is redialled. At the interval
-// of the decision module's queries that is about two seconds. Runs continue across a
+// maxUnansweredQueries is how many calls of ReadGauges in a row may pass without any notice
+// from the processor. One more aborts the connection, and the address is redialled. At the
+// interval of the decision module's queries, that takes about two seconds. Runs continue across a
 // reconnect, so it costs little if the processor is only slow. The limit counts queries and
 // not time, because a suspended process does not notice that time passes.
 const maxUnansweredQueries = 80
@@ -149,7 +149,7 @@
 func (p *Processor) handle(c *transport.Conn, n processor.Notice) (coreReport, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.currentConn != c { // its number in lastNotice would suppress earlier notices on the new connection
+	if p.currentConn != c { // the notice's number in lastNotice would suppress earlier notices on the new connection
 		return nil, errReplaced
 	}
 	p.unansweredQueries = 0
@@ -181,9 +181,9 @@
 	return nil, nil
 }
 
-// handleGreetingLocked handles the answer to the hello. The processor sends the missed
-// notices after it. The processor answers the query that is sent here after those notices,
-// so the answer proves that they were read (see handleGaugesLocked). p.mu is held.
+// handleGreetingLocked handles the answer to the hello, and sends a gauge query. The processor
+// answers the query after it has sent all missed notices, so the answer proves that they were
+// read (see handleGaugesLocked). p.mu is held.
 func (p *Processor) handleGreetingLocked(n processor.Notice) (coreReport, error) {
 	if p.greetingConn == nil || p.greetingQuery != 0 {
 		return nil, fmt.Errorf("%w: unexpected greeting (hi)", lines.ErrMalformed)
--- a/downstream/quota.go
+++ b/downstream/quota.go
@@ -136,9 +136,9 @@
 }
 
 // ApplyFleetBounds sets the core's fleet bounds to this member's part of the fleet's quotas.
-// It starts a goroutine that applies changes of the quota of calls until the core has
-// stopped, and reports to the fleet how many calls the core would have in flight without the
-// quota.
+// If there is a quota of calls, it starts a goroutine that applies changes of the quota until
+// the core has stopped. The core then reports to the fleet how many calls it would have in
+// flight without the quota.
 func ApplyFleetBounds(core *dispatch.Core, member *fleet.Fleet) {
 	bounds := decision.FleetBounds{MaxCalls: math.Inf(1)}
 	if member.QuotaAgent(fleet.Repeats) != nil {
--- a/frontend/thrift/frontend.go
+++ b/frontend/thrift/frontend.go
@@ -86,9 +86,10 @@
 	f.reportClose(transportConn, unanswered)
 }
 
-// reportClose reports how a connection closed, with the IDs of the requests that had no
-// response. These requests fail. If queued bytes could not be written although the connection
-// did not fail on the peer's side, requests are lost, which violates guard.LostRequest.
+// reportClose reports how a connection closed to the observer and logs it. unanswered has the
+// IDs of the requests that had no response. If there are any, and queued bytes were not written
+// although the connection did not fail on the peer's side, reportClose also records a violation
+// of guard.LostRequest.
 func (f *Frontend) reportClose(c *transport.Conn, unanswered []string) {
 	info := c.CloseInfo()
 	if f.options.Observer != nil {
--- a/frontend/uwsgi/connection.go
+++ b/frontend/uwsgi/connection.go
@@ -25,7 +25,7 @@
 	mu        sync.Mutex
 	requestID string // "" until the request is read
 	closing   bool   // the connection closes once all queued bytes are written
-	graceOver bool   // the grace period of a drain is over: a request that is not read in time is rejected
+	graceOver bool   // the grace period of a drain was over before the request was read
 }
 
 // handleNext reads the request and submits it. It is the handler for transport.Conn.Serve.
@@ -123,7 +123,7 @@
 		Backend:    c.frontend.backend,
 		Responder:  c,
 	})
-	if err != nil { // the class requires an idempotency key and the request has none
+	if err != nil { // a field is invalid, for example the idempotency key is missing, or the core has stopped
 		c.respond(http.StatusBadRequest)
 	}
 }
@@ -234,22 +234,23 @@
 	c.conn.Close()
 }
 
-// unansweredRequest returns the ID of the request that was read, if it has no response.
+// unansweredRequest returns the ID of the request that was read, and whether it has no response
+// yet.
 func (c *connection) unansweredRequest() (id string, unanswered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requestID, c.requestID != "" && !c.closing
 }
 
-// isPending reports whether the request was read and its response is not written.
+// isPending reports whether a response is due or not completely written.
 func (c *connection) isPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return (c.requestID != "" || c.closing) && !c.conn.Finished()
 }
 
-// endGrace limits the time until a request that is not read yet must have arrived to
-// requestTimeoutAfterGrace.
+// endGrace sets the read deadline to requestTimeoutAfterGrace from now, unless the request was
+// already read.
 func (c *connection) endGrace() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/frontend/uwsgi/frontend.go
+++ b/frontend/uwsgi/frontend.go
@@ -99,6 +99,6 @@
 func (f *Frontend) PendingConns() int { return f.connections.Count((*connection).isPending) }
 
 // EndGrace is called when the grace period of a drain is over. Requests that have not been read
-// by then do not run: the core sheds those that arrive within requestTimeoutAfterGrace, and the
-// frontend rejects the others.
+// by then do not run: the core sheds those that arrive within requestTimeoutAfterGrace. The
+// frontend rejects those of which only a part arrives, and closes connections without any byte.
 func (f *Frontend) EndGrace() { f.connections.Each((*connection).endGrace) }
--- a/protocol/ledger/ledger.go
+++ b/protocol/ledger/ledger.go
@@ -55,8 +55,8 @@
 	return Reply{ID: words[0], Status: Status(words[1]), Body: body}, nil
 }
 
-// validStatus reports whether s is a known status, and whether the reply has the body that a
-// call that succeeded must have.
+// validStatus reports whether s is a known status. Succeeded is valid only in a reply with a
+// body.
 func validStatus(s Status, hasBody bool) bool {
 	switch s {
 	case Succeeded:
--- a/protocol/lines/words.go
+++ b/protocol/lines/words.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxMilliseconds is the upper bound of a duration in a message, in milliseconds. It is
-// about 31 years.
+// maxMilliseconds is the exclusive upper bound of a duration in a message, in milliseconds. It
+// is about 31 years.
 const maxMilliseconds = 1e12
 
 // WordParser parses the words of a line. A method that can't parse its word returns the
--- a/protocol/thrift/reader.go
+++ b/protocol/thrift/reader.go
@@ -62,7 +62,8 @@
 	return r.readFrame(b, int(size))
 }
 
-// readFrame reads a frame of size bytes. It skips the frame if the message can't be decoded.
+// readFrame reads a frame of size bytes. If the message can't be decoded, readFrame skips the
+// frame, or its bytes up to the start of another message (see frameEnd).
 func (r *Reader) readFrame(b *bufio.Reader, size int) (*Message, error) {
 	frame, err := b.Peek(frameSizeLength + size)
 	if err != nil {
--- a/protocol/uwsgi/request.go
+++ b/protocol/uwsgi/request.go
@@ -54,7 +54,7 @@
 // Decoder reads one request. It keeps the bytes that have arrived, so callers may retry Read
 // after a read error such as a timeout.
 type Decoder struct {
-	MaxBody int // in bytes; Read returns ErrTooLarge for a larger body
+	MaxBody int // in bytes; for a larger body, the error of Read wraps ErrTooLarge
 
 	started  bool
 	stage    stage
@@ -91,7 +91,7 @@
 	return &d.req, nil
 }
 
-// readHeader reads a packet's header. It returns ErrMalformed if the first modifier is not
+// readHeader reads a packet's header. The error wraps ErrMalformed if the first modifier is not
 // supported.
 func (d *Decoder) readHeader(r *bufio.Reader) error {
 	header, err := r.Peek(headerSize)
--- a/transport/ending.go
+++ b/transport/ending.go
@@ -21,8 +21,8 @@
 	Idle        CloseReason = "idle"         // CloseIfIdle was called, no response was pending and no message was partially read
 	Drained     CloseReason = "drained"      // Drain was called, and guard.MayClose allowed the close or the drain deadline had passed
 	Closed      CloseReason = "closed"       // Close was called
-	WriteFailed CloseReason = "write_failed" // queued bytes could not be written
-	Aborted     CloseReason = "cut_off"      // Abort was called, or the peer left too many bytes unread
+	WriteFailed CloseReason = "write_failed" // queued bytes could not be written, or an abort interrupted the write
+	Aborted     CloseReason = "cut_off"      // Abort was called, or the peer left too many bytes unread; no write was interrupted
 )
 
 // IsLocal reports whether this process closed the connection, and not an action of its peer.
--- a/transport/errors.go
+++ b/transport/errors.go
@@ -7,7 +7,7 @@
 // a short timeout if no message follows and no response is pending.
 var ErrMessageSkipped = errors.New("skipped bytes that are not a message")
 
-// ErrPeerNotReading is wrapped by the error that Conn.Serve returns for an aborted
-// connection. The cause is either a peer that left too many bytes unread, or a call of
-// Conn.Abort, for whatever reason.
+// ErrPeerNotReading is the CloseInfo.Err of an aborted connection: the peer left too many
+// bytes unread, or Conn.Abort was called for any reason. If the abort interrupts a write,
+// CloseInfo.Err is the error of that write instead.
 var ErrPeerNotReading = errors.New("connection aborted: peer stopped reading")
--- a/transport/server.go
+++ b/transport/server.go
@@ -82,7 +82,7 @@
 // closed.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Serve accepts connections until Shutdown or Close is called, and then returns nil. It
+// Serve accepts connections until Shutdown or Close stops it, and then returns nil. It
 // retries a failed accept, for example when the process is out of descriptors, after a
 // growing pause, so that failures neither stop the server nor keep a core busy.
 func (s *Server) Serve() error {
--- a/transport/state.go
+++ b/transport/state.go
@@ -104,8 +104,8 @@
 	commandClose
 )
 
-// closeCheck holds the inputs for the decision whether an open connection closes. It is made
-// after a non-blocking read has found the socket empty.
+// closeCheck holds the inputs for the decision whether an open connection closes. The decision
+// is made after a non-blocking read has found the socket empty.
 type closeCheck struct {
 	facts          guard.ConnectionState
 	command        connCommand
