--- a/backend/commands.go
+++ b/backend/commands.go
@@ -20,10 +20,9 @@
 )
 
 // pendingCommand is a command that the processor may not have read yet. It is dropped when
-// it need not be sent again. That is the case when the processor answers a query that was
-// sent after the command on the same connection, because the processor reads in order. It
-// is also the case when a later notice of its run shows that the command was read or is
-// obsolete.
+// it need not be sent again: when the processor answers a query that was sent after the
+// command on the same connection, because the processor reads in order, or when a later
+// notice of the command's run shows that the command was read or is obsolete.
 type pendingCommand struct {
 	encoded        []byte
 	runID          string
@@ -84,8 +83,9 @@
 }
 
 // ReadGauges implements dispatch.Machine. It does not call reply if the connection is not
-// ready or breaks before the answer. It aborts the connection if the
-// processor has sent no notice during the last maxUnansweredQueries calls.
+// ready or breaks before the answer. It aborts the connection if more than
+// maxUnansweredQueries calls in a row got no notice, unless the processor has never answered a
+// hello.
 func (p *Processor) ReadGauges(reply func(decision.Gauges)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
