--- a/fleet/consensus/doc.go
+++ b/fleet/consensus/doc.go
@@ -39,8 +39,8 @@
 //
 // # Damaged logs
 //
-// A voter whose log has lost records may have lost its vote of a term or an
-// entry that was counted towards a majority. So Start fails with
+// A voter whose log has lost records may have lost the vote that it cast in a term,
+// or an entry that was counted towards a majority. So Start fails with
 // [ErrLogDamaged] on such a log, and a node stops if its log fails while it
 // runs: see [Node.Done].
 package consensus
--- a/fleet/consensus/log.go
+++ b/fleet/consensus/log.go
@@ -14,7 +14,7 @@
 
 const (
 	entrySlots      = 2048 // number of store keys for entries, reused cyclically; must exceed the length of the log
-	entriesRetained = 64   // entries kept before a snapshot, so that a slightly slower voter needs no snapshot
+	entriesRetained = 64   // entries kept up to a snapshot's index, so that a voter slightly behind needs no snapshot
 )
 
 // Keys of the store.
@@ -28,7 +28,7 @@
 // hard state in the record at stateKey.
 const lastIndexBytes = 8
 
-// neverExpires is the expiry time of the log's records.
+// neverExpires is the expiry time of the log's records, which must not expire.
 var neverExpires = time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // durableLog stores a voter's raft log in a store: the latest snapshot, the
@@ -40,8 +40,8 @@
 //   - Entries written after the last state record have indexes beyond its last
 //     index. They are not valid, and no message about them was sent.
 //   - Before entries replace others with the same indexes, a state record is
-//     written whose last index is before them. So an old entry never follows a
-//     new one in the valid part of the log.
+//     written with a last index below all of them. So an old entry never follows
+//     a new one in the valid part of the log.
 type durableLog struct {
 	store     *store.Store
 	dir       string              // directory of the store, for errors
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// saveState writes the state record and waits until it is durable, and with it
-// all records before it.
+// saveState writes the state record and waits until it and all records before it
+// are durable.
 func (l *durableLog) saveState() error {
 	if err := l.memory.SetHardState(l.hardState); err != nil {
 		return fmt.Errorf("consensus: setting the hard state: %w", err)
@@ -125,7 +125,8 @@
 }
 
 // compact stores a snapshot of the group and the state machine as of an applied
-// index, and discards the entries up to entriesRetained before it.
+// index. It removes the entries up to that index from memory, except the last
+// entriesRetained.
 func (l *durableLog) compact(index uint64, confState *raftpb.ConfState, data []byte) error {
 	snapshot, err := l.memory.CreateSnapshot(index, confState, data)
 	if err != nil {
--- a/fleet/consensus/membership.go
+++ b/fleet/consensus/membership.go
@@ -91,7 +91,8 @@
 	return n.proposeMembershipChange(raftpb.ConfChangeRemoveNode, Voter{Name: name})
 }
 
-// proposeMembershipChange proposes a change of one voter from any goroutine.
+// proposeMembershipChange proposes to add or remove one voter. Any goroutine may
+// call it.
 func (n *Node) proposeMembershipChange(kind raftpb.ConfChangeType, voter Voter) error {
 	encodedVoter, err := json.Marshal(voter)
 	if err != nil {
@@ -104,8 +105,8 @@
 	return nil
 }
 
-// proposeConfChange proposes a change of one voter, whose JSON is encodedVoter.
-// Only the node's goroutine may call it.
+// proposeConfChange proposes to add, promote or remove the named voter, whose JSON
+// is encodedVoter. Only the node's goroutine may call it.
 func (n *Node) proposeConfChange(kind raftpb.ConfChangeType, name string, encodedVoter []byte) {
 	change := &raftpb.ConfChange{Type: kind.Enum(), NodeId: proto.Uint64(voterID(name)), Context: encodedVoter}
 	if err := n.raft.ProposeConfChange(change); err != nil {
--- a/fleet/consensus/node.go
+++ b/fleet/consensus/node.go
@@ -19,7 +19,8 @@
 )
 
 const (
-	// Raft draws each election timeout at random, in ticks, from one to two times
+	// ticksPerElection is the number of ticks in Options.ElectionTimeout. Raft draws
+	// each election timeout at random, in ticks, from one to two times
 	// Options.ElectionTimeout. With ten ticks, two of four voters often drew the
 	// same timeout and split the vote, which takes another election timeout.
 	ticksPerElection  = 50
@@ -60,8 +61,8 @@
 type Options struct {
 	Self string // name of this voter
 	// Voters maps the names of the group's founders, including Self, to their
-	// addresses. It must be the same at each founder. For a voter that joins a
-	// running group it has the current voters of that group.
+	// addresses. It must be the same at each founder. A voter that joins a running
+	// group sets it to the current voters of that group.
 	Voters map[string]string
 	Join   bool // this voter joins a running group
 	// OnMembershipChange receives the group at the start and after each change. It
@@ -185,8 +186,9 @@
 	return nil
 }
 
-// hasConfiguredFounders reports whether the log belongs to a group with the
-// configured founders. The initial snapshot has only the founders' IDs.
+// hasConfiguredFounders reports whether the founders of the log's group are the
+// configured ones. It compares raft IDs if the log's only snapshot is the initial
+// one, which has no names.
 func (n *Node) hasConfiguredFounders(snapshot *raftpb.Snapshot) bool {
 	if len(snapshot.GetData()) == 0 {
 		return slices.Equal(snapshot.GetMetadata().GetConfState().GetVoters(), n.options.founderIDs())
--- a/fleet/consensus/node_test.go
+++ b/fleet/consensus/node_test.go
@@ -89,7 +89,8 @@
 	return err
 }
 
-// TestStart_RejectsDamagedLog damages a record of a stopped voter's log.
+// TestStart_RejectsDamagedLog damages a record of a stopped voter's log. Start must
+// then fail.
 func TestStart_RejectsDamagedLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
@@ -113,7 +114,7 @@
 	t.Helper()
 	segments, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(segments) == 0 {
-		t.Fatalf("%s has the segments %q, %v, want at least one", dir, segments, err)
+		t.Fatalf("segments in %s = %q, error %v, want at least one segment", dir, segments, err)
 	}
 	b, err := os.ReadFile(segments[0])
 	if err != nil {
@@ -126,7 +127,7 @@
 }
 
 // TestStart_RejectsLogOfOtherFounders starts a voter on the log of a group with
-// other founders.
+// other founders, which must fail.
 func TestStart_RejectsLogOfOtherFounders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
--- a/fleet/consensus/stored_test.go
+++ b/fleet/consensus/stored_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestStoredForms_MatchFirstVersion pins the bytes of a snapshot's data and of the
-// voter in a membership change, and the keys of the log's records, to those of the
-// version before the Go names changed.
+// TestStoredForms_MatchFirstVersion checks that a snapshot's data, the voter in a
+// membership change, and the keys of the log's records are the same as in the first
+// version, which had other Go names.
 func TestStoredForms_MatchFirstVersion(t *testing.T) {
 	learner := Voter{Name: "d", Address: "at d", Learner: true}
 	for _, c := range []struct {
--- a/fleet/gossip/doc.go
+++ b/fleet/gossip/doc.go
@@ -2,7 +2,7 @@
 // hundreds, and spreads small updates among them. It uses
 // github.com/hashicorp/memberlist (Das, Gupta and Motivala, "SWIM: Scalable
 // Weakly-consistent Infection-style Process Group Membership Protocol", 2002).
-// Whether a member is alive is a hint and never proves that its lease has ended.
+// The list is a hint: a member that is not known to be alive may still hold a lease.
 //
 // A [Membership] is one member. It owns the library's memberlist, its transport and
 // the queue of updates to broadcast. Updates reach a member in four ways:
@@ -16,7 +16,6 @@
 // All of them are passed to [Delegate.MergeUpdate], once or more often and in any
 // order. A member broadcasts an update that was new to it.
 //
-// Goroutines: those of the library, which call the Delegate, and one that joins the
-// seeds and joins them again while they are not known to be alive. Stop waits for
-// both.
+// Goroutines: those of the library, which call the Delegate, and one that repeatedly
+// joins the seeds that are not known to be alive. Stop waits for all of them.
 package gossip
--- a/fleet/gossip/membership.go
+++ b/fleet/gossip/membership.go
@@ -17,8 +17,9 @@
 	// pushPullInterval is the time between two exchanges of all known updates with
 	// another member.
 	pushPullInterval = 5 * time.Second
-	// deadNodeReclaimTime is how long after a member was declared dead a member with
-	// the same name and another address is accepted. A member that restarts at
+	// deadNodeReclaimTime is how long a dead member's name stays bound to its address;
+	// after that, a member with this name is accepted at another address. A member that
+	// restarts at
 	// another address learns that it was declared dead only in a push/pull exchange,
 	// which the library makes less frequent in large fleets.
 	deadNodeReclaimTime = time.Second
@@ -32,7 +33,7 @@
 	// Seeds maps the names of members to join to their addresses. Seeds are always
 	// contacted at these addresses, regardless of the addresses that they advertise.
 	Seeds    map[string]string
-	Role     string // role that this member advertises
+	Role     string // role that this member advertises; see AliveWithRole
 	Delegate Delegate
 	Logger   *slog.Logger // nil for slog.Default()
 }
@@ -44,7 +45,8 @@
 	// and in any order. MergeUpdate returns the update's topic and whether the update
 	// was new; a new update is broadcast.
 	MergeUpdate(update []byte) (topic string, isNew bool)
-	// KnownUpdates returns the updates for a member that joins or was disconnected.
+	// KnownUpdates returns the updates to send in a push/pull exchange, from which a
+	// member that joins or was disconnected gets the updates that it missed.
 	KnownUpdates() [][]byte
 }
 
@@ -67,8 +69,8 @@
 	joinerDone chan struct{}
 }
 
-// Start listens on a member's address and joins the seeds in the background. It
-// tries again until they respond, so no seed needs to be running yet.
+// Start listens on a member's address and joins the seeds in the background. The
+// attempts are repeated until Stop, so no seed needs to be running yet.
 func Start(options Options) (*Membership, error) {
 	m := &Membership{
 		log: options.Logger, traffic: &trafficCounts{}, seeds: otherSeeds(options),
--- a/fleet/gossip/seeds.go
+++ b/fleet/gossip/seeds.go
@@ -29,9 +29,9 @@
 	return seeds
 }
 
-// joinSeeds joins the seeds, and every rejoinInterval those that are not known to
-// be alive, until Stop. Without that, a member that all others declared dead would
-// learn of no member any more.
+// joinSeeds joins the seeds that are not known to be alive, now and every
+// rejoinInterval until Stop. Without the repetition, a member that all others have
+// declared dead would not learn of any member again.
 func (m *Membership) joinSeeds() {
 	defer close(m.joinerDone)
 	ticker := time.NewTicker(rejoinInterval)
--- a/fleet/lease/client.go
+++ b/fleet/lease/client.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// maxPendingCommands is how many sent commands a client remembers for each lease
-// until they are applied.
+// maxPendingCommands is the maximum number of commands for each lease that a
+// client has sent, has not applied yet, and remembers.
 const maxPendingCommands = 16
 
-// OwnerChange reports that a lease passed from one owner to another.
+// OwnerChange reports a change of a lease's owner or token. From and To are equal
+// if the owner acquired its own lease again.
 type OwnerChange struct {
 	Lease    string
-	From, To Owner // zero if the lease was free before, or is free now
+	From, To Owner // From is zero if the lease was free before, To if it is free now
 	Token    Token // token of the latest grant
 }
 
@@ -33,7 +34,7 @@
 	resigned   bool
 }
 
-// leaseState is a client's own state for a lease, in addition to the grant.
+// leaseState is what a client records about a lease besides its grant in the table.
 type leaseState struct {
 	lastAppliedAt   time.Duration    // when the client applied the latest granted command
 	heldUntil       time.Duration    // the client may act as the owner only before this time
@@ -64,8 +65,8 @@
 }
 
 // Restore replaces the table by the one of a snapshot and returns the leases
-// whose owner changed. It treats all grants as applied now, so the client waits
-// for their full duration before it sends an Acquire.
+// whose owner or token changed. It treats all grants as applied now, so the
+// client sends no Acquire for an owned lease until the full duration has passed.
 func (c *Client) Restore(table Table, now time.Duration) []OwnerChange {
 	former := c.table
 	c.table = table
@@ -144,7 +145,7 @@
 }
 
 // Apply applies a committed command. The token is the term and index of its log
-// entry. Apply returns nil if the lease has the same grant and owner as before.
+// entry. Apply returns nil if neither the lease's owner nor its token changed.
 func (c *Client) Apply(command Command, token Token, now time.Duration) *OwnerChange {
 	name := command.Lease
 	before := c.table.Grant(name)
@@ -166,8 +167,8 @@
 	return ownerChange(name, before, after)
 }
 
-// removePending removes a pending command and all that were sent before it. It
-// returns when the command was sent. found is false if the command is not
+// removePending removes a pending command and all that were sent before it. sentAt
+// is the time when the command was sent. found is false if the command is not
 // pending: it is a duplicate, a later command was applied before it, or more than
 // maxPendingCommands were sent.
 func (s *leaseState) removePending(nonce uint64) (sentAt time.Duration, found bool) {
@@ -181,7 +182,7 @@
 }
 
 // ownerChange returns the change between two states of a lease, or nil if the
-// owner and its token are the same.
+// owner and the token are the same.
 func ownerChange(name string, before, after Grant) *OwnerChange {
 	if after.Token == before.Token && after.Owner == before.Owner {
 		return nil
--- a/fleet/lease/doc.go
+++ b/fleet/lease/doc.go
@@ -29,12 +29,13 @@
 // measures durations on its own clock, whose rate is off by at most
 // [Timing.ClockDrift] and whose reading may be off by any amount:
 //
-//   - The owner measures from when it sent the granted command. It stops acting
+//   - The owner measures from the time it sent the granted command. It stops acting
 //     after Duration*(1-ClockDrift) (Gray and Cheriton, "Leases: An Efficient
 //     Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989).
-//   - Every other client measures from when it applied the command, which is
+//   - Every other client measures from the time it applied the command, which is
 //     later. It sends an Acquire no earlier than Duration*(1+ClockDrift) after
-//     that. If the log has the owner's renewal first, the Acquire is rejected.
+//     that. If a renewal by the owner precedes the Acquire in the log, the Acquire
+//     is rejected.
 //
 // So at most one client holds a lease at any instant while all clock rates are
 // within the bound. For each lease a client has one of these states:
@@ -44,8 +45,8 @@
 //	idle       Tick, lease free or expired, may acquire        acquiring: an Acquire was sent
 //	acquiring  own Acquire applied and granted                 holding
 //	acquiring  rejected, or not applied within RenewInterval   idle
-//	holding    Tick, RenewInterval after sending the last one  holding: a Renew was sent
-//	holding    own Renew applied and granted                   holding, since the Renew was sent
+//	holding    Tick, RenewInterval after granted command sent  holding: a Renew was sent
+//	holding    own Renew applied and granted                   holding: timed from sending the Renew
 //	holding    Duration*(1-ClockDrift) has passed              idle
 //	holding    another client's command granted                idle
 //	holding    Resign                                          resigned: a Release was sent
--- a/fleet/lease/modelcheck/doc.go
+++ b/fleet/lease/modelcheck/doc.go
@@ -39,9 +39,9 @@
 //
 // # The search
 //
-// [Run] searches breadth-first on all cores: one goroutine expands each batch of
-// the states at one depth. So the trace of a violation is a shortest one, and
-// [Replay] runs that trace again.
+// [Run] searches breadth-first, so the trace of a violation is a shortest one. It
+// uses all cores: it splits the states at one depth into batches, and one goroutine
+// expands each batch. [Replay] runs a trace again.
 //
 // The explicit-state search over state hashes (fingerprints) follows Holzmann,
 // "The Model Checker SPIN", 1997, and Yu, Manolios and Lamport, "Model Checking
--- a/fleet/lease/modelcheck/modelcheck.go
+++ b/fleet/lease/modelcheck/modelcheck.go
@@ -7,7 +7,8 @@
 	"quincerail.example/quincerail/fleet/lease"
 )
 
-// Config bounds the states that a search visits.
+// Config bounds the states that a search visits. Each Max field bounds a total
+// along one trace.
 type Config struct {
 	Timing        lease.Timing
 	ClockRates    []float64 // rate of each client's clock: 1 is exact, 1.1 runs 10% fast
--- a/fleet/lease/modelcheck/modelcheck_test.go
+++ b/fleet/lease/modelcheck/modelcheck_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestRun_FindsViolationWithoutFenceOrDriftBound removes the fence and then the
-// drift bound, on which the invariants depend. The search must find the
-// violation, and replaying its trace must lead to the same violation.
+// TestRun_FindsViolationWithoutFenceOrDriftBound disables the fence in one case,
+// and lets the clocks drift more than configured in the other. The search must
+// find the violation, and replaying its trace must lead to the same violation.
 func TestRun_FindsViolationWithoutFenceOrDriftBound(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/fleet/lease/modelcheck/state.go
+++ b/fleet/lease/modelcheck/state.go
@@ -10,11 +10,11 @@
 // leaseName is the name of the model's only lease.
 const leaseName = "work"
 
-// timeStep is the exact time of one AdvanceTime transition.
+// timeStep is the exact time that passes in one AdvanceTime transition.
 const timeStep = 100 * time.Millisecond
 
 // clockOffset is the difference between the clocks of consecutive clients at the
-// start. It tests that only clock rates need a bound, not readings.
+// start. The invariants must hold although the clocks' readings differ.
 const clockOffset = time.Hour
 
 // logTerm is the Raft term of all log entries.
@@ -41,7 +41,7 @@
 	used            usage
 }
 
-// usage counts the transitions' effects that a Config bounds.
+// usage counts what the Max fields of Config bound, except the time steps.
 type usage struct{ commands, duplicates, pauses, requests int }
 
 // initialState returns the state before the first transition.
--- a/fleet/lease/modelcheck/transition.go
+++ b/fleet/lease/modelcheck/transition.go
@@ -131,7 +131,7 @@
 	return request{client, token}
 }
 
-// pause prepares a client's request and pauses the client before it sends it.
+// pause prepares a client's request and pauses the client before sending it.
 func (s *state) pause(config Config, client int) {
 	prepared := s.newRequest(config, client)
 	s.paused = slices.Clone(s.paused)
--- a/fleet/lease/table.go
+++ b/fleet/lease/table.go
@@ -20,7 +20,7 @@
 
 // The kinds of commands. Their values are stored in the voters' log.
 const (
-	Acquire CommandKind = "take"    // makes the sender the owner and replaces the grant that it saw
+	Acquire CommandKind = "take"    // makes the sender the owner, unless the grant has changed since the sender saw it
 	Renew   CommandKind = "renew"   // extends the sender's grant
 	Release CommandKind = "release" // ends the sender's grant; the sender has stopped acting as the owner
 )
@@ -34,14 +34,14 @@
 	Owner    Owner       `json:"by"` // sender of the command
 	Token    Token       `json:"token"`
 	Renewals uint64      `json:"renewals,omitempty"`
-	Nonce    uint64      `json:"nonce"` // by which the sender recognizes its command
+	Nonce    uint64      `json:"nonce"` // identifies the command to its sender
 }
 
 // Grant is the state of a lease.
 type Grant struct {
 	Owner    Owner  `json:"owner"`    // zero if the lease is free
 	Token    Token  `json:"token"`    // term and index of the latest granted Acquire
-	Renewals uint64 `json:"renewals"` // renewals granted since, plus 1 for a release
+	Renewals uint64 `json:"renewals"` // renewals granted since that Acquire, plus 1 after a release
 }
 
 // Free reports whether the lease has no owner.
--- a/fleet/lease/table_test.go
+++ b/fleet/lease/table_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if a.Grant("probe") != b.Grant("probe") || granted < wantGranted {
-		t.Errorf("grants %v and %v after %d granted commands, want equal grants after at least %d", a.Grant("probe"), b.Grant("probe"), granted, wantGranted)
+		t.Errorf("grants of the two tables = %v and %v after %d granted commands, want equal grants after at least %d", a.Grant("probe"), b.Grant("probe"), granted, wantGranted)
 	}
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestStoredJSON_MatchesFirstVersion pins the bytes of commands and tables in
-// voters' logs and snapshots to those of the version before the Go names changed.
+// TestStoredJSON_MatchesFirstVersion checks that commands and tables are encoded in
+// voters' logs and snapshots as in the first version, which had other Go names.
 func TestStoredJSON_MatchesFirstVersion(t *testing.T) {
 	owner := Owner{"a", 7}
 	var table Table
--- a/fleet/lease/timing.go
+++ b/fleet/lease/timing.go
@@ -8,11 +8,11 @@
 // maxClockDrift is the largest ClockDrift that Validate accepts.
 const maxClockDrift = 0.2
 
-// Timing configures the duration of leases. All clients must have the same.
+// Timing configures the duration of leases. All clients must use the same Timing.
 type Timing struct {
 	Duration      time.Duration // how long a lease lasts after a grant or renewal
 	ClockDrift    float64       // largest relative error of a client's clock rate: 0.05 is 5%
-	RenewInterval time.Duration // time between two renewals, and before a command that was not applied is sent again
+	RenewInterval time.Duration // time between two renewals; an unapplied command is sent again after it
 }
 
 // ConfigError reports a configuration field with an invalid value.
@@ -41,15 +41,15 @@
 }
 
 // ownerDuration returns how long an owner may act after it sent a granted
-// command, on its own clock. A clock that is slow by ClockDrift advances by that
-// in Duration of exact time.
+// command, on its own clock. A clock that is slow by ClockDrift advances by this
+// result while Duration of exact time passes.
 func (t Timing) ownerDuration() time.Duration {
 	return time.Duration(float64(t.Duration) * (1 - t.ClockDrift))
 }
 
 // observerDuration returns how long any other client waits after it applied a
 // granted command, on its own clock. A clock that is fast by ClockDrift advances
-// by that in Duration of exact time.
+// by this result while Duration of exact time passes.
 func (t Timing) observerDuration() time.Duration {
 	return time.Duration(float64(t.Duration) * (1 + t.ClockDrift))
 }
--- a/fleet/quota/allocator.go
+++ b/fleet/quota/allocator.go
@@ -19,10 +19,10 @@
 // format.
 type Command struct {
 	Kind   CommandKind `json:"kind"`
-	Target ID          `json:"of,omitzero"`      // of Grant and Fence
-	Amount uint64      `json:"amount,omitempty"` // of Grant; 0 only creates an account
-	// Reports, of Reclaim, are the transfer reports of each live member on each fenced
-	// one: by the fenced member, then by the reporter.
+	Target ID          `json:"of,omitzero"`      // member that a Grant or Fence applies to
+	Amount uint64      `json:"amount,omitempty"` // number of rights of a Grant; 0 only creates an account
+	// Reports has, for a Reclaim, the transfer report of each live member on each fenced
+	// one, keyed by the fenced member, then by the reporter.
 	Reports map[ID]map[ID]TransferReport `json:"edges,omitempty"`
 }
 
@@ -47,13 +47,13 @@
 	Accounts map[ID]*Account `json:"Accounts"`
 }
 
-// NewAllocator returns an allocator without accounts, whose rights are all free.
+// NewAllocator returns an allocator that has no accounts and whose rights are all free.
 func NewAllocator(capacity uint64) *Allocator {
 	return &Allocator{Capacity: capacity, Free: capacity, Accounts: map[ID]*Account{}}
 }
 
-// Apply applies the command at an index of the log and returns the accounts that it
-// changed. It returns a *CommandError for a rejected command, which changes nothing.
+// Apply applies the command in the log entry at an index and returns the accounts that
+// it changed. It returns a *CommandError for a rejected command, which changes nothing.
 func (a *Allocator) Apply(c Command, index uint64) ([]Delta, error) {
 	var changed []Delta
 	var err error
@@ -177,9 +177,10 @@
 	return fenced, live
 }
 
-// netTransfers returns the rights that each live member received from each fenced one
-// minus those that it sent to it, by the live member, then by the fenced one. It omits
-// zeros. It returns a *MissingReportError if a report is missing.
+// netTransfers returns the net transfers from each fenced member to each live one: the
+// rights that the live member received minus those that it sent. They are keyed by the
+// live member, then by the fenced one, without zeros. It returns a *MissingReportError
+// if a report is missing.
 func netTransfers(reports map[ID]map[ID]TransferReport, fenced, live []ID) (map[ID]map[ID]int64, error) {
 	transfers := map[ID]map[ID]int64{}
 	for _, sender := range fenced {
--- a/fleet/quota/allocator_test.go
+++ b/fleet/quota/allocator_test.go
@@ -22,7 +22,7 @@
 	f.exchange("a", "b") // a transfers rights; c doesn't learn of it
 	transferred = f.members["b"].Rights() - 10
 	if transferred == 0 || f.members["a"].Rights() != 10-transferred {
-		t.Fatalf("a transferred %d of 10 rights and holds %d, want at least 1 transferred and the rest held", transferred, f.members["a"].Rights())
+		t.Fatalf("member a transferred %d of 10 rights and holds %d, want at least 1 transferred and the rest held", transferred, f.members["a"].Rights())
 	}
 	if err := f.apply(Command{Kind: Fence, Target: ID{Member: "a", Incarnation: 1}}, "a", "b", "c"); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	if f.allocator.Free != 10-transferred || f.members["b"].Rights() != 10+transferred {
-		t.Errorf("%d rights are free and b holds %d, want %d and %d", f.allocator.Free, f.members["b"].Rights(), 10-transferred, 10+transferred)
+		t.Errorf("after Reclaim: %d rights are free and b holds %d, want %d free and %d held", f.allocator.Free, f.members["b"].Rights(), 10-transferred, 10+transferred)
 	}
 	f.exchange("c", "b") // b receives the settled transfer, which replaces the transfer itself
 	if f.members["b"].Rights() != 10+transferred {
--- a/fleet/quota/doc.go
+++ b/fleet/quota/doc.go
@@ -5,13 +5,13 @@
 //
 // # Algorithm
 //
-// Each unit of the budget in use requires a right. Members hold rights and
+// To use a unit of the budget, a member needs a right. Members hold rights and
 // transfer them to each other; a member acquires at most as many units as it holds
 // rights. This is a bounded counter with escrow (Balegas et al., "Extending Eventually Consistent Cloud
 // Databases for Enforcing Numeric Invariants", 2015, after O'Neil, "The Escrow
 // Transactional Method", 1986).
 //
-// The knowledge of a member about all others is a State, a join semilattice (Shapiro,
+// What a member knows about the fleet is a State, a join semilattice (Shapiro,
 // Preguiça, Baquero and Zawirski, "Conflict-free Replicated Data Types", 2011)
 // that is replicated by deltas (Almeida, Shoker and Baquero, "Delta State Replicated
 // Data Types", 2018). Join is commutative, associative and idempotent, so deltas
@@ -30,8 +30,8 @@
 //     process the messages of other members.
 //   - Allocator applies the commands Grant, Fence and Reclaim in log order.
 //   - AllocatorLeader acknowledges heartbeats and proposes commands.
-//   - State is the knowledge of a member: a MemberState and an Account for each ID.
-//   - Timing bounds the times that keep a fenced member from using rights.
+//   - State is what a member knows: a MemberState and an Account for each ID.
+//   - Timing has the timeouts that ensure that a fenced member uses no rights.
 //
 // A caller calls Member.Tick a few times a second and sends the Messages: the
 // broadcast to all members (immediately to those that may run the allocator's
@@ -56,8 +56,8 @@
 //
 // A member measures Timing.SessionTimeout from the time when it sent an
 // acknowledged heartbeat. The leader measures it from the time when it acknowledged
-// that heartbeat, which is later. The member stops acquiring before the timeout, by
-// the maximum clock drift and Timing.MaxHoldTime; the leader fences it after the
-// timeout, by the maximum clock drift. So all units that a fenced member acquired
+// that heartbeat, which is later. The member stops acquiring earlier than the timeout,
+// by the maximum clock drift and Timing.MaxHoldTime. The leader fences it later than
+// the timeout, by the maximum clock drift. So all units that a fenced member acquired
 // have been released.
 package quota
--- a/fleet/quota/heartbeat.go
+++ b/fleet/quota/heartbeat.go
@@ -10,8 +10,9 @@
 	// next. The demand rises immediately and falls slowly, so that a short gap in the
 	// load causes no transfers.
 	demandDecay = 0.9
-	// minUnmetDemand is the minimum of the bound on the unmet demand that counts.
-	// Otherwise the bound is the peak use, so the demand is at most twice that.
+	// minUnmetDemand is the minimum of the bound on the unmet demand that is added to
+	// the peak use. The bound is the peak use itself if that is larger, so the estimated
+	// demand is then at most twice the peak use.
 	minUnmetDemand = 4
 	// surplusUpdatesPerHeartbeat is the maximum number of times that a changing
 	// surplus is published in a heartbeat interval.
@@ -32,9 +33,9 @@
 	Broadcast *Delta
 	// Transfers have one recipient each.
 	Transfers []Transfer
-	// Request goes to RequestFanout other members: those of RequestTo, which have a
-	// known surplus, and members drawn from all for the rest. It is nil for a member
-	// without a shortfall.
+	// Request is nil if the member requests no rights. Otherwise the caller sends it to
+	// RequestFanout other members: those of RequestTo, which have a known surplus, and
+	// randomly drawn members for the rest.
 	Request   *TransferRequest
 	RequestTo []ID
 }
@@ -48,7 +49,7 @@
 	}
 	var messages Messages
 	surplus, shortfall := m.surplusAndShortfall()
-	if now < m.spendUntil { // later it must not use rights, and may not hold them any more
+	if now < m.spendUntil { // later the member must not use rights, and may have been fenced
 		messages.Transfers, surplus = m.transferSurplus(surplus)
 		messages.Request, messages.RequestTo = m.requestTransfer(shortfall)
 	}
@@ -97,8 +98,8 @@
 	return current > published+published/4 || current == 0 && published > 0
 }
 
-// publish returns the next heartbeat. It omits the transfers, which concern their
-// recipients only.
+// publish starts the next heartbeat and returns it for the broadcast. The broadcast
+// omits the transfers, which concern their recipients only.
 func (m *Member) publish(now time.Duration, surplus, shortfall uint64) *Delta {
 	m.own.Surplus, m.own.Shortfall = surplus, shortfall
 	m.own.Heartbeat++
@@ -113,7 +114,7 @@
 	return &Delta{ID: m.id, MemberState: &published}
 }
 
-// ackHeartbeat extends the time for which the member may use its rights, after the
+// ackHeartbeat extends the time until which the member may use its rights, because the
 // leader acknowledged its heartbeats up to a sequence number.
 func (m *Member) ackHeartbeat(heartbeat uint64) {
 	for len(m.unacked) > 0 && m.unacked[0].heartbeat <= heartbeat {
--- a/fleet/quota/id.go
+++ b/fleet/quota/id.go
@@ -8,8 +8,8 @@
 )
 
 // ID identifies one incarnation of a member. A member that restarts gets a new ID,
-// which holds none of the rights of the previous one. An ID is an array in CBOR, so
-// the order of the fields is part of the format, and the text of String in JSON.
+// which holds none of the rights of the previous one. In CBOR an ID is an array, so the
+// order of the fields is part of the format. In JSON it is the text of String.
 type ID struct {
 	_           struct{} `cbor:",toarray"`
 	Member      string
--- a/fleet/quota/join.go
+++ b/fleet/quota/join.go
@@ -125,7 +125,8 @@
 	return joined
 }
 
-// coversMap reports whether a has a value that covers it for each value of b.
+// coversMap reports whether a covers b: for each key of b, a has a value that covers
+// b's value.
 func coversMap[K comparable, V any](a, b map[K]V, covers func(x, y V) bool) bool {
 	for key, value := range b {
 		if known, ok := a[key]; !ok || !covers(known, value) {
--- a/fleet/quota/leader.go
+++ b/fleet/quota/leader.go
@@ -10,8 +10,8 @@
 // lease runs one, and only while it holds the lease. It creates a new one each time it
 // acquires the lease, and proposes the commands with the lease's fencing token.
 //
-// Heartbeats that an earlier leader acknowledged were sent before the election of this
-// one. It therefore waits a complete session timeout after its election before it
+// Heartbeats that an earlier leader acknowledged were sent before this leader's
+// election. So the leader waits a complete session timeout after its election before it
 // fences any member.
 type AllocatorLeader struct {
 	timing    Timing
@@ -30,9 +30,9 @@
 	return &AllocatorLeader{timing: timing, capacity: capacity, electedAt: now, lastSeen: map[ID]seenHeartbeat{}}
 }
 
-// Tick returns the commands to propose to the log, and the acknowledgements, each to
-// be sent to the member with its ID. It returns a rejected or lost command again as
-// long as the command is needed.
+// Tick returns the commands to propose to the log, and the acknowledgements to send,
+// each to the member that the delta's ID names. It returns a rejected or lost command
+// again as long as the command is needed.
 func (l *AllocatorLeader) Tick(now time.Duration, s State, a *Allocator) (commands []Command, acks []Delta) {
 	unfenced, acks := l.acknowledge(now, s, a)
 	commands = l.grants(now, unfenced, s, a)
@@ -129,9 +129,9 @@
 	return commands
 }
 
-// collectReports returns the transfer reports of live members on fenced members, for
-// Reclaim: by the fenced member, then by the reporter. They are complete if there is a
-// fenced member and each live member has reported on each fenced one.
+// collectReports returns the transfer reports of live members on fenced members, as
+// Command.Reports has them. They are complete if there is a fenced member and each live
+// member has reported on each fenced one.
 func collectReports(s State, fenced, live []ID) (reports map[ID]map[ID]TransferReport, complete bool) {
 	reports = map[ID]map[ID]TransferReport{}
 	for _, id := range fenced {
--- a/fleet/quota/member.go
+++ b/fleet/quota/member.go
@@ -17,14 +17,14 @@
 	unpublished bool        // own has changed since the last heartbeat in a way that must be published at once
 	publishedAt time.Duration
 	unacked     []sentHeartbeat // oldest first
-	spendUntil  time.Duration   // time from which on no unit is acquired
+	spendUntil  time.Duration   // TryAcquire and Tick use rights only before this time
 
 	inUse       uint64
 	peakInUse   uint64  // since the last tick
 	unmetDemand uint64  // units that TryAcquire refused since the last tick
-	demand      float64 // expected number of units that the member's user needs
+	demand      float64 // estimated number of units that the caller needs
 
-	rights      int64 // result of the last computeRights
+	rights      int64 // result of the latest computeRights; may be negative
 	rightsStale bool  // rights must be computed again
 
 	rightsSenders map[ID]struct{} // members that have transferred rights to this one
@@ -131,8 +131,8 @@
 }
 
 // ReportDemand reports how many units the caller would have in use without a limit. A
-// caller that limits itself to Available needs it, because TryAcquire never refuses a
-// unit to it and so sees no unmet demand.
+// caller that never tries to acquire more than Available must call it: TryAcquire then
+// never fails, and counts no unmet demand.
 func (m *Member) ReportDemand(units uint64) {
 	m.unmetDemand = max(m.unmetDemand, units-min(units, m.inUse))
 }
--- a/fleet/quota/member_bench_test.go
+++ b/fleet/quota/member_bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkAcquireRelease measures TryAcquire and Release, which each call needs.
+// BenchmarkAcquireRelease measures one TryAcquire and one Release, which run for each call
+// of the dependency.
 func BenchmarkAcquireRelease(b *testing.B) {
 	m := benchmarkMember(b)
 	for b.Loop() {
--- a/fleet/quota/simulation/doc.go
+++ b/fleet/quota/simulation/doc.go
@@ -9,7 +9,7 @@
 // A round has these steps:
 //
 //  1. Messages that were delayed until this round arrive.
-//  2. Each member releases all of its units and acquires as many as it demands
+//  2. Each member releases all of its units and acquires units up to its demand
 //     (workload.go).
 //  3. Each member ticks and sends its messages. The allocator's leader ticks too, and
 //     its commands are applied immediately (fleet.go).
--- a/fleet/quota/simulation/fleet.go
+++ b/fleet/quota/simulation/fleet.go
@@ -15,7 +15,8 @@
 // noNode is the node index that stands for no node.
 const noNode = -1
 
-// Fleet is a simulated fleet.
+// Fleet is a simulated fleet: its members, its allocator with the leader, and the
+// messages in transit.
 type Fleet struct {
 	config       Config
 	rng          *rand.Rand
@@ -44,7 +45,7 @@
 	clockRate       float64
 	clockOffset     time.Duration
 	demand          uint64
-	inUse           uint64 // at the dependency, which may differ from the member's own count
+	inUse           uint64 // units in use at the dependency; may differ from member.InUse
 	queue           []*queuedDelta
 	queued          map[quota.ID]*queuedDelta // the deltas of queue by member
 	repeatOrder     []quota.ID                // order in which known deltas fill the rest of its messages
@@ -139,9 +140,10 @@
 	}
 }
 
-// ElectLeader runs the allocator's leader on a member from now on. In a real fleet the
-// replicated log ensures that there is only one leader, which is connected to a majority.
-// If the member is not, ElectLeader returns false and the allocator has no leader.
+// ElectLeader makes a member run the allocator's leader. In a real fleet the replicated
+// log ensures that there is only one leader, which is connected to a majority. If the
+// member is not running or not connected to a majority of the members, ElectLeader
+// returns false and the allocator has no leader.
 func (f *Fleet) ElectLeader(i int) bool {
 	candidate := f.nodes[i]
 	connected := 0
--- a/fleet/quota/simulation/gossip.go
+++ b/fleet/quota/simulation/gossip.go
@@ -13,8 +13,8 @@
 	// repeatedDivisor defines the part of a message that is reserved for known deltas:
 	// 1/repeatedDivisor of its bytes.
 	repeatedDivisor = 4
-	// retransmitMultiplier times the decimal logarithm of the fleet's size is the
-	// number of times that a delta is sent.
+	// retransmitMultiplier times the decimal logarithm of the fleet's size is about the
+	// number of times that a delta is sent. enqueue makes it a multiple of Config.Fanout.
 	retransmitMultiplier = 3
 )
 
--- a/fleet/quota/simulation/measure.go
+++ b/fleet/quota/simulation/measure.go
@@ -6,8 +6,8 @@
 // budget. It is negative if the budget was never used completely.
 func (f *Fleet) Overshoot() int64 { return f.maxOvershoot }
 
-// Utilization returns the units that all running members have in use now, and their
-// demand, limited to the budget.
+// Utilization returns the number of units that all running members have in use now, and
+// their total demand or the budget, whichever is smaller.
 func (f *Fleet) Utilization() (inUse, demand uint64) {
 	for _, n := range f.nodes {
 		if n.running() {
--- a/fleet/quota/simulation/simulation_test.go
+++ b/fleet/quota/simulation/simulation_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// runRounds runs a number of rounds.
+// runRounds calls Step once for each round.
 func runRounds(f *Fleet, rounds int) {
 	for range rounds {
 		f.Step()
@@ -93,8 +93,8 @@
 }
 
 // TestRandomHistories_KeepBudget checks for several seeds that no round of a random
-// history exceeds the budget, and that after all faults have healed no rights are lost
-// and the demand is served.
+// history exceeds the budget. After all faults have healed, at least 95% of the rights
+// must be held or free, and at least 90% of the demand must be served.
 func TestRandomHistories_KeepBudget(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -115,8 +115,8 @@
 }
 
 // TestPartition_ConvergesAfterHealing heals a fleet that was partitioned into halves.
-// Within 40 rounds all members must know the latest heartbeats, and the budget must be
-// used again.
+// Within 40 rounds all members must know the latest heartbeats. 49 rounds later at
+// least 90% of the demand must be served, and the budget must never have been exceeded.
 func TestPartition_ConvergesAfterHealing(t *testing.T) {
 	f, err := New(testConfig(100, 1))
 	if err != nil {
--- a/fleet/quota/simulation/workload.go
+++ b/fleet/quota/simulation/workload.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// runWorkload releases all units of each member, acquires as many as the member
-// demands, and records by how much the total use exceeds the budget.
+// runWorkload runs the demand of each member and records the maximum, over all rounds,
+// of the total use minus the budget.
 func (f *Fleet) runWorkload() {
 	var inUse uint64
 	for _, n := range f.nodes {
@@ -27,7 +27,8 @@
 	f.maxOvershoot = max(f.maxOvershoot, int64(inUse)-int64(f.config.Capacity))
 }
 
-// runDemand releases the units of one member and acquires as many as it demands.
+// runDemand releases the units of one member and acquires units up to its demand;
+// TryAcquire may fail. A member keeps its units in the first round of a pause.
 func (f *Fleet) runDemand(n *node) {
 	justPaused := n.paused && !n.pausedLastRound
 	n.pausedLastRound = n.paused
--- a/fleet/quota/state_test.go
+++ b/fleet/quota/state_test.go
@@ -8,7 +8,7 @@
 	"quincerail.example/quincerail/internal/randomsteps"
 )
 
-// encode returns a state as JSON, to compare it.
+// encode returns a state as JSON, in which equal states have the same text.
 func encode(t *testing.T, s State) string {
 	t.Helper()
 	b, err := json.Marshal(s)
--- a/fleet/quota/timing.go
+++ b/fleet/quota/timing.go
@@ -16,7 +16,7 @@
 // Timing bounds how long a member may use its rights without an acknowledgement
 // from the allocator's leader. All members must have the same Timing.
 type Timing struct {
-	SessionTimeout    time.Duration // from sending an acknowledged heartbeat until the member has released all units
+	SessionTimeout    time.Duration // maximum time from sending the last acknowledged heartbeat until all units are released
 	MaxClockDrift     float64       // maximum deviation of a clock's rate, as a fraction
 	MaxHoldTime       time.Duration // maximum time from TryAcquire to Release
 	HeartbeatInterval time.Duration // between two heartbeats if the state doesn't change
--- a/fleet/quota/timing_test.go
+++ b/fleet/quota/timing_test.go
@@ -9,7 +9,7 @@
 
 func TestTimingValidate(t *testing.T) {
 	if err := testTiming.Validate(); err != nil {
-		t.Errorf("Validate() of a valid timing = %v", err)
+		t.Errorf("Validate() of %+v = %v, want no error", testTiming, err)
 	}
 	for _, test := range []struct {
 		field  string
--- a/fleet/rafttransport/doc.go
+++ b/fleet/rafttransport/doc.go
@@ -6,8 +6,8 @@
 // Send queues are bounded, and messages for a full queue are dropped. A connection
 // carries messages in one direction, so each pair of voters has two.
 //
-// A connection is a sequence of frames. A frame has a length of four bytes, big
-// endian, and a payload of that length. The first frame is a [Hello] in JSON,
+// A connection is a sequence of frames. A frame is the length of its payload, as a
+// four-byte big-endian integer, and the payload. The first frame is a [Hello] in JSON,
 // which names the sender and the receiver. The receiver closes the connection if
 // the Hello is not from one of its peers to itself. Every further frame is one
 // message.
--- a/fleet/rafttransport/golden_test.go
+++ b/fleet/rafttransport/golden_test.go
@@ -15,8 +15,8 @@
 // goldenMessages are the payloads of the golden connection's other frames.
 var goldenMessages = []string{"a message", "", "\x00\xff another"}
 
-// TestGoldenConnection_Send sends the golden connection's messages. The Hello and
-// the frames must have the same bytes.
+// TestGoldenConnection_Send sends the golden connection's messages. The bytes on the
+// connection must be those of the golden file.
 func TestGoldenConnection_Send(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/fleet/rafttransport/receiver.go
+++ b/fleet/rafttransport/receiver.go
@@ -47,7 +47,7 @@
 }
 
 // receiveHello reads a connection's first frame and reports whether it is a valid
-// Hello. It logs a Hello that is not.
+// Hello. It logs an invalid Hello.
 func (t *Transport) receiveHello(conn net.Conn, reader *bufio.Reader) bool {
 	if err := conn.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return false
--- a/fleet/rafttransport/sender.go
+++ b/fleet/rafttransport/sender.go
@@ -78,8 +78,8 @@
 	return dialer.DialContext(s.transport.ctx, "tcp", s.peer.address)
 }
 
-// connect makes a dialled connection the sender's. It closes the connection and
-// returns false if the transport is closed or has too many connections.
+// connect makes conn the sender's connection and starts watching it. It closes conn
+// and returns false if the transport is closed or has too many connections.
 func (s *sender) connect(conn net.Conn) bool {
 	if !s.transport.trackConn(conn) {
 		s.transport.closeQuietly(conn)
--- a/fleet/rafttransport/transport.go
+++ b/fleet/rafttransport/transport.go
@@ -14,7 +14,7 @@
 	sendQueueLength = 256 // messages queued for one peer; more are dropped
 	dialTimeout     = time.Second
 	writeTimeout    = time.Second
-	helloTimeout    = 2 * time.Second
+	helloTimeout    = 2 * time.Second       // from accepting a connection until its Hello was read
 	minBackoff      = 20 * time.Millisecond // between two attempts to connect
 	maxBackoff      = 500 * time.Millisecond
 	maxInboundConns = 64 // in addition to one outbound connection per peer
@@ -55,7 +55,7 @@
 	sentBytes    atomic.Int64
 }
 
-// peer is another voter.
+// peer is the address and the send queue of another voter.
 type peer struct {
 	address string
 	queue   chan []byte
--- a/fleet/rollout/bake.go
+++ b/fleet/rollout/bake.go
@@ -5,13 +5,13 @@
 	"math"
 )
 
-// baselineFailuresTest is the name of the test of the baseline's failures against its
-// own history.
+// baselineFailuresTest is the name of the test that compares the baseline's failures
+// with the fleet's history.
 const baselineFailuresTest = "old-failed"
 
-// baselineWorseRatio is the ratio of the baseline's failure rate to its rate before the
-// rollout that the test detects. It is larger than the default Limits.WorseRatio,
-// because the load varies over the day.
+// baselineWorseRatio is the increase that baselineFailuresTest detects: the baseline's
+// failure rate divided by the fleet's rate before the rollout. It is larger than the
+// default Limits.WorseRatio, because the load varies over the day.
 const baselineWorseRatio = 2
 
 // stepBaking compares the cohort with the baseline.
@@ -53,8 +53,8 @@
 }
 
 // testBaseline adds a window to the test of the baseline's failures against the fleet's
-// history. A change that does no worse itself may still write data that the old version
-// can't read.
+// history. It finds changes whose own servers do no worse, but which write data that the
+// old version can't read.
 func (p *Plan) testBaseline(state *State, baseline []Sample) {
 	fleet := sumHistories(state.Histories)
 	if fleet.Requests == 0 {
@@ -88,10 +88,10 @@
 }
 
 // inconclusiveTest returns the name of the first test that has not shown the cohort to
-// be no worse, "" for none. Before a small stage, evidence of at most 0 suffices. A
-// small cohort can't attain the evidence that Limits.MissProbability requires for each
-// rare event: it must attain half of its attainable evidence, and a larger cohort
-// provides the rest.
+// be no worse, "" for none. Before a small stage, evidence of at most 0 suffices. Before
+// any other stage the evidence must fall to the value that Limits.MissProbability
+// requires. A small cohort can't attain that for each rare event, so half of its
+// attainable evidence suffices, and a larger cohort provides the rest.
 func (p *Plan) inconclusiveTest(state State) string {
 	noWorse := math.Log(p.Limits.MissProbability / (1 - p.falseHaltProbabilityPerTest()))
 	nextIsSmall := p.nextStageIsSmall(state.Stage)
--- a/fleet/rollout/collector.go
+++ b/fleet/rollout/collector.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxPastIncarnations = 8    // per server, whose late reports are recognized
+	maxPastIncarnations = 8    // past incarnations of a server whose late reports are recognized
 	maxSilentWindows    = 3600 // windows without a report after which a server is removed
 )
 
@@ -21,7 +21,7 @@
 	windowStart      Report   // latest at the beginning of the window; its Incarnation is 0 if there was none
 	pastIncarnations []uint64 // in order of their ends; their late reports are ignored
 	crashes          uint64   // in this window
-	silentWindows    int
+	silentWindows    int      // consecutive windows without a new report
 }
 
 // NewCollector returns an empty collector.
--- a/fleet/rollout/command.go
+++ b/fleet/rollout/command.go
@@ -7,9 +7,9 @@
 
 // The kinds of commands.
 const (
-	Start CommandKind = "start" // begins a plan; from an operator
-	Step  CommandKind = "step"  // sets the state after a window; from the owner of the lease
-	Stop  CommandKind = "stop"  // halts the plan in progress; from an operator
+	Start CommandKind = "start" // begins a plan; requested by an operator
+	Step  CommandKind = "step"  // sets the state after a window; proposed by the owner of the lease
+	Stop  CommandKind = "stop"  // halts the plan in progress; requested by an operator
 )
 
 // Command is an entry of the voters' log that changes the Record. Its JSON is stored:
--- a/fleet/rollout/doc.go
+++ b/fleet/rollout/doc.go
@@ -30,10 +30,12 @@
 //	Replacing    all servers of the cohort run the new version     Baking
 //	Replacing    settings rejected, crashes, or MaxWindows passed  RollingBack
 //	Baking       no test found worse, and the evidence suffices    Replacing, next stage
+//	Baking       MaxWindows passed, enough requests, and the next  Replacing, next stage
+//	             stage is within Limits.UnprovenShare
 //	Baking       enough windows, in the last stage                 Done
 //	Baking       a test found worse, settings rejected, crashes,   RollingBack
-//	             or MaxWindows passed
-//	these three  Plan.Stop, by an operator                         RollingBack
+//	             or MaxWindows passed otherwise
+//	any of these Plan.Stop, by an operator                         RollingBack
 //	RollingBack  all servers report the old version                Halted
 //
 // Done and Halted are final. A server without a report never counts as good: a stage
--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Server is a server of a plan.
+// Server is a server that a plan changes, and the zone that it runs in.
 type Server struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
@@ -16,8 +16,8 @@
 // Stage is the share of the fleet that has the change, and the evidence that is
 // required before the next stage begins.
 type Stage struct {
-	Share       float64 `json:"share"`    // of all servers that have the change at the end of the stage; at least one server
-	BakeWindows int     `json:"bake"`     // minimum number of windows that are compared
+	Share       float64 `json:"share"`    // fraction of all servers that have the change at the end of the stage; at least one server
+	BakeWindows int     `json:"bake"`     // minimum number of windows in which the cohort is compared with the baseline
 	MinRequests uint64  `json:"sample"`   // minimum number of requests that the cohort answers
 	MaxWindows  int     `json:"patience"` // windows in a phase after which the rollout rolls back without sufficient evidence
 }
--- a/fleet/rollout/plan_test.go
+++ b/fleet/rollout/plan_test.go
@@ -36,7 +36,7 @@
 		zones[s.Zone]++
 	}
 	if zones["z0"] != 2 || zones["z1"] != 2 {
-		t.Errorf("the cohort of stage 1 has the servers by zone %v, want 2 in each of z0 and z1", zones)
+		t.Errorf("number of servers in the cohort of stage 1, by zone = %v, want 2 in each of z0 and z1", zones)
 	}
 	if p.nextStageIsSmall(0) || len(p.firstTestedServers()) != 1 {
 		t.Errorf("nextStageIsSmall(0) = %v, want false; firstTestedServers() has %d servers, want 1", p.nextStageIsSmall(0), len(p.firstTestedServers()))
--- a/fleet/rollout/record.go
+++ b/fleet/rollout/record.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Kind is the kind of change that a rollout makes.
+// Kind is what a rollout changes: the program or the settings.
 type Kind string
 
 // The kinds of rollouts.
@@ -26,8 +26,9 @@
 }
 
 // Record is the state machine of the rollout commands in the fleet's log: the latest
-// plan and the settings in force. Settings have increasing numbers. Each is a JSON merge
-// patch (RFC 7396) on the settings of the server's own file, which have the number 0.
+// plan and the settings in force. Each change of the settings gets the next number, and
+// is a JSON merge patch (RFC 7396) on the settings of the server's own file, which have
+// the number 0.
 type Record struct {
 	Index           uint64                     `json:"index"`          // of the last log entry that changed the record
 	Plan            *Plan                      `json:"plan,omitempty"` // the latest plan, also after its end
--- a/fleet/rollout/record_test.go
+++ b/fleet/rollout/record_test.go
@@ -70,11 +70,11 @@
 		}
 	}
 	if changed != 1 || l.settings("new") != 0 {
-		l.Errorf("in stage 0 settings 1 are desired on %d servers, want 1; other servers should run settings %d, want 0", changed, l.settings("new"))
+		l.Errorf("in stage 0, settings 1 are desired on %d servers of the plan, want 1; servers outside the plan should run settings %d, want 0", changed, l.settings("new"))
 	}
 	l.apply(l.step(State{Phase: Done, Stage: 1, Window: 2}), true)
 	if l.settings("s0") != 1 || l.settings("new") != 1 || string(l.record.Patches[1]) != `{"x":1}` {
-		l.Errorf("after the plan is done, s0 should run settings %d and other servers %d, want 1 and 1; their patch is %s", l.settings("s0"), l.settings("new"), l.record.Patches[1])
+		l.Errorf(`after the plan is done, s0 should run settings %d and other servers %d, want 1 and 1; their patch is %s, want {"x":1}`, l.settings("s0"), l.settings("new"), l.record.Patches[1])
 	}
 }
 
@@ -148,7 +148,7 @@
 				t.Fatalf("Apply() = %#v, want a CommandError of kind %q, plan %q and index 9", err, c.command.Kind, c.planID)
 			}
 			if !c.reason(err) {
-				t.Errorf("Apply() = %v, want another reason", err)
+				t.Errorf("Apply() = %v, which does not have the reason that this case expects", err)
 			}
 		})
 	}
--- a/fleet/rollout/report.go
+++ b/fleet/rollout/report.go
@@ -11,9 +11,9 @@
 	SlowerThan [len(LatencyBounds)]uint64 // see Sample.SlowerThan
 }
 
-// Report is a server's report on itself, sent once a window. Its totals only grow, so a
-// lost report costs only time. It is an array in CBOR: the order of the fields is part
-// of the format.
+// Report is a server's report on itself, sent once a window. Its totals only grow, so
+// the next report also covers the requests of a lost one. It is an array in CBOR: the
+// order of the fields is part of the format.
 type Report struct {
 	_                struct{} `cbor:",toarray"`
 	Server           string
--- a/fleet/rollout/sample.go
+++ b/fleet/rollout/sample.go
@@ -18,7 +18,8 @@
 	RejectionReason string `json:"reason,omitempty"`
 }
 
-// LatencyBounds are the latencies of the counts in Sample.SlowerThan.
+// LatencyBounds are the latencies from which on the counts of Sample.SlowerThan include
+// an answer.
 var LatencyBounds = [...]time.Duration{
 	10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
 	350 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond, time.Second, 1400 * time.Millisecond,
@@ -33,7 +34,7 @@
 	slowEvent     = "slow"
 )
 
-// comparedEvent is an event whose rates are compared.
+// comparedEvent is an event whose rate is compared between the cohort and the baseline.
 type comparedEvent struct {
 	name         string // also the name of its test
 	count        func(Sample) uint64
--- a/fleet/rollout/sequential.go
+++ b/fleet/rollout/sequential.go
@@ -25,14 +25,14 @@
 // baseline's servers over their mean (quasi-likelihood; McCullagh and Nelder,
 // "Generalized Linear Models", 1989).
 type SequentialTest struct {
-	LogLikelihoodRatio float64 `json:"evidence"` // of the hypothesis worse to the hypothesis no worse
-	DispersionSum      float64 `json:"spread"`   // over the windows
+	LogLikelihoodRatio float64 `json:"evidence"` // of the hypothesis "worse" to the hypothesis "no worse"
+	DispersionSum      float64 `json:"spread"`   // sum of the windows' dispersions
 	Windows            int     `json:"windows"`
 	CohortEvents       float64 `json:"bad"`
 	CohortRequests     float64 `json:"of"` // weighted
 	BaselineEvents     float64 `json:"old_bad"`
 	BaselineRequests   float64 `json:"old_of"` // weighted
-	HistoryEvents      float64 `json:"past"`   // from which the cohort's weights were derived; 0 if the weights are exact
+	HistoryEvents      float64 `json:"past"`   // events in the histories from which the cohort's weights were derived; 0 if the weights are exact
 }
 
 // observe adds a window with its counts and the baseline's dispersion.
@@ -72,8 +72,8 @@
 	return evidence
 }
 
-// attainableEvidence returns the limit, as a positive number, to which the discounted
-// evidence of a cohort that is no worse is expected to fall below 0, given its history.
+// attainableEvidence returns how far below 0 the discounted evidence of a cohort that is
+// no worse is expected to fall at most, given its history. The result is positive.
 func (t *SequentialTest) attainableEvidence(worseRatio float64) float64 {
 	if t.HistoryEvents == 0 {
 		return math.Inf(1)
--- a/fleet/rollout/simulation/simulation.go
+++ b/fleet/rollout/simulation/simulation.go
@@ -35,12 +35,12 @@
 type Config struct {
 	Plan                rollout.Plan
 	Seed                uint64
-	RequestsPerWindow   float64 // mean of one server
-	LateRatio           float64 // rate of late answers of the new version to that of the old one; 1.2 means 20% more
-	FailureRatio        float64
-	LatencyRatio        float64
-	CrashesPerWindow    float64 // mean of one server that has the change
-	BaselineFailureRate float64 // failure rate that the change adds on servers with the old version, times its share of the fleet
+	RequestsPerWindow   float64 // mean number of requests of one server
+	LateRatio           float64 // new version's rate of late answers divided by the old version's; 1.2 means 20% more
+	FailureRatio        float64 // the same for the failure rate
+	LatencyRatio        float64 // the same for the latency
+	CrashesPerWindow    float64 // mean number of crashes of one server that has the change
+	BaselineFailureRate float64 // times the share of changed servers, failure rate that the change adds on servers with the old version
 	SilentZone          string  // zone in which all reports of the new version are lost
 	StuckServer         string  // server that can't be rolled back
 	MaxWindows          int     // windows after which Run ends
@@ -170,8 +170,8 @@
 	return sample
 }
 
-// replace switches some of the servers to their desired versions, like an operator
-// within one window.
+// replace switches a random part of the servers to their desired versions, as an
+// operator does within one window.
 func (f *fleet) replace(desired map[string]string) {
 	for _, server := range f.Plan.Servers {
 		name, version := server.Name, desired[server.Name]
--- a/fleet/rollout/state.go
+++ b/fleet/rollout/state.go
@@ -1,6 +1,6 @@
 package rollout
 
-// Phase is the phase of a rollout.
+// Phase is the phase of a rollout. The package comment lists the transitions.
 type Phase string
 
 // The phases.
@@ -28,8 +28,8 @@
 type State struct {
 	Phase          Phase                     `json:"phase"`
 	Stage          int                       `json:"stage"`
-	Window         int                       `json:"window"` // latest window that was processed
-	WindowsInPhase int                       `json:"waited"`
+	Window         int                       `json:"window"`           // latest window that was processed
+	WindowsInPhase int                       `json:"waited"`           // windows processed in the current phase
 	Requests       uint64                    `json:"requests"`         // answered by the cohort in this stage
 	Crashes        uint64                    `json:"crashes"`          // of the cohort in this stage
 	Tests          map[string]SequentialTest `json:"tests,omitempty"`  // by test name
--- a/fleet/rollout/step.go
+++ b/fleet/rollout/step.go
@@ -7,7 +7,7 @@
 )
 
 // maxCohortCrashes is the number of crashes of a cohort in one stage at which the
-// rollout rolls back, for whatever cause they have.
+// rollout rolls back, whatever caused them.
 const maxCohortCrashes = 2
 
 // Step processes the samples of one window and returns the state after it. A window
--- a/fleet/rollout/watch.go
+++ b/fleet/rollout/watch.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// stepWatching adds a window to the servers' histories, and ends the Watching phase once
-// the histories suffice.
+// stepWatching adds a window to the servers' histories. It ends the Watching phase after
+// MinWatchWindows once the histories suffice, or after MaxWatchWindows.
 func (p *Plan) stepWatching(state State, baseline []Sample) (State, Decision) {
 	if 2*len(baseline) < len(p.Servers) {
 		state.WindowsInPhase--
