--- a/fleet/config.go
+++ b/fleet/config.go
@@ -23,7 +23,7 @@
 
 // The roles.
 const (
-	RoleOff    Role = "off"
+	RoleOff    Role = "off"    // takes no part in the fleet
 	RoleVoter  Role = "voter"  // replicates the log and may own leases
 	RoleMember Role = "member" // has no log and owns no leases
 )
@@ -47,8 +47,8 @@
 	// ElectionTimeout is the base of the randomized election timeout: a voter becomes
 	// a candidate after one to two times ElectionTimeout without a leader's message.
 	ElectionTimeout time.Duration
-	LeaseDuration   time.Duration
-	MaxClockDrift   float64 // bound on a clock's rate error, as a fraction: 0.05 is 5%
+	LeaseDuration   time.Duration // how long a lease lasts after a grant or renewal
+	MaxClockDrift   float64       // bound on a clock's rate error, as a fraction: 0.05 is 5%
 	// ClockRate multiplies the rate of the clock that times leases and quotas. It is
 	// 1 except in tests of clock drift.
 	ClockRate float64
@@ -65,8 +65,8 @@
 	// MaxRetriesPerSecond bounds the retries of calls that the whole fleet makes in
 	// any second; 0 for no bound.
 	MaxRetriesPerSecond uint64
-	// SessionTimeout is the time without an acknowledgement from the allocator's
-	// leader after which a member makes no calls.
+	// SessionTimeout is the time after which a member without a newer acknowledgement
+	// from the allocator's leader has no calls in flight (quota.Timing).
 	SessionTimeout  time.Duration
 	MaxCallDuration time.Duration // upper bound on the time that a call is in flight
 
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -75,7 +75,7 @@
 		}},
 	} {
 		if err := checkRemoval(c.voters, "a"); !c.want(err) {
-			t.Errorf("%s: checkRemoval(voters, a) = %v", c.name, err)
+			t.Errorf("%s: checkRemoval(voters, a) = %v, which this case does not expect", c.name, err)
 		}
 	}
 }
--- a/fleet/dependency_health.go
+++ b/fleet/dependency_health.go
@@ -15,9 +15,9 @@
 // The states.
 const (
 	DependencyUnknown DependencyState = "unknown" // no update yet, or the latest one has expired
-	DependencyGood    DependencyState = "good"
-	DependencySlow    DependencyState = "slow"
-	DependencyDown    DependencyState = "down" // the connection failed or timed out
+	DependencyGood    DependencyState = "good"    // the connection was established within Config.SlowThreshold
+	DependencySlow    DependencyState = "slow"    // establishing the connection took longer than Config.SlowThreshold
+	DependencyDown    DependencyState = "down"    // the connection failed or timed out
 )
 
 // DependencyHealth is the result of a probe by the owner of HealthLease. Results are
@@ -44,7 +44,7 @@
 type healthView struct {
 	log    *slog.Logger
 	fence  *lease.Fence
-	maxAge time.Duration // age at which the latest health counts as unknown
+	maxAge time.Duration // age above which the latest health counts as unknown
 
 	mu         sync.Mutex
 	latest     map[string]DependencyHealth
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,7 +1,7 @@
 // Package fleet coordinates the processes of the program. A small group of voters
 // agrees on who owns the lease on each fleet-wide task (package lease over package
-// consensus). Gossip (package gossip) tells all members who the members are and
-// what the owners decided. Every receiver rejects messages from a former owner
+// consensus). Gossip (package gossip) spreads the list of members and the owners'
+// decisions to all members. Every receiver rejects messages from a former owner
 // (lease.Fence).
 //
 // A [Fleet] is one process's membership. It has five units, and each owns its state:
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -54,7 +54,7 @@
 
 // QuotaStats holds the statistics of one quota at a member.
 type QuotaStats struct {
-	Rights int // rights that this member has
+	Rights int // rights that this member holds
 	InUse  int // rights of this member in use
 	Free   int // rights granted to no member, according to the log; 0 if this member is not a voter
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -71,8 +71,8 @@
 	return testFleet{f, t}
 }
 
-// eventually waits up to 30 s until is reports true. is also returns a description of what
-// it found instead, for the failure text.
+// eventually calls is until it returns ok, for up to 30 s. instead describes what is found,
+// for the failure text.
 func (r testFleet) eventually(what string, is func() (instead string, ok bool)) {
 	r.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(50 * time.Millisecond) {
@@ -252,8 +252,8 @@
 	r.awaitToken("m1", "dependency_health_changed", old.Token)
 }
 
-// TestLease_ReleasedOnSIGTERM checks that an owner that is told to stop releases its lease, so
-// that another voter acquires it without waiting until the lease expires.
+// TestLease_ReleasedOnSIGTERM checks that an owner that receives SIGTERM releases its lease,
+// so that another voter acquires the lease without waiting until it expires.
 func TestLease_ReleasedOnSIGTERM(t *testing.T) {
 	r := startFiveVoters(t, map[string]map[string]any{})
 	old := r.awaitWriteAbove(lease.Token{})
@@ -272,8 +272,8 @@
 const (
 	maxCalls   = 12 // in flight
 	maxRetries = 6  // in any second
-	// maxDelayDifference bounds how much longer a retry's way to the ledger may take than
-	// that of an earlier one.
+	// maxDelayDifference bounds how much longer a retry may take to reach the ledger than
+	// an earlier one.
 	maxDelayDifference = 50 * time.Millisecond
 )
 
@@ -300,8 +300,8 @@
 	}
 }
 
-// TestQuota_BoundsHoldUnderFaults has callers at all members demand more calls at the shared
-// ledger than the fleet's quotas allow. The bounds must hold at every instant, and calls
+// TestQuota_BoundsHoldUnderFaults starts callers at all members, which demand more calls of the
+// shared ledger than the fleet's quotas allow. The bounds must hold at every instant, and calls
 // must still be made, while the network is partitioned, one member is isolated, messages
 // are lost, duplicated and reordered, and members are paused, killed and restarted.
 func TestQuota_BoundsHoldUnderFaults(t *testing.T) {
@@ -339,7 +339,7 @@
 	all, most := r.Ledger.Retries(time.Second - maxDelayDifference)
 	t.Logf("%d retries, at most %d in any second", all, most)
 	if most > maxRetries || all < 3*maxRetries {
-		t.Errorf("%d retries in a second, the quota is %d; %d in all, want at least %d", most, maxRetries, all, 3*maxRetries)
+		t.Errorf("at most %d retries in any second, want at most %d; %d retries in all, want at least %d", most, maxRetries, all, 3*maxRetries)
 	}
 
 	r.StopCallers()
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -106,7 +106,7 @@
 	}
 	golden.Equal(t, "snapshot.json", snap)
 	if owner, token := m.grant(RolloutLease); owner != "v2" || token != (lease.Token{Term: 1, Index: 5}) {
-		t.Errorf("grant(%s) = %s, %v; want v2, {1 5}", RolloutLease, owner, token)
+		t.Errorf("grant(%s) = %s, %v; want v2, 1.5", RolloutLease, owner, token)
 	}
 	if owner, _ := m.grant(HealthLease); owner != "" {
 		t.Errorf("%s owns the released lease %s", owner, HealthLease)
@@ -116,7 +116,7 @@
 		t.Errorf("free rights: %d calls, %d retries; want 2, 90", m.freeRights(CallQuota), m.freeRights(RetryQuota))
 	}
 	if r := m.rolloutRecord(); r.Plan.ID != "r1" || r.State.Phase != rollout.RollingBack || r.Index != 13 {
-		t.Errorf("unexpected rollout record: %+v", r)
+		t.Errorf("rollout record = %+v, want plan r1, phase %s and index 13", r, rollout.RollingBack)
 	}
 }
 
@@ -133,7 +133,8 @@
 		t.Fatal(err)
 	}
 	if owner, token := m.grant(HealthLease); owner != "" || token != (lease.Token{}) || m.freeRights(CallQuota) != 8 || m.rolloutRecord().Plan != nil {
-		t.Errorf("after Restore: health lease %s, %v; %d calls free; record %+v", owner, token, m.freeRights(CallQuota), m.rolloutRecord())
+		t.Errorf("after Restore: health lease has owner %q and token %v, %d call rights are free, record %+v; want no owner, the zero token, 8 and no plan",
+			owner, token, m.freeRights(CallQuota), m.rolloutRecord())
 	}
 }
 
@@ -238,10 +239,10 @@
 // goldenTarget is a RolloutTarget with the totals of the golden report.
 type goldenTarget struct{}
 
-// Totals implements Target.
+// Totals implements RolloutTarget.
 func (goldenTarget) Totals() rollout.Totals { return goldenTotals() }
 
-// Apply implements Target.
+// Apply implements RolloutTarget.
 func (goldenTarget) Apply(json.RawMessage) error { return nil }
 
 // goldenFleet returns a member without a network.
@@ -297,11 +298,12 @@
 		}
 		delegate{reader}.MergeUpdate(golden.Bytes(t, kind+"-ask"))
 		if !reflect.DeepEqual(b.member.State().Accounts[goldenRequest.From], &goldenRequest.Account) {
-			t.Errorf("%s: account after the transfer request: %+v", kind, b.member.State().Accounts[goldenRequest.From])
+			t.Errorf("%s: account after the transfer request = %+v, want %+v", kind, b.member.State().Accounts[goldenRequest.From], goldenRequest.Account)
 		}
 		state := b.member.State()
 		if !reflect.DeepEqual(state.Members[goldenDelta.ID], goldenDelta.MemberState) || !reflect.DeepEqual(state.Accounts[goldenDelta.ID], goldenDelta.Account) {
-			t.Errorf("%s: state and account after the update: %+v, %+v", kind, state.Members[goldenDelta.ID], state.Accounts[goldenDelta.ID])
+			t.Errorf("%s: state and account after the update = %+v, %+v, want %+v, %+v",
+				kind, state.Members[goldenDelta.ID], state.Accounts[goldenDelta.ID], goldenDelta.MemberState, goldenDelta.Account)
 		}
 	}
 }
@@ -316,7 +318,7 @@
 	delegate{voter}.MergeUpdate(golden.Bytes(t, "report"))
 	want := rollout.Report{Server: "m1", Zone: "z1", Incarnation: 1 << 62, Sequence: 1, Version: "2", Leaving: true, Totals: goldenTotals()}
 	if got := voter.rolloutDriver.collector.LatestReports(); !reflect.DeepEqual(got, []rollout.Report{want}) {
-		t.Errorf("reports %+v, want %+v", got, want)
+		t.Errorf("latest reports = %+v, want only %+v", got, want)
 	}
 
 	voter = goldenFleet(t, "v1")
@@ -332,7 +334,7 @@
 	golden.Equal(t, "direction", <-sent)
 	delegate{member}.MergeUpdate(golden.Bytes(t, "direction"))
 	if got, want := <-member.rolloutDriver.directives, (rollout.Directive{Token: token, Index: 90, SettingsNumber: 3, Patch: patch}); !reflect.DeepEqual(got, want) {
-		t.Errorf("directive %+v, want %+v", got, want)
+		t.Errorf("received directive = %+v, want %+v", got, want)
 	}
 }
 
@@ -348,7 +350,7 @@
 	}
 	golden.Equal(t, "judgement", updates[0])
 	if topic, isNew := (delegate{reader}).MergeUpdate(golden.Bytes(t, "judgement")); topic != HealthLease || !isNew || reader.DependencyHealth() != health {
-		t.Errorf("MergeUpdate(judgement) = %q, %t; health %+v", topic, isNew, reader.DependencyHealth())
+		t.Errorf("MergeUpdate(judgement) = %q, %t; health %+v; want %q, true; health %+v", topic, isNew, reader.DependencyHealth(), HealthLease, health)
 	}
 
 	bodies := make(chan []byte, 1)
--- a/fleet/quota/member_bench_test.go
+++ b/fleet/quota/member_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkAcquireRelease measures one TryAcquire and one Release, which run for each call
-// of the dependency.
+// BenchmarkAcquireRelease measures one TryAcquire and one Release, which run once per
+// call of the shared dependency.
 func BenchmarkAcquireRelease(b *testing.B) {
 	m := benchmarkMember(b)
 	for b.Loop() {
--- a/fleet/quota_agent.go
+++ b/fleet/quota_agent.go
@@ -14,7 +14,7 @@
 
 const (
 	quotaTickInterval = 100 * time.Millisecond
-	reproposeInterval = time.Second // time until commands are proposed again if none of the previous ones is in the log
+	reproposeInterval = time.Second // time until commands are proposed again if the log has applied none of the previous ones
 )
 
 // Names of the fleet's quotas, as stored in the log and in metrics.
@@ -44,7 +44,7 @@
 	member        *quota.Member
 	leader        *quota.AllocatorLeader // nil unless this process owned QuotaLease at the last tick
 	leaderToken   lease.Token            // token of QuotaLease that leader was created for
-	proposedAt    time.Duration          // time of the last proposal; 0 if no proposed command may still be pending
+	proposedAt    time.Duration          // time of the last proposal; 0 if there was none since the log last changed an account
 	onRelease     func()
 	onAvailable   func(available uint64)
 	pendingCounts map[string]uint64 // increments of the fleet's counters since the last tick
@@ -179,7 +179,8 @@
 
 // OnAvailable sets a function that is called from another goroutine in each
 // quotaTickInterval with the number of rights that this member may use. The number is
-// 0 if the member's heartbeats were not acknowledged for Config.SessionTimeout.
+// 0 if the member's last acknowledged heartbeat is too old, so that no right is in use
+// after Config.SessionTimeout.
 func (a *QuotaAgent) OnAvailable(f func(available uint64)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/fleet/rollout_driver.go
+++ b/fleet/rollout_driver.go
@@ -42,7 +42,7 @@
 
 	mu                 sync.Mutex
 	target             RolloutTarget
-	seq                uint64
+	seq                uint64             // sequence number of the latest report
 	collector          *rollout.Collector // of members' reports; every voter has one, so that a new owner knows the reports
 	follower           rollout.Follower
 	directivesInFlight map[string]bool // members that a directive is being sent to
@@ -69,7 +69,7 @@
 	f.rolloutDriver.target = target
 }
 
-// report returns this process's next report, and nil if there is no target.
+// report returns this process's next report, or nil if there is no target.
 func (d *rolloutDriver) report(leaving bool) *rollout.Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -200,9 +200,9 @@
 }
 
 // endWindow ends a window. It returns the token under which this process owns
-// RolloutLease, and zero if it doesn't own the lease. previous is the result of the
-// previous window. An owner proposes no step in its first window, because the former
-// owner may already have evaluated a part of that window.
+// RolloutLease, or the zero token if it doesn't own the lease. previous is the result
+// for the previous window. An owner proposes no step in its first window, because the
+// former owner may already have evaluated a part of that window.
 func (d *rolloutDriver) endWindow(previous lease.Token) lease.Token {
 	record := d.stateMachine.rolloutRecord()
 	kind := rollout.Program
--- a/fleet/rollout_operations.go
+++ b/fleet/rollout_operations.go
@@ -20,7 +20,7 @@
 	Record          rollout.Record    `json:"record"`
 	Owner           string            `json:"owner"`   // of RolloutLease
 	Token           lease.Token       `json:"token"`   // of the owner's grant
-	DesiredVersions map[string]string `json:"desired"` // program version that the plan wants, by server
+	DesiredVersions map[string]string `json:"desired"` // program version that each server should run, by server; nil for a rollout of settings
 	Servers         []ServerStatus    `json:"servers"` // servers whose reports this voter has
 }
 
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -152,8 +152,8 @@
 }
 
 // TestRollout_HaltsWorseBuildAtFirstStage rolls out a build with more late responses. The
-// rollout must halt at the first stage, on one server. The starter refuses to roll that
-// server back at first: until it has done so, the status must list the server.
+// rollout must halt at the first stage, on one server. At first the starter refuses to
+// roll that server back. Until the server is rolled back, the status must list it.
 func TestRollout_HaltsWorseBuildAtFirstStage(t *testing.T) {
 	const report = "core.RunCompleted(e.id, e.end, e.took, e.result)"
 	r := startVersions(t, fleettest.Options{Word: "page"}, map[string]fleettest.Edit{"late": {
@@ -176,7 +176,7 @@
 	})
 	back := r.awaitPhase("back", "0")
 	if !strings.Contains(back.Fields["reason"], "late is worse") && !strings.Contains(back.Fields["reason"], "slow is worse") {
-		t.Errorf("unexpected reason for the rollback: %q", back.Fields["reason"])
+		t.Errorf("reason for the rollback = %q, want \"late is worse\" or \"slow is worse\"", back.Fields["reason"])
 	}
 	if r.Running("late") != 1 {
 		t.Errorf("%d servers run the worse build, want 1", r.Running("late"))
@@ -189,7 +189,7 @@
 	r.awaitPhase("halted", "0")
 	most, err := starter.Stop()
 	if err != nil || most["late"] != 1 || r.Running("v1") != 6 {
-		t.Errorf("starter: %v; at most %v servers by version, want 1 with late; %d run v1, want 6", err, most, r.Running("v1"))
+		t.Errorf("starter: error %v; at most %v servers by version, want 1 with late; %d run v1, want 6", err, most, r.Running("v1"))
 	}
 	r.checkPhases("replacing 0", "baking 0", "back 0", "halted 0")
 }
@@ -242,11 +242,11 @@
 	r.awaitPhase("done", "2")
 	most, err := starter.Stop()
 	if err != nil || most["v2"] != 6 {
-		t.Errorf("starter: %v; at most %v servers by version", err, most)
+		t.Errorf("starter: error %v; at most %v servers by version, want 6 with v2", err, most)
 	}
 	r.checkPhases("replacing 0", "baking 0", "replacing 1", "baking 1", "replacing 2", "baking 2", "done 2")
 	if out, err := r.runOperatorCommand("v3", "rollout start", "--id", "r2", "--from", "v1", "--to", "v2"); err == nil || !strings.Contains(out, "was there before") {
-		t.Errorf("rollout start with a used plan ID = %v, %q; want an error", err, out)
+		t.Errorf("rollout start with a used plan ID: error %v, output %q; want an error with \"was there before\"", err, out)
 	}
 }
 
@@ -263,11 +263,11 @@
 	starter := r.Starter(nil)
 	back := r.awaitPhase("back", "0")
 	if !strings.Contains(back.Fields["reason"], "old-failed is worse") {
-		t.Errorf("unexpected reason for the rollback: %q", back.Fields["reason"])
+		t.Errorf("reason for the rollback = %q, want \"old-failed is worse\"", back.Fields["reason"])
 	}
 	r.awaitPhase("halted", "0")
 	if most, err := starter.Stop(); err != nil || most["newform"] != 1 {
-		t.Errorf("starter: %v; at most %v servers by version", err, most)
+		t.Errorf("starter: error %v; at most %v servers by version, want 1 with newform", err, most)
 	}
 }
 
@@ -297,12 +297,12 @@
 	r.Net.SetRule(faultproxy.Rule{Partitioned: true}, func(p *faultproxy.Link) bool { return p.Kind == "gossip" && r.MemberSettings(p.From)["zone"] == zone })
 	back := r.awaitPhase("back", "0")
 	if !strings.Contains(back.Fields["reason"], "no word") && !strings.Contains(back.Fields["reason"], "did not come to run") {
-		t.Errorf("unexpected reason for the rollback: %q", back.Fields["reason"])
+		t.Errorf("reason for the rollback = %q, want \"no word\" or \"did not come to run\"", back.Fields["reason"])
 	}
 	r.Net.Heal()
 	r.awaitPhase("halted", "0")
 	if most, err := starter.Stop(); err != nil || most["v2"] != 1 {
-		t.Errorf("starter: %v; at most %v servers by version", err, most)
+		t.Errorf("starter: error %v; at most %v servers by version, want 1 with v2", err, most)
 	}
 }
 
@@ -346,7 +346,7 @@
 		r.t.Fatal(err)
 	}
 	if why := back.Fields["reason"]; !strings.Contains(why, "m2 turned 2 down") || !strings.Contains(why, "givarhistorik") {
-		r.t.Errorf("unexpected reason for the rollback: %q", why)
+		r.t.Errorf("reason for the rollback = %q, want \"m2 turned 2 down\" and the class givarhistorik", why)
 	}
 	if _, err := r.Await("the end of the rollback", from, func(l fleettest.Line) bool { return l.Event == "rollout" && l.Fields["phase"] == "halted" }); err != nil {
 		r.t.Fatal(err)
--- a/fleet/state_machine_test.go
+++ b/fleet/state_machine_test.go
@@ -65,8 +65,8 @@
 	return started
 }
 
-// step applies a step to phase, made from the record of the entry prev, and returns its
-// entry's index.
+// step applies a Step command that sets the phase and is derived from the record of the
+// entry prev. It returns the index of the command's entry.
 func (m *machineTest) step(token lease.Token, prev uint64, phase rollout.Phase) uint64 {
 	m.t.Helper()
 	return m.apply(command{Rollout: &rolloutCommand{Token: token, Command: rollout.Command{Kind: rollout.Step, PreviousIndex: prev, State: rollout.State{Phase: phase}}}})
@@ -122,6 +122,6 @@
 	}
 	m.wantPhase("after Restore", rollout.RollingBack)
 	if owner, token := m.grant(RolloutLease); owner != "b" || token != now || m.freeRights(CallQuota) != 5 {
-		t.Errorf("after Restore: grant = %s, %v, %d rights free; want b, %v, 5", owner, token, m.freeRights(CallQuota), now)
+		t.Errorf("after Restore: owner %s, token %v, %d rights free; want owner b, token %v, 5 rights free", owner, token, m.freeRights(CallQuota), now)
 	}
 }
--- a/fleet/updates.go
+++ b/fleet/updates.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// aliveMembers returns the names of the members that gossip considers alive, and nil
+// aliveMembers returns the names of the members that gossip considers alive, or nil
 // before gossip has started.
 func (f *Fleet) aliveMembers() []string {
 	if !f.hasGossip() {
--- a/fleet/voters.go
+++ b/fleet/voters.go
@@ -18,8 +18,8 @@
 	ErrLastVoter = errors.New("fleet: cannot remove the last voter")
 )
 
-// NoMajorityError is returned for the removal of a voter if the voters that are
-// alive are no majority of the remaining ones.
+// NoMajorityError is returned for the removal of a voter if only a minority or half of
+// the remaining voters are alive.
 type NoMajorityError struct {
 	RemainingVoters int      // number of voters after the removal
 	DeadVoters      []string // names of the remaining voters that are not alive
@@ -63,8 +63,9 @@
 }
 
 // RemoveVoter permanently removes a voter from the group. It returns a
-// *NoMajorityError if the live voters are no majority of the remaining ones: such a
-// group could commit no entry, so that no voter could be added either.
+// *NoMajorityError unless a majority of the remaining voters is alive: without one, the
+// group could commit no entry, so no voter could be added either. Other errors are
+// ErrNotVoter, ErrLastVoter, or wrap ctx.Err() if ctx is done first.
 func (f *Fleet) RemoveVoter(ctx context.Context, name string) error {
 	voters, err := f.Voters()
 	if err != nil {
--- a/fleet/voters_test.go
+++ b/fleet/voters_test.go
@@ -47,7 +47,7 @@
 		return false
 	})
 	if out, err := r.runOperatorCommand("v4", "voters remove", "--name", name); err == nil || !strings.Contains(out, "no majority") {
-		r.t.Errorf("voters remove %s = %v, %q; want a no majority error", name, err, out)
+		r.t.Errorf("voters remove %s: error %v, output %q; want an error with \"no majority\"", name, err, out)
 	}
 }
 
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	if next.Token.Compare(old.Token) < 0 || next.By == removed {
-		t.Errorf("accepted a write of %s with token %v after token %v", next.By, next.Token, old.Token)
+		t.Errorf("the registry accepted a write of %s with token %v after token %v, want no lower token and no write of a removed voter", next.By, next.Token, old.Token)
 	}
 	r.checkRemovalRejected(dead, stay[1])
 
