--- a/fleet/consensus/membership_test.go
+++ b/fleet/consensus/membership_test.go
@@ -48,7 +48,7 @@
 		c.addItem("b again", "b", "c", "d")
 		bList, cList, dList := c.machines["b"].list(), c.machines["c"].list(), c.machines["d"].list()
 		if !slices.Equal(bList, cList) || !slices.Equal(cList, dList) {
-			t.Errorf("the lists of b, c and d differ; they have %d, %d and %d items", len(bList), len(cList), len(dList))
+			t.Errorf("the lists of b, c and d have %d, %d and %d items and differ, want equal lists", len(bList), len(cList), len(dList))
 		}
 	})
 }
--- a/fleet/consensus/node.go
+++ b/fleet/consensus/node.go
@@ -92,7 +92,8 @@
 	return ids
 }
 
-// Node is a running voter.
+// Node is a voter of a group: its log, its raft state and its goroutine. Start returns
+// a running one.
 type Node struct {
 	options      Options
 	logger       *slog.Logger
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -286,7 +286,7 @@
 	for {
 		m, done, changed := r.Ledger.Count()
 		if most = max(most, m); most > maxCalls {
-			r.t.Fatalf("%s: %d calls in flight, the quota is %d", what, most, maxCalls)
+			r.t.Fatalf("%s: %d calls in flight, want at most %d", what, most, maxCalls)
 		}
 		if done >= from+calls {
 			r.t.Logf("%s: at most %d calls in flight", what, most)
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -109,7 +109,7 @@
 		t.Errorf("grant(%s) = %s, %v; want v2, 1.5", RolloutLease, owner, token)
 	}
 	if owner, _ := m.grant(HealthLease); owner != "" {
-		t.Errorf("%s owns the released lease %s", owner, HealthLease)
+		t.Errorf("%s owns the lease %s after its release, want no owner", owner, HealthLease)
 	}
 	// 5 and 2 of 8 call rights were granted; 1 of the 2 was transferred and the other reclaimed.
 	if m.freeRights(CallQuota) != 2 || m.freeRights(RetryQuota) != 90 {
--- a/fleet/lease/client.go
+++ b/fleet/lease/client.go
@@ -216,7 +216,7 @@
 	return commands
 }
 
-// Clone returns a copy of the client, for a model checker.
+// Clone returns an independent copy of the client, for a model checker.
 func (c *Client) Clone() *Client {
 	clone := *c
 	clone.table.grants = maps.Clone(c.table.grants)
--- a/fleet/lease/modelcheck/modelcheck.go
+++ b/fleet/lease/modelcheck/modelcheck.go
@@ -52,7 +52,8 @@
 	return fmt.Sprintf("%s:%d", t.Kind, t.Index)
 }
 
-// Result is the size of a completed search.
+// Result is the size of a search. After a violation it covers the levels that were
+// completed before, and the states visited until then.
 type Result struct {
 	States int // number of distinct states visited
 	Depth  int // number of breadth-first levels searched
--- a/fleet/lease/modelcheck/search.go
+++ b/fleet/lease/modelcheck/search.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// batchSize is the number of states that one goroutine expands.
+// batchSize is the maximum number of states that one goroutine expands.
 const batchSize = 512
 
-// noParent is the parent of the initial state.
+// noParent is the parent index of the initial state, which has no parent.
 const noParent = -1
 
 // visit records how a state was first reached.
@@ -25,7 +25,7 @@
 	index int // in search.visited
 }
 
-// successor is the result of a transition.
+// successor is a state that one transition reaches from a frontier state.
 type successor struct {
 	visit
 	state       *state // nil if an invariant is violated
--- a/fleet/lease/table.go
+++ b/fleet/lease/table.go
@@ -15,7 +15,7 @@
 	Incarnation uint64 `json:"life"` // random number drawn at each start
 }
 
-// CommandKind is the operation of a command.
+// CommandKind is what a Command does to a lease: Acquire, Renew or Release.
 type CommandKind string
 
 // The kinds of commands. Their values are stored in the voters' log.
@@ -37,7 +37,8 @@
 	Nonce    uint64      `json:"nonce"` // identifies the command to its sender
 }
 
-// Grant is the state of a lease.
+// Grant is what the table records for a lease: its owner, and the latest grant's token
+// and renewals.
 type Grant struct {
 	Owner    Owner  `json:"owner"`    // zero if the lease is free
 	Token    Token  `json:"token"`    // term and index of the latest granted Acquire
--- a/fleet/quota/allocator.go
+++ b/fleet/quota/allocator.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// CommandKind is the operation of a Command.
+// CommandKind is what a Command does to the allocator: Grant, Fence or Reclaim.
 type CommandKind string
 
-// The kinds of commands.
+// The kinds of commands. Their values are stored in the log.
 const (
 	Grant   CommandKind = "grant"  // grants free rights to a member, and creates its account
 	Fence   CommandKind = "fence"  // fences a silent member, which has stopped using its rights
--- a/fleet/quota_agent.go
+++ b/fleet/quota_agent.go
@@ -210,7 +210,7 @@
 	return a.member.State().CounterValue(name)
 }
 
-// Usage returns the number of this member's rights, and of those in use.
+// Usage returns how many rights this member holds, and how many of them are in use.
 func (a *QuotaAgent) Usage() (rights, used uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/fleet/rollout/command.go
+++ b/fleet/rollout/command.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// CommandKind is the operation of a Command.
+// CommandKind is what a Command does to the record: Start, Step or Stop.
 type CommandKind string
 
 // The kinds of commands.
--- a/fleet/rollout/follower_test.go
+++ b/fleet/rollout/follower_test.go
@@ -29,7 +29,7 @@
 	accept(3, 12, 2, false) // rejected before
 	var staleOwner *lease.StaleTokenError
 	if _, err := f.Accept(Directive{Token: lease.Token{Term: 2, Index: 1}, Index: 20, SettingsNumber: 5}); !errors.As(err, &staleOwner) {
-		t.Error("Accept(directive of an earlier owner) returned no StaleTokenError")
+		t.Error("Accept(directive of an earlier owner) returned no *lease.StaleTokenError")
 	}
 	accept(3, 11, 5, false) // an older record
 	var stale *StaleDirectiveError
--- a/fleet/rollout/history.go
+++ b/fleet/rollout/history.go
@@ -4,7 +4,7 @@
 // (shrinkage), so that a server with few events is assumed to be like the others.
 const priorEvents = 20
 
-// History contains a server's counts from the Watching phase.
+// History contains the sums of a server's counts over the windows of the Watching phase.
 type History struct {
 	Requests   float64                     `json:"requests"`
 	Late       float64                     `json:"late"`
--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -22,7 +22,7 @@
 	MaxWindows  int     `json:"patience"` // windows in a phase after which the rollout rolls back without sufficient evidence
 }
 
-// Plan is a change and the stages of its rollout.
+// Plan describes a change, the servers that get it, and the stages of its rollout.
 type Plan struct {
 	ID      string   `json:"id"` // also the seed for the order of the servers
 	Kind    Kind     `json:"kind"`
--- a/fleet/rollout/record_test.go
+++ b/fleet/rollout/record_test.go
@@ -141,7 +141,7 @@
 		t.Run(name, func(t *testing.T) {
 			after, err := c.record.Apply(c.command, 9)
 			if !reflect.DeepEqual(after, c.record) {
-				t.Errorf("the rejected command changed the record to %+v", after)
+				t.Errorf("the rejected command changed the record to %+v, want the unchanged %+v", after, c.record)
 			}
 			var rejection *CommandError
 			if !errors.As(err, &rejection) || rejection.Kind != c.command.Kind || rejection.PlanID != c.planID || rejection.Index != 9 {
--- a/fleet/rollout/sample.go
+++ b/fleet/rollout/sample.go
@@ -60,7 +60,7 @@
 	return []string{failedEvent, lateEvent, baselineFailuresTest, rejectedEvent, slowEvent}
 }
 
-// sumCounts returns the sum of an event's counts.
+// sumCounts returns an event's count, summed over the samples.
 func sumCounts(samples []Sample, count func(Sample) uint64) float64 {
 	total := 0.0
 	for _, s := range samples {
@@ -69,7 +69,7 @@
 	return total
 }
 
-// sumWeights returns the sum of the weighted requests.
+// sumWeights returns the weighted number of requests, summed over the samples.
 func sumWeights(samples []Sample, weight func(Sample) float64) float64 {
 	total := 0.0
 	for _, s := range samples {
@@ -78,7 +78,7 @@
 	return total
 }
 
-// countCrashes returns the sum of the crashes.
+// countCrashes returns the number of crashes in all samples.
 func countCrashes(samples []Sample) uint64 {
 	var crashes uint64
 	for _, s := range samples {
--- a/fleet/rollout/simulation/simulation.go
+++ b/fleet/rollout/simulation/simulation.go
@@ -46,7 +46,7 @@
 	MaxWindows          int     // windows after which Run ends
 }
 
-// Outcome is the result of a rollout.
+// Outcome is the result of Run.
 type Outcome struct {
 	State     rollout.State
 	MaxShare  float64 // largest share of the servers that ran the change
@@ -84,7 +84,7 @@
 	return out
 }
 
-// fleet is the state of the simulated servers.
+// fleet holds the versions and event rates of the simulated servers.
 type fleet struct {
 	Config
 	random        *rand.Rand
--- a/fleet/rollout/state.go
+++ b/fleet/rollout/state.go
@@ -13,7 +13,7 @@
 	Halted      Phase = "halted"    // all servers run the old version again
 )
 
-// Verdict is the result of a window.
+// Verdict says how a rollout continues after a window.
 type Verdict string
 
 // The verdicts.
@@ -38,7 +38,7 @@
 	Reason         string                    `json:"reason,omitempty"` // of the rollback
 }
 
-// Decision is the verdict on a window and its reason.
+// Decision is the verdict after a window, with its reason for operators.
 type Decision struct {
 	Verdict Verdict `json:"verdict"`
 	Reason  string  `json:"reason"`
--- a/fleet/voters_test.go
+++ b/fleet/voters_test.go
@@ -24,7 +24,7 @@
 func (r testFleet) addV4() {
 	r.t.Helper()
 	if out, err := r.runOperatorCommand("v1", "voters add", "--name", "v4", "--raft", r.Children["v4"].Raft); err != nil {
-		r.t.Fatalf("%v: %s", err, out)
+		r.t.Fatalf("voters add v4: error %v, output %q", err, out)
 	}
 	votes := func(list string) bool {
 		return strings.Contains(list, "v4") && !strings.Contains(list, "no vote")
@@ -51,8 +51,8 @@
 	}
 }
 
-// checkOwnsNoLease checks that a removed voter has acquired no lease since line from of the
-// logs, while the registry accepts writes of other voters.
+// checkOwnsNoLease waits for 30 accepted writes of other voters at the registry, and checks
+// that a removed voter has acquired no lease since line from of the logs.
 func (r testFleet) checkOwnsNoLease(removed string, from int) {
 	r.t.Helper()
 	writes, _ := r.Registry.Writes()
@@ -65,7 +65,7 @@
 	}
 	for _, l := range r.Lines()[from:] {
 		if l.Event == "lease" && l.Fields["to"] == removed && l.Child != removed {
-			r.t.Errorf("%s was removed and owns a lease: %s", removed, l.Text)
+			r.t.Errorf("the removed voter %s acquired a lease: %s", removed, l.Text)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 		return a.Accepted && a.By != removed && a.Token.Compare(first.Token) > 0
 	})
 	if out, err := r.runOperatorCommand(stay[0], "voters remove", "--name", removed); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("voters remove %s: error %v, output %q", removed, err, out)
 	}
 	r.awaitVoterList("v4", "v4 no longer lists "+removed, func(list string) bool { return !strings.Contains(list, removed) })
 	dead := stay[0]
