--- a/fleet/lease/modelcheck/modelcheck.go
+++ b/fleet/lease/modelcheck/modelcheck.go
@@ -7,7 +7,8 @@
 	"quincerail.example/quincerail/fleet/lease"
 )
 
-// Config bounds the states that a search visits.
+// Config bounds the states that a search visits. Each Max field bounds a total
+// along one trace.
 type Config struct {
 	Timing        lease.Timing
 	ClockRates    []float64 // rate of each client's clock: 1 is exact, 1.1 runs 10% fast
@@ -51,7 +52,8 @@
 	return fmt.Sprintf("%s:%d", t.Kind, t.Index)
 }
 
-// Result is the size of a completed search.
+// Result is the size of a search. After a violation it covers the levels that were
+// completed before, and the states visited until then.
 type Result struct {
 	States int // number of distinct states visited
 	Depth  int // number of breadth-first levels searched
--- a/fleet/rollout/sample.go
+++ b/fleet/rollout/sample.go
@@ -18,7 +18,8 @@
 	RejectionReason string `json:"reason,omitempty"`
 }
 
-// LatencyBounds are the latencies of the counts in Sample.SlowerThan.
+// LatencyBounds are the latencies from which on the counts of Sample.SlowerThan include
+// an answer.
 var LatencyBounds = [...]time.Duration{
 	10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
 	350 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond, time.Second, 1400 * time.Millisecond,
@@ -33,7 +34,7 @@
 	slowEvent     = "slow"
 )
 
-// comparedEvent is an event whose rates are compared.
+// comparedEvent is an event whose rate is compared between the cohort and the baseline.
 type comparedEvent struct {
 	name         string // also the name of its test
 	count        func(Sample) uint64
@@ -59,7 +60,7 @@
 	return []string{failedEvent, lateEvent, baselineFailuresTest, rejectedEvent, slowEvent}
 }
 
-// sumCounts returns the sum of an event's counts.
+// sumCounts returns an event's count, summed over the samples.
 func sumCounts(samples []Sample, count func(Sample) uint64) float64 {
 	total := 0.0
 	for _, s := range samples {
@@ -68,7 +69,7 @@
 	return total
 }
 
-// sumWeights returns the sum of the weighted requests.
+// sumWeights returns the weighted number of requests, summed over the samples.
 func sumWeights(samples []Sample, weight func(Sample) float64) float64 {
 	total := 0.0
 	for _, s := range samples {
@@ -77,7 +78,7 @@
 	return total
 }
 
-// countCrashes returns the sum of the crashes.
+// countCrashes returns the number of crashes in all samples.
 func countCrashes(samples []Sample) uint64 {
 	var crashes uint64
 	for _, s := range samples {
--- a/fleet/rollout/state.go
+++ b/fleet/rollout/state.go
@@ -1,6 +1,6 @@
 package rollout
 
-// Phase is the phase of a rollout.
+// Phase is the phase of a rollout. The package comment lists the transitions.
 type Phase string
 
 // The phases.
@@ -13,7 +13,7 @@
 	Halted      Phase = "halted"    // all servers run the old version again
 )
 
-// Verdict is the result of a window.
+// Verdict says how a rollout continues after a window.
 type Verdict string
 
 // The verdicts.
@@ -28,8 +28,8 @@
 type State struct {
 	Phase          Phase                     `json:"phase"`
 	Stage          int                       `json:"stage"`
-	Window         int                       `json:"window"` // latest window that was processed
-	WindowsInPhase int                       `json:"waited"`
+	Window         int                       `json:"window"`           // latest window that was processed
+	WindowsInPhase int                       `json:"waited"`           // windows processed in the current phase
 	Requests       uint64                    `json:"requests"`         // answered by the cohort in this stage
 	Crashes        uint64                    `json:"crashes"`          // of the cohort in this stage
 	Tests          map[string]SequentialTest `json:"tests,omitempty"`  // by test name
@@ -38,7 +38,7 @@
 	Reason         string                    `json:"reason,omitempty"` // of the rollback
 }
 
-// Decision is the verdict on a window and its reason.
+// Decision is the verdict after a window, with its reason for operators.
 type Decision struct {
 	Verdict Verdict `json:"verdict"`
 	Reason  string  `json:"reason"`
