--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -20,7 +20,7 @@
 	r := chi.NewRouter()
 	if !bare {
 		cfg := testConfig()
-		cfg.Cores, cfg.Memory = 0, 1<<30 // all cores; room for the keys of the requests of a second
+		cfg.Cores, cfg.Memory = 0, 1<<30 // all cores; memory for the idempotency keys of one second's requests
 		server, err := admission.New(cfg)
 		if err != nil {
 			b.Fatal(err)
--- a/admission/config.go
+++ b/admission/config.go
@@ -27,7 +27,7 @@
 	overloadRatio     = 8 // runnable requests per core that the process survives
 	overloadWindow    = 1500 * time.Millisecond
 	batchInterval     = 4 * time.Millisecond
-	answerMargin      = 250 * time.Millisecond // all requests are answered this long before the stop
+	answerMargin      = 250 * time.Millisecond // requests are answered at least this long before the stop
 	maxRetryAfter     = time.Second            // upper limit of Retry-After
 	requestOverheadKB = 16                     // memory reserved for a request in addition to its body
 	keyTableFraction  = 8                      // cached responses may use 1/keyTableFraction of Config.Memory
--- a/admission/frameworks_test.go
+++ b/admission/frameworks_test.go
@@ -72,10 +72,10 @@
 	return resp.StatusCode, string(read), errors.Join(err, resp.Body.Close())
 }
 
-// TestWriteTimeout_AnswersBeforeIt runs a handler that blocks, with a WriteTimeout that is
+// TestWriteTimeout_AnswersBeforeTimeout runs a handler that blocks, with a WriteTimeout that is
 // shorter than the class's deadline. The caller still gets a complete response, and the
 // handler's context is cancelled.
-func TestWriteTimeout_AnswersBeforeIt(t *testing.T) {
+func TestWriteTimeout_AnswersBeforeTimeout(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	hang := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -87,7 +87,7 @@
 		t.Fatalf("no complete response: %v", err)
 	}
 	if status != http.StatusServiceUnavailable && status != http.StatusGatewayTimeout {
-		t.Errorf("status = %d, want 503 or 504", status)
+		t.Errorf("status of a request that reaches the WriteTimeout = %d, want 503 or 504", status)
 	}
 	<-cancelled
 }
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-started; cancel() }()
 	if _, _, err := post(ctx, url+"/sida", "x"); !errors.Is(err, context.Canceled) {
-		t.Errorf("error = %v, want context.Canceled", err)
+		t.Errorf("post with a cancelled context: error = %v, want context.Canceled", err)
 	}
 	<-cancelled
 	if got := server.Stats(); got.Gone != 1 {
--- a/admission/listener.go
+++ b/admission/listener.go
@@ -11,10 +11,11 @@
 // its request when the drain began would get no response, although every request that is
 // read must be answered.
 //
-// Therefore the listening sockets are closed here at the end of the grace. New callers are
-// refused, which proves to them that their requests did not run. The http.Server continues
-// to serve the open connections: requests that are completed on them are shed with
-// Retry-After, until the connections are closed or the stop is near.
+// Therefore the package closes the listening sockets itself, at the end of the grace period.
+// New callers are refused, which proves to them that their requests did not run. The
+// http.Server continues to serve the open connections until they are closed or the stop is
+// near. Requests that are received completely after the end of the grace period are shed
+// with Retry-After.
 
 // listener is a net.Listener that counts the connections it accepts.
 type listener struct {
@@ -24,12 +25,12 @@
 	once   sync.Once
 }
 
-// Listener wraps l for http.Server.Serve. At the end of the drain's grace its socket is
-// closed, and Accept blocks until the http.Server closes the listener. Open connections are
+// Listener wraps l for http.Server.Serve. At the end of the drain's grace period l is
+// closed, and Accept then blocks until the http.Server closes the returned listener. Open connections are
 // still served, and Shutdown waits for them.
 //
 // A drain answers every request that was read only if the server uses this listener. With
-// ListenAndServe, a request that is received completely after the grace may be dropped
+// ListenAndServe, a request that is received completely after the grace period may be dropped
 // without a response by http.Server.Shutdown.
 func (s *Server) Listener(l net.Listener) net.Listener {
 	w := &listener{Listener: l, server: s, closed: make(chan struct{})}
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// runOverload sends a load of so many reports per second, plus the pings, to a service with or
-// without pools for the duration span.
+// runOverload sends load reports per second, plus the pings, to a service with or without
+// pools. It stops sending after the duration span.
 func runOverload(t testing.TB, load float64, span time.Duration, pools bool, seed int64) loadResult {
 	t.Helper()
 	server, err := admission.New(overloadConfig(pools, seed))
--- a/admission/run.go
+++ b/admission/run.go
@@ -63,7 +63,7 @@
 	done <-chan struct{} // closed when the server is closed
 }
 
-// job is a run for a worker, with the handler's context and the run's description by the core.
+// job is a run for a worker, with the handler's context and the core's description of the run.
 type job struct {
 	run  *run
 	ctx  context.Context
--- a/admission/server.go
+++ b/admission/server.go
@@ -12,8 +12,8 @@
 //     that is still running.
 //   - A request that is shed is answered at once, with status 503 and Retry-After. Its handler
 //     never ran, or its class is idempotent.
-//   - After Drain, requests that arrive after the grace never run, and all requests that were
-//     read are answered before the stop.
+//   - After Drain, requests that arrive after the grace period never run, and all requests
+//     that were read are answered before the stop.
 //
 // Handlers run on separate goroutines, with a context that is cancelled by the decision module
 // or at the deadline. A handler that ignores its context counts as running until it returns
@@ -82,7 +82,7 @@
 
 // Drain begins a graceful shutdown of a process that stops at stopAt. From now on, health
 // checks fail and responses carry the header Connection: close. Requests that arrive after
-// the grace are shed. All requests are answered by 250 ms before stopAt.
+// the grace period are shed. All requests are answered at least 250 ms before stopAt.
 func (s *Server) Drain(stopAt time.Time) {
 	s.draining.Store(true)
 	s.core.Drain(s.core.DrainNoticeTime(), stopAt)
@@ -90,7 +90,7 @@
 
 // Shutdown drains the server and then shuts hs down, in these steps:
 //
-//   - The listeners stay open for the grace, but at most for half of the time until the stop,
+//   - The listeners stay open for the grace period, but at most for half of the time until the stop,
 //     so that callers learn of the drain and use another server.
 //   - The sockets of the listeners that were wrapped by Listener are closed. Open connections are
 //     served until all are closed or the stop is near. This step is skipped if there are no
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -9,9 +9,9 @@
 // Stats are a server's counters since New. Each request that matched a rule or a route is
 // counted once: by the kind of its response, or as Gone. Health checks are not counted.
 type Stats struct {
-	Served   uint64 // answered with a handler's response, of its own run or of another attempt with its key
+	Served   uint64 // answered with a handler's response, from its own run or that of another attempt with its key
 	Refused  uint64 // shed, 503 with Retry-After: its handler never ran, or its class is idempotent
-	Failed   uint64 // 502, or the handler's own 5xx response: it may have run
+	Failed   uint64 // 502, or the handler's own 5xx response: the handler may have run
 	TimedOut uint64 // 504: its deadline passed
 	Rejected uint64 // 400 (invalid or missing key), 413 (body too large) or 422 (key reused with another body)
 	Gone     uint64 // no response: the caller disconnected, or a framework's timeout cancelled the request
--- a/admission/wrap.go
+++ b/admission/wrap.go
@@ -45,8 +45,8 @@
 }
 
 // classify evaluates the rules, if there are any, and then the routes. It returns an error if
-// the rules need the body and it can't be read; the request needs no further handling then
-// (see readBodyOrRespond).
+// the rules need the body and reading the body fails; readBodyOrRespond has then handled the
+// request.
 func (s *Server) classify(w http.ResponseWriter, r *http.Request) (classification, error) {
 	if s.cfg.Rules != nil {
 		class, err := s.classifyByRules(w, r, s.cfg.Rules.Load())
--- a/cmd/fleet-experiment/failover.go
+++ b/cmd/fleet-experiment/failover.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// printWrites counts the fenced writes at the registry by whether their token was current and
-// whether the registry accepted them.
+// printWrites prints how many fenced writes the registry received, refused, and accepted with a
+// stale token, and the violations of the fencing rules.
 func printWrites(fleet *fleettest.Fleet) {
 	writes, _ := fleet.Registry.Writes()
 	stale, refused := 0, 0
--- a/cmd/fleet-experiment/main.go
+++ b/cmd/fleet-experiment/main.go
@@ -19,8 +19,9 @@
 	"quincerail.example/quincerail/internal/fleettest"
 )
 
-// startTimeout limits the time in which all processes of a fleet start.
-const startTimeout = 2 * time.Minute
+// awaitTimeout limits each wait for a log line of a process or for a fenced write, during the
+// start of the fleet and after it (fleettest.Options.Within).
+const awaitTimeout = 2 * time.Minute
 
 type cli struct {
 	Failover failoverCmd `cmd:"" help:"Time from the stop of a lease owner to the first fenced write of its successor."`
@@ -45,7 +46,7 @@
 	if options.Binary, err = fleettest.Build(dir); err != nil {
 		return err
 	}
-	options.Dir, options.Example, options.Within = dir, filepath.Join("example", "config.json"), startTimeout
+	options.Dir, options.Example, options.Within = dir, filepath.Join("example", "config.json"), awaitTimeout
 	fleet, err := fleettest.Start(options)
 	if err != nil {
 		return err
--- a/cmd/fleet-experiment/quota.go
+++ b/cmd/fleet-experiment/quota.go
@@ -18,7 +18,7 @@
 
 const (
 	quotaRoundInterval = 200 * time.Millisecond
-	// quotaPerMember is the quota in requests in flight, divided by the number of members.
+	// quotaPerMember is a fleet's quota per member, in requests in flight.
 	quotaPerMember = 8
 	// progressRounds is the number of rounds between two progress messages.
 	progressRounds = 100
@@ -45,7 +45,7 @@
 	group func(member, members int) int // group of the member with this index in a fleet of this size
 }
 
-// partitions are the partitions by name. Under "none hears any" every member is isolated.
+// partitions lists the partitions to simulate. In "none hears any", every member is isolated.
 var partitions = []partition{
 	{chartedPartition, func(member, _ int) int { return member % 2 }},
 	{"thirds", func(member, _ int) int { return member % 3 }},
@@ -62,14 +62,14 @@
 	return 0
 }
 
-// quotaResult holds the measurements of a simulation. The served fields are the requests in
-// flight divided by the demand, which is capped at the quota.
+// quotaResult holds the measurements of a simulation. The served fields are means over rounds
+// of the requests in flight divided by the demand, which is capped at the quota.
 type quotaResult struct {
 	overshoot         int64
 	servedBefore      float64
 	servedDuring      float64
 	servedAfter       float64
-	convergenceRounds int     // from the end of the partition until all members have the state that any had by then
+	convergenceRounds int     // from the end of the partition until every member has the latest heartbeats known at its end; at most Heal/2
 	bytesPerSecond    float64 // sent, mean of all members
 	inFlight          plotter.XYs
 }
--- a/cmd/fleet-experiment/rollout.go
+++ b/cmd/fleet-experiment/rollout.go
@@ -30,7 +30,7 @@
 	Charts  string `default:"docs" help:"Folder for the chart."`
 }
 
-// changeKind is a kind of change; apply sets its effect on the servers.
+// changeKind is a simulated change; apply sets its effect in the configuration of a simulation.
 type changeKind struct {
 	name  string
 	apply func(*simulation.Config)
--- a/cmd/quincerail/deployments_test.go
+++ b/cmd/quincerail/deployments_test.go
@@ -33,9 +33,9 @@
 	return must(t, o, err)
 }
 
-// reloadSettings replaces the files of a node that runs the settings of from with those of to,
-// and reloads them by SIGHUP. routes is the text of the uwsgi frontend's file with the
-// classes of routesOf; the new file has those of to in their place.
+// reloadSettings switches a node from the settings of from to those of to: it replaces the
+// configuration and the uwsgi frontend's file, and sends SIGHUP. routes is the text of a uwsgi
+// frontend's file with the classes of routesOf, which reloadSettings replaces by those of to.
 func reloadSettings(t *testing.T, n *node, routes string, from, to deployment, routesOf deployment) {
 	t.Helper()
 	must(t, 0, os.Rename(writeConfigOf(t, to.example, n.addresses), n.config))
@@ -78,7 +78,7 @@
 // TestReload_SwitchesBetweenDeployments alternates by SIGHUP between the settings of two
 // deployments with different classes. At each reload one request waits for its downstream
 // call and another hangs. Requests that are open at the reload keep their class: one is
-// answered, the other canceled. New requests of the former classes are rejected, and no metric
+// answered, the other cancelled. New requests of the former classes are rejected, and no metric
 // has such a class.
 func TestReload_SwitchesBetweenDeployments(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
@@ -95,7 +95,7 @@
 		key := fmt.Sprint("key ", i)
 		open, hanging := former.send(t, n, former.keyed, key, "call hold"), former.send(t, n, former.read, "", "hang on")
 		if call := <-n.ledger.Calls; call != "call hold" {
-			t.Fatalf("downstream call %q, want %q", call, "call hold")
+			t.Fatalf("the ledger received call %q, want %q", call, "call hold")
 		}
 		for body := ""; body != "hang on"; body = <-n.work.Started() {
 		}
@@ -107,7 +107,7 @@
 		}
 		hanging.Cancel()
 		if body := <-n.work.Stopped(); body != "hang on" {
-			t.Errorf("the processor canceled %q, want %q", body, "hang on")
+			t.Errorf("the processor cancelled the run of %q, want %q", body, "hang on")
 		}
 		checkMetricClasses(t, scrape(t, metrics), former, current)
 		former = current
--- a/cmd/quincerail/faultlayer.go
+++ b/cmd/quincerail/faultlayer.go
@@ -34,7 +34,7 @@
 // of the requested bytes instead.
 type faultRule struct {
 	Call        string  `json:"call"`  // read, write, accept4, connect, socket, fsync
-	Files       bool    `json:"files"` // applies to regular files, otherwise to everything else
+	Files       bool    `json:"files"` // applies to regular files; otherwise to other descriptors
 	Probability float64 `json:"probability"`
 	Errno       int     `json:"errno"`
 	Burst       int     `json:"burst"` // number of matching calls that also fail after one that was chosen by Probability
--- a/cmd/quincerail/rollout.go
+++ b/cmd/quincerail/rollout.go
@@ -20,7 +20,7 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// rolloutCmd has the sub-commands about a fleet's rollouts. Each sends a request to one of
+// rolloutCmd has the sub-commands that show and control a fleet's rollouts. Each sends a request to one of
 // the fleet's voters.
 type rolloutCmd struct {
 	Status rolloutStatusCmd `cmd:"" help:"Print the rollout in progress, or the last one, and what each server runs."`
--- a/cmd/quincerail/serving_test.go
+++ b/cmd/quincerail/serving_test.go
@@ -47,7 +47,7 @@
 	n := startNode(t)
 	const report = `PUT /announce/n1 {"accepting":"true"}`
 	if got := <-n.announce.Reports; got != report {
-		t.Errorf("report %s, want %s", got, report)
+		t.Errorf("the discovery service received report %s, want %s", got, report)
 	}
 	address := n.announce.Addr()
 	n.announce.Close()
@@ -61,7 +61,7 @@
 	}
 	defer again.Close()
 	if got := <-again.Reports; got != report {
-		t.Errorf("report %s, want %s", got, report)
+		t.Errorf("after the outage the discovery service received report %s, want %s", got, report)
 	}
 }
 
@@ -72,7 +72,7 @@
 	n, attempt := startNodeWithRunningRequest(t)
 	n.processor.Disconnect()
 	if o, err := attempt.Outcome(); err != nil || o.Body != "done: gift" {
-		t.Errorf("outcome %v, error %v, want body %q", o, err, "done: gift")
+		t.Errorf("the running request has outcome %v, error %v, want body %q", o, err, "done: gift")
 	}
 	if runs := n.work.Runs("gift"); runs != 1 {
 		t.Errorf("the request ran %d times, want 1", runs)
--- a/cmd/quincerail/signals_test.go
+++ b/cmd/quincerail/signals_test.go
@@ -42,7 +42,7 @@
 	must(t, 0, os.Rename(writeConfig(t, n.addresses), n.config))
 	must(t, 0, n.cmd.Process.Signal(syscall.SIGHUP))
 	if got, want := <-announce.Reports, `PUT /announce/n1 {"accepting":"true"}`; got != want {
-		t.Errorf("report %s at the new address, want %s", got, want)
+		t.Errorf("the discovery service at the new address received report %s, want %s", got, want)
 	}
 	if o, err := attempt.Outcome(); err != nil || o.Body != "done: gift" || n.work.Runs("gift") != 1 {
 		t.Errorf("the running request has outcome %v, error %v and ran %d times, want body %q and 1 run", o, err, n.work.Runs("gift"), "done: gift")
@@ -165,7 +165,7 @@
 	start := time.Now()
 	must(t, 0, n.cmd.Process.Signal(syscall.SIGTERM))
 	if o, err := attempt.Outcome(); err != nil || o.Body != "done: gift" {
-		t.Errorf("outcome %v, error %v, want body %q", o, err, "done: gift")
+		t.Errorf("the running request has outcome %v, error %v, want body %q", o, err, "done: gift")
 	}
 	for report := range n.announce.Reports {
 		if strings.Contains(report, "false") {
--- a/cmd/quincerail/versions_test.go
+++ b/cmd/quincerail/versions_test.go
@@ -20,8 +20,8 @@
 // The tests of versions side by side start processes of two builds of the program. They talk
 // to the processes only over sockets, as balancers and operators do, so everything they rely on
 // must stay the same between versions. Each test runs with the program of this tree in both
-// roles. If the environment names an earlier program, it also runs with that one and this
-// tree's; scripts/versions-side-by-side builds the earlier program.
+// roles. If the environment names an earlier program, each test also runs with the earlier
+// program beside this tree's; scripts/versions-side-by-side builds the earlier program.
 
 // previousProgramVariable is the environment variable with the path of the earlier program.
 const previousProgramVariable = "QUINCERAIL_PREVIOUS_PROGRAM"
@@ -161,7 +161,8 @@
 	return bufio.NewReader(conn).ReadString('\n')
 }
 
-// closeQuietly closes c and ignores the error, for what the end of the test closes anyway.
+// closeQuietly closes c and ignores the error. Use it only if the result of the test doesn't
+// depend on the close.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
 // jsonObject returns a decoded JSON object, nil if v is another value.
--- a/cmd/quincerail/versions_voters_test.go
+++ b/cmd/quincerail/versions_voters_test.go
@@ -118,8 +118,8 @@
 	rightsSettledAfter []time.Duration
 }
 
-// startVersionsFleet starts a fleet with voters v1, v2 and v3, further members as o says, and
-// callers.
+// startVersionsFleet starts a fleet with voters v1, v2 and v3, the further members that o
+// configures, and callers.
 func startVersionsFleet(t *testing.T, o fleettest.Options) *versionsFleet {
 	t.Helper()
 	f := &versionsFleet{
@@ -303,7 +303,7 @@
 	most, _, _ := f.Ledger.Count()
 	f.maxCalls = max(f.maxCalls, most)
 	if most > budgetCalls {
-		f.t.Errorf("%d calls in flight, the budget is %d", most, budgetCalls)
+		f.t.Errorf("the ledger had %d calls in flight, want at most the budget of %d", most, budgetCalls)
 	}
 }
 
@@ -331,7 +331,8 @@
 }
 
 // checkSettledState stops the callers, and then checks that all rights are held or free, that the
-// voters agree on the free ones, and that the ledger received no more retries than the budget has.
+// voters agree on the free ones, and that the ledger received no more retries in any second than
+// the budget allows.
 func (f *versionsFleet) checkSettledState() {
 	f.t.Helper()
 	f.StopCallers()
@@ -342,7 +343,7 @@
 		return fmt.Sprint(one, two, three), fmt.Sprint(one) == fmt.Sprint(two) && fmt.Sprint(two) == fmt.Sprint(three)
 	})
 	if _, most := f.Ledger.Retries(time.Second - repeatJitter); most > budgetRepeats {
-		f.t.Errorf("%d retries in one second, the budget is %d", most, budgetRepeats)
+		f.t.Errorf("the ledger received %d retries in one second, want at most the budget of %d", most, budgetRepeats)
 	}
 }
 
--- a/describe/classes.go
+++ b/describe/classes.go
@@ -10,13 +10,14 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// Class is a named class of requests.
+// Class is a request class as a document defines it. The embedded decision.Class holds its
+// latency objective, deadline, weights and idempotency.
 type Class struct {
 	Name string
 	decision.Class
 }
 
-// Values of the key effect.
+// Values of the key effect, which determines the idempotency of a class.
 const (
 	effectSafe   = "safe"
 	effectKeyed  = "keyed"
--- a/describe/describe_test.go
+++ b/describe/describe_test.go
@@ -110,6 +110,6 @@
 	_, err := Parse([]byte(text))
 	var classError *ClassError
 	if !errors.As(err, &classError) || classError.Class != "ny-gava" || classError.Key != "window_ms" {
-		t.Errorf("got error %v, want a *ClassError for ny-gava.window_ms", err)
+		t.Errorf("Parse with a window of 0: got error %v, want a *ClassError for ny-gava.window_ms", err)
 	}
 }
--- a/describe/routes.go
+++ b/describe/routes.go
@@ -14,11 +14,12 @@
 	Rule      string // name of the rule that should match the route's requests; may be empty
 }
 
-// Routes is a list of routes.
+// Routes is a list of routes. Match uses their order only to break ties.
 type Routes []Route
 
-// Match returns the route for a method and path. If several routes match, it returns the one
-// whose pattern has the most fixed segments, and the first of these in a tie.
+// Match returns the route for a method and path, or false if no route matches. If several
+// match, it returns the one whose pattern has the most fixed segments, and the first of these
+// in a tie.
 func (rs Routes) Match(method, path string) (Route, bool) {
 	best, mostFixed := Route{}, -1
 	for i := range rs {
--- a/example/web/gifts/gifts.go
+++ b/example/web/gifts/gifts.go
@@ -30,8 +30,9 @@
 	router    *chi.Mux
 }
 
-// New creates a service that does work on the routes of a configuration. It returns an error
-// if the configuration is invalid, or if the router does not serve its routes.
+// New creates a service that calls work for requests on the routes of a configuration. It
+// returns an error if the configuration is invalid, or if the router does not serve the
+// routes.
 func New(cfg admission.Config, work Work) (*Service, error) {
 	server, err := admission.New(cfg)
 	if err != nil {
--- a/internal/fakes/listen.go
+++ b/internal/fakes/listen.go
@@ -7,8 +7,8 @@
 	"net"
 )
 
-// listen opens a TCP listener. It has no context because it outlives that of a single test;
-// the owner of the fake closes it.
+// listen opens a TCP listener. It takes no context, because a listener may outlive the context
+// of a single test; the owner of the fake closes it.
 func listen(address string) (net.Listener, error) {
 	var config net.ListenConfig
 	return config.Listen(context.Background(), "tcp", address)
--- a/internal/fakes/machine.go
+++ b/internal/fakes/machine.go
@@ -9,12 +9,12 @@
 // Machine is a fake of a resource that a service's handlers wait for, for example a
 // database. Its cores divide their time equally among the running jobs. It slows down
 // under overload: above ThrashAt jobs per core, each further job per core reduces the
-// speed by the share Thrash, to a tenth at least. Do waits in real time until its job is
+// speed by the fraction Thrash, but never below a tenth of the full speed. Do waits in real time until its job is
 // done. A Machine is safe for concurrent use.
 type Machine struct {
 	Cores    float64
 	ThrashAt float64 // jobs per core above which the speed falls
-	Thrash   float64 // share of the speed that each further job per core costs
+	Thrash   float64 // fraction of the full speed that is lost for each further job per core
 
 	mu    sync.Mutex
 	jobs  map[*machineJob]struct{}
--- a/internal/fakes/processor.go
+++ b/internal/fakes/processor.go
@@ -20,9 +20,9 @@
 // is connected, and sends a reconnecting app server the notices that it has not received.
 type Processor struct {
 	work      *Work
-	listener  net.Listener // of the current address
+	listener  net.Listener // at the current address
 	startedAt time.Time
-	up        chan struct{} // closed by the request number gaugeRequestsUntilUp
+	up        chan struct{} // closed at gauge request number gaugeRequestsUntilUp
 
 	mu            sync.Mutex
 	conn          net.Conn        // last connection that sent hello; nil after Disconnect
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -21,7 +21,7 @@
 
 // Registry is a fake of the operator's registry: an HTTP server that receives fenced writes
 // about the shared dependency's health (PUT with a JSON body). It refuses a write whose
-// token is lower than one that it has seen of the lease, with status 409 and the reason.
+// token is lower than one that it has seen for the same lease, with status 409 and the reason.
 type Registry struct {
 	server *http.Server
 	addr   string
--- a/internal/fakes/services.go
+++ b/internal/fakes/services.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// DiscoveryService is a fake of the discovery service.
+// DiscoveryService is a fake of the discovery service. It answers every request with status 204.
 type DiscoveryService struct {
 	listener net.Listener
 	Reports  chan string // method, path and body of each request; dropped while the channel is full
--- a/internal/fakes/shared_dependency.go
+++ b/internal/fakes/shared_dependency.go
@@ -36,7 +36,7 @@
 const NewFormPrefix = "new form "
 
 // NewSharedDependency starts a shared dependency that listens at address. Each call takes
-// duration. The first call of one in rejectEvery requests is rejected; of none for 0.
+// duration. The first call of one in rejectEvery requests is rejected; 0 rejects none.
 func NewSharedDependency(address string, duration time.Duration, rejectEvery int) (*SharedDependency, error) {
 	l, err := listen(address)
 	if err != nil {
--- a/internal/fakes/thrift.go
+++ b/internal/fakes/thrift.go
@@ -21,7 +21,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// arrivalTime returns the current time as the field door has it: in Unix milliseconds.
+// arrivalTime returns the current time in the format of the field door: Unix milliseconds.
 func arrivalTime() string { return strconv.FormatInt(time.Now().UnixMilli(), 10) }
 
 // AppendExecute appends a framed execute call with the given fields and a field door that
@@ -88,7 +88,7 @@
 	Healthy     bool
 }
 
-// Outcome returns the outcome that a reply to execute stands for.
+// Outcome converts a reply to execute to an Outcome.
 func (r Reply) Outcome() Outcome {
 	switch {
 	case r.Type == thrift.Exception:
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -20,7 +20,7 @@
 	Loss        float64       // probability that a message is lost
 	Duplicate   float64       // probability that a message that is not lost is delivered twice
 	Delay       time.Duration // of each delivery
-	Jitter      time.Duration // upper bound of a random additional delay of each delivery, which reorders them
+	Jitter      time.Duration // upper bound of a random additional delay of each delivery; it can reorder deliveries
 }
 
 // Network owns the links of a test. Its methods are safe for concurrent use.
@@ -39,9 +39,9 @@
 	return &Network{seed: seed, links: map[linkKey]*Link{}}
 }
 
-// Open returns the link from one process to another for a kind of traffic, and opens it if
-// necessary; framed counts only then. The link forwards traffic from its Addr to its target
-// after SetTarget; connections before that are closed.
+// Open returns the link from one process to another for a kind of traffic. If the link does
+// not exist, Open creates it, framed if framed is true. After SetTarget the link forwards
+// traffic from its Addr to its target; connections before that are closed.
 func (n *Network) Open(from, to, kind string, framed bool) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/faultproxy/stream.go
+++ b/internal/faultproxy/stream.go
@@ -70,7 +70,7 @@
 	var writing sync.Mutex // serializes the writes
 	var deliveries sync.WaitGroup
 	defer deliveries.Wait()
-	inOrder := true // for the first frame, the handshake, and on unframed links always
+	inOrder := true // for the first frame (the handshake), and always on unframed links
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := l.readMessage(in, buffer)
--- a/internal/faultsoak/badmessage_test.go
+++ b/internal/faultsoak/badmessage_test.go
@@ -30,7 +30,7 @@
 				c.AwaitAnswers()
 				report := b.checkRules()
 				if answered := countAnswers(report); answered != before+afterBadMessage {
-					t.Errorf("got %d answers, want %d", answered, before+afterBadMessage)
+					t.Errorf("the client received %d answers, want %d", answered, before+afterBadMessage)
 				}
 			})
 		}
--- a/internal/faultsoak/client.go
+++ b/internal/faultsoak/client.go
@@ -25,7 +25,7 @@
 	Class, Key, Body string
 	Deadline         time.Duration
 	Fields           map[string]string // additional fields; they override the default ones
-	ArrivalOffset    time.Duration     // the field door is this much before the time of sending
+	ArrivalOffset    time.Duration     // time by which the field door precedes the time of sending
 	// Write writes message by calls of write. Nil means one call with the whole message.
 	Write func(write func([]byte) error, message []byte) error
 }
@@ -43,7 +43,7 @@
 
 	mu        sync.Mutex
 	open      map[int32]*Request
-	cancelled map[int32]*Request // requests of Cancel, which may still be answered
+	cancelled map[int32]*Request // requests that Cancel cancelled, which may still be answered
 	answered  *sync.Cond
 	closed    bool // by Close or Reset
 	expired   bool // clientTimeout has passed in awaitAnswersOrTimeout
--- a/internal/faultsoak/clients.go
+++ b/internal/faultsoak/clients.go
@@ -17,7 +17,7 @@
 	maxQueuedRetries = 64               // most keyed requests that wait for a retry
 )
 
-// clientGroup is the clients of one node. It makes their requests.
+// clientGroup holds what the clients of one node share, and creates their requests.
 type clientGroup struct {
 	node    *Node
 	history *History
@@ -26,8 +26,8 @@
 	retryQueue chan RequestSpec
 }
 
-// behaviour is what a client does on one connection. The caller closes the connection after
-// it returns.
+// behaviour runs a client on one connection. The caller closes the connection after the
+// behaviour returns.
 type behaviour func(ctx context.Context, group *clientGroup, c *Client, rng *rand.Rand)
 
 // behaviours lists the clients of each node. The names are the client kinds that
--- a/internal/faultsoak/faults_operator.go
+++ b/internal/faultsoak/faults_operator.go
@@ -43,7 +43,7 @@
 	inj.restoreConfig()
 }
 
-// restoreConfig writes the valid configuration file again, as a restart reads it.
+// restoreConfig writes the valid configuration file again, because a restart reads it.
 func (inj *faultInjector) restoreConfig() {
 	if err := inj.node.WriteConfig(nil); err != nil {
 		inj.fail("%v", err)
@@ -101,7 +101,8 @@
 	}
 }
 
-// requestingCrowd connects many clients at a time, which send requests and stay for a while.
+// requestingCrowd connects many clients at once. They send requests and then keep their
+// connections for a while.
 func requestingCrowd(ctx context.Context, inj *faultInjector, rng *rand.Rand) {
 	inj.record(ConnectionCrowd)
 	var clients sync.WaitGroup
--- a/internal/faultsoak/faults_process.go
+++ b/internal/faultsoak/faults_process.go
@@ -16,7 +16,8 @@
 	inj.pause(randomDuration(rng, 700*time.Millisecond, 2500*time.Millisecond))
 }
 
-// pause stops the process with SIGSTOP for a time, unless it will be killed too soon after.
+// pause stops the process with SIGSTOP for d. It does nothing if the process will be killed
+// less than minPauseEndBeforeKill after the pause.
 func (inj *faultInjector) pause(d time.Duration) {
 	inj.mu.Lock()
 	killAt := inj.killAt
@@ -112,8 +113,8 @@
 	}
 	inj.configMu.Lock()
 	defer inj.configMu.Unlock()
-	// The old process gets SIGTERM only when the new one is ready, so the kill may come later
-	// than this by the start time of the new one.
+	// The old process gets SIGTERM only when the new one is ready. The kill may therefore come
+	// later than this time, by as long as the new process takes to start.
 	inj.setExpectedExit(true, time.Now().Add(MinKillDelay))
 	inj.record(Upgraded)
 	switch err := inj.node.Upgrade(); {
@@ -133,9 +134,9 @@
 	inj.launch()
 }
 
-// launch restarts the process and reports whether it listens. The time of the event is that
-// before the start: the previous process has exited by then, so all later runs belong to
-// the new process, which may serve before Launch returns.
+// launch restarts the process and reports whether it listens. The event Restarted has the
+// time before the start: the previous process has exited by then, so all later runs belong
+// to the new process, which may serve before Launch returns.
 func (inj *faultInjector) launch() (listens bool) {
 	inj.configMu.Lock()
 	defer inj.configMu.Unlock()
--- a/internal/faultsoak/history.go
+++ b/internal/faultsoak/history.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// EndKind tells which side closed a connection.
+// EndKind states whether a connection was closed, by which side, and how.
 type EndKind int
 
 // The ways in which a connection ends.
@@ -69,7 +69,7 @@
 	Until time.Time // when a pause ended; zero for other events
 }
 
-// EventKind is the kind of an event.
+// EventKind names a kind of injected fault or lifecycle step. Reports contain the name.
 type EventKind string
 
 // The kinds of events. The oracle evaluates Paused, Terminated, Crashed and Restarted; the
@@ -120,8 +120,8 @@
 	h.events = append(h.events, e)
 }
 
-// recentID returns the ID of the request that was sent back requests before the last one,
-// or "" if there is none.
+// recentID returns the ID of the recorded request that is followed by exactly back others, or
+// "" if there is none. With back 0 this is the last one.
 func (h *History) recentID(back int) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/faultsoak/logsink_test.go
+++ b/internal/faultsoak/logsink_test.go
@@ -33,7 +33,7 @@
 				c.awaitAnswersOrTimeout()
 			}
 			if n := countAnswers(b.checkRules()); n != each*connectionCount {
-				t.Errorf("got %d answers, want %d", n, each*connectionCount)
+				t.Errorf("clients received %d answers, want %d", n, each*connectionCount)
 			}
 		})
 	}
--- a/internal/faultsoak/node.go
+++ b/internal/faultsoak/node.go
@@ -38,7 +38,7 @@
 	LogSink       LogSink
 }
 
-// LogSink tells what happens to a process's log pipe after the process listens.
+// LogSink determines what happens to a process's log pipe once the process listens.
 type LogSink int
 
 // The ways of treating the log pipe.
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -21,8 +21,7 @@
 const (
 	socketSlack  = 50 * time.Millisecond  // on time limits, and between a write and a close that cross
 	machineSlack = 300 * time.Millisecond // delays of clients and fakes, which share the machine with the nodes
-	// maxLateShare is the share of late requests from which the rule about late answers is
-	// broken.
+	// The rule about late answers is broken if the share of late answers reaches maxLateShare.
 	maxLateShare = 3.0 / 1000
 )
 
--- a/internal/faultsoak/passingerror_test.go
+++ b/internal/faultsoak/passingerror_test.go
@@ -41,7 +41,7 @@
 			}
 			awaitAnswers(clients)
 			if n := countAnswers(b.checkRules()); n != each*connectionCount {
-				t.Errorf("got %d answers, want %d", n, each*connectionCount)
+				t.Errorf("clients received %d answers, want %d", n, each*connectionCount)
 			}
 		})
 	}
--- a/internal/faultsoak/relay.go
+++ b/internal/faultsoak/relay.go
@@ -13,7 +13,7 @@
 	relayBufferBytes = 16 << 10
 )
 
-// RelayMode tells how a relay treats connections and data.
+// RelayMode determines how a relay treats connections and data.
 type RelayMode int
 
 // The modes of a relay.
--- a/internal/faultsoak/reproduction_test.go
+++ b/internal/faultsoak/reproduction_test.go
@@ -28,7 +28,7 @@
 	return newTestNodeWithRunDuration(t, 5*time.Millisecond)
 }
 
-// newTestNodeWithRunDuration starts a node whose runs take a time.
+// newTestNodeWithRunDuration starts a node whose runs take the duration took.
 func newTestNodeWithRunDuration(t *testing.T, took time.Duration) *testNode {
 	t.Helper()
 	return newTestNodeFrom(t, NodeConfig{Binary: builtProgram, RunDuration: took})
@@ -114,12 +114,12 @@
 func (b *testNode) checkAllAnswered() {
 	b.Helper()
 	if n := countAnswers(b.checkRules()); n != connectionCount {
-		b.Errorf("got %d answers, want %d", n, connectionCount)
+		b.Errorf("clients received %d answers, want %d", n, connectionCount)
 	}
 }
 
 // writeEvenly returns a RequestSpec.Write that writes a message in equal pieces with equal
-// pauses, over a time.
+// pauses, which add up to the duration over.
 func writeEvenly(pieces int, over time.Duration) func(write func([]byte) error, message []byte) error {
 	return func(write func([]byte) error, message []byte) error {
 		for i := range pieces {
@@ -284,7 +284,7 @@
 		c.AwaitAnswers()
 	}
 	if served := b.checkRules().Outcomes["served"]; served != 6 {
-		t.Errorf("got %d served requests, want 6", served)
+		t.Errorf("%d requests were served before and after the connection went silent, want 6", served)
 	}
 }
 
--- a/internal/faultsoak/soak.go
+++ b/internal/faultsoak/soak.go
@@ -26,15 +26,16 @@
 	Without  []string      // client kinds to leave out, to isolate the cause of a violation
 }
 
-// crowdSeedInterval is the distance between seeds whose soaks have crowds of clients that
-// send requests.
+// crowdSeedInterval selects the soaks with crowds of clients that send requests: those whose
+// seed is a multiple of it.
 const crowdSeedInterval = 3
 
 // hasCrowds reports whether the soak of the seed has crowds of clients that send requests.
 func (opt SoakOptions) hasCrowds() bool { return opt.Seed%crowdSeedInterval == 0 }
 
 // stopTimesMillis are the values of stop_ms that the seed chooses from. The platform may
-// kill a process from MinKillDelay after SIGTERM; the values lie on both sides of it.
+// kill a process once MinKillDelay has passed after SIGTERM; some values are shorter than
+// that and some longer.
 var stopTimesMillis = []int{6000, 3300, 1900}
 
 // SoakResult is the result of a soak.
@@ -131,7 +132,8 @@
 	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
-// start starts the nodes. With an error it returns the nodes that were started before it.
+// start starts the nodes. If a node fails to start, it returns the error and the nodes that it
+// has started before.
 func (s *soak) start() (nodes []*Node, err error) {
 	config, err := DefaultConfig()
 	if err != nil {
@@ -157,9 +159,9 @@
 	return nodes, nil
 }
 
-// ruleViolationEvent and lateAnswerRule occur in log lines of nodes. Lines about late
-// answers don't count here: the rule allows a share of late answers, which the oracle
-// checks.
+// ruleViolationEvent marks the log lines in which a node reports a violation of a rule.
+// SoakResult.Reported omits those with lateAnswerRule: the rule allows a share of late
+// answers, which the oracle checks.
 const (
 	ruleViolationEvent = "event=rule_violation"
 	lateAnswerRule     = "rule=late_answer"
--- a/internal/faultsoak/soak_test.go
+++ b/internal/faultsoak/soak_test.go
@@ -27,13 +27,13 @@
 	}
 }
 
-// Injects all faults except for failing system calls, clock steps and crowds that send
-// requests.
+// TestSoak_ProcessAndRelayFaults injects all faults except for failing system calls, clock
+// steps and crowds that send requests.
 func TestSoak_ProcessAndRelayFaults(t *testing.T) {
 	runSoak(t, SoakOptions{Seed: 1, Binary: builtProgram})
 }
 
-// Injects failing system calls and clock steps as well.
+// TestSoak_SystemFaults also injects failing system calls and clock steps.
 func TestSoak_SystemFaults(t *testing.T) {
 	withFaults, err := BuildWithFaults(t.TempDir())
 	if err != nil {
@@ -42,7 +42,7 @@
 	runSoak(t, SoakOptions{Seed: 2, Binary: withFaults, Faults: true})
 }
 
-// Injects crowds of clients that send requests as well.
+// TestSoak_RequestingCrowds also injects crowds of clients that send requests.
 func TestSoak_RequestingCrowds(t *testing.T) {
 	runSoak(t, SoakOptions{Seed: crowdSeedInterval, Binary: builtProgram})
 }
--- a/internal/fleettest/logs.go
+++ b/internal/fleettest/logs.go
@@ -54,9 +54,9 @@
 	return b.String()
 }
 
-// Await waits until Lines, from the index from on, has a line for which is returns true, and
-// returns the first such line. After Options.Within it returns an error that contains what,
-// the description of the line.
+// Await returns the first of Lines, starting at index from, for which the function is returns
+// true. If there is none yet, it waits for one. After Options.Within it returns an error that
+// contains what, a description of the line.
 func (f *Fleet) Await(what string, from int, is func(Line) bool) (Line, error) {
 	deadline := time.After(f.opt.Within)
 	for {
@@ -76,8 +76,8 @@
 	}
 }
 
-// AwaitWrite waits like Await for a write among those that the registry received, from the
-// index from of its Writes on.
+// AwaitWrite is like Await for the writes that the registry received, starting at index from
+// of Registry.Writes.
 func (f *Fleet) AwaitWrite(what string, from int, is func(fakes.FencedWrite) bool) (fakes.FencedWrite, error) {
 	deadline := time.After(f.opt.Within)
 	for {
--- a/internal/fleettest/prepare.go
+++ b/internal/fleettest/prepare.go
@@ -94,7 +94,8 @@
 	return settings, nil
 }
 
-// addVoterSettings adds the settings of a voter, and of one that waits to be added.
+// addVoterSettings adds the settings of a voter. For a voter that is not in voters, the founding
+// voters, it also sets join.
 func (f *Fleet) addVoterSettings(c *Child, settings map[string]any, voters []string) (err error) {
 	settings["role"], settings["raft"], settings["dir"] = "voter", anyPort, filepath.Join(c.dir, "log")
 	if settings["voters"], err = f.addresses(c.Name, "raft", true, voters); err != nil {
@@ -103,7 +104,7 @@
 	if slices.Contains(voters, c.Name) {
 		return nil
 	}
-	p, err := f.Net.Open("voters", c.Name, "raft", true) // the replicated log stores one address of it for all voters
+	p, err := f.Net.Open("voters", c.Name, "raft", true) // one proxy for all voters, because the replicated log stores only one address
 	if err != nil {
 		return err
 	}
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -13,8 +13,8 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// Child is a member of the fleet: its latest process, which may have exited, and what the
-// next one is started with.
+// Child is a member of the fleet: its latest process, which may have exited, and the program,
+// arguments and files of its next process.
 type Child struct {
 	Name   string
 	Raft   string // address at which the other voters reach a voter that waits to be added; otherwise empty
@@ -53,8 +53,8 @@
 	return f.Launch(name)
 }
 
-// Launch starts a member's process, again after it has exited, and returns when the process
-// has logged its listen addresses.
+// Launch starts a member's process, or restarts it after it has exited. It returns when the
+// process has logged its listen addresses.
 func (f *Fleet) Launch(name string) error {
 	c := f.Children[name]
 	f.mu.Lock()
--- a/internal/fleettest/starter.go
+++ b/internal/fleettest/starter.go
@@ -40,7 +40,7 @@
 	return s, nil
 }
 
-// OperatorAddress returns the address at which a voter takes operators' requests.
+// OperatorAddress returns the address of a voter's operator API.
 func (f *Fleet) OperatorAddress(name string) (string, error) {
 	for _, l := range slices.Backward(f.Lines()) {
 		if l.Child == name && l.Event == "operators" {
@@ -51,8 +51,8 @@
 }
 
 // Starter is a fake of the operator's program starter. It polls the voters for the version
-// that each member should run, and replaces members that run another version, one after the
-// other. It ignores a status that is older than the newest that it has seen.
+// that each member should run, and replaces the members that run another version, one at a
+// time. It ignores a voter's status if it has already seen a newer one.
 type Starter struct {
 	f      *Fleet
 	refuse func(name, version string) bool
@@ -100,8 +100,8 @@
 	}
 }
 
-// replaceOne replaces the first member that runs another version than the desired one. It
-// returns whether it tried a replacement.
+// replaceOne replaces the first member whose version differs from the desired one, unless
+// refuse returns true for it. It returns whether it tried a replacement.
 func (s *Starter) replaceOne(desired map[string]string) bool {
 	for _, name := range slices.Sorted(maps.Keys(desired)) {
 		c, version := s.f.Children[name], desired[name]
--- a/match/describe.go
+++ b/match/describe.go
@@ -65,7 +65,8 @@
 	return ""
 }
 
-// sampleRequest returns a request that a route describes.
+// sampleRequest returns a request that matches a route's method and path and has a key in the
+// route's key header.
 func sampleRequest(route describe.Route) Request {
 	return Request{
 		Frontend: defaultFrontend, Method: cmp.Or(route.Method, http.MethodGet), Path: samplePath(route.Path),
--- a/match/env.go
+++ b/match/env.go
@@ -80,8 +80,8 @@
 	return types.Bool(value.Exists())
 }
 
-// lookupJSON returns the value at a path of the body. err is not nil only if an argument has
-// another type than the overload declares, which CEL's type check rules out.
+// lookupJSON returns the value at a path of the body. err is not nil only if the type of an
+// argument differs from the overload's, which CEL's type check rules out.
 func lookupJSON(body, path ref.Val) (value gjson.Result, err ref.Val) {
 	bytes, ok := body.(types.Bytes)
 	if !ok {
@@ -120,8 +120,8 @@
 // Parent implements interpreter.Activation.
 func (a *activation) Parent() interpreter.Activation { return nil }
 
-// sizeEstimator tells the CEL cost estimate the maximum sizes of the variables and the
-// maximum cost of the body's member functions.
+// sizeEstimator supplies the maximum sizes of the variables, and the maximum cost of the
+// body's member functions, to CEL's cost estimate.
 type sizeEstimator struct{}
 
 // EstimateSize implements cost.Estimator.
--- a/match/errors.go
+++ b/match/errors.go
@@ -8,7 +8,7 @@
 	"cel.dev/cel-go/common/types/ref"
 )
 
-// ErrRejected is wrapped by the error of a rule set that was rejected.
+// ErrRejected reports that a rule set has an invalid rule. LoadError wraps it.
 var ErrRejected = errors.New("rules rejected")
 
 // Problem is a reason why a rule was rejected.
@@ -46,8 +46,8 @@
 // Unwrap returns ErrRejected.
 func (e *LoadError) Unwrap() error { return ErrRejected }
 
-// ValueError reports that an expression returned a value of another type than its field
-// requires.
+// ValueError reports that an expression returned a value whose type is not the one that its
+// field requires.
 type ValueError struct{ Type string }
 
 // Error implements error.
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -124,7 +124,7 @@
 			Rule{Name: "costly", Match: `headers.exists(k, body.json(k) == "x")`, Class: `"ny-gava"`},
 			"costly.match: estimated cost ",
 		},
-		// Repeated concatenation: each one copies the whole string.
+		// Each concatenation copies the whole string.
 		{Rule{
 			Name: "grows", Match: `(path + path + path + path + path + path).contains(headers["a"] + path + path)`,
 			Class: `"ny-gava"`,
@@ -141,7 +141,7 @@
 	_, err := Compile([]Rule{{Name: "a", Match: "true", Class: `"ny-gava"`}, {Name: "a", Match: "1", Class: "2"}},
 		Options{Classes: classes})
 	if le := (*LoadError)(nil); !errors.As(err, &le) || len(le.Problems) != 3 {
-		t.Errorf("got error %v, want three problems: with the name, the match and the class", err)
+		t.Errorf("Compile of a rule with three faults: got error %v, want a problem each for the name, match and class", err)
 	}
 }
 
@@ -186,7 +186,7 @@
 			for _, r := range largestRequests() {
 				_, details, _ := p.Eval(&activation{r})
 				if got := *details.ActualCost(); got > estimate.Max || estimate.Max > s.maxCost {
-					t.Errorf("rule %s: %q has cost %d, estimate %d, limit %d", c.Name, field, got, estimate.Max, s.maxCost)
+					t.Errorf("rule %s: %q has actual cost %d, estimated maximum %d, limit %d; want each at most the next", c.Name, field, got, estimate.Max, s.maxCost)
 				}
 			}
 		}
@@ -254,7 +254,7 @@
 	close(results)
 	for r := range results {
 		if want, ok := byVersion[r.Version]; !ok || r.Class != want || r.Rule != "a" {
-			t.Fatalf("got %+v, want rule a and class %q for version %d", r, want, r.Version)
+			t.Fatalf("Classify returned %+v, want rule a and class %q for version %d", r, want, r.Version)
 		}
 	}
 }
@@ -280,7 +280,7 @@
 	for _, err := range []error{matchErr, classErr} {
 		var valueError *ValueError
 		if !errors.As(err, &valueError) || err.Error() != "match: expression returned a value of unexpected type int" {
-			t.Errorf("got error %v, want a *ValueError for type int", err)
+			t.Errorf("evaluation of size(path): got error %v, want a *ValueError for type int", err)
 		}
 	}
 }
--- a/match/rule.go
+++ b/match/rule.go
@@ -5,7 +5,7 @@
 	"cel.dev/cel-go/common/types"
 )
 
-// Rule is a rule of a rule file.
+// Rule assigns a class, and optionally an idempotency key, to the requests that Match selects.
 type Rule struct {
 	Name  string `toml:"name"`
 	Match string `toml:"match"` // CEL expression of type bool: whether the rule matches the request
@@ -13,14 +13,14 @@
 	Key   string `toml:"key"`   // CEL expression of type string: the idempotency key; empty if the rule gives no key
 }
 
-// compiledRule is a rule with its compiled fields.
+// compiledRule is a rule with its compiled expressions.
 type compiledRule struct {
 	Rule
 	match, class, key cel.Program // key is nil if the rule has none
 	matchAST          *cel.Ast    // type-checked
 }
 
-// matches evaluates whether the rule matches a request.
+// matches evaluates the match expression and reports whether the rule matches a request.
 func (r *compiledRule) matches(vars *activation) (bool, error) {
 	value, _, err := r.match.Eval(vars)
 	if err != nil {
--- a/store/compaction_test.go
+++ b/store/compaction_test.go
@@ -23,13 +23,13 @@
 // TestCompaction_SurvivesCrashAtEveryStep recovers from a power loss at each step of a
 // compaction: while the new file is written (truncated at every byte), after it
 // replaced the last sealed segment, and while the others are removed. The store must
-// hold the same values as before. No deleted key may come back, and no older value of a
-// key whose latest value expired first.
+// hold the same values as before. It must restore neither a deleted key nor the older
+// value of a key whose latest value has expired.
 func TestCompaction_SurvivesCrashAtEveryStep(t *testing.T) {
 	dir, clock := t.TempDir(), &fakeClock{epoch}
 	s, _ := openUnsynced(t, dir, clock, 1<<30)
 	operations := fillSealedSegments(t, s)
-	clock.now = epoch.Add(2500 * time.Millisecond) // "expires" and "short" have expired, "long" would not have
+	clock.now = epoch.Add(2500 * time.Millisecond) // "expires" and "short" have expired; "long", which "short" replaced, would not have
 	before := readDirectory(t, dir)
 	compactSealedSegments(t, s)
 	closeStore(t, s)
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -60,7 +60,7 @@
 		got, known, err := s.Get(key)
 		for _, v := range []Value{recovered.Values[key], got} {
 			if string(v.Bytes) != string(wantValue.Bytes) || !v.ExpiresAt.Equal(wantValue.ExpiresAt) || !known || err != nil {
-				t.Errorf("%s: got %q, expiry %v, known %t, error %v, want %q, expiry %v",
+				t.Errorf("key %s: value %q, expiry %v, known to Get %t, error of Get %v; want value %q, expiry %v, known, no error",
 					key, v.Bytes, v.ExpiresAt, known, err, wantValue.Bytes, wantValue.ExpiresAt)
 			}
 		}
@@ -86,7 +86,7 @@
 	}
 	for key, value := range want {
 		if got[key] != value {
-			t.Errorf("%s: recovered %q, want %q", key, got[key], value)
+			t.Errorf("key %s: recovered %q, want %q", key, got[key], value)
 		}
 	}
 	closeStore(t, s)
--- a/store/health.go
+++ b/store/health.go
@@ -78,7 +78,7 @@
 	empty := s.activeBytes == 0
 	s.active, s.activeBytes = f, size
 	s.segments = append(s.segments, old+1)
-	if empty { // else each failure would leave an empty file
+	if empty { // otherwise each failure would leave an empty file behind
 		if err := os.Remove(s.segmentPath(old)); err == nil {
 			s.segments = append(s.segments[:len(s.segments)-2], old+1)
 		}
--- a/store/health_test.go
+++ b/store/health_test.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// expectKeys checks that a directory holds exactly the wanted keys and has no losses.
+// expectKeys checks that Inspect finds exactly the wanted keys in a directory and reports
+// no losses.
 func expectKeys(t *testing.T, dir string, want map[string]bool) {
 	t.Helper()
 	recovered, err := Inspect(dir, time.Now())
@@ -123,7 +124,7 @@
 	}
 	for range 3 {
 		if err := putKey(s, "key"); !errors.Is(err, ErrDegraded) {
-			t.Errorf("Put without a directory: got error %v, want %v", err, ErrDegraded)
+			t.Errorf("Put while the directory is missing: got error %v, want %v", err, ErrDegraded)
 		}
 		s.queueMu.Lock()
 		pause := s.health.pause
--- a/store/helpers_test.go
+++ b/store/helpers_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// segmentAfter performs operations in a new store. It returns the contents of its only
+// segmentAfter performs operations in a new store. It returns the contents of the store's only
 // segment and the offset at which the record of each operation ends.
 func segmentAfter(t testing.TB, operations []operation) (data []byte, recordEnds []int) {
 	t.Helper()
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// mayBeUnfinishedWrite reports whether the rest of a segment, which starts with no
+// mayBeUnfinishedWrite reports whether the rest of a segment, which does not start with a
 // complete record, may be the remains of a write that a crash interrupted: part of a
 // record, or space that was allocated but not written.
 func mayBeUnfinishedWrite(rest []byte, status decodeStatus) bool {
--- a/store/store.go
+++ b/store/store.go
@@ -39,8 +39,9 @@
 	// active segment is repaired. It must not block. It may be nil.
 	OnHealth func(error)
 
-	// OnMaintenanceError is called by the writer goroutine when it could not start or
-	// compact a segment; the store tries again later. It must not block. It may be nil.
+	// OnMaintenanceError is called by the writer goroutine when it could not start a new
+	// segment or compact the sealed ones; the store tries again later. It must not block.
+	// It may be nil.
 	OnMaintenanceError func(error)
 }
 
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -91,9 +91,9 @@
 	closeStore(t, s)
 	closeStore(t, s) // a second Close has no effect
 	if err := putAndWait(s, "key", nil, epoch.Add(time.Hour)); !errors.Is(err, ErrClosed) {
-		t.Errorf("Put: got error %v, want %v", err, ErrClosed)
+		t.Errorf("Put after Close: got error %v, want %v", err, ErrClosed)
 	}
 	if err := deleteAndWait(s, "key"); !errors.Is(err, ErrClosed) {
-		t.Errorf("Delete: got error %v, want %v", err, ErrClosed)
+		t.Errorf("Delete after Close: got error %v, want %v", err, ErrClosed)
 	}
 }
--- a/store/writer.go
+++ b/store/writer.go
@@ -61,8 +61,8 @@
 	s.flush(buffer)
 }
 
-// flush makes the queued records durable as one group and acknowledges them. It
-// encodes them into buffer and returns the buffer for reuse.
+// flush writes the queued records as one group and calls their done functions. It
+// encodes the records into buffer and returns the buffer for reuse.
 func (s *Store) flush(buffer []byte) []byte {
 	group := s.takeQueue()
 	if len(group) == 0 {
