--- a/describe/document.go
+++ b/describe/document.go
@@ -26,7 +26,7 @@
 // Parse reads an OpenAPI or AsyncAPI document in JSON.
 func Parse(text []byte) (*Document, error) {
 	if !gjson.ValidBytes(text) {
-		return nil, errors.New("not a JSON document")
+		return nil, errors.New("API description is not a JSON document")
 	}
 	switch {
 	case gjson.GetBytes(text, "asyncapi").Exists():
@@ -34,7 +34,7 @@
 	case gjson.GetBytes(text, "openapi").Exists():
 		return ParseOpenAPI(text)
 	}
-	return nil, errors.New("neither an OpenAPI nor an AsyncAPI document")
+	return nil, errors.New("API description is neither an OpenAPI nor an AsyncAPI document")
 }
 
 // validate returns an error if the path of a route does not begin with /, or if the document
--- a/internal/faultsoak/faultbuild.go
+++ b/internal/faultsoak/faultbuild.go
@@ -150,8 +150,8 @@
 	return path, nil
 }
 
-// SetFaults replaces the fault plan of the current process, which must run and have been
-// built by BuildWithFaults.
+// SetFaults replaces the fault plan of the current process. The process must be running, and
+// its program must have been built by BuildWithFaults.
 func (n *Node) SetFaults(plan FaultPlan) error {
 	dialer := net.Dialer{Timeout: controlTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", n.FaultsAddress())
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -97,7 +97,7 @@
 		c.violate(ruleDuplicate, r.Node, r.Answers[0].At,
 			"unexpected answer to request number %d: answered before, or never sent", r.Seq)
 	case len(r.Answers) > 1:
-		c.violate(ruleDuplicate, r.Node, r.Answers[1].At, "got %d answers to %q, want 1", len(r.Answers), r.Body)
+		c.violate(ruleDuplicate, r.Node, r.Answers[1].At, "client received %d answers to %q, want 1", len(r.Answers), r.Body)
 	case len(r.Answers) == 1:
 		c.checkAnswer(r, r.Answers[0])
 	default:
--- a/internal/fleettest/options.go
+++ b/internal/fleettest/options.go
@@ -27,11 +27,11 @@
 	Members     int // members that are not voters, named m1, m2, ...
 	// Settings are added to the fleet section of all members' operator files.
 	Settings map[string]any
-	// MemberSettings are added to the fleet section of one member's operator file, by
-	// member name.
+	// MemberSettings are added to the fleet section of single members' operator files. The
+	// key is the member name.
 	MemberSettings map[string]map[string]any
-	// OperatorFileKeys are added to the top level of one member's operator file, by member
-	// name.
+	// OperatorFileKeys are added to the top level of single members' operator files. The key
+	// is the member name.
 	OperatorFileKeys map[string]map[string]any
 	// Direct connects members that are not voters without gossip proxies, for measurements
 	// with hundreds of members.
