--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -21,8 +21,7 @@
 const (
 	socketSlack  = 50 * time.Millisecond  // on time limits, and between a write and a close that cross
 	machineSlack = 300 * time.Millisecond // delays of clients and fakes, which share the machine with the nodes
-	// maxLateShare is the share of late requests from which the rule about late answers is
-	// broken.
+	// The rule about late answers is broken if the share of late answers reaches maxLateShare.
 	maxLateShare = 3.0 / 1000
 )
 
@@ -98,7 +97,7 @@
 		c.violate(ruleDuplicate, r.Node, r.Answers[0].At,
 			"unexpected answer to request number %d: answered before, or never sent", r.Seq)
 	case len(r.Answers) > 1:
-		c.violate(ruleDuplicate, r.Node, r.Answers[1].At, "got %d answers to %q, want 1", len(r.Answers), r.Body)
+		c.violate(ruleDuplicate, r.Node, r.Answers[1].At, "client received %d answers to %q, want 1", len(r.Answers), r.Body)
 	case len(r.Answers) == 1:
 		c.checkAnswer(r, r.Answers[0])
 	default:
