--- a/cmd/simhost/server.go
+++ b/cmd/simhost/server.go
@@ -24,7 +24,7 @@
 }
 
 // serve reads batches of events and writes a reply to each, until the input ends. An error
-// names the line of the input that caused it.
+// that the input caused names its line.
 func serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, bufferSize)
 	s := &server{out: bufio.NewWriterSize(w, bufferSize), instances: make(map[int64]*instance)}
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -75,7 +75,7 @@
 	MemoryKB            float64
 	KeyMemoryKB         float64       // memory of one cached result
 	RunningMemoryFactor float64       // memory of a running request, as a multiple of Request.ReservedKB
-	OverloadRatio       float64       // runnable requests per core that a warm instance survives
+	OverloadRatio       float64       // runnable requests per core above which a warm instance is overloaded
 	OverloadWindow      time.Duration // averaging window of OverloadRatio
 	SlowStart           bool          // the instance starts cold: slow, with more calls to the dependency
 	SlowStartMinSpeed   float64       // fraction of normal speed at a cold start
@@ -83,7 +83,7 @@
 
 	// The dependency.
 	Dependency            DependencyKind
-	CallQuota             float64       // calls in flight that SharedDependency can bear from this instance
+	CallQuota             float64       // calls in flight that this instance may have at SharedDependency
 	CallQuotaWindow       time.Duration // averaging window of CallQuota
 	AbandonedCallDuration time.Duration // how long the dependency may keep working on an abandoned call
 
--- a/dispatch/cancel.go
+++ b/dispatch/cancel.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// CancelRequest cancels a request that has no answer yet; it gets none. r must be the
+// CancelRequest cancels a request that has no answer yet, which then gets none. r must be the
 // Responder with which it was submitted, so that no other caller can cancel it by its id.
 func (c *Core) CancelRequest(id string, r Responder) { c.notify(requestCancelled{id, r}) }
 
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -66,8 +66,9 @@
 	}
 }
 
-// recordClaim makes the claim of a started attempt durable if there is a journal. The start
-// continues in claimFromPredecessor, after the journal has reported the claim as durable.
+// recordClaim makes the claim of a started attempt durable. The start continues in
+// claimFromPredecessor: once the journal has reported the claim as durable, or at once if there
+// is no journal or the attempt has no key.
 func (c *Core) recordClaim(a *attempt) {
 	if a.entry == nil || c.options.Journal == nil {
 		c.claimFromPredecessor(a)
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -88,8 +88,8 @@
 }
 
 // recordKey records the state of a key in the journal, if there is one, without waiting for
-// it. If that fails, a claim that the journal holds has no recorded end. It is in doubt after a
-// restart: the key does not run again within its window, and its retries fail.
+// it. If the record fails, the journal may hold a claim without its end. The key is then in doubt
+// after a restart: it does not run again within its window, and its retries fail.
 func (c *Core) recordKey(e *idempotency.Entry, completed bool) {
 	if c.options.Journal == nil {
 		return
@@ -110,7 +110,7 @@
 }
 
 // duplicateResolved answers a duplicate with the result of the attempt that ran, or as failed
-// if there is none.
+// if there is none or the two have different bodies.
 type duplicateResolved struct {
 	attempt *attempt
 	entry   *idempotency.Entry
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -62,12 +62,12 @@
 	clock           *clock.Clock
 	log             *slog.Logger
 	stallDetector   stallDetector
-	currentSettings atomic.Pointer[settingsTable] // read by Submit; only Run's goroutine replaces it
+	currentSettings atomic.Pointer[settingsTable] // read by Submit; only the goroutine of Core.Run replaces it
 	loadReport      atomic.Pointer[float64]       // nil if there is no load value
 	inFlight        atomic.Int64                  // requests received and not yet answered
 	loop            eventLoop
 
-	// Only Run's goroutine uses the fields below.
+	// Only the goroutine of Core.Run uses the fields below.
 
 	now         time.Duration // time of the current batch on the clock's timeline
 	settings    decision.Settings
@@ -173,7 +173,7 @@
 // SetFleetBounds limits the module to this server's share of the fleet's resources.
 // reportDemand gets the number of calls that are in flight or waiting, regardless of the
 // bounds. It is not called before the backend is ready. reportDemand and
-// FleetBounds.AcquireRetry are called on Run's goroutine and must not block.
+// FleetBounds.AcquireRetry are called on the goroutine of [Core.Run] and must not block.
 func (c *Core) SetFleetBounds(b decision.FleetBounds, reportDemand func(calls int)) error {
 	return c.enqueue(fleetBoundsSet{b, reportDemand})
 }
--- a/dispatch/downstream_calls.go
+++ b/dispatch/downstream_calls.go
@@ -99,8 +99,8 @@
 const abandonedCallBatches = 2
 
 // abandonedCallDelay returns how long after a call was abandoned its end is reported to the
-// module. The dependency processes abandonments once per batch; a retry that the module makes
-// before that would be abandoned as well.
+// module. The delay is needed because the dependency processes abandonments once per batch: a
+// retry that the module makes before that would be abandoned as well.
 func (c *Core) abandonedCallDelay() time.Duration {
 	return abandonedCallBatches * c.settings.BatchInterval
 }
--- a/dispatch/drain.go
+++ b/dispatch/drain.go
@@ -11,8 +11,9 @@
 	noticeAt time.Duration // the earliest time at which the drain notice may have been sent
 	graceEnd time.Duration // requests that are read later are not started
 	stopAt   time.Duration // all requests are answered by then; 0 if no end is known
-	// stallHoldUntil is set after a stall. No request is started before, because a drain
-	// notice may have been sent that has not been received yet.
+	// stallHoldUntil is set after a stall of at least DrainGrace. No request is started before
+	// this time, because a drain notice may have been sent during the stall that has not been
+	// received yet.
 	stallHoldUntil time.Duration
 	idle           chan struct{} // closed once no attempt is left; nil without a handover
 }
--- a/dispatch/eventloop.go
+++ b/dispatch/eventloop.go
@@ -12,7 +12,7 @@
 // ErrStopped is returned by the methods of a core after Run has returned.
 var ErrStopped = errors.New("stopped")
 
-// event is an input of the core, which Run's goroutine applies.
+// event is an input of the core. It is applied on the goroutine of [Core.Run].
 type event interface {
 	apply(c *Core)
 }
--- a/dispatch/replication.go
+++ b/dispatch/replication.go
@@ -99,8 +99,8 @@
 }
 
 // ClaimRequested decides whether the attempt of a successor may run, and sends it the
-// decision. The claim is denied if the key has run here and the attempt arrived within the
-// window of that run.
+// decision. The claim is denied if another attempt has claimed the key and this one arrived
+// within the window of that claim.
 func (c *Core) ClaimRequested(p Peer, state KeyState) { c.notify(claimRequested{p, state}) }
 
 type claimRequested struct {
@@ -139,7 +139,9 @@
 	}
 }
 
-// resolveClaim continues or ends a start that waited for its claim.
+// resolveClaim ends an attempt's wait for its claim. With the claim, the start continues,
+// unless the attempt is already answered. Without it, the attempt waits for the result of the
+// attempt that has the claim.
 func (c *Core) resolveClaim(a *attempt, granted bool) {
 	switch {
 	case granted && !a.answered:
@@ -176,9 +178,10 @@
 	}
 }
 
-// resolveAwaitedClaim continues or ends a start that waited for its claim when the peer
-// disconnected. If the claim is not durable yet, the start still waits for that, unless the
-// peer has replicated a run of the key.
+// resolveAwaitedClaim resolves a claim that an attempt waited for when the peer disconnected.
+// If the peer has replicated another attempt's run of the key, the attempt isn't started and
+// waits for that run's result. Otherwise the start continues, or waits on until the journal
+// has made the claim durable.
 func (e peerDisconnected) resolveAwaitedClaim(c *Core, a *attempt) {
 	if !a.state.awaitsClaim() {
 		return
--- a/dispatch/requests_fuzz_test.go
+++ b/dispatch/requests_fuzz_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// checkAnswer checks that a request got one answer in time, and did not run if it arrived
-// after the grace of a drain.
+// checkAnswer checks that a request got one answer in time, or at most one if it was cancelled,
+// and did not run if it arrived after the grace of a drain.
 func (w *requestWalk) checkAnswer(t *testing.T, id string) {
 	t.Helper()
 	request, answers := w.requests[id], w.answers[id]
--- a/dispatch/respond.go
+++ b/dispatch/respond.go
@@ -23,7 +23,8 @@
 	c.removeIfDone(a)
 }
 
-// markAnswered marks an attempt as answered without an answer, as its caller no longer waits.
+// markAnswered marks an attempt as answered but gives no answer, because its caller no longer
+// waits.
 func (c *Core) markAnswered(a *attempt) {
 	a.answered = true
 	c.inFlight.Add(-1)
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -8,7 +8,7 @@
 )
 
 // A stall is a time in which the process did not run. The module's timers cause a batch every
-// few milliseconds, so a longer gap between two batches is a stall.
+// few milliseconds, so a gap of more than minStall between two batches counts as a stall.
 const (
 	// minStall is the shortest gap between two batches that counts as a stall.
 	minStall = 50 * time.Millisecond
@@ -22,8 +22,8 @@
 	stallHoldTime = 50 * time.Millisecond
 )
 
-// stallDetector detects stalls of the process. Run's goroutine reports the batches; any
-// goroutine may call earliestSignal.
+// stallDetector detects stalls of the process. The goroutine of [Core.Run] reports the batches;
+// any goroutine may call earliestSignal.
 type stallDetector struct {
 	mu         sync.Mutex
 	watching   bool // batches are regular, so gaps count as stalls
--- a/dispatch/start.go
+++ b/dispatch/start.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// shedNotStarted sheds an attempt that the module has started and the backend has not.
+// shedNotStarted sheds an attempt that the module has started and the backend has not, with
+// the longest Retry-After, and releases its claim.
 func (c *Core) shedNotStarted(a *attempt) {
 	if a.entry != nil {
 		c.keys.ReleaseClaim(a.entry, a.ID)
@@ -77,7 +78,8 @@
 	c.completeNotStarted(a)
 }
 
-// completeNotStarted ends an attempt that the module has started and the backend has not.
+// completeNotStarted ends an attempt that the module has started and the backend has not: its
+// run is reported as not started.
 func (c *Core) completeNotStarted(a *attempt) {
 	runCompleted{id: a.ID, end: RunNotStarted}.apply(c)
 }
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -41,8 +41,8 @@
 	return c.enqueue(requestReceived{r, class, tenant})
 }
 
-// checkKey returns an error if the request's class has the effect Keyed, but the request has
-// no key or one that is too long.
+// checkKey returns an error if effect, which is that of the request's class, is Keyed and the
+// request has no key or one that is too long.
 func (r *Request) checkKey(effect decision.Idempotency) error {
 	if effect != decision.Keyed {
 		return nil
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -51,8 +51,8 @@
 	NoRetryElsewhere bool          // of Shed: the caller should not retry at another server
 }
 
-// Responder receives the one final answer to a request. Its method is called on Run's
-// goroutine and must not block.
+// Responder receives the one final answer to a request. Respond is called on the goroutine of
+// [Core.Run] and must not block.
 type Responder interface {
 	Respond(id string, o Outcome)
 }
@@ -68,7 +68,7 @@
 	RunNotStarted               // proven to have had no effect
 )
 
-// Run is the part of an attempt that the backend gets.
+// Run is what [Backend.Start] is told about an attempt that it runs.
 type Run struct {
 	ID       string
 	Class    string
@@ -109,20 +109,20 @@
 	Abandon(id string)
 }
 
-// Registrar reports to the discovery service whether this server accepts requests. Its
-// method must not block.
+// Registrar reports to the discovery service whether this server accepts requests.
+// SetAccepting must not block.
 type Registrar interface {
 	SetAccepting(accepting bool)
 }
 
-// Connections closes connections that are idle for too long. Its method must not block.
+// Connections closes connections that are idle for too long. SetIdleTimeout must not block.
 type Connections interface {
 	SetIdleTimeout(after time.Duration)
 }
 
 // Observer gets each final answer, for metrics: the name of the class (or [RemovedClass]),
 // the kind, and the time since the request arrived. duplicate is set if the answer is the
-// result of another attempt. Its method must not block.
+// result of another attempt. ObserveResponse must not block.
 type Observer interface {
 	ObserveResponse(class string, kind OutcomeKind, took time.Duration, duplicate bool)
 }
--- a/guard/connection.go
+++ b/guard/connection.go
@@ -14,8 +14,8 @@
 	ProcessExiting   bool          // the process exits now, so the connection can't be closed later
 }
 
-// MaxMessageTime is the maximum time from a message's first byte to its last. No client
-// waits longer for a response.
+// MaxMessageTime is the maximum time from a message's first byte to its last. It need not be
+// longer, because no client waits longer for a response.
 const MaxMessageTime = 10 * time.Second
 
 // HoldReason says why a connection may not be closed yet, or a process may not exit yet.
--- a/guard/doc.go
+++ b/guard/doc.go
@@ -8,19 +8,20 @@
 // reads no clock. The facts describe the present state. An expired timer or a peer's claim
 // is not enough, because the state may have changed since:
 //
-//   - [MayClose]: a connection is closed only if a read has just emptied its socket, no response
-//     is pending, and its peer was notified long enough ago;
+//   - [MayClose]: a connection is closed only if a read has just emptied its socket and, unless
+//     the process exits, no response is pending and its peer was notified long enough ago;
 //   - [MayContinue]: a connection is not closed because of one invalid message, since the
 //     requests before and after it still get their responses;
 //   - [MayRetry]: a connection is closed after a failed read or write only if the error
-//     proves that the connection has ended. For downstream calls, see [MayCall];
-//   - [MayExit]: a process exits only if no accepted connection or request is left. It isn't
-//     enough that the planned time of the exit has passed;
+//     proves that the connection has ended, or after too many consecutive failures. For
+//     downstream calls, see [MayCall];
+//   - [MayExit]: a process exits only if no connection or request is left, or after a maximum
+//     number of checks. It isn't enough that the planned time of the exit has passed;
 //   - [MayStart]: while the process drains, a request is run only if it was read before the
 //     grace period ended. The grace period starts at the earliest time at which the drain
 //     signal may have been sent. The arrival time that the request claims is not used;
-//   - [MayShed]: a request that may have had its effect is not shed, because a shed request
-//     is reported as never run;
+//   - [MayShed]: a request that may have had its effect is shed only if it is idempotent,
+//     because the caller of a shed request may send it again;
 //   - [MayAnswer]: a request gets one response;
 //   - [MayCall]: a downstream call is retried only if it is idempotent, or the last outcome
 //     proved that it had no effect. Package policy decides when to retry.
--- a/guard/failure.go
+++ b/guard/failure.go
@@ -6,14 +6,14 @@
 	"syscall"
 )
 
-// The denials of [MayRetry].
+// MayRetry returns one of these errors if a read or write is not to be retried.
 var (
 	ErrConnectionEnded error = &DenialError{"the connection has ended"}
 	ErrTooManyFailures error = &DenialError{"too many consecutive reads or writes of the connection failed"}
 )
 
-// MaxConsecutiveFailures is the maximum number of consecutive failures of a read or write that
-// are retried.
+// MaxConsecutiveFailures limits how many consecutive failed reads or writes of a connection are
+// retried.
 const MaxConsecutiveFailures = 500
 
 // finalErrnos lists the errors that prove that a connection has ended, or that the file
--- a/guard/monitor.go
+++ b/guard/monitor.go
@@ -20,7 +20,7 @@
 	DuplicateRun    Rule = "duplicate_run"    // an idempotency key ran twice in its window
 	DuplicateAnswer Rule = "duplicate_answer" // a request got two responses
 	DrainStart      Rule = "drain_start"      // a request read after the grace period was started
-	ShedAfterRun    Rule = "false_promise"    // a request that may have run was reported as never run
+	ShedAfterRun    Rule = "false_promise"    // a request that may have run and is not idempotent was shed
 	RepeatedCall    Rule = "repeated_call"    // a downstream call that may have had its effect was repeated
 	LateAnswer      Rule = "late_answer"      // a response was sent after the deadline and its slack
 )
--- a/guard/request.go
+++ b/guard/request.go
@@ -85,8 +85,8 @@
 // MayShed decides whether a request may be shed.
 //
 // Inputs: whether the request may have run, and whether it is idempotent. Rule: a request
-// that may have run is shed only if it is idempotent. Reason: a shed request is reported as
-// never run, so its caller sends it to another server.
+// that may have run is shed only if it is idempotent. Reason: the caller of a shed request may
+// send it to another server, where it would have its effect again.
 func MayShed(s ShedState) error {
 	if s.MayHaveRun && !s.Idempotent {
 		return ErrMayHaveRun
--- a/idempotency/journal/golden_test.go
+++ b/idempotency/journal/golden_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestGoldenJournal_IsWrittenByteForByte records the states and the doubt of the golden
-// journal. The segment must be identical.
+// journal. The segment written must be identical to the golden one.
 func TestGoldenJournal_IsWrittenByteForByte(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, now)
--- a/idempotency/journal/journal_test.go
+++ b/idempotency/journal/journal_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestOpen_RecoversLatestStates reopens a journal after the window of one key has ended. It
-// must recover the latest state of the other keys.
+// TestOpen_RecoversLatestStates reopens a journal after the window of one key has ended. Open
+// must recover the latest state of each other key, and no state of that key.
 func TestOpen_RecoversLatestStates(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, now)
@@ -192,7 +192,7 @@
 }
 
 // TestOpen_ReportsUnreadableRecords opens and inspects a directory with records that the
-// journal did not write. They must be reported and the other record recovered. A key whose
+// journal did not write. These must be reported, and the other record recovered. A key whose
 // state cannot be decoded counts as run.
 func TestOpen_ReportsUnreadableRecords(t *testing.T) {
 	dir := t.TempDir()
--- a/idempotency/state.go
+++ b/idempotency/state.go
@@ -39,7 +39,7 @@
 	Result       *Payload  `json:"Result"` // of the run, if it succeeded
 }
 
-// Journal makes key states durable. Its method must not block. done is called once, from any
+// Journal makes key states durable. Record must not block. done is called once, from any
 // goroutine: with nil when the state is durable, or with the error that prevented it.
 type Journal interface {
 	Record(state KeyState, done func(error))
--- a/limits/pools.go
+++ b/limits/pools.go
@@ -194,8 +194,8 @@
 }
 
 // Release releases a run's slot, and returns the queued runs that may start now. The limit
-// adapts to the latency only if the run succeeded: that of a failed run says nothing about
-// the load downstream.
+// adapts to the latency only if the run succeeded, because the latency of a failed run says
+// nothing about the load downstream.
 func (p *Pools) Release(permit Permit, latency time.Duration, succeeded bool) []Admitted {
 	p.releaseRead(permit)
 	if permit.coalesced {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// Guards against requests that use cores until they need a call and then fail for lack of
-// credit, while requests without calls lack these cores.
+// While the credit is far overdrawn, a request that needs a call is shed when it arrives.
+// Otherwise it would use cores until it needs the call and then fail for lack of credit, while
+// requests without calls lack these cores.
 func TestAdmit_ShedsCallingRequestsWhileCreditIsOverdrawn(t *testing.T) {
 	in, host := startInstance(t, testSettings())
 	in.callQuota.credit = -time.Minute
@@ -69,7 +70,7 @@
 	}
 }
 
-// A retry has used part of its latency objective, and so has a lower weight.
+// A retry has a lower weight, because it has used part of its latency objective.
 func TestStartQueued_RunsFirstAttemptsBeforeRetries(t *testing.T) {
 	s := testSettings()
 	s.Cores = 1
--- a/policy/call_quota.go
+++ b/policy/call_quota.go
@@ -107,9 +107,9 @@
 	return inFlight < max(1, in.callQuota.burst(in.targetCallConcurrency())) && in.callQuota.credit >= 0
 }
 
-// maxCallTimeout returns the longest time-out of a call. It ensures that the shared
-// dependency survives if the calls of all instances hang at once: the call time that an
-// instance spends then, from saved credit and by overdrawing, stays below
+// maxCallTimeout returns the longest time-out of a call. It is limited so that the shared
+// dependency isn't overloaded if the calls of all instances hang at once: the call time that
+// an instance spends then, from saved credit and by overdrawing, stays below
 // hungCallUtilizationLimit of its quota over CallQuotaWindow.
 func (in *Instance) maxCallTimeout() time.Duration {
 	if in.settings.Dependency != decision.SharedDependency {
@@ -125,7 +125,8 @@
 
 // expectedCallWait returns how long a request would wait for a call to the shared
 // dependency, after the calls of the requests in flight and of the requests queued before
-// it. A request that can't get its call uses cores and memory for nothing.
+// it. Long waits are avoided (callShedProbability), because a request that can't get its call
+// uses cores and memory for nothing.
 //
 // It is 0 for requests without calls, and also for requests that may skip their call, until
 // they wait for one.
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	inFlightUtilizationLimit = 0.85 // maximum in flight, as a fraction of the number that the cores survive
+	inFlightUtilizationLimit = 0.85 // fraction of the requests that may be runnable at once without overload
 	busyRunnablePerCore      = 1.5  // runnable tasks per core above which the cores count as busy
 	busyCoreUtilization      = 0.95 // utilization from which the cores count as busy
 	concurrencyDecrease      = 0.05 // fraction of the excess over the number of cores, per timer
@@ -75,8 +75,9 @@
 	in.concurrency.meanRunTime = max(in.concurrency.meanRunTime, shortest)
 }
 
-// maxInFlight returns the maximum number of requests in flight (see requestsInFlight). The
-// instance survives if all of them need the cores at once.
+// maxInFlight returns the maximum number of requests in flight (see requestsInFlight). It is
+// inFlightUtilizationLimit times the number of requests that may be runnable at once without
+// overloading the instance, and at least 1.
 func (in *Instance) maxInFlight() float64 {
 	cores := float64(in.settings.Cores)
 	excess := max(0, in.settings.OverloadRatio-1) * in.slowStartSpeed()
@@ -140,8 +141,8 @@
 }
 
 // preemptFor pauses the running request of lowest priority if the given request has far
-// more weight, and reports whether it did. With few cores a long run would delay all later
-// requests. Runs are preempted only in the mode CancelPause, which loses no work.
+// more weight, because with few cores a long run would delay all later requests. It reports
+// whether it did. Runs are preempted only in the mode CancelPause, which loses no work.
 func (in *Instance) preemptFor(req *request) bool {
 	if in.settings.CancelMode != decision.CancelPause {
 		return false
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -11,7 +11,7 @@
 const drainMarginTimers = 2
 
 // drainState is the state of a graceful shutdown. The instance sheds requests that arrive
-// more than DrainGrace after the drain starts, and answers all others before it ends. A drain
+// more than DrainGrace after the drain starts, and answers all others before the drain ends. A drain
 // changes the results of admit (arrivedAfterDrain), answerDeadline (limitAnswerDeadline),
 // retryAfter and adviseNoRetry, and stops updateHealth, so that the health stays bad.
 type drainState struct {
@@ -37,8 +37,8 @@
 	in.host.Log(decision.DrainStarted{StopsIn: stopAt - now})
 }
 
-// arrivedAfterDrain reports whether a request arrived too late to run. Callers have
-// DrainGrace to learn of the drain and stop sending.
+// arrivedAfterDrain reports whether a request arrived too late to run: more than DrainGrace,
+// the time that callers have to learn of the drain and stop sending, after its start.
 func (in *Instance) arrivedAfterDrain(req *request) bool {
 	return in.drain.started && req.arrivedAt > in.drain.startedAt+in.settings.DrainGrace
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -31,15 +31,15 @@
 	h.readLag = movingAverage(h.readLag, lag.Seconds(), ewmaWeight)
 }
 
-// decay reduces both signals over the elapsed time. An unhealthy instance may get no
-// requests, and must recover without them.
+// decay reduces both signals over the elapsed time, because an unhealthy instance may get no
+// requests and must recover without them.
 func (h *healthMonitor) decay(elapsed time.Duration) {
 	h.readLag *= decayFactor(elapsed, readLagTimeConstant)
 	h.errorRate *= decayFactor(elapsed, errorRateTimeConstant)
 }
 
-// evaluate reports whether the instance is healthy. lagging says that reads are too late. That
-// alone does not make the instance unhealthy until minHealthChangeInterval after the last
+// evaluate reports whether the instance is healthy. lagging says that reads are too late. Late
+// reads alone do not make the instance unhealthy until minHealthChangeInterval after the last
 // change: if all instances lag at once, only a few of them may leave the endpoint list.
 func (h *healthMonitor) evaluate(now time.Duration, lagging bool) bool {
 	tooLate := lagging && (!h.healthy || now > h.lagIgnoredUntil)
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -76,7 +76,8 @@
 }
 
 // A read lag that is a large part of the latency objective makes every request useless once it
-// is read. The endpoint list reaches all callers, a Retry-After only those with an answer.
+// is read. Bad health must then be reported, because the endpoint list reaches all callers, and
+// a Retry-After only those with an answer.
 func TestHealth_BecomesBadWhenReadsLag(t *testing.T) {
 	in, host := startInstance(t, testSettings())
 	for i := range 40 {
@@ -90,8 +91,8 @@
 	}
 }
 
-// An instance that is missing from the endpoint list gets no requests that could show its
-// recovery.
+// An unhealthy instance must become healthy without requests: while the endpoint list omits it,
+// it gets none that could show its recovery.
 func TestHealth_RecoversWithoutRequests(t *testing.T) {
 	in, host := startInstance(t, testSettings())
 	in.health.errorRate = 1
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Connections use cores, and the connection table is full long before a thousand callers send
-// again. A few callers reuse their connections.
+// The idle timeout must stay long for a few callers, which reuse their connections. It must be
+// short for a thousand: the connection table would be full long before they send again.
 func TestAdjustIdleTimeout_KeepsConnectionsForFewCallers(t *testing.T) {
 	for callers, want := range map[int]string{3: "", 1000: "idle 10ms"} {
 		s := testSettings()
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -32,8 +32,8 @@
 // shedStale sheds queued requests that have waited longer than maxQueueWait. They would miss
 // their latency objective, and delay others too.
 //
-// Decide calls it after startQueued. When reads lag, every request is old by the time it is
-// read, so an instance that shed stale requests first would run none.
+// Decide calls it after startQueued, because an instance that shed stale requests first would
+// run none when reads lag: every request is then old by the time it is read.
 func (in *Instance) shedStale() {
 	for i := len(in.queue) - 1; i >= 0; i-- {
 		if req := in.queue[i]; req.state == queued && in.now-req.arrivedAt > in.maxQueueWait(req) {
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// An answer before the deadline turned calls of the tier above into rejections, from which
-// its Optimizer gets no latency.
+// An answer before the deadline turned calls of the tier above into rejections, which give the
+// Optimizer of that tier no latency.
 func TestExpireDeadlines_FailsRunningRequestWithinDeadlineSlack(t *testing.T) {
 	s := testSettings()
 	in, host := startInstance(t, s)
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -210,7 +210,8 @@
 	}
 }
 
-// setFleetBounds sets random fleet limits.
+// setFleetBounds sets a random MaxCalls and, half of the time, an AcquireRetry that allows
+// every second retry on average.
 func (p *recording) setFleetBounds() {
 	bounds := decision.FleetBounds{MaxCalls: 30 * p.rng.Float64()}
 	if p.rng.Intn(2) == 0 {
--- a/policy/result_cache_test.go
+++ b/policy/result_cache_test.go
@@ -7,7 +7,7 @@
 	"quincerail.example/quincerail/decision"
 )
 
-// Retries arrive in the same batch and after the run.
+// One retry arrives in the batch of the first attempt, and one after its run.
 func TestCacheResult_KeyedRequestRunsOnceAndRetriesAreNotShed(t *testing.T) {
 	in, host := startInstance(t, testSettings())
 	in.RequestReceived(0, decision.Request{ID: "a", Class: 1, ReservedKB: 1})
--- a/policy/timeouts.go
+++ b/policy/timeouts.go
@@ -95,9 +95,8 @@
 }
 
 // controller computes the time-out of diagnostic calls: it is the Controller of the paper's
-// section 4.4. A success never reduces the time-out below minimum. That is the time for which
-// the dependency works on an abandoned call, so a shorter time-out would free no capacity
-// there.
+// section 4.4. A success never reduces the time-out below minimum, the time for which the
+// dependency works on an abandoned call, because a shorter time-out would free no capacity there.
 type controller struct {
 	timeout time.Duration
 	minimum time.Duration
--- a/policy/walk_test.go
+++ b/policy/walk_test.go
@@ -15,7 +15,8 @@
 //   - a request that must run at most once does so;
 //   - no request is shed after it may have had its effect;
 //   - each request is answered once, by its deadline;
-//   - memory and requests in flight stay within the limits that the instance survives.
+//   - the reserved memory is at most MemoryKB, and the requests in flight are at most Cores
+//     times OverloadRatio.
 //
 // It does not simulate cores or load.
 type invariantChecker struct {
@@ -362,7 +363,8 @@
 	}
 }
 
-// sendRunEvent sends CallNeeded or RunDone for a running request, at random, or neither.
+// sendRunEvent sends CallNeeded, RunDone or, most of the time, nothing for a running request.
+// It reports whether it sent an event.
 func (c *invariantChecker) sendRunEvent(
 	in *Instance, req *attempt, rng *rand.Rand, outcome decision.Outcome,
 ) bool {
@@ -408,7 +410,8 @@
 	decision.Failed, decision.Rejected, decision.ConnectFailed, decision.ConnectionReset,
 }
 
-// endCall ends a call with an outcome.
+// endCall ends a call with an outcome. The request runs on after a success, and waits for the
+// next attempt of the call otherwise.
 func (c *invariantChecker) endCall(in *Instance, req *attempt, outcome decision.Outcome) {
 	req.state = isAwaitingCall
 	if outcome == decision.Succeeded {
