--- a/backend/processor.go
+++ b/backend/processor.go
@@ -19,9 +19,9 @@
 
 // maxUnansweredQueries is how many calls of ReadGauges in a row may pass without any notice
 // from the processor. One more aborts the connection, and the address is redialled. At the
-// interval of the decision module's queries, that takes about two seconds. Runs continue across a
-// reconnect, so it costs little if the processor is only slow. The limit counts queries and
-// not time, because a suspended process does not notice that time passes.
+// interval of the decision module's queries, that many calls take about two seconds. Runs continue
+// across a reconnect, so an abort costs little if the processor is only slow. The limit is a
+// number of calls and not a time, because time also passes while this process is suspended.
 const maxUnansweredQueries = 80
 
 // errReplaced closes a connection that a newer one has replaced.
--- a/discovery/registrar_test.go
+++ b/discovery/registrar_test.go
@@ -97,8 +97,8 @@
 }
 
 // TestRegistrar_ReportsNothingBeforeSetAccepting checks that there is no report before the first
-// SetAccepting. A report would register the server as ready, or remove it, before it knows
-// whether it can serve.
+// SetAccepting. Such a report would register the server as ready, or remove it, before the
+// server knows whether it can serve.
 func TestRegistrar_ReportsNothingBeforeSetAccepting(t *testing.T) {
 	withService(t, func(t *testing.T, s *discoveryService) {
 		time.Sleep(5 * time.Second)
--- a/downstream/quota.go
+++ b/downstream/quota.go
@@ -137,8 +137,8 @@
 
 // ApplyFleetBounds sets the core's fleet bounds to this member's part of the fleet's quotas.
 // If there is a quota of calls, it starts a goroutine that applies changes of the quota until
-// the core has stopped. The core then reports to the fleet how many calls it would have in
-// flight without the quota.
+// the core has stopped. In this case the core also reports to the fleet how many calls it
+// would have in flight without the quota.
 func ApplyFleetBounds(core *dispatch.Core, member *fleet.Fleet) {
 	bounds := decision.FleetBounds{MaxCalls: math.Inf(1)}
 	if member.QuotaAgent(fleet.RetryQuota) != nil {
--- a/frontend/thrift/connection.go
+++ b/frontend/thrift/connection.go
@@ -55,7 +55,7 @@
 	seqByRequest  map[string]int32 // sequence numbers of the open requests, by request ID
 	requestBySeq  map[int32]string // the inverse of seqByRequest
 	pendingChecks int              // health checks without a response
-	notifiedAt    time.Time        // when the peer was notified to send no new request; zero if it was not
+	notifiedAt    time.Time        // when the peer was told to send no new request; zero if it was not
 	noticePeriod  time.Duration    // how long after notifiedAt an idle connection stays open
 }
 
@@ -90,8 +90,8 @@
 }
 
 // recordBadMessage records the sequence number of a message that could not be decoded, and
-// returns its order. Only calls get a reply. A message that is not known to be a call counts
-// as a duplicate, which gets none.
+// returns its order. Only calls get a reply, so a message that is not known to be a call
+// counts as a duplicate, which gets no reply.
 func (c *connection) recordBadMessage(head *protocol.Header) sequenceOrder {
 	if head == nil || head.Type != protocol.Call {
 		return duplicate
@@ -105,14 +105,14 @@
 	return guard.InputState{ValidMessages: c.validMessages, InvalidMessages: c.invalidMessages, SkippedBytes: c.reader.ResyncBytes()}
 }
 
-// skip handles a message that is malformed or out of order. If it is a call whose sequence
-// number was not used before, skip sends an exception. If the peer has sent valid messages,
-// skip notifies it to use another connection; valid messages that still arrive on this one
-// are handled. skip returns transport.ErrMessageSkipped, or another error, which closes the
-// connection, if guard.MayContinue denies reading further.
+// skip handles a message that is malformed, out of order or a duplicate. If it is a call whose
+// sequence number was not used before, skip sends an exception. If the peer has sent valid
+// messages, skip tells the peer to send no new request on the connection; valid messages that
+// still arrive are handled. If guard.MayContinue denies reading further, skip returns an error that
+// closes the connection, else transport.ErrMessageSkipped.
 func (c *connection) skip(head *protocol.Header, order sequenceOrder, cause error) error {
-	// A message that is out of order after valid ones shows that an earlier message was
-	// malformed. It is not malformed itself.
+	// If a message is out of order after valid ones, an earlier message was malformed. The
+	// message that is out of order does not count as malformed itself.
 	isMalformed := order != outOfOrder || c.validMessages == 0
 	if isMalformed {
 		c.invalidMessages++
@@ -309,7 +309,7 @@
 	return map[string]string{protocol.FieldLoadReport: strconv.FormatFloat(max(0, load), 'f', loadReportDecimals, 64)}
 }
 
-// notify notifies the peer, once, to send no new request on the connection, and returns the
+// notify tells the peer, once, to send no new request on the connection, and returns the
 // remaining notice period. If the peer has sent only malformed messages, notify does
 // nothing and returns 0. Only the goroutine that serves the connection may call it.
 func (c *connection) notify() time.Duration {
@@ -322,7 +322,7 @@
 	return c.noticePeriod - time.Since(c.notifiedAt)
 }
 
-// notifyLocked notifies the peer, once, to send no new request. The caller holds mu.
+// notifyLocked tells the peer, once, to send no new request. The caller holds mu.
 func (c *connection) notifyLocked() {
 	if c.notifiedAt.IsZero() {
 		c.notifiedAt = time.Now()
@@ -330,9 +330,9 @@
 	}
 }
 
-// notifyOrClose notifies the peer, once, to send no new request on the connection. A balancer
-// then closes the connection when all its requests have responses. If the peer was notified
-// more than period ago and nothing is pending, notifyOrClose closes the connection.
+// notifyOrClose tells the peer, once, to send no new request on the connection. A balancer
+// then closes the connection when all its requests have responses. If the peer was told more
+// than period ago and nothing is pending, notifyOrClose closes the connection.
 func (c *connection) notifyOrClose(period time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -352,7 +352,7 @@
 
 func (c *connection) hasPendingLocked() bool { return len(c.seqByRequest)+c.pendingChecks > 0 }
 
-// isNotified reports whether the peer was notified to send no new request.
+// isNotified reports whether the peer was told to send no new request.
 func (c *connection) isNotified() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/frontend/thrift/frontend.go
+++ b/frontend/thrift/frontend.go
@@ -27,8 +27,8 @@
 // Bounds that apply near the connection limit, and the size of a log event.
 const (
 	reclaimInterval        = 10 * time.Millisecond  // minimum time between two searches for idle connections
-	silentTimeoutNearLimit = 50 * time.Millisecond  // until a connection that has sent no message is notified
-	idleTimeoutNearLimit   = 250 * time.Millisecond // until any other idle connection may be notified
+	silentTimeoutNearLimit = 50 * time.Millisecond  // until a peer that has never sent a complete message is notified
+	idleTimeoutNearLimit   = 250 * time.Millisecond // until the peer of any other idle connection may be notified
 	noticePeriodNearLimit  = 100 * time.Millisecond // replaces noticePeriod
 	maxLoggedRequests      = 8                      // request IDs in one log event
 )
@@ -86,10 +86,10 @@
 	f.reportClose(transportConn, unanswered)
 }
 
-// reportClose reports how a connection closed to the observer and logs it. unanswered has the
-// IDs of the requests that had no response. If there are any, and queued bytes were not written
-// although the connection did not fail on the peer's side, reportClose also records a violation
-// of guard.LostRequest.
+// reportClose reports to the observer how a connection closed, and logs the close. unanswered
+// has the IDs of the requests that had no response. If there are any, and queued bytes were not
+// written although the connection did not fail on the peer's side, reportClose also records a
+// violation of guard.LostRequest.
 func (f *Frontend) reportClose(c *transport.Conn, unanswered []string) {
 	info := c.CloseInfo()
 	if f.options.Observer != nil {
@@ -137,8 +137,9 @@
 	return slog.LevelWarn
 }
 
-// NotifyDraining notifies all peers, also those of new connections, to send no new request on
-// their connections.
+// NotifyDraining tells all peers, also those of new connections, to send no new request on
+// their connections. It closes idle connections whose peers were told more than noticePeriod
+// ago.
 func (f *Frontend) NotifyDraining() {
 	f.draining.Store(true)
 	f.connections.Each(func(c *connection) { c.notifyOrClose(noticePeriod) })
@@ -174,10 +175,13 @@
 }
 
 // ReclaimConnections frees connections when their number is near the limit. transport.Server
-// calls it for each new connection, and again while one waits. It notifies, and later closes,
-// connections without any message. It also notifies the connections that have been idle
-// longest, one for each call since the last search, because some callers send one request and
-// never close their connection. Only the goroutine that accepts connections may call it.
+// calls it for each new connection, and again while one waits. It searches for idle connections
+// at most once per reclaimInterval. It notifies the peers that have never sent a complete
+// message (see reclaimSilent). Because some callers send one request and never close their
+// connection, it also notifies the peers of the other connections that have been idle longest,
+// one for each call since the last search. A later search closes the connections that are idle
+// after the notice period. Only the goroutine that accepts connections may call
+// ReclaimConnections.
 func (f *Frontend) ReclaimConnections() {
 	f.callsSinceReclaim++
 	if time.Since(f.lastReclaim) < reclaimInterval {
@@ -193,9 +197,10 @@
 	f.callsSinceReclaim, f.lastReclaim = 0, time.Now()
 }
 
-// reclaimSilent notifies the peers that have sent no message for silentTimeoutNearLimit, and
-// closes the idle connections whose notice period is over. It returns the connections that
-// have sent a message and have been idle for idleTimeoutNearLimit.
+// reclaimSilent notifies the peers that have never sent a complete message and whose
+// connections have been idle for longer than silentTimeoutNearLimit. It closes the idle
+// connections whose notice period is over. It returns the other connections that have been
+// idle for longer than idleTimeoutNearLimit.
 func (f *Frontend) reclaimSilent() (idle []*connection) {
 	f.connections.Each(func(c *connection) {
 		switch {
--- a/frontend/thrift/model_test.go
+++ b/frontend/thrift/model_test.go
@@ -27,7 +27,7 @@
 	calls     map[int32]bool // calls sent, each of which gets one reply
 	cancelled map[int32]bool // calls that may get no reply
 	hanging   int            // calls whose runs do not complete
-	notified  bool           // the peer was notified to send no new request
+	notified  bool           // the peer was told to send no new request
 	closed    bool           // the connection has closed
 	silent    bool           // the balancer has sent nothing
 	openedAt  time.Time
@@ -40,8 +40,9 @@
 )
 
 // FuzzConnection checks a connection from a balancer against a model. The connection may be
-// silent, have pending or cancelled calls, or be notified. The frontend may close it only if
-// the peer was notified before or was silent for too long, or if a sequence number is wrong.
+// silent, have pending or cancelled calls, or have a notified peer. The frontend may close it
+// only if the peer was notified before or was silent for too long, or if a sequence number is
+// wrong.
 // Each call must get one reply; a cancelled one may get none.
 func FuzzConnection(f *testing.F) {
 	randomsteps.Fuzz(f, func(t *testing.T, steps *randomsteps.Source) {
--- a/frontend/uwsgi/connection.go
+++ b/frontend/uwsgi/connection.go
@@ -86,8 +86,8 @@
 	})
 }
 
-// checkHealth calls respond once with the health of the server. It never calls respond if the
-// core has stopped, because the process then exits.
+// checkHealth calls respond once with the health of the server. If the core has stopped, it
+// does not call respond; the process then exits.
 func (c *connection) checkHealth(respond func(healthy bool)) {
 	_ = c.frontend.core.CheckHealth(false, respond)
 }
--- a/handover/endpoint_test.go
+++ b/handover/endpoint_test.go
@@ -16,8 +16,8 @@
 )
 
 // TestEndpoint_ReportsRefusedUnixSockets simulates a platform that refuses Unix sockets with
-// ENOSYS, as the platform of the fleet days does. Connect must dial once and return without a predecessor, and
-// Listen must return the error, so that the process serves alone.
+// ENOSYS. Connect must dial once and return without a predecessor, and Listen must return the
+// error, so that the process serves alone.
 func TestEndpoint_ReportsRefusedUnixSockets(t *testing.T) {
 	core, err := dispatch.New(dispatch.Options{Classes: []string{"page"}, Settings: decision.Settings{
 		Cores:    1,
--- a/protocol/thrift/reader.go
+++ b/protocol/thrift/reader.go
@@ -20,9 +20,10 @@
 // Unwrap returns Err.
 func (e *BadMessageError) Unwrap() error { return e.Err }
 
-// Reader reads the messages of one connection. Its zero value is ready to use. It skips a
-// message that can't be decoded, as a whole frame. If the frame is not valid either, it
-// resynchronizes: it skips bytes up to the next bytes that are the start of a message.
+// Reader reads the messages of one connection. Its zero value is ready to use. It skips the
+// frame of a message that can't be decoded. If the frame is not valid either, or another
+// message starts within it, Reader resynchronizes: it skips bytes up to the next bytes that
+// are the start of a message.
 type Reader struct {
 	bytesToSkip int  // bytes left of a frame that is being skipped
 	resyncing   bool // the reader is resynchronizing: the start of the next message is unknown
--- a/protocol/thrift/thrift.go
+++ b/protocol/thrift/thrift.go
@@ -15,9 +15,9 @@
 	MaxResponseBody = 4 << 10  // of Answer.Body
 	maxFrame        = 12 << 10 // room for a body and its fields; must fit in the reader's buffer
 
-	// maxPlausibleFrame is the largest frame size that is believed. A frame of at most this
-	// size that is larger than maxFrame is skipped whole. A larger size means that the bytes
-	// are not a frame, so the reader resynchronizes.
+	// maxPlausibleFrame is the size above which bytes are not taken for a frame, so that the
+	// reader resynchronizes. A frame that is larger than maxFrame, but not larger than this,
+	// is skipped whole.
 	maxPlausibleFrame = 1 << 20
 )
 
--- a/protocol/thrift/thrift_test.go
+++ b/protocol/thrift/thrift_test.go
@@ -138,7 +138,7 @@
 }
 
 // FuzzRead checks that Read returns the same messages and errors however the input is split
-// and however often reads time out, and that it panics for no input.
+// and however often reads time out, and that it never panics.
 func FuzzRead(f *testing.F) {
 	valid := fakes.AppendExecute(nil, 1, map[string]string{"verb": "x"}, []byte("some body"))
 	valid = fakes.AppendInterrupt(valid, 1)
--- a/protocol/uwsgi/uwsgi_test.go
+++ b/protocol/uwsgi/uwsgi_test.go
@@ -88,7 +88,7 @@
 }
 
 // FuzzDecoder checks that Read returns the same request and error however the input is split
-// and however often reads time out, and that it panics for no input.
+// and however often reads time out, and that it never panics.
 func FuzzDecoder(f *testing.F) {
 	valid := packet(f, "a body of some length")
 	randomsteps.Fuzz(f, func(t *testing.T, s *randomsteps.Source) {
--- a/server/listeners.go
+++ b/server/listeners.go
@@ -44,7 +44,7 @@
 // frontend accepts requests over one protocol.
 type frontend interface {
 	Serve(c *transport.Conn) // serves a connection until it ends
-	ReclaimConnections()     // closes idle connections when their number is near the limit
+	ReclaimConnections()     // closes idle connections when the number of all connections is near the limit
 	NotifyDraining()         // tells callers to use other servers
 	EndGrace()               // ends the grace period: requests that arrive from now on do not run
 	Drain(by time.Time)      // closes each connection once nothing is pending on it, at the latest at the given time
@@ -164,7 +164,8 @@
 	}()
 }
 
-// closeListeners closes all listeners at once.
+// closeListeners closes all listeners, without accepting the connections in their accept
+// queues first. It also closes the open connections of the HTTP servers.
 func (s *Server) closeListeners() {
 	s.closeFrontendListeners()
 	if s.commandServer != nil {
@@ -173,7 +174,8 @@
 	s.closeHTTP()
 }
 
-// closeFrontendListeners closes the frontends' listeners at once. Open connections stay open.
+// closeFrontendListeners closes the frontends' listeners, without accepting the connections in
+// their accept queues first. Open connections stay open.
 func (s *Server) closeFrontendListeners() {
 	for _, l := range s.listeners {
 		l.server.Close()
--- a/server/server.go
+++ b/server/server.go
@@ -108,7 +108,7 @@
 )
 
 // ApplyResourceLimits sets the Go runtime's memory limit (GOMEMLIMIT) and the number of
-// threads that run Go code at once (GOMAXPROCS) from the limits in the configuration.
+// threads that run Go code in parallel (GOMAXPROCS) from the limits in the configuration.
 func ApplyResourceLimits(c *config.Config) {
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * heapMemoryShare * bytesPerMB))
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -36,8 +36,9 @@
 
 // Shutdown shuts the server down gracefully after SIGTERM: it tells callers to use other
 // servers, answers open requests and closes the connections. It returns when the process may
-// exit: at the latest exitMargin before the process may be killed, or later if package guard
-// does not allow the exit yet. It must be called only once.
+// exit: when all connections have ended, or else exitMargin before the process may be killed.
+// If package guard does not allow the exit then, Shutdown waits until it does. Shutdown must be
+// called only once.
 //
 // Operators can send commands until the process exits.
 func (s *Server) Shutdown() {
@@ -86,9 +87,9 @@
 // closing if all connections have ended before the answer deadline.
 //
 // An inherited listening socket stays open until the state closing, because another process
-// holds it too. If this process closed its descriptor earlier, a new connection would not be
-// refused, which proves to the caller that its request did not run. The connection would wait
-// in the accept queue and never be served.
+// holds it too. If this process closed its descriptor earlier, a new connection would wait in
+// the accept queue and never be served. It would not be refused, although only a refusal would
+// prove to the caller that its request did not run.
 func (s *Server) drain() {
 	graceEnd, killAt := s.beginDrain()
 
@@ -251,8 +252,8 @@
 }
 
 // unanswered returns the number of requests without an answer. The core counts them after it
-// has handled the connections that ended before the call; if it has stopped, or does not
-// reply within unansweredTimeout, the result is its number of requests in flight.
+// has handled the connections that ended before the call. If the core has stopped, or does not
+// reply within unansweredTimeout, the result is the core's number of requests in flight.
 func (s *Server) unanswered() int {
 	reply := make(chan int, 1)
 	if s.core.CountUnanswered(func(requests int) { reply <- requests }) != nil {
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -85,7 +85,7 @@
 
 // NotifyBeforeClose sets a function that is called, possibly repeatedly, before the
 // connection closes because it is idle. f may notify the peer once that the connection is
-// about to close. It returns how long the connection must still wait for the peer.
+// about to close. f returns how long the connection must still wait for the peer.
 // NotifyBeforeClose must be called before Serve.
 func (c *Conn) NotifyBeforeClose(f func() time.Duration) { c.notifyPeer = f }
 
--- a/transport/server.go
+++ b/transport/server.go
@@ -207,8 +207,8 @@
 
 // Shutdown accepts all connections that are in the accept queue, closes the server and
 // returns. Connections over the limit still wait for a slot until Close is called. Shutdown
-// does not close open connections. If other processes also hold the socket, Close leaves
-// the connections in the accept queue to them; Shutdown accepts those first.
+// does not close open connections. If other processes also hold the socket, Shutdown accepts
+// the connections in the accept queue itself, whereas Close leaves them to those processes.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
 	serveDone := s.serveDone
@@ -219,9 +219,9 @@
 	s.Close()
 }
 
-// Close stops accepting at once. It admits waiting connections as long as at most
-// maxOverLimitOnClose connections exceed the limit, and resets the others. It does not close
-// open connections.
+// Close stops accepting, without waiting for the accept queue to be empty. It admits accepted
+// connections that wait for a slot as long as at most maxOverLimitOnClose connections exceed
+// the limit, and closes the others unread. It does not close open connections.
 func (s *Server) Close() {
 	_ = s.listener.Close() // may already be closed
 	s.mu.Lock()
--- a/transport/state_test.go
+++ b/transport/state_test.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestConn_CloseReasonByCommand calls every method that can close a connection, on connections
-// with and without a partial message and a pending response. It checks whether the connection
-// closes at once, the reason, and the state.
+// TestConn_CloseReasonByCommand calls every method that can close a connection or interrupt its
+// read, on connections with and without a partial message and a pending response. It checks
+// whether the connection closes immediately, the reason, and the state.
 func TestConn_CloseReasonByCommand(t *testing.T) {
 	const open = CloseReason("")
 	type condition struct{ partial, pending bool }
--- a/transport/write.go
+++ b/transport/write.go
@@ -9,15 +9,15 @@
 	"quincerail.example/quincerail/guard"
 )
 
-// Limits for writing to a peer that does not read. A flush makes a limited number of attempts,
-// each with its own deadline. With one deadline for all attempts, a process that was suspended
-// past it would give up without an attempt.
+// Limits for writing to a peer that does not read. A flush makes a limited number of attempts.
+// Each has its own deadline, because with a single deadline for all of them a process that was
+// suspended past that deadline would give up without an attempt.
 const (
 	// writeAttemptTimeout bounds one attempt.
 	writeAttemptTimeout = 500 * time.Millisecond
 
-	// writeTimeout bounds the total wait of a flush while no byte is written. A client may
-	// wait this long before it reads.
+	// writeTimeout bounds the total wait of a flush while no byte is written. It is this long
+	// because a client may wait that long before it reads.
 	writeTimeout = guard.MaxMessageTime
 
 	// maxStalledWriteAttempts is the number of consecutive attempts without a written byte
