--- a/fleet/consensus/cluster_test.go
+++ b/fleet/consensus/cluster_test.go
@@ -195,7 +195,7 @@
 }
 
 // changeMembership proposes a change at the first of the named voters until all of
-// them have the wanted group. It repeats the proposal, which may be lost.
+// them have the wanted group. It repeats the proposal, because one may be lost.
 func (c *cluster) changeMembership(propose func(*Node) error, want string, voters ...string) {
 	c.t.Helper()
 	const pollInterval, polls = 100 * time.Millisecond, 1000
--- a/fleet/consensus/loop.go
+++ b/fleet/consensus/loop.go
@@ -107,7 +107,7 @@
 			return fmt.Errorf("consensus: encoding a message: %w", err)
 		}
 		n.options.Send(n.currentMembership()[m.GetTo()].Name, encoded)
-		if m.GetType() == raftpb.MsgSnap { // the peer's next response shows whether the snapshot arrived
+		if m.GetType() == raftpb.MsgSnap { // reported as finished at once, because the peer's next response shows whether it arrived
 			n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
--- a/fleet/consensus/node.go
+++ b/fleet/consensus/node.go
@@ -219,7 +219,7 @@
 }
 
 // RunInLoop calls f on the node's goroutine and proposes the commands that f
-// returns. It returns after that, or when the node has stopped.
+// returns. RunInLoop returns after the proposal, or when the node has stopped.
 func (n *Node) RunInLoop(f func() (commands [][]byte)) {
 	finished := make(chan struct{})
 	call := func() {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -71,8 +71,8 @@
 	return testFleet{f, t}
 }
 
-// eventually calls is until it returns ok, for up to 30 s. instead describes what is found,
-// for the failure text.
+// eventually calls the function is repeatedly until ok is true. After 30 s it fails the
+// test with the last value of instead, which describes what was found.
 func (r testFleet) eventually(what string, is func() (instead string, ok bool)) {
 	r.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(50 * time.Millisecond) {
@@ -101,8 +101,8 @@
 	return a
 }
 
-// awaitLogLine waits for an event of a process in the logs, starting at line from. If is
-// isn't nil, the event's fields must satisfy it.
+// awaitLogLine waits for an event of a process in the logs, starting at line from. The
+// function is must return true for the event's fields, unless it is nil.
 func (r testFleet) awaitLogLine(from int, child, event string, is func(map[string]string) bool) fleettest.Line {
 	r.t.Helper()
 	l, err := r.Await(child+"'s event "+event, from, func(l fleettest.Line) bool {
@@ -272,13 +272,13 @@
 const (
 	maxCalls   = 12 // in flight
 	maxRetries = 6  // in any second
-	// maxDelayDifference bounds how much longer a retry may take to reach the ledger than
-	// an earlier one.
+	// maxDelayDifference bounds how much longer a retry may take to reach the shared
+	// dependency than an earlier one.
 	maxDelayDifference = 50 * time.Millisecond
 )
 
 // checkMaxInFlight waits until the given number of further calls has ended at the shared
-// ledger, and checks that at most maxCalls calls were in flight meanwhile.
+// dependency, and checks that at most maxCalls calls were in flight meanwhile.
 func (r testFleet) checkMaxInFlight(what string, calls int) {
 	r.t.Helper()
 	most, from, _ := r.Ledger.Count()
@@ -301,8 +301,8 @@
 }
 
 // TestQuota_BoundsHoldUnderFaults starts callers at all members, which demand more calls of the
-// shared ledger than the fleet's quotas allow. The bounds must hold at every instant, and calls
-// must still be made, while the network is partitioned, one member is isolated, messages
+// shared dependency than the fleet's quotas allow. The bounds must hold at every instant, and
+// calls must still be made, while the network is partitioned, one member is isolated, messages
 // are lost, duplicated and reordered, and members are paused, killed and restarted.
 func TestQuota_BoundsHoldUnderFaults(t *testing.T) {
 	r := startFiveVotersWith(t, fleettest.Options{Load: 4, CallDuration: 60 * time.Millisecond, RejectEvery: 8, Settings: map[string]any{
--- a/fleet/gossip/golden_test.go
+++ b/fleet/gossip/golden_test.go
@@ -11,7 +11,7 @@
 // recordedUpdates is a Delegate that records all merged updates.
 type recordedUpdates [][]byte
 
-// MergeUpdate implements Delegate. It reports no update as new.
+// MergeUpdate implements Delegate. It records the update and never reports it as new.
 func (r *recordedUpdates) MergeUpdate(update []byte) (string, bool) {
 	*r = append(*r, slices.Clone(update))
 	return "", false
--- a/fleet/gossip/membership.go
+++ b/fleet/gossip/membership.go
@@ -17,11 +17,10 @@
 	// pushPullInterval is the time between two exchanges of all known updates with
 	// another member.
 	pushPullInterval = 5 * time.Second
-	// deadNodeReclaimTime is how long a dead member's name stays bound to its address;
-	// after that, a member with this name is accepted at another address. A member that
-	// restarts at
-	// another address learns that it was declared dead only in a push/pull exchange,
-	// which the library makes less frequent in large fleets.
+	// deadNodeReclaimTime is how long a dead member's name stays bound to its address.
+	// After that, a member with this name is accepted at another address. A member that
+	// restarts at another address learns that it was declared dead only in a push/pull
+	// exchange, which the library makes less frequent in large fleets.
 	deadNodeReclaimTime = time.Second
 )
 
@@ -144,8 +143,9 @@
 	return names
 }
 
-// memberCount returns the number of members for the broadcast queue. The library's
-// goroutines may call it before memberlist.Create has returned.
+// memberCount returns the number of members for the broadcast queue. It returns 1
+// before memberlist.Create has returned, because the library's goroutines may already
+// call it then.
 func (m *Membership) memberCount() int {
 	if list := m.created.Load(); list != nil {
 		return list.NumMembers()
@@ -154,8 +154,7 @@
 }
 
 // Traffic returns the number of datagrams sent plus streams opened by this member,
-// and the number of bytes in them. The bytes of a stream are counted in both
-// directions.
+// and the number of their bytes, which include those received on the streams.
 func (m *Membership) Traffic() (messages, bytes int64) {
 	return m.traffic.messages.Load(), m.traffic.bytes.Load()
 }
--- a/fleet/gossip/transport.go
+++ b/fleet/gossip/transport.go
@@ -26,7 +26,7 @@
 }
 
 // trafficCounts counts the datagrams sent and streams opened by this member, and
-// their bytes, for streams in both directions.
+// their bytes, including those received on the streams.
 type trafficCounts struct{ messages, bytes atomic.Int64 }
 
 // seedTransport contacts seeds at their configured addresses and counts traffic.
@@ -61,7 +61,7 @@
 	return countingConn{conn, t.traffic}, nil
 }
 
-// countingConn counts a stream's bytes in both directions.
+// countingConn counts the bytes that are read from and written to a stream.
 type countingConn struct {
 	net.Conn
 	traffic *trafficCounts
--- a/fleet/lease/client.go
+++ b/fleet/lease/client.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// maxPendingCommands is the maximum number of commands for each lease that a
-// client has sent, has not applied yet, and remembers.
+// maxPendingCommands is the maximum number of pendingCommands that a client
+// remembers for each lease.
 const maxPendingCommands = 16
 
 // OwnerChange reports a change of a lease's owner or token. From and To are equal
@@ -128,8 +128,8 @@
 	return n > 0 && now-s.pendingCommands[n-1].sentAt < retryInterval
 }
 
-// newCommand returns a command for the current grant of a lease and records it as
-// sent now.
+// newCommand returns a command for the current grant of a lease and records the
+// command as sent now.
 func (c *Client) newCommand(kind CommandKind, name string, now time.Duration) Command {
 	grant, state := c.table.Grant(name), c.states[name]
 	c.lastNonce++
--- a/fleet/lease/client_test.go
+++ b/fleet/lease/client_test.go
@@ -20,16 +20,16 @@
 // clockOffset is the difference between b's and a's clock in a clientPair.
 const clockOffset = 50 * time.Hour
 
-// clientPair has two clients that apply the same log. Its methods take readings
-// of a's clock.
+// clientPair has two clients that apply the same log. Its methods except wantHolds
+// take readings of a's clock.
 type clientPair struct {
 	t     *testing.T
 	a, b  *Client
 	index uint64 // of the latest log entry
 }
 
-// commit applies commands to both clients and returns the owner changes that a
-// reports. a applies them 10 ms after now.
+// commit applies commands to b now and to a 10 ms later, and returns the owner
+// changes that a reports.
 func (p *clientPair) commit(now time.Duration, commands []Command) (changes []OwnerChange) {
 	for _, command := range commands {
 		p.index++
--- a/fleet/lease/doc.go
+++ b/fleet/lease/doc.go
@@ -12,8 +12,8 @@
 // the same log of commands to its own replica of the table; the log is that of
 // package consensus (Ongaro and Ousterhout, "In Search of an Understandable
 // Consensus Algorithm", 2014). A command carries the token of the [Grant] that
-// its sender saw, and an Acquire also its renewal count. The command is rejected
-// if the grant has changed since (compare-and-set):
+// its sender saw, and an Acquire also that grant's renewal count. The command is
+// rejected if the grant has changed since (compare-and-set):
 //
 //	lease  command                                  next state of the lease
 //	-----  ---------------------------------------  ------------------------------------
--- a/fleet/lease/golden_test.go
+++ b/fleet/lease/golden_test.go
@@ -9,9 +9,9 @@
 	"quincerail.example/quincerail/internal/golden"
 )
 
-// TestGoldenEncodings encodes and decodes the forms that are stored in the voters'
-// log and its snapshots, a command of each kind and the table, and the token,
-// which is also sent in CBOR.
+// TestGoldenEncodings encodes and decodes a command of each kind and the table, as
+// stored in the voters' log and its snapshots, and the token, which is also sent in
+// CBOR.
 func TestGoldenEncodings(t *testing.T) {
 	a, b := Owner{Member: "v1", Incarnation: 1 << 63}, Owner{Member: "v2", Incarnation: 7}
 	first, second := Token{Term: 2, Index: 11}, Token{Term: 3, Index: 1 << 40}
--- a/fleet/lease/table.go
+++ b/fleet/lease/table.go
@@ -52,7 +52,7 @@
 // same commands. In the zero Table every lease is free.
 type Table struct{ grants map[string]Grant }
 
-// Grant returns the state of a lease.
+// Grant returns a lease's grant. It is zero if the lease was never granted.
 func (t *Table) Grant(leaseName string) Grant { return t.grants[leaseName] }
 
 // Leases returns the sorted names of all leases that were ever granted.
--- a/fleet/log_entries.go
+++ b/fleet/log_entries.go
@@ -9,9 +9,9 @@
 	"quincerail.example/quincerail/fleet/rollout"
 )
 
-// command is an entry of the voters' log; exactly one of its fields is set. The tag
-// encodes the embedded *lease.Command as the member "lease" instead of inlining its
-// fields.
+// command is an entry of the voters' log; exactly one of its fields is set. Because of
+// its tag, the embedded *lease.Command is encoded as the member "lease"; without one,
+// its fields would be inlined.
 type command struct {
 	*lease.Command `json:"lease,omitempty"`
 	Quota          *quotaCommand   `json:"bank,omitempty"`
--- a/fleet/quota/heartbeat.go
+++ b/fleet/quota/heartbeat.go
@@ -10,9 +10,9 @@
 	// next. The demand rises immediately and falls slowly, so that a short gap in the
 	// load causes no transfers.
 	demandDecay = 0.9
-	// minUnmetDemand is the minimum of the bound on the unmet demand that is added to
-	// the peak use. The bound is the peak use itself if that is larger, so the estimated
-	// demand is then at most twice the peak use.
+	// minUnmetDemand bounds the unmet demand that updateDemand adds to the peak use. If
+	// the peak use is larger, it is the bound instead, so the sum is at most twice the
+	// peak use.
 	minUnmetDemand = 4
 	// surplusUpdatesPerHeartbeat is the maximum number of times that a changing
 	// surplus is published in a heartbeat interval.
--- a/fleet/quota/member.go
+++ b/fleet/quota/member.go
@@ -131,8 +131,8 @@
 }
 
 // ReportDemand reports how many units the caller would have in use without a limit. A
-// caller that never tries to acquire more than Available must call it: TryAcquire then
-// never fails, and counts no unmet demand.
+// caller that never tries to acquire more than Available must call it, because
+// TryAcquire then never fails and counts no unmet demand.
 func (m *Member) ReportDemand(units uint64) {
 	m.unmetDemand = max(m.unmetDemand, units-min(units, m.inUse))
 }
--- a/fleet/quota/merge.go
+++ b/fleet/quota/merge.go
@@ -1,9 +1,10 @@
 package quota
 
 // Merge joins a delta from any member into the state. It returns the part of the
-// delta to forward to other members, and whether there is any: new heartbeats and
-// fenced accounts. Transfers concern their sender and recipient only, and the
-// allocator's leader sends the account of a live member to that member.
+// delta to forward to other members, and whether there is any. That part has new
+// heartbeats and fenced accounts. It has no transfers, because these concern their
+// sender and recipient only, and no account of a live member, because the allocator's
+// leader sends that account to the member itself.
 func (m *Member) Merge(d Delta) (forward Delta, ok bool) {
 	if d.ID == m.id {
 		d.MemberState = nil // only this member writes its own state
--- a/fleet/quota/simulation/measure.go
+++ b/fleet/quota/simulation/measure.go
@@ -58,8 +58,8 @@
 	return true
 }
 
-// Rights returns the sum of the rights that the members that are not killed hold
-// according to their own states, and the allocator's free rights.
+// Rights returns the sum of the rights of all members except killed ones, according to
+// their own states, and the allocator's free rights.
 func (f *Fleet) Rights() (held, free uint64) {
 	for _, n := range f.nodes {
 		if !n.killed {
--- a/fleet/quota/simulation/simulation_test.go
+++ b/fleet/quota/simulation/simulation_test.go
@@ -94,7 +94,8 @@
 
 // TestRandomHistories_KeepBudget checks for several seeds that no round of a random
 // history exceeds the budget. After all faults have healed, at least 95% of the rights
-// must be held or free, and at least 90% of the demand must be served.
+// must be held or free, and units in use must be at least 90% of the demand or the
+// budget, whichever is smaller.
 func TestRandomHistories_KeepBudget(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -108,15 +109,16 @@
 				t.Errorf("Rights() = %d held, %d free, want a sum of 95%% to 100%% of %d", held, free, f.config.Capacity)
 			}
 			if inUse, demand := f.Utilization(); float64(inUse) < 0.9*float64(demand) {
-				t.Errorf("Utilization() = %d in use, %d demanded, want at least 90%% in use", inUse, demand)
+				t.Errorf("Utilization() = %d units in use of %d (the demand or the budget), want at least 90%%", inUse, demand)
 			}
 		})
 	}
 }
 
 // TestPartition_ConvergesAfterHealing heals a fleet that was partitioned into halves.
-// Within 40 rounds all members must know the latest heartbeats. 49 rounds later at
-// least 90% of the demand must be served, and the budget must never have been exceeded.
+// Within 40 rounds all members must know the heartbeats that were the latest at the
+// healing. 49 rounds later, units in use must be at least 90% of the demand or the
+// budget, whichever is smaller, and the budget must never have been exceeded.
 func TestPartition_ConvergesAfterHealing(t *testing.T) {
 	f, err := New(testConfig(100, 1))
 	if err != nil {
@@ -136,7 +138,7 @@
 	}
 	runRounds(f, 49)
 	if inUse, demand := f.Utilization(); f.Overshoot() > 0 || float64(inUse) < 0.9*float64(demand) {
-		t.Errorf("Overshoot() = %d, %d of %d units demanded are in use; want no overshoot and at least 90%% in use", f.Overshoot(), inUse, demand)
+		t.Errorf("Overshoot() = %d, %d units in use of %d (the demand or the budget); want no overshoot and at least 90%%", f.Overshoot(), inUse, demand)
 	}
 }
 
--- a/fleet/quota_agent.go
+++ b/fleet/quota_agent.go
@@ -195,7 +195,8 @@
 	a.member.ReportDemand(uint64(max(0, n)))
 }
 
-// AddToCounter adds one to a fleet-wide counter. The next tick publishes it.
+// AddToCounter adds one to a fleet-wide counter. The next tick passes the
+// change to the member, whose next heartbeat publishes it.
 func (a *QuotaAgent) AddToCounter(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -293,9 +294,9 @@
 }
 
 // tickLeader ticks the allocator's leader if this process owns QuotaLease. It returns
-// the commands to propose, and the accounts that acknowledge heartbeats. While
-// proposed commands may still reach the log, it returns no commands, for at most
-// reproposeInterval. The caller holds mu.
+// the commands to propose, and the accounts that acknowledge heartbeats. After it has
+// returned commands, it returns none for reproposeInterval or until the log changes an
+// account, because the earlier ones may still reach the log. The caller holds mu.
 func (a *QuotaAgent) tickLeader(now time.Duration, m *stateMachine) (commands []quota.Command, acknowledgements []quota.Delta) {
 	if !a.updateLeader(now, m) {
 		return nil, nil
--- a/fleet/quota_messages.go
+++ b/fleet/quota_messages.go
@@ -20,8 +20,8 @@
 	return deltas
 }
 
-// mergeUpdate merges an encoded delta. It returns the update's topic and whether
-// gossip is to forward it (quota.Member.Merge).
+// mergeUpdate merges an encoded delta. It returns the update's topic, and reports the
+// update as new if quota.Member.Merge returned a part to forward.
 func (a *QuotaAgent) mergeUpdate(update []byte) (topic string, isNew bool) {
 	delta, ok := decodeUpdate[quota.Delta](a.log, update)
 	if !ok {
--- a/fleet/rafttransport/sender.go
+++ b/fleet/rafttransport/sender.go
@@ -51,7 +51,7 @@
 }
 
 // send writes a message, and connects first if the sender is disconnected. The
-// message is lost if either fails. It returns false if the sender must stop.
+// message is lost if either fails. send returns false if the sender must stop.
 func (s *sender) send(message []byte) bool {
 	frames := AppendFrame(nil, message)
 	if s.conn == nil {
@@ -120,9 +120,9 @@
 	return err
 }
 
-// watchClose returns a function that closes the channel closed when the peer
-// closes the connection. The peer writes nothing to the connection, so a read
-// returns only when it is closed or fails.
+// watchClose returns a function that waits until the connection is closed or fails,
+// and then closes the channel closed. It waits by reading: the peer writes nothing
+// to the connection, so a read returns only then.
 func watchClose(conn net.Conn, closed chan<- struct{}) func() {
 	return func() {
 		defer close(closed)
--- a/fleet/rafttransport/transport_test.go
+++ b/fleet/rafttransport/transport_test.go
@@ -21,9 +21,9 @@
 }
 
 // TestSend_FirstMessageAfterPeerRestartArrives stops a peer while no message is
-// sent and restarts it at the same address. The first message after the restart
-// was lost, and with it votes, when a sender detected a closed connection only by
-// writing to it.
+// sent and restarts it at the same address. The first message after the restart must
+// arrive. Such messages, among them votes, were lost when a sender detected a closed
+// connection only by writing to it.
 func TestSend_FirstMessageAfterPeerRestartArrives(t *testing.T) {
 	b, received := listen(t, testFleet, "b", "127.0.0.1:0", map[string]string{"a": "127.0.0.1:1"})
 	address := b.Addr().String()
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestReceive_RejectsInvalidHello connects with the name of another fleet, of a
-// voter that is not a peer, and of another receiver, with invalid JSON, and with a
-// frame that is too long. Each connection must be closed, and no message received.
+// TestReceive_RejectsInvalidHello sends a Hello with the name of another fleet, of a
+// sender that is not a peer, and of another receiver, then invalid JSON, and a frame
+// that is too long. Each connection must be closed, and no message received.
 func TestReceive_RejectsInvalidHello(t *testing.T) {
 	b, received := listen(t, testFleet, "b", "127.0.0.1:0", map[string]string{"a": "127.0.0.1:1"})
 	defer b.Close()
--- a/fleet/rollout/bake.go
+++ b/fleet/rollout/bake.go
@@ -68,7 +68,7 @@
 		cohortEvents:   sumCounts(baseline, failed),
 		cohortRequests: now,
 		// The history is scaled to the requests of the window. The negligible rate is added
-		// to its failure rate.
+		// to the history's failure rate.
 		baselineEvents:   (fleet.Failed/fleet.Requests + p.Limits.NegligibleRate) * now,
 		baselineRequests: now,
 	}, baselineWorseRatio, pearsonDispersion(baseline, failed, requests))
--- a/fleet/rollout/errors.go
+++ b/fleet/rollout/errors.go
@@ -67,8 +67,8 @@
 	return fmt.Sprintf("the step follows log index %d, but the record is at log index %d", e.PreviousIndex, e.RecordIndex)
 }
 
-// StaleDirectiveError reports a directive from an older record than an earlier
-// directive of the follower.
+// StaleDirectiveError reports a directive from an older record than that of a directive
+// which the follower has accepted.
 type StaleDirectiveError struct {
 	Index   uint64 // log index of the directive's record
 	Highest uint64 // highest log index that the follower accepted
--- a/fleet/rollout/record_test.go
+++ b/fleet/rollout/record_test.go
@@ -14,7 +14,8 @@
 	index  uint64
 }
 
-// apply applies a command at the next index and checks whether it is accepted.
+// apply applies a command at the next index. It fails the test if the command is
+// accepted and should not be, or the reverse.
 func (l *recordLog) apply(c Command, accepted bool) {
 	l.Helper()
 	l.index++
@@ -30,7 +31,7 @@
 	return Command{Kind: Start, Plan: settingsPlan(id), Patch: json.RawMessage(patch)}
 }
 
-// step returns a Step command that follows the current record.
+// step returns a Step command that is derived from the current record.
 func (l *recordLog) step(s State) Command {
 	return Command{Kind: Step, PreviousIndex: l.record.Index, State: s, HistoriesUnchanged: true}
 }
@@ -45,9 +46,9 @@
 }
 
 // TestRecord_AppliesSettingsChanges applies the commands of two changes of settings. It
-// checks that the settings numbers only increase, that a step that follows an older
-// record is rejected, and that all servers should run the settings in force after the end
-// of a plan.
+// checks that each change gets the next settings number, that a step derived from an
+// older record is rejected, and which settings the servers should run during a change
+// and after it.
 func TestRecord_AppliesSettingsChanges(t *testing.T) {
 	l := &recordLog{T: t}
 	completeChange(l)
--- a/fleet/rollout/simulation/simulation.go
+++ b/fleet/rollout/simulation/simulation.go
@@ -40,7 +40,7 @@
 	FailureRatio        float64 // the same for the failure rate
 	LatencyRatio        float64 // the same for the latency
 	CrashesPerWindow    float64 // mean number of crashes of one server that has the change
-	BaselineFailureRate float64 // times the share of changed servers, failure rate that the change adds on servers with the old version
+	BaselineFailureRate float64 // the change adds this times the share of changed servers to the failure rate of servers with the old version
 	SilentZone          string  // zone in which all reports of the new version are lost
 	StuckServer         string  // server that can't be rolled back
 	MaxWindows          int     // windows after which Run ends
--- a/fleet/rollout_driver.go
+++ b/fleet/rollout_driver.go
@@ -199,10 +199,11 @@
 	}
 }
 
-// endWindow ends a window. It returns the token under which this process owns
-// RolloutLease, or the zero token if it doesn't own the lease. previous is the result
-// for the previous window. An owner proposes no step in its first window, because the
-// former owner may already have evaluated a part of that window.
+// endWindow ends a window. The owner of RolloutLease then sends directives and proposes
+// a step, but no step after its first window, because the former owner may already have
+// evaluated a part of that window. endWindow returns the token under which this process
+// owns the lease, or the zero token if it doesn't. previous is the result for the
+// previous window.
 func (d *rolloutDriver) endWindow(previous lease.Token) lease.Token {
 	record := d.stateMachine.rolloutRecord()
 	kind := rollout.Program
@@ -253,8 +254,8 @@
 	}
 }
 
-// sendDirective sends an encoded directive to a server without blocking, unless an
-// earlier send to that server has not returned yet.
+// sendDirective sends an encoded directive to a server without blocking. It drops the
+// directive if an earlier send to that server has not returned yet.
 func (d *rolloutDriver) sendDirective(server string, body []byte) {
 	if server == d.config.Self {
 		d.receiveDirective(body)
--- a/fleet/voters.go
+++ b/fleet/voters.go
@@ -51,9 +51,9 @@
 	return voters, nil
 }
 
-// AddVoter adds a voter to the group. The other voters reach it at address. It is a
-// learner until it has caught up with the log. AddVoter returns when the log has the
-// change; the error wraps ctx.Err() if ctx is done first.
+// AddVoter adds a voter to the group. The other voters reach the new one at address. The
+// new one is a learner until it has caught up with the log. AddVoter returns when the
+// log has the change. The error is ErrNotVoter, or wraps ctx.Err() if ctx is done first.
 func (f *Fleet) AddVoter(ctx context.Context, name, address string) error {
 	if f.node == nil {
 		return ErrNotVoter
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -40,8 +40,8 @@
 }
 
 // Open returns the link from one process to another for a kind of traffic. If the link does
-// not exist, Open creates it, framed if framed is true. After SetTarget the link forwards
-// traffic from its Addr to its target; connections before that are closed.
+// not exist, Open creates it, framed if framed is true. Until SetTarget sets a target,
+// the link closes its connections. Then it forwards traffic from its Addr to the target.
 func (n *Network) Open(from, to, kind string, framed bool) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleettest/logs.go
+++ b/internal/fleettest/logs.go
@@ -54,9 +54,9 @@
 	return b.String()
 }
 
-// Await returns the first of Lines, starting at index from, for which the function is returns
-// true. If there is none yet, it waits for one. After Options.Within it returns an error that
-// contains what, a description of the line.
+// Await returns the first of Lines, starting at index from, for which is(line) is true. If there
+// is none yet, it waits for one. After Options.Within it returns an error that contains what, a
+// description of the line.
 func (f *Fleet) Await(what string, from int, is func(Line) bool) (Line, error) {
 	deadline := time.After(f.opt.Within)
 	for {
--- a/internal/fleettest/metrics.go
+++ b/internal/fleettest/metrics.go
@@ -44,9 +44,9 @@
 	return out, nil
 }
 
-// Converge scrapes a metric of all members repeatedly until is returns true for the values,
-// by member and label, and returns the time that this took. It returns an error after the
-// duration within.
+// Converge scrapes a metric of all members repeatedly until is(all) is true, where all has the
+// values by member and label. It returns the time until then, or an error after the duration
+// within.
 func (f *Fleet) Converge(metric string, within time.Duration, is func(all map[string]map[string]float64) bool) (time.Duration, error) {
 	start := time.Now()
 	all := map[string]map[string]float64{}
--- a/internal/fleettest/starter.go
+++ b/internal/fleettest/starter.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// replaceOne replaces the first member whose version differs from the desired one, unless
-// refuse returns true for it. It returns whether it tried a replacement.
+// replaceOne replaces the first member whose version differs from the desired one. It skips
+// members for which refuse returns true. It returns whether it tried a replacement.
 func (s *Starter) replaceOne(desired map[string]string) bool {
 	for _, name := range slices.Sorted(maps.Keys(desired)) {
 		c, version := s.f.Children[name], desired[name]
--- a/internal/fleettest/violations.go
+++ b/internal/fleettest/violations.go
@@ -52,8 +52,8 @@
 	return violations
 }
 
-// ParseToken parses a token in the form of the logs. It returns the zero token if s is not a
-// token.
+// ParseToken parses a token in the form of lease.Token.String. It returns the zero token if s
+// doesn't begin with a token, and ignores text after the token.
 func ParseToken(s string) (t lease.Token) {
 	if _, err := fmt.Sscanf(s, "%d.%d", &t.Term, &t.Index); err != nil {
 		return lease.Token{}
