--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -205,7 +205,7 @@
 }
 
 // TestWrap_DeadlineCancelsHandler checks that the caller of a handler which blocks is answered
-// by the deadline, and that the handler's context is cancelled.
+// at most deadlineSlack after the deadline, and that the handler's context is cancelled.
 func TestWrap_DeadlineCancelsHandler(t *testing.T) {
 	runTest(t, nil, func(t *testing.T, s *service) {
 		startedAt := time.Now()
--- a/admission/config.go
+++ b/admission/config.go
@@ -24,7 +24,7 @@
 // module.
 const (
 	deadlineSlack     = 60 * time.Millisecond
-	overloadRatio     = 8 // runnable requests per core that the process survives
+	overloadRatio     = 8 // the decision module's OverloadRatio, in runnable requests per core
 	overloadWindow    = 1500 * time.Millisecond
 	batchInterval     = 4 * time.Millisecond
 	answerMargin      = 250 * time.Millisecond // requests are answered at least this long before the stop
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -161,9 +161,9 @@
 
 // TestPools_KeepThroughputUnderOverload offers twice the load that the machine can do. With
 // pools, the rate of reports served within the latency objective stays within a tenth of the
-// rate at capacity, pings are served within theirs, and refused requests carry Retry-After.
-// Without pools, the decision module's concurrency limit follows the idle cores of the process,
-// and the machine thrashes.
+// rate at capacity, at least 80% of the pings are served within theirs, and refused requests
+// carry Retry-After. Without pools, the rate is lower: the decision module's concurrency limit
+// follows the idle cores of the process, and too many runs slow the machine down.
 func TestPools_KeepThroughputUnderOverload(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes three times 4 s on the real clock")
--- a/admission/run.go
+++ b/admission/run.go
@@ -147,7 +147,7 @@
 // Cancel implements dispatch.Backend by cancelling the handler's context. Until the handler
 // returns, the run counts in Stats.Stuck and still counts as running in the core.
 func (b *run) Cancel(string) {
-	b.cancelledAt.CompareAndSwap(0, time.Now().UnixNano()) // before the state changes, because handlerReturned reads it after that
+	b.cancelledAt.CompareAndSwap(0, time.Now().UnixNano()) // set before the state, because handlerReturned reads it after the state
 	if b.state.CompareAndSwap(running, cancelled) {
 		b.server.stats.stuck.Add(1)
 	}
--- a/admission/server.go
+++ b/admission/server.go
@@ -8,8 +8,8 @@
 //     deadline. The deadline is that of its class, or earlier if the http.Server's
 //     WriteTimeout ends first.
 //   - A keyed request (header Idempotency-Key, or the header that the route names) runs at
-//     most once within its window. Retries get the result of the first attempt, also while
-//     that is still running.
+//     most once within its window. Retries get the result of the first attempt. If the first
+//     attempt is still running, they wait for it.
 //   - A request that is shed is answered at once, with status 503 and Retry-After. Its handler
 //     never ran, or its class is idempotent.
 //   - After Drain, requests that arrive after the grace period never run, and all requests
--- a/cmd/fleet-experiment/failover.go
+++ b/cmd/fleet-experiment/failover.go
@@ -22,7 +22,7 @@
 	Seed     uint64 `default:"1"`
 }
 
-// Run implements the sub-command.
+// Run starts a fleet of voters, and measures the failovers on it.
 func (c *failoverCmd) Run() error {
 	options := fleettest.Options{
 		Voters: failoverVoters, Seed: c.Seed,
@@ -59,8 +59,8 @@
 }
 
 // replaceOwner stops the current lease owner by SIGKILL or SIGSTOP, waits for the first fenced
-// write of the next owner, and then restarts or continues the former owner. It returns the time
-// from the stop to that write.
+// write of the next owner, and then restarts or continues the former owner. Once the former owner
+// has logged the new lease, replaceOwner returns the time from the stop to the write.
 func replaceOwner(fleet *fleettest.Fleet, kill bool) (time.Duration, error) {
 	writes, _ := fleet.Registry.Writes()
 	owner := writes[len(writes)-1]
--- a/cmd/fleet-experiment/quota.go
+++ b/cmd/fleet-experiment/quota.go
@@ -82,7 +82,8 @@
 	err       error
 }
 
-// Run implements the sub-command.
+// Run simulates the selected partitions for each size of fleet. It prints a row for each simulation, and
+// draws a chart of those with chartedPartition.
 func (c *quotaCmd) Run() error {
 	runs := c.plan()
 	c.simulateAll(runs)
--- a/cmd/fleet-experiment/rollout.go
+++ b/cmd/fleet-experiment/rollout.go
@@ -54,7 +54,7 @@
 	windows       []int   // duration of each trial, ascending
 }
 
-// Run implements the sub-command.
+// Run simulates the kinds of change one after another, prints a row for each and writes the chart.
 func (c *rolloutCmd) Run() error {
 	fmt.Println("| change | trials | done | halted | max share of servers | over 5% | windows (p50, p90) |\n| --- | --- | --- | --- | --- | --- | --- |")
 	var results []rolloutResult
--- a/cmd/fleet-experiment/traffic.go
+++ b/cmd/fleet-experiment/traffic.go
@@ -38,13 +38,13 @@
 	aliveMembers    float64 // members that it considers alive
 }
 
-// Run implements the sub-command.
+// Run starts a fleet of voters and members, and measures it while it is idle.
 func (c *trafficCmd) Run() error {
 	return withFleet(fleettest.Options{Voters: trafficVoters, Members: c.Members, Direct: true}, c.measure)
 }
 
 func (c *trafficCmd) measure(fleet *fleettest.Fleet) error {
-	time.Sleep(c.For) // until all members know each other
+	time.Sleep(c.For) // time for all members to learn of each other
 	before, err := usageOfAll(fleet)
 	if err != nil {
 		return err
--- a/cmd/quincerail/deployments_test.go
+++ b/cmd/quincerail/deployments_test.go
@@ -75,11 +75,11 @@
 	}
 }
 
-// TestReload_SwitchesBetweenDeployments alternates by SIGHUP between the settings of two
-// deployments with different classes. At each reload one request waits for its downstream
-// call and another hangs. Requests that are open at the reload keep their class: one is
-// answered, the other cancelled. New requests of the former classes are rejected, and no metric
-// has such a class.
+// TestReload_SwitchesBetweenDeployments reloads a node by SIGHUP, alternately with the settings
+// of two deployments that have different classes. Two requests are open at each reload: one
+// waits for its downstream call and must be served under its former class, the other hangs
+// and must be cancelled when its client cancels it. After the reload, requests of the former
+// classes must be rejected, and no metric may have such a class.
 func TestReload_SwitchesBetweenDeployments(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	must(t, 0, os.WriteFile(path, []byte("[metrics]\nlisten = '127.0.0.1:0'\n"), 0o600))
--- a/cmd/quincerail/faultlayer.go
+++ b/cmd/quincerail/faultlayer.go
@@ -30,8 +30,8 @@
 	WallSeconds int64       `json:"wall_seconds"` // added to Unix time
 }
 
-// faultRule makes a system call fail with Errno. If Errno is 0, the call transfers only a part
-// of the requested bytes instead.
+// faultRule makes a system call fail with Errno. If Errno is 0, the call does not fail, but
+// transfers at most a random number of bytes between 1 and the requested number.
 type faultRule struct {
 	Call        string  `json:"call"`  // read, write, accept4, connect, socket, fsync
 	Files       bool    `json:"files"` // applies to regular files; otherwise to other descriptors
--- a/cmd/quincerail/serve.go
+++ b/cmd/quincerail/serve.go
@@ -48,7 +48,7 @@
 // Run runs the server until a signal shuts it down; see serve.
 func (c *serveCmd) Run() error { return serve(c.fileFlags) }
 
-// logFlushTimeout is the longest that the process waits before it exits for its log to be
+// logFlushTimeout is the longest time that the exiting process waits until its log is
 // written.
 const logFlushTimeout = 20 * time.Millisecond
 
--- a/cmd/quincerail/signals_test.go
+++ b/cmd/quincerail/signals_test.go
@@ -14,10 +14,10 @@
 	"quincerail.example/quincerail/internal/fakes"
 )
 
-// TestReload_MovedAddressesWhileRequestRuns sends SIGHUP after the processor, the ledger and the
-// discovery service have moved to other addresses while a request runs. Before that, it reloads
-// an invalid file, which must change nothing; at the end, it sends SIGHUP during the drain. A
-// process without a handler for SIGHUP would be killed by it.
+// TestReload_MovedAddressesWhileRequestRuns moves the processor, the ledger and the discovery
+// service to other addresses while a request runs, and then reloads the addresses by SIGHUP. A
+// SIGHUP with an invalid file, sent before the move, must change nothing. A SIGHUP during the
+// drain must not kill the process, as it would without a handler.
 func TestReload_MovedAddressesWhileRequestRuns(t *testing.T) {
 	n, attempt := startNodeWithRunningRequest(t)
 	good, err := os.ReadFile(n.config)
@@ -66,10 +66,10 @@
 	}
 }
 
-// TestSIGHUP_IgnoredUntilHandlerIsRegistered sends SIGHUP before the program can have registered
-// its handler: the shell that then executes the program sends it to itself. The run command in
-// deploy/balancer.toml makes the shell ignore it, so that it doesn't kill the process. A SIGHUP
-// sent later reloads the files.
+// TestSIGHUP_IgnoredUntilHandlerIsRegistered starts the program with the run command of
+// deploy/balancer.toml, which makes the shell ignore SIGHUP and then execute the program. Before
+// it executes the program, which registers the handler, the shell sends itself a SIGHUP; this
+// must not kill the process. A SIGHUP sent later must reload the files.
 func TestSIGHUP_IgnoredUntilHandlerIsRegistered(t *testing.T) {
 	n := startNode(t)
 	n.kill(t)
@@ -120,7 +120,7 @@
 
 // TestHandover_SuccessorServesPredecessorsResult starts a successor on the predecessor's listening
 // socket, and shuts the predecessor down. The successor serves the result of a keyed request that
-// the predecessor ran, without running it. The predecessor exits without error, and doesn't report
+// the predecessor ran, without running it again. The predecessor exits without error, and doesn't report
 // to the discovery service that it stopped accepting, so that the successor's reports stay valid.
 func TestHandover_SuccessorServesPredecessorsResult(t *testing.T) {
 	socket := listeningSocket(t)
@@ -138,7 +138,7 @@
 	written, err := conn.Write([]byte("check\r\n"))
 	must(t, written, err)
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != "done\r\n" {
-		t.Errorf("control command check answers %q, error %v, want %q", line, err, "done\r\n")
+		t.Errorf("the control port answers the command check with %q, error %v, want %q", line, err, "done\r\n")
 	}
 	must(t, 0, predecessor.cmd.Process.Signal(syscall.SIGTERM))
 	if err := <-predecessor.exited; err != nil {
--- a/cmd/quincerail/versions_handover_test.go
+++ b/cmd/quincerail/versions_handover_test.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	// earlierKeys is the number of keys that are completed before the first handover. They
-	// don't fit into one message of the handover protocol.
+	// earlierKeys is the number of keys that are completed before the first handover. It is
+	// higher than the number that fits into one message of the handover protocol.
 	earlierKeys = 40
 	// runningKeys is the number of keys that run in the predecessor when the successor starts.
 	runningKeys = 6
@@ -39,7 +39,7 @@
 
 // TestVersionsSideBySideHandover does two handovers on one listening socket, between processes
 // of alternating versions. Keyed requests are completed before, run during and arrive after each
-// handover. Each key runs once, and all its attempts are served its result.
+// handover. Each key must run once, and each caller that sends it must be served its result.
 func TestVersionsSideBySideHandover(t *testing.T) {
 	forEachVersionPair(t, func(t *testing.T, pair versionPair) {
 		began := time.Now()
@@ -229,7 +229,7 @@
 }
 
 // awaitHandover waits until the process logs its handover, and returns the number of open
-// requests that it logs with it.
+// requests in that log line.
 func (p *serverProcess) awaitHandover() (open string) {
 	p.t.Helper()
 	eventually(p.t, "the process logs its handover", func() (string, bool) {
--- a/cmd/quincerail/versions_operators_test.go
+++ b/cmd/quincerail/versions_operators_test.go
@@ -117,8 +117,8 @@
 	return must(f.t, text, err)
 }
 
-// awaitRecord waits until a voter has a record with the given persistent part. While its
-// rollout is watching, the voter must also have a window later than any seen so far.
+// awaitRecord waits until a voter has a record with the given persistent part. If the rollout's
+// phase is "watching", the record must also have a later window than f.window.
 func (f *versionsFleet) awaitRecord(voter, record string) {
 	f.t.Helper()
 	eventually(f.t, voter+" has the record "+record, func() (string, bool) {
--- a/cmd/quincerail/versions_test.go
+++ b/cmd/quincerail/versions_test.go
@@ -80,8 +80,8 @@
 	resendDelay = 20 * time.Millisecond
 )
 
-// serve sends the request until it is served. It sends it again if the request was refused or
-// its connection failed; any other outcome is an error. serve returns the number of attempts.
+// serve sends the request until it is served, and returns the number of attempts. After a refusal
+// or a failed connection it sends the request again; any other outcome is an error.
 func (r keyedRequest) serve(ctx context.Context, address string) (sent int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, conditionTimeout)
 	defer cancel()
@@ -138,8 +138,8 @@
 	}
 }
 
-// awaitReady waits until the control command check of a process answers that the process accepts
-// requests.
+// awaitReady waits until a process answers the command "check" on its control port with "done",
+// which means that it accepts requests.
 func awaitReady(t *testing.T, control string) {
 	t.Helper()
 	eventually(t, "the process accepts requests", func() (string, bool) {
@@ -148,7 +148,7 @@
 	})
 }
 
-// checkReady sends the control command check, and returns the line that answers it.
+// checkReady sends the command "check" to a control port, and returns the line of the answer.
 func checkReady(ctx context.Context, control string) (string, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", control)
 	if err != nil {
--- a/cmd/quincerail/versions_voters_test.go
+++ b/cmd/quincerail/versions_voters_test.go
@@ -26,8 +26,8 @@
 	// on retries of calls per second.
 	budgetCalls   = 12
 	budgetRepeats = 6
-	// repeatJitter is the tolerance for different delays of retries on their way to the ledger,
-	// which counts them when they arrive.
+	// repeatJitter is subtracted from the second in which retries are checked against
+	// budgetRepeats, because the ledger counts retries on arrival, after different delays.
 	repeatJitter = 50 * time.Millisecond
 	// keyedInFlight is the number of keyed requests that run in a voter when it gets SIGTERM.
 	keyedInFlight = 4
@@ -38,7 +38,7 @@
 )
 
 // quickPlan rolls out settings to all servers at once. endlessPlan does so too, and then watches
-// the servers until it is halted.
+// the servers until the rollout is halted.
 const (
 	quickPlan   = planBase + "watch = 1\nwatch_most = 1\n"
 	endlessPlan = planBase + "watch = 1000000\nwatch_most = 1000000\n"
@@ -48,10 +48,10 @@
 
 // TestVersionsSideBySideVoters replaces the three voters of a fleet one by one, first with the
 // current program and then with the previous one again. Meanwhile, callers of all members make
-// calls within the fleet's budget, keyed requests run, and a rollout is in progress (first pass)
-// or has been halted (second pass). Each lease has one owner under each token, tokens never
-// decrease, the rollout's record and the budget are preserved, no key runs twice, and no process
-// finds a record or message that it can't decode.
+// calls within the fleet's budget, and keyed requests run. A rollout is in progress during the
+// first replacement and has been halted before the second. Each lease has one owner under each
+// token, tokens never decrease, the rollout's record and the budget are preserved, no key runs
+// twice, and no process finds a record or message that it can't decode.
 func TestVersionsSideBySideVoters(t *testing.T) {
 	forEachVersionPair(t, func(t *testing.T, pair versionPair) {
 		began := time.Now()
@@ -77,8 +77,9 @@
 	})
 }
 
-// TestVersionsSideBySideJoin adds a voter of one program to the voters of the other, in both
-// directions. The new voter catches up from their snapshot.
+// TestVersionsSideBySideJoin adds a voter that runs the current version to voters that run the
+// previous version, and the other way round. The new voter must catch up with the other voters'
+// rollout record.
 func TestVersionsSideBySideJoin(t *testing.T) {
 	forEachVersionPair(t, func(t *testing.T, pair versionPair) {
 		for _, programs := range []versionPair{pair, {previous: pair.current, current: pair.previous}} {
@@ -195,8 +196,8 @@
 	}
 }
 
-// replaceVoters replaces the processes of all voters with a version. Each time it prefers the
-// current owner of the registry's lease.
+// replaceVoters replaces the processes of all voters by processes of a version. The next voter is
+// the one that wrote to the registry last, unless that voter has been replaced already.
 func (f *versionsFleet) replaceVoters(version string) {
 	f.t.Helper()
 	record := f.persistentRecord("v1")
@@ -221,7 +222,8 @@
 }
 
 // replaceVoter replaces the process of a voter while keyed requests run in it. The old process
-// answers these, and the new one answers retries of them and of all earlier ones.
+// answers these requests. The new process then answers retries of all keyed requests that the
+// voter has received in this test.
 func (f *versionsFleet) replaceVoter(name, version string) {
 	f.t.Helper()
 	f.replaced++
--- a/cmd/quincerail/voters.go
+++ b/cmd/quincerail/voters.go
@@ -11,7 +11,7 @@
 	"quincerail.example/quincerail/fleet"
 )
 
-// votersCmd has the sub-commands that list and change a fleet's voters. Each sends a request to one of them.
+// votersCmd has the sub-commands that list and change a fleet's voters. Each sends a request to one of the voters.
 type votersCmd struct {
 	List   votersListCmd   `cmd:"" help:"Print the voters that one of them knows."`
 	Add    votersAddCmd    `cmd:"" help:"Add a voter that was started with join; it votes once it has caught up with the log."`
--- a/describe/asyncapi.go
+++ b/describe/asyncapi.go
@@ -17,8 +17,8 @@
 var jsonPointerUnescaper = strings.NewReplacer("~1", "/", "~0", "~")
 
 // ParseAsyncAPI reads an AsyncAPI 3 document in JSON. Each operation with a class and the
-// action receive becomes a route. Its path is the address of its channel. Its method is that
-// of its HTTP binding, or POST if it has none.
+// action receive becomes a route. The route's path is the address of the operation's channel.
+// Its method is that of the operation's HTTP binding, or POST if there is none.
 func ParseAsyncAPI(text []byte) (*Document, error) {
 	if !gjson.ValidBytes(text) {
 		return nil, errors.New("AsyncAPI document: not valid JSON")
--- a/describe/document.go
+++ b/describe/document.go
@@ -9,7 +9,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// Names of the extensions.
+// Names of the extensions that the package reads from a document. The package comment
+// describes each of them.
 const (
 	extClasses = "x-quincerail-classes"
 	extClass   = "x-quincerail-class"
--- a/example/web/gifts/gifts.go
+++ b/example/web/gifts/gifts.go
@@ -80,7 +80,7 @@
 // Stats returns the counters of the admission server.
 func (s *Service) Stats() admission.Stats { return s.admission.Stats() }
 
-// Listener wraps l for hs.Serve; see admission.Server.Listener.
+// Listener wraps l for http.Server.Serve; see admission.Server.Listener.
 func (s *Service) Listener(l net.Listener) net.Listener { return s.admission.Listener(l) }
 
 // Shutdown drains the service and shuts hs down; see admission.Server.Shutdown.
--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -175,8 +175,8 @@
 	return t, nil
 }
 
-// httpOutcome maps the status of a response to its outcome. A 503 counts as refused only
-// with a Retry-After header; any other status is an error.
+// httpOutcome maps the status of a response to its outcome. A 503 counts as refused if it has
+// a Retry-After header, and is an error otherwise, as is a status without an outcome.
 func httpOutcome(status int, retryAfter bool, body string) (Outcome, error) {
 	switch {
 	case status == 200:
--- a/internal/fakes/processor.go
+++ b/internal/fakes/processor.go
@@ -12,12 +12,12 @@
 	"quincerail.example/quincerail/protocol/lines"
 )
 
-// gaugeRequestsUntilUp is the number of gauge requests from the app server after which
-// its backend module counts as running.
+// gaugeRequestsUntilUp is the number of gauge requests from the app server at which the
+// channel of Up is closed.
 const gaugeRequestsUntilUp = 3
 
 // Processor is a fake of the processor. It keeps its runs and notices while no app server
-// is connected, and sends a reconnecting app server the notices that it has not received.
+// is connected. When the app server reconnects, it is sent the notices that it has missed.
 type Processor struct {
 	work      *Work
 	listener  net.Listener // at the current address
@@ -53,8 +53,8 @@
 // Addr returns the address that it listens at.
 func (p *Processor) Addr() string { return p.listener.Addr().String() }
 
-// Up returns a channel that is closed when the app server's backend module is running: it
-// has requested the gauges several times by then.
+// Up returns a channel that is closed when the app server has requested the gauges
+// gaugeRequestsUntilUp times. These requests show that its backend module is running.
 func (p *Processor) Up() <-chan struct{} { return p.up }
 
 // Listen replaces the listener by one at a new address. An open connection stays in use
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -62,7 +62,7 @@
 		return
 	}
 	write := FencedWrite{Lease: message.Lease, Token: message.Token, By: message.By, At: time.Now(), Accepted: true}
-	r.mu.Lock() // held for both steps, so that writes has the order in which the fence saw them
+	r.mu.Lock() // held for both steps, so that r.writes is in the order in which the fence checked the writes
 	if err := r.fence.Admit(message.Lease, message.Token); err != nil {
 		write.Accepted, write.Reason = false, err.Error()
 	}
--- a/internal/faultsoak/badmessage_test.go
+++ b/internal/faultsoak/badmessage_test.go
@@ -14,7 +14,7 @@
 	badMessageRunDuration = 250 * time.Millisecond
 )
 
-// A bad message on a connection, with or without open requests, must not cost the answer to
+// A bad message on a connection, with or without open requests, must not prevent the answer to
 // any request before or after it.
 func TestBadMessage_OtherRequestsOnConnectionAreAnswered(t *testing.T) {
 	for _, before := range []int{0, beforeBadMessage} {
--- a/internal/faultsoak/faultbuild.go
+++ b/internal/faultsoak/faultbuild.go
@@ -23,7 +23,8 @@
 	WallSeconds int64       `json:"wall_seconds"` // added to the process's Unix time
 }
 
-// FaultRule makes a system call fail with Errno, or transfer fewer bytes if Errno is 0.
+// FaultRule makes a system call fail with Errno. If Errno is 0, the call does not fail, but
+// transfers at most a random number of bytes between 1 and the requested number.
 type FaultRule struct {
 	Call        string        `json:"call"`  // read, write, accept4, connect, socket, fsync
 	Files       bool          `json:"files"` // applies to regular files; otherwise to other descriptors
--- a/internal/faultsoak/faults_process.go
+++ b/internal/faultsoak/faults_process.go
@@ -135,8 +135,8 @@
 }
 
 // launch restarts the process and reports whether it listens. The event Restarted has the
-// time before the start: the previous process has exited by then, so all later runs belong
-// to the new process, which may serve before Launch returns.
+// time before the start, because the new process may serve before Launch returns. The
+// previous process has exited by then, so all later runs belong to the new process.
 func (inj *faultInjector) launch() (listens bool) {
 	inj.configMu.Lock()
 	defer inj.configMu.Unlock()
--- a/internal/faultsoak/node.go
+++ b/internal/faultsoak/node.go
@@ -197,8 +197,8 @@
 	return n.current
 }
 
-// AwaitReady waits until the process has requested the processor's gauges. From then on it
-// runs requests.
+// AwaitReady waits until the process can run requests. The sign for it is that the process
+// has requested the gauges several times; see fakes.Processor.Up.
 func (n *Node) AwaitReady() { <-n.process().processor.Up() }
 
 // ProcessorRelay returns the relay between the current process and its processor.
@@ -240,10 +240,10 @@
 // Kill sends SIGKILL to the current process and waits until it has exited.
 func (n *Node) Kill() { n.process().kill() }
 
-// Upgrade starts a new process that takes over from the current one, as the platform does:
-// it stops the old process when the new one is ready. It returns when the old process has
-// exited. If the new process does not become ready in time, Upgrade kills it and returns
-// ErrNotReady.
+// Upgrade starts a new process that takes over from the current one. As the platform does,
+// Upgrade stops the old process when the new one is ready, and returns when the old process
+// has exited. If the new process does not listen or is not ready in time, Upgrade kills the
+// new process and returns ErrNotReady.
 func (n *Node) Upgrade() error {
 	old := n.process()
 	next, err := n.newProcess()
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -19,7 +19,7 @@
 
 // Tolerances of the platform's rules, and for a busy test machine.
 const (
-	socketSlack  = 50 * time.Millisecond  // on time limits, and between a write and a close that cross
+	socketSlack  = 50 * time.Millisecond  // added to time limits; longest time between a write and a close that count as crossed
 	machineSlack = 300 * time.Millisecond // delays of clients and fakes, which share the machine with the nodes
 	// The rule about late answers is broken if the share of late answers reaches maxLateShare.
 	maxLateShare = 3.0 / 1000
@@ -87,7 +87,8 @@
 		Violation{Rule: rule, Node: node, At: at, Message: fmt.Sprintf(format, args...)})
 }
 
-// checkAnswers checks that a request has exactly one answer, and checks that answer.
+// checkAnswers checks that a request has at most one answer. It passes a request with one answer
+// to checkAnswer, and a request without an answer to checkUnanswered.
 func (c *checker) checkAnswers(r *Request) {
 	for _, a := range r.Answers {
 		c.report.Outcomes[a.Kind]++
@@ -131,7 +132,7 @@
 
 // checkUnanswered reports an unanswered request as lost unless it needs no answer: it was
 // written incompletely or cancelled, its client closed the connection before the deadline,
-// its node crashed, or it crossed a close.
+// its node crashed, or its last write began at most socketSlack before the connection closed.
 func (c *checker) checkUnanswered(r *Request) {
 	conn := r.Conn
 	switch {
@@ -187,8 +188,8 @@
 	return total
 }
 
-// crashedBetween reports whether a node was killed without SIGTERM between from and to,
-// within socketSlack.
+// crashedBetween reports whether a node was killed without SIGTERM in the time from
+// socketSlack before from to socketSlack after to.
 func (c *checker) crashedBetween(node string, from, to time.Time) bool {
 	return slices.ContainsFunc(c.events, func(e Event) bool {
 		return e.Node == node && e.Kind == Crashed && e.At.After(from.Add(-socketSlack)) && e.At.Before(to.Add(socketSlack))
@@ -241,7 +242,7 @@
 			continue
 		}
 		last := sigtermAt.Add(c.settings.Grace + socketSlack)
-		// A pause counts as part of the grace, as the process accepts nothing while paused.
+		// A pause does not extend the grace, because the process accepts nothing while paused.
 		inTime := slices.ContainsFunc(attempts[run.Node+" "+run.Body], func(r *Request) bool {
 			return !r.LastWriteBegan.IsZero() && !r.LastWriteBegan.After(last)
 		})
--- a/internal/faultsoak/reproduction_test.go
+++ b/internal/faultsoak/reproduction_test.go
@@ -108,9 +108,9 @@
 	return report
 }
 
-// checkAllAnswered fails the test for each violation of a rule, and unless there is one
-// answer for each connection of dialMany. This is stricter than the rules, which allow no
-// answer if the node closes the connection while the request is written.
+// checkAllAnswered fails the test for each violation of a rule, and if the number of answers
+// differs from the number of connections of dialMany. This is stricter than the rules: they
+// need no answer if the node closes the connection while the request is written.
 func (b *testNode) checkAllAnswered() {
 	b.Helper()
 	if n := countAnswers(b.checkRules()); n != connectionCount {
--- a/internal/faultsoak/systemfaults.go
+++ b/internal/faultsoak/systemfaults.go
@@ -52,7 +52,7 @@
 var wallOffsetSeconds = []int64{-3600, -60, -5, -1, 1, 5, 60, 3600}
 
 // setFaults sends a plan to the fault layer and records it. A process that is paused or has
-// exited does not accept one.
+// exited does not accept a plan.
 func (inj *faultInjector) setFaults(plan FaultPlan) {
 	if inj.node.SetFaults(plan) == nil {
 		inj.record(SystemFault)
--- a/internal/faultsoak/takeover_test.go
+++ b/internal/faultsoak/takeover_test.go
@@ -7,7 +7,7 @@
 )
 
 // A process takes over from a paused one, which can't hand over its keys. A key that ran in
-// the old process must not run again in the new one; a retry with it may fail.
+// the old process must not run again in the new one; a retry with the key may fail.
 func TestHandover_FromPausedProcessRunsNoKeyAgain(t *testing.T) {
 	config, err := DefaultConfig()
 	if err != nil {
--- a/match/compile.go
+++ b/match/compile.go
@@ -8,8 +8,9 @@
 	"cel.dev/cel-go/cel"
 )
 
-// DefaultMaxCost is the limit on the estimated and the actual cost of a rule's evaluation, in
-// CEL cost units, if a rule file does not set max_cost.
+// DefaultMaxCost is the cost limit of a rule file that does not set max_cost, in CEL cost
+// units. It limits the estimated cost of a rule, and at run time the actual cost of each of
+// the rule's expressions.
 const DefaultMaxCost = 50_000
 
 // Limits on expressions. Rule files cannot change them.
@@ -37,7 +38,7 @@
 // Options configure Compile.
 type Options struct {
 	Classes []string // known classes; a rule with another constant class is rejected; empty to skip the check
-	MaxCost uint64   // limit on the cost of a rule's evaluation, in CEL cost units; 0 for DefaultMaxCost
+	MaxCost uint64   // cost limit in CEL cost units, applied as DefaultMaxCost is; 0 for DefaultMaxCost
 }
 
 // Compile checks and compiles rules. If any rule is invalid, it returns a *LoadError that
@@ -112,7 +113,7 @@
 	return program, checked
 }
 
-// check parses and type-checks a field. If it finds a problem, it reports it and returns nil.
+// check parses and type-checks a field. It returns nil if it has reported a problem.
 func (c *ruleCompiler) check(field, text string, want *cel.Type) *cel.Ast {
 	checked, issues := c.env.Compile(text)
 	if issues.Err() != nil {
--- a/match/doc.go
+++ b/match/doc.go
@@ -1,9 +1,9 @@
-// Package match determines the class and the idempotency key of a request by rules that
-// operators write in CEL, the Common Expression Language (github.com/google/cel-spec; the
-// library is cel.dev/cel-go). When a rule file is loaded, each rule is type-checked, its
-// evaluation cost is estimated and limited, and it is compiled. A file with an invalid rule
-// is rejected as a whole, and all problems are reported. The same cost limit applies to each
-// evaluation at run time.
+// Package match evaluates rules that determine the class and the idempotency key of a
+// request. Operators write the rules in CEL, the Common Expression Language
+// (github.com/google/cel-spec; the library is cel.dev/cel-go). When a rule file is loaded,
+// each rule is type-checked and compiled, and its estimated cost must be within a limit. If
+// any rule is invalid, the whole file is rejected and all problems are reported. At run time
+// the same limit applies to the actual cost of each expression of a rule.
 //
 // # Use
 //
--- a/match/file.go
+++ b/match/file.go
@@ -9,7 +9,7 @@
 
 // File is an operator's rule file in TOML:
 //
-//	max_cost = 50000          # optional: limit on a rule's evaluation, in CEL cost units
+//	max_cost = 50000          # optional: cost limit in CEL cost units; default DefaultMaxCost
 //	[[rule]]
 //	name  = "gava"
 //	match = 'method == "POST" && path == "/gavor"'
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -100,7 +100,7 @@
 }
 
 // TestCompile_RejectsInvalidRules compiles invalid rules. Each problem must be reported with
-// the rule, the field and, if the parser knows it, the position.
+// the rule, the field and, if the parser reports one, the position.
 func TestCompile_RejectsInvalidRules(t *testing.T) {
 	deep := strings.Repeat("(", 60) + "true" + strings.Repeat(")", 60)
 	for _, c := range []struct {
--- a/store/compaction.go
+++ b/store/compaction.go
@@ -12,8 +12,8 @@
 // records above which the sealed segments are compacted.
 const compactionRatio = 2
 
-// compactIfDue compacts the sealed segments if most of their records are no longer
-// live. It counts each sealed segment as SegmentBytes.
+// compactIfDue compacts the sealed segments if their size, counted as SegmentBytes each,
+// exceeds compactionRatio times the size of all live records.
 func (s *Store) compactIfDue() error {
 	s.indexMu.Lock()
 	defer s.indexMu.Unlock()
--- a/store/index.go
+++ b/store/index.go
@@ -33,8 +33,8 @@
 
 func (x *recordIndex) len() int { return len(x.locations) }
 
-// add makes a record the latest of its key. It is retained at least as long as the
-// record that it replaces.
+// add makes a record the latest of its key. The new record is retained at least as long
+// as the record that it replaces.
 func (x *recordIndex) add(r record, location recordLocation) {
 	location.retainUntil = r.expiresAt
 	if !r.deleted {
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// removeTemporaryFile removes the temporary file of an unfinished compaction.
+// removeTemporaryFile removes the temporary file of an unfinished compaction if repair is
+// set.
 func (r *recovery) removeTemporaryFile(path string) error {
 	if !r.repair {
 		return nil
@@ -98,7 +99,8 @@
 }
 
 // replaySegment applies the records of a segment up to the first offset without a
-// complete record.
+// complete record. It reports the rest of the segment, and truncates the segment there if
+// repair is set.
 func (r *recovery) replaySegment(segment int, isActive bool) error {
 	data, err := os.ReadFile(r.store.segmentPath(segment))
 	if err != nil {
