--- a/admission/run.go
+++ b/admission/run.go
@@ -160,10 +160,12 @@
 // Close implements io.Closer.
 func (bodyReader) Close() error { return nil }
 
-// ReplyToCall implements dispatch.Backend: handlers make their downstream calls themselves.
+// ReplyToCall implements dispatch.Backend. It does nothing, because handlers make their
+// downstream calls themselves.
 func (b *run) ReplyToCall(string, []byte) {}
 
-// SkipCall implements dispatch.Backend: handlers make their downstream calls themselves.
+// SkipCall implements dispatch.Backend. It does nothing, because handlers make their downstream
+// calls themselves.
 func (b *run) SkipCall(string, uint64) {}
 
 // recorder is the http.ResponseWriter of a handler. It holds the response in memory; nothing is
--- a/config/config.go
+++ b/config/config.go
@@ -216,8 +216,8 @@
 	return missing
 }
 
-// missingInItems calls missingIn for each item of a list. All items need the same keys, those
-// of reference.
+// missingInItems calls missingIn for the items of a list until one lacks a key, and returns that
+// key's path, "" if there is none. All items need the same keys, those of reference.
 func missingInItems(list, reference gjson.Result, path string) string {
 	for i, item := range list.Array() {
 		if missing := missingIn(item, reference, fmt.Sprintf("%s.%d", path, i)); missing != "" {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -39,7 +39,7 @@
 		}
 		var keyError *KeyError
 		if !errors.As(err, &keyError) || keyError.Key == "" || err.Error() != keyError.Key+": "+keyError.Err.Error() {
-			t.Errorf("Parse with %q for %q = %#v, want a *KeyError", test.new, test.old, err)
+			t.Errorf("Parse with %q in place of %q = %#v, want a *KeyError", test.new, test.old, err)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	} {
 		changed := strings.Replace(text, test.old, test.new, 1)
 		if got := parse(changed).RestartKeys(active); changed == text || !slices.Equal(got, test.want) {
-			t.Errorf("RestartKeys with %q for %q = %q, want %q", test.new, test.old, got, test.want)
+			t.Errorf("RestartKeys with %q in place of %q = %q, want %q", test.new, test.old, got, test.want)
 		}
 	}
 }
--- a/fleet/consensus/cluster_test.go
+++ b/fleet/consensus/cluster_test.go
@@ -208,7 +208,7 @@
 			return
 		}
 	}
-	c.t.Fatalf("the group at %s is %s after %v, want %s at all of %v", voters[0], voterNames(c.nodes[voters[0]]), polls*pollInterval, want, voters)
+	c.t.Fatalf("after %v the group at %s, one of %v, is %s, want %s at each", polls*pollInterval, voters[0], voters, voterNames(c.nodes[voters[0]]), want)
 }
 
 // voterNames concatenates the names in a node's group, with a star after each
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -4,12 +4,14 @@
 // decisions to all members. Every receiver rejects messages from a former owner
 // (lease.Fence).
 //
-// A [Fleet] is one process's membership. It has five units, and each owns its state:
+// A [Fleet] is one process's membership. It has the following units, with one QuotaAgent
+// for each configured quota. Each unit owns its state:
 //
 //	unit           files                     state                       written by
 //	-------------  ------------------------  --------------------------  ------------------------------------
-//	stateMachine   state_machine.go,         leases, free rights of the  the goroutine of consensus.Node
-//	               log_entries.go            quotas, rollout record
+//	stateMachine   state_machine.go,         leases, free rights and     the goroutine of consensus.Node
+//	               log_entries.go            members' accounts of the
+//	                                         quotas, rollout record
 //	healthView     dependency_health.go      latest health of the        gossip's goroutines, the checker
 //	                                         shared dependency
 //	healthChecker  health_checker.go         fencing token of its probe  its own goroutine
@@ -30,10 +32,12 @@
 //	QuotaLease    grants rights to members and reclaims those of fenced members
 //	RolloutLease  compares changed servers with the others and drives the rollout
 //
-// An owner calls [Fleet.HoldsLease] right before each action and sends the fencing
-// token with it. The state machine rejects log commands whose token is not that of
-// the current grant. Receivers of gossip reject tokens lower than the highest one
-// seen.
+// An owner checks that it holds its lease: the healthChecker before and after each
+// probe and the rolloutDriver once per window, both with [Fleet.HoldsLease], and the
+// QuotaAgent at each tick, with stateMachine.holdsLease. The fencing token goes with
+// each log command, health update and rollout directive. The state machine rejects
+// log commands whose token is not that of the current grant. Receivers of gossip
+// reject tokens lower than the highest one seen.
 //
 // # Start and stop
 //
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -33,8 +33,8 @@
 	t *testing.T
 }
 
-// startFiveVoters starts five voters and a member with short timings. own adds settings of
-// single processes, by name.
+// startFiveVoters starts five voters and one other member, all with short timings. own has
+// additional settings for individual processes, by process name.
 func startFiveVoters(t *testing.T, own map[string]map[string]any) testFleet {
 	t.Helper()
 	return startFiveVotersWith(t, fleettest.Options{MemberSettings: own, Settings: map[string]any{"election_ms": 300, "lease_ms": 300, "probe_ms": 20}})
--- a/fleet/gossip/membership.go
+++ b/fleet/gossip/membership.go
@@ -153,8 +153,9 @@
 	return 1
 }
 
-// Traffic returns the number of datagrams sent plus streams opened by this member,
-// and the number of their bytes, which include those received on the streams.
+// Traffic returns the number of datagrams that this member has sent plus the number
+// of streams that it has opened, and the number of bytes sent in them or received on
+// the streams.
 func (m *Membership) Traffic() (messages, bytes int64) {
 	return m.traffic.messages.Load(), m.traffic.bytes.Load()
 }
--- a/fleet/lease/table_test.go
+++ b/fleet/lease/table_test.go
@@ -7,9 +7,9 @@
 )
 
 // TestTable_ReplicasGrantSameCommands applies the same random commands, with a
-// fixed seed, to two tables and restores one of them from a snapshot of the other
-// midway. Both must grant the same commands and end equal, and the token must
-// never decrease.
+// fixed seed, to two tables. Midway, it restores one table from a snapshot of the
+// other. Both tables must grant the same commands and have the same grant at the
+// end, and the token must never decrease.
 func TestTable_ReplicasGrantSameCommands(t *testing.T) {
 	const commands, snapshotAt, wantGranted = 2000, 1000, 500
 	rng := rand.New(rand.NewPCG(7, 7))
--- a/fleet/quota/leader.go
+++ b/fleet/quota/leader.go
@@ -129,9 +129,9 @@
 	return commands
 }
 
-// collectReports returns the transfer reports of live members on fenced members, as
-// Command.Reports has them. They are complete if there is a fenced member and each live
-// member has reported on each fenced one.
+// collectReports returns the transfer reports for Command.Reports, by fenced member and
+// then by live member. complete is true if there is a fenced member and every live member
+// has reported on each fenced one. If a report is missing, the map is nil.
 func collectReports(s State, fenced, live []ID) (reports map[ID]map[ID]TransferReport, complete bool) {
 	reports = map[ID]map[ID]TransferReport{}
 	for _, id := range fenced {
--- a/fleet/quota/merge.go
+++ b/fleet/quota/merge.go
@@ -1,10 +1,11 @@
 package quota
 
 // Merge joins a delta from any member into the state. It returns the part of the
-// delta to forward to other members, and whether there is any. That part has new
-// heartbeats and fenced accounts. It has no transfers, because these concern their
-// sender and recipient only, and no account of a live member, because the allocator's
-// leader sends that account to the member itself.
+// delta to forward to other members, and whether there is any. A member state is
+// forwarded if its heartbeat is new, but without its transfers, because these concern
+// their sender and recipient only. A changed account is forwarded if it is fenced. The
+// account of a live member is not, because the allocator's leader sends it to the
+// member itself.
 func (m *Member) Merge(d Delta) (forward Delta, ok bool) {
 	if d.ID == m.id {
 		d.MemberState = nil // only this member writes its own state
--- a/fleet/quota/simulation/fleet.go
+++ b/fleet/quota/simulation/fleet.go
@@ -92,7 +92,9 @@
 	return nil
 }
 
-// Step runs one round.
+// Step runs one round: it advances the time, delivers delayed messages, runs the workload,
+// ticks the running members, and lets them gossip. In every ReshuffleRounds-th round it also
+// draws new demands, before the deliveries.
 func (f *Fleet) Step() {
 	f.round++
 	f.now += f.config.RoundInterval
--- a/fleet/quota/state.go
+++ b/fleet/quota/state.go
@@ -19,7 +19,7 @@
 
 // MemberState is the state that one incarnation of a member publishes about itself;
 // it has no other writer. It may arrive in parts: fields that only grow are joined by
-// their maximum, Surplus and Shortfall are those of the latest heartbeat. A
+// their maximum, and Surplus and Shortfall are those of the latest heartbeat. A
 // MemberState is immutable once it is part of a State.
 type MemberState struct {
 	Heartbeat       uint64                `cbor:"1,keyasint"`           // sequence number, grows with each published state
--- a/fleet/quota_agent.go
+++ b/fleet/quota_agent.go
@@ -17,7 +17,7 @@
 	reproposeInterval = time.Second // time until commands are proposed again if the log has applied none of the previous ones
 )
 
-// Names of the fleet's quotas, as stored in the log and in metrics.
+// Names of the fleet's quotas, as used in the log and in metrics.
 const (
 	CallQuota  = "calls"   // calls in flight at the shared dependency
 	RetryQuota = "repeats" // retries made in any second
@@ -218,8 +218,8 @@
 	return a.member.Rights(), a.member.InUse()
 }
 
-// mergeAccounts merges accounts that the log changed. It broadcasts fenced accounts to
-// all members, and sends each other account to its member.
+// mergeAccounts merges accounts that the log changed. It broadcasts the fenced accounts
+// to all members, and sends each of the rest only to the member that it belongs to.
 func (a *QuotaAgent) mergeAccounts(accounts []quota.Delta) {
 	a.mu.Lock()
 	a.proposedAt = 0
--- a/fleet/rollout/collector.go
+++ b/fleet/rollout/collector.go
@@ -90,7 +90,8 @@
 	return sample, true
 }
 
-// beginWindow begins the next window.
+// beginWindow makes the latest report the start of the next window and resets the crash
+// count. It also counts the consecutive windows without a new report.
 func (s *serverReports) beginWindow() {
 	s.silentWindows++
 	if s.latest.Incarnation != s.windowStart.Incarnation || s.latest.Sequence > s.windowStart.Sequence {
--- a/frontend/thrift/frontend.go
+++ b/frontend/thrift/frontend.go
@@ -65,8 +65,9 @@
 // New returns a frontend without connections.
 func New(options Options) *Frontend { return &Frontend{options: options} }
 
-// Serve serves one connection until it closes. It then reports to the core that the caller of
-// the requests that are still open has disconnected.
+// Serve serves one connection until it closes. When reading has ended, it queues a fault for each
+// open request, and reports to the core that the request's caller has disconnected. If a write
+// has failed before, it only reports that, because nothing can be sent any more.
 func (f *Frontend) Serve(transportConn *transport.Conn) {
 	c := newConnection(f, transportConn)
 	f.connections.Add(c)
--- a/handover/peer.go
+++ b/handover/peer.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// awaitKeys waits until the predecessor has replicated all of its keys, and returns true then.
-// It returns false if the connection closes before that. If ctx is done before that, it aborts
-// the connection and returns false.
+// awaitKeys returns true once the predecessor has replicated all of its keys. It returns false
+// if the connection closes before that. If ctx is done before that, it aborts the connection and
+// returns false.
 func (p *Peer) awaitKeys(ctx context.Context) bool {
 	select {
 	case <-p.replicated:
--- a/internal/fleettest/starter.go
+++ b/internal/fleettest/starter.go
@@ -136,7 +136,8 @@
 	return s.maxRunning, s.failed
 }
 
-// Running returns the number of members whose current or next process has a version.
+// Running returns the number of members that run the given version, or will run it when
+// their next process starts.
 func (f *Fleet) Running(version string) (n int) {
 	for _, c := range f.Children {
 		if *c.version.Load() == version {
--- a/match/set.go
+++ b/match/set.go
@@ -20,7 +20,8 @@
 // contains the request. The earlier rule is used for such requests.
 func (s *Set) Warnings() []string { return s.warnings }
 
-// Version returns the version that ActiveRules.Replace gave the set, or 0 before.
+// Version returns the version that ActiveRules.Replace gave the set, or 0 if Replace has
+// not been called with it.
 func (s *Set) Version() uint64 { return s.version.Load() }
 
 // UsesBody reports whether any rule may use the body. If so, a frontend must read the body
--- a/policy/call_quota_test.go
+++ b/policy/call_quota_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Overdrawn credit recovers at any quota. A quota of 0 may be a rounded value, and allows a
-// call from time to time.
+// Overdrawn credit recovers at any quota. A quota of 0 counts as minCallQuota, because it may
+// have been rounded down, so a call is still made eventually.
 func TestMakeCalls_WaitsUntilOverdrawnCreditRecovers(t *testing.T) {
 	for _, quota := range []float64{0, 0.3, 10} {
 		s := testSettings()
--- a/policy/walk_test.go
+++ b/policy/walk_test.go
@@ -187,7 +187,9 @@
 	c.timers = append(c.timers, c.now+d)
 }
 
-// check checks the invariants that must hold after each batch.
+// check checks the invariants that must hold after each batch: no request is unanswered later
+// than DeadlineSlack after it is due, and the reserved memory and the number of requests in
+// flight are within their limits.
 func (c *invariantChecker) check() {
 	reservedKB := 0.0
 	for id, expiresAt := range c.cachedUntil {
--- a/protocol/lines/lines_test.go
+++ b/protocol/lines/lines_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// FuzzRead checks that Read returns the same messages and errors however the input is split
-// and however often reads time out, for valid messages and for messages with random bytes.
+// FuzzRead checks that Read returns the same messages, and fails at the same message, however
+// the input is split and however often reads time out. Some inputs have random bytes.
 func FuzzRead(f *testing.F) {
 	valid := lines.Append(nil, []byte("a call's body"), "ask", "1", "abc")
 	valid = lines.Append(valid, nil, "used", "7", "0.5", "1")
--- a/server/crossing_test.go
+++ b/server/crossing_test.go
@@ -62,7 +62,7 @@
 	for len(kinds) < n {
 		reply, err := fakes.ReadReply(b.r)
 		if err != nil {
-			b.t.Fatalf("reading replies failed after %v: %v, want %d replies", kinds, err, n)
+			b.t.Fatalf("got replies %v, then error %v; want %d replies", kinds, err, n)
 		}
 		if reply.Name == "execute" {
 			if kinds[reply.Seq] != "" {
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -84,12 +84,13 @@
 }
 
 // drain runs through the states notifying, rejecting and closing (see state). It skips
-// closing if all connections have ended before the answer deadline.
+// closing if all connections have ended before the answer deadline and no listening socket is
+// inherited.
 //
-// An inherited listening socket stays open until the state closing, because another process
-// holds it too. If this process closed its descriptor earlier, a new connection would wait in
-// the accept queue and never be served. It would not be refused, although only a refusal would
-// prove to the caller that its request did not run.
+// An inherited listening socket stays open until the state closing, which is then always
+// entered, because another process holds the socket too. If this process closed its descriptor
+// earlier, a new connection would wait in the accept queue and never be served. It would not be
+// refused, although only a refusal would prove to the caller that its request did not run.
 func (s *Server) drain() {
 	graceEnd, killAt := s.beginDrain()
 
